--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -16,10 +16,10 @@
 type (
 	// Queue holds what waits at one daemon. The zero value is ready.
 	Queue struct {
-		mu       sync.Mutex
-		services map[string]*service
-		wait     map[uint64]chan gate.Op
-		last     uint64 // ticket
+		mu         sync.Mutex
+		services   map[string]*service
+		waiters    map[uint64]chan gate.Op
+		lastTicket uint64 // ticket
 	}
 
 	service struct {
@@ -28,26 +28,26 @@
 	}
 
 	// Refused tells that a program may not begin, and when to come back.
-	Refused struct{ After time.Duration }
+	RefusedError struct{ After time.Duration }
 )
 
-func (e *Refused) Error() string { return "too many turns under way" }
+func (e *RefusedError) Error() string { return "too many turns under way" }
 
 // Wait returns when a program may begin, which until is the latest time for. The
 // error is *Refused, or that of the context.
-func (q *Queue) Wait(ctx context.Context, name string, until time.Time, load gate.Load) (err error) {
+func (q *Queue) Wait(ctx context.Context, name string, latestStart time.Time, load gate.Load) (err error) {
 	defer func() { err = errors.Wrap(err, "wait for a place") }()
 	done := make(chan gate.Op, 1)
 	q.mu.Lock()
-	q.last++
-	ticket := q.last
-	if q.wait == nil {
-		q.wait = map[uint64]chan gate.Op{}
+	q.lastTicket++
+	ticket := q.lastTicket
+	if q.waiters == nil {
+		q.waiters = map[uint64]chan gate.Op{}
 	}
-	q.wait[ticket] = done
-	q.step(name, gate.Arrive{Ticket: ticket, Until: until, Load: load})
+	q.waiters[ticket] = done
+	q.step(name, gate.Arrive{Ticket: ticket, Until: latestStart, Load: load})
 	q.mu.Unlock()
-	timer := time.NewTimer(time.Until(until))
+	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	for {
 		select {
@@ -59,7 +59,7 @@
 			q.mu.Unlock()
 		case <-ctx.Done():
 			q.mu.Lock()
-			delete(q.wait, ticket)
+			delete(q.waiters, ticket)
 			q.step(name, gate.Leave{Ticket: ticket})
 			q.mu.Unlock()
 			return ctx.Err()
@@ -70,7 +70,7 @@
 func outcome(op gate.Op) error {
 	switch op := op.(type) {
 	case gate.Refuse:
-		return &Refused{After: op.After}
+		return &RefusedError{After: op.After}
 	default:
 		return nil
 	}
@@ -79,7 +79,7 @@
 // Change tells the gates that there may be room; load is asked for the services
 // at which programs wait.
 func (q *Queue) Change(load func(name string) gate.Load) {
-	for _, name := range q.waited() {
+	for _, name := range q.waitingServices() {
 		l := load(name)
 		q.mu.Lock()
 		q.step(name, gate.Change{Load: l})
@@ -88,7 +88,7 @@
 }
 
 // waited returns the services at which programs wait.
-func (q *Queue) waited() (names []string) {
+func (q *Queue) waitingServices() (names []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for name, s := range q.services {
@@ -119,7 +119,7 @@
 func (q *Queue) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.wait)
+	return len(q.waiters)
 }
 
 // service returns what is kept of a service; q.mu is held.
@@ -138,11 +138,11 @@
 // step takes an event to a gate and does what follows; q.mu is held.
 func (q *Queue) step(name string, e gate.Event) {
 	for _, op := range q.service(name).gate.Step(time.Now(), e) {
-		q.tell(op)
+		q.deliver(op)
 	}
 }
 
-func (q *Queue) tell(op gate.Op) {
+func (q *Queue) deliver(op gate.Op) {
 	var ticket uint64
 	switch op := op.(type) {
 	case gate.Admit:
@@ -150,8 +150,8 @@
 	case gate.Refuse:
 		ticket = op.Ticket
 	}
-	if done := q.wait[ticket]; done != nil {
+	if done := q.waiters[ticket]; done != nil {
 		done <- op
-		delete(q.wait, ticket)
+		delete(q.waiters, ticket)
 	}
 }
--- a/internal/front/admit/admit_test.go
+++ b/internal/front/admit/admit_test.go
@@ -26,7 +26,7 @@
 	}{
 		"room":    {func(q *Queue, _ context.CancelFunc) { q.Change(idle) }, 100 * time.Millisecond, func(err error) bool { return err == nil }},
 		"leaves":  {func(_ *Queue, leave context.CancelFunc) { leave() }, 100 * time.Millisecond, func(err error) bool { return errors.Is(err, context.Canceled) }},
-		"no room": {func(q *Queue, _ context.CancelFunc) { q.Change(busy) }, 300 * time.Millisecond, refusedWithTime},
+		"no room": {func(q *Queue, _ context.CancelFunc) { q.Change(busy) }, 300 * time.Millisecond, refusedWithRetry},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func refusedWithTime(err error) bool {
-	var no *Refused
-	return errors.As(err, &no) && no.After > 0
+func refusedWithRetry(err error) bool {
+	var refused *RefusedError
+	return errors.As(err, &refused) && refused.After > 0
 }
--- a/internal/front/event/event.go
+++ b/internal/front/event/event.go
@@ -33,7 +33,7 @@
 )
 
 // ErrTorn reports a stream that ended in the middle of an event.
-var ErrTorn = errors.New("event: stream ends in the middle of an event")
+var ErrTruncated = errors.New("event: stream ends in the middle of an event")
 
 // Next returns the next event, or io.EOF at the stream's end.
 func (r *Reader) Next() (e Event, err error) {
@@ -48,11 +48,11 @@
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF) && len(r.raw) > 0:
-			return Event{}, ErrTorn
+			return Event{}, ErrTruncated
 		case err != nil:
 			return Event{}, err
 		}
-		if ended(r.raw) {
+		if endsEvent(r.raw) {
 			return parse(r.raw), nil
 		}
 	}
@@ -60,7 +60,7 @@
 
 // ended tells whether the bytes end with an empty line. Empty lines before an
 // event's first field belong to it.
-func ended(raw []byte) bool {
+func endsEvent(raw []byte) bool {
 	if !bytes.HasSuffix(raw, []byte("\n\n")) && !bytes.HasSuffix(raw, []byte("\n\r\n")) {
 		return false
 	}
@@ -69,7 +69,7 @@
 
 func parse(raw []byte) Event {
 	e := Event{Raw: raw}
-	many := false
+	hasData := false
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -78,13 +78,13 @@
 		case "id":
 			e.ID = string(value)
 		case "data":
-			if many {
+			if hasData {
 				e.Data = append(append([]byte(nil), e.Data...), '\n')
 				e.Data = append(e.Data, value...)
 				continue
 			}
 			e.Data = value
-			many = true
+			hasData = true
 		}
 	}
 	return e
--- a/internal/front/event/event_test.go
+++ b/internal/front/event/event_test.go
@@ -21,8 +21,8 @@
 		"several lines":   {"data: a\ndata: b\ndata:c\n\n", []want{{"data: a\ndata: b\ndata:c\n\n", "", "a\nb\nc"}}, io.EOF},
 		"carriage return": {"id: 1\r\ndata: a\r\n\r\n", []want{{"id: 1\r\ndata: a\r\n\r\n", "1", "a"}}, io.EOF},
 		"another field":   {"weight-versions: 3\nid: 1\ndata: a\n\n", []want{{"weight-versions: 3\nid: 1\ndata: a\n\n", "1", "a"}}, io.EOF},
-		"torn":            {"id: 1\ndata: a\n\nid: 2\nda", []want{{"id: 1\ndata: a\n\n", "1", "a"}}, ErrTorn},
-		"torn before end": {"id: 1\ndata: a\n", nil, ErrTorn},
+		"torn":            {"id: 1\ndata: a\n\nid: 2\nda", []want{{"id: 1\ndata: a\n\n", "1", "a"}}, ErrTruncated},
+		"torn before end": {"id: 1\ndata: a\n", nil, ErrTruncated},
 		"empty":           {"", nil, io.EOF},
 	}
 	for name, c := range cases {
--- a/internal/front/allow/allow.go
+++ b/internal/front/limits/limits.go
@@ -1,6 +1,6 @@
 // Package allow keeps a front's part of the limits of accounts, for the requests that
 // it serves at the same time.
-package allow
+package limits
 
 import (
 	"math/rand/v2"
@@ -13,7 +13,7 @@
 )
 
 // Allow lets requests in. Set Tolerance before use; without accounts it lets all in.
-type Allow struct {
+type Limiter struct {
 	Tolerance ration.Tolerance
 	Label     label.Label // of accounts in metrics
 
@@ -23,64 +23,64 @@
 }
 
 // Take asks for one request of an account, as ration.Take does.
-func (a *Allow) Take(now time.Time, name string, begun bool) ration.Verdict {
+func (a *Limiter) Take(now time.Time, name string, begun bool) ration.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Take(now, name, begun)
 }
 
 // Look tells whether there is room for any request of an account, as ration.Look does.
-func (a *Allow) Look(now time.Time, name string) ration.Verdict {
+func (a *Limiter) Look(now time.Time, name string) ration.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Look(now, name)
 }
 
 // Add counts a request that is sent once more.
-func (a *Allow) Add(now time.Time, name string) {
+func (a *Limiter) Add(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ration.Add(now, name)
 }
 
 // GiveBack counts a request no more that reached no upstream.
-func (a *Allow) GiveBack(now time.Time, name string) {
+func (a *Limiter) GiveBack(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ration.GiveBack(now, name)
 }
 
 // Used returns what was let in lately, by account.
-func (a *Allow) Used(now time.Time) map[string]int {
+func (a *Limiter) Used(now time.Time) map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Used(now)
 }
 
 // Left returns which part of its largest level each account has left.
-func (a *Allow) Left(now time.Time) map[string]float64 {
+func (a *Limiter) Left(now time.Time) map[string]float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Left(now)
 }
 
 // Hear takes what other fronts have said, and the accounts that are in force.
-func (a *Allow) Hear(now time.Time, accounts *accnt.Accounts, h ration.Heard) {
+func (a *Limiter) Hear(now time.Time, accounts *accnt.Accounts, h ration.Heard) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.know(now, accounts)
+	a.setAccounts(now, accounts)
 	a.ration.Hear(now, h)
 }
 
 // Forget takes what is known of the others to be old: this front has not run.
-func (a *Allow) Forget(now time.Time) {
+func (a *Limiter) Forget(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ration.Forget(now)
 }
 
 // know takes the limits of the accounts if they are others than before; a.mu is held.
-func (a *Allow) know(now time.Time, accounts *accnt.Accounts) {
+func (a *Limiter) setAccounts(now time.Time, accounts *accnt.Accounts) {
 	if a.accounts == accounts {
 		return
 	}
--- a/internal/front/pick/pick.go
+++ b/internal/front/pick/pick.go
@@ -320,7 +320,7 @@
 
 // Heard takes what all other daemons together have under way, in place of what they
 // had, and how many they are.
-func (p *Picker) Heard(load map[string]int, fronts int) {
+func (p *Picker) UpdateLoad(load map[string]int, fronts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fronts = fronts
--- a/internal/front/pick/pick_test.go
+++ b/internal/front/pick/pick_test.go
@@ -62,12 +62,12 @@
 		"one that is slow":             {func(p *Picker, _ []fleet.Upstream) { repeat(6, func() { p.Took(now, "u0", 5, false) }) }, "", "u1"},
 		"one that had a long call":     {func(p *Picker, l []fleet.Upstream) { p.Took(now, "u0", 3, false); l[1].Domain = "y" }, "", "u0"},
 		"one that is far":              {func(_ *Picker, l []fleet.Upstream) { l[0].Domain = "y" }, "", "u1"},
-		"one that is far, others busy": {func(p *Picker, l []fleet.Upstream) { l[0].Domain = "y"; p.Heard(map[string]int{"u1": 3}, 1) }, "", "u0"},
+		"one that is far, others busy": {func(p *Picker, l []fleet.Upstream) { l[0].Domain = "y"; p.UpdateLoad(map[string]int{"u1": 3}, 1) }, "", "u0"},
 		"one with no open connection":  {func(p *Picker, _ []fleet.Upstream) { p.Idle = func(a string) bool { return a == "u1" } }, "", "u1"},
 		"both failed: still one":       {func(p *Picker, _ []fleet.Upstream) { p.Failed(now, "u0"); p.Failed(now, "u1") }, "", "u0"},
 		"what daemons had before": {func(p *Picker, _ []fleet.Upstream) {
-			p.Heard(map[string]int{"u0": 3}, 1)
-			p.Heard(nil, 1)
+			p.UpdateLoad(map[string]int{"u0": 3}, 1)
+			p.UpdateLoad(nil, 1)
 		}, "", "u0"},
 	}
 	for name, c := range cases {
@@ -104,7 +104,7 @@
 	is.True(p.Own()["u3"] < 2*list[0].Batch) // reading it again elsewhere is sooner than to wait
 	c.Tokens = 0
 	p = &Picker{}
-	p.Heard(map[string]int{"u3": 3}, 1)
+	p.UpdateLoad(map[string]int{"u3": 3}, 1)
 	is.True(choose(p, c) != "u3") // nothing to lose elsewhere
 	is.Equal(choose(&Picker{}, Case{List: list, Only: "u5"}), "u5")
 	is.Equal(choose(&Picker{}, Case{List: list, Only: "gone"}), "")
@@ -128,7 +128,7 @@
 			p := &Picker{Domain: "x"}
 			list := ups(2)
 			list[0].Batch, list[1].Batch = 16, 16
-			p.Heard(map[string]int{"u0": c.there, "u1": c.here}, 1)
+			p.UpdateLoad(map[string]int{"u0": c.there, "u1": c.here}, 1)
 			is.New(t).Equal(choose(p, Case{List: list, Key: "k", Prefer: "u0", Tokens: 1200}), c.want)
 		})
 	}
@@ -159,7 +159,7 @@
 		for _, u := range list[1:] {
 			busy[u.ID] = 3 // all but one looked busy a moment ago
 		}
-		p.Heard(busy, 1)
+		p.UpdateLoad(busy, 1)
 		count[choose(p, Case{List: list})]++
 	}
 	for id, n := range count {
--- a/internal/front/entry/account.go
+++ b/internal/front/proxy/account.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"net/http"
@@ -12,44 +12,44 @@
 
 // errNoAccount is a request whose key belongs to no account, or to another one since it
 // came.
-var errNoAccount = errors.New("the key belongs to no account")
+var errUnknownKey = errors.New("the key belongs to no account")
 
 // identify finds the caller's account. A key that is not known may be newer than what
 // is known here.
-func (q *request) identify() bool {
-	if q.known(q.view.Table) {
+func (q *request) authenticate() bool {
+	if q.authenticated(q.view.Table) {
 		return true
 	}
 	q.e.Refresh(q.r.Context())
 	q.view = q.e.Fleet.View()
-	if q.known(q.view.Table) {
+	if q.authenticated(q.view.Table) {
 		return true
 	}
-	q.refuse(http.StatusUnauthorized, "unknown_key", nil)
+	q.replyError(http.StatusUnauthorized, "unknown_key", nil)
 	return false
 }
 
 // known sets the caller's account, and is false if it needs one and has none.
-func (q *request) known(t *route.Table) bool {
+func (q *request) authenticated(t *route.Table) bool {
 	if t.Accounts == nil {
 		return true
 	}
-	var known bool
-	if q.HasKey {
-		q.account, known = t.Accounts.Find(q.Key)
+	var authenticated bool
+	if q.HasAPIKey {
+		q.account, authenticated = t.Accounts.Find(q.APIKey)
 	}
-	return known || q.route.Open
+	return authenticated || q.route.Open
 }
 
 // still is an error if the key was taken away since the request came: it may not be run
 // any more.
-func (q *request) still() error {
+func (q *request) checkKey() error {
 	t := q.e.Fleet.View().Table
 	if q.account.Name == "" || t.Accounts == nil {
 		return nil
 	}
-	if now, known := t.Accounts.Find(q.Key); !known || now.Name != q.account.Name {
-		return errNoAccount
+	if current, known := t.Accounts.Find(q.APIKey); !known || current.Name != q.account.Name {
+		return errUnknownKey
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 // own returns an id as the records know it. Turns and programs belong to an account, or
 // to those that need none, so others' ids name nothing. No id of a caller has a control
 // character, so what was recorded before there were accounts is told apart.
-func (q *request) own(id string) string {
+func (q *request) scopedID(id string) string {
 	if q.view.Table.Accounts == nil || id == "" {
 		return id
 	}
@@ -65,55 +65,55 @@
 }
 
 // full refuses a request at once if its account has used up its limit.
-func (q *request) full() bool {
+func (q *request) limitReached() bool {
 	if q.account.Name == "" {
 		return false
 	}
-	v := q.e.Allow.Look(time.Now(), q.account.Name)
-	return !v.OK && !q.within(v)
+	v := q.e.Limiter.Look(time.Now(), q.account.Name)
+	return !v.OK && !q.replyIfDenied(v)
 }
 
 // take asks for the request's place within its account's limit.
-func (q *request) take(begun bool) bool {
-	if q.taken || q.account.Name == "" {
+func (q *request) acquire(begun bool) bool {
+	if q.acquired || q.account.Name == "" {
 		return true
 	}
-	v := q.e.Allow.Take(time.Now(), q.account.Name, begun)
-	q.taken = v.OK
-	return q.within(v)
+	v := q.e.Limiter.Take(time.Now(), q.account.Name, begun)
+	q.acquired = v.OK
+	return q.replyIfDenied(v)
 }
 
 // within answers a request that is beyond its account's limit.
-func (q *request) within(v ration.Verdict) bool {
+func (q *request) replyIfDenied(v ration.Verdict) bool {
 	switch {
 	case v.OK:
 	case v.Unknown:
-		q.unavailable("limits_unknown", v.After, nil)
+		q.replyUnavailable("limits_unknown", v.After, nil)
 	default:
-		q.overLimit(v.After)
+		q.replyOverLimit(v.After)
 	}
 	return v.OK
 }
 
 // use counts a send. What was taken at the door is for the first one.
-func (q *request) use() {
-	if q.account.Name != "" && !q.taken {
-		q.e.Allow.Add(time.Now(), q.account.Name)
+func (q *request) countSend() {
+	if q.account.Name != "" && !q.acquired {
+		q.e.Limiter.Add(time.Now(), q.account.Name)
 	}
-	q.taken = false
+	q.acquired = false
 }
 
 // unuse counts a send no more: the upstream did not run it.
-func (q *request) unuse() {
+func (q *request) uncountSend() {
 	if q.account.Name != "" {
-		q.taken = true
+		q.acquired = true
 	}
 }
 
 // giveBack returns what was taken and not sent.
-func (q *request) giveBack() {
-	if q.taken {
-		q.e.Allow.GiveBack(time.Now(), q.account.Name)
-		q.taken = false
+func (q *request) releaseAcquired() {
+	if q.acquired {
+		q.e.Limiter.GiveBack(time.Now(), q.account.Name)
+		q.acquired = false
 	}
 }
--- a/internal/front/entry/account_test.go
+++ b/internal/front/proxy/account_test.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"strings"
@@ -29,7 +29,7 @@
 }
 
 // configure puts a configuration with accounts in force.
-func (w *world) configure(version int64, a *accnt.Accounts) {
+func (w *testEnv) configure(version int64, a *accnt.Accounts) {
 	v := w.e.Fleet.View()
 	t := route.New(version, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})
 	t.Accounts = a
@@ -37,15 +37,15 @@
 }
 
 // begin has accounts and a front that has run long enough to have all of their limits.
-func (w *world) begin() {
+func (w *testEnv) startWithAccounts() {
 	w.configure(2, accounts("secret-a"))
-	w.hear(10)
+	w.syncLimits(10)
 }
 
 // hear has the front hear of the others, of which there are none, for so many half seconds.
-func (w *world) hear(n int) {
+func (w *testEnv) syncLimits(n int) {
 	for range n {
-		w.e.Allow.Hear(time.Now(), w.e.Fleet.View().Table.Accounts, ration.Heard{Fronts: 1, All: 1})
+		w.e.Limiter.Hear(time.Now(), w.e.Fleet.View().Table.Accounts, ration.Heard{Fronts: 1, All: 1})
 		time.Sleep(500 * time.Millisecond)
 	}
 }
@@ -69,16 +69,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld([]string{ok})
+				w := newTestEnv([]string{ok})
 				defer w.close()
-				w.begin()
+				w.startWithAccounts()
 				var log strings.Builder
 				w.e.Log = zerolog.New(&log)
-				rec, _ := w.ask(t.Context(), c.path, map[string]string{"Key": c.key, "Account": "forged"}, "")
+				rec, _ := w.do(t.Context(), c.path, map[string]string{"Key": c.key, "Account": "forged"}, "")
 				is.True(strings.Contains(log.String(), `"request":"r1"`))
 				is.True(c.key == "" || !strings.Contains(log.String()+rec.Body.String(), c.key))
 				is.Equal(rec.Code, c.status)
-				got := w.ups["up1"].requests()
+				got := w.upstreams["up1"].requests()
 				is.Equal(len(got) == 1, c.status == 200)
 				for _, g := range got {
 					is.Equal(g.header.Get("Account"), c.account)
@@ -91,22 +91,22 @@
 
 // A request that waits when its key is taken away must not be run: whoever holds that
 // key may ask for nothing any more.
-func TestKeyIsTakenAwayMeanwhile(t *testing.T) {
+func TestKeyRevokedWhileQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld([]string{whole})
+		w := newTestEnv([]string{completeStream})
 		defer w.close()
-		w.begin()
-		w.occupy("up1", 3)
+		w.startWithAccounts()
+		w.setLoad("up1", 3)
 		timer := time.AfterFunc(100*time.Millisecond, func() {
 			w.configure(4, accounts("another"))
-			w.occupy("up1", 0)
-			w.e.Heard()
+			w.setLoad("up1", 0)
+			w.e.UpdateLoad()
 		})
 		defer timer.Stop()
-		rec, _ := w.ask(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Program": "p", "Budget": "100", "Finish": "1s"}, "in")
+		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Program": "p", "Budget": "100", "Finish": "1s"}, "in")
 		is.Equal(rec.Code, 401)
-		is.Equal(len(w.ups["up1"].requests()), 0)
+		is.Equal(len(w.upstreams["up1"].requests()), 0)
 	})
 }
 
@@ -124,15 +124,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld([]string{whole})
+				w := newTestEnv([]string{completeStream})
 				defer w.close()
-				w.begin()
-				rec, _ := w.ask(t.Context(), "/keep/", map[string]string{"Id": "r0", "Key": "secret-a"}, "first")
+				w.startWithAccounts()
+				rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Id": "r0", "Key": "secret-a"}, "first")
 				is.Equal(rec.Code, 200)
-				rec, _ = w.ask(t.Context(), "/keep/", map[string]string{"Key": c.key, "Previous": "r0"}, "next")
+				rec, _ = w.do(t.Context(), "/keep/", map[string]string{"Key": c.key, "Previous": "r0"}, "next")
 				is.Equal(rec.Code, c.status)
 				synctest.Wait()
-				if got := w.ups["up1"].requests(); c.status == 200 {
+				if got := w.upstreams["up1"].requests(); c.status == 200 {
 					is.Equal(got[1].body, "firsta\nb\nnext")
 					is.Equal(got[1].header.Get("Rank"), "4") // the account's own
 				} else {
@@ -147,15 +147,15 @@
 func TestTurnsFromBeforeAccounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld([]string{whole})
+		w := newTestEnv([]string{completeStream})
 		defer w.close()
 		w.rec.turns["r0"] = book.Turn{Input: []byte("old")}
-		w.begin()
-		rec, _ := w.ask(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
+		w.startWithAccounts()
+		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
 		is.Equal(rec.Code, 200)
-		rec, _ = w.ask(t.Context(), "/keep/", map[string]string{"Id": "r2", "Key": "secret-a", "Previous": "r1"}, "in")
+		rec, _ = w.do(t.Context(), "/keep/", map[string]string{"Id": "r2", "Key": "secret-a", "Previous": "r1"}, "in")
 		is.Equal(rec.Code, 200)
-		is.Equal(w.ups["up1"].requests()[1].body, "oldina\nb\nin")
+		is.Equal(w.upstreams["up1"].requests()[1].body, "oldina\nb\nin")
 	})
 }
 
@@ -164,12 +164,12 @@
 func TestOverTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld([]string{ok})
+		w := newTestEnv([]string{ok})
 		defer w.close()
-		w.begin()
+		w.startWithAccounts()
 		served, refused := 0, 0
 		for range 20 {
-			rec, _ := w.ask(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+			rec, _ := w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
 			switch rec.Code {
 			case 200:
 				served++
@@ -177,29 +177,29 @@
 				refused++
 				is.True(rec.Header().Get("Again") != "")
 			}
-			rec, _ = w.ask(t.Context(), "/safe/", map[string]string{"Key": "secret-b"}, "")
+			rec, _ = w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-b"}, "")
 			is.Equal(rec.Code, 200)
 		}
 		is.True(served >= 1 && served <= 3) // the burst
 		is.Equal(served+refused, 20)
-		is.Equal(len(w.ups["up1"].requests()), served+20) // what was refused has not run
-		w.hear(4)
-		rec, _ := w.ask(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+		is.Equal(len(w.upstreams["up1"].requests()), served+20) // what was refused has not run
+		w.syncLimits(4)
+		rec, _ := w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
 		is.Equal(rec.Code, 200)
 	})
 }
 
 // What reached no upstream takes nothing of the account's limit.
-func TestNotSentIsGivenBack(t *testing.T) {
+func TestUnsentRequestsAreNotCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld([]string{full})
+		w := newTestEnv([]string{full})
 		defer w.close()
-		w.begin()
+		w.startWithAccounts()
 		for range 10 {
-			rec, _ := w.ask(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+			rec, _ := w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
 			is.Equal(rec.Code, 503)
 		}
-		is.Equal(len(w.e.Allow.Used(time.Now())), 0)
+		is.Equal(len(w.e.Limiter.Used(time.Now())), 0)
 	})
 }
--- a/internal/front/entry/wait_test.go
+++ b/internal/front/proxy/admission_test.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"strings"
@@ -36,17 +36,17 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld([]string{whole})
+				w := newTestEnv([]string{completeStream})
 				defer w.close()
 				w.rec.turns["t0"] = book.Turn{}
 				if c.began > 0 {
 					w.rec.shares["r0"] = book.Share{Attempt: "r0", Settled: true, Tokens: c.ran, At: time.Now().Add(-c.began).UnixMilli()}
 				}
-				w.occupy("up1", 3)
+				w.setLoad("up1", 3)
 				if c.frees > 0 {
 					timer := time.AfterFunc(c.frees, func() {
-						w.occupy("up1", 0)
-						w.e.Heard()
+						w.setLoad("up1", 0)
+						w.e.UpdateLoad()
 					})
 					defer timer.Stop()
 				}
@@ -55,10 +55,10 @@
 				for k, v := range c.header {
 					h[k] = v
 				}
-				rec, _ := w.ask(t.Context(), "/keep/", h, "in")
+				rec, _ := w.do(t.Context(), "/keep/", h, "in")
 				is.Equal(rec.Code, c.status)
 				is.Equal(time.Since(began), c.after)
-				is.Equal(len(w.ups["up1"].requests()) == 1, c.status == 200)
+				is.Equal(len(w.upstreams["up1"].requests()) == 1, c.status == 200)
 				is.Equal(rec.Header().Get("Again") != "", c.status == 503)
 				is.Equal(strings.Contains(rec.Body.String(), `"ran":"no"`), c.status == 503)
 				synctest.Wait()
@@ -70,12 +70,12 @@
 
 // No engine of a service takes work. Nobody knows when one will, so the caller must be
 // told at once, not after a wait for room.
-func TestNoEngineIsToldAtOnce(t *testing.T) {
+func TestNoEngineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld()
+		w := newTestEnv()
 		began := time.Now()
-		rec, _ := w.ask(t.Context(), "/keep/", map[string]string{"Program": "p", "Budget": "1000", "Finish": "1s"}, "in")
+		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Program": "p", "Budget": "1000", "Finish": "1s"}, "in")
 		is.Equal(rec.Code, 503)
 		is.True(strings.Contains(rec.Body.String(), "no_upstream"))
 		is.Equal(time.Since(began), time.Duration(0))
--- a/internal/front/entry/world_test.go
+++ b/internal/front/proxy/env_test.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"bufio"
@@ -20,9 +20,9 @@
 	"github.com/slaterock/slaterock/internal/conf/route"
 	"github.com/slaterock/slaterock/internal/disk/book"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
-	"github.com/slaterock/slaterock/internal/front/allow"
-	"github.com/slaterock/slaterock/internal/front/asked"
 	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/limits"
+	"github.com/slaterock/slaterock/internal/front/meta"
 	"github.com/slaterock/slaterock/internal/front/pick"
 	"github.com/slaterock/slaterock/internal/front/upconn"
 )
@@ -30,36 +30,36 @@
 type (
 	// upstream answers each request by a script, in the order of its answers;
 	// the last one repeats.
-	upstream struct {
-		mu      sync.Mutex
-		answers []string // raw bytes; "ID" stands for the attempt's id
-		got     []got
-		refuse  bool // connections
-		once    bool // after one connection, refuse
+	fakeUpstream struct {
+		mu         sync.Mutex
+		responses  []string // raw bytes; "ID" stands for the attempt's id
+		received   []received
+		refuse     bool // connections
+		refuseNext bool // after one connection, refuse
 	}
 
-	got struct {
+	received struct {
 		method, target, body string
 		header               http.Header
 	}
 
 	// dialect has short names of its own, so that these tests don't know the
 	// wire's.
-	dialect struct{}
+	fakeDialect struct{}
 
 	// records keeps everything in memory.
-	records struct {
+	fakeRecords struct {
 		mu     sync.Mutex
 		down   bool
 		shares map[string]book.Share
 		turns  map[string]book.Turn
 	}
 
-	world struct {
-		e       *Entry
-		rec     *records
-		ups     map[string]*upstream // by address
-		clients sync.WaitGroup
+	testEnv struct {
+		e         *Endpoint
+		rec       *fakeRecords
+		upstreams map[string]*fakeUpstream // by address
+		conns     sync.WaitGroup
 	}
 )
 
@@ -75,46 +75,46 @@
 	{Name: "nowhere", Host: "h", Prefix: "/nowhere/", Kind: route.Safe, Attempts: 1, Backends: []route.Backend{{Service: "none"}}},
 }
 
-func (dialect) Decode(h http.Header) (a asked.Attempt, err error) {
-	a = asked.Attempt{Key: accnt.DigestOf(h.Get("Key")), HasKey: h.Get("Key") != "", ID: h.Get("Id"), Program: h.Get("Program"), Previous: h.Get("Previous"), LastEvent: h.Get("Last"), Output: 30}
+func (fakeDialect) Decode(h http.Header) (a meta.Attempt, err error) {
+	a = meta.Attempt{APIKey: accnt.DigestOf(h.Get("Key")), HasAPIKey: h.Get("Key") != "", ID: h.Get("Id"), Program: h.Get("Program"), Previous: h.Get("Previous"), LastEventID: h.Get("Last"), MaxOutputTokens: 30}
 	if a.ID == "" {
 		return a, errors.New("no id")
 	}
 	if b := h.Get("Budget"); b != "" {
-		a.HasBudget = true
-		_, err = fmt.Sscan(b, &a.Budget)
+		a.HasTokenBudget = true
+		_, err = fmt.Sscan(b, &a.TokenBudget)
 	}
 	if f := h.Get("Finish"); f != "" {
-		a.HasFinish = true
-		a.Finish, err = time.ParseDuration(f)
+		a.HasFinishIn = true
+		a.FinishIn, err = time.ParseDuration(f)
 	}
-	a.Wait = 2 * time.Second
+	a.CallerTimeout = 2 * time.Second
 	return a, err
 }
 
-func (dialect) Forward(h http.Header, o asked.Order) http.Header {
-	out := http.Header{"Id": h["Id"], "Instance": {o.Instance}, "Left": {fmt.Sprint(o.Left.Milliseconds())}}
-	if o.LastEvent != "" {
-		out.Set("Last", o.LastEvent)
+func (fakeDialect) Forward(h http.Header, d meta.Dispatch) http.Header {
+	out := http.Header{"Id": h["Id"], "Instance": {d.Instance}, "Left": {fmt.Sprint(d.Timeout.Milliseconds())}}
+	if d.LastEventID != "" {
+		out.Set("Last", d.LastEventID)
 	}
-	if o.Account != "" {
-		out.Set("Account", o.Account)
+	if d.Account != "" {
+		out.Set("Account", d.Account)
 	}
-	if o.Ranked {
-		out.Set("Rank", fmt.Sprint(o.Priority))
+	if d.HasPriority {
+		out.Set("Rank", fmt.Sprint(d.Priority))
 	}
 	return out
 }
 
-func (dialect) Return(h http.Header) http.Header { return h.Clone() }
+func (fakeDialect) Return(h http.Header) http.Header { return h.Clone() }
 
-func (dialect) Verdict(status int, h http.Header) asked.Verdict {
-	return asked.Verdict{Request: h.Get("Id"), NotRun: h.Get("Not-Run") != "" || status == 421, IdleTime: time.Minute}
+func (fakeDialect) ResponseInfo(status int, h http.Header) meta.ResponseInfo {
+	return meta.ResponseInfo{Request: h.Get("Id"), NotRun: h.Get("Not-Run") != "" || status == 421, IdleTime: time.Minute}
 }
 
-func (dialect) RetryAfter(h http.Header, d time.Duration) { h.Set("Again", d.String()) }
+func (fakeDialect) RetryAfter(h http.Header, d time.Duration) { h.Set("Again", d.String()) }
 
-func (r *records) Write(_ context.Context, rec book.Record) (res quorum.Result, err error) {
+func (r *fakeRecords) Write(_ context.Context, rec book.Record) (res quorum.Result, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
@@ -134,7 +134,7 @@
 	return res, nil
 }
 
-func (r *records) Read(_ context.Context, _, id string) (chain []book.Turn, err error) {
+func (r *fakeRecords) Read(_ context.Context, _, id string) (chain []book.Turn, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
@@ -151,7 +151,7 @@
 	return chain, nil
 }
 
-func (u *upstream) serve(conn net.Conn) {
+func (u *fakeUpstream) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	br := bufio.NewReader(conn)
 	for {
@@ -164,8 +164,8 @@
 			return
 		}
 		u.mu.Lock()
-		u.got = append(u.got, got{r.Method, r.RequestURI, string(body), r.Header})
-		answer := u.answers[min(len(u.got), len(u.answers))-1]
+		u.received = append(u.received, received{r.Method, r.RequestURI, string(body), r.Header})
+		answer := u.responses[min(len(u.received), len(u.responses))-1]
 		u.mu.Unlock()
 		answer, hang := strings.CutSuffix(answer, "HANG")
 		answer, closing := strings.CutSuffix(answer, "CLOSE")
@@ -179,42 +179,42 @@
 	}
 }
 
-func (u *upstream) requests() []got {
+func (u *fakeUpstream) requests() []received {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.got
+	return u.received
 }
 
-func newWorld(answers ...[]string) *world {
-	w := &world{rec: &records{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, ups: map[string]*upstream{}}
+func newTestEnv(responses ...[]string) *testEnv {
+	w := &testEnv{rec: &fakeRecords{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, upstreams: map[string]*fakeUpstream{}}
 	var f fleet.Fleet
 	reading := fleet.Reading{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
-	for i, list := range answers {
+	for i, list := range responses {
 		address := fmt.Sprintf("up%d", i+1)
-		w.ups[address] = &upstream{answers: list}
-		reading.Upstreams = append(reading.Upstreams, fleet.Upstream{ID: address, Service: "s", Address: address, Batch: 4 * (len(answers) - i)})
+		w.upstreams[address] = &fakeUpstream{responses: list}
+		reading.Upstreams = append(reading.Upstreams, fleet.Upstream{ID: address, Service: "s", Address: address, Batch: 4 * (len(responses) - i)})
 	}
 	f.Take(time.Now(), reading)
 	pool := &upconn.Pool{Dial: func(_ context.Context, address string) (net.Conn, error) {
-		u := w.ups[address]
+		u := w.upstreams[address]
 		if u.refuse {
 			return nil, errors.New("refused")
 		}
-		u.refuse = u.once
+		u.refuse = u.refuseNext
 		near, far := net.Pipe()
-		w.clients.Go(func() { u.serve(far) })
+		w.conns.Go(func() { u.serve(far) })
 		return near, nil
 	}}
-	w.e = &Entry{
-		Dialect: dialect{}, Records: w.rec, Fleet: &f, Pool: pool, Picker: &pick.Picker{}, Log: zerolog.Nop(), Scope: tally.NoopScope,
-		Refresh: func(context.Context) {}, Stop: context.Background(), Allow: &allow.Allow{},
+	w.e = &Endpoint{
+		Dialect: fakeDialect{}, Records: w.rec, Fleet: &f, Pool: pool, Picker: &pick.Picker{}, Log: zerolog.Nop(), Scope: tally.NoopScope,
+		Refresh: func(context.Context) {}, Stop: context.Background(), Limiter: &limits.Limiter{},
 	}
 	return w
 }
 
 // ask sends one request. Cut tells that the connection was cut in the middle of
 // the answer.
-func (w *world) ask(ctx context.Context, path string, header map[string]string, body string) (rec *httptest.ResponseRecorder, cut bool) {
+func (w *testEnv) do(ctx context.Context, path string, header map[string]string, body string) (rec *httptest.ResponseRecorder, aborted bool) {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
 	r.Host = "h"
 	r.Header.Set("Id", "r1")
@@ -225,7 +225,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			err, _ := p.(error)
-			if cut = errors.Is(err, http.ErrAbortHandler); !cut {
+			if aborted = errors.Is(err, http.ErrAbortHandler); !aborted {
 				panic(p)
 			}
 		}
@@ -235,9 +235,9 @@
 }
 
 // close ends all connections, so that the upstreams' goroutines end.
-func (w *world) close() {
-	w.e.Pool.Sweep(time.Now().Add(time.Hour))
-	w.clients.Wait()
+func (w *testEnv) close() {
+	w.e.Pool.CloseExpired(time.Now().Add(time.Hour))
+	w.conns.Wait()
 }
 
 func newEmptyFleet() *fleet.Fleet { return &fleet.Fleet{} }
--- a/internal/front/entry/entry.go
+++ b/internal/front/proxy/proxy.go
@@ -5,7 +5,7 @@
 // not run is refused as not run, with the time to come back; one that may have run
 // is never refused that way, nor sent again unless its kind allows it. An answer
 // that is not whole never looks whole.
-package entry
+package proxy
 
 import (
 	"context"
@@ -23,9 +23,9 @@
 	"github.com/slaterock/slaterock/internal/disk/book"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/admit"
-	"github.com/slaterock/slaterock/internal/front/allow"
-	"github.com/slaterock/slaterock/internal/front/asked"
 	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/limits"
+	"github.com/slaterock/slaterock/internal/front/meta"
 	"github.com/slaterock/slaterock/internal/front/pick"
 	"github.com/slaterock/slaterock/internal/front/upconn"
 	"github.com/slaterock/slaterock/internal/obs/trace"
@@ -43,10 +43,10 @@
 type (
 	// Dialect translates the headers of callers and upstreams.
 	Dialect interface {
-		Decode(http.Header) (asked.Attempt, error)
-		Forward(http.Header, asked.Order) http.Header
+		Decode(http.Header) (meta.Attempt, error)
+		Forward(http.Header, meta.Dispatch) http.Header
 		Return(http.Header) http.Header
-		Verdict(status int, h http.Header) asked.Verdict
+		ResponseInfo(status int, h http.Header) meta.ResponseInfo
 		RetryAfter(http.Header, time.Duration)
 	}
 
@@ -57,7 +57,7 @@
 	}
 
 	// Entry serves callers. Set the exported fields before use.
-	Entry struct {
+	Endpoint struct {
 		Dialect Dialect
 		Records Records
 		Fleet   *fleet.Fleet
@@ -65,7 +65,7 @@
 		Picker  *pick.Picker
 		Usual   pick.Usual
 		Queue   admit.Queue
-		Allow   *allow.Allow
+		Limiter *limits.Limiter
 		Log     zerolog.Logger
 		Scope   tally.Scope
 		Trace   *trace.Trace
@@ -74,63 +74,63 @@
 		// Stop ends work that outlives its request.
 		Stop context.Context //nolint:containedctx // the daemon's own end
 
-		leaving atomic.Bool
-		active  atomic.Int64
+		draining atomic.Bool
+		active   atomic.Int64
 	}
 
 	// request is one attempt on its way.
 	request struct {
-		asked.Attempt
-		e        *Entry
+		meta.Attempt
+		e        *Endpoint
 		w        http.ResponseWriter
 		r        *http.Request
 		view     *fleet.View
 		route    route.Route
 		service  route.Service
 		account  accnt.Account // of the caller; without a name if it needs none
-		taken    bool          // of the account's limit, and not yet sent
+		acquired bool          // of the account's limit, and not yet sent
 		body     []byte
 		began    time.Time
 		deadline time.Time
-		story    story
+		summary  summary
 	}
 )
 
 // Leave has connections closed after the answers under way.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+func (e *Endpoint) Drain() { e.draining.Store(true) }
 
 // Active returns how many requests are under way.
-func (e *Entry) Active() int64 { return e.active.Load() }
+func (e *Endpoint) Active() int64 { return e.active.Load() }
 
 // ServeHTTP serves one request.
-func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
-	if e.leaving.Load() {
+	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	ctx, span := e.Trace.Start(r.Context(), trace.Edge, "")
 	q := &request{e: e, w: w, r: r.WithContext(ctx), began: time.Now()}
-	q.story.ran = ranNo
-	defer q.tell(span)
-	defer q.giveBack()
-	if q.admit() {
+	q.summary.ran = ranNo
+	defer q.report(span)
+	defer q.releaseAcquired()
+	if q.accept() {
 		q.serve()
 	}
 }
 
 // admit reads the request and finds its route. It is false if the request has
 // been answered.
-func (q *request) admit() bool {
+func (q *request) accept() bool {
 	var err error
 	if q.Attempt, err = q.e.Dialect.Decode(q.r.Header); err != nil {
-		q.refuse(http.StatusBadRequest, "bad_request", err)
+		q.replyError(http.StatusBadRequest, "bad_request", err)
 		return false
 	}
-	if !q.findRoute() || !q.identify() {
+	if !q.findRoute() || !q.authenticate() {
 		return false
 	}
-	wait := q.Wait
+	wait := q.CallerTimeout
 	if t := q.route.Timeout; t > 0 && (wait == 0 || t < wait) {
 		wait = t
 	}
@@ -149,7 +149,7 @@
 func (q *request) findRoute() bool {
 	q.view = q.e.Fleet.View()
 	if q.view.Table == nil {
-		q.unavailable("no_configuration", retryStart, nil)
+		q.replyUnavailable("no_configuration", retryNoConfig, nil)
 		return false
 	}
 	var found bool
@@ -157,22 +157,22 @@
 		q.e.Refresh(q.r.Context())
 		q.view = q.e.Fleet.View()
 		if q.route, found = q.view.Table.Match(q.r.Host, q.r.URL.Path); !found {
-			q.refuse(http.StatusNotFound, "no_route", nil)
+			q.replyError(http.StatusNotFound, "no_route", nil)
 			return false
 		}
 	}
-	q.service = q.view.Table.Services[q.route.Choose(xxhash.Sum64String(q.key()))]
+	q.service = q.view.Table.Services[q.route.Choose(xxhash.Sum64String(q.affinityKey()))]
 	return true
 }
 
 // key is what should stay together: the whole program, so that its turns and
 // sub-agents meet what is cached of each other.
-func (q *request) key() string {
+func (q *request) affinityKey() string {
 	switch {
 	case q.Program != "":
 		return q.Program
-	case q.Affinity != "":
-		return q.Affinity
+	case q.AffinityKey != "":
+		return q.AffinityKey
 	default:
 		return q.ID
 	}
@@ -193,19 +193,19 @@
 	}
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		q.refuse(http.StatusRequestEntityTooLarge, "too_large", err)
+		q.replyError(http.StatusRequestEntityTooLarge, "too_large", err)
 		return false
 	}
-	q.refuse(http.StatusBadRequest, "bad_body", err)
+	q.replyError(http.StatusBadRequest, "bad_body", err)
 	return false
 }
 
 func (q *request) serve() {
-	ctx, stop := context.WithDeadline(q.r.Context(), q.deadline)
-	defer stop()
+	ctx, cancel := context.WithDeadline(q.r.Context(), q.deadline)
+	defer cancel()
 	if q.route.Kind == route.Stream {
-		q.stream(ctx)
+		q.serveStream(ctx)
 		return
 	}
-	q.plain(ctx)
+	q.serveBuffered(ctx)
 }
--- a/internal/front/entry/reply.go
+++ b/internal/front/proxy/reply.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"encoding/json"
@@ -10,17 +10,17 @@
 const (
 	// retryStart is told by a daemon that knows no configuration yet: it has
 	// one within a second, and other daemons have one already.
-	retryStart = 300 * time.Millisecond
+	retryNoConfig = 300 * time.Millisecond
 	// retryFull is told when all upstreams shed: places free within about
 	// one plain call's time.
-	retryFull = 150 * time.Millisecond
+	retryBusy = 150 * time.Millisecond
 	// retryRecords is told when too few holders of records answer, which is
 	// over when a killed one is back or its place was taken.
-	retryRecords = 400 * time.Millisecond
+	retryNoQuorum = 400 * time.Millisecond
 )
 
 // failure is the body of an answer of our own.
-type failure struct {
+type errorBody struct {
 	Error struct {
 		Code       string  `json:"code"`
 		Message    string  `json:"message"`
@@ -30,33 +30,33 @@
 }
 
 // refuse answers for good: coming back does not help.
-func (q *request) refuse(status int, code string, err error) {
-	q.answer(status, code, 0, err)
+func (q *request) replyError(status int, code string, err error) {
+	q.reply(status, code, 0, err)
 }
 
 // unavailable tells that the request has not run, and when to come back.
-func (q *request) unavailable(code string, after time.Duration, err error) {
+func (q *request) replyUnavailable(code string, after time.Duration, err error) {
 	q.e.Dialect.RetryAfter(q.w.Header(), after)
-	q.answer(http.StatusServiceUnavailable, code, after, err)
+	q.reply(http.StatusServiceUnavailable, code, after, err)
 }
 
 // overLimit tells that the request has not run since its account asks too much, and
 // when there will be room.
-func (q *request) overLimit(after time.Duration) {
+func (q *request) replyOverLimit(after time.Duration) {
 	q.e.Dialect.RetryAfter(q.w.Header(), after)
-	q.answer(http.StatusTooManyRequests, "over_limit", after, nil)
+	q.reply(http.StatusTooManyRequests, "over_limit", after, nil)
 }
 
 // unknown tells that the request may have run.
-func (q *request) unknown(status int, code string, err error) {
-	q.story.ran = ranUnknown
-	q.answer(status, code, 0, err)
+func (q *request) replyUnknown(status int, code string, err error) {
+	q.summary.ran = ranUnknown
+	q.reply(status, code, 0, err)
 }
 
-func (q *request) answer(status int, code string, after time.Duration, err error) {
-	q.story.status, q.story.code, q.story.err = status, code, err
-	var f failure
-	f.Error.Code, f.Error.Message, f.Error.Ran = code, http.StatusText(status), q.story.ran
+func (q *request) reply(status int, code string, after time.Duration, err error) {
+	q.summary.status, q.summary.code, q.summary.err = status, code, err
+	var f errorBody
+	f.Error.Code, f.Error.Message, f.Error.Ran = code, http.StatusText(status), q.summary.ran
 	f.Error.RetryAfter = after.Seconds()
 	text, _ := json.Marshal(f) // plain fields always encode
 	h := q.w.Header()
@@ -67,14 +67,14 @@
 }
 
 // giveUp ends a request whose time is over, or whose caller has left.
-func (q *request) giveUp(err error) {
+func (q *request) replyExpired(err error) {
 	if q.r.Context().Err() != nil {
-		q.story.code, q.story.err = "caller_left", err
+		q.summary.code, q.summary.err = "caller_left", err
 		return
 	}
-	if q.story.ran == ranNo {
-		q.unavailable("timeout_not_run", retryFull, err)
+	if q.summary.ran == ranNo {
+		q.replyUnavailable("timeout_not_run", retryBusy, err)
 		return
 	}
-	q.unknown(http.StatusGatewayTimeout, "timeout", err)
+	q.replyUnknown(http.StatusGatewayTimeout, "timeout", err)
 }
--- a/internal/front/entry/smuggle_test.go
+++ b/internal/front/proxy/smuggle_test.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"bufio"
@@ -63,7 +63,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld([]string{ok})
+				w := newTestEnv([]string{ok})
 				l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 				srv := &http.Server{Handler: w.e, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second}
 				go func() { _ = srv.Serve(l) }()
@@ -77,7 +77,7 @@
 				defer func() { _ = resp.Body.Close() }()
 				is.True(strings.HasPrefix(resp.Status, c.status))
 				time.Sleep(2 * time.Second)
-				reqs := w.ups["up1"].requests()
+				reqs := w.upstreams["up1"].requests()
 				if c.got == "-" {
 					is.Equal(len(reqs), 0)
 				} else {
--- /dev/null
+++ b/internal/front/proxy/stream.go
@@ -0,0 +1,346 @@
+package proxy
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/quorum"
+	"github.com/slaterock/slaterock/internal/front/event"
+	"github.com/slaterock/slaterock/internal/front/meta"
+	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/upconn"
+	"github.com/slaterock/slaterock/internal/obs/trace"
+)
+
+const (
+	// settleTime bounds the record of what a turn spent, which no caller
+	// waits for.
+	settleTimeout = 4 * time.Second
+	// maxResumes bounds how often a stream goes on after it broke off.
+	maxResumes   = 3
+	streamBuffer = 16 << 10
+)
+
+// turn is a stream on its way, with what is kept of it.
+type turn struct {
+	*request
+	history          []byte // input for the upstream before the caller's own
+	previousID       string // turn that this one continues, as the records know it
+	previousUpstream string // id of the upstream that ran the turn before
+	lastUpstream     string // id of the upstream that last ran one of the program's
+	reserved         bool
+	programBegun     bool      // something of the program has run, or may have
+	programStart     time.Time // when the first attempt of the program came
+	output           []byte    // data of the events so far, if it is kept
+	lastEventID      string    // id of the last event passed on
+	headerSent       bool      // the head has been passed on
+	flush            func() error
+}
+
+// stream serves a request that is answered by events.
+func (q *request) serveStream(ctx context.Context) {
+	t := &turn{request: q, lastEventID: q.LastEventID, flush: http.NewResponseController(q.w).Flush}
+	if t.limitReached() || !t.prepare(ctx) || !t.withinLimit() || !t.waitForRoom(ctx) {
+		return
+	}
+	err := t.relayTurn(ctx)
+	if err == nil {
+		return
+	}
+	t.settle()
+	if t.headerSent {
+		q.summary.code, q.summary.err = "broken_off", err
+		// The connection is cut, so that what was passed on can't be taken for
+		// a whole answer.
+		panic(http.ErrAbortHandler)
+	}
+	q.replyFailure(err)
+}
+
+// allowed asks for the turn's place within its account's limit. A new program leaves
+// room to those that have begun.
+func (t *turn) withinLimit() bool {
+	if t.acquire(t.programBegun || !t.reserved) {
+		return true
+	}
+	t.settle()
+	return false
+}
+
+// prepare reads the chain that a turn continues, and has the program's budget
+// bear the turn, before anything runs.
+func (t *turn) prepare(ctx context.Context) bool {
+	ctx, span := t.e.Trace.Start(ctx, trace.Records, "")
+	defer func() { span.End(nil) }()
+	readErr := make(chan error, 1)
+	go func() { readErr <- t.readHistory(ctx) }()
+	if !t.reserve(ctx) {
+		return false
+	}
+	err := <-readErr
+	t.summary.recordTime = time.Since(t.began)
+	if err == nil {
+		return true
+	}
+	t.settle()
+	switch {
+	case errors.Is(err, quorum.ErrNoTurn):
+		t.replyError(http.StatusNotFound, "no_turn", err)
+	case ctx.Err() != nil:
+		t.replyExpired(err)
+	default:
+		t.replyUnavailable("records_away", retryNoQuorum, err)
+	}
+	return false
+}
+
+func (t *turn) readHistory(ctx context.Context) error {
+	if !t.route.Keep || t.Previous == "" {
+		return nil
+	}
+	t.previousID = t.scopedID(t.Previous)
+	turns, err := t.e.Records.Read(ctx, t.scopedID(t.Program), t.previousID)
+	if errors.Is(err, quorum.ErrNoTurn) && t.previousID != t.Previous {
+		t.previousID = t.Previous // from before there were accounts
+		turns, err = t.e.Records.Read(ctx, t.Program, t.previousID)
+	}
+	if err != nil {
+		return err
+	}
+	for _, before := range turns {
+		t.history = append(t.history, before.Input...)
+		t.history = append(t.history, before.Output...)
+		t.previousUpstream = before.Upstream
+	}
+	return nil
+}
+
+// most is how many tokens the turn may generate. Events count whole.
+func (t *turn) maxTokens() int {
+	n := max(t.service.EventTokens, 1)
+	return (t.MaxOutputTokens + n - 1) / n * n
+}
+
+func (t *turn) newRecord() book.Record {
+	return book.Record{
+		Program: t.scopedID(t.Program), Attempt: t.scopedID(t.ID), At: t.began.UnixMilli(), Keep: t.route.KeepFor.Milliseconds(),
+	}
+}
+
+// reserve makes the turn's most durable before anything is generated, so that
+// no crash makes a program spend beyond its budget.
+func (t *turn) reserve(ctx context.Context) bool {
+	if !t.HasTokenBudget || t.Program == "" {
+		return true
+	}
+	rec := t.newRecord()
+	rec.Reserved, rec.Most = true, t.maxTokens()
+	res, err := t.e.Records.Write(ctx, rec)
+	t.reserved = true
+	if err != nil {
+		t.settle()
+		if ctx.Err() != nil {
+			t.replyExpired(err)
+			return false
+		}
+		t.replyUnavailable("records_away", retryNoQuorum, err)
+		return false
+	}
+	t.programBegun = t.Previous != "" || book.Begun(res.Shares, rec.Attempt)
+	t.programStart = book.Since(res.Shares, t.began)
+	t.lastUpstream = book.LastRan(res.Shares, t.Session)
+	if !book.Fits(res.Shares, t.TokenBudget) {
+		t.settle()
+		t.replyError(http.StatusPaymentRequired, "budget_spent", nil)
+		return false
+	}
+	return true
+}
+
+// settle records what the turn has spent, without waiting.
+func (t *turn) settle() {
+	if !t.reserved {
+		return
+	}
+	t.reserved = false
+	rec := t.newRecord()
+	rec.Settled, rec.Spent = true, t.summary.tokens
+	if t.summary.events > 0 {
+		rec.Upstream, rec.Session = t.summary.upstream, t.Session
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(t.e.Stop, settleTimeout)
+		defer cancel()
+		if _, err := t.e.Records.Write(ctx, rec); err != nil {
+			t.e.Log.Warn().Err(err).Str("request", t.ID).Str("program", t.Program).Int("tokens", rec.Spent).
+				Msg("what the turn spent was not recorded; its most counts")
+		}
+	}()
+}
+
+// priority is the account's, or else the route's.
+func (t *turn) priority() int {
+	if t.account.Ranked {
+		return t.account.Priority
+	}
+	return t.route.Priority
+}
+
+// run sends the turn and passes the events on, resuming where that is allowed.
+func (t *turn) relayTurn(ctx context.Context) error {
+	body := t.body
+	if len(t.history) > 0 {
+		body = slices.Concat(t.history, t.body)
+	}
+	c := pick.Case{Key: t.affinityKey(), Prefer: cmp.Or(t.previousUpstream, t.lastUpstream), Tokens: t.PromptTokens, Exclude: map[string]bool{}}
+	d := meta.Dispatch{Priority: min(t.priority(), 9), HasPriority: true, LastEventID: t.lastEventID}
+	for range maxResumes {
+		s, err := t.dispatch(ctx, c, body, d)
+		if c.Only != "" && err != nil && t.cannotResumeAt(c.Only, err) {
+			c.Only = ""
+			s, err = t.dispatch(ctx, c, body, d)
+		}
+		if err != nil {
+			return err
+		}
+		err = t.relay(ctx, s)
+		t.e.done(s.up.ID)
+		if err == nil || ctx.Err() != nil || !t.route.Resume {
+			return err
+		}
+		// Going on at the same upstream uses what it has in memory. Others may
+		// run it too only if the route allows that, or this one is gone.
+		d.LastEventID = t.lastEventID
+		c.Prefer = s.up.ID
+		if t.route.Attempts == 1 {
+			c.Only = s.up.ID
+		}
+		t.summary.refusals += s.up.ID + ":resumed "
+	}
+	return errors.New("the stream broke off too often")
+}
+
+// goneFrom tells whether an upstream can't run the stream any more.
+func (t *turn) cannotResumeAt(id string, err error) bool {
+	var refusal *refusedError
+	if errors.As(err, &refusal) {
+		return refusal.cause != causeFull
+	}
+	if !errors.Is(err, errNoUpstream) {
+		return false
+	}
+	for _, u := range t.e.Fleet.View().Services[t.service.Name] {
+		if u.ID == id {
+			return false
+		}
+	}
+	return true
+}
+
+// pass passes an answer on. A status that is no success has no events.
+func (t *turn) relay(ctx context.Context, s *exchange) error {
+	if s.resp.StatusCode != http.StatusOK {
+		body, err := upconn.ReadAll(s.resp.Body, maxResponse)
+		if err != nil || t.headerSent {
+			s.closeConn()
+			return t.recordLoss(ctx, s, errors.CombineErrors(errors.Newf("status %d", s.resp.StatusCode), err))
+		}
+		s.releaseConn(t.e.Pool)
+		if s.resp.StatusCode >= http.StatusInternalServerError {
+			t.e.Picker.Failed(time.Now(), s.up.ID) // or else it looks idle, and gets all turns
+		}
+		t.settle()
+		t.writeResponse(s, body)
+		return nil
+	}
+	t.summary.ran = ranYes
+	if !t.headerSent {
+		t.writeHeader(s.resp)
+	}
+	under := t.e.Picker.Under(s.up.ID)
+	r := event.Reader{R: bufio.NewReaderSize(s.resp.Body, streamBuffer)}
+	for {
+		e, err := r.Next()
+		if errors.Is(err, io.EOF) {
+			t.observe(s, float64(under+t.e.Picker.Under(s.up.ID))/2)
+			return t.complete(ctx, s)
+		}
+		if err == nil {
+			err = t.relayEvent(e)
+		}
+		if err != nil {
+			s.closeConn()
+			if ctx.Err() == nil {
+				t.e.Picker.Failed(time.Now(), s.up.ID)
+			}
+			return errors.CombineErrors(err, ctx.Err())
+		}
+	}
+}
+
+func (t *turn) writeHeader(resp *http.Response) {
+	t.headerSent = true
+	t.summary.status = resp.StatusCode
+	h := t.w.Header()
+	for name, values := range t.e.Dialect.Return(resp.Header) {
+		h[name] = values
+	}
+	t.w.WriteHeader(resp.StatusCode)
+}
+
+func (t *turn) relayEvent(e event.Event) error {
+	if t.summary.events == 0 {
+		t.summary.firstByte = time.Since(t.began)
+	}
+	t.summary.events++
+	t.summary.tokens += max(t.service.EventTokens, 1)
+	if t.route.Keep {
+		t.output = append(append(t.output, e.Data...), '\n')
+	}
+	if e.ID != "" {
+		t.lastEventID = e.ID
+	}
+	if _, err := t.w.Write(e.Raw); err != nil {
+		return err
+	}
+	return t.flush()
+}
+
+// learn tells how the upstream did: by the time of an event, which hardly depends on
+// what is asked. Turns is how many were under way there meanwhile.
+func (t *turn) observe(s *exchange, turns float64) {
+	pace := 0.0
+	if n := t.summary.events - 1; n > 2 {
+		eventTime := (time.Since(t.began) - t.summary.firstByte) / time.Duration(n)
+		pace = t.e.Usual.Pace(t.route.Name, eventTime.Seconds())
+		t.e.Queue.Observe(t.service.Name, turns, eventTime)
+	}
+	t.e.Picker.Took(time.Now(), s.up.ID, pace, false)
+}
+
+// end records a whole stream. A turn that is kept must be durable before its
+// caller can take the answer for whole, since the next turn will name it.
+func (t *turn) complete(ctx context.Context, s *exchange) error {
+	s.releaseConn(t.e.Pool)
+	if !t.route.Keep {
+		t.settle()
+		return nil
+	}
+	rec := t.newRecord()
+	rec.Settled, rec.Spent = t.reserved, t.summary.tokens
+	rec.Upstream, rec.Session = s.up.ID, t.Session
+	rec.Turn = &book.Turn{Previous: t.previousID, Input: t.body, Output: t.output, Upstream: s.up.ID, Tokens: t.summary.tokens}
+	if _, err := t.e.Records.Write(ctx, rec); err != nil {
+		return errors.Wrap(err, "the turn was not recorded")
+	}
+	t.reserved = false
+	return nil
+}
--- a/internal/front/entry/story.go
+++ b/internal/front/proxy/summary.go
@@ -1,4 +1,4 @@
-package entry
+package proxy
 
 import (
 	"time"
@@ -17,22 +17,22 @@
 
 type (
 	// story is what the log tells of an attempt.
-	story struct {
-		status   int
-		code     string // empty for a whole answer
-		ran      ran
-		upstream string
-		missing  bool // the store did not list that upstream
-		sends    int
-		events   int
-		tokens   int
-		refusals string // of upstreams, in order
-		err      error
-		recorded time.Duration // until the reservation was durable
-		queue    string        // why the attempt waited or was refused; empty if it had not to
-		queued   time.Duration // how long it waited for that
-		load     gate.Load     // of the engines when it came to wait
-		first    time.Duration // until the first byte of the answer
+	summary struct {
+		status      int
+		code        string // empty for a whole answer
+		ran         ran
+		upstream    string
+		missing     bool // the store did not list that upstream
+		sends       int
+		events      int
+		tokens      int
+		refusals    string // of upstreams, in order
+		err         error
+		recordTime  time.Duration // until the reservation was durable
+		queueReason string        // why the attempt waited or was refused; empty if it had not to
+		queueTime   time.Duration // how long it waited for that
+		load        gate.Load     // of the engines when it came to wait
+		firstByte   time.Duration // until the first byte of the answer
 	}
 
 	// ran tells whether an upstream ran the request.
@@ -40,8 +40,8 @@
 )
 
 // tell writes the request's line and counts it.
-func (q *request) tell(span trace.Span) {
-	s := &q.story
+func (q *request) report(span trace.Span) {
+	s := &q.summary
 	span.Set(attribute.String("request", q.ID), attribute.String("outcome", s.outcome()))
 	span.End(s.err)
 	took := time.Since(q.began)
@@ -50,7 +50,7 @@
 	scope.Counter("requests").Inc(1)
 	scope.Timer("request_time").Record(took)
 	if q.account.Name != "" {
-		tags = map[string]string{"account": q.e.Allow.Label.Of(q.account.Name), "outcome": s.outcome()}
+		tags = map[string]string{"account": q.e.Limiter.Label.Of(q.account.Name), "outcome": s.outcome()}
 		q.e.Scope.Tagged(tags).Counter("account_requests").Inc(1)
 	}
 	line := q.e.Log.Info()
@@ -58,22 +58,22 @@
 		line = q.e.Log.Warn()
 	}
 	line.Str("request", q.ID).Str("program", q.Program).Str("account", q.account.Name).Str("route", q.route.Name).Str("kind", q.route.Kind.String()).
-		Int64("config", q.version()).Int64("news_age_ms", q.newsAge()).Str("upstream", s.upstream).Int("sends", s.sends).
+		Int64("config", q.version()).Int64("news_age_ms", q.viewAge()).Str("upstream", s.upstream).Int("sends", s.sends).
 		Str("refusals", s.refusals).Int("status", s.status).Str("outcome", s.outcome()).Str("ran", string(s.ran)).
-		Int("events", s.events).Int("tokens", s.tokens).Int64("wait_ms", q.Wait.Milliseconds()).
-		Int64("finish_ms", q.Finish.Milliseconds()).Int64("recorded_ms", s.recorded.Milliseconds()).
-		Int64("first_ms", s.first.Milliseconds()).Int64("took_ms", took.Milliseconds()).Str("previous", q.Previous).AnErr("cause", s.err)
+		Int("events", s.events).Int("tokens", s.tokens).Int64("wait_ms", q.CallerTimeout.Milliseconds()).
+		Int64("finish_ms", q.FinishIn.Milliseconds()).Int64("recorded_ms", s.recordTime.Milliseconds()).
+		Int64("first_ms", s.firstByte.Milliseconds()).Int64("took_ms", took.Milliseconds()).Str("previous", q.Previous).AnErr("cause", s.err)
 	if s.missing {
 		line.Bool("upstream_missing", true)
 	}
-	if s.queue != "" {
-		line.Str("queue", s.queue).Int64("queued_ms", s.queued.Milliseconds()).Int("engines_under_way", s.load.Under).
+	if s.queueReason != "" {
+		line.Str("queue", s.queueReason).Int64("queued_ms", s.queueTime.Milliseconds()).Int("engines_under_way", s.load.Under).
 			Int("engines_room", s.load.Room).Int("daemons", s.load.Fronts)
 	}
 	line.Msg("request")
 }
 
-func (s *story) outcome() string {
+func (s *summary) outcome() string {
 	if s.code == "" {
 		return "answered"
 	}
@@ -87,7 +87,7 @@
 	return q.view.Table.Version
 }
 
-func (q *request) newsAge() int64 {
+func (q *request) viewAge() int64 {
 	if q.view == nil || q.view.Confirmed.IsZero() {
 		return -1
 	}
--- a/internal/front/upconn/conn.go
+++ b/internal/front/upconn/conn.go
@@ -28,13 +28,13 @@
 	Conn struct {
 		Reused bool // it has carried a request before
 
-		net       net.Conn
-		br        *bufio.Reader
-		address   string
-		owner     string // the upstream's id
-		idleUntil time.Time
-		sent      atomic.Bool
-		writing   chan error // the result of a write under way
+		net        net.Conn
+		br         *bufio.Reader
+		address    string
+		upstreamID string // the upstream's id
+		idleUntil  time.Time
+		sent       atomic.Bool
+		writing    chan error // the result of a write under way
 	}
 
 	// Request is what is sent.
@@ -97,7 +97,7 @@
 }
 
 // Break makes reads and writes under way fail at once.
-func (c *Conn) Break() { _ = c.net.SetDeadline(time.Unix(1, 0)) }
+func (c *Conn) Interrupt() { _ = c.net.SetDeadline(time.Unix(1, 0)) }
 
 // Deadline bounds reads and writes from now on.
 func (c *Conn) Deadline(t time.Time) error { return c.net.SetDeadline(t) }
@@ -121,7 +121,7 @@
 
 // quiet tells whether an idle connection is open and nothing has come over it.
 // Bytes that nobody asked for would be taken for the next request's answer.
-func (c *Conn) quiet() bool {
+func (c *Conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -148,12 +148,12 @@
 // the time-out of unacknowledged bytes where something is.
 func connect(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
-		Timeout:         dialTime,
+		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			ctrl := raw.Control(func(fd uintptr) {
-				err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTime/time.Millisecond))
+				err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout/time.Millisecond))
 			})
 			return errors.CombineErrors(ctrl, err)
 		},
--- a/internal/front/upconn/pool.go
+++ b/internal/front/upconn/pool.go
@@ -17,13 +17,13 @@
 
 const (
 	// dialTime bounds a connect; within a region it takes a millisecond.
-	dialTime = 700 * time.Millisecond
+	dialTimeout = 700 * time.Millisecond
 	// A connection on which probes stay unanswered is dropped after about
 	// probeIdle + probeCount*probeEvery.
-	probeIdle   = 2 * time.Second
-	probeEvery  = time.Second
-	probeCount  = 2
-	unackedTime = 3 * time.Second
+	probeIdle      = 2 * time.Second
+	probeEvery     = time.Second
+	probeCount     = 2
+	unackedTimeout = 3 * time.Second
 	// tcpUserTimeout is the option TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
 
@@ -47,13 +47,13 @@
 
 // Take returns a connection to the upstream: a kept one if there is one that
 // can be used, else a new one.
-func (p *Pool) Take(ctx context.Context, id, address string) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, id, address string) (*Conn, error) {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if c.owner == id && time.Now().Before(c.idleUntil) && c.quiet() {
+		if c.upstreamID == id && time.Now().Before(c.idleUntil) && c.reusable() {
 			c.Reused = true
 			c.sent.Store(false)
 			return c, nil
@@ -71,12 +71,12 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &Conn{net: nc, br: bufio.NewReaderSize(nc, readBuffer), address: address, owner: id}, nil
+	return &Conn{net: nc, br: bufio.NewReaderSize(nc, readBuffer), address: address, upstreamID: id}, nil
 }
 
 // Keep takes a connection back whose answer has been read whole. Idle is how
 // long the upstream keeps it, 0 if it did not tell.
-func (p *Pool) Keep(c *Conn, idle time.Duration) {
+func (p *Pool) Put(c *Conn, idle time.Duration) {
 	if idle == 0 {
 		idle = defaultIdle
 	}
@@ -114,7 +114,7 @@
 }
 
 // Sweep closes idle connections whose time is over. It is called every second or so.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -15,11 +15,11 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/slaterock/slaterock/internal/disk/quorum"
-	"github.com/slaterock/slaterock/internal/front/allow"
-	"github.com/slaterock/slaterock/internal/front/entry"
 	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/limits"
 	"github.com/slaterock/slaterock/internal/front/mesh"
 	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/proxy"
 	"github.com/slaterock/slaterock/internal/front/pulse"
 	"github.com/slaterock/slaterock/internal/front/ration"
 	"github.com/slaterock/slaterock/internal/front/rumor"
@@ -80,7 +80,7 @@
 		Settings Settings
 		Store    store.Shared
 		Source   Source
-		Dialect  entry.Dialect
+		Dialect  proxy.Dialect
 		Names    Names
 		Log      zerolog.Logger
 		Scope    tally.Scope
@@ -94,14 +94,14 @@
 		rumor   rumor.Rumor
 		pulse   pulse.Pulse
 		posted  posted.Posted
-		entry   entry.Entry
+		proxy   proxy.Endpoint
 		leaving atomic.Bool
 		reads   reads
 		absent  absent
 		asks    asks
 		breadth breadth
 		kept    kept
-		allow   allow.Allow
+		limits  limits.Limiter
 		present present
 		names   atomic.Pointer[upstreamNames]
 	}
@@ -141,7 +141,7 @@
 func (d *Daemon) start(ctx context.Context) error {
 	d.scout.Store = d.Store
 	d.picker.Name, d.picker.Domain = d.Settings.Node, d.Settings.Domain
-	d.allow.Tolerance = d.Settings.Tolerance
+	d.limits.Tolerance = d.Settings.Tolerance
 	d.picker.Idle, d.picker.Age = d.pool.Idle, d.rumor.Age
 	d.link.Address, d.link.Scope = d.Settings.Peer, d.Scope
 	d.link.DialTime, d.link.BackOff = dialTime, dialPause
@@ -153,9 +153,9 @@
 		Store: d.Store, Key: scout.FrontPrefix + d.Settings.Node, OnEnd: d.tellPosted, Stands: d.stands,
 		Data: func() []byte { return scout.FrontValue(d.self()) },
 	}
-	d.entry = entry.Entry{
+	d.proxy = proxy.Endpoint{
 		Dialect: d.Dialect, Fleet: &d.fleet, Pool: &d.pool, Picker: &d.picker, Log: d.Log, Scope: d.Scope, Trace: d.Trace,
-		Refresh: d.refreshConfig, Stop: ctx, Allow: &d.allow,
+		Refresh: d.refreshConfig, Stop: ctx, Limiter: &d.limits,
 		Records: &d.pulse,
 	}
 	d.pulse.Records = &quorum.Client{
@@ -230,16 +230,16 @@
 // once, those that still come are served, and connections close with an answer.
 func (d *Daemon) drain(ctx context.Context, callers *http.Server) {
 	d.leaving.Store(true)
-	d.entry.Leave()
+	d.proxy.Drain()
 	d.rumor.Tell()
 	go d.unpost(ctx)
-	d.Log.Info().Int64("active", d.entry.Active()).Msg("draining")
+	d.Log.Info().Int64("active", d.proxy.Active()).Msg("draining")
 	pause.For(ctx, keepServing)
 	rest := max(d.Settings.Grace-keepServing-graceLeft, 0)
 	limited, stop := context.WithTimeout(ctx, rest)
 	defer stop()
 	err := callers.Shutdown(limited)
-	d.Log.Info().Err(err).Int64("active", d.entry.Active()).Msg("drained")
+	d.Log.Info().Err(err).Int64("active", d.proxy.Active()).Msg("drained")
 }
 
 // probe notices when the holders of records are reached again, and logs both.
@@ -256,7 +256,7 @@
 
 func (d *Daemon) sweep(ctx context.Context) {
 	for pause.For(ctx, sweepEach) {
-		d.pool.Sweep(time.Now())
+		d.pool.CloseExpired(time.Now())
 		known := map[string]bool{}
 		for _, list := range d.fleet.View().Services {
 			for _, u := range list {
@@ -266,8 +266,8 @@
 		d.picker.Forget(func(id string) bool { return known[id] })
 		d.gaugeKnowledge(time.Now())
 		d.gaugeLimits(time.Now())
-		d.Scope.Gauge("queued").Update(float64(d.entry.Queue.Len()))
-		d.Scope.Gauge("active").Update(float64(d.entry.Active()))
+		d.Scope.Gauge("queued").Update(float64(d.proxy.Queue.Len()))
+		d.Scope.Gauge("active").Update(float64(d.proxy.Active()))
 		d.Scope.Gauge("upstream_connections_opened").Update(float64(d.pool.Opened()))
 	}
 }
--- a/internal/node/frontd/known.go
+++ b/internal/node/frontd/known.go
@@ -58,7 +58,7 @@
 // told is what this daemon tells the others.
 func (d *Daemon) told() mesh.Tick {
 	v := d.fleet.View()
-	return mesh.Tick{Load: short(d.picker.Own()), Used: short(d.allow.Used(time.Now())), State: mesh.State{
+	return mesh.Tick{Load: short(d.picker.Own()), Used: short(d.limits.Used(time.Now())), State: mesh.State{
 		Node: d.Settings.Node, Peer: d.Settings.Peer, Callers: d.Settings.Callers,
 		Leaving: !d.ready(), Unwell: d.pulse.Down(time.Now()),
 		Revision: v.Revision, Hash: v.Hash, Age: time.Since(v.Confirmed).Milliseconds(), Steady: v.Steady().Milliseconds(),
@@ -89,8 +89,8 @@
 // changed takes what all other daemons have under way and let in.
 func (d *Daemon) changed(p mesh.Picture) {
 	d.hearUse(p)
-	d.picker.Heard(named(p.Load, d.upstreamNames().of), p.Fronts-1)
-	d.entry.Heard()
+	d.picker.UpdateLoad(named(p.Load, d.upstreamNames().of), p.Fronts-1)
+	d.proxy.UpdateLoad()
 }
 
 // upstreamNames returns the ids of the upstreams that are known now.
@@ -156,7 +156,7 @@
 }
 
 func (d *Daemon) askPeer(e mesh.State) {
-	ctx, stop := context.WithTimeout(d.entry.Stop, askTime)
+	ctx, stop := context.WithTimeout(d.proxy.Stop, askTime)
 	defer stop()
 	var k known
 	err := link.Ask(ctx, d.link.Peer(e.Peer), methodKnown, d.have(), &k)
@@ -164,7 +164,7 @@
 	if err == nil {
 		err = d.takeKnown(k, 0)
 	}
-	if err != nil && d.entry.Stop.Err() == nil {
+	if err != nil && d.proxy.Stop.Err() == nil {
 		d.Log.Warn().Err(err).Str("peer", e.Node).Msg("newer knowledge not got from a daemon")
 	}
 }
--- a/internal/node/frontd/limits.go
+++ b/internal/node/frontd/limits.go
@@ -45,7 +45,7 @@
 	}
 	h := d.present.look(now, nodes, p.Fronts)
 	h.Used = d.present.byName(v.Table.Accounts, p.Used)
-	d.allow.Hear(now, v.Table.Accounts, h)
+	d.limits.Hear(now, v.Table.Accounts, h)
 }
 
 // due tells whether it is time to reckon again.
@@ -88,8 +88,8 @@
 
 // gaugeLimits shows how much each account has left of its limit.
 func (d *Daemon) gaugeLimits(now time.Time) {
-	for name, left := range d.allow.Left(now) {
-		if l := d.allow.Label.Of(name); l != label.Others {
+	for name, left := range d.limits.Left(now) {
+		if l := d.limits.Label.Of(name); l != label.Others {
 			d.Scope.Tagged(map[string]string{"account": l}).Gauge("account_limit_left").Update(left)
 		}
 	}
--- a/internal/node/frontd/read.go
+++ b/internal/node/frontd/read.go
@@ -89,7 +89,7 @@
 		if away, stood := ran.Look(time.Now(), due); away > 0 {
 			d.Log.Warn().Dur("away_ms", away).Dur("clock_stood_ms", stood).Msg("this process did not run for a while")
 			d.learn(fleet.Slept{For: stood}, nil)
-			d.allow.Forget(time.Now())
+			d.limits.Forget(time.Now())
 			listen = time.Now().Add(hearFirst)
 		}
 	}
--- a/internal/node/frontd/serve.go
+++ b/internal/node/frontd/serve.go
@@ -47,7 +47,7 @@
 
 func (d *Daemon) serveCallers() (srv *http.Server, err error) {
 	srv = &http.Server{
-		Handler: &d.entry, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes, ErrorLog: silent(),
+		Handler: &d.proxy, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes, ErrorLog: silent(),
 	}
 	if t := d.fleet.View().Table; t != nil {
 		srv.ReadHeaderTimeout = positive(t.Limits.HeaderTime, headerTime)
