--- a/internal/front/proxy/account.go
+++ b/internal/front/proxy/account.go
@@ -10,12 +10,13 @@
 	"github.com/slaterock/slaterock/internal/front/ration"
 )
 
-// errNoAccount is a request whose key belongs to no account, or to another one since it
-// came.
-var errUnknownKey = errors.New("the key belongs to no account")
+// errUnknownKey reports a key that no longer belongs to the account that it had when the
+// request arrived.
+var errUnknownKey = errors.New("API key was revoked or moved to another account")
 
-// identify finds the caller's account. A key that is not known may be newer than what
-// is known here.
+// authenticate finds the caller's account, or sends an error response and returns false.
+// An unknown key may be newer than the configuration held here, which is therefore read
+// again first.
 func (q *request) authenticate() bool {
 	if q.authenticated(q.view.Table) {
 		return true
@@ -29,7 +30,8 @@
 	return false
 }
 
-// known sets the caller's account, and is false if it needs one and has none.
+// authenticated sets the caller's account and reports whether the caller may use the
+// route.
 func (q *request) authenticated(t *route.Table) bool {
 	if t.Accounts == nil {
 		return true
@@ -41,8 +43,8 @@
 	return authenticated || q.route.Open
 }
 
-// still is an error if the key was taken away since the request came: it may not be run
-// any more.
+// checkKey returns an error if the key was revoked since the request arrived. Such a
+// request must not be sent.
 func (q *request) checkKey() error {
 	t := q.e.Fleet.View().Table
 	if q.account.Name == "" || t.Accounts == nil {
@@ -54,9 +56,10 @@
 	return nil
 }
 
-// own returns an id as the records know it. Turns and programs belong to an account, or
-// to those that need none, so others' ids name nothing. No id of a caller has a control
-// character, so what was recorded before there were accounts is told apart.
+// scopedID returns an id as used in the records: prefixed with the account, so that a
+// caller cannot address turns and programs of other accounts. No id of a caller contains
+// a control character, so the prefix cannot collide with ids recorded before accounts
+// were configured.
 func (q *request) scopedID(id string) string {
 	if q.view.Table.Accounts == nil || id == "" {
 		return id
@@ -64,7 +67,8 @@
 	return "\x00" + q.account.Name + "\x00" + id
 }
 
-// full refuses a request at once if its account has used up its limit.
+// limitReached refuses a request at once if its account has used up its limit, and
+// reports whether it did.
 func (q *request) limitReached() bool {
 	if q.account.Name == "" {
 		return false
@@ -73,7 +77,9 @@
 	return !v.OK && !q.replyIfDenied(v)
 }
 
-// take asks for the request's place within its account's limit.
+// acquire takes the request from its account's limit. If the limit does not allow it,
+// acquire sends an error response and returns false. Begun is false for
+// the first turn of a program, to which part of the limit is not available.
 func (q *request) acquire(begun bool) bool {
 	if q.acquired || q.account.Name == "" {
 		return true
@@ -83,7 +89,8 @@
 	return q.replyIfDenied(v)
 }
 
-// within answers a request that is beyond its account's limit.
+// replyIfDenied sends an error response if the limit does not allow the request, and
+// returns v.OK.
 func (q *request) replyIfDenied(v ration.Verdict) bool {
 	switch {
 	case v.OK:
@@ -95,7 +102,8 @@
 	return v.OK
 }
 
-// use counts a send. What was taken at the door is for the first one.
+// countSend counts a send against the account's limit. The request taken by acquire
+// covers the first one.
 func (q *request) countSend() {
 	if q.account.Name != "" && !q.acquired {
 		q.e.Limiter.Add(time.Now(), q.account.Name)
@@ -103,14 +111,15 @@
 	q.acquired = false
 }
 
-// unuse counts a send no more: the upstream did not run it.
+// uncountSend undoes countSend after a send that the upstream did not run: what was
+// counted covers the next send.
 func (q *request) uncountSend() {
 	if q.account.Name != "" {
 		q.acquired = true
 	}
 }
 
-// giveBack returns what was taken and not sent.
+// releaseAcquired returns a request to the limit that was acquired but not sent.
 func (q *request) releaseAcquired() {
 	if q.acquired {
 		q.e.Limiter.GiveBack(time.Now(), q.account.Name)
--- a/internal/front/proxy/account_test.go
+++ b/internal/front/proxy/account_test.go
@@ -28,24 +28,25 @@
 	return a
 }
 
-// configure puts a configuration with accounts in force.
-func (w *testEnv) configure(version int64, a *accnt.Accounts) {
-	v := w.e.Fleet.View()
+// configure activates a configuration with accounts.
+func (env *testEnv) configure(version int64, a *accnt.Accounts) {
+	v := env.e.Fleet.View()
 	t := route.New(version, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})
 	t.Accounts = a
-	w.e.Fleet.Take(time.Now(), fleet.Reading{Revision: uint64(version), Table: t, Upstreams: v.Upstreams})
+	env.e.Fleet.Take(time.Now(), fleet.Reading{Revision: uint64(version), Table: t, Upstreams: v.Upstreams})
 }
 
-// begin has accounts and a front that has run long enough to have all of their limits.
-func (w *testEnv) startWithAccounts() {
-	w.configure(2, accounts("secret-a"))
-	w.syncLimits(10)
+// startWithAccounts configures accounts and lets the limiter run until it grants their
+// whole limits.
+func (env *testEnv) startWithAccounts() {
+	env.configure(2, accounts("secret-a"))
+	env.syncLimits(10)
 }
 
-// hear has the front hear of the others, of which there are none, for so many half seconds.
-func (w *testEnv) syncLimits(n int) {
+// syncLimits updates the limiter n times, half a second apart, as a daemon without peers.
+func (env *testEnv) syncLimits(n int) {
 	for range n {
-		w.e.Limiter.Hear(time.Now(), w.e.Fleet.View().Table.Accounts, ration.Heard{Fronts: 1, All: 1})
+		env.e.Limiter.Hear(time.Now(), env.e.Fleet.View().Table.Accounts, ration.Heard{Fronts: 1, All: 1})
 		time.Sleep(500 * time.Millisecond)
 	}
 }
@@ -54,7 +55,7 @@
 	cases := map[string]struct {
 		path, key string
 		status    int
-		account   string // that the upstream is told
+		account   string // in the upstream's request header; empty for none
 	}{
 		"known":                       {"/safe/", "secret-a", 200, "cafe"},
 		"another account's":           {"/safe/", "secret-b", 200, "bar"},
@@ -69,16 +70,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv([]string{ok})
-				defer w.close()
-				w.startWithAccounts()
+				env := newTestEnv([]string{ok})
+				defer env.close()
+				env.startWithAccounts()
 				var log strings.Builder
-				w.e.Log = zerolog.New(&log)
-				rec, _ := w.do(t.Context(), c.path, map[string]string{"Key": c.key, "Account": "forged"}, "")
+				env.e.Log = zerolog.New(&log)
+				rec, _ := env.do(t.Context(), c.path, map[string]string{"Key": c.key, "Account": "forged"}, "")
 				is.True(strings.Contains(log.String(), `"request":"r1"`))
 				is.True(c.key == "" || !strings.Contains(log.String()+rec.Body.String(), c.key))
 				is.Equal(rec.Code, c.status)
-				got := w.upstreams["up1"].requests()
+				got := env.upstreams["up1"].requests()
 				is.Equal(len(got) == 1, c.status == 200)
 				for _, g := range got {
 					is.Equal(g.header.Get("Account"), c.account)
@@ -89,29 +90,29 @@
 	}
 }
 
-// A request that waits when its key is taken away must not be run: whoever holds that
-// key may ask for nothing any more.
+// A key is revoked while a request that it authenticated is queued. The request must not
+// run.
 func TestKeyRevokedWhileQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{completeStream})
-		defer w.close()
-		w.startWithAccounts()
-		w.setLoad("up1", 3)
+		env := newTestEnv([]string{completeStream})
+		defer env.close()
+		env.startWithAccounts()
+		env.setLoad("up1", 3)
 		timer := time.AfterFunc(100*time.Millisecond, func() {
-			w.configure(4, accounts("another"))
-			w.setLoad("up1", 0)
-			w.e.UpdateLoad()
+			env.configure(4, accounts("another"))
+			env.setLoad("up1", 0)
+			env.e.UpdateLoad()
 		})
 		defer timer.Stop()
-		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Program": "p", "Budget": "100", "Finish": "1s"}, "in")
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Program": "p", "Budget": "100", "Finish": "1s"}, "in")
 		is.Equal(rec.Code, 401)
-		is.Equal(len(w.upstreams["up1"].requests()), 0)
+		is.Equal(len(env.upstreams["up1"].requests()), 0)
 	})
 }
 
-// Another account's turn must look like one that doesn't exist: with its id alone, a
-// caller could have an engine say what another's program was told.
+// A turn of another account must look like one that does not exist: otherwise a caller
+// could read another account's conversation by continuing a turn whose id it knows.
 func TestTurnsBelongToAnAccount(t *testing.T) {
 	cases := map[string]struct {
 		key    string
@@ -124,17 +125,17 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv([]string{completeStream})
-				defer w.close()
-				w.startWithAccounts()
-				rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Id": "r0", "Key": "secret-a"}, "first")
+				env := newTestEnv([]string{completeStream})
+				defer env.close()
+				env.startWithAccounts()
+				rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Id": "r0", "Key": "secret-a"}, "first")
 				is.Equal(rec.Code, 200)
-				rec, _ = w.do(t.Context(), "/keep/", map[string]string{"Key": c.key, "Previous": "r0"}, "next")
+				rec, _ = env.do(t.Context(), "/keep/", map[string]string{"Key": c.key, "Previous": "r0"}, "next")
 				is.Equal(rec.Code, c.status)
 				synctest.Wait()
-				if got := w.upstreams["up1"].requests(); c.status == 200 {
+				if got := env.upstreams["up1"].requests(); c.status == 200 {
 					is.Equal(got[1].body, "firsta\nb\nnext")
-					is.Equal(got[1].header.Get("Rank"), "4") // the account's own
+					is.Equal(got[1].header.Get("Rank"), "4") // the account's priority
 				} else {
 					is.Equal(len(got), 1)
 				}
@@ -143,33 +144,33 @@
 	}
 }
 
-// What was recorded before the operator had accounts is still there for its callers.
+// Turns that were recorded before accounts were configured can still be continued.
 func TestTurnsFromBeforeAccounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{completeStream})
-		defer w.close()
-		w.rec.turns["r0"] = book.Turn{Input: []byte("old")}
-		w.startWithAccounts()
-		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
+		env := newTestEnv([]string{completeStream})
+		defer env.close()
+		env.rec.turns["r0"] = book.Turn{Input: []byte("old")}
+		env.startWithAccounts()
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
 		is.Equal(rec.Code, 200)
-		rec, _ = w.do(t.Context(), "/keep/", map[string]string{"Id": "r2", "Key": "secret-a", "Previous": "r1"}, "in")
+		rec, _ = env.do(t.Context(), "/keep/", map[string]string{"Id": "r2", "Key": "secret-a", "Previous": "r1"}, "in")
 		is.Equal(rec.Code, 200)
-		is.Equal(w.upstreams["up1"].requests()[1].body, "oldina\nb\nin")
+		is.Equal(env.upstreams["up1"].requests()[1].body, "oldina\nb\nin")
 	})
 }
 
-// A caller beyond its account's limit is told so before anything runs, and another
-// account's is served all the while.
+// Requests over an account's limit are refused before they run, while another account's
+// requests are served.
 func TestOverTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{ok})
-		defer w.close()
-		w.startWithAccounts()
+		env := newTestEnv([]string{ok})
+		defer env.close()
+		env.startWithAccounts()
 		served, refused := 0, 0
 		for range 20 {
-			rec, _ := w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+			rec, _ := env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
 			switch rec.Code {
 			case 200:
 				served++
@@ -177,29 +178,29 @@
 				refused++
 				is.True(rec.Header().Get("Again") != "")
 			}
-			rec, _ = w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-b"}, "")
+			rec, _ = env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-b"}, "")
 			is.Equal(rec.Code, 200)
 		}
 		is.True(served >= 1 && served <= 3) // the burst
 		is.Equal(served+refused, 20)
-		is.Equal(len(w.upstreams["up1"].requests()), served+20) // what was refused has not run
-		w.syncLimits(4)
-		rec, _ := w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+		is.Equal(len(env.upstreams["up1"].requests()), served+20) // refused requests did not run
+		env.syncLimits(4)
+		rec, _ := env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
 		is.Equal(rec.Code, 200)
 	})
 }
 
-// What reached no upstream takes nothing of the account's limit.
+// A request that no upstream ran must not be charged to its account's limit.
 func TestUnsentRequestsAreNotCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{full})
-		defer w.close()
-		w.startWithAccounts()
+		env := newTestEnv([]string{full})
+		defer env.close()
+		env.startWithAccounts()
 		for range 10 {
-			rec, _ := w.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+			rec, _ := env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
 			is.Equal(rec.Code, 503)
 		}
-		is.Equal(len(w.e.Limiter.Used(time.Now())), 0)
+		is.Equal(len(env.e.Limiter.Used(time.Now())), 0)
 	})
 }
--- a/internal/front/proxy/admission.go
+++ b/internal/front/proxy/admission.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// slack is the share of a program's time that it may lose before it begins. On
-	// busy engines programs take 0.8 of their time, on idle ones 0.6.
+	// maxQueueShare is the share of a program's allotted time that it may spend in the
+	// queue. Programs use 0.8 of their allotted time on busy engines and 0.6 on idle
+	// ones.
 	maxQueueShare = 0.2
-	// longest is how long a first turn waits at most: callers leave a stream that
-	// is silent for two seconds.
+	// maxQueueWait bounds the queue time of a first turn: callers disconnect from a
+	// stream that sends nothing for two seconds.
 	maxQueueWait = 1500 * time.Millisecond
-	// noticed is from when a wait is told in the log.
+	// minLoggedWait is the shortest queue time that is logged for an admitted program.
 	minLoggedWait = time.Millisecond
-	// queueNew and queueLate tell in the log why an attempt waited or was refused:
-	// too many turns under way for one more program, or for one that is late.
+	// queuedNewProgram and queuedLateProgram are the logged reasons why an attempt was
+	// queued or refused: the engines had no room for a new program that could still
+	// finish in time, or for one that came too late for that.
 	queuedNewProgram  = "new_program"
 	queuedLateProgram = "late_program"
 )
 
-// admitted waits until the engines have room for one more program. It is false if
-// the turn has been answered. Turns of programs that have begun don't wait: what
-// they have done would be in vain.
+// waitForRoom waits until the engines have room for one more program. It returns false
+// if it has sent an error response. Turns of programs that have begun do not wait: a
+// refusal would waste the work done so far.
 func (t *turn) waitForRoom(ctx context.Context) bool {
 	if t.programBegun || !t.reserved || !t.HasFinishIn || t.lastEventID != "" {
 		return true
@@ -40,7 +42,7 @@
 	}
 	s := &t.summary
 	if s.load = t.e.load(t.service.Name); s.load.Room == 0 {
-		return true // no engine takes work: the caller is told at once, by dispatch
+		return true // no engine accepts work: dispatch refuses the turn at once
 	}
 	err := t.e.Queue.Wait(ctx, t.service.Name, latestStart, s.load)
 	s.queueTime = time.Since(began)
@@ -65,16 +67,17 @@
 	return false
 }
 
-// load is what the engines of a service have to do.
+// load returns the load of a service's engines.
 func (e *Endpoint) load(service string) gate.Load {
 	return e.Picker.Load(e.Fleet.View().Services[service], e.Queue.Share(service))
 }
 
-// done ends a request at an upstream, which may make room for one that waits.
+// done records the end of a request at an upstream, which may make room for a queued
+// one.
 func (e *Endpoint) done(id string) {
 	e.Picker.Done(id)
 	e.UpdateLoad()
 }
 
-// Heard tells that what is under way has changed, here or at other daemons.
+// UpdateLoad re-evaluates the queues after the load has changed, here or at other daemons.
 func (e *Endpoint) UpdateLoad() { e.Queue.Change(e.load) }
--- a/internal/front/proxy/admission_test.go
+++ b/internal/front/proxy/admission_test.go
@@ -11,19 +11,19 @@
 	"github.com/slaterock/slaterock/internal/disk/book"
 )
 
-// More programs come than the engines can finish in time. One that has begun goes
-// on at once, or what it has done would be in vain; a new one waits for room while it
-// can still be in time, and is then told that it has not run and when to come back. If
-// all were let through, all would be late.
+// More programs arrive than the engines can finish in time; if all were admitted, all
+// would be late. A program that has begun continues at once, as a refusal would waste its
+// work. A new one is queued while it can still finish in time, and is then refused as
+// not run, with a Retry-After time.
 func TestProgramsWaitForRoom(t *testing.T) {
 	const finish = "1s"
 	cases := map[string]struct {
-		header map[string]string
-		began  time.Duration // of the program, before this attempt; 0 for a new one
-		ran    int           // tokens that the program has generated
-		frees  time.Duration // when the engines have room again; 0 for never
-		status int
-		after  time.Duration
+		header    map[string]string
+		began     time.Duration // of the program, before this attempt; 0 for a new one
+		tokens    int           // tokens that the program has generated
+		roomAfter time.Duration // when the engines have room again; 0 for never
+		status    int
+		wait      time.Duration
 	}{
 		"new, no room":                {map[string]string{"Finish": finish}, 0, 0, 0, 503, 200 * time.Millisecond},
 		"new, room in time":           {map[string]string{"Finish": finish}, 0, 0, 150 * time.Millisecond, 200, 150 * time.Millisecond},
@@ -36,17 +36,17 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv([]string{completeStream})
-				defer w.close()
-				w.rec.turns["t0"] = book.Turn{}
+				env := newTestEnv([]string{completeStream})
+				defer env.close()
+				env.rec.turns["t0"] = book.Turn{}
 				if c.began > 0 {
-					w.rec.shares["r0"] = book.Share{Attempt: "r0", Settled: true, Tokens: c.ran, At: time.Now().Add(-c.began).UnixMilli()}
+					env.rec.shares["r0"] = book.Share{Attempt: "r0", Settled: true, Tokens: c.tokens, At: time.Now().Add(-c.began).UnixMilli()}
 				}
-				w.setLoad("up1", 3)
-				if c.frees > 0 {
-					timer := time.AfterFunc(c.frees, func() {
-						w.setLoad("up1", 0)
-						w.e.UpdateLoad()
+				env.setLoad("up1", 3)
+				if c.roomAfter > 0 {
+					timer := time.AfterFunc(c.roomAfter, func() {
+						env.setLoad("up1", 0)
+						env.e.UpdateLoad()
 					})
 					defer timer.Stop()
 				}
@@ -55,30 +55,30 @@
 				for k, v := range c.header {
 					h[k] = v
 				}
-				rec, _ := w.do(t.Context(), "/keep/", h, "in")
+				rec, _ := env.do(t.Context(), "/keep/", h, "in")
 				is.Equal(rec.Code, c.status)
-				is.Equal(time.Since(began), c.after)
-				is.Equal(len(w.upstreams["up1"].requests()) == 1, c.status == 200)
+				is.Equal(time.Since(began), c.wait)
+				is.Equal(len(env.upstreams["up1"].requests()) == 1, c.status == 200)
 				is.Equal(rec.Header().Get("Again") != "", c.status == 503)
 				is.Equal(strings.Contains(rec.Body.String(), `"ran":"no"`), c.status == 503)
 				synctest.Wait()
-				is.True(c.status == 200 || w.rec.shares["r1"].Tokens == 0) // what was refused spends nothing
+				is.True(c.status == 200 || env.rec.shares["r1"].Tokens == 0) // a refused turn uses no tokens
 			})
 		})
 	}
 }
 
-// No engine of a service takes work. Nobody knows when one will, so the caller must be
-// told at once, not after a wait for room.
+// No engine of the service accepts work, and it is not known when one will. The turn must
+// be refused at once, without queueing.
 func TestNoEngineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv()
+		env := newTestEnv()
 		began := time.Now()
-		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Program": "p", "Budget": "1000", "Finish": "1s"}, "in")
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Program": "p", "Budget": "1000", "Finish": "1s"}, "in")
 		is.Equal(rec.Code, 503)
 		is.True(strings.Contains(rec.Body.String(), "no_upstream"))
 		is.Equal(time.Since(began), time.Duration(0))
-		w.close()
+		env.close()
 	})
 }
--- a/internal/front/proxy/buffered.go
+++ b/internal/front/proxy/buffered.go
@@ -14,13 +14,13 @@
 	"github.com/slaterock/slaterock/internal/front/upconn"
 )
 
-// plain serves a request whose answer is returned in one piece. It is read whole
-// first, so that one that breaks off can be had again where the kind allows it,
-// and else is told as a failure.
+// serveBuffered serves a request whose response is not a stream. The whole response is
+// read before any of it is returned, so that a truncated one can be retried where the
+// kind allows it, and is reported as an error elsewhere.
 func (q *request) serveBuffered(ctx context.Context) {
 	if q.route.Kind == route.Unsafe {
-		// An upstream works on even if the caller leaves; the run is not ours to
-		// break off, since it can't be repeated.
+		// The run must not be aborted if the caller disconnects, since it cannot
+		// be repeated.
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), q.deadline)
 		defer cancel()
@@ -43,19 +43,20 @@
 	}
 }
 
-// again tells whether the request may be sent once more.
+// mayRetry reports whether the request may be sent to another upstream after err, and
+// excludes the upstream that failed.
 func (q *request) mayRetry(ctx context.Context, err error, exclude map[string]bool) bool {
 	var loss *lostError
 	if !errors.As(err, &loss) || ctx.Err() != nil || q.route.Kind != route.Safe {
 		return false
 	}
 	exclude[loss.up.ID] = true
-	// A kept connection that was closed as the request came tells nothing of
-	// the upstream, so the send doesn't count among those that may have run.
+	// exclude also holds the upstreams that refused the request, so refusals count
+	// against the route's attempts as well.
 	return len(exclude) < q.route.Attempts
 }
 
-// finish reads the whole answer and returns it.
+// returnResponse reads the whole response and returns it to the caller.
 func (q *request) returnResponse(ctx context.Context, s *exchange) error {
 	body, err := upconn.ReadAll(s.resp.Body, maxResponse)
 	q.e.Picker.Done(s.up.ID)
@@ -71,13 +72,13 @@
 	return nil
 }
 
-// give returns an upstream's whole answer to the caller. Statuses that promise
-// that a request has not run are not passed on from an upstream that does not say
-// so itself.
+// writeResponse writes an upstream's whole response to the caller. A status that
+// implies that the request has not run is replaced by an error, since the
+// upstream did not mark the response as not run (see meta.ResponseInfo).
 func (q *request) writeResponse(s *exchange, body []byte) {
 	q.summary.ran = ranYes
 	if impliesNotRun(s.resp.StatusCode) {
-		q.replyUnknown(http.StatusBadGateway, "upstream_failed", errors.Newf("status %d", s.resp.StatusCode))
+		q.replyUnknown(http.StatusBadGateway, "upstream_failed", errors.Newf("upstream returned status %d without the not-run header", s.resp.StatusCode))
 		return
 	}
 	q.summary.status = s.resp.StatusCode
@@ -86,7 +87,7 @@
 		h[name] = values
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // none is made up
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	q.w.WriteHeader(s.resp.StatusCode)
@@ -95,7 +96,7 @@
 	}
 }
 
-// promises tells whether the status says that a request has not run.
+// impliesNotRun reports whether the status tells a caller that its request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -105,7 +106,8 @@
 	}
 }
 
-// fail answers a request that no upstream has answered.
+// replyFailure sends the error response for a request that got no usable response from
+// an upstream.
 func (q *request) replyFailure(err error) {
 	var refusal *refusedError
 	var loss *lostError
--- a/internal/front/proxy/env_test.go
+++ b/internal/front/proxy/env_test.go
@@ -28,14 +28,15 @@
 )
 
 type (
-	// upstream answers each request by a script, in the order of its answers;
-	// the last one repeats.
+	// fakeUpstream sends scripted responses in order, one for each request; the last
+	// one repeats. They are raw bytes, in which "ID" stands for the attempt's id. With
+	// "CLOSE" at the end the connection is then closed, with "HANG" it stays silent.
 	fakeUpstream struct {
 		mu         sync.Mutex
-		responses  []string // raw bytes; "ID" stands for the attempt's id
+		responses  []string
 		received   []received
-		refuse     bool // connections
-		refuseNext bool // after one connection, refuse
+		refuse     bool // refuse connections
+		refuseNext bool // set refuse after the next connection
 	}
 
 	received struct {
@@ -43,11 +44,11 @@
 		header               http.Header
 	}
 
-	// dialect has short names of its own, so that these tests don't know the
-	// wire's.
+	// fakeDialect has header names of its own, so that these tests do not depend on
+	// the real ones.
 	fakeDialect struct{}
 
-	// records keeps everything in memory.
+	// fakeRecords keeps records in memory.
 	fakeRecords struct {
 		mu     sync.Mutex
 		down   bool
@@ -63,7 +64,7 @@
 	}
 )
 
-// routes are what the world serves.
+// routes is the routing table of a testEnv.
 var routes = []route.Route{
 	{Name: "safe", Host: "h", Prefix: "/safe/", Kind: route.Safe, Attempts: 2, Backends: []route.Backend{{Service: "s"}}},
 	{Name: "unsafe", Host: "h", Prefix: "/unsafe/", Kind: route.Unsafe, Attempts: 2, Backends: []route.Backend{{Service: "s"}}},
@@ -165,15 +166,15 @@
 		}
 		u.mu.Lock()
 		u.received = append(u.received, received{r.Method, r.RequestURI, string(body), r.Header})
-		answer := u.responses[min(len(u.received), len(u.responses))-1]
+		response := u.responses[min(len(u.received), len(u.responses))-1]
 		u.mu.Unlock()
-		answer, hang := strings.CutSuffix(answer, "HANG")
-		answer, closing := strings.CutSuffix(answer, "CLOSE")
-		if _, err = io.WriteString(conn, strings.ReplaceAll(answer, "ID", r.Header.Get("Id"))); err != nil || closing {
+		response, hang := strings.CutSuffix(response, "HANG")
+		response, closing := strings.CutSuffix(response, "CLOSE")
+		if _, err = io.WriteString(conn, strings.ReplaceAll(response, "ID", r.Header.Get("Id"))); err != nil || closing {
 			return
 		}
 		if hang {
-			_, _ = br.ReadByte() // until the connection ends
+			_, _ = br.ReadByte() // until the connection is closed
 			return
 		}
 	}
@@ -186,35 +187,35 @@
 }
 
 func newTestEnv(responses ...[]string) *testEnv {
-	w := &testEnv{rec: &fakeRecords{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, upstreams: map[string]*fakeUpstream{}}
+	env := &testEnv{rec: &fakeRecords{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, upstreams: map[string]*fakeUpstream{}}
 	var f fleet.Fleet
 	reading := fleet.Reading{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
 	for i, list := range responses {
 		address := fmt.Sprintf("up%d", i+1)
-		w.upstreams[address] = &fakeUpstream{responses: list}
+		env.upstreams[address] = &fakeUpstream{responses: list}
 		reading.Upstreams = append(reading.Upstreams, fleet.Upstream{ID: address, Service: "s", Address: address, Batch: 4 * (len(responses) - i)})
 	}
 	f.Take(time.Now(), reading)
 	pool := &upconn.Pool{Dial: func(_ context.Context, address string) (net.Conn, error) {
-		u := w.upstreams[address]
+		u := env.upstreams[address]
 		if u.refuse {
 			return nil, errors.New("refused")
 		}
 		u.refuse = u.refuseNext
 		near, far := net.Pipe()
-		w.conns.Go(func() { u.serve(far) })
+		env.conns.Go(func() { u.serve(far) })
 		return near, nil
 	}}
-	w.e = &Endpoint{
-		Dialect: fakeDialect{}, Records: w.rec, Fleet: &f, Pool: pool, Picker: &pick.Picker{}, Log: zerolog.Nop(), Scope: tally.NoopScope,
+	env.e = &Endpoint{
+		Dialect: fakeDialect{}, Records: env.rec, Fleet: &f, Pool: pool, Picker: &pick.Picker{}, Log: zerolog.Nop(), Scope: tally.NoopScope,
 		Refresh: func(context.Context) {}, Stop: context.Background(), Limiter: &limits.Limiter{},
 	}
-	return w
+	return env
 }
 
-// ask sends one request. Cut tells that the connection was cut in the middle of
-// the answer.
-func (w *testEnv) do(ctx context.Context, path string, header map[string]string, body string) (rec *httptest.ResponseRecorder, aborted bool) {
+// do sends one request. Aborted reports that the connection was aborted in the middle of
+// the response.
+func (env *testEnv) do(ctx context.Context, path string, header map[string]string, body string) (rec *httptest.ResponseRecorder, aborted bool) {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
 	r.Host = "h"
 	r.Header.Set("Id", "r1")
@@ -230,14 +231,14 @@
 			}
 		}
 	}()
-	w.e.ServeHTTP(rec, r)
+	env.e.ServeHTTP(rec, r)
 	return rec, false
 }
 
-// close ends all connections, so that the upstreams' goroutines end.
-func (w *testEnv) close() {
-	w.e.Pool.CloseExpired(time.Now().Add(time.Hour))
-	w.conns.Wait()
+// close closes all connections, so that the upstreams' goroutines end.
+func (env *testEnv) close() {
+	env.e.Pool.CloseExpired(time.Now().Add(time.Hour))
+	env.conns.Wait()
 }
 
 func newEmptyFleet() *fleet.Fleet { return &fleet.Fleet{} }
--- a/internal/front/proxy/proxy.go
+++ b/internal/front/proxy/proxy.go
@@ -1,10 +1,10 @@
-// Package entry serves callers: it finds the route of a request, sends it to an
-// upstream of the route's service, and returns the answer.
+// Package proxy is the HTTP reverse proxy: it finds the route of a request, sends it
+// to an upstream of the route's service and returns the response.
 //
-// What a caller is told follows from what is known. A request that certainly did
-// not run is refused as not run, with the time to come back; one that may have run
-// is never refused that way, nor sent again unless its kind allows it. An answer
-// that is not whole never looks whole.
+// An error response states whether the request ran. A request that certainly did not
+// run is refused as not run, with a Retry-After time. One that may have run is never
+// refused that way, and is sent again only if its kind allows it. A truncated response
+// is never delivered as a complete one.
 package proxy
 
 import (
@@ -32,16 +32,17 @@
 )
 
 const (
-	// defaultWait holds for a caller that tells no time, on a route without one.
+	// defaultWait is the timeout if neither the caller nor the route sets one.
 	defaultWait = 30 * time.Second
-	// writeSlack is how long after the deadline an answer may still be written.
+	// writeSlack is how long after the deadline a response may still be written.
 	writeSlack = time.Second
-	// defaultBody bounds a body before a configuration is known, in bytes.
+	// defaultBody is the limit on request bodies if the configuration sets none, in bytes.
 	defaultBody = 4 << 20
 )
 
 type (
-	// Dialect translates the headers of callers and upstreams.
+	// Dialect translates between the HTTP headers of callers and upstreams and the
+	// types of package meta.
 	Dialect interface {
 		Decode(http.Header) (meta.Attempt, error)
 		Forward(http.Header, meta.Dispatch) http.Header
@@ -50,13 +51,14 @@
 		RetryAfter(http.Header, time.Duration)
 	}
 
-	// Records reads and writes what must last.
+	// Records reads and writes durable records of turns and token budgets.
 	Records interface {
 		Write(context.Context, book.Record) (quorum.Result, error)
 		Read(ctx context.Context, program, turn string) ([]book.Turn, error)
 	}
 
-	// Entry serves callers. Set the exported fields before use.
+	// Endpoint is the HTTP handler for callers' requests. Set the exported fields before
+	// use.
 	Endpoint struct {
 		Dialect Dialect
 		Records Records
@@ -69,16 +71,17 @@
 		Log     zerolog.Logger
 		Scope   tally.Scope
 		Trace   *trace.Trace
-		// Refresh reads the configuration as it is now, at most now and then.
+		// Refresh reads the configuration from the store again, unless it is recent or
+		// was read a moment ago.
 		Refresh func(context.Context)
-		// Stop ends work that outlives its request.
-		Stop context.Context //nolint:containedctx // the daemon's own end
+		// Stop is done when the daemon stops; it bounds work that outlives its request.
+		Stop context.Context //nolint:containedctx // lifetime of the daemon
 
 		draining atomic.Bool
 		active   atomic.Int64
 	}
 
-	// request is one attempt on its way.
+	// request is one attempt in progress.
 	request struct {
 		meta.Attempt
 		e        *Endpoint
@@ -87,8 +90,8 @@
 		view     *fleet.View
 		route    route.Route
 		service  route.Service
-		account  accnt.Account // of the caller; without a name if it needs none
-		acquired bool          // of the account's limit, and not yet sent
+		account  accnt.Account // of the caller; zero if it has none
+		acquired bool          // a request was taken from the account's limit and is not sent yet
 		body     []byte
 		began    time.Time
 		deadline time.Time
@@ -96,13 +99,12 @@
 	}
 )
 
-// Leave has connections closed after the answers under way.
+// Drain makes the responses to requests that arrive from now on close their connections.
 func (e *Endpoint) Drain() { e.draining.Store(true) }
 
-// Active returns how many requests are under way.
+// Active returns the number of requests in progress.
 func (e *Endpoint) Active() int64 { return e.active.Load() }
 
-// ServeHTTP serves one request.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -119,8 +121,8 @@
 	}
 }
 
-// admit reads the request and finds its route. It is false if the request has
-// been answered.
+// accept reads the request, finds its route and authenticates the caller. It returns
+// false if it has sent an error response.
 func (q *request) accept() bool {
 	var err error
 	if q.Attempt, err = q.e.Dialect.Decode(q.r.Header); err != nil {
@@ -138,14 +140,13 @@
 		wait = defaultWait
 	}
 	q.deadline = q.began.Add(wait)
-	// A caller that doesn't read must not hold what serves it for ever.
-	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(writeSlack)) // not all writers can
+	// A caller that does not read must not block its handler indefinitely.
+	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(writeSlack)) // not supported by all writers
 	return q.readBody()
 }
 
-// findRoute matches the request. A route that isn't known here may have been
-// added a moment ago, so the newest configuration is read before the caller is
-// told that there is none.
+// findRoute matches the request. A missing route may have been added a moment ago, so
+// the newest configuration is read before the request is refused.
 func (q *request) findRoute() bool {
 	q.view = q.e.Fleet.View()
 	if q.view.Table == nil {
@@ -165,8 +166,8 @@
 	return true
 }
 
-// key is what should stay together: the whole program, so that its turns and
-// sub-agents meet what is cached of each other.
+// affinityKey returns the key whose requests should go to the same upstream: the whole
+// program where there is one, so that its turns and sub-agents share cached prompts.
 func (q *request) affinityKey() string {
 	switch {
 	case q.Program != "":
--- a/internal/front/proxy/proxy_test.go
+++ b/internal/front/proxy/proxy_test.go
@@ -36,13 +36,13 @@
 	unframed       = streamHead + "\r\nid:1\ndata:a\n\nCLOSE"
 )
 
-// An upstream refuses, breaks, lies, or says nothing. What the caller is told
-// must be true of what ran: "not run" only if nothing did, and never somebody
-// else's answer or half of one.
+// An upstream refuses, closes the connection, sends a wrong response or none. The
+// response to the caller must be correct about what ran: "not run" only if nothing did,
+// and never another request's response or part of one.
 func TestBuffered(t *testing.T) {
 	cases := map[string]struct {
 		path   string
-		first  []string // answers of the upstream that is asked first
+		first  []string // responses of the upstream that is tried first
 		second []string
 		status int
 		code   string
@@ -74,63 +74,63 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv(c.first, c.second)
-				w.setLoad("up2", 1) // so that up1 is asked first
+				env := newTestEnv(c.first, c.second)
+				env.setLoad("up2", 1) // so that up1 is tried first
 				began := time.Now()
-				rec, cut := w.do(t.Context(), c.path+"x?y=1", nil, "body")
-				is.True(!cut)
+				rec, aborted := env.do(t.Context(), c.path+"x?y=1", nil, "body")
+				is.True(!aborted)
 				is.Equal(rec.Code, c.status)
 				is.True(strings.Contains(rec.Body.String(), c.code))
-				is.Equal(rec.Header().Get("Again") != "", c.status == 503) // "not run" says when to come back
-				is.Equal([2]int{len(w.upstreams["up1"].requests()), len(w.upstreams["up2"].requests())}, c.sends)
-				for _, g := range w.upstreams["up1"].requests() {
+				is.Equal(rec.Header().Get("Again") != "", c.status == 503) // "not run" comes with a Retry-After time
+				is.Equal([2]int{len(env.upstreams["up1"].requests()), len(env.upstreams["up2"].requests())}, c.sends)
+				for _, g := range env.upstreams["up1"].requests() {
 					is.Equal(g.method+g.target+g.body, "POST"+c.path+"x?y=1body") // unchanged
 					is.Equal(g.header.Get("Instance"), "up1")
 				}
 				if c.path == "/short/" {
 					is.Equal(time.Since(began), time.Second)
 				}
-				w.close()
+				env.close()
 			})
 		})
 	}
 }
 
-// An engine answers every turn with an error, at once. It never has anything under way,
-// so it looks like the idlest of all and gets ever more turns: programs fail one after
-// the other beside engines that are well.
+// An engine responds to every turn with an error, at once. It never has turns in
+// progress, so it looks idle, attracts all turns and fails them although other engines
+// are healthy.
 func TestEngineThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{upstream500}, []string{completeStream})
-		w.setLoad("up2", 2) // so that up1 is asked first
+		env := newTestEnv([]string{upstream500}, []string{completeStream})
+		env.setLoad("up2", 2) // so that up1 is tried first
 		h := map[string]string{"Program": "p", "Budget": "1000"}
-		rec, _ := w.do(t.Context(), "/keep/", h, "in")
-		is.Equal(rec.Code, 500) // as the engine said
+		rec, _ := env.do(t.Context(), "/keep/", h, "in")
+		is.Equal(rec.Code, 500) // the engine's own response
 		for range 3 {
-			rec, _ = w.do(t.Context(), "/keep/", h, "in")
+			rec, _ = env.do(t.Context(), "/keep/", h, "in")
 			is.Equal(rec.Code, 200)
 		}
-		is.Equal(len(w.upstreams["up1"].requests()), 1)
-		w.close()
+		is.Equal(len(env.upstreams["up1"].requests()), 1)
+		env.close()
 	})
 }
 
-// occupy makes an upstream look busier.
-func (w *testEnv) setLoad(id string, n int) {
-	w.e.Picker.UpdateLoad(map[string]int{id: n * 4}, 1)
+// setLoad sets the load that other daemons report for an upstream to 4n requests.
+func (env *testEnv) setLoad(id string, n int) {
+	env.e.Picker.UpdateLoad(map[string]int{id: n * 4}, 1)
 }
 
 func TestUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{ok}, []string{ok})
-		w.upstreams["up1"].refuse = true
-		rec, _ := w.do(t.Context(), "/unsafe/x", nil, "")
-		is.Equal(rec.Code, 200) // nothing was sent to the first
-		w.upstreams["up2"].refuse = true
-		w.close()
-		rec, _ = w.do(t.Context(), "/unsafe/x", nil, "")
+		env := newTestEnv([]string{ok}, []string{ok})
+		env.upstreams["up1"].refuse = true
+		rec, _ := env.do(t.Context(), "/unsafe/x", nil, "")
+		is.Equal(rec.Code, 200) // nothing was sent to the unreachable one
+		env.upstreams["up2"].refuse = true
+		env.close()
+		rec, _ = env.do(t.Context(), "/unsafe/x", nil, "")
 		is.Equal(rec.Code, 503)
 		is.True(strings.Contains(rec.Body.String(), `"ran":"no"`))
 	})
@@ -148,35 +148,35 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newTestEnv([]string{ok})
-				rec, _ := w.do(t.Context(), "/unsafe/x", map[string]string{"Id": c.id}, c.body)
+				env := newTestEnv([]string{ok})
+				rec, _ := env.do(t.Context(), "/unsafe/x", map[string]string{"Id": c.id}, c.body)
 				is.New(t).Equal(rec.Code, c.status)
-				w.close()
+				env.close()
 			})
 		})
 	}
 }
 
-// A daemon that has just started knows no configuration. It must not tell
-// callers that their routes don't exist.
+// A daemon that has just started has no configuration. It must not respond that a route
+// does not exist.
 func TestNoConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := newTestEnv()
-	w.e.Fleet = newEmptyFleet()
-	rec, _ := w.do(t.Context(), "/safe/x", nil, "")
+	env := newTestEnv()
+	env.e.Fleet = newEmptyFleet()
+	rec, _ := env.do(t.Context(), "/safe/x", nil, "")
 	is.Equal(rec.Code, 503)
 	is.True(rec.Header().Get("Again") != "")
 }
 
 func TestStream(t *testing.T) {
 	cases := map[string]struct {
-		path    string
-		answers []string
-		status  int
-		body    string
-		cut     bool
-		sends   int
-		tokens  int // settled against the budget
+		path      string
+		responses []string
+		status    int
+		body      string
+		aborted   bool
+		sends     int
+		tokens    int // charged to the budget
 	}{
 		"whole":                      {"/stream/", []string{completeStream}, 200, text12, false, 1, 6},
 		"ended by its connection":    {"/stream/", []string{unframed}, 200, "id:1\ndata:a\n\n", false, 1, 3},
@@ -196,35 +196,35 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv(c.answers)
-				rec, cut := w.do(t.Context(), c.path, map[string]string{"Program": "p", "Budget": "100"}, "in")
-				is.Equal(cut, c.cut)
+				env := newTestEnv(c.responses)
+				rec, aborted := env.do(t.Context(), c.path, map[string]string{"Program": "p", "Budget": "100"}, "in")
+				is.Equal(aborted, c.aborted)
 				is.Equal(rec.Code, c.status)
 				is.True(strings.Contains(rec.Body.String(), c.body))
-				is.Equal(len(w.upstreams["up1"].requests()), c.sends)
+				is.Equal(len(env.upstreams["up1"].requests()), c.sends)
 				synctest.Wait()
-				share := w.rec.shares["r1"]
-				is.Equal(share.Upstream != "", c.tokens > 0) // where the program's next turn finds its prompt
+				share := env.rec.shares["r1"]
+				is.Equal(share.Upstream != "", c.tokens > 0) // where the program's prompt is cached
 				share.Upstream, share.At = "", 0
 				is.Equal(share, book.Share{Attempt: "r1", Tokens: c.tokens, Settled: true})
-				for i, g := range w.upstreams["up1"].requests()[1:] {
-					is.Equal(g.header.Get("Last"), fmt.Sprint(i+1)) // goes on where it stopped
+				for i, g := range env.upstreams["up1"].requests()[1:] {
+					is.Equal(g.header.Get("Last"), fmt.Sprint(i+1)) // resumes after the last event
 					if name == "not resumed for ever" {
 						break
 					}
 				}
-				w.close()
+				env.close()
 			})
 		})
 	}
 }
 
-// A stream breaks off and goes on. The route lets one upstream run it, so it must
-// go on where it ran, though that one has just failed; only if that one is gone may
-// another run it.
+// A stream is interrupted and resumed. The route allows only one upstream to run it, so
+// it must be resumed there although that one has just failed; another one may run it only
+// if the first is gone.
 func TestResumeStaysWhereItRan(t *testing.T) {
 	cases := map[string]struct {
-		second string // answer of the first upstream to the second send
+		second string // response of the first upstream to the second send
 		gone   bool
 		sends  [2]int
 	}{
@@ -236,104 +236,105 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv([]string{chunked + event1 + "CLOSE", c.second, chunked + event2 + end}, []string{chunked + event2 + end})
-				w.setLoad("up2", 2)
-				w.upstreams["up1"].refuseNext = c.gone
-				rec, cut := w.do(t.Context(), "/resume/", map[string]string{"Program": "x"}, "in")
-				is.True(!cut)
+				env := newTestEnv([]string{chunked + event1 + "CLOSE", c.second, chunked + event2 + end}, []string{chunked + event2 + end})
+				env.setLoad("up2", 2)
+				env.upstreams["up1"].refuseNext = c.gone
+				rec, aborted := env.do(t.Context(), "/resume/", map[string]string{"Program": "x"}, "in")
+				is.True(!aborted)
 				is.Equal(rec.Body.String(), text12)
-				is.Equal([2]int{len(w.upstreams["up1"].requests()), len(w.upstreams["up2"].requests())}, c.sends)
-				w.close()
+				is.Equal([2]int{len(env.upstreams["up1"].requests()), len(env.upstreams["up2"].requests())}, c.sends)
+				env.close()
 			})
 		})
 	}
 }
 
-// A turn continues others. The upstream must get everything said before, in
-// order, and the next turn must find this one.
+// A turn continues others. The upstream must get the input and output of all earlier
+// turns, in order, and the next turn must find this one.
 func TestStoredTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{completeStream})
-		_, cut := w.do(t.Context(), "/keep/", map[string]string{"Id": "t1"}, "one;")
-		is.True(!cut)
-		_, cut = w.do(t.Context(), "/keep/", map[string]string{"Id": "t2", "Previous": "t1"}, "two;")
-		is.True(!cut)
-		_, cut = w.do(t.Context(), "/keep/", map[string]string{"Id": "t3", "Previous": "t2"}, "three;")
-		is.True(!cut)
-		reqs := w.upstreams["up1"].requests()
+		env := newTestEnv([]string{completeStream})
+		_, aborted := env.do(t.Context(), "/keep/", map[string]string{"Id": "t1"}, "one;")
+		is.True(!aborted)
+		_, aborted = env.do(t.Context(), "/keep/", map[string]string{"Id": "t2", "Previous": "t1"}, "two;")
+		is.True(!aborted)
+		_, aborted = env.do(t.Context(), "/keep/", map[string]string{"Id": "t3", "Previous": "t2"}, "three;")
+		is.True(!aborted)
+		reqs := env.upstreams["up1"].requests()
 		is.Equal(reqs[1].body, "one;a\nb\ntwo;")
 		is.Equal(reqs[2].body, "one;a\nb\ntwo;a\nb\nthree;")
-		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Id": "t4", "Previous": "t0"}, "x")
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Id": "t4", "Previous": "t0"}, "x")
 		is.Equal(rec.Code, 404)
-		is.Equal(len(w.upstreams["up1"].requests()), 3)
-		w.close()
+		is.Equal(len(env.upstreams["up1"].requests()), 3)
+		env.close()
 	})
 }
 
-// The records can't be written or read. A turn whose end isn't durable must not
-// look whole, since the next one could not continue it; one that can't be
-// permitted must not run.
+// Records cannot be written or read. A turn whose record is not durable must not look
+// complete, since the next one could not continue it; one whose tokens cannot be reserved
+// must not run.
 func TestRecordsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{completeStream})
-		w.rec.down = true
-		rec, _ := w.do(t.Context(), "/keep/", map[string]string{"Previous": "t1"}, "x")
-		is.Equal(rec.Code, 503) // not 404: nobody knows whether the turn exists
-		rec, _ = w.do(t.Context(), "/stream/", map[string]string{"Program": "p", "Budget": "100"}, "x")
+		env := newTestEnv([]string{completeStream})
+		env.rec.down = true
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Previous": "t1"}, "x")
+		is.Equal(rec.Code, 503) // not 404: it is unknown whether the turn exists
+		rec, _ = env.do(t.Context(), "/stream/", map[string]string{"Program": "p", "Budget": "100"}, "x")
 		is.Equal(rec.Code, 503)
-		is.Equal(len(w.upstreams["up1"].requests()), 0)
-		_, cut := w.do(t.Context(), "/keep/", nil, "x")
-		is.True(cut)
-		w.close()
+		is.Equal(len(env.upstreams["up1"].requests()), 0)
+		_, aborted := env.do(t.Context(), "/keep/", nil, "x")
+		is.True(aborted)
+		env.close()
 	})
 }
 
-// A program that loops spends its budget turn by turn. The turn that it doesn't
-// bear must be refused before it runs.
+// A looping program uses up its budget turn by turn. The turn that might exceed it must
+// be refused before it runs.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{completeStream})
+		env := newTestEnv([]string{completeStream})
 		status := []int{}
 		for i := range 4 {
-			rec, _ := w.do(t.Context(), "/stream/", map[string]string{"Id": fmt.Sprint("t", i), "Program": "p", "Budget": "44"}, "x")
+			rec, _ := env.do(t.Context(), "/stream/", map[string]string{"Id": fmt.Sprint("t", i), "Program": "p", "Budget": "44"}, "x")
 			status = append(status, rec.Code)
 			synctest.Wait()
 		}
 		is.Equal(status, []int{200, 200, 200, 402}) // 6 tokens each; one more might take 30
-		is.Equal(len(w.upstreams["up1"].requests()), 3)
-		is.Equal(w.rec.shares["t3"].Tokens, 0) // what was refused counts nothing
-		w.close()
+		is.Equal(len(env.upstreams["up1"].requests()), 3)
+		is.Equal(env.rec.shares["t3"].Tokens, 0) // a refused turn is not charged
+		env.close()
 	})
 }
 
-// A caller leaves while an upstream works on its stream. The upstream must be
-// told at once, by the end of its connection.
+// A caller disconnects in the middle of a stream. The upstream's connection must be
+// closed at once, so that it stops.
 func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{chunked + event1 + "HANG"})
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(300*time.Millisecond, leave)
+		env := newTestEnv([]string{chunked + event1 + "HANG"})
+		ctx, cancel := context.WithCancel(t.Context())
+		time.AfterFunc(300*time.Millisecond, cancel)
 		began := time.Now()
-		_, cut := w.do(ctx, "/stream/", nil, "x")
-		is.True(cut)
-		w.conns.Wait() // the upstream saw the end
+		_, aborted := env.do(ctx, "/stream/", nil, "x")
+		is.True(aborted)
+		env.conns.Wait() // the upstream has seen the close
 		is.Equal(time.Since(began), 300*time.Millisecond)
 	})
 }
 
-// A connection has an answer too many on it. The next request must not get it.
+// An upstream sends a second, unsolicited response on a connection. The next request must
+// not get it.
 func TestExtraResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestEnv([]string{ok + strings.ReplaceAll(wrongID, "another", "r2"), ok})
-		rec, _ := w.do(t.Context(), "/unsafe/x", nil, "")
+		env := newTestEnv([]string{ok + strings.ReplaceAll(wrongID, "another", "r2"), ok})
+		rec, _ := env.do(t.Context(), "/unsafe/x", nil, "")
 		is.Equal(rec.Body.String(), "good")
-		rec, _ = w.do(t.Context(), "/unsafe/x", map[string]string{"Id": "r2"}, "")
+		rec, _ = env.do(t.Context(), "/unsafe/x", map[string]string{"Id": "r2"}, "")
 		is.Equal(rec.Body.String(), "good")
-		w.close()
+		env.close()
 	})
 }
--- a/internal/front/proxy/reply.go
+++ b/internal/front/proxy/reply.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// retryStart is told by a daemon that knows no configuration yet: it has
-	// one within a second, and other daemons have one already.
+	// The following are Retry-After times.
+
+	// retryNoConfig is for a daemon that has no configuration yet: it gets one within
+	// a second, and other daemons have one already.
 	retryNoConfig = 300 * time.Millisecond
-	// retryFull is told when all upstreams shed: places free within about
-	// one plain call's time.
+	// retryBusy is for upstreams that all refuse requests: places become free within
+	// about the duration of one plain call.
 	retryBusy = 150 * time.Millisecond
-	// retryRecords is told when too few holders of records answer, which is
-	// over when a killed one is back or its place was taken.
+	// retryNoQuorum is for too few holders of records responding, which lasts until a
+	// killed one has restarted or was replaced.
 	retryNoQuorum = 400 * time.Millisecond
 )
 
-// failure is the body of an answer of our own.
+// errorBody is the body of an error response that the proxy itself generates.
 type errorBody struct {
 	Error struct {
 		Code       string  `json:"code"`
@@ -29,25 +31,25 @@
 	} `json:"error"`
 }
 
-// refuse answers for good: coming back does not help.
+// replyError sends an error response without a Retry-After time: a retry would not help.
 func (q *request) replyError(status int, code string, err error) {
 	q.reply(status, code, 0, err)
 }
 
-// unavailable tells that the request has not run, and when to come back.
+// replyUnavailable refuses a request that has not run, with a Retry-After time.
 func (q *request) replyUnavailable(code string, after time.Duration, err error) {
 	q.e.Dialect.RetryAfter(q.w.Header(), after)
 	q.reply(http.StatusServiceUnavailable, code, after, err)
 }
 
-// overLimit tells that the request has not run since its account asks too much, and
-// when there will be room.
+// replyOverLimit refuses a request that has not run because its account is over its
+// limit, with a Retry-After time.
 func (q *request) replyOverLimit(after time.Duration) {
 	q.e.Dialect.RetryAfter(q.w.Header(), after)
 	q.reply(http.StatusTooManyRequests, "over_limit", after, nil)
 }
 
-// unknown tells that the request may have run.
+// replyUnknown sends an error response for a request that may have run.
 func (q *request) replyUnknown(status int, code string, err error) {
 	q.summary.ran = ranUnknown
 	q.reply(status, code, 0, err)
@@ -58,15 +60,16 @@
 	var f errorBody
 	f.Error.Code, f.Error.Message, f.Error.Ran = code, http.StatusText(status), q.summary.ran
 	f.Error.RetryAfter = after.Seconds()
-	text, _ := json.Marshal(f) // plain fields always encode
+	text, _ := json.Marshal(f) // cannot fail: strings and numbers only
 	h := q.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	q.w.WriteHeader(status)
-	_, _ = q.w.Write(text) // a caller that left doesn't hear it
+	_, _ = q.w.Write(text) // fails if the caller has disconnected
 }
 
-// giveUp ends a request whose time is over, or whose caller has left.
+// replyExpired ends a request whose deadline has passed or whose caller has
+// disconnected; the latter gets no response.
 func (q *request) replyExpired(err error) {
 	if q.r.Context().Err() != nil {
 		q.summary.code, q.summary.err = "caller_left", err
--- a/internal/front/proxy/send.go
+++ b/internal/front/proxy/send.go
@@ -17,37 +17,38 @@
 )
 
 const (
-	// maxRefusals bounds how many upstreams are asked that refuse without
-	// running the request. Each costs a round trip of the caller's time.
+	// maxRefusals is how many sends are tried while upstreams refuse without running
+	// the request. Each costs the caller a round trip.
 	maxRefusals = 5
-	// fullPause is kept before the one upstream that may run a request is asked
-	// again: about the time in which one of its places frees.
+	// fullRetryDelay is the delay before a request that only one upstream may run is
+	// sent to it again: about the time until one of its places becomes free.
 	fullRetryDelay = 60 * time.Millisecond
-	// causeFull is the cause of a refusal that is over soon.
+	// causeFull is the cause of a refusal by an upstream without a free place, which
+	// is temporary.
 	causeFull = "full"
-	// maxAnswer bounds the body of a plain answer, in bytes.
+	// maxResponse bounds the body of a response that is not a stream, in bytes.
 	maxResponse = 16 << 20
 )
 
 type (
-	// sent is a request that an upstream has begun to answer.
+	// exchange is one send of a request to an upstream, with its response.
 	exchange struct {
 		up    fleet.Upstream
 		conn  *upconn.Conn
 		resp  *http.Response
 		info  meta.ResponseInfo
 		began time.Time
-		stop  func() bool // ends the watch over the caller's context
+		stop  func() bool // stops the interruption of conn at the context's end
 	}
 
-	// refused is an upstream that did not run the request and never will.
+	// refusedError reports that an upstream did not run the request and never will.
 	refusedError struct {
 		up    fleet.Upstream
 		cause string
 		err   error
 	}
 
-	// lost is a request that may have run, without an answer.
+	// lostError reports a request that may have run, without a complete response.
 	lostError struct {
 		up     fleet.Upstream
 		reused bool
@@ -61,17 +62,18 @@
 func (e *lostError) Unwrap() error    { return e.err }
 
 var (
-	errNoUpstream   = errors.New("no upstream takes requests")
-	errWrongRequest = errors.New("answer to another request")
+	errNoUpstream   = errors.New("no upstream accepts requests")
+	errWrongRequest = errors.New("response belongs to another request")
 )
 
-// dispatch sends the request to upstreams until one takes it. After *refused or
-// errNoUpstream the request has not run; after *lost it may have.
+// dispatch sends the request to upstreams until one accepts it. A *refusedError or
+// errNoUpstream means that the sends of this call did not run; a *lostError means that
+// one may have.
 func (q *request) dispatch(ctx context.Context, c pick.Case, body []byte, d meta.Dispatch) (*exchange, error) {
 	lastErr := errNoUpstream
 	for range maxRefusals {
-		// The caller's own context is asked too: some runs go on when their
-		// caller leaves, but none may begin then.
+		// Unsafe requests continue after their caller disconnects, but none may start
+		// then, so the caller's own context is checked too.
 		if err := errors.CombineErrors(ctx.Err(), q.r.Context().Err()); err != nil {
 			return nil, err
 		}
@@ -110,7 +112,7 @@
 	return nil, lastErr
 }
 
-// send sends the request to one upstream and waits for its answer's head.
+// send sends the request to one upstream and reads the header of the response.
 func (q *request) send(ctx context.Context, up fleet.Upstream, body []byte, d meta.Dispatch) (s *exchange, err error) {
 	q.summary.sends++
 	ctx, span := q.e.Trace.Start(ctx, trace.Upstream, "", attribute.String("upstream", up.ID))
@@ -136,7 +138,7 @@
 	})
 	if err == nil {
 		q.summary.upstream = up.ID
-		s.resp, err = conn.Receive(q.r.Method) //nolint:bodyclose // ends with its connection: drop or keep
+		s.resp, err = conn.Receive(q.r.Method) //nolint:bodyclose // ends with its connection: closeConn or releaseConn
 	}
 	if err != nil {
 		s.closeConn()
@@ -158,21 +160,21 @@
 	return s, nil
 }
 
-// lose notes a request that may have run. An upstream is blamed only if it was
-// not us who gave up.
+// recordLoss records that the request may have run, and returns the error. The upstream
+// counts as failed unless the context was done or the deadline had passed.
 func (q *request) recordLoss(ctx context.Context, s *exchange, err error) error {
 	q.summary.ran = ranUnknown
 	if ctx.Err() != nil {
 		return errors.CombineErrors(ctx.Err(), err)
 	}
 	if !time.Now().Before(q.deadline) {
-		return errors.CombineErrors(context.DeadlineExceeded, err) // the connection's own deadline came first
+		return errors.CombineErrors(context.DeadlineExceeded, err) // the connection's deadline fired before the context's
 	}
 	q.e.Picker.Failed(time.Now(), s.up.ID)
 	return &lostError{up: s.up, reused: s.conn.Reused, err: err}
 }
 
-// notRun ends a send that the upstream refused without running it.
+// handleNotRun ends a send that the upstream refused without running it.
 func (q *request) handleNotRun(s *exchange) error {
 	cause := causeFull
 	if s.resp.StatusCode == http.StatusMisdirectedRequest {
@@ -189,15 +191,15 @@
 	return &refusedError{up: s.up, cause: cause}
 }
 
-// drop closes the connection. An upstream that still works on the request
-// notices that.
+// closeConn closes the connection, by which an upstream that still runs the request
+// learns that it was abandoned.
 func (s *exchange) closeConn() {
 	s.stop()
 	s.conn.Close()
 }
 
-// keep returns the connection after the whole answer was read. One whose break
-// has begun can't be used again.
+// releaseConn returns the connection to the pool after the whole response was read. One
+// that is being interrupted is closed, as it cannot be used again.
 func (s *exchange) releaseConn(p *upconn.Pool) {
 	if !s.stop() || s.info.Closing || s.resp.Close {
 		s.conn.Close()
--- a/internal/front/proxy/smuggle_test.go
+++ b/internal/front/proxy/smuggle_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 )
 
-// pipeListener gives a server one end of pipes.
+// pipeListener is a net.Listener whose connections are pipes.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -34,14 +34,14 @@
 func (l *pipeListener) Close() error   { return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller sends bytes that two readers of HTTP would cut into requests at
-// different places. An upstream must never run a request that no caller sent as
-// such, nor get a body that is longer or shorter than the one that was sent.
+// Request smuggling: a caller sends bytes that two HTTP parsers would split into requests
+// at different offsets. An upstream must never get a request that no caller sent as one,
+// nor a body that is longer or shorter than the one sent.
 func TestSmuggling(t *testing.T) {
 	const inner = "POST /unsafe/inner HTTP/1.1\r\nHost: h\r\nId: inner\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]struct {
 		head, body string
-		status     string // of the first answer
+		status     string // of the first response
 		got        string // body at the upstream; "-" where nothing may arrive
 	}{
 		"plain":                        {"Content-Length: 4\r\n", "body", "200", "body"},
@@ -63,9 +63,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestEnv([]string{ok})
+				env := newTestEnv([]string{ok})
 				l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
-				srv := &http.Server{Handler: w.e, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second}
+				srv := &http.Server{Handler: env.e, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second}
 				go func() { _ = srv.Serve(l) }()
 				near, far := net.Pipe()
 				l.conns <- far
@@ -77,7 +77,7 @@
 				defer func() { _ = resp.Body.Close() }()
 				is.True(strings.HasPrefix(resp.Status, c.status))
 				time.Sleep(2 * time.Second)
-				reqs := w.upstreams["up1"].requests()
+				reqs := env.upstreams["up1"].requests()
 				if c.got == "-" {
 					is.Equal(len(reqs), 0)
 				} else {
@@ -87,7 +87,7 @@
 				_ = near.Close()
 				close(l.done)
 				is.NoErr(srv.Shutdown(context.Background()))
-				w.close()
+				env.close()
 			})
 		})
 	}
--- a/internal/front/proxy/stream.go
+++ b/internal/front/proxy/stream.go
@@ -21,31 +21,32 @@
 )
 
 const (
-	// settleTime bounds the record of what a turn spent, which no caller
-	// waits for.
+	// settleTimeout bounds the write that settles a reservation, for which no caller
+	// waits.
 	settleTimeout = 4 * time.Second
-	// maxResumes bounds how often a stream goes on after it broke off.
-	maxResumes   = 3
+	// maxRuns is how often a stream is dispatched at most: once, and again after each
+	// interruption.
+	maxRuns      = 3
 	streamBuffer = 16 << 10
 )
 
-// turn is a stream on its way, with what is kept of it.
+// turn is a streamed request in progress.
 type turn struct {
 	*request
-	history          []byte // input for the upstream before the caller's own
-	previousID       string // turn that this one continues, as the records know it
-	previousUpstream string // id of the upstream that ran the turn before
-	lastUpstream     string // id of the upstream that last ran one of the program's
-	reserved         bool
-	programBegun     bool      // something of the program has run, or may have
-	programStart     time.Time // when the first attempt of the program came
-	output           []byte    // data of the events so far, if it is kept
-	lastEventID      string    // id of the last event passed on
-	headerSent       bool      // the head has been passed on
+	history          []byte    // input and output of earlier turns, sent before the caller's body
+	previousID       string    // id in the records of the turn that this one continues
+	previousUpstream string    // id of the upstream that ran that turn
+	lastUpstream     string    // id of the upstream that last ran a turn of the program, of the same session if any
+	reserved         bool      // tokens are reserved and not settled yet
+	programBegun     bool      // a turn of the program has run, or may have
+	programStart     time.Time // arrival of the program's first attempt
+	output           []byte    // data of the events so far, if the route keeps turns
+	lastEventID      string    // id of the last event sent to the caller
+	headerSent       bool      // the response header was sent to the caller
 	flush            func() error
 }
 
-// stream serves a request that is answered by events.
+// serveStream serves a request whose response is a stream of events.
 func (q *request) serveStream(ctx context.Context) {
 	t := &turn{request: q, lastEventID: q.LastEventID, flush: http.NewResponseController(q.w).Flush}
 	if t.limitReached() || !t.prepare(ctx) || !t.withinLimit() || !t.waitForRoom(ctx) {
@@ -58,15 +59,15 @@
 	t.settle()
 	if t.headerSent {
 		q.summary.code, q.summary.err = "broken_off", err
-		// The connection is cut, so that what was passed on can't be taken for
-		// a whole answer.
+		// The connection is aborted, so that the caller cannot take the events
+		// sent so far for a complete response.
 		panic(http.ErrAbortHandler)
 	}
 	q.replyFailure(err)
 }
 
-// allowed asks for the turn's place within its account's limit. A new program leaves
-// room to those that have begun.
+// withinLimit takes the turn from its account's limit, or sends an error response and
+// returns false. Part of the limit is reserved for programs that have begun.
 func (t *turn) withinLimit() bool {
 	if t.acquire(t.programBegun || !t.reserved) {
 		return true
@@ -75,8 +76,9 @@
 	return false
 }
 
-// prepare reads the chain that a turn continues, and has the program's budget
-// bear the turn, before anything runs.
+// prepare reads the history that the turn continues and reserves its tokens in the
+// program's budget, before anything runs. It returns false if it has sent an error
+// response.
 func (t *turn) prepare(ctx context.Context) bool {
 	ctx, span := t.e.Trace.Start(ctx, trace.Records, "")
 	defer func() { span.End(nil) }()
@@ -109,7 +111,7 @@
 	t.previousID = t.scopedID(t.Previous)
 	turns, err := t.e.Records.Read(ctx, t.scopedID(t.Program), t.previousID)
 	if errors.Is(err, quorum.ErrNoTurn) && t.previousID != t.Previous {
-		t.previousID = t.Previous // from before there were accounts
+		t.previousID = t.Previous // recorded before accounts were configured
 		turns, err = t.e.Records.Read(ctx, t.Program, t.previousID)
 	}
 	if err != nil {
@@ -123,7 +125,8 @@
 	return nil
 }
 
-// most is how many tokens the turn may generate. Events count whole.
+// maxTokens returns the most tokens that the turn can generate, rounded up to whole
+// events.
 func (t *turn) maxTokens() int {
 	n := max(t.service.EventTokens, 1)
 	return (t.MaxOutputTokens + n - 1) / n * n
@@ -135,8 +138,9 @@
 	}
 }
 
-// reserve makes the turn's most durable before anything is generated, so that
-// no crash makes a program spend beyond its budget.
+// reserve records the most tokens that the turn can generate before it runs, so that a
+// crash cannot make a program exceed its budget. It returns false if it has sent an
+// error response.
 func (t *turn) reserve(ctx context.Context) bool {
 	if !t.HasTokenBudget || t.Program == "" {
 		return true
@@ -165,7 +169,8 @@
 	return true
 }
 
-// settle records what the turn has spent, without waiting.
+// settle replaces the reservation by the tokens that the turn generated. It writes in
+// the background.
 func (t *turn) settle() {
 	if !t.reserved {
 		return
@@ -181,12 +186,12 @@
 		defer cancel()
 		if _, err := t.e.Records.Write(ctx, rec); err != nil {
 			t.e.Log.Warn().Err(err).Str("request", t.ID).Str("program", t.Program).Int("tokens", rec.Spent).
-				Msg("what the turn spent was not recorded; its most counts")
+				Msg("cannot record the tokens that the turn generated; its reservation stays charged to the budget")
 		}
 	}()
 }
 
-// priority is the account's, or else the route's.
+// priority returns the account's priority, or the route's if the account has none.
 func (t *turn) priority() int {
 	if t.account.Ranked {
 		return t.account.Priority
@@ -194,7 +199,8 @@
 	return t.route.Priority
 }
 
-// run sends the turn and passes the events on, resuming where that is allowed.
+// relayTurn sends the turn and relays the events, resuming an interrupted stream where
+// the route allows it.
 func (t *turn) relayTurn(ctx context.Context) error {
 	body := t.body
 	if len(t.history) > 0 {
@@ -202,7 +208,7 @@
 	}
 	c := pick.Case{Key: t.affinityKey(), Prefer: cmp.Or(t.previousUpstream, t.lastUpstream), Tokens: t.PromptTokens, Exclude: map[string]bool{}}
 	d := meta.Dispatch{Priority: min(t.priority(), 9), HasPriority: true, LastEventID: t.lastEventID}
-	for range maxResumes {
+	for range maxRuns {
 		s, err := t.dispatch(ctx, c, body, d)
 		if c.Only != "" && err != nil && t.cannotResumeAt(c.Only, err) {
 			c.Only = ""
@@ -216,8 +222,8 @@
 		if err == nil || ctx.Err() != nil || !t.route.Resume {
 			return err
 		}
-		// Going on at the same upstream uses what it has in memory. Others may
-		// run it too only if the route allows that, or this one is gone.
+		// Resuming at the same upstream reuses its cache. Others may run the turn
+		// only if the route allows several attempts, or if this one is gone.
 		d.LastEventID = t.lastEventID
 		c.Prefer = s.up.ID
 		if t.route.Attempts == 1 {
@@ -225,10 +231,11 @@
 		}
 		t.summary.refusals += s.up.ID + ":resumed "
 	}
-	return errors.New("the stream broke off too often")
+	return errors.New("stream was interrupted too often")
 }
 
-// goneFrom tells whether an upstream can't run the stream any more.
+// cannotResumeAt reports whether err means that the upstream cannot run the turn any
+// more, rather than being full.
 func (t *turn) cannotResumeAt(id string, err error) bool {
 	var refusal *refusedError
 	if errors.As(err, &refusal) {
@@ -245,17 +252,18 @@
 	return true
 }
 
-// pass passes an answer on. A status that is no success has no events.
+// relay relays a response to the caller. A status other than 200 carries no events: the
+// response is returned as a whole, or is an error if the stream has already started.
 func (t *turn) relay(ctx context.Context, s *exchange) error {
 	if s.resp.StatusCode != http.StatusOK {
 		body, err := upconn.ReadAll(s.resp.Body, maxResponse)
 		if err != nil || t.headerSent {
 			s.closeConn()
-			return t.recordLoss(ctx, s, errors.CombineErrors(errors.Newf("status %d", s.resp.StatusCode), err))
+			return t.recordLoss(ctx, s, errors.CombineErrors(errors.Newf("upstream returned status %d", s.resp.StatusCode), err))
 		}
 		s.releaseConn(t.e.Pool)
 		if s.resp.StatusCode >= http.StatusInternalServerError {
-			t.e.Picker.Failed(time.Now(), s.up.ID) // or else it looks idle, and gets all turns
+			t.e.Picker.Failed(time.Now(), s.up.ID) // it would look idle and attract all turns
 		}
 		t.settle()
 		t.writeResponse(s, body)
@@ -314,8 +322,8 @@
 	return t.flush()
 }
 
-// learn tells how the upstream did: by the time of an event, which hardly depends on
-// what is asked. Turns is how many were under way there meanwhile.
+// observe records the upstream's mean time per event, which hardly depends on the prompt.
+// Turns is the mean number of turns that it ran meanwhile.
 func (t *turn) observe(s *exchange, turns float64) {
 	pace := 0.0
 	if n := t.summary.events - 1; n > 2 {
@@ -326,8 +334,8 @@
 	t.e.Picker.Took(time.Now(), s.up.ID, pace, false)
 }
 
-// end records a whole stream. A turn that is kept must be durable before its
-// caller can take the answer for whole, since the next turn will name it.
+// complete records a complete stream. A turn that the route keeps must be durable before
+// its caller sees the end of the response, since the next turn refers to it.
 func (t *turn) complete(ctx context.Context, s *exchange) error {
 	s.releaseConn(t.e.Pool)
 	if !t.route.Keep {
--- a/internal/front/proxy/summary.go
+++ b/internal/front/proxy/summary.go
@@ -16,30 +16,30 @@
 )
 
 type (
-	// story is what the log tells of an attempt.
+	// summary holds what is logged about an attempt.
 	summary struct {
 		status      int
-		code        string // empty for a whole answer
+		code        string // empty for a complete response
 		ran         ran
 		upstream    string
-		missing     bool // the store did not list that upstream
+		missing     bool // the upstream was not listed in the store
 		sends       int
 		events      int
 		tokens      int
-		refusals    string // of upstreams, in order
+		refusals    string // by upstreams, and resumptions, in order
 		err         error
-		recordTime  time.Duration // until the reservation was durable
-		queueReason string        // why the attempt waited or was refused; empty if it had not to
-		queueTime   time.Duration // how long it waited for that
-		load        gate.Load     // of the engines when it came to wait
-		firstByte   time.Duration // until the first byte of the answer
+		recordTime  time.Duration // until the reservation was durable and the history was read
+		queueReason string        // why the attempt was queued; empty if it was not
+		queueTime   time.Duration // how long it was queued
+		load        gate.Load     // of the engines when it was queued
+		firstByte   time.Duration // until the first byte of the response
 	}
 
-	// ran tells whether an upstream ran the request.
+	// ran states whether an upstream ran the request.
 	ran string
 )
 
-// tell writes the request's line and counts it.
+// report writes the request's log line, counts it in the metrics and ends its span.
 func (q *request) report(span trace.Span) {
 	s := &q.summary
 	span.Set(attribute.String("request", q.ID), attribute.String("outcome", s.outcome()))
