--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -1,5 +1,5 @@
-// Package admit has new programs wait at a gate, one for each service, until the
-// engines have room for them.
+// Package admit is the admission queue of new programs: for each service, they wait until
+// the engines have room for them.
 package admit
 
 import (
@@ -14,7 +14,7 @@
 )
 
 type (
-	// Queue holds what waits at one daemon. The zero value is ready.
+	// Queue holds the programs that wait at one daemon. The zero value is ready.
 	Queue struct {
 		mu         sync.Mutex
 		services   map[string]*service
@@ -27,16 +27,18 @@
 		pace pace.Pace
 	}
 
-	// Refused tells that a program may not begin, and when to come back.
+	// RefusedError reports that a program may not begin. Its caller may retry after
+	// After.
 	RefusedError struct{ After time.Duration }
 )
 
 func (e *RefusedError) Error() string { return "too many turns under way" }
 
-// Wait returns when a program may begin, which until is the latest time for. The
-// error is *Refused, or that of the context.
+// Wait blocks until a program of the service may begin. LatestStart is the latest time at
+// which it can begin and still finish in time. The error wraps a *RefusedError or that of
+// the context.
 func (q *Queue) Wait(ctx context.Context, name string, latestStart time.Time, load gate.Load) (err error) {
-	defer func() { err = errors.Wrap(err, "wait for a place") }()
+	defer func() { err = errors.Wrap(err, "wait for admission") }()
 	done := make(chan gate.Op, 1)
 	q.mu.Lock()
 	q.lastTicket++
@@ -55,7 +57,7 @@
 			return outcome(op)
 		case <-timer.C:
 			q.mu.Lock()
-			q.step(name, gate.Change{}) // ends the waits that are over
+			q.step(name, gate.Change{}) // refuses programs whose latest start has passed
 			q.mu.Unlock()
 		case <-ctx.Done():
 			q.mu.Lock()
@@ -76,8 +78,8 @@
 	}
 }
 
-// Change tells the gates that there may be room; load is asked for the services
-// at which programs wait.
+// Change re-evaluates the programs that wait, after the load has changed. It calls load for
+// each service that has any.
 func (q *Queue) Change(load func(name string) gate.Load) {
 	for _, name := range q.waitingServices() {
 		l := load(name)
@@ -87,7 +89,7 @@
 	}
 }
 
-// waited returns the services at which programs wait.
+// waitingServices returns the services for which programs wait.
 func (q *Queue) waitingServices() (names []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -99,15 +101,16 @@
 	return names
 }
 
-// Observe learns from a whole stream how long an event takes beside so many turns.
+// Observe records the mean time per event of a complete stream, on an engine that ran so
+// many turns meanwhile.
 func (q *Queue) Observe(name string, turns float64, event time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.service(name).pace.Observe(turns, event.Seconds())
 }
 
-// Share returns up to which share of its places an engine of the service should be
-// filled that runs so many turns at a time.
+// Share returns a function that gives the share of its places up to which an engine of the
+// service should be filled, by the number of places.
 func (q *Queue) Share(name string) func(places int) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,14 +118,14 @@
 	return p.Share
 }
 
-// Len returns how many programs wait.
+// Len returns the number of programs that wait.
 func (q *Queue) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiters)
 }
 
-// service returns what is kept of a service; q.mu is held.
+// service returns the state of a service, which it creates if needed; q.mu is held.
 func (q *Queue) service(name string) *service {
 	if q.services == nil {
 		q.services = map[string]*service{}
@@ -135,13 +138,14 @@
 	return s
 }
 
-// step takes an event to a gate and does what follows; q.mu is held.
+// step passes an event to a service's gate and delivers its decisions; q.mu is held.
 func (q *Queue) step(name string, e gate.Event) {
 	for _, op := range q.service(name).gate.Step(time.Now(), e) {
 		q.deliver(op)
 	}
 }
 
+// deliver passes a decision to the program that waits for it; q.mu is held.
 func (q *Queue) deliver(op gate.Op) {
 	var ticket uint64
 	switch op := op.(type) {
--- a/internal/front/admit/admit_test.go
+++ b/internal/front/admit/admit_test.go
@@ -15,17 +15,16 @@
 func busy(string) gate.Load { return gate.Load{Under: 90, Room: 80} }
 func idle(string) gate.Load { return gate.Load{Under: 10, Room: 80} }
 
-// Engines are busy when a program comes. Its caller waits only as long as the
-// program can still be in time, is let through the moment there is room, and is
-// forgotten when it leaves.
+// Engines are busy when a program arrives. It is admitted as soon as there is room, refused
+// when it can no longer finish in time, and removed when its caller disconnects.
 func TestWait(t *testing.T) {
 	cases := map[string]struct {
-		then  func(q *Queue, leave context.CancelFunc) // after 100 ms
+		then  func(q *Queue, cancel context.CancelFunc) // after 100 ms
 		after time.Duration
 		check func(err error) bool
 	}{
 		"room":    {func(q *Queue, _ context.CancelFunc) { q.Change(idle) }, 100 * time.Millisecond, func(err error) bool { return err == nil }},
-		"leaves":  {func(_ *Queue, leave context.CancelFunc) { leave() }, 100 * time.Millisecond, func(err error) bool { return errors.Is(err, context.Canceled) }},
+		"leaves":  {func(_ *Queue, cancel context.CancelFunc) { cancel() }, 100 * time.Millisecond, func(err error) bool { return errors.Is(err, context.Canceled) }},
 		"no room": {func(q *Queue, _ context.CancelFunc) { q.Change(busy) }, 300 * time.Millisecond, refusedWithRetry},
 	}
 	for name, c := range cases {
@@ -33,10 +32,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				var q Queue
-				ctx, leave := context.WithCancel(t.Context())
-				defer leave()
+				ctx, cancel := context.WithCancel(t.Context())
+				defer cancel()
 				began := time.Now()
-				timer := time.AfterFunc(100*time.Millisecond, func() { c.then(&q, leave) })
+				timer := time.AfterFunc(100*time.Millisecond, func() { c.then(&q, cancel) })
 				defer timer.Stop()
 				err := q.Wait(ctx, "engines", began.Add(300*time.Millisecond), busy("engines"))
 				is.True(c.check(err))
