--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -1,5 +1,5 @@
-// Package allow keeps a front's part of the limits of accounts, for the requests that
-// it serves at the same time.
+// Package limits enforces this daemon's share of the rate limits of accounts. It adds
+// locking and the configured accounts to the limiter of package ration.
 package limits
 
 import (
@@ -12,59 +12,63 @@
 	"github.com/slaterock/slaterock/internal/obs/label"
 )
 
-// Allow lets requests in. Set Tolerance before use; without accounts it lets all in.
+// Limiter limits the requests of accounts. Set Tolerance before use. Until accounts are
+// set it allows all requests. It is safe for concurrent use.
 type Limiter struct {
 	Tolerance ration.Tolerance
-	Label     label.Label // of accounts in metrics
+	Label     label.Label // bounds the account labels in metrics
 
 	mu       sync.Mutex
 	ration   ration.Ration
-	accounts *accnt.Accounts // that the ration knows
+	accounts *accnt.Accounts // whose limits ration has
 }
 
-// Take asks for one request of an account, as ration.Take does.
+// Take takes one request from an account's limit if the verdict is OK. Begun means that it
+// belongs to a program that has begun: part of the limit is reserved for these.
 func (a *Limiter) Take(now time.Time, name string, begun bool) ration.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Take(now, name, begun)
 }
 
-// Look tells whether there is room for any request of an account, as ration.Look does.
+// Look returns whether an account's limit allows any request, and takes none.
 func (a *Limiter) Look(now time.Time, name string) ration.Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Look(now, name)
 }
 
-// Add counts a request that is sent once more.
+// Add counts a request that is sent again.
 func (a *Limiter) Add(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ration.Add(now, name)
 }
 
-// GiveBack counts a request no more that reached no upstream.
+// GiveBack returns a request to the limit that no upstream ran.
 func (a *Limiter) GiveBack(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ration.GiveBack(now, name)
 }
 
-// Used returns what was let in lately, by account.
+// Used returns how many requests this daemon allowed recently, by account, as it reports
+// them to others.
 func (a *Limiter) Used(now time.Time) map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Used(now)
 }
 
-// Left returns which part of its largest level each account has left.
+// Left returns the part that is left of each account's bucket, from 0 to 1.
 func (a *Limiter) Left(now time.Time) map[string]float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Left(now)
 }
 
-// Hear takes what other fronts have said, and the accounts that are in force.
+// Hear updates the limits of the accounts in force and the usage that other daemons
+// reported.
 func (a *Limiter) Hear(now time.Time, accounts *accnt.Accounts, h ration.Heard) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,14 +76,14 @@
 	a.ration.Hear(now, h)
 }
 
-// Forget takes what is known of the others to be old: this front has not run.
+// Forget treats all buckets as empty, after a time in which this process did not run.
 func (a *Limiter) Forget(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ration.Forget(now)
 }
 
-// know takes the limits of the accounts if they are others than before; a.mu is held.
+// setAccounts sets the limits of the accounts if they have changed; a.mu is held.
 func (a *Limiter) setAccounts(now time.Time, accounts *accnt.Accounts) {
 	if a.accounts == accounts {
 		return
