--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -1,5 +1,6 @@
-// Package asked describes one attempt of a caller's request, as the daemon that
-// took it knows it, and what it tells the upstream beside the request itself.
+// Package meta holds the metadata of requests and responses, independent of the headers
+// that carry it: what a caller states about an attempt, what the proxy adds when it
+// dispatches it to an upstream, and what the upstream states about its response.
 package meta
 
 import (
@@ -9,42 +10,42 @@
 )
 
 type (
-	// Attempt is what the caller said of one attempt of a request. Each
-	// attempt has an id of its own. Fields that the caller left out are zero.
+	// Attempt is the caller's metadata of one attempt of a request. Each attempt has
+	// an id of its own. Fields that the caller left out are zero.
 	Attempt struct {
 		ID              string
-		CallerTimeout   time.Duration // how long the caller waits for the answer
-		Program         string
-		Session         string // one line of turns of the program
-		TokenBudget     int    // tokens that the program's turns may generate; valid with HasBudget
+		CallerTimeout   time.Duration // how long the caller waits for the response
+		Program         string        // id of the program
+		Session         string        // one sequence of turns of the program
+		TokenBudget     int           // tokens that the program's turns may generate; valid with HasTokenBudget
 		HasTokenBudget  bool
 		PromptTokens    int           // tokens of the prompt
-		MaxOutputTokens int           // most tokens that the turn generates
+		MaxOutputTokens int           // most tokens that the turn may generate
 		Previous        string        // attempt id of the turn that this one continues
-		LastEventID     string        // id of the last event that the caller has
-		FinishIn        time.Duration // until the program should be finished, counted from this attempt; below 0 if it is late; valid with HasFinish
+		LastEventID     string        // id of the last event that the caller received
+		FinishIn        time.Duration // from this attempt to the program's deadline; negative if it is late; valid with HasFinishIn
 		HasFinishIn     bool
-		AffinityKey     string       // names the object that the request is about
-		APIKey          accnt.Digest // of the caller's key; valid with HasKey
-		HasAPIKey       bool         // the caller named one key
+		AffinityKey     string       // id of the object that the request is about
+		APIKey          accnt.Digest // digest of the caller's key; valid with HasAPIKey
+		HasAPIKey       bool         // the caller sent exactly one key
 	}
 
-	// Order is what the system tells the upstream of one dispatch.
+	// Dispatch is the metadata that the proxy adds for the upstream.
 	Dispatch struct {
 		Instance    string        // the only upstream that may run the request
-		Timeout     time.Duration // that the caller still waits
+		Timeout     time.Duration // how long the caller still waits
 		Priority    int           // 0 is the most urgent of 0 to 9; valid with HasPriority
-		LastEventID string        // go on after this event
+		LastEventID string        // resume after this event; empty to start from the beginning
 		HasPriority bool          // Priority is set
-		Account     string        // of the caller; empty if it needs none
+		Account     string        // name of the caller's account; empty for none
 	}
 
-	// Verdict is what an upstream's answer says beside its status.
+	// ResponseInfo is the metadata of an upstream's response.
 	ResponseInfo struct {
-		Request  string        // the attempt that it answers
+		Request  string        // id of the attempt that it responds to
 		NotRun   bool          // the upstream did not run the request and never will
-		Signed   bool          // it carries the upstream's signature
-		Closing  bool          // the upstream closes the connection after this answer
-		IdleTime time.Duration // after which the upstream closes an idle connection; 0 if not told
+		Signed   bool          // it carries a signature of the upstream
+		Closing  bool          // the upstream closes the connection after this response
+		IdleTime time.Duration // after which the upstream closes an idle connection; 0 if not stated
 	}
 )
