--- a/internal/front/event/event.go
+++ b/internal/front/event/event.go
@@ -1,8 +1,8 @@
-// Package event cuts a stream of server-sent events into whole events.
+// Package event reads server-sent events (text/event-stream).
 //
-// An upstream may break off in the middle of an event. What is passed on to a
-// caller must end at an event's end, so that a stream which goes on elsewhere
-// joins without a seam. Reader therefore returns nothing but whole events.
+// An upstream's stream may end in the middle of an event. What is sent to a caller must
+// end at an event boundary, so that the stream can be resumed at another upstream.
+// Reader therefore returns complete events only.
 package event
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxSize bounds one event in bytes. Upstreams send a few hundred; more than
-// this is a broken upstream, which must not fill the daemon's memory.
+// MaxSize bounds one event in bytes. Upstreams send a few hundred; a faulty one that sends
+// more than this must not exhaust the daemon's memory.
 const MaxSize = 1 << 20
 
 type (
@@ -24,7 +24,7 @@
 		raw []byte
 	}
 
-	// Event is one event. Its slices are valid until the next one is read.
+	// Event is one event. Its slices are valid until the next call of Next.
 	Event struct {
 		Raw  []byte // as received, with the empty line that ends it
 		ID   string
@@ -32,17 +32,18 @@
 	}
 )
 
-// ErrTorn reports a stream that ended in the middle of an event.
+// ErrTruncated reports a stream that ended in the middle of an event.
 var ErrTruncated = errors.New("event: stream ends in the middle of an event")
 
-// Next returns the next event, or io.EOF at the stream's end.
+// Next returns the next event, or io.EOF at the end of the stream, or ErrTruncated if that
+// is in the middle of an event.
 func (r *Reader) Next() (e Event, err error) {
 	r.raw = r.raw[:0]
 	for {
 		line, err := r.R.ReadSlice('\n')
 		r.raw = append(r.raw, line...)
 		if len(r.raw) > MaxSize {
-			return Event{}, errors.Newf("event: more than %d bytes", MaxSize)
+			return Event{}, errors.Newf("event: larger than %d bytes", MaxSize)
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -58,8 +59,8 @@
 	}
 }
 
-// ended tells whether the bytes end with an empty line. Empty lines before an
-// event's first field belong to it.
+// endsEvent reports whether raw is a complete event: whether it ends with an empty line.
+// Empty lines before an event's first field belong to it.
 func endsEvent(raw []byte) bool {
 	if !bytes.HasSuffix(raw, []byte("\n\n")) && !bytes.HasSuffix(raw, []byte("\n\r\n")) {
 		return false
--- a/internal/front/event/event_test.go
+++ b/internal/front/event/event_test.go
@@ -40,8 +40,7 @@
 	}
 }
 
-// An upstream sends bytes without end and without an event's end. They must not
-// fill the daemon's memory.
+// An upstream sends an endless event, which must not exhaust the daemon's memory.
 func TestNextIsBounded(t *testing.T) {
 	r := Reader{R: bufio.NewReader(strings.NewReader(strings.Repeat("data: x\n", MaxSize)))}
 	_, err := r.Next()
