--- a/internal/front/upconn/conn.go
+++ b/internal/front/upconn/conn.go
@@ -17,27 +17,27 @@
 
 const (
 	readBuffer = 4 << 10
-	// inlineBody is the largest body that is written before the answer is read.
-	// It fits a connection's window, so the write can't block on an upstream
-	// that answers before it reads.
+	// inlineBody is the largest body that is written before the response is read.
+	// It fits a connection's window, so the write cannot block on an upstream
+	// that responds before it reads.
 	inlineBody = 8 << 10
 )
 
 type (
-	// Conn is one connection to an upstream. It carries one request at a time.
+	// Conn is a connection to an upstream. It carries one request at a time.
 	Conn struct {
 		Reused bool // it has carried a request before
 
 		net        net.Conn
 		br         *bufio.Reader
 		address    string
-		upstreamID string // the upstream's id
+		upstreamID string // id of the upstream
 		idleUntil  time.Time
 		sent       atomic.Bool
-		writing    chan error // the result of a write under way
+		writing    chan error // result of a write in the background; nil for none
 	}
 
-	// Request is what is sent.
+	// Request is an HTTP request to an upstream.
 	Request struct {
 		Method string
 		Target string // path and query, as the caller sent them
@@ -47,8 +47,8 @@
 	}
 )
 
-// Send writes the request. Sent tells after an error whether any of it may have
-// reached the upstream.
+// Send writes the request; a large one is written in the background. After an error, Sent
+// reports whether any of it may have reached the upstream.
 func (c *Conn) Send(r Request) error {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
@@ -67,7 +67,7 @@
 	}
 	done := make(chan error, 1)
 	c.writing = done
-	c.sent.Store(true) // the write may have begun by the time anybody asks
+	c.sent.Store(true) // the write may have begun by the next call of Sent
 	go func() { done <- c.write(b.Bytes()) }()
 	return nil
 }
@@ -80,10 +80,11 @@
 	return err
 }
 
-// Sent tells whether any byte of the request has left.
+// Sent reports whether any byte of the request was, or may have been, written.
 func (c *Conn) Sent() bool { return c.sent.Load() }
 
-// Receive reads the answer's head. The body is read through the answer.
+// Receive reads the header of the response, whose body is still to be read.
+// Informational responses (1xx) are skipped.
 func (c *Conn) Receive(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
@@ -96,16 +97,16 @@
 	}
 }
 
-// Break makes reads and writes under way fail at once.
+// Interrupt makes reads and writes fail at once, including those in progress.
 func (c *Conn) Interrupt() { _ = c.net.SetDeadline(time.Unix(1, 0)) }
 
-// Deadline bounds reads and writes from now on.
+// Deadline sets the deadline of reads and writes; the zero time is none.
 func (c *Conn) Deadline(t time.Time) error { return c.net.SetDeadline(t) }
 
-// Close closes the connection.
+// Close closes the connection, which is not to be given to Pool.Put then.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// written tells whether the whole request has been written.
+// written reports whether the whole request has been written.
 func (c *Conn) written() bool {
 	if c.writing == nil {
 		return true
@@ -119,8 +120,8 @@
 	}
 }
 
-// quiet tells whether an idle connection is open and nothing has come over it.
-// Bytes that nobody asked for would be taken for the next request's answer.
+// reusable reports whether an idle connection is still open and has received nothing.
+// Unsolicited bytes would be read as the response to the next request.
 func (c *Conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -143,9 +144,8 @@
 	return err == nil && alive
 }
 
-// connect dials an upstream. A connection through which nothing passes any more
-// without an end is noticed by TCP itself: by probes where nothing is sent, by
-// the time-out of unacknowledged bytes where something is.
+// connect dials an upstream. TCP detects a dead connection: by keep-alive probes while
+// nothing is sent, and by TCP_USER_TIMEOUT while bytes are unacknowledged.
 func connect(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
@@ -161,11 +161,11 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// ReadAll reads a whole body of at most limit bytes.
+// ReadAll reads a whole body. It fails if the body is longer than limit bytes.
 func ReadAll(r io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		return nil, errors.Newf("answer is longer than %d bytes", limit)
+		return nil, errors.Newf("body is longer than %d bytes", limit)
 	}
 	return body, err
 }
--- a/internal/front/upconn/pool.go
+++ b/internal/front/upconn/pool.go
@@ -1,10 +1,10 @@
-// Package upconn keeps connections to upstreams.
+// Package upconn pools HTTP/1.1 connections to upstreams.
 //
-// A general HTTP client sends some requests again by itself, hides whether a
-// byte has left, and reads whatever comes over a kept connection as the next
-// answer. A request that must run at most once allows none of this. Conn carries
-// one request and tells what left; Pool keeps connections between requests and
-// gives none that the upstream has closed or over which something came unasked.
+// A general HTTP client retries some requests by itself, hides whether any byte was
+// written, and reads whatever an idle connection receives as the next response. None
+// of this is acceptable for a request that must run at most once. Conn carries one request
+// at a time and reports whether any of it was written. Pool keeps idle connections, and
+// hands out none that the upstream has closed or over which it sent unsolicited bytes.
 package upconn
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	// dialTime bounds a connect; within a region it takes a millisecond.
+	// dialTimeout bounds a connect, which takes a millisecond within a region.
 	dialTimeout = 700 * time.Millisecond
-	// A connection on which probes stay unanswered is dropped after about
+	// A connection whose keep-alive probes are not acknowledged is closed after about
 	// probeIdle + probeCount*probeEvery.
 	probeIdle      = 2 * time.Second
 	probeEvery     = time.Second
@@ -27,10 +27,10 @@
 	// tcpUserTimeout is the option TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
 
-	// idleMargin is kept to the time at which the upstream closes an idle
-	// connection: a request that crosses the close may or may not have run.
+	// idleMargin is how long before the upstream's idle timeout a connection is
+	// closed here: a request sent while the upstream closes it may or may not run.
 	idleMargin = 300 * time.Millisecond
-	// defaultIdle holds for an upstream that tells no time.
+	// defaultIdle is the idle timeout of an upstream that states none.
 	defaultIdle = 700 * time.Millisecond
 )
 
@@ -40,13 +40,13 @@
 		Dial func(ctx context.Context, address string) (net.Conn, error) // nil for TCP
 
 		mu     sync.Mutex
-		idle   map[string][]*Conn // by address, the longest idle first
+		idle   map[string][]*Conn // by address, least recently used first
 		opened int64
 	}
 )
 
-// Take returns a connection to the upstream: a kept one if there is one that
-// can be used, else a new one.
+// Get returns a connection to the upstream with this id and address: a reusable idle one if
+// there is one, and a new one otherwise.
 func (p *Pool) Get(ctx context.Context, id, address string) (*Conn, error) {
 	for {
 		c := p.pop(address)
@@ -74,8 +74,8 @@
 	return &Conn{net: nc, br: bufio.NewReaderSize(nc, readBuffer), address: address, upstreamID: id}, nil
 }
 
-// Keep takes a connection back whose answer has been read whole. Idle is how
-// long the upstream keeps it, 0 if it did not tell.
+// Put returns a connection whose response was read completely. Idle is the upstream's idle
+// timeout, 0 if it stated none. A connection that cannot be reused is closed.
 func (p *Pool) Put(c *Conn, idle time.Duration) {
 	if idle == 0 {
 		idle = defaultIdle
@@ -93,7 +93,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// pop takes the connection used last, which is the least likely to be closed.
+// pop removes the most recently used connection, which is the least likely to be closed. It
+// returns nil if there is none.
 func (p *Pool) pop(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,14 +107,15 @@
 	return c
 }
 
-// Idle tells whether a connection to the address is kept unused.
+// Idle reports whether there is an idle connection to the address.
 func (p *Pool) Idle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[address]) > 0
 }
 
-// Sweep closes idle connections whose time is over. It is called every second or so.
+// CloseExpired closes connections that have been idle for too long. It is to be called about
+// once a second.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the number of connections opened so far.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
