--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -29,15 +29,15 @@
 
 	// RefusedError reports that a program may not begin. Its caller may retry after
 	// After.
-	RefusedError struct{ After time.Duration }
+	NotAdmittedError struct{ After time.Duration }
 )
 
-func (e *RefusedError) Error() string { return "too many turns under way" }
+func (e *NotAdmittedError) Error() string { return "too many turns under way" }
 
 // Wait blocks until a program of the service may begin. LatestStart is the latest time at
 // which it can begin and still finish in time. The error wraps a *RefusedError or that of
 // the context.
-func (q *Queue) Wait(ctx context.Context, name string, latestStart time.Time, load gate.Load) (err error) {
+func (q *Queue) Wait(ctx context.Context, name string, waitUntil time.Time, load gate.Load) (err error) {
 	defer func() { err = errors.Wrap(err, "wait for admission") }()
 	done := make(chan gate.Op, 1)
 	q.mu.Lock()
@@ -47,9 +47,9 @@
 		q.waiters = map[uint64]chan gate.Op{}
 	}
 	q.waiters[ticket] = done
-	q.step(name, gate.Arrive{Ticket: ticket, Until: latestStart, Load: load})
+	q.step(name, gate.Arrive{Ticket: ticket, Until: waitUntil, Load: load})
 	q.mu.Unlock()
-	timer := time.NewTimer(time.Until(latestStart))
+	timer := time.NewTimer(time.Until(waitUntil))
 	defer timer.Stop()
 	for {
 		select {
@@ -72,7 +72,7 @@
 func outcome(op gate.Op) error {
 	switch op := op.(type) {
 	case gate.Refuse:
-		return &RefusedError{After: op.After}
+		return &NotAdmittedError{After: op.After}
 	default:
 		return nil
 	}
--- a/internal/front/admit/admit_test.go
+++ b/internal/front/admit/admit_test.go
@@ -25,7 +25,7 @@
 	}{
 		"room":    {func(q *Queue, _ context.CancelFunc) { q.Change(idle) }, 100 * time.Millisecond, func(err error) bool { return err == nil }},
 		"leaves":  {func(_ *Queue, cancel context.CancelFunc) { cancel() }, 100 * time.Millisecond, func(err error) bool { return errors.Is(err, context.Canceled) }},
-		"no room": {func(q *Queue, _ context.CancelFunc) { q.Change(busy) }, 300 * time.Millisecond, refusedWithRetry},
+		"no room": {func(q *Queue, _ context.CancelFunc) { q.Change(busy) }, 300 * time.Millisecond, notAdmittedWithRetry},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func refusedWithRetry(err error) bool {
-	var refused *RefusedError
+func notAdmittedWithRetry(err error) bool {
+	var refused *NotAdmittedError
 	return errors.As(err, &refused) && refused.After > 0
 }
--- a/internal/front/proxy/account.go
+++ b/internal/front/proxy/account.go
@@ -80,11 +80,11 @@
 // acquire takes the request from its account's limit. If the limit does not allow it,
 // acquire sends an error response and returns false. Begun is false for
 // the first turn of a program, to which part of the limit is not available.
-func (q *request) acquire(begun bool) bool {
+func (q *request) acquire(mayUseReserve bool) bool {
 	if q.acquired || q.account.Name == "" {
 		return true
 	}
-	v := q.e.Limiter.Take(time.Now(), q.account.Name, begun)
+	v := q.e.Limiter.Take(time.Now(), q.account.Name, mayUseReserve)
 	q.acquired = v.OK
 	return q.replyIfDenied(v)
 }
--- a/internal/front/proxy/account_test.go
+++ b/internal/front/proxy/account_test.go
@@ -16,9 +16,9 @@
 	"github.com/slaterock/slaterock/internal/front/ration"
 )
 
-func accounts(cafe ...string) *accnt.Accounts {
+func accounts(cafeKeys ...string) *accnt.Accounts {
 	list := []accnt.Account{{Name: "cafe", Rate: 1, Burst: 3, Ranked: true, Priority: 4}, {Name: "bar", Keys: []accnt.Digest{accnt.DigestOf("secret-b")}}}
-	for _, key := range cafe {
+	for _, key := range cafeKeys {
 		list[0].Keys = append(list[0].Keys, accnt.DigestOf(key))
 	}
 	a, err := accnt.New(list)
@@ -191,7 +191,7 @@
 }
 
 // A request that no upstream ran must not be charged to its account's limit.
-func TestUnsentRequestsAreNotCharged(t *testing.T) {
+func TestRequestsNotRunAreNotCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		env := newTestEnv([]string{full})
--- a/internal/front/proxy/admission.go
+++ b/internal/front/proxy/admission.go
@@ -36,31 +36,31 @@
 	}
 	began := time.Now()
 	programTime := t.FinishIn + began.Sub(t.programStart)
-	latestStart := t.programStart.Add(time.Duration(maxQueueShare * float64(programTime)))
-	if maxStart := began.Add(maxQueueWait); latestStart.After(maxStart) {
-		latestStart = maxStart
+	waitUntil := t.programStart.Add(time.Duration(maxQueueShare * float64(programTime)))
+	if maxWaitUntil := began.Add(maxQueueWait); waitUntil.After(maxWaitUntil) {
+		waitUntil = maxWaitUntil
 	}
 	s := &t.summary
 	if s.load = t.e.load(t.service.Name); s.load.Room == 0 {
 		return true // no engine accepts work: dispatch refuses the turn at once
 	}
-	err := t.e.Queue.Wait(ctx, t.service.Name, latestStart, s.load)
+	err := t.e.Queue.Wait(ctx, t.service.Name, waitUntil, s.load)
 	s.queueTime = time.Since(began)
 	t.e.Scope.Timer("queue_time").Record(s.queueTime)
 	if err == nil && s.queueTime < minLoggedWait {
 		return true
 	}
 	s.queueReason = queuedNewProgram
-	if !began.Before(latestStart) {
+	if !began.Before(waitUntil) {
 		s.queueReason = queuedLateProgram
 	}
 	if err == nil {
 		return true
 	}
 	t.settle()
-	var refusal *admit.RefusedError
-	if errors.As(err, &refusal) {
-		t.replyUnavailable("engines_busy", refusal.After, err)
+	var notAdmitted *admit.NotAdmittedError
+	if errors.As(err, &notAdmitted) {
+		t.replyUnavailable("engines_busy", notAdmitted.After, err)
 		return false
 	}
 	t.replyExpired(err)
--- a/internal/front/proxy/admission_test.go
+++ b/internal/front/proxy/admission_test.go
@@ -70,7 +70,7 @@
 
 // No engine of the service accepts work, and it is not known when one will. The turn must
 // be refused at once, without queueing.
-func TestNoEngineIsRefusedAtOnce(t *testing.T) {
+func TestRefusedAtOnceWithoutEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		env := newTestEnv()
--- a/internal/front/proxy/buffered.go
+++ b/internal/front/proxy/buffered.go
@@ -65,7 +65,7 @@
 		return q.recordLoss(ctx, s, err)
 	}
 	s.releaseConn(q.e.Pool)
-	q.summary.firstByte = time.Since(q.began)
+	q.summary.firstOutput = time.Since(q.began)
 	pace := q.e.Usual.Pace(q.route.Name, time.Since(s.began).Seconds())
 	q.e.Picker.Took(time.Now(), s.up.ID, pace, s.resp.StatusCode >= http.StatusInternalServerError)
 	q.writeResponse(s, body)
@@ -109,7 +109,7 @@
 // replyFailure sends the error response for a request that got no usable response from
 // an upstream.
 func (q *request) replyFailure(err error) {
-	var refusal *refusedError
+	var refusal *notRunError
 	var loss *lostError
 	switch {
 	case errors.Is(err, errUnknownKey) && q.summary.ran == ranNo:
--- a/internal/front/proxy/send.go
+++ b/internal/front/proxy/send.go
@@ -33,16 +33,16 @@
 type (
 	// exchange is one send of a request to an upstream, with its response.
 	exchange struct {
-		up    fleet.Upstream
-		conn  *upconn.Conn
-		resp  *http.Response
-		info  meta.ResponseInfo
-		began time.Time
-		stop  func() bool // stops the interruption of conn at the context's end
+		up              fleet.Upstream
+		conn            *upconn.Conn
+		resp            *http.Response
+		info            meta.ResponseInfo
+		began           time.Time
+		cancelInterrupt func() bool // stops the interruption of conn at the context's end
 	}
 
 	// refusedError reports that an upstream did not run the request and never will.
-	refusedError struct {
+	notRunError struct {
 		up    fleet.Upstream
 		cause string
 		err   error
@@ -56,10 +56,10 @@
 	}
 )
 
-func (e *refusedError) Error() string { return "not run by " + e.up.ID + ": " + e.cause }
-func (e *refusedError) Unwrap() error { return e.err }
-func (e *lostError) Error() string    { return "no answer from " + e.up.ID }
-func (e *lostError) Unwrap() error    { return e.err }
+func (e *notRunError) Error() string { return "not run by " + e.up.ID + ": " + e.cause }
+func (e *notRunError) Unwrap() error { return e.err }
+func (e *lostError) Error() string   { return "no answer from " + e.up.ID }
+func (e *lostError) Unwrap() error   { return e.err }
 
 var (
 	errNoUpstream   = errors.New("no upstream accepts requests")
@@ -92,7 +92,7 @@
 			return s, nil
 		}
 		q.e.done(up.ID)
-		var refusal *refusedError
+		var refusal *notRunError
 		if !errors.As(err, &refusal) {
 			return nil, err
 		}
@@ -122,14 +122,14 @@
 		if ctx.Err() == nil {
 			q.e.Picker.Failed(time.Now(), up.ID)
 		}
-		return nil, &refusedError{up: up, cause: "unreachable", err: err}
+		return nil, &notRunError{up: up, cause: "unreachable", err: err}
 	}
 	s = &exchange{up: up, conn: conn, began: time.Now()}
 	if err = conn.Deadline(q.deadline); err != nil {
 		conn.Close()
-		return nil, &refusedError{up: up, cause: "closed", err: err}
+		return nil, &notRunError{up: up, cause: "closed", err: err}
 	}
-	s.stop = context.AfterFunc(ctx, conn.Interrupt)
+	s.cancelInterrupt = context.AfterFunc(ctx, conn.Interrupt)
 	d.Instance, d.Account = up.ID, q.account.Name
 	q.countSend()
 	d.Timeout = time.Until(q.deadline)
@@ -144,7 +144,7 @@
 		s.closeConn()
 		if !conn.Sent() {
 			q.uncountSend()
-			return nil, &refusedError{up: up, cause: "closed", err: err}
+			return nil, &notRunError{up: up, cause: "closed", err: err}
 		}
 		return nil, q.recordLoss(ctx, s, err)
 	}
@@ -188,20 +188,20 @@
 	} else {
 		s.releaseConn(q.e.Pool)
 	}
-	return &refusedError{up: s.up, cause: cause}
+	return &notRunError{up: s.up, cause: cause}
 }
 
 // closeConn closes the connection, by which an upstream that still runs the request
 // learns that it was abandoned.
 func (s *exchange) closeConn() {
-	s.stop()
+	s.cancelInterrupt()
 	s.conn.Close()
 }
 
 // releaseConn returns the connection to the pool after the whole response was read. One
 // that is being interrupted is closed, as it cannot be used again.
 func (s *exchange) releaseConn(p *upconn.Pool) {
-	if !s.stop() || s.info.Closing || s.resp.Close {
+	if !s.cancelInterrupt() || s.info.Closing || s.resp.Close {
 		s.conn.Close()
 		return
 	}
--- a/internal/front/proxy/stream.go
+++ b/internal/front/proxy/stream.go
@@ -88,7 +88,7 @@
 		return false
 	}
 	err := <-readErr
-	t.summary.recordTime = time.Since(t.began)
+	t.summary.recordsTime = time.Since(t.began)
 	if err == nil {
 		return true
 	}
@@ -210,7 +210,7 @@
 	d := meta.Dispatch{Priority: min(t.priority(), 9), HasPriority: true, LastEventID: t.lastEventID}
 	for range maxRuns {
 		s, err := t.dispatch(ctx, c, body, d)
-		if c.Only != "" && err != nil && t.cannotResumeAt(c.Only, err) {
+		if c.Only != "" && err != nil && t.mayResumeElsewhere(c.Only, err) {
 			c.Only = ""
 			s, err = t.dispatch(ctx, c, body, d)
 		}
@@ -236,8 +236,8 @@
 
 // cannotResumeAt reports whether err means that the upstream cannot run the turn any
 // more, rather than being full.
-func (t *turn) cannotResumeAt(id string, err error) bool {
-	var refusal *refusedError
+func (t *turn) mayResumeElsewhere(id string, err error) bool {
+	var refusal *notRunError
 	if errors.As(err, &refusal) {
 		return refusal.cause != causeFull
 	}
@@ -306,7 +306,7 @@
 
 func (t *turn) relayEvent(e event.Event) error {
 	if t.summary.events == 0 {
-		t.summary.firstByte = time.Since(t.began)
+		t.summary.firstOutput = time.Since(t.began)
 	}
 	t.summary.events++
 	t.summary.tokens += max(t.service.EventTokens, 1)
@@ -327,7 +327,7 @@
 func (t *turn) observe(s *exchange, turns float64) {
 	pace := 0.0
 	if n := t.summary.events - 1; n > 2 {
-		eventTime := (time.Since(t.began) - t.summary.firstByte) / time.Duration(n)
+		eventTime := (time.Since(t.began) - t.summary.firstOutput) / time.Duration(n)
 		pace = t.e.Usual.Pace(t.route.Name, eventTime.Seconds())
 		t.e.Queue.Observe(t.service.Name, turns, eventTime)
 	}
--- a/internal/front/proxy/summary.go
+++ b/internal/front/proxy/summary.go
@@ -28,11 +28,11 @@
 		tokens      int
 		refusals    string // by upstreams, and resumptions, in order
 		err         error
-		recordTime  time.Duration // until the reservation was durable and the history was read
+		recordsTime time.Duration // until the reservation was durable and the history was read
 		queueReason string        // why the attempt was queued; empty if it was not
 		queueTime   time.Duration // how long it was queued
 		load        gate.Load     // of the engines when it was queued
-		firstByte   time.Duration // until the first byte of the response
+		firstOutput time.Duration // until the first byte of the response
 	}
 
 	// ran states whether an upstream ran the request.
@@ -61,8 +61,8 @@
 		Int64("config", q.version()).Int64("news_age_ms", q.viewAge()).Str("upstream", s.upstream).Int("sends", s.sends).
 		Str("refusals", s.refusals).Int("status", s.status).Str("outcome", s.outcome()).Str("ran", string(s.ran)).
 		Int("events", s.events).Int("tokens", s.tokens).Int64("wait_ms", q.CallerTimeout.Milliseconds()).
-		Int64("finish_ms", q.FinishIn.Milliseconds()).Int64("recorded_ms", s.recordTime.Milliseconds()).
-		Int64("first_ms", s.firstByte.Milliseconds()).Int64("took_ms", took.Milliseconds()).Str("previous", q.Previous).AnErr("cause", s.err)
+		Int64("finish_ms", q.FinishIn.Milliseconds()).Int64("recorded_ms", s.recordsTime.Milliseconds()).
+		Int64("first_ms", s.firstOutput.Milliseconds()).Int64("took_ms", took.Milliseconds()).Str("previous", q.Previous).AnErr("cause", s.err)
 	if s.missing {
 		line.Bool("upstream_missing", true)
 	}
