--- a/internal/front/proxy/account.go
+++ b/internal/front/proxy/account.go
@@ -78,8 +78,9 @@
 }
 
 // acquire takes the request from its account's limit. If the limit does not allow it,
-// acquire sends an error response and returns false. Begun is false for
-// the first turn of a program, to which part of the limit is not available.
+// acquire sends an error response and returns false. MayUseReserve is false
+// for the first turn of a program with a budget, which may not use the reserved part of
+// the limit.
 func (q *request) acquire(mayUseReserve bool) bool {
 	if q.acquired || q.account.Name == "" {
 		return true
@@ -119,7 +120,8 @@
 	}
 }
 
-// releaseAcquired returns a request to the limit that was acquired but not sent.
+// releaseAcquired returns to the account's limit a request that was acquired and that no
+// upstream ran.
 func (q *request) releaseAcquired() {
 	if q.acquired {
 		q.e.Limiter.GiveBack(time.Now(), q.account.Name)
--- a/internal/front/proxy/admission.go
+++ b/internal/front/proxy/admission.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxQueueShare is the share of a program's allotted time that it may spend in the
-	// queue. Programs use 0.8 of their allotted time on busy engines and 0.6 on idle
-	// ones.
+	// maxQueueShare is the share of the time between a program's first attempt and its
+	// deadline that it may spend in the queue. The rest is what it needs: programs take
+	// 0.8 of that time on busy engines and 0.6 on idle ones.
 	maxQueueShare = 0.2
 	// maxQueueWait bounds the queue time of a first turn: callers disconnect from a
 	// stream that sends nothing for two seconds.
@@ -21,15 +21,16 @@
 	// minLoggedWait is the shortest queue time that is logged for an admitted program.
 	minLoggedWait = time.Millisecond
 	// queuedNewProgram and queuedLateProgram are the logged reasons why an attempt was
-	// queued or refused: the engines had no room for a new program that could still
-	// finish in time, or for one that came too late for that.
+	// queued or refused. In both cases the engines had no room; a late program had
+	// already passed the time until which it may wait when the attempt arrived.
 	queuedNewProgram  = "new_program"
 	queuedLateProgram = "late_program"
 )
 
 // waitForRoom waits until the engines have room for one more program. It returns false
-// if it has sent an error response. Turns of programs that have begun do not wait: a
-// refusal would waste the work done so far.
+// if the request has ended: an error response was sent, or the caller has disconnected.
+// Turns of programs that have begun do not wait, as a refusal would waste the work done so
+// far; nor do turns without a token budget or a deadline, nor resumed streams.
 func (t *turn) waitForRoom(ctx context.Context) bool {
 	if t.programBegun || !t.reserved || !t.HasFinishIn || t.lastEventID != "" {
 		return true
@@ -79,5 +80,6 @@
 	e.UpdateLoad()
 }
 
-// UpdateLoad re-evaluates the queues after the load has changed, here or at other daemons.
+// UpdateLoad passes the present load to the admission queues, which may then admit
+// programs. It is to be called after the load has changed, here or at other daemons.
 func (e *Endpoint) UpdateLoad() { e.Queue.Change(e.load) }
--- a/internal/front/proxy/buffered.go
+++ b/internal/front/proxy/buffered.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// replyFailure sends the error response for a request that got no usable response from
-// an upstream.
+// replyFailure ends a request that got no usable response from an upstream, with an error
+// response unless the caller has disconnected.
 func (q *request) replyFailure(err error) {
 	var refusal *notRunError
 	var loss *lostError
--- a/internal/front/proxy/env_test.go
+++ b/internal/front/proxy/env_test.go
@@ -235,7 +235,7 @@
 	return rec, false
 }
 
-// close closes all connections, so that the upstreams' goroutines end.
+// close closes the idle connections and waits until the upstreams' goroutines have ended.
 func (env *testEnv) close() {
 	env.e.Pool.CloseExpired(time.Now().Add(time.Hour))
 	env.conns.Wait()
--- a/internal/front/proxy/proxy.go
+++ b/internal/front/proxy/proxy.go
@@ -1,10 +1,10 @@
 // Package proxy is the HTTP reverse proxy: it finds the route of a request, sends it
 // to an upstream of the route's service and returns the response.
 //
-// An error response states whether the request ran. A request that certainly did not
-// run is refused as not run, with a Retry-After time. One that may have run is never
-// refused that way, and is sent again only if its kind allows it. A truncated response
-// is never delivered as a complete one.
+// An error response states whether the request ran. If it certainly did not and a retry may
+// help, the response has a Retry-After time. A request that may have run gets none, and is
+// sent again only if the kind of its route allows it. A truncated response is never
+// delivered as a complete one.
 package proxy
 
 import (
@@ -44,10 +44,15 @@
 	// Dialect translates between the HTTP headers of callers and upstreams and the
 	// types of package meta.
 	Dialect interface {
+		// Decode reads the metadata in a caller's request header.
 		Decode(http.Header) (meta.Attempt, error)
+		// Forward makes the upstream's request header from the caller's.
 		Forward(http.Header, meta.Dispatch) http.Header
+		// Return makes the caller's response header from the upstream's.
 		Return(http.Header) http.Header
+		// ResponseInfo reads the metadata in an upstream's response header.
 		ResponseInfo(status int, h http.Header) meta.ResponseInfo
+		// RetryAfter sets the Retry-After time in a caller's response header.
 		RetryAfter(http.Header, time.Duration)
 	}
 
@@ -65,14 +70,14 @@
 		Fleet   *fleet.Fleet
 		Pool    *upconn.Pool
 		Picker  *pick.Picker
-		Usual   pick.Usual
+		Usual   pick.Usual // usual durations, by route
 		Queue   admit.Queue
 		Limiter *limits.Limiter
 		Log     zerolog.Logger
 		Scope   tally.Scope
 		Trace   *trace.Trace
-		// Refresh reads the configuration from the store again, unless it is recent or
-		// was read a moment ago.
+		// Refresh reads the configuration from the store again, unless the present one
+		// or the last attempt to read it is recent.
 		Refresh func(context.Context)
 		// Stop is done when the daemon stops; it bounds work that outlives its request.
 		Stop context.Context //nolint:containedctx // lifetime of the daemon
@@ -91,7 +96,7 @@
 		route    route.Route
 		service  route.Service
 		account  accnt.Account // of the caller; zero if it has none
-		acquired bool          // a request was taken from the account's limit and is not sent yet
+		acquired bool          // a request was taken from the account's limit and no upstream ran it yet
 		body     []byte
 		began    time.Time
 		deadline time.Time
@@ -99,7 +104,7 @@
 	}
 )
 
-// Drain makes the responses to requests that arrive from now on close their connections.
+// Drain sets "Connection: close" on the responses to all later requests.
 func (e *Endpoint) Drain() { e.draining.Store(true) }
 
 // Active returns the number of requests in progress.
@@ -122,7 +127,7 @@
 }
 
 // accept reads the request, finds its route and authenticates the caller. It returns
-// false if it has sent an error response.
+// false if it has sent an error response instead.
 func (q *request) accept() bool {
 	var err error
 	if q.Attempt, err = q.e.Dialect.Decode(q.r.Header); err != nil {
--- a/internal/front/proxy/proxy_test.go
+++ b/internal/front/proxy/proxy_test.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// An engine responds to every turn with an error, at once. It never has turns in
-// progress, so it looks idle, attracts all turns and fails them although other engines
-// are healthy.
+// An engine responds to every turn with an error, at once. Since it never has turns in
+// progress, it looks idle. It must not attract all further turns while other engines are
+// healthy.
 func TestEngineThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,7 +116,8 @@
 	})
 }
 
-// setLoad sets the load that other daemons report for an upstream to 4n requests.
+// setLoad sets the load that other daemons report for an upstream, in units of 4 requests,
+// the batch of the last upstream.
 func (env *testEnv) setLoad(id string, n int) {
 	env.e.Picker.UpdateLoad(map[string]int{id: n * 4}, 1)
 }
--- a/internal/front/proxy/reply.go
+++ b/internal/front/proxy/reply.go
@@ -13,11 +13,11 @@
 	// retryNoConfig is for a daemon that has no configuration yet: it gets one within
 	// a second, and other daemons have one already.
 	retryNoConfig = 300 * time.Millisecond
-	// retryBusy is for upstreams that all refuse requests: places become free within
-	// about the duration of one plain call.
+	// retryBusy is for upstreams that all refuse requests: they have capacity again
+	// after about the duration of one buffered request.
 	retryBusy = 150 * time.Millisecond
-	// retryNoQuorum is for too few holders of records responding, which lasts until a
-	// killed one has restarted or was replaced.
+	// retryNoQuorum is for fewer replicas of the records responding than a quorum,
+	// which lasts until a failed one has restarted or was replaced.
 	retryNoQuorum = 400 * time.Millisecond
 )
 
--- a/internal/front/proxy/send.go
+++ b/internal/front/proxy/send.go
@@ -38,10 +38,10 @@
 		resp            *http.Response
 		info            meta.ResponseInfo
 		began           time.Time
-		cancelInterrupt func() bool // stops the interruption of conn at the context's end
+		cancelInterrupt func() bool // cancels the interruption of conn when the context is done
 	}
 
-	// refusedError reports that an upstream did not run the request and never will.
+	// notRunError reports that an upstream did not run the request and never will.
 	notRunError struct {
 		up    fleet.Upstream
 		cause string
@@ -51,7 +51,7 @@
 	// lostError reports a request that may have run, without a complete response.
 	lostError struct {
 		up     fleet.Upstream
-		reused bool
+		reused bool // the connection had carried a request before
 		err    error
 	}
 )
@@ -66,9 +66,9 @@
 	errWrongRequest = errors.New("response belongs to another request")
 )
 
-// dispatch sends the request to upstreams until one accepts it. A *refusedError or
-// errNoUpstream means that the sends of this call did not run; a *lostError means that
-// one may have.
+// dispatch sends the request to upstreams until one accepts it. A *notRunError,
+// errNoUpstream or errUnknownKey means that no upstream ran the request in this call. After
+// a *lostError or an error of the context, one may have.
 func (q *request) dispatch(ctx context.Context, c pick.Case, body []byte, d meta.Dispatch) (*exchange, error) {
 	lastErr := errNoUpstream
 	for range maxRefusals {
--- a/internal/front/proxy/stream.go
+++ b/internal/front/proxy/stream.go
@@ -24,8 +24,8 @@
 	// settleTimeout bounds the write that settles a reservation, for which no caller
 	// waits.
 	settleTimeout = 4 * time.Second
-	// maxRuns is how often a stream is dispatched at most: once, and again after each
-	// interruption.
+	// maxRuns is the maximum number of times that a stream is run: first, and again
+	// after each interruption.
 	maxRuns      = 3
 	streamBuffer = 16 << 10
 )
@@ -67,7 +67,8 @@
 }
 
 // withinLimit takes the turn from its account's limit, or sends an error response and
-// returns false. Part of the limit is reserved for programs that have begun.
+// returns false. Part of the limit is not available to the first turn of a program with a
+// budget, so that programs that have begun can finish.
 func (t *turn) withinLimit() bool {
 	if t.acquire(t.programBegun || !t.reserved) {
 		return true
@@ -77,8 +78,8 @@
 }
 
 // prepare reads the history that the turn continues and reserves its tokens in the
-// program's budget, before anything runs. It returns false if it has sent an error
-// response.
+// program's budget, before anything runs. It returns false if the request has ended: an
+// error response was sent, or the caller has disconnected.
 func (t *turn) prepare(ctx context.Context) bool {
 	ctx, span := t.e.Trace.Start(ctx, trace.Records, "")
 	defer func() { span.End(nil) }()
@@ -138,9 +139,9 @@
 	}
 }
 
-// reserve records the most tokens that the turn can generate before it runs, so that a
-// crash cannot make a program exceed its budget. It returns false if it has sent an
-// error response.
+// reserve records, before the turn runs, the maximum number of tokens that it can generate,
+// so that a crash cannot make a program exceed its budget. It returns false if the request
+// has ended: an error response was sent, or the caller has disconnected.
 func (t *turn) reserve(ctx context.Context) bool {
 	if !t.HasTokenBudget || t.Program == "" {
 		return true
@@ -234,8 +235,8 @@
 	return errors.New("stream was interrupted too often")
 }
 
-// cannotResumeAt reports whether err means that the upstream cannot run the turn any
-// more, rather than being full.
+// mayResumeElsewhere reports whether another upstream may resume the turn: the one that ran
+// it refused for another reason than being full, or is no longer listed.
 func (t *turn) mayResumeElsewhere(id string, err error) bool {
 	var refusal *notRunError
 	if errors.As(err, &refusal) {
@@ -263,7 +264,7 @@
 		}
 		s.releaseConn(t.e.Pool)
 		if s.resp.StatusCode >= http.StatusInternalServerError {
-			t.e.Picker.Failed(time.Now(), s.up.ID) // it would look idle and attract all turns
+			t.e.Picker.Failed(time.Now(), s.up.ID) // otherwise it would look idle and attract all turns
 		}
 		t.settle()
 		t.writeResponse(s, body)
@@ -322,8 +323,9 @@
 	return t.flush()
 }
 
-// observe records the upstream's mean time per event, which hardly depends on the prompt.
-// Turns is the mean number of turns that it ran meanwhile.
+// observe records the mean time per event of the attempt, from its first event on, for the
+// upstream that completed it. That time hardly depends on the prompt. Streams of fewer than
+// four events give none. Turns is the mean number of turns in progress at the upstream.
 func (t *turn) observe(s *exchange, turns float64) {
 	pace := 0.0
 	if n := t.summary.events - 1; n > 2 {
--- a/internal/front/proxy/summary.go
+++ b/internal/front/proxy/summary.go
@@ -26,13 +26,13 @@
 		sends       int
 		events      int
 		tokens      int
-		refusals    string // by upstreams, and resumptions, in order
+		refusals    string // by upstreams, and interruptions of resumable streams, in order
 		err         error
-		recordsTime time.Duration // until the reservation was durable and the history was read
+		recordsTime time.Duration // from arrival until the tokens were reserved and the history was read
 		queueReason string        // why the attempt was queued; empty if it was not
 		queueTime   time.Duration // how long it was queued
 		load        gate.Load     // of the engines when it was queued
-		firstOutput time.Duration // until the first byte of the response
+		firstOutput time.Duration // from arrival to the first event of a stream, or to the end of another response; 0 for none
 	}
 
 	// ran states whether an upstream ran the request.
