--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -19,7 +19,7 @@
 		mu         sync.Mutex
 		services   map[string]*service
 		waiters    map[uint64]chan gate.Op
-		lastTicket uint64 // ticket
+		lastTicket uint64 // number of the last waiter: key of waiters and ticket of the gate
 	}
 
 	service struct {
@@ -27,16 +27,16 @@
 		pace pace.Pace
 	}
 
-	// RefusedError reports that a program may not begin. Its caller may retry after
-	// After.
+	// NotAdmittedError reports that a program may not begin. Its caller may retry after
+	// the duration After.
 	NotAdmittedError struct{ After time.Duration }
 )
 
 func (e *NotAdmittedError) Error() string { return "too many turns under way" }
 
-// Wait blocks until a program of the service may begin. LatestStart is the latest time at
-// which it can begin and still finish in time. The error wraps a *RefusedError or that of
-// the context.
+// Wait blocks until a program of the service may begin. WaitUntil is the time until which it
+// may wait; if that has passed, it is admitted or refused at once. The error wraps a
+// *NotAdmittedError or that of the context.
 func (q *Queue) Wait(ctx context.Context, name string, waitUntil time.Time, load gate.Load) (err error) {
 	defer func() { err = errors.Wrap(err, "wait for admission") }()
 	done := make(chan gate.Op, 1)
@@ -57,7 +57,7 @@
 			return outcome(op)
 		case <-timer.C:
 			q.mu.Lock()
-			q.step(name, gate.Change{}) // refuses programs whose latest start has passed
+			q.step(name, gate.Change{}) // refuses programs that may not wait any longer
 			q.mu.Unlock()
 		case <-ctx.Done():
 			q.mu.Lock()
@@ -78,8 +78,8 @@
 	}
 }
 
-// Change re-evaluates the programs that wait, after the load has changed. It calls load for
-// each service that has any.
+// Change passes the present load to the gates, which may then admit programs. It calls load
+// for each service for which programs wait.
 func (q *Queue) Change(load func(name string) gate.Load) {
 	for _, name := range q.waitingServices() {
 		l := load(name)
@@ -109,8 +109,8 @@
 	q.service(name).pace.Observe(turns, event.Seconds())
 }
 
-// Share returns a function that gives the share of its places up to which an engine of the
-// service should be filled, by the number of places.
+// Share returns a function that gives, for an engine of the service that runs so many turns
+// at a time, how many it should be given at most, as a multiple of that number.
 func (q *Queue) Share(name string) func(places int) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/front/admit/admit_test.go
+++ b/internal/front/admit/admit_test.go
@@ -47,6 +47,6 @@
 }
 
 func notAdmittedWithRetry(err error) bool {
-	var refused *NotAdmittedError
-	return errors.As(err, &refused) && refused.After > 0
+	var notAdmitted *NotAdmittedError
+	return errors.As(err, &notAdmitted) && notAdmitted.After > 0
 }
