--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -16,11 +16,11 @@
 // set it allows all requests. It is safe for concurrent use.
 type Limiter struct {
 	Tolerance ration.Tolerance
-	Label     label.Label // bounds the account labels in metrics
+	Label     label.Label // bounds the number of account labels in metrics
 
 	mu       sync.Mutex
 	ration   ration.Ration
-	accounts *accnt.Accounts // whose limits ration has
+	accounts *accnt.Accounts // whose limits were last set in ration
 }
 
 // Take takes one request from an account's limit if the verdict is OK. Begun means that it
@@ -45,7 +45,7 @@
 	a.ration.Add(now, name)
 }
 
-// GiveBack returns a request to the limit that no upstream ran.
+// GiveBack returns to the limit a request that no upstream ran.
 func (a *Limiter) GiveBack(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,14 +60,14 @@
 	return a.ration.Used(now)
 }
 
-// Left returns the part that is left of each account's bucket, from 0 to 1.
+// Left returns the part of each account's token bucket that is filled, from 0 to 1.
 func (a *Limiter) Left(now time.Time) map[string]float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ration.Left(now)
 }
 
-// Hear updates the limits of the accounts in force and the usage that other daemons
+// Hear sets the accounts of the current configuration, and the usage that other daemons
 // reported.
 func (a *Limiter) Hear(now time.Time, accounts *accnt.Accounts, h ration.Heard) {
 	a.mu.Lock()
@@ -76,7 +76,8 @@
 	a.ration.Hear(now, h)
 }
 
-// Forget treats all buckets as empty, after a time in which this process did not run.
+// Forget empties each account's token bucket. It is to be called after the process was
+// suspended, as the usage of other daemons in that time is not known.
 func (a *Limiter) Forget(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
