--- a/internal/front/meta/meta.go
+++ b/internal/front/meta/meta.go
@@ -33,7 +33,7 @@
 	// Dispatch is the metadata that the proxy adds for the upstream.
 	Dispatch struct {
 		Instance    string        // the only upstream that may run the request
-		Timeout     time.Duration // how long the caller still waits
+		Timeout     time.Duration // time left until the request's deadline
 		Priority    int           // 0 is the most urgent of 0 to 9; valid with HasPriority
 		LastEventID string        // resume after this event; empty to start from the beginning
 		HasPriority bool          // Priority is set
