--- a/internal/front/upconn/conn.go
+++ b/internal/front/upconn/conn.go
@@ -31,7 +31,7 @@
 		net        net.Conn
 		br         *bufio.Reader
 		address    string
-		upstreamID string // id of the upstream
+		upstreamID string // the upstream that was dialled; another one may have the same address later
 		idleUntil  time.Time
 		sent       atomic.Bool
 		writing    chan error // result of a write in the background; nil for none
@@ -103,7 +103,7 @@
 // Deadline sets the deadline of reads and writes; the zero time is none.
 func (c *Conn) Deadline(t time.Time) error { return c.net.SetDeadline(t) }
 
-// Close closes the connection, which is not to be given to Pool.Put then.
+// Close closes the connection. Do not call Pool.Put after it.
 func (c *Conn) Close() { _ = c.net.Close() }
 
 // written reports whether the whole request has been written.
--- a/internal/front/upconn/pool.go
+++ b/internal/front/upconn/pool.go
@@ -20,9 +20,11 @@
 	dialTimeout = 700 * time.Millisecond
 	// A connection whose keep-alive probes are not acknowledged is closed after about
 	// probeIdle + probeCount*probeEvery.
-	probeIdle      = 2 * time.Second
-	probeEvery     = time.Second
-	probeCount     = 2
+	probeIdle  = 2 * time.Second
+	probeEvery = time.Second
+	probeCount = 2
+	// unackedTimeout is the TCP_USER_TIMEOUT of connections: how long sent bytes may
+	// remain unacknowledged.
 	unackedTimeout = 3 * time.Second
 	// tcpUserTimeout is the option TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
