--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -1,5 +1,5 @@
-// Package admit has new programs wait at a gate, one for each service, until the
-// engines have room for them.
+// Package admit is the admission queue of new programs: for each service, they wait until
+// the engines have room for them.
 package admit
 
 import (
@@ -14,12 +14,12 @@
 )
 
 type (
-	// Queue holds what waits at one daemon. The zero value is ready.
+	// Queue holds the programs that wait at one daemon. The zero value is ready.
 	Queue struct {
-		mu       sync.Mutex
-		services map[string]*service
-		wait     map[uint64]chan gate.Op
-		last     uint64 // ticket
+		mu         sync.Mutex
+		services   map[string]*service
+		waiters    map[uint64]chan gate.Op
+		lastTicket uint64 // number of the last waiter: key of waiters and ticket of the gate
 	}
 
 	service struct {
@@ -27,27 +27,29 @@
 		pace pace.Pace
 	}
 
-	// Refused tells that a program may not begin, and when to come back.
-	Refused struct{ After time.Duration }
+	// NotAdmittedError reports that a program may not begin. Its caller may retry after
+	// the duration After.
+	NotAdmittedError struct{ After time.Duration }
 )
 
-func (e *Refused) Error() string { return "too many turns under way" }
+func (e *NotAdmittedError) Error() string { return "too many turns under way" }
 
-// Wait returns when a program may begin, which until is the latest time for. The
-// error is *Refused, or that of the context.
-func (q *Queue) Wait(ctx context.Context, name string, until time.Time, load gate.Load) (err error) {
-	defer func() { err = errors.Wrap(err, "wait for a place") }()
+// Wait blocks until a program of the service may begin. WaitUntil is the time until which it
+// may wait; if that has passed, it is admitted or refused at once. The error wraps a
+// *NotAdmittedError or that of the context.
+func (q *Queue) Wait(ctx context.Context, name string, waitUntil time.Time, load gate.Load) (err error) {
+	defer func() { err = errors.Wrap(err, "wait for admission") }()
 	done := make(chan gate.Op, 1)
 	q.mu.Lock()
-	q.last++
-	ticket := q.last
-	if q.wait == nil {
-		q.wait = map[uint64]chan gate.Op{}
+	q.lastTicket++
+	ticket := q.lastTicket
+	if q.waiters == nil {
+		q.waiters = map[uint64]chan gate.Op{}
 	}
-	q.wait[ticket] = done
-	q.step(name, gate.Arrive{Ticket: ticket, Until: until, Load: load})
+	q.waiters[ticket] = done
+	q.step(name, gate.Arrive{Ticket: ticket, Until: waitUntil, Load: load})
 	q.mu.Unlock()
-	timer := time.NewTimer(time.Until(until))
+	timer := time.NewTimer(time.Until(waitUntil))
 	defer timer.Stop()
 	for {
 		select {
@@ -55,11 +57,11 @@
 			return outcome(op)
 		case <-timer.C:
 			q.mu.Lock()
-			q.step(name, gate.Change{}) // ends the waits that are over
+			q.step(name, gate.Change{}) // refuses programs that may not wait any longer
 			q.mu.Unlock()
 		case <-ctx.Done():
 			q.mu.Lock()
-			delete(q.wait, ticket)
+			delete(q.waiters, ticket)
 			q.step(name, gate.Leave{Ticket: ticket})
 			q.mu.Unlock()
 			return ctx.Err()
@@ -70,16 +72,16 @@
 func outcome(op gate.Op) error {
 	switch op := op.(type) {
 	case gate.Refuse:
-		return &Refused{After: op.After}
+		return &NotAdmittedError{After: op.After}
 	default:
 		return nil
 	}
 }
 
-// Change tells the gates that there may be room; load is asked for the services
-// at which programs wait.
+// Change passes the present load to the gates, which may then admit programs. It calls load
+// for each service for which programs wait.
 func (q *Queue) Change(load func(name string) gate.Load) {
-	for _, name := range q.waited() {
+	for _, name := range q.waitingServices() {
 		l := load(name)
 		q.mu.Lock()
 		q.step(name, gate.Change{Load: l})
@@ -87,8 +89,8 @@
 	}
 }
 
-// waited returns the services at which programs wait.
-func (q *Queue) waited() (names []string) {
+// waitingServices returns the services for which programs wait.
+func (q *Queue) waitingServices() (names []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for name, s := range q.services {
@@ -99,15 +101,16 @@
 	return names
 }
 
-// Observe learns from a whole stream how long an event takes beside so many turns.
+// Observe records the mean time per event of a complete stream, on an engine that ran so
+// many turns meanwhile.
 func (q *Queue) Observe(name string, turns float64, event time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.service(name).pace.Observe(turns, event.Seconds())
 }
 
-// Share returns up to which share of its places an engine of the service should be
-// filled that runs so many turns at a time.
+// Share returns a function that gives, for an engine of the service that runs so many turns
+// at a time, how many it should be given at most, as a multiple of that number.
 func (q *Queue) Share(name string) func(places int) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,14 +118,14 @@
 	return p.Share
 }
 
-// Len returns how many programs wait.
+// Len returns the number of programs that wait.
 func (q *Queue) Len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.wait)
+	return len(q.waiters)
 }
 
-// service returns what is kept of a service; q.mu is held.
+// service returns the state of a service, which it creates if needed; q.mu is held.
 func (q *Queue) service(name string) *service {
 	if q.services == nil {
 		q.services = map[string]*service{}
@@ -135,14 +138,15 @@
 	return s
 }
 
-// step takes an event to a gate and does what follows; q.mu is held.
+// step passes an event to a service's gate and delivers its decisions; q.mu is held.
 func (q *Queue) step(name string, e gate.Event) {
 	for _, op := range q.service(name).gate.Step(time.Now(), e) {
-		q.tell(op)
+		q.deliver(op)
 	}
 }
 
-func (q *Queue) tell(op gate.Op) {
+// deliver passes a decision to the program that waits for it; q.mu is held.
+func (q *Queue) deliver(op gate.Op) {
 	var ticket uint64
 	switch op := op.(type) {
 	case gate.Admit:
@@ -150,8 +154,8 @@
 	case gate.Refuse:
 		ticket = op.Ticket
 	}
-	if done := q.wait[ticket]; done != nil {
+	if done := q.waiters[ticket]; done != nil {
 		done <- op
-		delete(q.wait, ticket)
+		delete(q.waiters, ticket)
 	}
 }
--- a/internal/front/event/event.go
+++ b/internal/front/event/event.go
@@ -1,8 +1,8 @@
-// Package event cuts a stream of server-sent events into whole events.
+// Package event reads server-sent events (text/event-stream).
 //
-// An upstream may break off in the middle of an event. What is passed on to a
-// caller must end at an event's end, so that a stream which goes on elsewhere
-// joins without a seam. Reader therefore returns nothing but whole events.
+// An upstream's stream may end in the middle of an event. What is sent to a caller must
+// end at an event boundary, so that the stream can be resumed at another upstream.
+// Reader therefore returns complete events only.
 package event
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxSize bounds one event in bytes. Upstreams send a few hundred; more than
-// this is a broken upstream, which must not fill the daemon's memory.
+// MaxSize bounds one event in bytes. Upstreams send a few hundred; a faulty one that sends
+// more than this must not exhaust the daemon's memory.
 const MaxSize = 1 << 20
 
 type (
@@ -24,7 +24,7 @@
 		raw []byte
 	}
 
-	// Event is one event. Its slices are valid until the next one is read.
+	// Event is one event. Its slices are valid until the next call of Next.
 	Event struct {
 		Raw  []byte // as received, with the empty line that ends it
 		ID   string
@@ -32,35 +32,36 @@
 	}
 )
 
-// ErrTorn reports a stream that ended in the middle of an event.
-var ErrTorn = errors.New("event: stream ends in the middle of an event")
+// ErrTruncated reports a stream that ended in the middle of an event.
+var ErrTruncated = errors.New("event: stream ends in the middle of an event")
 
-// Next returns the next event, or io.EOF at the stream's end.
+// Next returns the next event, or io.EOF at the end of the stream, or ErrTruncated if that
+// is in the middle of an event.
 func (r *Reader) Next() (e Event, err error) {
 	r.raw = r.raw[:0]
 	for {
 		line, err := r.R.ReadSlice('\n')
 		r.raw = append(r.raw, line...)
 		if len(r.raw) > MaxSize {
-			return Event{}, errors.Newf("event: more than %d bytes", MaxSize)
+			return Event{}, errors.Newf("event: larger than %d bytes", MaxSize)
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF) && len(r.raw) > 0:
-			return Event{}, ErrTorn
+			return Event{}, ErrTruncated
 		case err != nil:
 			return Event{}, err
 		}
-		if ended(r.raw) {
+		if endsEvent(r.raw) {
 			return parse(r.raw), nil
 		}
 	}
 }
 
-// ended tells whether the bytes end with an empty line. Empty lines before an
-// event's first field belong to it.
-func ended(raw []byte) bool {
+// endsEvent reports whether raw is a complete event: whether it ends with an empty line.
+// Empty lines before an event's first field belong to it.
+func endsEvent(raw []byte) bool {
 	if !bytes.HasSuffix(raw, []byte("\n\n")) && !bytes.HasSuffix(raw, []byte("\n\r\n")) {
 		return false
 	}
@@ -69,7 +70,7 @@
 
 func parse(raw []byte) Event {
 	e := Event{Raw: raw}
-	many := false
+	hasData := false
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -78,13 +79,13 @@
 		case "id":
 			e.ID = string(value)
 		case "data":
-			if many {
+			if hasData {
 				e.Data = append(append([]byte(nil), e.Data...), '\n')
 				e.Data = append(e.Data, value...)
 				continue
 			}
 			e.Data = value
-			many = true
+			hasData = true
 		}
 	}
 	return e
--- /dev/null
+++ b/internal/front/proxy/account_test.go
@@ -0,0 +1,206 @@
+package proxy
+
+import (
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/rs/zerolog"
+
+	"github.com/slaterock/slaterock/internal/conf/accnt"
+	"github.com/slaterock/slaterock/internal/conf/route"
+	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/ration"
+)
+
+func accounts(cafeKeys ...string) *accnt.Accounts {
+	list := []accnt.Account{{Name: "cafe", Rate: 1, Burst: 3, Ranked: true, Priority: 4}, {Name: "bar", Keys: []accnt.Digest{accnt.DigestOf("secret-b")}}}
+	for _, key := range cafeKeys {
+		list[0].Keys = append(list[0].Keys, accnt.DigestOf(key))
+	}
+	a, err := accnt.New(list)
+	if err != nil {
+		panic(err)
+	}
+	return a
+}
+
+// configure activates a configuration with accounts.
+func (env *testEnv) configure(version int64, a *accnt.Accounts) {
+	v := env.e.Fleet.View()
+	t := route.New(version, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})
+	t.Accounts = a
+	env.e.Fleet.Take(time.Now(), fleet.Reading{Revision: uint64(version), Table: t, Upstreams: v.Upstreams})
+}
+
+// startWithAccounts configures accounts and lets the limiter run until it grants their
+// whole limits.
+func (env *testEnv) startWithAccounts() {
+	env.configure(2, accounts("secret-a"))
+	env.syncLimits(10)
+}
+
+// syncLimits updates the limiter n times, half a second apart, as a daemon without peers.
+func (env *testEnv) syncLimits(n int) {
+	for range n {
+		env.e.Limiter.Hear(time.Now(), env.e.Fleet.View().Table.Accounts, ration.Heard{Fronts: 1, All: 1})
+		time.Sleep(500 * time.Millisecond)
+	}
+}
+
+func TestKeys(t *testing.T) {
+	cases := map[string]struct {
+		path, key string
+		status    int
+		account   string // in the upstream's request header; empty for none
+	}{
+		"known":                       {"/safe/", "secret-a", 200, "cafe"},
+		"another account's":           {"/safe/", "secret-b", 200, "bar"},
+		"unknown":                     {"/safe/", "secret-c", 401, ""},
+		"none":                        {"/safe/", "", 401, ""},
+		"none, on an open route":      {"/open/", "", 200, ""},
+		"unknown, on an open route":   {"/open/", "secret-c", 200, ""},
+		"none, and no route":          {"/other/", "", 404, ""},
+		"unknown, for what never ran": {"/keep/", "secret-c", 401, ""},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				env := newTestEnv([]string{ok})
+				defer env.close()
+				env.startWithAccounts()
+				var log strings.Builder
+				env.e.Log = zerolog.New(&log)
+				rec, _ := env.do(t.Context(), c.path, map[string]string{"Key": c.key, "Account": "forged"}, "")
+				is.True(strings.Contains(log.String(), `"request":"r1"`))
+				is.True(c.key == "" || !strings.Contains(log.String()+rec.Body.String(), c.key))
+				is.Equal(rec.Code, c.status)
+				got := env.upstreams["up1"].requests()
+				is.Equal(len(got) == 1, c.status == 200)
+				for _, g := range got {
+					is.Equal(g.header.Get("Account"), c.account)
+					is.Equal(g.header.Get("Key"), "")
+				}
+			})
+		})
+	}
+}
+
+// A key is revoked while a request that it authenticated is queued. The request must not
+// run.
+func TestKeyRevokedWhileQueued(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		env := newTestEnv([]string{completeStream})
+		defer env.close()
+		env.startWithAccounts()
+		env.setLoad("up1", 3)
+		timer := time.AfterFunc(100*time.Millisecond, func() {
+			env.configure(4, accounts("another"))
+			env.setLoad("up1", 0)
+			env.e.UpdateLoad()
+		})
+		defer timer.Stop()
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Program": "p", "Budget": "100", "Finish": "1s"}, "in")
+		is.Equal(rec.Code, 401)
+		is.Equal(len(env.upstreams["up1"].requests()), 0)
+	})
+}
+
+// A turn of another account must look like one that does not exist: otherwise a caller
+// could read another account's conversation by continuing a turn whose id it knows.
+func TestTurnsBelongToAnAccount(t *testing.T) {
+	cases := map[string]struct {
+		key    string
+		status int
+	}{
+		"its own":           {"secret-a", 200},
+		"another account's": {"secret-b", 404},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				env := newTestEnv([]string{completeStream})
+				defer env.close()
+				env.startWithAccounts()
+				rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Id": "r0", "Key": "secret-a"}, "first")
+				is.Equal(rec.Code, 200)
+				rec, _ = env.do(t.Context(), "/keep/", map[string]string{"Key": c.key, "Previous": "r0"}, "next")
+				is.Equal(rec.Code, c.status)
+				synctest.Wait()
+				if got := env.upstreams["up1"].requests(); c.status == 200 {
+					is.Equal(got[1].body, "firsta\nb\nnext")
+					is.Equal(got[1].header.Get("Rank"), "4") // the account's priority
+				} else {
+					is.Equal(len(got), 1)
+				}
+			})
+		})
+	}
+}
+
+// Turns that were recorded before accounts were configured can still be continued.
+func TestTurnsFromBeforeAccounts(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		env := newTestEnv([]string{completeStream})
+		defer env.close()
+		env.rec.turns["r0"] = book.Turn{Input: []byte("old")}
+		env.startWithAccounts()
+		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
+		is.Equal(rec.Code, 200)
+		rec, _ = env.do(t.Context(), "/keep/", map[string]string{"Id": "r2", "Key": "secret-a", "Previous": "r1"}, "in")
+		is.Equal(rec.Code, 200)
+		is.Equal(env.upstreams["up1"].requests()[1].body, "oldina\nb\nin")
+	})
+}
+
+// Requests over an account's limit are refused before they run, while another account's
+// requests are served.
+func TestOverTheLimit(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		env := newTestEnv([]string{ok})
+		defer env.close()
+		env.startWithAccounts()
+		served, refused := 0, 0
+		for range 20 {
+			rec, _ := env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+			switch rec.Code {
+			case 200:
+				served++
+			case 429:
+				refused++
+				is.True(rec.Header().Get("Again") != "")
+			}
+			rec, _ = env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-b"}, "")
+			is.Equal(rec.Code, 200)
+		}
+		is.True(served >= 1 && served <= 3) // the burst
+		is.Equal(served+refused, 20)
+		is.Equal(len(env.upstreams["up1"].requests()), served+20) // refused requests did not run
+		env.syncLimits(4)
+		rec, _ := env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+		is.Equal(rec.Code, 200)
+	})
+}
+
+// A request that no upstream ran must not be charged to its account's limit.
+func TestRequestsNotRunAreNotCharged(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		env := newTestEnv([]string{full})
+		defer env.close()
+		env.startWithAccounts()
+		for range 10 {
+			rec, _ := env.do(t.Context(), "/safe/", map[string]string{"Key": "secret-a"}, "")
+			is.Equal(rec.Code, 503)
+		}
+		is.Equal(len(env.e.Limiter.Used(time.Now())), 0)
+	})
+}
--- /dev/null
+++ b/internal/front/proxy/admission.go
@@ -0,0 +1,85 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/front/admit"
+	"github.com/slaterock/slaterock/internal/place/gate"
+)
+
+const (
+	// maxQueueShare is the share of the time between a program's first attempt and its
+	// deadline that it may spend in the queue. The rest is what it needs: programs take
+	// 0.8 of that time on busy engines and 0.6 on idle ones.
+	maxQueueShare = 0.2
+	// maxQueueWait bounds the queue time of a first turn: callers disconnect from a
+	// stream that sends nothing for two seconds.
+	maxQueueWait = 1500 * time.Millisecond
+	// minLoggedWait is the shortest queue time that is logged for an admitted program.
+	minLoggedWait = time.Millisecond
+	// queuedNewProgram and queuedLateProgram are the logged reasons why an attempt was
+	// queued or refused. In both cases the engines had no room; a late program had
+	// already passed the time until which it may wait when the attempt arrived.
+	queuedNewProgram  = "new_program"
+	queuedLateProgram = "late_program"
+)
+
+// waitForRoom waits until the engines have room for one more program. It returns false
+// if the request has ended: an error response was sent, or the caller has disconnected.
+// Turns of programs that have begun do not wait, as a refusal would waste the work done so
+// far; nor do turns without a token budget or a deadline, nor resumed streams.
+func (t *turn) waitForRoom(ctx context.Context) bool {
+	if t.programBegun || !t.reserved || !t.HasFinishIn || t.lastEventID != "" {
+		return true
+	}
+	began := time.Now()
+	programTime := t.FinishIn + began.Sub(t.programStart)
+	waitUntil := t.programStart.Add(time.Duration(maxQueueShare * float64(programTime)))
+	if maxWaitUntil := began.Add(maxQueueWait); waitUntil.After(maxWaitUntil) {
+		waitUntil = maxWaitUntil
+	}
+	s := &t.summary
+	if s.load = t.e.load(t.service.Name); s.load.Room == 0 {
+		return true // no engine accepts work: dispatch refuses the turn at once
+	}
+	err := t.e.Queue.Wait(ctx, t.service.Name, waitUntil, s.load)
+	s.queueTime = time.Since(began)
+	t.e.Scope.Timer("queue_time").Record(s.queueTime)
+	if err == nil && s.queueTime < minLoggedWait {
+		return true
+	}
+	s.queueReason = queuedNewProgram
+	if !began.Before(waitUntil) {
+		s.queueReason = queuedLateProgram
+	}
+	if err == nil {
+		return true
+	}
+	t.settle()
+	var notAdmitted *admit.NotAdmittedError
+	if errors.As(err, &notAdmitted) {
+		t.replyUnavailable("engines_busy", notAdmitted.After, err)
+		return false
+	}
+	t.replyExpired(err)
+	return false
+}
+
+// load returns the load of a service's engines.
+func (e *Endpoint) load(service string) gate.Load {
+	return e.Picker.Load(e.Fleet.View().Services[service], e.Queue.Share(service))
+}
+
+// done records the end of a request at an upstream, which may make room for a queued
+// one.
+func (e *Endpoint) done(id string) {
+	e.Picker.Done(id)
+	e.UpdateLoad()
+}
+
+// UpdateLoad passes the present load to the admission queues, which may then admit
+// programs. It is to be called after the load has changed, here or at other daemons.
+func (e *Endpoint) UpdateLoad() { e.Queue.Change(e.load) }
--- /dev/null
+++ b/internal/front/proxy/buffered.go
@@ -0,0 +1,128 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/conf/route"
+	"github.com/slaterock/slaterock/internal/front/meta"
+	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/upconn"
+)
+
+// serveBuffered serves a request whose response is not a stream. The whole response is
+// read before any of it is returned, so that a truncated one can be retried where the
+// kind allows it, and is reported as an error elsewhere.
+func (q *request) serveBuffered(ctx context.Context) {
+	if q.route.Kind == route.Unsafe {
+		// The run must not be aborted if the caller disconnects, since it cannot
+		// be repeated.
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), q.deadline)
+		defer cancel()
+	}
+	if !q.acquire(true) {
+		return
+	}
+	exclude := map[string]bool{}
+	for {
+		s, err := q.dispatch(ctx, pick.Case{Exclude: exclude}, q.body, meta.Dispatch{})
+		if err == nil {
+			if err = q.returnResponse(ctx, s); err == nil {
+				return
+			}
+		}
+		if !q.mayRetry(ctx, err, exclude) {
+			q.replyFailure(err)
+			return
+		}
+	}
+}
+
+// mayRetry reports whether the request may be sent to another upstream after err, and
+// excludes the upstream that failed.
+func (q *request) mayRetry(ctx context.Context, err error, exclude map[string]bool) bool {
+	var loss *lostError
+	if !errors.As(err, &loss) || ctx.Err() != nil || q.route.Kind != route.Safe {
+		return false
+	}
+	exclude[loss.up.ID] = true
+	// exclude also holds the upstreams that refused the request, so refusals count
+	// against the route's attempts as well.
+	return len(exclude) < q.route.Attempts
+}
+
+// returnResponse reads the whole response and returns it to the caller.
+func (q *request) returnResponse(ctx context.Context, s *exchange) error {
+	body, err := upconn.ReadAll(s.resp.Body, maxResponse)
+	q.e.Picker.Done(s.up.ID)
+	if err != nil {
+		s.closeConn()
+		return q.recordLoss(ctx, s, err)
+	}
+	s.releaseConn(q.e.Pool)
+	q.summary.firstOutput = time.Since(q.began)
+	pace := q.e.Usual.Pace(q.route.Name, time.Since(s.began).Seconds())
+	q.e.Picker.Took(time.Now(), s.up.ID, pace, s.resp.StatusCode >= http.StatusInternalServerError)
+	q.writeResponse(s, body)
+	return nil
+}
+
+// writeResponse writes an upstream's whole response to the caller. A status that
+// implies that the request has not run is replaced by an error, since the
+// upstream did not mark the response as not run (see meta.ResponseInfo).
+func (q *request) writeResponse(s *exchange, body []byte) {
+	q.summary.ran = ranYes
+	if impliesNotRun(s.resp.StatusCode) {
+		q.replyUnknown(http.StatusBadGateway, "upstream_failed", errors.Newf("upstream returned status %d without the not-run header", s.resp.StatusCode))
+		return
+	}
+	q.summary.status = s.resp.StatusCode
+	h := q.w.Header()
+	for name, values := range q.e.Dialect.Return(s.resp.Header) {
+		h[name] = values
+	}
+	if h.Get("Content-Type") == "" {
+		h["Content-Type"] = nil // keeps net/http from guessing one
+	}
+	h.Set("Content-Length", strconv.Itoa(len(body)))
+	q.w.WriteHeader(s.resp.StatusCode)
+	if _, err := q.w.Write(body); err != nil {
+		q.summary.err = err
+	}
+}
+
+// impliesNotRun reports whether the status tells a caller that its request has not run.
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	default:
+		return false
+	}
+}
+
+// replyFailure ends a request that got no usable response from an upstream, with an error
+// response unless the caller has disconnected.
+func (q *request) replyFailure(err error) {
+	var refusal *notRunError
+	var loss *lostError
+	switch {
+	case errors.Is(err, errUnknownKey) && q.summary.ran == ranNo:
+		q.replyError(http.StatusUnauthorized, "unknown_key", err)
+	case errors.As(err, &refusal) && q.summary.ran == ranNo:
+		q.replyUnavailable("upstreams_"+refusal.cause, retryBusy, err)
+	case errors.Is(err, errNoUpstream) && q.summary.ran == ranNo:
+		q.replyUnavailable("no_upstream", retryBusy, err)
+	case errors.As(err, &loss):
+		q.replyUnknown(http.StatusBadGateway, "answer_lost", err)
+	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
+		q.replyExpired(err)
+	default:
+		q.replyUnknown(http.StatusBadGateway, "failed", err)
+	}
+}
--- /dev/null
+++ b/internal/front/proxy/env_test.go
@@ -0,0 +1,244 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+	tally "github.com/uber-go/tally/v4"
+
+	"github.com/slaterock/slaterock/internal/conf/accnt"
+	"github.com/slaterock/slaterock/internal/conf/route"
+	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/quorum"
+	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/limits"
+	"github.com/slaterock/slaterock/internal/front/meta"
+	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/upconn"
+)
+
+type (
+	// fakeUpstream sends scripted responses in order, one for each request; the last
+	// one repeats. They are raw bytes, in which "ID" stands for the attempt's id. With
+	// "CLOSE" at the end the connection is then closed, with "HANG" it stays silent.
+	fakeUpstream struct {
+		mu         sync.Mutex
+		responses  []string
+		received   []received
+		refuse     bool // refuse connections
+		refuseNext bool // set refuse after the next connection
+	}
+
+	received struct {
+		method, target, body string
+		header               http.Header
+	}
+
+	// fakeDialect has header names of its own, so that these tests do not depend on
+	// the real ones.
+	fakeDialect struct{}
+
+	// fakeRecords keeps records in memory.
+	fakeRecords struct {
+		mu     sync.Mutex
+		down   bool
+		shares map[string]book.Share
+		turns  map[string]book.Turn
+	}
+
+	testEnv struct {
+		e         *Endpoint
+		rec       *fakeRecords
+		upstreams map[string]*fakeUpstream // by address
+		conns     sync.WaitGroup
+	}
+)
+
+// routes is the routing table of a testEnv.
+var routes = []route.Route{
+	{Name: "safe", Host: "h", Prefix: "/safe/", Kind: route.Safe, Attempts: 2, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "unsafe", Host: "h", Prefix: "/unsafe/", Kind: route.Unsafe, Attempts: 2, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "short", Host: "h", Prefix: "/short/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Second, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Stream, Attempts: 1, Turns: true, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "resume", Host: "h", Prefix: "/resume/", Kind: route.Stream, Attempts: 1, Turns: true, Resume: true, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "keep", Host: "h", Prefix: "/keep/", Kind: route.Stream, Attempts: 1, Turns: true, Keep: true, KeepFor: time.Minute, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "open", Host: "h", Prefix: "/open/", Kind: route.Safe, Attempts: 1, Open: true, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "nowhere", Host: "h", Prefix: "/nowhere/", Kind: route.Safe, Attempts: 1, Backends: []route.Backend{{Service: "none"}}},
+}
+
+func (fakeDialect) Decode(h http.Header) (a meta.Attempt, err error) {
+	a = meta.Attempt{APIKey: accnt.DigestOf(h.Get("Key")), HasAPIKey: h.Get("Key") != "", ID: h.Get("Id"), Program: h.Get("Program"), Previous: h.Get("Previous"), LastEventID: h.Get("Last"), MaxOutputTokens: 30}
+	if a.ID == "" {
+		return a, errors.New("no id")
+	}
+	if b := h.Get("Budget"); b != "" {
+		a.HasTokenBudget = true
+		_, err = fmt.Sscan(b, &a.TokenBudget)
+	}
+	if f := h.Get("Finish"); f != "" {
+		a.HasFinishIn = true
+		a.FinishIn, err = time.ParseDuration(f)
+	}
+	a.CallerTimeout = 2 * time.Second
+	return a, err
+}
+
+func (fakeDialect) Forward(h http.Header, d meta.Dispatch) http.Header {
+	out := http.Header{"Id": h["Id"], "Instance": {d.Instance}, "Left": {fmt.Sprint(d.Timeout.Milliseconds())}}
+	if d.LastEventID != "" {
+		out.Set("Last", d.LastEventID)
+	}
+	if d.Account != "" {
+		out.Set("Account", d.Account)
+	}
+	if d.HasPriority {
+		out.Set("Rank", fmt.Sprint(d.Priority))
+	}
+	return out
+}
+
+func (fakeDialect) Return(h http.Header) http.Header { return h.Clone() }
+
+func (fakeDialect) ResponseInfo(status int, h http.Header) meta.ResponseInfo {
+	return meta.ResponseInfo{Request: h.Get("Id"), NotRun: h.Get("Not-Run") != "" || status == 421, IdleTime: time.Minute}
+}
+
+func (fakeDialect) RetryAfter(h http.Header, d time.Duration) { h.Set("Again", d.String()) }
+
+func (r *fakeRecords) Write(_ context.Context, rec book.Record) (res quorum.Result, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.down {
+		return res, quorum.ErrUnsure
+	}
+	var b book.Book
+	b.Note(rec, time.Now())
+	for _, s := range b.Shares(rec.Program) {
+		r.shares[s.Attempt] = book.Join(r.shares[s.Attempt], s)
+	}
+	if rec.Turn != nil {
+		r.turns[rec.Attempt] = *rec.Turn
+	}
+	for _, s := range r.shares {
+		res.Shares = append(res.Shares, s)
+	}
+	return res, nil
+}
+
+func (r *fakeRecords) Read(_ context.Context, _, id string) (chain []book.Turn, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.down {
+		return nil, quorum.ErrUnsure
+	}
+	for id != "" {
+		t, ok := r.turns[id]
+		if !ok {
+			return nil, quorum.ErrNoTurn
+		}
+		chain = append([]book.Turn{t}, chain...)
+		id = t.Previous
+	}
+	return chain, nil
+}
+
+func (u *fakeUpstream) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	br := bufio.NewReader(conn)
+	for {
+		r, err := http.ReadRequest(br)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		u.mu.Lock()
+		u.received = append(u.received, received{r.Method, r.RequestURI, string(body), r.Header})
+		response := u.responses[min(len(u.received), len(u.responses))-1]
+		u.mu.Unlock()
+		response, hang := strings.CutSuffix(response, "HANG")
+		response, closing := strings.CutSuffix(response, "CLOSE")
+		if _, err = io.WriteString(conn, strings.ReplaceAll(response, "ID", r.Header.Get("Id"))); err != nil || closing {
+			return
+		}
+		if hang {
+			_, _ = br.ReadByte() // until the connection is closed
+			return
+		}
+	}
+}
+
+func (u *fakeUpstream) requests() []received {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.received
+}
+
+func newTestEnv(responses ...[]string) *testEnv {
+	env := &testEnv{rec: &fakeRecords{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, upstreams: map[string]*fakeUpstream{}}
+	var f fleet.Fleet
+	reading := fleet.Reading{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
+	for i, list := range responses {
+		address := fmt.Sprintf("up%d", i+1)
+		env.upstreams[address] = &fakeUpstream{responses: list}
+		reading.Upstreams = append(reading.Upstreams, fleet.Upstream{ID: address, Service: "s", Address: address, Batch: 4 * (len(responses) - i)})
+	}
+	f.Take(time.Now(), reading)
+	pool := &upconn.Pool{Dial: func(_ context.Context, address string) (net.Conn, error) {
+		u := env.upstreams[address]
+		if u.refuse {
+			return nil, errors.New("refused")
+		}
+		u.refuse = u.refuseNext
+		near, far := net.Pipe()
+		env.conns.Go(func() { u.serve(far) })
+		return near, nil
+	}}
+	env.e = &Endpoint{
+		Dialect: fakeDialect{}, Records: env.rec, Fleet: &f, Pool: pool, Picker: &pick.Picker{}, Log: zerolog.Nop(), Scope: tally.NoopScope,
+		Refresh: func(context.Context) {}, Stop: context.Background(), Limiter: &limits.Limiter{},
+	}
+	return env
+}
+
+// do sends one request. Aborted reports that the connection was aborted in the middle of
+// the response.
+func (env *testEnv) do(ctx context.Context, path string, header map[string]string, body string) (rec *httptest.ResponseRecorder, aborted bool) {
+	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
+	r.Host = "h"
+	r.Header.Set("Id", "r1")
+	for name, value := range header {
+		r.Header.Set(name, value)
+	}
+	rec = httptest.NewRecorder()
+	defer func() {
+		if p := recover(); p != nil {
+			err, _ := p.(error)
+			if aborted = errors.Is(err, http.ErrAbortHandler); !aborted {
+				panic(p)
+			}
+		}
+	}()
+	env.e.ServeHTTP(rec, r)
+	return rec, false
+}
+
+// close closes the idle connections and waits until the upstreams' goroutines have ended.
+func (env *testEnv) close() {
+	env.e.Pool.CloseExpired(time.Now().Add(time.Hour))
+	env.conns.Wait()
+}
+
+func newEmptyFleet() *fleet.Fleet { return &fleet.Fleet{} }
--- /dev/null
+++ b/internal/front/proxy/proxy.go
@@ -0,0 +1,217 @@
+// Package proxy is the HTTP reverse proxy: it finds the route of a request, sends it
+// to an upstream of the route's service and returns the response.
+//
+// An error response states whether the request ran. If it certainly did not and a retry may
+// help, the response has a Retry-After time. A request that may have run gets none, and is
+// sent again only if the kind of its route allows it. A truncated response is never
+// delivered as a complete one.
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/cockroachdb/errors"
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"github.com/slaterock/slaterock/internal/conf/accnt"
+	"github.com/slaterock/slaterock/internal/conf/route"
+	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/quorum"
+	"github.com/slaterock/slaterock/internal/front/admit"
+	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/limits"
+	"github.com/slaterock/slaterock/internal/front/meta"
+	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/upconn"
+	"github.com/slaterock/slaterock/internal/obs/trace"
+)
+
+const (
+	// defaultWait is the timeout if neither the caller nor the route sets one.
+	defaultWait = 30 * time.Second
+	// writeSlack is how long after the deadline a response may still be written.
+	writeSlack = time.Second
+	// defaultBody is the limit on request bodies if the configuration sets none, in bytes.
+	defaultBody = 4 << 20
+)
+
+type (
+	// Dialect translates between the HTTP headers of callers and upstreams and the
+	// types of package meta.
+	Dialect interface {
+		// Decode reads the metadata in a caller's request header.
+		Decode(http.Header) (meta.Attempt, error)
+		// Forward makes the upstream's request header from the caller's.
+		Forward(http.Header, meta.Dispatch) http.Header
+		// Return makes the caller's response header from the upstream's.
+		Return(http.Header) http.Header
+		// ResponseInfo reads the metadata in an upstream's response header.
+		ResponseInfo(status int, h http.Header) meta.ResponseInfo
+		// RetryAfter sets the Retry-After time in a caller's response header.
+		RetryAfter(http.Header, time.Duration)
+	}
+
+	// Records reads and writes durable records of turns and token budgets.
+	Records interface {
+		Write(context.Context, book.Record) (quorum.Result, error)
+		Read(ctx context.Context, program, turn string) ([]book.Turn, error)
+	}
+
+	// Endpoint is the HTTP handler for callers' requests. Set the exported fields before
+	// use.
+	Endpoint struct {
+		Dialect Dialect
+		Records Records
+		Fleet   *fleet.Fleet
+		Pool    *upconn.Pool
+		Picker  *pick.Picker
+		Usual   pick.Usual // usual durations, by route
+		Queue   admit.Queue
+		Limiter *limits.Limiter
+		Log     zerolog.Logger
+		Scope   tally.Scope
+		Trace   *trace.Trace
+		// Refresh reads the configuration from the store again, unless the present one
+		// or the last attempt to read it is recent.
+		Refresh func(context.Context)
+		// Stop is done when the daemon stops; it bounds work that outlives its request.
+		Stop context.Context //nolint:containedctx // lifetime of the daemon
+
+		draining atomic.Bool
+		active   atomic.Int64
+	}
+
+	// request is one attempt in progress.
+	request struct {
+		meta.Attempt
+		e        *Endpoint
+		w        http.ResponseWriter
+		r        *http.Request
+		view     *fleet.View
+		route    route.Route
+		service  route.Service
+		account  accnt.Account // of the caller; zero if it has none
+		acquired bool          // a request was taken from the account's limit and no upstream ran it yet
+		body     []byte
+		began    time.Time
+		deadline time.Time
+		summary  summary
+	}
+)
+
+// Drain sets "Connection: close" on the responses to all later requests.
+func (e *Endpoint) Drain() { e.draining.Store(true) }
+
+// Active returns the number of requests in progress.
+func (e *Endpoint) Active() int64 { return e.active.Load() }
+
+func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e.active.Add(1)
+	defer e.active.Add(-1)
+	if e.draining.Load() {
+		w.Header().Set("Connection", "close")
+	}
+	ctx, span := e.Trace.Start(r.Context(), trace.Edge, "")
+	q := &request{e: e, w: w, r: r.WithContext(ctx), began: time.Now()}
+	q.summary.ran = ranNo
+	defer q.report(span)
+	defer q.releaseAcquired()
+	if q.accept() {
+		q.serve()
+	}
+}
+
+// accept reads the request, finds its route and authenticates the caller. It returns
+// false if it has sent an error response instead.
+func (q *request) accept() bool {
+	var err error
+	if q.Attempt, err = q.e.Dialect.Decode(q.r.Header); err != nil {
+		q.replyError(http.StatusBadRequest, "bad_request", err)
+		return false
+	}
+	if !q.findRoute() || !q.authenticate() {
+		return false
+	}
+	wait := q.CallerTimeout
+	if t := q.route.Timeout; t > 0 && (wait == 0 || t < wait) {
+		wait = t
+	}
+	if wait == 0 {
+		wait = defaultWait
+	}
+	q.deadline = q.began.Add(wait)
+	// A caller that does not read must not block its handler indefinitely.
+	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(writeSlack)) // not supported by all writers
+	return q.readBody()
+}
+
+// findRoute matches the request. A missing route may have been added a moment ago, so
+// the newest configuration is read before the request is refused.
+func (q *request) findRoute() bool {
+	q.view = q.e.Fleet.View()
+	if q.view.Table == nil {
+		q.replyUnavailable("no_configuration", retryNoConfig, nil)
+		return false
+	}
+	var found bool
+	if q.route, found = q.view.Table.Match(q.r.Host, q.r.URL.Path); !found {
+		q.e.Refresh(q.r.Context())
+		q.view = q.e.Fleet.View()
+		if q.route, found = q.view.Table.Match(q.r.Host, q.r.URL.Path); !found {
+			q.replyError(http.StatusNotFound, "no_route", nil)
+			return false
+		}
+	}
+	q.service = q.view.Table.Services[q.route.Choose(xxhash.Sum64String(q.affinityKey()))]
+	return true
+}
+
+// affinityKey returns the key whose requests should go to the same upstream: the whole
+// program where there is one, so that its turns and sub-agents share cached prompts.
+func (q *request) affinityKey() string {
+	switch {
+	case q.Program != "":
+		return q.Program
+	case q.AffinityKey != "":
+		return q.AffinityKey
+	default:
+		return q.ID
+	}
+}
+
+func (q *request) readBody() bool {
+	limit := q.view.Table.Limits.BodyBytes
+	if limit <= 0 {
+		limit = defaultBody
+	}
+	var err error
+	if q.r.ContentLength == 0 {
+		return true
+	}
+	q.body, err = upconn.ReadAll(http.MaxBytesReader(q.w, q.r.Body, limit), limit)
+	if err == nil {
+		return true
+	}
+	var large *http.MaxBytesError
+	if errors.As(err, &large) {
+		q.replyError(http.StatusRequestEntityTooLarge, "too_large", err)
+		return false
+	}
+	q.replyError(http.StatusBadRequest, "bad_body", err)
+	return false
+}
+
+func (q *request) serve() {
+	ctx, cancel := context.WithDeadline(q.r.Context(), q.deadline)
+	defer cancel()
+	if q.route.Kind == route.Stream {
+		q.serveStream(ctx)
+		return
+	}
+	q.serveBuffered(ctx)
+}
--- /dev/null
+++ b/internal/front/proxy/send.go
@@ -0,0 +1,209 @@
+package proxy
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"go.opentelemetry.io/otel/attribute"
+
+	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/front/meta"
+	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/upconn"
+	"github.com/slaterock/slaterock/internal/obs/trace"
+	"github.com/slaterock/slaterock/internal/peer/pause"
+)
+
+const (
+	// maxRefusals is how many sends are tried while upstreams refuse without running
+	// the request. Each costs the caller a round trip.
+	maxRefusals = 5
+	// fullRetryDelay is the delay before a request that only one upstream may run is
+	// sent to it again: about the time until one of its places becomes free.
+	fullRetryDelay = 60 * time.Millisecond
+	// causeFull is the cause of a refusal by an upstream without a free place, which
+	// is temporary.
+	causeFull = "full"
+	// maxResponse bounds the body of a response that is not a stream, in bytes.
+	maxResponse = 16 << 20
+)
+
+type (
+	// exchange is one send of a request to an upstream, with its response.
+	exchange struct {
+		up              fleet.Upstream
+		conn            *upconn.Conn
+		resp            *http.Response
+		info            meta.ResponseInfo
+		began           time.Time
+		cancelInterrupt func() bool // cancels the interruption of conn when the context is done
+	}
+
+	// notRunError reports that an upstream did not run the request and never will.
+	notRunError struct {
+		up    fleet.Upstream
+		cause string
+		err   error
+	}
+
+	// lostError reports a request that may have run, without a complete response.
+	lostError struct {
+		up     fleet.Upstream
+		reused bool // the connection had carried a request before
+		err    error
+	}
+)
+
+func (e *notRunError) Error() string { return "not run by " + e.up.ID + ": " + e.cause }
+func (e *notRunError) Unwrap() error { return e.err }
+func (e *lostError) Error() string   { return "no answer from " + e.up.ID }
+func (e *lostError) Unwrap() error   { return e.err }
+
+var (
+	errNoUpstream   = errors.New("no upstream accepts requests")
+	errWrongRequest = errors.New("response belongs to another request")
+)
+
+// dispatch sends the request to upstreams until one accepts it. A *notRunError,
+// errNoUpstream or errUnknownKey means that no upstream ran the request in this call. After
+// a *lostError or an error of the context, one may have.
+func (q *request) dispatch(ctx context.Context, c pick.Case, body []byte, d meta.Dispatch) (*exchange, error) {
+	lastErr := errNoUpstream
+	for range maxRefusals {
+		// Unsafe requests continue after their caller disconnects, but none may start
+		// then, so the caller's own context is checked too.
+		if err := errors.CombineErrors(ctx.Err(), q.r.Context().Err()); err != nil {
+			return nil, err
+		}
+		if err := q.checkKey(); err != nil {
+			return nil, err
+		}
+		view := q.e.Fleet.View()
+		c.List = view.Services[q.service.Name]
+		up, ok := q.e.Picker.Choose(time.Now(), c)
+		if !ok {
+			return nil, lastErr
+		}
+		q.summary.missing = view.Missing(up.ID)
+		s, err := q.send(ctx, up, body, d)
+		if err == nil {
+			return s, nil
+		}
+		q.e.done(up.ID)
+		var refusal *notRunError
+		if !errors.As(err, &refusal) {
+			return nil, err
+		}
+		lastErr = err
+		q.summary.refusals += up.ID + ":" + refusal.cause + " "
+		if c.Only != "" {
+			if refusal.cause != causeFull || !pause.For(ctx, fullRetryDelay) {
+				return nil, lastErr
+			}
+			continue
+		}
+		if c.Exclude == nil {
+			c.Exclude = map[string]bool{}
+		}
+		c.Exclude[up.ID] = true
+	}
+	return nil, lastErr
+}
+
+// send sends the request to one upstream and reads the header of the response.
+func (q *request) send(ctx context.Context, up fleet.Upstream, body []byte, d meta.Dispatch) (s *exchange, err error) {
+	q.summary.sends++
+	ctx, span := q.e.Trace.Start(ctx, trace.Upstream, "", attribute.String("upstream", up.ID))
+	defer func() { span.End(err) }()
+	conn, err := q.e.Pool.Get(ctx, up.ID, up.Address)
+	if err != nil {
+		if ctx.Err() == nil {
+			q.e.Picker.Failed(time.Now(), up.ID)
+		}
+		return nil, &notRunError{up: up, cause: "unreachable", err: err}
+	}
+	s = &exchange{up: up, conn: conn, began: time.Now()}
+	if err = conn.Deadline(q.deadline); err != nil {
+		conn.Close()
+		return nil, &notRunError{up: up, cause: "closed", err: err}
+	}
+	s.cancelInterrupt = context.AfterFunc(ctx, conn.Interrupt)
+	d.Instance, d.Account = up.ID, q.account.Name
+	q.countSend()
+	d.Timeout = time.Until(q.deadline)
+	err = conn.Send(upconn.Request{
+		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: q.e.Dialect.Forward(q.r.Header, d), Body: body,
+	})
+	if err == nil {
+		q.summary.upstream = up.ID
+		s.resp, err = conn.Receive(q.r.Method) //nolint:bodyclose // ends with its connection: closeConn or releaseConn
+	}
+	if err != nil {
+		s.closeConn()
+		if !conn.Sent() {
+			q.uncountSend()
+			return nil, &notRunError{up: up, cause: "closed", err: err}
+		}
+		return nil, q.recordLoss(ctx, s, err)
+	}
+	s.info = q.e.Dialect.ResponseInfo(s.resp.StatusCode, s.resp.Header)
+	if s.info.NotRun {
+		q.uncountSend()
+		return nil, q.handleNotRun(s)
+	}
+	if s.info.Request != q.ID {
+		s.closeConn()
+		return nil, q.recordLoss(ctx, s, errWrongRequest)
+	}
+	return s, nil
+}
+
+// recordLoss records that the request may have run, and returns the error. The upstream
+// counts as failed unless the context was done or the deadline had passed.
+func (q *request) recordLoss(ctx context.Context, s *exchange, err error) error {
+	q.summary.ran = ranUnknown
+	if ctx.Err() != nil {
+		return errors.CombineErrors(ctx.Err(), err)
+	}
+	if !time.Now().Before(q.deadline) {
+		return errors.CombineErrors(context.DeadlineExceeded, err) // the connection's deadline fired before the context's
+	}
+	q.e.Picker.Failed(time.Now(), s.up.ID)
+	return &lostError{up: s.up, reused: s.conn.Reused, err: err}
+}
+
+// handleNotRun ends a send that the upstream refused without running it.
+func (q *request) handleNotRun(s *exchange) error {
+	cause := causeFull
+	if s.resp.StatusCode == http.StatusMisdirectedRequest {
+		cause = "other_instance"
+		q.e.Picker.Failed(time.Now(), s.up.ID)
+	} else {
+		q.e.Picker.Full(time.Now(), s.up.ID)
+	}
+	if _, err := upconn.ReadAll(s.resp.Body, maxResponse); err != nil {
+		s.closeConn()
+	} else {
+		s.releaseConn(q.e.Pool)
+	}
+	return &notRunError{up: s.up, cause: cause}
+}
+
+// closeConn closes the connection, by which an upstream that still runs the request
+// learns that it was abandoned.
+func (s *exchange) closeConn() {
+	s.cancelInterrupt()
+	s.conn.Close()
+}
+
+// releaseConn returns the connection to the pool after the whole response was read. One
+// that is being interrupted is closed, as it cannot be used again.
+func (s *exchange) releaseConn(p *upconn.Pool) {
+	if !s.cancelInterrupt() || s.info.Closing || s.resp.Close {
+		s.conn.Close()
+		return
+	}
+	p.Put(s.conn, s.info.IdleTime)
+}
--- /dev/null
+++ b/internal/front/proxy/stream.go
@@ -0,0 +1,356 @@
+package proxy
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/quorum"
+	"github.com/slaterock/slaterock/internal/front/event"
+	"github.com/slaterock/slaterock/internal/front/meta"
+	"github.com/slaterock/slaterock/internal/front/pick"
+	"github.com/slaterock/slaterock/internal/front/upconn"
+	"github.com/slaterock/slaterock/internal/obs/trace"
+)
+
+const (
+	// settleTimeout bounds the write that settles a reservation, for which no caller
+	// waits.
+	settleTimeout = 4 * time.Second
+	// maxRuns is the maximum number of times that a stream is run: first, and again
+	// after each interruption.
+	maxRuns      = 3
+	streamBuffer = 16 << 10
+)
+
+// turn is a streamed request in progress.
+type turn struct {
+	*request
+	history          []byte    // input and output of earlier turns, sent before the caller's body
+	previousID       string    // id in the records of the turn that this one continues
+	previousUpstream string    // id of the upstream that ran that turn
+	lastUpstream     string    // id of the upstream that last ran a turn of the program, of the same session if any
+	reserved         bool      // tokens are reserved and not settled yet
+	programBegun     bool      // a turn of the program has run, or may have
+	programStart     time.Time // arrival of the program's first attempt
+	output           []byte    // data of the events so far, if the route keeps turns
+	lastEventID      string    // id of the last event sent to the caller
+	headerSent       bool      // the response header was sent to the caller
+	flush            func() error
+}
+
+// serveStream serves a request whose response is a stream of events.
+func (q *request) serveStream(ctx context.Context) {
+	t := &turn{request: q, lastEventID: q.LastEventID, flush: http.NewResponseController(q.w).Flush}
+	if t.limitReached() || !t.prepare(ctx) || !t.withinLimit() || !t.waitForRoom(ctx) {
+		return
+	}
+	err := t.relayTurn(ctx)
+	if err == nil {
+		return
+	}
+	t.settle()
+	if t.headerSent {
+		q.summary.code, q.summary.err = "broken_off", err
+		// The connection is aborted, so that the caller cannot take the events
+		// sent so far for a complete response.
+		panic(http.ErrAbortHandler)
+	}
+	q.replyFailure(err)
+}
+
+// withinLimit takes the turn from its account's limit, or sends an error response and
+// returns false. Part of the limit is not available to the first turn of a program with a
+// budget, so that programs that have begun can finish.
+func (t *turn) withinLimit() bool {
+	if t.acquire(t.programBegun || !t.reserved) {
+		return true
+	}
+	t.settle()
+	return false
+}
+
+// prepare reads the history that the turn continues and reserves its tokens in the
+// program's budget, before anything runs. It returns false if the request has ended: an
+// error response was sent, or the caller has disconnected.
+func (t *turn) prepare(ctx context.Context) bool {
+	ctx, span := t.e.Trace.Start(ctx, trace.Records, "")
+	defer func() { span.End(nil) }()
+	readErr := make(chan error, 1)
+	go func() { readErr <- t.readHistory(ctx) }()
+	if !t.reserve(ctx) {
+		return false
+	}
+	err := <-readErr
+	t.summary.recordsTime = time.Since(t.began)
+	if err == nil {
+		return true
+	}
+	t.settle()
+	switch {
+	case errors.Is(err, quorum.ErrNoTurn):
+		t.replyError(http.StatusNotFound, "no_turn", err)
+	case ctx.Err() != nil:
+		t.replyExpired(err)
+	default:
+		t.replyUnavailable("records_away", retryNoQuorum, err)
+	}
+	return false
+}
+
+func (t *turn) readHistory(ctx context.Context) error {
+	if !t.route.Keep || t.Previous == "" {
+		return nil
+	}
+	t.previousID = t.scopedID(t.Previous)
+	turns, err := t.e.Records.Read(ctx, t.scopedID(t.Program), t.previousID)
+	if errors.Is(err, quorum.ErrNoTurn) && t.previousID != t.Previous {
+		t.previousID = t.Previous // recorded before accounts were configured
+		turns, err = t.e.Records.Read(ctx, t.Program, t.previousID)
+	}
+	if err != nil {
+		return err
+	}
+	for _, before := range turns {
+		t.history = append(t.history, before.Input...)
+		t.history = append(t.history, before.Output...)
+		t.previousUpstream = before.Upstream
+	}
+	return nil
+}
+
+// maxTokens returns the most tokens that the turn can generate, rounded up to whole
+// events.
+func (t *turn) maxTokens() int {
+	n := max(t.service.EventTokens, 1)
+	return (t.MaxOutputTokens + n - 1) / n * n
+}
+
+func (t *turn) newRecord() book.Record {
+	return book.Record{
+		Program: t.scopedID(t.Program), Attempt: t.scopedID(t.ID), At: t.began.UnixMilli(), Keep: t.route.KeepFor.Milliseconds(),
+	}
+}
+
+// reserve records, before the turn runs, the maximum number of tokens that it can generate,
+// so that a crash cannot make a program exceed its budget. It returns false if the request
+// has ended: an error response was sent, or the caller has disconnected.
+func (t *turn) reserve(ctx context.Context) bool {
+	if !t.HasTokenBudget || t.Program == "" {
+		return true
+	}
+	rec := t.newRecord()
+	rec.Reserved, rec.Most = true, t.maxTokens()
+	res, err := t.e.Records.Write(ctx, rec)
+	t.reserved = true
+	if err != nil {
+		t.settle()
+		if ctx.Err() != nil {
+			t.replyExpired(err)
+			return false
+		}
+		t.replyUnavailable("records_away", retryNoQuorum, err)
+		return false
+	}
+	t.programBegun = t.Previous != "" || book.Begun(res.Shares, rec.Attempt)
+	t.programStart = book.Since(res.Shares, t.began)
+	t.lastUpstream = book.LastRan(res.Shares, t.Session)
+	if !book.Fits(res.Shares, t.TokenBudget) {
+		t.settle()
+		t.replyError(http.StatusPaymentRequired, "budget_spent", nil)
+		return false
+	}
+	return true
+}
+
+// settle replaces the reservation by the tokens that the turn generated. It writes in
+// the background.
+func (t *turn) settle() {
+	if !t.reserved {
+		return
+	}
+	t.reserved = false
+	rec := t.newRecord()
+	rec.Settled, rec.Spent = true, t.summary.tokens
+	if t.summary.events > 0 {
+		rec.Upstream, rec.Session = t.summary.upstream, t.Session
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(t.e.Stop, settleTimeout)
+		defer cancel()
+		if _, err := t.e.Records.Write(ctx, rec); err != nil {
+			t.e.Log.Warn().Err(err).Str("request", t.ID).Str("program", t.Program).Int("tokens", rec.Spent).
+				Msg("cannot record the tokens that the turn generated; its reservation stays charged to the budget")
+		}
+	}()
+}
+
+// priority returns the account's priority, or the route's if the account has none.
+func (t *turn) priority() int {
+	if t.account.Ranked {
+		return t.account.Priority
+	}
+	return t.route.Priority
+}
+
+// relayTurn sends the turn and relays the events, resuming an interrupted stream where
+// the route allows it.
+func (t *turn) relayTurn(ctx context.Context) error {
+	body := t.body
+	if len(t.history) > 0 {
+		body = slices.Concat(t.history, t.body)
+	}
+	c := pick.Case{Key: t.affinityKey(), Prefer: cmp.Or(t.previousUpstream, t.lastUpstream), Tokens: t.PromptTokens, Exclude: map[string]bool{}}
+	d := meta.Dispatch{Priority: min(t.priority(), 9), HasPriority: true, LastEventID: t.lastEventID}
+	for range maxRuns {
+		s, err := t.dispatch(ctx, c, body, d)
+		if c.Only != "" && err != nil && t.mayResumeElsewhere(c.Only, err) {
+			c.Only = ""
+			s, err = t.dispatch(ctx, c, body, d)
+		}
+		if err != nil {
+			return err
+		}
+		err = t.relay(ctx, s)
+		t.e.done(s.up.ID)
+		if err == nil || ctx.Err() != nil || !t.route.Resume {
+			return err
+		}
+		// Resuming at the same upstream reuses its cache. Others may run the turn
+		// only if the route allows several attempts, or if this one is gone.
+		d.LastEventID = t.lastEventID
+		c.Prefer = s.up.ID
+		if t.route.Attempts == 1 {
+			c.Only = s.up.ID
+		}
+		t.summary.refusals += s.up.ID + ":resumed "
+	}
+	return errors.New("stream was interrupted too often")
+}
+
+// mayResumeElsewhere reports whether another upstream may resume the turn: the one that ran
+// it refused for another reason than being full, or is no longer listed.
+func (t *turn) mayResumeElsewhere(id string, err error) bool {
+	var refusal *notRunError
+	if errors.As(err, &refusal) {
+		return refusal.cause != causeFull
+	}
+	if !errors.Is(err, errNoUpstream) {
+		return false
+	}
+	for _, u := range t.e.Fleet.View().Services[t.service.Name] {
+		if u.ID == id {
+			return false
+		}
+	}
+	return true
+}
+
+// relay relays a response to the caller. A status other than 200 carries no events: the
+// response is returned as a whole, or is an error if the stream has already started.
+func (t *turn) relay(ctx context.Context, s *exchange) error {
+	if s.resp.StatusCode != http.StatusOK {
+		body, err := upconn.ReadAll(s.resp.Body, maxResponse)
+		if err != nil || t.headerSent {
+			s.closeConn()
+			return t.recordLoss(ctx, s, errors.CombineErrors(errors.Newf("upstream returned status %d", s.resp.StatusCode), err))
+		}
+		s.releaseConn(t.e.Pool)
+		if s.resp.StatusCode >= http.StatusInternalServerError {
+			t.e.Picker.Failed(time.Now(), s.up.ID) // otherwise it would look idle and attract all turns
+		}
+		t.settle()
+		t.writeResponse(s, body)
+		return nil
+	}
+	t.summary.ran = ranYes
+	if !t.headerSent {
+		t.writeHeader(s.resp)
+	}
+	under := t.e.Picker.Under(s.up.ID)
+	r := event.Reader{R: bufio.NewReaderSize(s.resp.Body, streamBuffer)}
+	for {
+		e, err := r.Next()
+		if errors.Is(err, io.EOF) {
+			t.observe(s, float64(under+t.e.Picker.Under(s.up.ID))/2)
+			return t.complete(ctx, s)
+		}
+		if err == nil {
+			err = t.relayEvent(e)
+		}
+		if err != nil {
+			s.closeConn()
+			if ctx.Err() == nil {
+				t.e.Picker.Failed(time.Now(), s.up.ID)
+			}
+			return errors.CombineErrors(err, ctx.Err())
+		}
+	}
+}
+
+func (t *turn) writeHeader(resp *http.Response) {
+	t.headerSent = true
+	t.summary.status = resp.StatusCode
+	h := t.w.Header()
+	for name, values := range t.e.Dialect.Return(resp.Header) {
+		h[name] = values
+	}
+	t.w.WriteHeader(resp.StatusCode)
+}
+
+func (t *turn) relayEvent(e event.Event) error {
+	if t.summary.events == 0 {
+		t.summary.firstOutput = time.Since(t.began)
+	}
+	t.summary.events++
+	t.summary.tokens += max(t.service.EventTokens, 1)
+	if t.route.Keep {
+		t.output = append(append(t.output, e.Data...), '\n')
+	}
+	if e.ID != "" {
+		t.lastEventID = e.ID
+	}
+	if _, err := t.w.Write(e.Raw); err != nil {
+		return err
+	}
+	return t.flush()
+}
+
+// observe records the mean time per event of the attempt, from its first event on, for the
+// upstream that completed it. That time hardly depends on the prompt. Streams of fewer than
+// four events give none. Turns is the mean number of turns in progress at the upstream.
+func (t *turn) observe(s *exchange, turns float64) {
+	pace := 0.0
+	if n := t.summary.events - 1; n > 2 {
+		eventTime := (time.Since(t.began) - t.summary.firstOutput) / time.Duration(n)
+		pace = t.e.Usual.Pace(t.route.Name, eventTime.Seconds())
+		t.e.Queue.Observe(t.service.Name, turns, eventTime)
+	}
+	t.e.Picker.Took(time.Now(), s.up.ID, pace, false)
+}
+
+// complete records a complete stream. A turn that the route keeps must be durable before
+// its caller sees the end of the response, since the next turn refers to it.
+func (t *turn) complete(ctx context.Context, s *exchange) error {
+	s.releaseConn(t.e.Pool)
+	if !t.route.Keep {
+		t.settle()
+		return nil
+	}
+	rec := t.newRecord()
+	rec.Settled, rec.Spent = t.reserved, t.summary.tokens
+	rec.Upstream, rec.Session = s.up.ID, t.Session
+	rec.Turn = &book.Turn{Previous: t.previousID, Input: t.body, Output: t.output, Upstream: s.up.ID, Tokens: t.summary.tokens}
+	if _, err := t.e.Records.Write(ctx, rec); err != nil {
+		return errors.Wrap(err, "the turn was not recorded")
+	}
+	t.reserved = false
+	return nil
+}
--- /dev/null
+++ b/internal/front/proxy/summary.go
@@ -0,0 +1,95 @@
+package proxy
+
+import (
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+
+	"github.com/slaterock/slaterock/internal/obs/trace"
+	"github.com/slaterock/slaterock/internal/place/gate"
+)
+
+const (
+	ranNo      ran = "no"
+	ranYes     ran = "yes"
+	ranUnknown ran = "unknown"
+)
+
+type (
+	// summary holds what is logged about an attempt.
+	summary struct {
+		status      int
+		code        string // empty for a complete response
+		ran         ran
+		upstream    string
+		missing     bool // the upstream was not listed in the store
+		sends       int
+		events      int
+		tokens      int
+		refusals    string // by upstreams, and interruptions of resumable streams, in order
+		err         error
+		recordsTime time.Duration // from arrival until the tokens were reserved and the history was read
+		queueReason string        // why the attempt was queued; empty if it was not
+		queueTime   time.Duration // how long it was queued
+		load        gate.Load     // of the engines when it was queued
+		firstOutput time.Duration // from arrival to the first event of a stream, or to the end of another response; 0 for none
+	}
+
+	// ran states whether an upstream ran the request.
+	ran string
+)
+
+// report writes the request's log line, counts it in the metrics and ends its span.
+func (q *request) report(span trace.Span) {
+	s := &q.summary
+	span.Set(attribute.String("request", q.ID), attribute.String("outcome", s.outcome()))
+	span.End(s.err)
+	took := time.Since(q.began)
+	tags := map[string]string{"kind": q.route.Kind.String(), "outcome": s.outcome()}
+	scope := q.e.Scope.Tagged(tags)
+	scope.Counter("requests").Inc(1)
+	scope.Timer("request_time").Record(took)
+	if q.account.Name != "" {
+		tags = map[string]string{"account": q.e.Limiter.Label.Of(q.account.Name), "outcome": s.outcome()}
+		q.e.Scope.Tagged(tags).Counter("account_requests").Inc(1)
+	}
+	line := q.e.Log.Info()
+	if s.ran == ranUnknown {
+		line = q.e.Log.Warn()
+	}
+	line.Str("request", q.ID).Str("program", q.Program).Str("account", q.account.Name).Str("route", q.route.Name).Str("kind", q.route.Kind.String()).
+		Int64("config", q.version()).Int64("news_age_ms", q.viewAge()).Str("upstream", s.upstream).Int("sends", s.sends).
+		Str("refusals", s.refusals).Int("status", s.status).Str("outcome", s.outcome()).Str("ran", string(s.ran)).
+		Int("events", s.events).Int("tokens", s.tokens).Int64("wait_ms", q.CallerTimeout.Milliseconds()).
+		Int64("finish_ms", q.FinishIn.Milliseconds()).Int64("recorded_ms", s.recordsTime.Milliseconds()).
+		Int64("first_ms", s.firstOutput.Milliseconds()).Int64("took_ms", took.Milliseconds()).Str("previous", q.Previous).AnErr("cause", s.err)
+	if s.missing {
+		line.Bool("upstream_missing", true)
+	}
+	if s.queueReason != "" {
+		line.Str("queue", s.queueReason).Int64("queued_ms", s.queueTime.Milliseconds()).Int("engines_under_way", s.load.Under).
+			Int("engines_room", s.load.Room).Int("daemons", s.load.Fronts)
+	}
+	line.Msg("request")
+}
+
+func (s *summary) outcome() string {
+	if s.code == "" {
+		return "answered"
+	}
+	return s.code
+}
+
+func (q *request) version() int64 {
+	if q.view == nil || q.view.Table == nil {
+		return 0
+	}
+	return q.view.Table.Version
+}
+
+func (q *request) viewAge() int64 {
+	if q.view == nil || q.view.Confirmed.IsZero() {
+		return -1
+	}
+	return q.began.Sub(q.view.Confirmed).Milliseconds()
+}
