--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 
 	"github.com/slaterock/slaterock/internal/front/ration"
+	"github.com/slaterock/slaterock/internal/node/diskd"
 	"github.com/slaterock/slaterock/internal/node/frontd"
-	"github.com/slaterock/slaterock/internal/node/keeper"
 	"github.com/slaterock/slaterock/internal/obs/flow"
 	"github.com/slaterock/slaterock/internal/obs/metric"
 	"github.com/slaterock/slaterock/internal/obs/trace"
@@ -136,7 +136,7 @@
 			Node: s.Node, Domain: s.Domain, Cores: s.Cores, Callers: s.Callers, Ready: s.Ready, Directory: s.Directory,
 			Peer: p.peerAddress(), Seeds: s.Seeds, Grace: s.Grace, AnswerTTL: s.AnswerTTL, Tolerance: ration.Tolerance(s.Limits),
 		},
-		Store: p.store, Source: &platform.Source{Store: p.store}, Dialect: platform.Dialect{}, Names: platform.Names{},
+		Store: p.store, Source: &platform.Source{Store: p.store}, Dialect: platform.Dialect{}, Endpoints: platform.Endpoints{},
 		Log: p.log, Scope: p.metric.Scope(), Trace: t,
 	}
 	return d.Run(ctx, p.stop)
@@ -160,8 +160,8 @@
 		<-p.stop
 		end()
 	}()
-	k := &keeper.Keeper{
-		Settings: keeper.Settings{
+	k := &diskd.Daemon{
+		Settings: diskd.Settings{
 			Node: s.Node, Domain: s.Domain, Address: p.peerAddress(), Control: s.Control, Dir: s.DataDir,
 			Capacity: int64(s.DiskMB) << 20, Losses: s.Losses,
 		},
--- a/internal/node/scout/scout.go
+++ b/internal/node/discov/discov.go
@@ -3,7 +3,7 @@
 // places that hold records.
 //
 // Reads are the cheap, stale kind; where it matters, Fresh asks again.
-package scout
+package discov
 
 import (
 	"context"
@@ -29,18 +29,18 @@
 
 // freshPause is the shortest pause between reads that are not stale: each costs
 // as much as ten stale ones.
-const freshPause = 150 * time.Millisecond
+const minRescanInterval = 150 * time.Millisecond
 
 type (
 	// Scout holds what was read. Set Store before use.
-	Scout struct {
+	Reader struct {
 		Store store.Shared
 
-		mu       sync.Mutex
-		state    State
-		read     store.Rev // of the newest scan
-		freshAt  time.Time
-		fetching chan struct{}
+		mu          sync.Mutex
+		state       State
+		scannedRev  store.Rev // of the newest scan
+		rescannedAt time.Time
+		rescanning  chan struct{}
 	}
 
 	// State is what is known.
@@ -67,17 +67,17 @@
 }
 
 // State returns what is known.
-func (s *Scout) State() State {
+func (s *Reader) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
 // Roster returns the newest roster known.
-func (s *Scout) Roster() roster.Roster { return s.State().Roster }
+func (s *Reader) Roster() roster.Roster { return s.State().Roster }
 
 // Learn takes a roster that another daemon told.
-func (s *Scout) Learn(data []byte) {
+func (s *Reader) Learn(data []byte) {
 	r, err := roster.Decode(data)
 	if err != nil {
 		return
@@ -91,27 +91,27 @@
 }
 
 // Scan reads everything.
-func (s *Scout) Scan(ctx context.Context, stale bool) (err error) {
+func (s *Reader) Scan(ctx context.Context, stale bool) (err error) {
 	defer func() { err = errors.Wrap(err, "scout") }()
 	list, rev, err := s.Store.Scan(ctx, Prefix, stale)
 	if err != nil {
 		return err
 	}
-	return s.Take(list, rev)
+	return s.Apply(list, rev)
 }
 
 // Take learns all keys of the system as they were at a revision. Keys of others
 // are passed over.
-func (s *Scout) Take(list []store.Entry, rev store.Rev) error {
+func (s *Reader) Apply(list []store.Entry, rev store.Rev) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if rev < s.read {
+	if rev < s.scannedRev {
 		return nil
 	}
-	s.read = rev
+	s.scannedRev = rev
 	next := State{Roster: s.state.Roster, Revision: s.state.Revision}
 	for _, e := range list {
-		if err := next.take(e); err != nil {
+		if err := next.add(e); err != nil {
 			return errors.Wrapf(err, "key %s", e.Key)
 		}
 	}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (s *State) take(e store.Entry) error {
+func (s *State) add(e store.Entry) error {
 	switch {
 	case e.Key == RosterKey:
 		r, err := roster.Decode(e.Data)
@@ -149,10 +149,10 @@
 
 // Fresh reads everything as it is now, unless that was done a moment ago.
 // Callers that come while it reads share the answer.
-func (s *Scout) Fresh(ctx context.Context) {
+func (s *Reader) Rescan(ctx context.Context) {
 	s.mu.Lock()
-	if s.fetching != nil {
-		done := s.fetching
+	if s.rescanning != nil {
+		done := s.rescanning
 		s.mu.Unlock()
 		select {
 		case <-done:
@@ -160,19 +160,19 @@
 		}
 		return
 	}
-	if time.Since(s.freshAt) < freshPause {
+	if time.Since(s.rescannedAt) < minRescanInterval {
 		s.mu.Unlock()
 		return
 	}
-	s.freshAt = time.Now()
+	s.rescannedAt = time.Now()
 	done := make(chan struct{})
-	s.fetching = done
+	s.rescanning = done
 	s.mu.Unlock()
 	go func() {
 		defer close(done)
 		_ = s.Scan(context.WithoutCancel(ctx), false) // the caller tries again; the daemon's own reads log an outage
 		s.mu.Lock()
-		s.fetching = nil
+		s.rescanning = nil
 		s.mu.Unlock()
 	}()
 	select {
--- a/internal/node/keeper/claim.go
+++ b/internal/node/diskd/claim.go
@@ -1,4 +1,4 @@
-package keeper
+package diskd
 
 import (
 	"context"
@@ -7,18 +7,18 @@
 
 	"github.com/slaterock/slaterock/internal/disk/holder"
 	"github.com/slaterock/slaterock/internal/disk/roster"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
 // lifeTime bounds the question whether a VM lives. An exchange takes milliseconds.
-const lifeTime = 300 * time.Millisecond
+const lifeTimeout = 300 * time.Millisecond
 
 // noteMissing notes since when nodes with a place have not been listed. After an
 // outage all keys may have lapsed, of daemons that live.
-func (k *Keeper) noteMissing(s scout.State) {
+func (k *Daemon) trackMissing(s discov.State) {
 	now := time.Now()
-	if now.Sub(k.returned) < settle {
+	if now.Sub(k.storeUpAt) < returnGrace {
 		k.missing = nil
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // long is how long a VM must be missing before its place is taken.
-func (k *Keeper) long() time.Duration {
+func (k *Daemon) takeOverDelay() time.Duration {
 	if k.isNew() {
 		return roster.TakeOverNew
 	}
@@ -48,38 +48,38 @@
 }
 
 // isNew tells whether this VM has just started with an empty disk.
-func (k *Keeper) isNew() bool { return k.blank && time.Since(k.started) < newFor }
+func (k *Daemon) isNew() bool { return k.emptyDisk && time.Since(k.started) < newVMTime }
 
 // claim takes a place if there is one to take.
-func (k *Keeper) claim(ctx context.Context, s scout.State) bool {
+func (k *Daemon) claim(ctx context.Context, s discov.State) bool {
 	now := time.Now()
-	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.long()); !ok {
+	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay()); !ok {
 		return false
 	}
-	k.passLiving(ctx, s.Roster)
-	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.long()); !ok {
+	k.excludeLive(ctx, s.Roster)
+	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay()); !ok {
 		return false
 	}
-	return k.change(ctx, func(s scout.State) (roster.Roster, bool) {
-		k.noteMissing(s)
-		return s.Roster.Claim(now, k.self(), s.Members, k.missing, k.long())
+	return k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
+		k.trackMissing(s)
+		return s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay())
 	}, "place claimed")
 }
 
 // passLiving has places whose VMs answer not count as missing. The store lists no VM that
 // it turned away, or whose key lapsed in an outage that this one, just started, has not
 // seen. Its place would be taken while it serves, and all records copied for nothing.
-func (k *Keeper) passLiving(ctx context.Context, r roster.Roster) {
-	living := make([]bool, len(r.Places))
+func (k *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
+	alive := make([]bool, len(r.Places))
 	var work sync.WaitGroup
 	for i, p := range r.Places {
 		if _, missing := k.missing[p.Node]; missing {
-			work.Go(func() { living[i] = k.lives(ctx, p) })
+			work.Go(func() { alive[i] = k.isAlive(ctx, p) })
 		}
 	}
 	work.Wait()
 	for i, p := range r.Places {
-		if living[i] {
+		if alive[i] {
 			k.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(k.missing[p.Node])).Msg("place not claimed: its VM is not listed, but answers")
 			delete(k.missing, p.Node)
 		}
@@ -87,8 +87,8 @@
 }
 
 // lives tells whether the VM of a place answers, with the disk that holds the records.
-func (k *Keeper) lives(ctx context.Context, p roster.Place) bool {
-	ctx, stop := context.WithTimeout(ctx, lifeTime)
+func (k *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
+	ctx, stop := context.WithTimeout(ctx, lifeTimeout)
 	defer stop()
 	var life string
 	err := link.Ask(ctx, k.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
--- a/internal/node/keeper/keeper.go
+++ b/internal/node/diskd/diskd.go
@@ -1,7 +1,7 @@
 // Package keeper runs a VM that holds durable records: it serves the daemons
 // that take callers, keeps the VM listed, and sees to it that the roster's places
 // are filled.
-package keeper
+package diskd
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"github.com/slaterock/slaterock/internal/disk/holder"
 	"github.com/slaterock/slaterock/internal/disk/memo"
 	"github.com/slaterock/slaterock/internal/disk/roster"
-	"github.com/slaterock/slaterock/internal/node/listed"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
+	"github.com/slaterock/slaterock/internal/node/leased"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/peer/pause"
 	"github.com/slaterock/slaterock/internal/plat/store"
@@ -27,28 +27,28 @@
 const (
 	// lookEvery is the pause between looks at the store. A place that lost its
 	// VM must be filled within about four seconds of the new VM's start.
-	lookEvery = 400 * time.Millisecond
+	rosterInterval = 400 * time.Millisecond
 	// idleEvery is the same for a VM that neither has a place nor is among the first
 	// standbys that would take the next one. Of 24 VMs 16 are such; without it their
 	// looks are a fifth of all that is asked of the store on a quiet day. The first
 	// in line may be gone together with the place's VM, and who takes the place must
 	// have seen for some time that it is empty.
-	idleEvery = 2 * time.Second
-	standbys  = 3
+	idleInterval = 2 * time.Second
+	standbys     = 3
 	// askEvery is the pause between looks at what the operator wants, and
 	// freshEvery that of a VM without a place between reads that are not
 	// stale, which cost ten times as much.
-	askEvery   = 1200 * time.Millisecond
-	freshEvery = 900 * time.Millisecond
+	operatorInterval = 1200 * time.Millisecond
+	freshInterval    = 900 * time.Millisecond
 	// settle is how long after the store's return no place counts as missing:
 	// daemons write their keys again within about two seconds.
-	settle = 2500 * time.Millisecond
+	returnGrace = 2500 * time.Millisecond
 	// alone is how long a VM that is to be emptied waits for another to take
 	// its place before it hands its records to those that remain.
-	alone = 2 * time.Second
+	handOverDelay = 2 * time.Second
 	// newFor is how long a VM with an empty disk counts as new: longer than its
 	// predecessor's key lives.
-	newFor = 8 * time.Second
+	newVMTime = 8 * time.Second
 )
 
 type (
@@ -65,53 +65,53 @@
 
 	// Operator tells which VMs are to be emptied, and is told of it.
 	Operator interface {
-		Retiring(ctx context.Context) (map[string]bool, error)
-		Retired(ctx context.Context, node string, complete bool) error
+		RetiringNodes(ctx context.Context) (map[string]bool, error)
+		ReportRetirement(ctx context.Context, node string, complete bool) error
 	}
 
 	// Keeper runs the VM. Set the exported fields, then call Run.
-	Keeper struct {
+	Daemon struct {
 		Settings Settings
 		Store    store.Shared
 		Operator Operator
 		Log      zerolog.Logger
 		Scope    tally.Scope
 
-		holder   holder.Holder
-		memo     memo.Memo
-		link     link.Link
-		scout    scout.Scout
-		listed   listed.Listed
-		started  time.Time
-		blank    bool      // the disk was empty at the start
-		askedAt  time.Time // what the operator wants
-		freshAt  time.Time // last read that was not stale
-		away     bool      // the store doesn't answer
-		returned time.Time // when it came back
-		missing  map[string]time.Time
-		joining  bool
-		caughtUp bool // what was written while this process was away is here
-		joined   chan error
-		reach    holder.Peers // the other VMs with a disk; nil for those of the link
-		retiring atomic.Bool
-		since    time.Time // of retiring
-		told     string    // what the operator was told last
+		holder         holder.Holder
+		memo           memo.Memo
+		link           link.Link
+		discov         discov.Reader
+		leased         leased.Registration
+		started        time.Time
+		emptyDisk      bool      // the disk was empty at the start
+		operatorReadAt time.Time // what the operator wants
+		freshReadAt    time.Time // last read that was not stale
+		storeDown      bool      // the store doesn't answer
+		storeUpAt      time.Time // when it came back
+		missing        map[string]time.Time
+		joining        bool
+		caughtUp       bool // what was written while this process was away is here
+		joinResult     chan error
+		peerFunc       holder.Peers // the other VMs with a disk; nil for those of the link
+		retiring       atomic.Bool
+		retiringSince  time.Time // of retiring
+		reported       string    // what the operator was told last
 	}
 )
 
 // Run serves until ctx ends.
-func (k *Keeper) Run(ctx context.Context) (err error) {
+func (k *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "run keeper") }()
 	k.started = time.Now()
-	k.joined = make(chan error, 1)
+	k.joinResult = make(chan error, 1)
 	k.holder.Dir, k.holder.Capacity = k.Settings.Dir, k.Settings.Capacity
-	blank, err := k.holder.Open()
+	emptyDisk, err := k.holder.Open()
 	if err != nil {
 		return err
 	}
-	k.blank, k.caughtUp = blank, blank // as the first of all, or else it joins
+	k.emptyDisk, k.caughtUp = emptyDisk, emptyDisk // as the first of all, or else it joins
 	programs, turns, bytes := k.holder.Stats()
-	k.Log.Info().Str("life", k.holder.Life()).Bool("blank", blank).Int("programs", programs).Int("turns", turns).
+	k.Log.Info().Str("life", k.holder.Life()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
 		Int64("bytes", bytes).Dur("took_ms", time.Since(k.started)).Msg("records opened")
 	var lc net.ListenConfig
 	ln, err := lc.Listen(ctx, "tcp", k.Settings.Address)
@@ -122,15 +122,15 @@
 	k.holder.Register(&k.link)
 	k.memo.Dir = k.Settings.Dir
 	k.memo.Register(&k.link)
-	k.scout.Store = k.Store
-	k.listed = listed.Listed{Store: k.Store, Key: scout.DiskPrefix + k.Settings.Node, Data: k.value, OnEnd: k.tellListed}
-	k.listed.Init()
+	k.discov.Store = k.Store
+	k.leased = leased.Registration{Store: k.Store, Key: discov.DiskPrefix + k.Settings.Node, Data: k.value, OnStatus: k.logRegistration}
+	k.leased.Init()
 	listing := make(chan struct{})
 	go func() {
 		defer close(listing)
-		k.listed.Run(ctx)
+		k.leased.Run(ctx)
 	}()
-	go k.look(ctx)
+	go k.checkLoop(ctx)
 	go k.trim(ctx)
 	go k.serveControl(ctx)
 	err = k.link.Serve(ctx, ln)
@@ -140,7 +140,7 @@
 
 // serveControl takes daemons that know nothing but the addresses in their
 // settings.
-func (k *Keeper) serveControl(ctx context.Context) {
+func (k *Daemon) serveControl(ctx context.Context) {
 	if k.Settings.Control == "" {
 		return
 	}
@@ -154,18 +154,18 @@
 	}
 }
 
-func (k *Keeper) self() roster.Member {
+func (k *Daemon) self() roster.Member {
 	return roster.Member{
 		Node: k.Settings.Node, Address: k.Settings.Address, Domain: k.Settings.Domain, Life: k.holder.Life(), Retiring: k.retiring.Load(),
 	}
 }
 
-func (k *Keeper) value() []byte {
+func (k *Daemon) value() []byte {
 	data, _ := json.Marshal(k.self()) // strings always encode
 	return data
 }
 
-func (k *Keeper) tellListed(err error) {
+func (k *Daemon) logRegistration(err error) {
 	if err != nil {
 		k.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: the daemon's key may lapse")
 		return
@@ -173,7 +173,7 @@
 	k.Log.Info().Str("dependency", "store").Msg("regained: the daemon's key stands")
 }
 
-func (k *Keeper) trim(ctx context.Context) {
+func (k *Daemon) trim(ctx context.Context) {
 	for pause.For(ctx, holder.TrimEvery) {
 		if err := k.holder.Trim(ctx); err != nil && ctx.Err() == nil {
 			k.Log.Warn().Err(err).Msg("old records were not dropped")
@@ -186,10 +186,10 @@
 }
 
 // look keeps the roster's places filled.
-func (k *Keeper) look(ctx context.Context) {
+func (k *Daemon) checkLoop(ctx context.Context) {
 	for {
-		k.step(ctx)
-		if !pause.For(ctx, k.lookPause()) {
+		k.check(ctx)
+		if !pause.For(ctx, k.nextInterval()) {
 			return
 		}
 	}
@@ -197,73 +197,73 @@
 
 // lookPause is the time until the next look. One that may have to act soon looks
 // often, and so does one that doesn't know yet.
-func (k *Keeper) lookPause() time.Duration {
-	s := k.scout.State()
+func (k *Daemon) nextInterval() time.Duration {
+	s := k.discov.State()
 	_, placed := s.Roster.Find(k.holder.Life())
-	if placed || k.away || s.Roster.Version == 0 || k.isNew() || k.retiring.Load() || s.Roster.Line(k.self(), s.Members) < standbys {
-		return lookEvery
+	if placed || k.storeDown || s.Roster.Version == 0 || k.isNew() || k.retiring.Load() || s.Roster.Line(k.self(), s.Members) < standbys {
+		return rosterInterval
 	}
-	return idleEvery
+	return idleInterval
 }
 
-func (k *Keeper) step(ctx context.Context) {
+func (k *Daemon) check(ctx context.Context) {
 	// The VM that would take the next place looks for one that is free, and stale
 	// reads may be seconds behind; the others have time.
-	known := k.scout.State()
+	known := k.discov.State()
 	_, placed := known.Roster.Find(k.holder.Life())
-	stale := placed || !k.isNew() && time.Since(k.freshAt) < freshEvery || !known.Roster.Next(k.self(), known.Members)
+	stale := placed || !k.isNew() && time.Since(k.freshReadAt) < freshInterval || !known.Roster.Next(k.self(), known.Members)
 	if !stale {
-		k.freshAt = time.Now()
+		k.freshReadAt = time.Now()
 	}
-	if err := k.scout.Scan(ctx, stale); err != nil {
-		if !k.away {
-			k.away = true
+	if err := k.discov.Scan(ctx, stale); err != nil {
+		if !k.storeDown {
+			k.storeDown = true
 			k.Log.Warn().Err(err).Str("dependency", "store").Msg("lost")
 		}
 		return
 	}
-	if k.away {
-		k.away = false
-		k.returned = time.Now()
+	if k.storeDown {
+		k.storeDown = false
+		k.storeUpAt = time.Now()
 		k.Log.Info().Str("dependency", "store").Msg("regained")
 	}
-	s := k.scout.State()
-	k.noteMissing(s)
+	s := k.discov.State()
+	k.trackMissing(s)
 	if s.Roster.Version > 0 {
 		k.holder.Learn(s.Roster)
 	}
-	k.askOperator(ctx, s)
+	k.checkRetirement(ctx, s)
 	select {
-	case err := <-k.joined:
+	case err := <-k.joinResult:
 		k.joining = false
 		k.endJoin(ctx, err)
-		s = k.scout.State()
+		s = k.discov.State()
 	default:
 	}
 	place, in := s.Roster.Find(k.holder.Life())
 	switch {
 	case s.Roster.Version == 0:
-		k.found(ctx)
+		k.createRoster(ctx)
 	case in && place.Joining:
 		k.startJoin(ctx, s.Roster)
 	case in && !k.caughtUp:
 		k.startJoin(ctx, s.Roster)
 	case in && place.Address != k.Settings.Address:
-		k.change(ctx, func(s scout.State) (roster.Roster, bool) { return s.Roster.WithAddress(k.self()), true }, "moved")
+		k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) { return s.Roster.WithAddress(k.self()), true }, "moved")
 	case !in && k.claim(ctx, s):
-		k.startJoin(ctx, k.scout.Roster())
+		k.startJoin(ctx, k.discov.Roster())
 	}
 }
 
 // found writes the first roster once all VMs with a disk are there, or have had
 // time to come.
-func (k *Keeper) found(ctx context.Context) {
-	s := k.scout.State()
+func (k *Daemon) createRoster(ctx context.Context) {
+	s := k.discov.State()
 	waited := time.Since(k.started) >= roster.Gather
 	if len(s.Members) < roster.Full(k.Settings.Losses) && !waited {
 		return
 	}
-	k.change(ctx, func(s scout.State) (roster.Roster, bool) {
+	k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		if s.Roster.Version != 0 {
 			return roster.Roster{}, false
 		}
@@ -273,11 +273,11 @@
 
 // change writes the next roster if the store still has the one that it follows.
 // What was read may be old, so it reads again before it decides.
-func (k *Keeper) change(ctx context.Context, next func(scout.State) (roster.Roster, bool), what string) bool {
-	if err := k.scout.Scan(ctx, false); err != nil {
+func (k *Daemon) updateRoster(ctx context.Context, next func(discov.State) (roster.Roster, bool), what string) bool {
+	if err := k.discov.Scan(ctx, false); err != nil {
 		return false // the next look tells
 	}
-	s := k.scout.State()
+	s := k.discov.State()
 	r, ok := next(s)
 	if !ok {
 		return false
@@ -287,32 +287,32 @@
 		k.Log.Error().Err(err).Msg("roster not written")
 		return false
 	}
-	_, err = k.Store.Put(ctx, scout.RosterKey, data, s.Revision, 0)
+	_, err = k.Store.Put(ctx, discov.RosterKey, data, s.Revision, 0)
 	k.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster: " + what)
 	if err == nil {
-		k.scout.Learn(data)
+		k.discov.Learn(data)
 		k.holder.Learn(r)
 	}
 	return err == nil
 }
 
-func (k *Keeper) startJoin(ctx context.Context, r roster.Roster) {
+func (k *Daemon) startJoin(ctx context.Context, r roster.Roster) {
 	if k.joining {
 		return
 	}
 	k.joining = true
 	k.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other places")
-	go func() { k.joined <- k.holder.Join(ctx, r, k.peers()) }()
+	go func() { k.joinResult <- k.holder.Join(ctx, r, k.peers()) }()
 }
 
-func (k *Keeper) peers() holder.Peers {
-	if k.reach != nil {
-		return k.reach
+func (k *Daemon) peers() holder.Peers {
+	if k.peerFunc != nil {
+		return k.peerFunc
 	}
 	return func(address string) link.Invoker { return k.link.Peer(address) }
 }
 
-func (k *Keeper) endJoin(ctx context.Context, err error) {
+func (k *Daemon) endJoin(ctx context.Context, err error) {
 	programs, turns, bytes := k.holder.Stats()
 	k.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("records copied")
 	if err != nil {
@@ -320,10 +320,10 @@
 	}
 	k.caughtUp = true
 	life := k.holder.Life()
-	if p, in := k.scout.Roster().Find(life); !in || !p.Joining {
+	if p, in := k.discov.Roster().Find(life); !in || !p.Joining {
 		return
 	}
-	k.change(ctx, func(s scout.State) (roster.Roster, bool) {
+	k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		p, in := s.Roster.Find(life)
 		return s.Roster.WithJoined(life), in && p.Joining
 	}, "joined")
--- a/internal/node/keeper/keeper_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -1,4 +1,4 @@
-package keeper
+package diskd
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	tally "github.com/uber-go/tally/v4"
 
 	"github.com/slaterock/slaterock/internal/disk/roster"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
 // shelf is a store in memory, without leases.
-type shelf struct {
+type memStore struct {
 	store.Shared
 	mu    sync.Mutex
 	down  bool
@@ -29,7 +29,7 @@
 	items map[string]store.Entry
 }
 
-func (s *shelf) Scan(_ context.Context, prefix string, _ bool) (list []store.Entry, rev store.Rev, err error) {
+func (s *memStore) Scan(_ context.Context, prefix string, _ bool) (list []store.Entry, rev store.Rev, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -43,7 +43,7 @@
 	return list, s.rev, nil
 }
 
-func (s *shelf) Put(_ context.Context, key string, data []byte, rev store.Rev, _ store.Lease) (store.Rev, error) {
+func (s *memStore) Put(_ context.Context, key string, data []byte, rev store.Rev, _ store.Lease) (store.Rev, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.items[key].Rev != rev {
@@ -53,50 +53,50 @@
 	return s.rev, nil
 }
 
-func (s *shelf) put(key string, data []byte) {
+func (s *memStore) put(key string, data []byte) {
 	s.rev++
 	s.items[key] = store.Entry{Key: key, Data: data, Rev: s.rev}
 }
 
 // list writes a VM's key, or removes it.
-func (s *shelf) list(m roster.Member, on bool) {
+func (s *memStore) list(m roster.Member, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !on {
 		s.rev++
-		delete(s.items, scout.DiskPrefix+m.Node)
+		delete(s.items, discov.DiskPrefix+m.Node)
 		return
 	}
 	data, _ := json.Marshal(m)
-	s.put(scout.DiskPrefix+m.Node, data)
+	s.put(discov.DiskPrefix+m.Node, data)
 }
 
 // operator wants VMs emptied.
 type operator struct {
-	want map[string]bool
-	told []bool // whether complete
+	want    map[string]bool
+	reports []bool // whether complete
 }
 
-func (o *operator) Retiring(context.Context) (map[string]bool, error) { return o.want, nil }
+func (o *operator) RetiringNodes(context.Context) (map[string]bool, error) { return o.want, nil }
 
-func (o *operator) Retired(_ context.Context, _ string, complete bool) error {
-	o.told = append(o.told, complete)
+func (o *operator) ReportRetirement(_ context.Context, _ string, complete bool) error {
+	o.reports = append(o.reports, complete)
 	return nil
 }
 
-type world struct {
+type fixture struct {
 	t     *testing.T
-	s     *shelf
+	s     *memStore
 	op    *operator
-	k     *Keeper
-	due   time.Time       // of the next look
-	lives map[string]life // of the VMs that answer, by address
+	k     *Daemon
+	due   time.Time           // of the next look
+	alive map[string]diskPeer // of the VMs that answer, by address
 }
 
 // life is the disk of a VM that answers; the empty one doesn't.
-type life string
+type diskPeer string
 
-func (l life) Invoke(_ context.Context, _ string, _, out any) error {
+func (l diskPeer) Invoke(_ context.Context, _ string, _, out any) error {
 	raw, ok := out.(*link.Raw)
 	if l == "" || !ok {
 		return link.ErrSilent
@@ -107,22 +107,22 @@
 }
 
 // newWorld starts a VM "d" beside a, b and c. It takes no calls of others.
-func newWorld(t *testing.T) *world {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	w := &world{t: t, s: &shelf{items: map[string]store.Entry{}}, op: &operator{want: map[string]bool{}}}
-	w.k = &Keeper{
+	w := &fixture{t: t, s: &memStore{items: map[string]store.Entry{}}, op: &operator{want: map[string]bool{}}}
+	w.k = &Daemon{
 		Settings: Settings{Node: "d", Address: "d:1", Domain: "w", Losses: 1},
 		Store:    w.s, Operator: w.op, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}
 	w.k.started = time.Now()
-	w.k.joined = make(chan error, 1)
+	w.k.joinResult = make(chan error, 1)
 	w.k.holder.Dir = t.TempDir()
 	_, err := w.k.holder.Open()
 	is.New(t).NoErr(err)
 	w.k.caughtUp = true
-	w.k.scout.Store = w.s
-	w.k.reach = func(address string) link.Invoker { return w.lives[address] }
-	w.k.listed.Init()
+	w.k.discov.Store = w.s
+	w.k.peerFunc = func(address string) link.Invoker { return w.alive[address] }
+	w.k.leased.Init()
 	is.New(t).NoErr(w.k.link.Start(t.Context()))
 	t.Cleanup(func() { _ = w.k.holder.Close() })
 	return w
@@ -137,25 +137,25 @@
 }
 
 // run lets the VM look for a while.
-func (w *world) run(d time.Duration) {
-	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(lookEvery) {
-		w.k.step(w.t.Context())
+func (w *fixture) runFixed(d time.Duration) {
+	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(rosterInterval) {
+		w.k.check(w.t.Context())
 	}
 }
 
 // look lets the VM look as often as it means to, from call to call.
-func (w *world) look(d time.Duration) {
+func (w *fixture) runPaced(d time.Duration) {
 	until := time.Now().Add(d)
 	for w.due.Before(until) {
 		time.Sleep(time.Until(w.due))
-		w.k.step(w.t.Context())
-		w.due = time.Now().Add(w.k.lookPause())
+		w.k.check(w.t.Context())
+		w.due = time.Now().Add(w.k.nextInterval())
 	}
 	time.Sleep(time.Until(until))
 }
 
-func (w *world) nodes() (s string) {
-	data := w.s.items[scout.RosterKey].Data
+func (w *fixture) nodes() (s string) {
+	data := w.s.items[discov.RosterKey].Data
 	if data == nil {
 		return ""
 	}
@@ -168,15 +168,15 @@
 }
 
 // started has a, b and c hold the records, and d beside them.
-func (w *world) started() {
+func (w *fixture) started() {
 	for _, m := range others() {
 		w.s.list(m, true)
 	}
 	r, _ := roster.First(others(), 1)
 	data, _ := r.Encode()
-	w.s.put(scout.RosterKey, data)
+	w.s.put(discov.RosterKey, data)
 	w.s.list(w.k.self(), true)
-	w.run(3 * time.Second)
+	w.runFixed(3 * time.Second)
 	is.New(w.t).Equal(w.nodes(), "abc")
 }
 
@@ -184,51 +184,51 @@
 // looked for a free place all the time, that would be most of what the store has to
 // do. The one that would take the next place must look often, and so must the next
 // one when that one is gone.
-func TestWhoLooksOften(t *testing.T) {
+func TestCheckIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
-		is.Equal(w.k.lookPause(), lookEvery) // the next
+		is.Equal(w.k.nextInterval(), rosterInterval) // the next
 		before := roster.Member{Node: "bb", Domain: "z", Life: "4"}
 		w.s.list(before, true)
-		w.run(lookEvery)
-		is.Equal(w.k.lookPause(), lookEvery) // the second may be called upon at any time
+		w.runFixed(rosterInterval)
+		is.Equal(w.k.nextInterval(), rosterInterval) // the second may be called upon at any time
 		w.s.list(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
 		w.s.list(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
-		w.run(lookEvery)
-		is.Equal(w.k.lookPause(), idleEvery)
+		w.runFixed(rosterInterval)
+		is.Equal(w.k.nextInterval(), idleInterval)
 		w.s.down = true
-		w.run(lookEvery)
-		is.Equal(w.k.lookPause(), lookEvery) // to notice the store's return
+		w.runFixed(rosterInterval)
+		is.Equal(w.k.nextInterval(), rosterInterval) // to notice the store's return
 		w.s.down = false
-		w.run(lookEvery)
-		is.Equal(w.k.lookPause(), idleEvery)
+		w.runFixed(rosterInterval)
+		is.Equal(w.k.nextInterval(), idleInterval)
 		w.s.list(before, false)
-		w.run(lookEvery)
-		is.Equal(w.k.lookPause(), lookEvery)
+		w.runFixed(rosterInterval)
+		is.Equal(w.k.nextInterval(), rosterInterval)
 		w.k.retiring.Store(true)
-		is.Equal(w.k.lookPause(), lookEvery) // its records are to go
+		is.Equal(w.k.nextInterval(), rosterInterval) // its records are to go
 	})
 }
 
 // A VM that holds records and the one that would take its place are cut off together.
 // The key of the second lapses two seconds later. The one after it must have seen since
 // when the place is empty, and take it then: one more loss can't be borne.
-func TestNextInLineIsGoneToo(t *testing.T) {
+func TestFirstStandbyIsLostToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
 		next := roster.Member{Node: "bb", Domain: "z", Life: "4"}
 		w.s.list(next, true)
 		w.s.list(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
-		w.look(5 * time.Second)
+		w.runPaced(5 * time.Second)
 		w.s.list(others()[1], false)
-		w.look(roster.TakeOver + lookEvery)
+		w.runPaced(roster.TakeOver + rosterInterval)
 		is.Equal(w.nodes(), "abc")
 		w.s.list(next, false)
-		w.look(2 * lookEvery)
+		w.runPaced(2 * rosterInterval)
 		is.Equal(w.nodes(), "adc")
 	})
 }
@@ -236,27 +236,27 @@
 func TestFirstRoster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		w := newFixture(t)
 		w.s.list(w.k.self(), true)
 		w.s.list(others()[0], true)
-		w.run(time.Second)
+		w.runFixed(time.Second)
 		is.Equal(w.nodes(), "") // one more may come
-		w.run(roster.Gather)
+		w.runFixed(roster.Gather)
 		is.Equal(w.nodes(), "ad") // it didn't
 	})
 }
 
 // A VM with a disk is gone for good. Another must take its place within seconds, or
 // the next loss takes records with it.
-func TestPlaceOfAVMThatIsGone(t *testing.T) {
+func TestPlaceOfLostVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
 		w.s.list(others()[1], false)
-		w.run(roster.TakeOver)
+		w.runFixed(roster.TakeOver)
 		is.Equal(w.nodes(), "abc")
-		w.run(2 * lookEvery)
+		w.runFixed(2 * rosterInterval)
 		is.Equal(w.nodes(), "adc")
 	})
 }
@@ -266,27 +266,27 @@
 func TestPlaceForANewVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
-		w.k.blank, w.k.started = true, time.Now()
+		w.k.emptyDisk, w.k.started = true, time.Now()
 		w.s.list(others()[1], false)
-		w.run(roster.TakeOverNew - lookEvery)
+		w.runFixed(roster.TakeOverNew - rosterInterval)
 		is.Equal(w.nodes(), "abc")
-		w.run(2 * lookEvery)
+		w.runFixed(2 * rosterInterval)
 		is.Equal(w.nodes(), "adc")
 	})
 }
 
 // A killed process is back within two seconds. Taking its place would copy all
 // records for nothing.
-func TestPlaceOfAVMThatComesBack(t *testing.T) {
+func TestPlaceOfRestartedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
 		w.s.list(others()[1], false)
-		w.run(roster.TakeOver - lookEvery)
+		w.runFixed(roster.TakeOver - rosterInterval)
 		w.s.list(others()[1], true)
-		w.run(5 * time.Second)
+		w.runFixed(5 * time.Second)
 		is.New(t).Equal(w.nodes(), "abc")
 	})
 }
@@ -295,19 +295,19 @@
 // may be taken while they write their keys again.
 func TestKeysThatLapsedInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
 		w.s.down = true
-		w.run(5 * time.Second)
+		w.runFixed(5 * time.Second)
 		for _, m := range others() {
 			w.s.list(m, false)
 		}
 		w.s.down = false
-		w.run(2 * time.Second)
+		w.runFixed(2 * time.Second)
 		for _, m := range others() {
 			w.s.list(m, true)
 		}
-		w.run(5 * time.Second)
+		w.runFixed(5 * time.Second)
 		is.New(t).Equal(w.nodes(), "abc")
 	})
 }
@@ -315,28 +315,28 @@
 // A VM with an empty disk starts just after an outage in which all keys lapsed, or while the
 // store turns others away. It has seen no outage, and would take the place of a VM that
 // lives; one that is gone, or has lost its disk, must be replaced all the same.
-func TestPlaceOfAVMThatIsNotListed(t *testing.T) {
+func TestPlaceOfUnlistedVM(t *testing.T) {
 	cases := map[string]struct {
-		lives map[string]life
+		alive map[string]diskPeer
 		want  string
 	}{
-		"all live":          {map[string]life{"a:1": "1", "b:1": "2", "c:1": "3"}, "abc"},
-		"one is gone":       {map[string]life{"a:1": "1", "c:1": "3"}, "adc"},
-		"one lost its disk": {map[string]life{"a:1": "1", "b:1": "9", "c:1": "3"}, "adc"},
+		"all live":          {map[string]diskPeer{"a:1": "1", "b:1": "2", "c:1": "3"}, "abc"},
+		"one is gone":       {map[string]diskPeer{"a:1": "1", "c:1": "3"}, "adc"},
+		"one lost its disk": {map[string]diskPeer{"a:1": "1", "b:1": "9", "c:1": "3"}, "adc"},
 		"nothing is heard":  {nil, "dbc"},
-		"two are gone":      {map[string]life{"a:1": "1"}, "adc"},
+		"two are gone":      {map[string]diskPeer{"a:1": "1"}, "adc"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t)
+				w := newFixture(t)
 				w.started()
-				w.lives = c.lives
-				w.k.blank, w.k.started = true, time.Now()
+				w.alive = c.alive
+				w.k.emptyDisk, w.k.started = true, time.Now()
 				for _, m := range others() {
 					w.s.list(m, false)
 				}
-				w.run(2500 * time.Millisecond)
+				w.runFixed(2500 * time.Millisecond)
 				is.New(t).Equal(w.nodes(), c.want)
 			})
 		})
@@ -348,29 +348,29 @@
 func TestRetire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		w := newFixture(t)
 		w.started()
 		r, _ := roster.First(others(), 1)
 		r.Version = 5
 		r.Places[2] = roster.Place{Node: "d", Address: "d:1", Domain: "w", Life: w.k.holder.Life()}
 		set := func() {
 			data, _ := r.Encode()
-			w.s.put(scout.RosterKey, data)
+			w.s.put(discov.RosterKey, data)
 		}
 		set()
 		spare := others()[2]
 		w.s.list(spare, true)
 		w.op.want["d"] = true
-		w.run(3 * time.Second)
-		is.Equal(w.op.told, []bool{false}) // c may take the place
+		w.runFixed(3 * time.Second)
+		is.Equal(w.op.reports, []bool{false}) // c may take the place
 		r = r.WithJoined("")
 		r.Places[2] = roster.Place{Node: "c", Life: "3", Joining: true}
 		set()
-		w.run(3 * time.Second)
-		is.Equal(w.op.told, []bool{false})
+		w.runFixed(3 * time.Second)
+		is.Equal(w.op.reports, []bool{false})
 		r = r.WithJoined("3")
 		set()
-		w.run(3 * time.Second)
-		is.Equal(w.op.told, []bool{false, true})
+		w.runFixed(3 * time.Second)
+		is.Equal(w.op.reports, []bool{false, true})
 	})
 }
--- a/internal/node/keeper/retire.go
+++ b/internal/node/diskd/retire.go
@@ -1,51 +1,51 @@
-package keeper
+package diskd
 
 import (
 	"context"
 	"time"
 
 	"github.com/slaterock/slaterock/internal/disk/roster"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
 )
 
 // askOperator looks whether this VM is to be emptied, and answers when it is.
-func (k *Keeper) askOperator(ctx context.Context, s scout.State) {
-	if time.Since(k.askedAt) < askEvery {
+func (k *Daemon) checkRetirement(ctx context.Context, s discov.State) {
+	if time.Since(k.operatorReadAt) < operatorInterval {
 		return
 	}
-	k.askedAt = time.Now()
-	nodes, err := k.Operator.Retiring(ctx)
+	k.operatorReadAt = time.Now()
+	nodes, err := k.Operator.RetiringNodes(ctx)
 	if err != nil {
 		return // asked again at the next look; the scan before tells of outages
 	}
-	if asked := nodes[k.Settings.Node]; asked != k.retiring.Load() {
-		k.retiring.Store(asked)
-		k.since = time.Now()
+	if requested := nodes[k.Settings.Node]; requested != k.retiring.Load() {
+		k.retiring.Store(requested)
+		k.retiringSince = time.Now()
 		k.holder.Freeze(false)
 		k.Log.Info().Bool("retiring", k.retiring.Load()).Msg("the operator asks to empty this VM")
-		k.listed.Wake()
+		k.leased.Wake()
 	}
 	if !k.retiring.Load() {
 		return
 	}
 	_, in := s.Roster.Find(k.holder.Life())
-	if in && time.Since(k.since) > alone && !spare(s) {
-		k.leave(ctx)
+	if in && time.Since(k.retiringSince) > handOverDelay && !hasSpare(s) {
+		k.giveUpPlace(ctx)
 	}
 	complete := !in && s.Roster.Version > 0 && !joining(s.Roster)
 	state := map[bool]string{true: "complete", false: "running"}[complete]
-	if k.told == state {
+	if k.reported == state {
 		return
 	}
-	err = k.Operator.Retired(ctx, k.Settings.Node, complete)
+	err = k.Operator.ReportRetirement(ctx, k.Settings.Node, complete)
 	k.Log.Info().Err(err).Str("state", state).Msg("the operator is told")
 	if err == nil {
-		k.told = state
+		k.reported = state
 	}
 }
 
 // spare tells whether a VM without a place could take this one's.
-func spare(s scout.State) bool {
+func hasSpare(s discov.State) bool {
 	for _, m := range s.Members {
 		if _, in := s.Roster.Find(m.Life); !in && !m.Retiring {
 			return true
@@ -65,8 +65,8 @@
 
 // leave gives the place up where nobody can take it: the others get all records
 // first, so that each of them holds everything.
-func (k *Keeper) leave(ctx context.Context) {
-	r := k.scout.Roster()
+func (k *Daemon) giveUpPlace(ctx context.Context) {
+	r := k.discov.Roster()
 	if len(r.Places) <= r.Writes() {
 		return // fewer places could not bear a loss any more
 	}
@@ -77,7 +77,7 @@
 		return
 	}
 	life := k.holder.Life()
-	k.change(ctx, func(s scout.State) (roster.Roster, bool) {
+	k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		_, in := s.Roster.Find(life)
 		return s.Roster.Without(life), in && s.Roster.Version == r.Version
 	}, "place given up")
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -20,35 +20,35 @@
 const (
 	// namedMost is how many daemons callers are sent to at most: as many as an
 	// answer holds.
-	namedMost = 64
+	maxEntries = 64
 	// namedLeast is how many are named however little is asked: the loss of one
 	// then breaks off a twenty-fourth of what is under way.
-	namedLeast = 24
+	minEntries = 24
 	// underEach is how many requests one daemon should have under way. They take
 	// some 0.2 s and 0.6 ms of processor each, so it is an eighth of a VM with a
 	// fifth of a core: enough is left for a burst until more are named.
-	underEach = 8
+	requestsPerDaemon = 8
 	// narrowAfter is how long fewer daemons must be enough before fewer are named:
 	// callers open new connections when the answer changes.
-	narrowAfter = 10 * time.Second
+	shrinkDelay = 10 * time.Second
 )
 
 // breadth is to how many daemons callers are sent: few while little is asked, more
 // as it grows. Each daemon opens connections of its own to the upstreams that it uses;
 // 171 daemons before 96 upstreams opened 5,100 on a quiet day with 64 of them named,
 // 3,250 with 32. The zero value is ready.
-type breadth struct {
+type fanout struct {
 	mu sync.Mutex
 	n  int
 	at time.Time // when so many were needed last
 }
 
 // wide returns how many daemons to name while so many requests are under way.
-func (b *breadth) wide(now time.Time, under int) int {
+func (b *fanout) size(now time.Time, inFlight int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	need := min(max((under+underEach-1)/underEach, namedLeast), namedMost)
-	if need >= b.n || now.Sub(b.at) > narrowAfter {
+	need := min(max((inFlight+requestsPerDaemon-1)/requestsPerDaemon, minEntries), maxEntries)
+	if need >= b.n || now.Sub(b.at) > shrinkDelay {
 		b.n, b.at = need, now
 	}
 	return b.n
@@ -56,12 +56,12 @@
 
 // resolve tells a caller where to connect.
 func (d *Daemon) resolve(w http.ResponseWriter, _ *http.Request) {
-	list := d.named()
+	list := d.directoryEntries()
 	if len(list) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	text, err := json.Marshal(d.Names.Directory(list, min(directoryTTL, positive(d.Settings.AnswerTTL, directoryTTL))))
+	text, err := json.Marshal(d.Endpoints.Directory(list, min(directoryTTL, positive(d.Settings.AnswerTTL, directoryTTL))))
 	if err != nil {
 		d.Log.Error().Err(err).Msg("directory's answer not encoded")
 		w.WriteHeader(http.StatusInternalServerError)
@@ -74,7 +74,7 @@
 
 // named returns the daemons that callers are sent to: those that are not leaving
 // and can serve, or all that are not leaving if none can.
-func (d *Daemon) named() (well []fleet.Entry) {
+func (d *Daemon) directoryEntries() (healthy []fleet.Entry) {
 	now := time.Now()
 	p := d.rumor.Picture(now)
 	self := d.self()
@@ -91,22 +91,22 @@
 		}
 	}
 	for _, e := range all {
-		unwell := p.Alive[mesh.IDOf(e.Node)]&mesh.Unwell != 0
+		unhealthy := p.Alive[mesh.IDOf(e.Node)]&mesh.Unwell != 0
 		if e.Node == self.Node {
-			unwell = d.pulse.Down(now)
+			unhealthy = d.pulse.Down(now)
 		}
-		if !unwell {
-			well = append(well, e)
+		if !unhealthy {
+			healthy = append(healthy, e)
 		}
 	}
-	if len(well) == 0 {
-		well = all
+	if len(healthy) == 0 {
+		healthy = all
 	}
-	return foremost(well, d.breadth.wide(now, underWay(p, d.picker.Own())))
+	return largest(healthy, d.fanout.size(now, totalInFlight(p, d.picker.Own())))
 }
 
 // underWay is how many requests all daemons have under way.
-func underWay(p mesh.Picture, own map[string]int) (n int) {
+func totalInFlight(p mesh.Picture, own map[string]int) (n int) {
 	for _, load := range p.Load {
 		n += load
 	}
@@ -119,7 +119,7 @@
 // foremost returns so many daemons at most, those with the most processor first.
 // All daemons choose the same, over all failure domains: the first by name would be
 // those of one or two domains, whose loss would take half of all callers with it.
-func foremost(list []fleet.Entry, most int) []fleet.Entry {
+func largest(list []fleet.Entry, most int) []fleet.Entry {
 	if len(list) <= most {
 		return list
 	}
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -24,8 +24,8 @@
 	"github.com/slaterock/slaterock/internal/front/ration"
 	"github.com/slaterock/slaterock/internal/front/rumor"
 	"github.com/slaterock/slaterock/internal/front/upconn"
-	"github.com/slaterock/slaterock/internal/node/posted"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
+	"github.com/slaterock/slaterock/internal/node/regkey"
 	"github.com/slaterock/slaterock/internal/obs/trace"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/peer/pause"
@@ -36,20 +36,20 @@
 	// keepServing is how long after SIGTERM callers are still taken: the
 	// directory's answers that name this VM are kept for three times their
 	// time at most.
-	keepServing = 2500 * time.Millisecond
+	lameDuckTime = 2500 * time.Millisecond
 	// graceLeft is kept of the time between SIGTERM and SIGKILL.
-	graceLeft = 700 * time.Millisecond
-	sweepEach = time.Second
+	shutdownMargin = 700 * time.Millisecond
+	sweepInterval  = time.Second
 	// dialTime is how long another VM has to open a connection, and dialPause the
 	// longest pause before it is tried again. A VM without power says nothing, and
 	// the kernel would repeat a lost opening packet after a second only: callers
 	// wait while the records are there. Exchanges take 2 ms on the sites, 60 ms
 	// between far regions.
-	dialTime  = 300 * time.Millisecond
-	dialPause = 300 * time.Millisecond
+	dialTimeout    = 300 * time.Millisecond
+	maxDialBackoff = 300 * time.Millisecond
 	// probeEach is the pause between looks at whether the holders of records can
 	// be reached.
-	probeEach = 200 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
 )
 
 type (
@@ -69,7 +69,7 @@
 	}
 
 	// Names are the wire's names for the directory and the readiness check.
-	Names interface {
+	Endpoints interface {
 		Directory(entries []fleet.Entry, ttl time.Duration) any
 		DirectoryPath() string
 		ReadyPath() string
@@ -77,33 +77,33 @@
 
 	// Daemon runs the VM. Set the exported fields, then call Run.
 	Daemon struct {
-		Settings Settings
-		Store    store.Shared
-		Source   Source
-		Dialect  entry.Dialect
-		Names    Names
-		Log      zerolog.Logger
-		Scope    tally.Scope
-		Trace    *trace.Trace
+		Settings  Settings
+		Store     store.Shared
+		Source    Source
+		Dialect   entry.Dialect
+		Endpoints Endpoints
+		Log       zerolog.Logger
+		Scope     tally.Scope
+		Trace     *trace.Trace
 
-		fleet   fleet.Fleet
-		picker  pick.Picker
-		pool    upconn.Pool
-		link    link.Link
-		scout   scout.Scout
-		rumor   rumor.Rumor
-		pulse   pulse.Pulse
-		posted  posted.Posted
-		entry   entry.Entry
-		leaving atomic.Bool
-		reads   reads
-		absent  absent
-		asks    asks
-		breadth breadth
-		kept    kept
-		allow   allow.Allow
-		present present
-		names   atomic.Pointer[upstreamNames]
+		fleet       fleet.Fleet
+		picker      pick.Picker
+		pool        upconn.Pool
+		link        link.Link
+		discov      discov.Reader
+		rumor       rumor.Rumor
+		pulse       pulse.Pulse
+		regkey      regkey.Registration
+		entry       entry.Entry
+		leaving     atomic.Bool
+		readState   readState
+		silentPeers silentPeers
+		fetches     fetches
+		fanout      fanout
+		backups     backups
+		allow       allow.Allow
+		limitPeers  limitPeers
+		idCache     atomic.Pointer[upstreamIDs]
 	}
 )
 
@@ -121,10 +121,10 @@
 		return err
 	}
 	defer func() { _ = checks.Close() }()
-	posting, unpost := context.WithCancel(ctx)
-	defer unpost()
-	go d.post(posting)
-	d.await(ctx, func(v *fleet.View) bool { return v.Table != nil })
+	regCtx, stopRegistration := context.WithCancel(ctx)
+	defer stopRegistration()
+	go d.register(regCtx)
+	d.waitFor(ctx, func(v *fleet.View) bool { return v.Table != nil })
 	callers, err := d.serveCallers()
 	if err != nil {
 		return err
@@ -133,25 +133,25 @@
 	case <-stop:
 	case <-ctx.Done():
 	}
-	unpost()
+	stopRegistration()
 	d.drain(ctx, callers)
 	return nil
 }
 
 func (d *Daemon) start(ctx context.Context) error {
-	d.scout.Store = d.Store
+	d.discov.Store = d.Store
 	d.picker.Name, d.picker.Domain = d.Settings.Node, d.Settings.Domain
 	d.allow.Tolerance = d.Settings.Tolerance
 	d.picker.Idle, d.picker.Age = d.pool.Idle, d.rumor.Age
 	d.link.Address, d.link.Scope = d.Settings.Peer, d.Scope
-	d.link.DialTime, d.link.BackOff = dialTime, dialPause
-	d.link.Handle(methodKnown, link.Answer(d.tellKnown))
+	d.link.DialTime, d.link.BackOff = dialTimeout, maxDialBackoff
+	d.link.Handle(methodSnapshot, link.Answer(d.serveSnapshot))
 	if err := d.link.Start(ctx); err != nil {
 		return err
 	}
-	d.posted = posted.Posted{
-		Store: d.Store, Key: scout.FrontPrefix + d.Settings.Node, OnEnd: d.tellPosted, Stands: d.stands,
-		Data: func() []byte { return scout.FrontValue(d.self()) },
+	d.regkey = regkey.Registration{
+		Store: d.Store, Key: discov.FrontPrefix + d.Settings.Node, OnStatus: d.logRegistration, UpToDate: d.registered,
+		Data: func() []byte { return discov.FrontValue(d.self()) },
 	}
 	d.entry = entry.Entry{
 		Dialect: d.Dialect, Fleet: &d.fleet, Pool: &d.pool, Picker: &d.picker, Log: d.Log, Scope: d.Scope, Trace: d.Trace,
@@ -160,16 +160,16 @@
 	}
 	d.pulse.Records = &quorum.Client{
 		Peer:   func(address string) link.Invoker { return d.link.Peer(address) },
-		Roster: d.scout.Roster, Learn: d.scout.Learn, Refresh: d.scout.Fresh, Domain: d.Settings.Domain,
+		Roster: d.discov.Roster, Learn: d.discov.Learn, Refresh: d.discov.Rescan, Domain: d.Settings.Domain,
 	}
 	var lc net.ListenConfig
 	conn, err := lc.ListenPacket(ctx, "udp", d.Settings.Peer)
 	if err != nil {
 		return err
 	}
-	d.rumor.Conn, d.rumor.Own, d.rumor.Peers = conn, d.told, d.peers
+	d.rumor.Conn, d.rumor.Own, d.rumor.Peers = conn, d.ownTick, d.peers
 	d.rumor.Self = mesh.Peer{Node: d.Settings.Node, Address: d.Settings.Peer, Domain: d.Settings.Domain, Cores: d.Settings.Cores}
-	d.rumor.Heard, d.rumor.Changed = d.heard, d.changed
+	d.rumor.Heard, d.rumor.Changed = d.onPeerState, d.onPeersChanged
 	go func() {
 		if err := d.rumor.Run(ctx); err != nil {
 			d.Log.Error().Err(err).Msg("nothing is heard of other daemons any more")
@@ -184,8 +184,8 @@
 			d.Log.Error().Err(err).Msg("other daemons are not served any more")
 		}
 	}()
-	go d.read(ctx)
-	d.recall(ctx)
+	go d.readLoop(ctx)
+	d.restore(ctx)
 	go d.sweep(ctx)
 	go d.probe(ctx)
 	return nil
@@ -193,10 +193,10 @@
 
 // await waits until something is known, for a while: a daemon that has no
 // configuration answers 503, and its limits on callers are the usual ones.
-func (d *Daemon) await(ctx context.Context, known func(*fleet.View) bool) {
+func (d *Daemon) waitFor(ctx context.Context, cond func(*fleet.View) bool) {
 	const longest, step = time.Second, 20 * time.Millisecond
 	for range longest / step {
-		if known(d.fleet.View()) || !pause.For(ctx, step) {
+		if cond(d.fleet.View()) || !pause.For(ctx, step) {
 			return
 		}
 	}
@@ -232,10 +232,10 @@
 	d.leaving.Store(true)
 	d.entry.Leave()
 	d.rumor.Tell()
-	go d.unpost(ctx)
+	go d.deregister(ctx)
 	d.Log.Info().Int64("active", d.entry.Active()).Msg("draining")
-	pause.For(ctx, keepServing)
-	rest := max(d.Settings.Grace-keepServing-graceLeft, 0)
+	pause.For(ctx, lameDuckTime)
+	rest := max(d.Settings.Grace-lameDuckTime-shutdownMargin, 0)
 	limited, stop := context.WithTimeout(ctx, rest)
 	defer stop()
 	err := callers.Shutdown(limited)
@@ -245,17 +245,17 @@
 // probe notices when the holders of records are reached again, and logs both.
 func (d *Daemon) probe(ctx context.Context) {
 	down := false
-	for pause.For(ctx, probeEach) {
+	for pause.For(ctx, probeInterval) {
 		d.pulse.Probe(ctx)
 		if now := d.pulse.Down(time.Now()); now != down {
 			down = now
-			d.Log.Warn().Str("dependency", "records").Uint64("roster", d.scout.Roster().Version).Msg(map[bool]string{true: "lost", false: "regained"}[down])
+			d.Log.Warn().Str("dependency", "records").Uint64("roster", d.discov.Roster().Version).Msg(map[bool]string{true: "lost", false: "regained"}[down])
 		}
 	}
 }
 
 func (d *Daemon) sweep(ctx context.Context) {
-	for pause.For(ctx, sweepEach) {
+	for pause.For(ctx, sweepInterval) {
 		d.pool.Sweep(time.Now())
 		known := map[string]bool{}
 		for _, list := range d.fleet.View().Services {
@@ -264,8 +264,8 @@
 			}
 		}
 		d.picker.Forget(func(id string) bool { return known[id] })
-		d.gaugeKnowledge(time.Now())
-		d.gaugeLimits(time.Now())
+		d.reportState(time.Now())
+		d.reportLimits(time.Now())
 		d.Scope.Gauge("queued").Update(float64(d.entry.Queue.Len()))
 		d.Scope.Gauge("active").Update(float64(d.entry.Active()))
 		d.Scope.Gauge("upstream_connections_opened").Update(float64(d.pool.Opened()))
--- a/internal/node/frontd/frontd_test.go
+++ b/internal/node/frontd/frontd_test.go
@@ -19,17 +19,17 @@
 )
 
 // names has names of its own for the directory's answer.
-type names struct{}
+type testEndpoints struct{}
 
-func (names) Directory(list []fleet.Entry, _ time.Duration) any {
+func (testEndpoints) Directory(list []fleet.Entry, _ time.Duration) any {
 	var out []string
 	for _, e := range list {
 		out = append(out, e.Address)
 	}
 	return out
 }
-func (names) DirectoryPath() string { return "/directory" }
-func (names) ReadyPath() string     { return "/ready" }
+func (testEndpoints) DirectoryPath() string { return "/directory" }
+func (testEndpoints) ReadyPath() string     { return "/ready" }
 
 // addresses are of the daemons, for other daemons.
 var addresses = map[string]string{"self": "10.0.0.1:1", "a": "10.0.0.2:1", "b": "10.0.0.3:1", "c": "10.0.0.4:1", "unwell": "10.0.0.5:1"}
@@ -49,20 +49,20 @@
 
 // newDaemonAt returns a daemon that read the store at the time.
 func newDaemonAt(at time.Time, listed ...string) *Daemon {
-	d := &Daemon{Settings: Settings{Node: "self", Callers: "self"}, Names: names{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
+	d := &Daemon{Settings: Settings{Node: "self", Callers: "self"}, Endpoints: testEndpoints{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
 	r := fleet.Reading{Revision: 7, Table: route.New(1, nil, nil, route.Limits{})}
 	for _, name := range append(listed, "self") {
 		r.Entries = append(r.Entries, fleet.Entry{Node: name, Address: name, Peer: addresses[name]})
 	}
 	d.fleet.Take(at, r)
 	d.rumor.Self = mesh.Peer{Node: "self"}
-	d.rumor.Own, d.rumor.Peers = d.told, d.peers
+	d.rumor.Own, d.rumor.Peers = d.ownTick, d.peers
 	d.rumor.Conn = &outbox{}
 	d.rumor.Tell()
 	return d
 }
 
-func hear(d *Daemon, node string, leaving bool) {
+func receive(d *Daemon, node string, leaving bool) {
 	d.rumor.Take(time.Now(), mesh.Share{State: mesh.State{
 		Node: node, Sent: time.Now().UnixNano(), Peer: addresses[node], Callers: node, Leaving: leaving, Unwell: node == "unwell",
 	}})
@@ -71,10 +71,10 @@
 // The store turns a daemon away and takes its key. It lives on what the others
 // tell, so they must go on telling it: otherwise it serves with an old
 // configuration, and keeps sending to upstreams that leave.
-func TestDaemonWithoutAKeyIsTold(t *testing.T) {
+func TestUnlistedDaemonGetsDatagrams(t *testing.T) {
 	is := is.New(t)
 	d := newDaemon("a")
-	hear(d, "b", false)
+	receive(d, "b", false)
 	sent := &outbox{}
 	d.rumor.Conn = sent
 	d.rumor.Tell()
@@ -84,7 +84,7 @@
 // Nothing changes in the store for a while. One daemon reads it again and again and
 // tells so. If the others did not take that as news, each would read too, and every
 // read is paid for.
-func TestSameKnowledgeByALaterReading(t *testing.T) {
+func TestSameStateConfirmsAge(t *testing.T) {
 	const old = 5 * time.Second
 	cases := map[string]struct {
 		revision uint64 // against this daemon's
@@ -109,7 +109,7 @@
 			if !c.same {
 				w.Hash++
 			}
-			d.heard(now, w)
+			d.onPeerState(now, w)
 			age := now.Sub(d.fleet.View().Confirmed)
 			is.True(age >= c.want-time.Second && age <= c.want+time.Second)
 		})
@@ -120,22 +120,22 @@
 // Two that know nothing know the same; took they that for news of the store, of centuries
 // ago, the first reading would look like the end of an outage, and each would keep
 // upstreams that leave in the next two seconds.
-func TestDaemonThatKnowsNothingTellsNothing(t *testing.T) {
+func TestEmptyStateConfirmsNothing(t *testing.T) {
 	is := is.New(t)
-	d := &Daemon{Settings: Settings{Node: "self"}, Names: names{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
+	d := &Daemon{Settings: Settings{Node: "self"}, Endpoints: testEndpoints{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
 	other := &Daemon{Settings: Settings{Node: "a"}}
-	state := other.told().State
-	d.heard(time.Now(), state)
+	state := other.ownTick().State
+	d.onPeerState(time.Now(), state)
 	is.True(d.fleet.View().Confirmed.IsZero())
-	d.learn(fleet.Reading{Revision: 1, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}}, nil)
-	d.learn(fleet.Reading{Revision: 2}, nil)
+	d.apply(fleet.Reading{Revision: 1, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}}, nil)
+	d.apply(fleet.Reading{Revision: 2}, nil)
 	is.Equal(len(d.fleet.View().Services["s"]), 0)
 }
 
 // A daemon was cut off for five seconds. What the others put into their datagrams must
 // tell it that the store was there, or it keeps upstreams that left. That one has not
 // heard of the newest revision yet doesn't matter.
-func TestOthersTellThatTheStoreWasThere(t *testing.T) {
+func TestPeersConfirmStoreWasAvailable(t *testing.T) {
 	cases := map[string]uint64{"it knows the same": 7, "it is behind": 9}
 	for name, revision := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -147,12 +147,12 @@
 			}
 			d := newDaemonAt(now.Add(-5 * time.Second))
 			d.fleet.Take(now.Add(-5*time.Second), fleet.Reading{Revision: revision, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}})
-			state := other.told().State
+			state := other.ownTick().State
 			data, err := mesh.Encode(mesh.Share{State: state})
 			is.NoErr(err)
 			msg, err := mesh.Decode(data)
 			is.NoErr(err)
-			d.heard(now, mesh.StateOf(msg))
+			d.onPeerState(now, mesh.StateOf(msg))
 			d.fleet.Take(now, fleet.Reading{Revision: revision + 1})
 			is.Equal(len(d.fleet.View().Services["s"]), 0)
 		})
@@ -183,7 +183,7 @@
 			is := is.New(t)
 			d := newDaemon(c.listed...)
 			for node, leaving := range c.heard {
-				hear(d, node, leaving)
+				receive(d, node, leaving)
 			}
 			d.leaving.Store(c.leaving)
 			rec := httptest.NewRecorder()
@@ -212,8 +212,8 @@
 		}
 		list = append(list, e)
 	}
-	got := foremost(list, namedMost)
-	is.Equal(len(got), namedMost)
+	got := largest(list, maxEntries)
+	is.Equal(len(got), maxEntries)
 	domains, large := map[string]int{}, 0
 	for _, e := range got {
 		domains[e.Domain]++
@@ -227,24 +227,24 @@
 	}
 	is.Equal(len(domains), 6)
 	slices.Reverse(list)
-	is.Equal(foremost(list, namedMost), got) // whatever the order
-	is.Equal(foremost(list[:9], namedMost), list[:9])
+	is.Equal(largest(list, maxEntries), got) // whatever the order
+	is.Equal(largest(list[:9], maxEntries), list[:9])
 }
 
 // Hundreds of daemons start at once and each hears from all others that they know
 // more. If it asked them all, it would get the whole of what is known hundreds of
 // times, more than its memory holds. One that doesn't answer must not keep it from
 // asking another.
-func TestFewAreAsked(t *testing.T) {
+func TestConcurrentFetchesAreBounded(t *testing.T) {
 	is := is.New(t)
-	var a asks
+	var a fetches
 	var asked []string
 	for i := range 170 {
 		if node := fmt.Sprint("front-", i); a.begin(node) {
 			asked = append(asked, node)
 		}
 	}
-	is.Equal(len(asked), asksMost)
+	is.Equal(len(asked), maxFetches)
 	is.True(!a.begin(asked[0])) // it is being asked
 	a.end(asked[0])
 	is.True(a.begin("front-99"))
@@ -254,26 +254,26 @@
 // Callers are spread over more daemons than they need, and each of those opens its own
 // connections to all upstreams. In a burst more daemons must be named at once, and not
 // be dropped again in each short pause: callers would open all connections anew.
-func TestBreadth(t *testing.T) {
+func TestFanout(t *testing.T) {
 	type look struct {
 		after time.Duration
 		under int
 		want  int
 	}
 	cases := map[string][]look{
-		"little is asked":         {{0, 0, namedLeast}, {time.Second, 190, namedLeast}},
-		"a burst":                 {{0, 190, namedLeast}, {time.Second, 400, 50}, {2 * time.Second, 5000, namedMost}},
-		"a pause in a burst":      {{0, 400, 50}, {narrowAfter, 100, 50}},
-		"after a burst":           {{0, 400, 50}, {narrowAfter + time.Second, 100, namedLeast}},
+		"little is asked":         {{0, 0, minEntries}, {time.Second, 190, minEntries}},
+		"a burst":                 {{0, 190, minEntries}, {time.Second, 400, 50}, {2 * time.Second, 5000, maxEntries}},
+		"a pause in a burst":      {{0, 400, 50}, {shrinkDelay, 100, 50}},
+		"after a burst":           {{0, 400, 50}, {shrinkDelay + time.Second, 100, minEntries}},
 		"a burst that goes on":    {{0, 400, 50}, {9 * time.Second, 400, 50}, {12 * time.Second, 100, 50}},
-		"the target's usual load": {{0, 2400, namedMost}},
+		"the target's usual load": {{0, 2400, maxEntries}},
 	}
 	for name, looks := range cases {
 		t.Run(name, func(t *testing.T) {
-			var b breadth
+			var b fanout
 			start := time.Unix(1000, 0)
 			for _, l := range looks {
-				is.New(t).Equal(b.wide(start.Add(l.after), l.under), l.want)
+				is.New(t).Equal(b.size(start.Add(l.after), l.under), l.want)
 			}
 		})
 	}
--- a/internal/node/frontd/limits_test.go
+++ b/internal/node/frontd/limits_test.go
@@ -13,7 +13,7 @@
 // Daemons that are cut off still serve, so they count among those that share the limits
 // until they have stopped by themselves. Counted too short, both sides of a cut take the
 // whole; a daemon that goes on alone takes a part that others think they have.
-func TestWhoSharesTheLimits(t *testing.T) {
+func TestLimitPeers(t *testing.T) {
 	all, some := []string{"self", "a", "b", "c"}, []string{"self", "a"}
 	cases := map[string]struct {
 		nodes  []string // listed or heard of since all were
@@ -24,33 +24,33 @@
 	}{
 		"all are there":                   {all, 4, time.Hour, 4, 4},
 		"two are not heard":               {all, 2, time.Hour, 2, 4},
-		"two are gone, for a while":       {some, 2, countFor - time.Second, 2, 4},
-		"two are gone, for long":          {some, 2, countFor + time.Second, 2, 2},
-		"this one hears nobody":           {all, 1, holdFor - time.Second, 1, 4},
-		"this one hears nobody, for long": {all, 1, holdFor + time.Second, 0, 4},
+		"two are gone, for a while":       {some, 2, peerExpiry - time.Second, 2, 4},
+		"two are gone, for long":          {some, 2, peerExpiry + time.Second, 2, 2},
+		"this one hears nobody":           {all, 1, isolationTimeout - time.Second, 1, 4},
+		"this one hears nobody, for long": {all, 1, isolationTimeout + time.Second, 0, 4},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var p present
+			var p limitPeers
 			now := time.Unix(1000, 0)
-			p.look(now, all, 4)
+			p.count(now, all, 4)
 			for range int(c.lasts / time.Second) {
 				now = now.Add(time.Second)
-				p.look(now, c.nodes, c.heard)
+				p.count(now, c.nodes, c.heard)
 			}
-			h := p.look(now, c.nodes, c.heard)
+			h := p.count(now, c.nodes, c.heard)
 			is.Equal([]int{h.Fronts, h.All}, []int{c.fronts, c.all})
 		})
 	}
-	is.New(t).True(holdFor < countFor)
+	is.New(t).True(isolationTimeout < peerExpiry)
 }
 
-func TestUseIsOfKnownAccounts(t *testing.T) {
+func TestUseByKnownAccount(t *testing.T) {
 	is := is.New(t)
 	a, err := accnt.New([]accnt.Account{{Name: "cafe"}, {Name: "bar"}})
 	is.NoErr(err)
-	var p present
-	is.Equal(p.byName(a, map[mesh.ID]int{mesh.IDOf("cafe"): 3, mesh.IDOf("gone"): 2}), map[string]int{"cafe": 3})
-	is.Equal(len(p.byName(nil, map[mesh.ID]int{mesh.IDOf("cafe"): 3})), 0)
+	var p limitPeers
+	is.Equal(p.byAccount(a, map[mesh.ID]int{mesh.IDOf("cafe"): 3, mesh.IDOf("gone"): 2}), map[string]int{"cafe": 3})
+	is.Equal(len(p.byAccount(nil, map[mesh.ID]int{mesh.IDOf("cafe"): 3})), 0)
 }
--- a/internal/node/frontd/read.go
+++ b/internal/node/frontd/read.go
@@ -21,31 +21,31 @@
 	// all. A leaving upstream may get requests for two seconds, which must
 	// hold the age, the call and two exchanges between daemons. Each call a
 	// second costs as much as 0.1 VMs.
-	readEvery = 500 * time.Millisecond
+	readInterval = 500 * time.Millisecond
 	// readRank is added for each daemon that comes before this one, so that the
 	// next one reads only if the first did not.
-	readRank = 130 * time.Millisecond
-	readLook = 40 * time.Millisecond
+	rankDelay     = 130 * time.Millisecond
+	checkInterval = 40 * time.Millisecond
 	// loneMost spreads the second readings of daemons that know of no others yet, in
 	// the first startTime of their lives. Of 171 that start together each read four
 	// times until all were listed, half of what a quiet day asks of the store;
 	// the first to read again tells the others.
-	loneMost  = 2 * time.Second
-	startTime = 5 * time.Second
+	maxStartJitter = 2 * time.Second
+	startupTime    = 5 * time.Second
 	// backOff bounds the pause after failed reads; others may reach the store.
-	backOffLeast = 300 * time.Millisecond
-	backOffMost  = 1500 * time.Millisecond
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 1500 * time.Millisecond
 	// oldAge is the age from which a request without a route has everything
 	// read anew before its caller is told that there is none. An added route
 	// must be served within two seconds.
-	oldAge = time.Second
+	staleAge = time.Second
 	// hearFirst is how long a daemon that didn't run for a while listens to the others
 	// before it reads: a report and its answer. What it knows is old. If it read at
 	// once it would take upstreams that left meanwhile for some whose entries lapsed
 	// in an outage, until another one tells that the store was there.
-	hearFirst = 300 * time.Millisecond
+	resumeDelay = 300 * time.Millisecond
 	// freshPause is the shortest pause between reads that requests ask for.
-	freshPause = 250 * time.Millisecond
+	minRefreshInterval = 250 * time.Millisecond
 )
 
 type (
@@ -59,48 +59,48 @@
 	}
 
 	// reads is what is kept between reads.
-	reads struct {
-		mu    sync.Mutex
-		asked time.Time // last read for a request's sake
-		bad   map[string]bool
+	readState struct {
+		mu          sync.Mutex
+		refreshedAt time.Time // last read for a request's sake
+		logged      map[string]bool
 	}
 )
 
 // read keeps knowledge new until ctx ends.
-func (d *Daemon) read(ctx context.Context) {
+func (d *Daemon) readLoop(ctx context.Context) {
 	wait := time.Duration(0)
-	began, lone := time.Now(), rand.N(loneMost)
+	began, jitter := time.Now(), rand.N(maxStartJitter)
 	var ran awake.Awake
-	var listen time.Time // no reading before then
+	var resumeAt time.Time // no reading before then
 	for {
 		v := d.fleet.View()
-		if now := time.Now(); now.Before(listen) || now.Sub(v.Confirmed) < d.readAge(v, now.Sub(began), lone) {
+		if now := time.Now(); now.Before(resumeAt) || now.Sub(v.Confirmed) < d.maxAge(v, now.Sub(began), jitter) {
 			wait = 0
 		} else if err := d.readStore(ctx); err != nil {
-			wait = min(max(2*wait, backOffLeast), backOffMost)
+			wait = min(max(2*wait, minBackoff), maxBackoff)
 		} else {
 			wait = 0
 		}
-		due := readLook + wait/2 + rand.N(wait/2+1)
+		due := checkInterval + wait/2 + rand.N(wait/2+1)
 		ran.Look(time.Now(), due)
 		if !pause.For(ctx, due) {
 			return
 		}
 		if away, stood := ran.Look(time.Now(), due); away > 0 {
 			d.Log.Warn().Dur("away_ms", away).Dur("clock_stood_ms", stood).Msg("this process did not run for a while")
-			d.learn(fleet.Slept{For: stood}, nil)
+			d.apply(fleet.Slept{For: stood}, nil)
 			d.allow.Forget(time.Now())
-			listen = time.Now().Add(hearFirst)
+			resumeAt = time.Now().Add(resumeDelay)
 		}
 	}
 }
 
 // readAge is the age at which this daemon reads what it knows anew.
-func (d *Daemon) readAge(v *fleet.View, lived, lone time.Duration) time.Duration {
-	if lived < startTime && len(d.others(mesh.Picture{})) == 0 && v.Table == nil {
-		return readEvery + lone
+func (d *Daemon) maxAge(v *fleet.View, uptime, jitter time.Duration) time.Duration {
+	if uptime < startupTime && len(d.others(mesh.Picture{})) == 0 && v.Table == nil {
+		return readInterval + jitter
 	}
-	return readEvery + time.Duration(d.rumor.Rank(time.Now()))*readRank
+	return readInterval + time.Duration(d.rumor.Rank(time.Now()))*rankDelay
 }
 
 func (d *Daemon) readStore(ctx context.Context) error {
@@ -108,34 +108,34 @@
 	n, others, bad, err := d.Source.Read(ctx)
 	if err != nil {
 		if ctx.Err() == nil { // or a caller left who wanted it read
-			d.learn(fleet.Outage{}, err)
+			d.apply(fleet.Outage{}, err)
 		}
 		return err
 	}
 	d.Scope.Gauge("entries_unusable").Update(float64(len(bad)))
 	for _, e := range bad {
-		d.tellBad(e)
+		d.logUnusable(e)
 	}
-	if err = d.scout.Take(others, store.Rev(n.Revision)); err != nil {
-		d.tellBad(err)
+	if err = d.discov.Apply(others, store.Rev(n.Revision)); err != nil {
+		d.logUnusable(err)
 	}
-	n.Entries = d.scout.State().Entries
-	d.learnAt(asked, n, nil)
+	n.Entries = d.discov.State().Entries
+	d.applyAt(asked, n, nil)
 	d.rumor.Tell() // at once, so that the next in rank need not read
-	d.keep(ctx)
-	d.removeGone(ctx)
+	d.backUp(ctx)
+	d.removeLost(ctx)
 	return nil
 }
 
 // tellBad logs an entry that can't be used, once for each fault.
-func (d *Daemon) tellBad(err error) {
-	d.reads.mu.Lock()
-	defer d.reads.mu.Unlock()
-	if d.reads.bad == nil || len(d.reads.bad) > 1000 {
-		d.reads.bad = map[string]bool{}
-	}
-	if text := err.Error(); !d.reads.bad[text] {
-		d.reads.bad[text] = true
+func (d *Daemon) logUnusable(err error) {
+	d.readState.mu.Lock()
+	defer d.readState.mu.Unlock()
+	if d.readState.logged == nil || len(d.readState.logged) > 1000 {
+		d.readState.logged = map[string]bool{}
+	}
+	if text := err.Error(); !d.readState.logged[text] {
+		d.readState.logged[text] = true
 		d.Log.Warn().Err(err).Msg("entry can't be used")
 	}
 }
@@ -143,24 +143,24 @@
 // refreshConfig reads everything for a request without a route, if what is known
 // is old and that was not tried a moment ago.
 func (d *Daemon) refreshConfig(ctx context.Context) {
-	if time.Since(d.fleet.View().Confirmed) < oldAge {
+	if time.Since(d.fleet.View().Confirmed) < staleAge {
 		return
 	}
-	d.reads.mu.Lock()
-	soon := time.Since(d.reads.asked) < freshPause
+	d.readState.mu.Lock()
+	soon := time.Since(d.readState.refreshedAt) < minRefreshInterval
 	if !soon {
-		d.reads.asked = time.Now()
+		d.readState.refreshedAt = time.Now()
 	}
-	d.reads.mu.Unlock()
+	d.readState.mu.Unlock()
 	if !soon {
 		_ = d.readStore(ctx) // the request goes on with what is known
 	}
 }
 
 // learn takes news and logs what changed.
-func (d *Daemon) learn(n fleet.News, cause error) { d.learnAt(time.Now(), n, cause) }
+func (d *Daemon) apply(n fleet.News, cause error) { d.applyAt(time.Now(), n, cause) }
 
-func (d *Daemon) learnAt(now time.Time, n fleet.News, cause error) {
+func (d *Daemon) applyAt(now time.Time, n fleet.News, cause error) {
 	for _, c := range d.fleet.Take(now, n) {
 		line := d.Log.Info()
 		switch c.What {
@@ -194,11 +194,11 @@
 
 // silent drops the HTTP server's own log lines: a caller that breaks off is no
 // event of the daemon's.
-func silent() *log.Logger { return log.New(io.Discard, "", 0) }
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // gaugeKnowledge shows what is believed, for when the lines that tell how it came to be
 // believed are not kept any more.
-func (d *Daemon) gaugeKnowledge(now time.Time) {
+func (d *Daemon) reportState(now time.Time) {
 	v := d.fleet.View()
 	if v.Confirmed.IsZero() {
 		return
--- a/internal/node/frontd/read_test.go
+++ b/internal/node/frontd/read_test.go
@@ -12,19 +12,19 @@
 )
 
 // slow is a store that answers when its caller gives up.
-type slow struct{ Source }
+type blockingSource struct{ Source }
 
-func (slow) Read(ctx context.Context) (r fleet.Reading, others []store.Entry, bad []error, err error) {
+func (blockingSource) Read(ctx context.Context) (r fleet.Reading, others []store.Entry, bad []error, err error) {
 	<-ctx.Done()
 	return r, nil, nil, ctx.Err()
 }
 
 // A request without a route has everything read anew, and its caller leaves before the
 // store has answered. The log must not tell of an outage that there wasn't.
-func TestCallerThatLeavesIsNoOutage(t *testing.T) {
+func TestCancelledRefreshIsNoOutage(t *testing.T) {
 	is := is.New(t)
 	d := newDaemonAt(time.Now().Add(-5 * time.Second))
-	d.Source = slow{}
+	d.Source = blockingSource{}
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	d.refreshConfig(ctx)
--- a/internal/node/frontd/posting.go
+++ b/internal/node/frontd/register.go
@@ -9,9 +9,9 @@
 
 // post has this daemon listed in the store, unless the first reading shows that it
 // still is. Others can't tell it anything before.
-func (d *Daemon) post(ctx context.Context) {
-	d.await(ctx, func(v *fleet.View) bool { return !v.Confirmed.IsZero() })
-	d.posted.Run(ctx)
+func (d *Daemon) register(ctx context.Context) {
+	d.waitFor(ctx, func(v *fleet.View) bool { return !v.Confirmed.IsZero() })
+	d.regkey.Run(ctx)
 }
 
 // self is this daemon as it is listed in the store.
@@ -23,9 +23,9 @@
 }
 
 // stands tells whether the store lists this daemon as it is.
-func (d *Daemon) stands() bool { return slices.Contains(d.fleet.View().Entries, d.self()) }
+func (d *Daemon) registered() bool { return slices.Contains(d.fleet.View().Entries, d.self()) }
 
-func (d *Daemon) tellPosted(err error) {
+func (d *Daemon) logRegistration(err error) {
 	if err != nil {
 		d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: the daemon's key is not written")
 		return
@@ -34,8 +34,8 @@
 }
 
 // unpost removes this daemon's key.
-func (d *Daemon) unpost(ctx context.Context) {
-	if err := d.posted.Remove(ctx); err != nil && ctx.Err() == nil {
+func (d *Daemon) deregister(ctx context.Context) {
+	if err := d.regkey.Remove(ctx); err != nil && ctx.Err() == nil {
 		d.Log.Warn().Err(err).Str("dependency", "store").Msg("the daemon's key is left to the others")
 	}
 }
--- a/internal/node/frontd/serve.go
+++ b/internal/node/frontd/serve.go
@@ -12,20 +12,20 @@
 const (
 	// headerTime, idleTime and headerBytes hold until a configuration says
 	// otherwise.
-	headerTime  = 3 * time.Second
-	idleTime    = 15 * time.Second
-	headerBytes = 16 << 10
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = 15 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
 func (d *Daemon) serveChecks(ctx context.Context) (srv *http.Server, err error) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+d.Names.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+d.Endpoints.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
 		if !d.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	mux.HandleFunc("GET "+d.Names.DirectoryPath(), d.resolve)
-	srv = &http.Server{Handler: mux, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: silent()}
+	mux.HandleFunc("GET "+d.Endpoints.DirectoryPath(), d.resolve)
+	srv = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog()}
 	for _, address := range []string{d.Settings.Ready, d.Settings.Directory} {
 		if address == "" {
 			continue
@@ -47,12 +47,12 @@
 
 func (d *Daemon) serveCallers() (srv *http.Server, err error) {
 	srv = &http.Server{
-		Handler: &d.entry, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes, ErrorLog: silent(),
+		Handler: &d.entry, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: discardLog(),
 	}
 	if t := d.fleet.View().Table; t != nil {
-		srv.ReadHeaderTimeout = positive(t.Limits.HeaderTime, headerTime)
-		srv.IdleTimeout = positive(t.Limits.IdleTime, idleTime)
-		srv.MaxHeaderBytes = positive(t.Limits.HeaderBytes, headerBytes)
+		srv.ReadHeaderTimeout = positive(t.Limits.HeaderTime, headerTimeout)
+		srv.IdleTimeout = positive(t.Limits.IdleTime, idleTimeout)
+		srv.MaxHeaderBytes = positive(t.Limits.HeaderBytes, maxHeaderBytes)
 	}
 	ln, err := listen(context.Background(), d.Settings.Callers)
 	if err != nil {
--- a/internal/node/frontd/absent.go
+++ b/internal/node/frontd/silent.go
@@ -6,7 +6,7 @@
 
 	"github.com/slaterock/slaterock/internal/front/fleet"
 	"github.com/slaterock/slaterock/internal/front/mesh"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
 )
 
 // A daemon that takes callers has a key without a lease, which stays behind when
@@ -17,24 +17,24 @@
 
 // goneFor is how long a daemon must be silent before its key is removed: longer than
 // VMs take to start again, or are cut off as a rule.
-const goneFor = 30 * time.Second
+const lostAfter = 30 * time.Second
 
 // looksApart is the longest pause between two looks after which silence is one: daemons
 // start again within two seconds. Only the one that reads for all looks, twice a second.
-const looksApart = 2 * time.Second
+const maxCheckGap = 2 * time.Second
 
 // absent keeps since when listed daemons have been silent. The zero value is ready.
-type absent struct {
-	since  map[string]time.Time
-	looked time.Time
+type silentPeers struct {
+	since     map[string]time.Time
+	checkedAt time.Time
 }
 
 // note returns a daemon that has been silent for long, if there is one.
-func (a *absent) note(now time.Time, others []fleet.Entry, p mesh.Picture) (node string, found bool) {
-	if now.Sub(a.looked) > looksApart {
+func (a *silentPeers) check(now time.Time, others []fleet.Entry, p mesh.Picture) (node string, found bool) {
+	if now.Sub(a.checkedAt) > maxCheckGap {
 		a.since = nil
 	}
-	a.looked = now
+	a.checkedAt = now
 	if !p.Trusted(len(others)) {
 		a.since = nil
 		return "", false
@@ -48,7 +48,7 @@
 		if since, known := a.since[e.Node]; known {
 			next[e.Node] = since
 		}
-		if now.Sub(next[e.Node]) >= goneFor {
+		if now.Sub(next[e.Node]) >= lostAfter {
 			node, found = e.Node, true
 		}
 	}
@@ -57,12 +57,12 @@
 }
 
 // removeGone removes the key of a daemon that has been silent for long.
-func (d *Daemon) removeGone(ctx context.Context) {
+func (d *Daemon) removeLost(ctx context.Context) {
 	now := time.Now()
-	node, found := d.absent.note(now, d.others(mesh.Picture{}), d.rumor.Picture(now))
+	node, found := d.silentPeers.check(now, d.others(mesh.Picture{}), d.rumor.Picture(now))
 	if !found {
 		return
 	}
-	err := d.Store.Remove(ctx, scout.FrontPrefix+node)
-	d.Log.Info().Err(err).Str("peer", node).Dur("silent_ms", goneFor).Msg("key of a daemon that is gone removed")
+	err := d.Store.Remove(ctx, discov.FrontPrefix+node)
+	d.Log.Info().Err(err).Str("peer", node).Dur("silent_ms", lostAfter).Msg("key of a daemon that is gone removed")
 }
--- a/internal/node/frontd/absent_test.go
+++ b/internal/node/frontd/silent_test.go
@@ -29,7 +29,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var a absent
+			var a silentPeers
 			gone := ""
 			now := time.Unix(1000, 0)
 			for i := range 64 {
@@ -38,7 +38,7 @@
 					p.Alive[mesh.IDOf(node)] = 0
 					p.Fronts++
 				}
-				if node, found := a.note(now.Add(time.Duration(i)*time.Second/2), listed, p); found {
+				if node, found := a.check(now.Add(time.Duration(i)*time.Second/2), listed, p); found {
 					gone = node
 				}
 			}
@@ -50,23 +50,23 @@
 // A daemon reads for all for a while and misses another that starts again. Later it reads
 // for all once more, just as that other one starts again: it was never silent for long,
 // and its key must stay.
-func TestSilenceBetweenLooksDoesNotCount(t *testing.T) {
+func TestSilenceNeedsContinuousChecks(t *testing.T) {
 	cases := map[string]struct {
 		between time.Duration // looks
 		gone    bool
 	}{
 		"it looked all the time":            {time.Second, true},
-		"it did not look for half a minute": {goneFor, false},
+		"it did not look for half a minute": {lostAfter, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var a absent
+			var a silentPeers
 			listed := []fleet.Entry{{Node: "a"}, {Node: "b"}}
 			p := mesh.Picture{Alive: map[mesh.ID]mesh.Mark{mesh.IDOf("a"): 0}, Fronts: 2}
 			now := time.Unix(1000, 0)
 			found := false
-			for at := time.Duration(0); at <= goneFor; at += c.between {
-				_, found = a.note(now.Add(at), listed, p)
+			for at := time.Duration(0); at <= lostAfter; at += c.between {
+				_, found = a.check(now.Add(at), listed, p)
 			}
 			is.New(t).Equal(found, c.gone)
 		})
--- a/internal/node/frontd/known.go
+++ b/internal/node/frontd/state.go
@@ -12,17 +12,17 @@
 
 const (
 	// askTime bounds what is asked of another daemon.
-	askTime = 700 * time.Millisecond
+	peerTimeout = 700 * time.Millisecond
 	// asksMost is how many daemons are asked at a time for the same news: a
 	// second one in case the first is about to stop.
-	asksMost = 2
+	maxFetches = 2
 
-	methodKnown = "fleet.known"
+	methodSnapshot = "fleet.known"
 )
 
 type (
 	// known is what a daemon tells another.
-	known struct {
+	snapshot struct {
 		Revision  uint64           `cbor:"1,keyasint"`
 		Age       int64            `cbor:"2,keyasint"` // milliseconds
 		Config    []byte           `cbor:"3,keyasint"`
@@ -36,29 +36,29 @@
 	}
 
 	// have is what a daemon that asks another knows already.
-	have struct {
+	baseline struct {
 		Hash    uint64 `cbor:"1,keyasint"` // of its state
 		Version int64  `cbor:"2,keyasint"` // of its configuration
 	}
 
 	// asks keeps which daemons are being asked. The zero value is ready.
-	asks struct {
+	fetches struct {
 		mu   sync.Mutex
 		busy map[string]bool
 	}
 
 	// upstreamNames has the ids of upstreams by their short forms.
-	upstreamNames struct {
+	upstreamIDs struct {
 		hash   uint64 // of the knowledge that they are from
 		lapsed int    // how many of them the store did not list
-		of     map[mesh.ID]string
+		byHash map[mesh.ID]string
 	}
 )
 
 // told is what this daemon tells the others.
-func (d *Daemon) told() mesh.Tick {
+func (d *Daemon) ownTick() mesh.Tick {
 	v := d.fleet.View()
-	return mesh.Tick{Load: short(d.picker.Own()), Used: short(d.allow.Used(time.Now())), State: mesh.State{
+	return mesh.Tick{Load: toIDs(d.picker.Own()), Used: toIDs(d.allow.Used(time.Now())), State: mesh.State{
 		Node: d.Settings.Node, Peer: d.Settings.Peer, Callers: d.Settings.Callers,
 		Leaving: !d.ready(), Unwell: d.pulse.Down(time.Now()),
 		Revision: v.Revision, Hash: v.Hash, Age: time.Since(v.Confirmed).Milliseconds(), Steady: v.Steady().Milliseconds(),
@@ -66,7 +66,7 @@
 }
 
 // short has short forms in place of names.
-func short(counts map[string]int) map[mesh.ID]int {
+func toIDs(counts map[string]int) map[mesh.ID]int {
 	out := make(map[mesh.ID]int, len(counts))
 	for name, n := range counts {
 		out[mesh.IDOf(name)] = n
@@ -76,7 +76,7 @@
 
 // named has names in place of their short forms. What this daemon doesn't know yet is
 // left out: it gets nothing from it either.
-func named(counts map[mesh.ID]int, names map[mesh.ID]string) map[string]int {
+func toNames(counts map[mesh.ID]int, names map[mesh.ID]string) map[string]int {
 	out := make(map[string]int, len(counts))
 	for id, n := range counts {
 		if name, known := names[id]; known {
@@ -87,23 +87,23 @@
 }
 
 // changed takes what all other daemons have under way and let in.
-func (d *Daemon) changed(p mesh.Picture) {
-	d.hearUse(p)
-	d.picker.Heard(named(p.Load, d.upstreamNames().of), p.Fronts-1)
+func (d *Daemon) onPeersChanged(p mesh.Picture) {
+	d.updateLimits(p)
+	d.picker.Heard(toNames(p.Load, d.upstreamIDs().byHash), p.Fronts-1)
 	d.entry.Heard()
 }
 
 // upstreamNames returns the ids of the upstreams that are known now.
-func (d *Daemon) upstreamNames() *upstreamNames {
+func (d *Daemon) upstreamIDs() *upstreamIDs {
 	v := d.fleet.View()
-	if n := d.names.Load(); n != nil && n.hash == v.Hash && n.lapsed == len(v.Lapsed) {
+	if n := d.idCache.Load(); n != nil && n.hash == v.Hash && n.lapsed == len(v.Lapsed) {
 		return n
 	}
-	n := &upstreamNames{hash: v.Hash, lapsed: len(v.Lapsed), of: make(map[mesh.ID]string, len(v.Upstreams))}
+	n := &upstreamIDs{hash: v.Hash, lapsed: len(v.Lapsed), byHash: make(map[mesh.ID]string, len(v.Upstreams))}
 	for _, u := range v.All() {
-		n.of[mesh.IDOf(u.ID)] = u.ID
+		n.byHash[mesh.IDOf(u.ID)] = u.ID
 	}
-	d.names.Store(n)
+	d.idCache.Store(n)
 	return n
 }
 
@@ -116,30 +116,30 @@
 // Hundreds of daemons may tell of something newer at once. One or two are asked, so
 // that a start of all doesn't fill memory and links with answers that say the same; if
 // none answers, the next one heard is asked.
-func (d *Daemon) heard(_ time.Time, s mesh.State) {
+func (d *Daemon) onPeerState(_ time.Time, s mesh.State) {
 	if s.Revision == 0 {
 		return // it has just started and knows nothing
 	}
 	v := d.fleet.View()
 	age := time.Duration(s.Age) * time.Millisecond
-	d.learn(fleet.Heard{Age: age, Steady: time.Duration(s.Steady) * time.Millisecond}, nil)
+	d.apply(fleet.Heard{Age: age, Steady: time.Duration(s.Steady) * time.Millisecond}, nil)
 	if s.Revision < v.Revision || s.Revision == v.Revision && s.Hash != v.Hash {
 		return
 	}
 	if s.Hash == v.Hash {
-		d.learn(fleet.Confirmed{Revision: s.Revision, Age: age}, nil)
+		d.apply(fleet.Confirmed{Revision: s.Revision, Age: age}, nil)
 		return
 	}
-	if d.asks.begin(s.Node) {
-		go d.askPeer(s)
+	if d.fetches.begin(s.Node) {
+		go d.fetchSnapshot(s)
 	}
 }
 
 // begin is true if the daemon is to be asked now. End must be called then.
-func (a *asks) begin(node string) bool {
+func (a *fetches) begin(node string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.busy[node] || len(a.busy) >= asksMost {
+	if a.busy[node] || len(a.busy) >= maxFetches {
 		return false
 	}
 	if a.busy == nil {
@@ -149,20 +149,20 @@
 	return true
 }
 
-func (a *asks) end(node string) {
+func (a *fetches) end(node string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.busy, node)
 }
 
-func (d *Daemon) askPeer(e mesh.State) {
-	ctx, stop := context.WithTimeout(d.entry.Stop, askTime)
+func (d *Daemon) fetchSnapshot(e mesh.State) {
+	ctx, stop := context.WithTimeout(d.entry.Stop, peerTimeout)
 	defer stop()
-	var k known
-	err := link.Ask(ctx, d.link.Peer(e.Peer), methodKnown, d.have(), &k)
-	d.asks.end(e.Node)
+	var k snapshot
+	err := link.Ask(ctx, d.link.Peer(e.Peer), methodSnapshot, d.baseline(), &k)
+	d.fetches.end(e.Node)
 	if err == nil {
-		err = d.takeKnown(k, 0)
+		err = d.applySnapshot(k, 0)
 	}
 	if err != nil && d.entry.Stop.Err() == nil {
 		d.Log.Warn().Err(err).Str("peer", e.Node).Msg("newer knowledge not got from a daemon")
@@ -170,7 +170,7 @@
 }
 
 // takeKnown learns what another daemon knew, some time ago.
-func (d *Daemon) takeKnown(k known, ago time.Duration) error {
+func (d *Daemon) applySnapshot(k snapshot, ago time.Duration) error {
 	t := fleet.Told{Age: time.Duration(k.Age)*time.Millisecond + ago}
 	if k.Delta != nil {
 		var ok bool
@@ -188,15 +188,15 @@
 		}
 	}
 	if len(k.Roster) > 0 {
-		d.scout.Learn(k.Roster)
+		d.discov.Learn(k.Roster)
 	}
-	d.learn(t, nil)
+	d.apply(t, nil)
 	return nil
 }
 
-func (d *Daemon) have() have {
+func (d *Daemon) baseline() baseline {
 	v := d.fleet.View()
-	h := have{Hash: v.Hash}
+	h := baseline{Hash: v.Hash}
 	if v.Table != nil {
 		h.Version = v.Table.Version
 	}
@@ -207,7 +207,7 @@
 //
 // It tells differences where it can: with a thousand upstreams the whole is 0.2 MB,
 // and a hundred daemons that ask for it at every change fill the links.
-func (d *Daemon) tellKnown(_ context.Context, h have) (k known, err error) {
+func (d *Daemon) serveSnapshot(_ context.Context, h baseline) (k snapshot, err error) {
 	delta, ok := d.fleet.Since(h.Hash)
 	v := d.fleet.View()
 	k.Revision, k.Age = v.Revision, time.Since(v.Confirmed).Milliseconds()
@@ -219,7 +219,7 @@
 	if v.Table != nil && v.Table.Version != h.Version {
 		k.Config, k.ConfigRev = v.Table.Text, v.Table.Revision
 	}
-	if r := d.scout.Roster(); r.Version > 0 {
+	if r := d.discov.Roster(); r.Version > 0 {
 		k.Roster, err = r.Encode()
 	}
 	return k, err
--- a/internal/node/listed/listed.go
+++ b/internal/node/leased/leased.go
@@ -5,7 +5,7 @@
 // store may revoke the lease, lose the answer to a renewal, or be away longer
 // than the lease lasts; the key is then written again under a new lease as soon
 // as the store answers.
-package listed
+package leased
 
 import (
 	"bytes"
@@ -24,20 +24,20 @@
 	TTL = 2 * time.Second
 	// renewals is how many fit into a lease, so that one may fail before the
 	// key lapses.
-	renewals = 2.7
+	renewalsPerTTL = 2.7
 	// endTime bounds the last call of a daemon that stops.
-	endTime = 700 * time.Millisecond
+	revokeTimeout = 700 * time.Millisecond
 	// backOff bounds the pause after failures, so that an outage isn't
 	// followed by a storm of calls.
-	backOff = 1200 * time.Millisecond
+	maxBackoff = 1200 * time.Millisecond
 )
 
 // Listed keeps one key. Set the fields, then call Run.
-type Listed struct {
-	Store store.Shared
-	Key   string
-	Data  func() []byte // the value; written again when it changes
-	OnEnd func(error)   // told when the key may have lapsed, and nil when it stands again
+type Registration struct {
+	Store    store.Shared
+	Key      string
+	Data     func() []byte // the value; written again when it changes
+	OnStatus func(error)   // told when the key may have lapsed, and nil when it stands again
 
 	lease   store.Lease
 	written []byte
@@ -46,14 +46,14 @@
 }
 
 // Init makes the value ready for Wake. Run calls it if need be.
-func (l *Listed) Init() {
+func (l *Registration) Init() {
 	if l.wake == nil {
 		l.wake = make(chan struct{}, 1)
 	}
 }
 
 // Wake has the value looked at again now.
-func (l *Listed) Wake() {
+func (l *Registration) Wake() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -61,44 +61,44 @@
 }
 
 // Run keeps the key until ctx ends, and removes it then.
-func (l *Listed) Run(ctx context.Context) {
+func (l *Registration) Run(ctx context.Context) {
 	l.Init()
-	renew := time.Duration(TTL.Seconds() / renewals * float64(time.Second))
+	renew := time.Duration(TTL.Seconds() / renewalsPerTTL * float64(time.Second))
 	wait := renew
 	for {
 		err := l.step(ctx)
 		if ctx.Err() != nil {
-			l.remove()
+			l.revoke()
 			return
 		}
-		l.tell(err)
+		l.report(err)
 		if err == nil {
 			wait = renew
 		} else {
-			wait = min(2*wait, backOff)
+			wait = min(2*wait, maxBackoff)
 		}
 		select {
 		case <-time.After(wait*4/5 + rand.N(wait/5)):
 		case <-l.wake:
 		case <-ctx.Done():
-			l.remove()
+			l.revoke()
 			return
 		}
 	}
 }
 
-func (l *Listed) tell(err error) {
+func (l *Registration) report(err error) {
 	if down := err != nil; down != l.down {
 		l.down = down
-		if l.OnEnd != nil {
-			l.OnEnd(err)
+		if l.OnStatus != nil {
+			l.OnStatus(err)
 		}
 	}
 }
 
 // step renews the lease or writes the key. A lease of which nothing is known
 // any more is left to lapse.
-func (l *Listed) step(ctx context.Context) error {
+func (l *Registration) step(ctx context.Context) error {
 	if l.lease != 0 {
 		err := l.Store.Renew(ctx, l.lease)
 		if errors.Is(err, store.ErrLapsed) {
@@ -127,11 +127,11 @@
 }
 
 // remove ends the lease, so that nobody has to wait until it lapses.
-func (l *Listed) remove() {
+func (l *Registration) revoke() {
 	if l.lease == 0 {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), endTime)
+	ctx, stop := context.WithTimeout(context.Background(), revokeTimeout)
 	defer stop()
 	_ = l.Store.Revoke(ctx, l.lease) // it lapses by itself otherwise
 }
--- a/internal/node/listed/listed_test.go
+++ b/internal/node/leased/leased_test.go
@@ -1,4 +1,4 @@
-package listed
+package leased
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 // fake is a store with leases that lapse.
-type fake struct {
+type fakeStore struct {
 	store.Shared
 	mu     sync.Mutex
 	down   bool
@@ -24,7 +24,7 @@
 	holder map[string]store.Lease
 }
 
-func (f *fake) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
+func (f *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -35,7 +35,7 @@
 	return f.next, nil
 }
 
-func (f *fake) Renew(_ context.Context, l store.Lease) error {
+func (f *fakeStore) Renew(_ context.Context, l store.Lease) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (f *fake) Set(_ context.Context, key string, data []byte, l store.Lease) (store.Rev, error) {
+func (f *fakeStore) Set(_ context.Context, key string, data []byte, l store.Lease) (store.Rev, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -58,7 +58,7 @@
 	return 1, nil
 }
 
-func (f *fake) Revoke(_ context.Context, l store.Lease) error {
+func (f *fakeStore) Revoke(_ context.Context, l store.Lease) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.ends, l)
@@ -66,7 +66,7 @@
 }
 
 // value is what the store has under the key, empty if its lease is over.
-func (f *fake) value(key string) string {
+func (f *fakeStore) value(key string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !time.Now().Before(f.ends[f.holder[key]]) {
@@ -75,7 +75,7 @@
 	return f.values[key]
 }
 
-func (f *fake) set(do func()) {
+func (f *fakeStore) set(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
@@ -84,15 +84,15 @@
 // The store goes away longer than the lease lasts, and revokes the lease of a
 // daemon that lives. Others would take the daemon for dead; its key must be back
 // within about two seconds of the store's return.
-func TestKeyComesBack(t *testing.T) {
+func TestKeyIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := &fake{ends: map[store.Lease]time.Time{}, values: map[string]string{}, holder: map[string]store.Lease{}}
+		f := &fakeStore{ends: map[store.Lease]time.Time{}, values: map[string]string{}, holder: map[string]store.Lease{}}
 		ctx, stop := context.WithCancel(t.Context())
 		var data atomic.Value
 		data.Store("one")
 		ends := []bool{}
-		l := &Listed{Store: f, Key: "k", Data: func() []byte { return []byte(data.Load().(string)) }, OnEnd: func(err error) { ends = append(ends, err != nil) }}
+		l := &Registration{Store: f, Key: "k", Data: func() []byte { return []byte(data.Load().(string)) }, OnStatus: func(err error) { ends = append(ends, err != nil) }}
 		l.Init()
 		done := make(chan struct{})
 		go func() { defer close(done); l.Run(ctx) }()
--- a/internal/node/posted/posted.go
+++ b/internal/node/regkey/regkey.go
@@ -6,7 +6,7 @@
 // while the store is away. A daemon that finds its key as it should be, after a
 // restart, writes nothing. It removes the key when it stops as planned; that of one
 // that never comes back is removed by the others.
-package posted
+package regkey
 
 import (
 	"context"
@@ -20,42 +20,42 @@
 const (
 	// lookEvery is the pause between looks at what the daemon knows of its own
 	// key, which costs no call. The others have no way to it until it stands.
-	lookEvery = 500 * time.Millisecond
+	checkInterval = 500 * time.Millisecond
 	// learn is how long the daemon may take to hear of what it wrote: readings
 	// are half a second apart, and a second while their reader is replaced.
-	learn = 3 * time.Second
+	visibleWithin = 3 * time.Second
 	// backOff bounds the pause after failures, so that an outage isn't followed
 	// by a storm of calls.
-	backOff = 1200 * time.Millisecond
+	maxBackoff = 1200 * time.Millisecond
 	// removeTime bounds the removal.
-	removeTime = 700 * time.Millisecond
+	removeTimeout = 700 * time.Millisecond
 )
 
 // Posted keeps one key. Set the fields, then call Run.
-type Posted struct {
-	Store  store.Shared
-	Key    string
-	Data   func() []byte
-	Stands func() bool // whether the key holds the data, as far as the daemon knows
-	OnEnd  func(error) // told when the key can't be written, and nil when it was
+type Registration struct {
+	Store    store.Shared
+	Key      string
+	Data     func() []byte
+	UpToDate func() bool // whether the key holds the data, as far as the daemon knows
+	OnStatus func(error) // told when the key can't be written, and nil when it was
 
 	down bool
 }
 
 // Run sees to it that the key stands, until ctx ends.
-func (p *Posted) Run(ctx context.Context) {
-	wait, wrote := lookEvery, time.Time{}
+func (p *Registration) Run(ctx context.Context) {
+	wait, wrote := checkInterval, time.Time{}
 	for {
-		if !p.Stands() && time.Since(wrote) > learn {
+		if !p.UpToDate() && time.Since(wrote) > visibleWithin {
 			_, err := p.Store.Set(ctx, p.Key, p.Data(), 0)
 			if ctx.Err() != nil {
 				return
 			}
-			p.tell(err)
+			p.report(err)
 			if err == nil {
-				wait, wrote = lookEvery, time.Now()
+				wait, wrote = checkInterval, time.Now()
 			} else {
-				wait = min(2*wait, backOff)
+				wait = min(2*wait, maxBackoff)
 			}
 		}
 		if !pause.For(ctx, wait*4/5+rand.N(wait/5)) {
@@ -65,17 +65,17 @@
 }
 
 // Remove removes the key. If it stays, others remove it later.
-func (p *Posted) Remove(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, removeTime)
+func (p *Registration) Remove(ctx context.Context) error {
+	ctx, stop := context.WithTimeout(ctx, removeTimeout)
 	defer stop()
 	return p.Store.Remove(ctx, p.Key)
 }
 
-func (p *Posted) tell(err error) {
+func (p *Registration) report(err error) {
 	if down := err != nil; down != p.down {
 		p.down = down
-		if p.OnEnd != nil {
-			p.OnEnd(err)
+		if p.OnStatus != nil {
+			p.OnStatus(err)
 		}
 	}
 }
--- a/internal/node/posted/posted_test.go
+++ b/internal/node/regkey/regkey_test.go
@@ -1,4 +1,4 @@
-package posted
+package regkey
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 )
 
 // fake is a store that counts writes and may be away.
-type fake struct {
+type fakeStore struct {
 	store.Shared
 	mu     sync.Mutex
 	down   bool
@@ -21,7 +21,7 @@
 	value  string
 }
 
-func (f *fake) Set(_ context.Context, _ string, data []byte, _ store.Lease) (store.Rev, error) {
+func (f *fakeStore) Set(_ context.Context, _ string, data []byte, _ store.Lease) (store.Rev, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writes++
@@ -32,18 +32,18 @@
 	return 1, nil
 }
 
-func (f *fake) Remove(context.Context, string) error {
+func (f *fakeStore) Remove(context.Context, string) error {
 	f.set(func() { f.value = "" })
 	return nil
 }
 
-func (f *fake) set(do func()) {
+func (f *fakeStore) set(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-func (f *fake) holds() (value string) {
+func (f *fakeStore) holds() (value string) {
 	f.set(func() { value = f.value })
 	return value
 }
@@ -69,9 +69,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := &fake{value: c.value, down: c.away}
+				f := &fakeStore{value: c.value, down: c.away}
 				ctx, stop := context.WithCancel(t.Context())
-				p := &Posted{Store: f, Key: "k", Data: func() []byte { return []byte("here") }, Stands: func() bool { return f.holds() == "here" }}
+				p := &Registration{Store: f, Key: "k", Data: func() []byte { return []byte("here") }, UpToDate: func() bool { return f.holds() == "here" }}
 				done := make(chan struct{})
 				go func() { defer close(done); p.Run(ctx) }()
 				time.Sleep(10 * time.Second)
--- a/internal/play/storm/storm.go
+++ b/internal/play/storm/storm.go
@@ -24,7 +24,7 @@
 	"github.com/slaterock/slaterock/internal/disk/roster"
 	"github.com/slaterock/slaterock/internal/fake/depot"
 	"github.com/slaterock/slaterock/internal/fake/upstrm"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
@@ -237,7 +237,7 @@
 }
 
 func (s *Storm) roster() (r roster.Roster) {
-	if data, ok := s.depot.Get(scout.RosterKey); ok {
+	if data, ok := s.depot.Get(discov.RosterKey); ok {
 		r, _ = roster.Decode(data) // none yet reads as empty
 	}
 	return r
