--- a/internal/node/frontd/backup.go
+++ b/internal/node/frontd/backup.go
@@ -14,42 +14,41 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// A daemon that serves callers has no disk. It has the VMs with a disk keep what
-// it read, and asks them if the store gives it nothing at its start. Without
-// this, nobody is served from the moment at which all daemons stop while the
-// store is away until the store's return.
+// A front has no disk. It backs its state up on the VMs with a disk, and restores it from
+// there if the store does not answer at its start. Without this, if all fronts restart
+// during an outage of the store, no caller is served until the store is available again.
 
 const (
-	// keepPause is the shortest pause between two values that a VM with a disk
-	// is sent while upstreams come and go all the time, and keepRate bounds them
-	// in bytes a second: a value has 30 kB at a hundred upstreams, 0.3 MB at a
-	// thousand.
+	// minBackupInterval is the shortest interval between two backups on one VM with a disk
+	// while upstreams change constantly, and maxBackupRate bounds the backups in bytes per
+	// second: a backup takes 30 kB with a hundred upstreams, 0.3 MB with a thousand.
 	minBackupInterval = time.Second
 	maxBackupRate     = 64 << 10
-	// recallWait is how long the store has to answer at the start, and the pause
-	// between questions to a VM with a disk. The store takes some 10 ms where it
-	// is well.
+	// restoreInterval is how long the store has to answer at the start, and the pause
+	// between requests for the backup to a VM with a disk. The store answers in about
+	// 10 ms while it works normally.
 	restoreInterval = 100 * time.Millisecond
 )
 
 type (
-	// kept is which knowledge each VM with a disk was sent last.
+	// backups tracks which state each VM with a disk was sent last. The zero value is ready
+	// for use.
 	backups struct {
 		mu      sync.Mutex
 		last    map[string]stamp // by the VM's address
-		sending bool             // it is being sent
-		size    int              // of the last value, in bytes
+		sending bool             // a backup is being sent
+		size    int              // of the last backup, in bytes
 	}
 
-	// sent tells two states of knowledge apart.
+	// stamp identifies a state, and has the time at which it was sent.
 	stamp struct {
-		hash   uint64 // of the fleet
-		roster uint64 // its version
+		hash   uint64 // of the fleet's state
+		roster uint64 // version of the roster
 		at     time.Time
 	}
 )
 
-// keep sends what is known to the VMs with a disk that hold something else.
+// backUp sends the present state to the VMs with a disk whose backup differs.
 func (d *Daemon) backUp(ctx context.Context) {
 	r := d.discov.Roster()
 	next := stamp{hash: d.fleet.View().Hash, roster: r.Version, at: time.Now()}
@@ -62,8 +61,8 @@
 	}()
 }
 
-// begin returns the addresses of the places that are to be sent the next state.
-// End must be called if there are any.
+// begin returns the addresses of the places that the next state is to be sent to. If there
+// are any, end must be called afterwards.
 func (k *backups) begin(places []roster.Place, next stamp) (stale []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,16 +87,16 @@
 	k.sending, k.size = false, size
 }
 
-// sendMemo sends what is known and returns its size in bytes.
+// sendBackup sends the present state and returns its size in bytes, 0 if it can't be encoded.
 func (d *Daemon) sendBackup(ctx context.Context, addresses []string, next stamp) (size int) {
 	k, err := d.backupSnapshot(ctx)
 	if err != nil {
-		d.Log.Error().Err(err).Msg("knowledge not encoded")
+		d.Log.Error().Err(err).Msg("backup not encoded")
 		return 0
 	}
 	data, err := cbor.Marshal(k)
 	if err != nil {
-		d.Log.Error().Err(err).Msg("knowledge not encoded")
+		d.Log.Error().Err(err).Msg("backup not encoded")
 		return 0
 	}
 	ctx, stop := context.WithTimeout(ctx, peerTimeout)
@@ -108,7 +107,7 @@
 			err := link.Ask(ctx, d.link.Peer(address), memo.MethodKeep, memo.Note{Revision: k.Revision, Data: data}, nil)
 			d.backups.record(address, next, err == nil)
 			if err != nil && ctx.Err() == nil {
-				d.Log.Warn().Err(err).Str("peer", address).Msg("knowledge not kept on a disk")
+				d.Log.Warn().Err(err).Str("peer", address).Msg("state not backed up on a disk")
 			}
 		})
 	}
@@ -116,16 +115,17 @@
 	return len(data)
 }
 
-// lasting is what is kept on disks. A daemon that recalls it knows nothing else while the
-// store is away, so it has the upstreams that are missing, too.
+// backupSnapshot returns the state for the backup. A front that restores it has no other
+// source during an outage of the store, so it includes the upstreams that are kept although
+// the store does not list them.
 func (d *Daemon) backupSnapshot(ctx context.Context) (k snapshot, err error) {
 	k, err = d.serveSnapshot(ctx, baseline{})
 	k.Upstreams = d.fleet.View().All()
 	return k, err
 }
 
-// note remembers what a VM was sent. One that did not confirm is sent the next
-// state after the pause, whatever it is.
+// record records what a VM was sent. One that did not confirm is sent the state again after
+// the interval, even if it has not changed.
 func (k *backups) record(address string, s stamp, confirmed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -138,8 +138,8 @@
 	k.last[address] = s
 }
 
-// recall asks the VMs with a disk for the last knowledge, until there is some.
-// They may start later than this daemon, each at a time of its own.
+// restore requests the last backup from each VM with a disk until a configuration is known.
+// The VMs may start later than this front, at different times.
 func (d *Daemon) restore(ctx context.Context) {
 	for _, address := range d.Settings.Seeds {
 		go func() {
@@ -148,7 +148,7 @@
 				err = d.restoreFrom(ctx, address)
 			}
 			if err != nil && ctx.Err() == nil {
-				d.Log.Warn().Err(err).Str("peer", address).Msg("last knowledge not got from a disk")
+				d.Log.Warn().Err(err).Str("peer", address).Msg("backup not restored from a disk")
 			}
 		}()
 	}
@@ -162,12 +162,12 @@
 		return err
 	}
 	if len(n.Data) == 0 {
-		return errors.New("nothing was kept there")
+		return errors.New("no backup on that disk")
 	}
-	d.Log.Info().Str("peer", address).Uint64("revision", n.Revision).Int64("age_ms", n.Age).Msg("last knowledge recalled from a disk")
+	d.Log.Info().Str("peer", address).Uint64("revision", n.Revision).Int64("age_ms", n.Age).Msg("backup read from a disk")
 	var k snapshot
 	if err = cbor.Unmarshal(n.Data, &k); err != nil {
-		return errors.Wrap(err, "decode last knowledge")
+		return errors.Wrap(err, "decode backup")
 	}
 	return d.applySnapshot(k, time.Duration(n.Age)*time.Millisecond)
 }
--- a/internal/node/frontd/backup_test.go
+++ b/internal/node/frontd/backup_test.go
@@ -10,9 +10,9 @@
 	"github.com/slaterock/slaterock/internal/front/fleet"
 )
 
-// Upstreams come and go all the time, and a disk is replaced by an empty one. Each
-// VM with a disk must get the newest state, but not thirty kilobytes at every
-// change, and one that did not confirm must get it again.
+// Upstreams change constantly, and a disk is replaced by an empty one. Each VM with a disk
+// must get the newest state, but not 30 kB at every change, and one that did not confirm must
+// be sent it again.
 func TestBackupRecipients(t *testing.T) {
 	start := time.Unix(1000, 0)
 	state := func(hash, version uint64, after time.Duration) stamp {
@@ -39,14 +39,14 @@
 			k := backups{last: c.before}
 			places := []roster.Place{{Address: "a"}, {Address: "b"}}
 			is.Equal(k.begin(places, c.next), c.want)
-			is.Equal(len(k.begin(places, c.next)), 0) // it is being sent, or there is nothing to send
+			is.Equal(len(k.begin(places, c.next)), 0) // being sent already, or nothing to send
 		})
 	}
 }
 
-// The store is back after an outage, and the first reading lists few upstreams although all
-// live. It is away again at once, and all daemons start anew: what they recall from the
-// disks must have all upstreams, or callers find none until the store's return.
+// After an outage of the store the first read lists few upstreams although all are alive. The
+// store fails again at once and all fronts restart: the backups must contain all upstreams, or
+// callers are left without any until the store is available again.
 func TestBackupHasMissingUpstreams(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -58,5 +58,5 @@
 	is.Equal(k.Upstreams, []fleet.Upstream{{ID: "a"}, {ID: "b"}})
 	k, err = d.serveSnapshot(t.Context(), baseline{})
 	is.NoErr(err)
-	is.Equal(k.Upstreams, []fleet.Upstream{{ID: "a"}}) // other daemons are told what was listed
+	is.Equal(k.Upstreams, []fleet.Upstream{{ID: "a"}}) // other fronts get the listed ones only
 }
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -13,37 +13,36 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// directoryTTL is how long callers keep an answer. Some keep it three times as
-// long; with this they leave a VM within three seconds after it began to stop.
+// directoryTTL is the TTL of the directory's answers. Some callers cache them for three
+// times as long; with one second, callers leave a draining VM within three seconds.
 const directoryTTL = time.Second
 
 const (
-	// namedMost is how many daemons callers are sent to at most: as many as an
-	// answer holds.
+	// maxEntries is how many fronts an answer names at most: as many as fit in one.
 	maxEntries = 64
-	// namedLeast is how many are named however little is asked: the loss of one
-	// then breaks off a twenty-fourth of what is under way.
+	// minEntries is how many fronts are named at low load: the loss of one then aborts
+	// a twenty-fourth of the requests in flight.
 	minEntries = 24
-	// underEach is how many requests one daemon should have under way. They take
-	// some 0.2 s and 0.6 ms of processor each, so it is an eighth of a VM with a
-	// fifth of a core: enough is left for a burst until more are named.
+	// requestsPerDaemon is the target number of requests in flight at one front. A
+	// request takes about 0.2 s and 0.6 ms of processor time, so this is an eighth of
+	// a VM with a fifth of a core and leaves room for a burst until more are named.
 	requestsPerDaemon = 8
-	// narrowAfter is how long fewer daemons must be enough before fewer are named:
+	// shrinkDelay is how long fewer fronts must be sufficient before fewer are named:
 	// callers open new connections when the answer changes.
 	shrinkDelay = 10 * time.Second
 )
 
-// breadth is to how many daemons callers are sent: few while little is asked, more
-// as it grows. Each daemon opens connections of its own to the upstreams that it uses;
-// 171 daemons before 96 upstreams opened 5,100 on a quiet day with 64 of them named,
-// 3,250 with 32. The zero value is ready.
+// fanout decides how many fronts the directory names: few at low load, more as load grows.
+// Each front opens its own connections to the upstreams that it uses: 171 fronts with 96
+// upstreams opened 5,100 at low load with 64 fronts named, 3,250 with 32. The zero value
+// is ready for use.
 type fanout struct {
 	mu sync.Mutex
 	n  int
-	at time.Time // when so many were needed last
+	at time.Time // when at least n were needed last
 }
 
-// wide returns how many daemons to name while so many requests are under way.
+// size returns how many fronts to name for the number of requests in flight.
 func (b *fanout) size(now time.Time, inFlight int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,7 +53,7 @@
 	return b.n
 }
 
-// resolve tells a caller where to connect.
+// resolve answers a caller with the addresses to connect to, or 503 if there are none.
 func (d *Daemon) resolve(w http.ResponseWriter, _ *http.Request) {
 	list := d.directoryEntries()
 	if len(list) == 0 {
@@ -63,17 +62,17 @@
 	}
 	text, err := json.Marshal(d.Endpoints.Directory(list, min(directoryTTL, positive(d.Settings.AnswerTTL, directoryTTL))))
 	if err != nil {
-		d.Log.Error().Err(err).Msg("directory's answer not encoded")
+		d.Log.Error().Err(err).Msg("directory answer not encoded")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-	_, _ = w.Write(text) // a caller that left asks another daemon
+	_, _ = w.Write(text) // on failure the caller has disconnected and retries at another front
 }
 
-// named returns the daemons that callers are sent to: those that are not leaving
-// and can serve, or all that are not leaving if none can.
+// directoryEntries returns the fronts that the directory names: those that are not leaving
+// and reach the record holders, or all that are not leaving if none of them does.
 func (d *Daemon) directoryEntries() (healthy []fleet.Entry) {
 	now := time.Now()
 	p := d.rumor.Picture(now)
@@ -105,7 +104,7 @@
 	return largest(healthy, d.fanout.size(now, totalInFlight(p, d.picker.Own())))
 }
 
-// underWay is how many requests all daemons have under way.
+// totalInFlight returns the number of requests in flight at all fronts.
 func totalInFlight(p mesh.Picture, own map[string]int) (n int) {
 	for _, load := range p.Load {
 		n += load
@@ -116,9 +115,10 @@
 	return n
 }
 
-// foremost returns so many daemons at most, those with the most processor first.
-// All daemons choose the same, over all failure domains: the first by name would be
-// those of one or two domains, whose loss would take half of all callers with it.
+// largest returns at most that many fronts, those with the most processor cores first.
+// Ties are broken by hashed name, so every front chooses the same ones, from all failure
+// domains: an order by name would choose one or two domains, and the loss of one would
+// disconnect half of all callers.
 func largest(list []fleet.Entry, most int) []fleet.Entry {
 	if len(list) <= most {
 		return list
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -1,5 +1,5 @@
-// Package frontd runs a VM that serves callers: their requests, the directory
-// that tells them where to connect, and the readiness check.
+// Package frontd is the daemon of a VM that serves callers (a front): it handles
+// their requests, the directory of addresses to connect to, and the readiness check.
 package frontd
 
 import (
@@ -33,49 +33,48 @@
 )
 
 const (
-	// keepServing is how long after SIGTERM callers are still taken: the
-	// directory's answers that name this VM are kept for three times their
-	// time at most.
+	// lameDuckTime is how long new requests are still accepted after SIGTERM: callers
+	// cache directory answers that name this VM for up to three times their TTL.
 	lameDuckTime = 2500 * time.Millisecond
-	// graceLeft is kept of the time between SIGTERM and SIGKILL.
+	// shutdownMargin is the part of the time between SIGTERM and SIGKILL that is left unused.
 	shutdownMargin = 700 * time.Millisecond
 	sweepInterval  = time.Second
-	// dialTime is how long another VM has to open a connection, and dialPause the
-	// longest pause before it is tried again. A VM without power says nothing, and
-	// the kernel would repeat a lost opening packet after a second only: callers
-	// wait while the records are there. Exchanges take 2 ms on the sites, 60 ms
-	// between far regions.
+	// dialTimeout bounds the opening of a connection to another VM, and maxDialBackoff
+	// the pause before the next attempt. A VM without power does not answer, and the
+	// kernel retransmits a lost SYN only after a second, while callers wait for records
+	// that other VMs have. Round trips take 2 ms within a site and 60 ms between
+	// distant regions.
 	dialTimeout    = 300 * time.Millisecond
 	maxDialBackoff = 300 * time.Millisecond
-	// probeEach is the pause between looks at whether the holders of records can
-	// be reached.
+	// probeInterval is the pause between checks whether the record holders are reachable.
 	probeInterval = 200 * time.Millisecond
 )
 
 type (
-	// Settings are what the daemon needs to know of its VM.
+	// Settings describe the daemon's VM.
 	Settings struct {
 		Node      string
 		Domain    string
-		Cores     float64 // of the processor
-		Callers   string  // addresses to listen at
-		Ready     string
-		Directory string
-		Peer      string   // for other daemons
-		Seeds     []string // addresses of VMs with a disk; some may be down or gone
-		Grace     time.Duration
-		AnswerTTL time.Duration    // longest that callers keep a directory's answer
-		Tolerance ration.Tolerance // of the limits of accounts
+		Cores     float64          // processor cores, possibly a fraction
+		Callers   string           // listen address for callers' requests
+		Ready     string           // listen address of the readiness check; empty for none
+		Directory string           // listen address of the directory; empty for none
+		Peer      string           // listen address for other daemons, TCP and UDP
+		Seeds     []string         // addresses of VMs with a disk; some may be down or removed
+		Grace     time.Duration    // from SIGTERM to SIGKILL
+		AnswerTTL time.Duration    // upper bound of the directory answers' TTL; 0 for none
+		Tolerance ration.Tolerance // by which account limits may be exceeded
 	}
 
-	// Names are the wire's names for the directory and the readiness check.
+	// Endpoints are the HTTP paths of the directory and the readiness check, and the
+	// body of the directory's answer.
 	Endpoints interface {
 		Directory(entries []fleet.Entry, ttl time.Duration) any
 		DirectoryPath() string
 		ReadyPath() string
 	}
 
-	// Daemon runs the VM. Set the exported fields, then call Run.
+	// Daemon serves callers at one VM. Set the exported fields, then call Run.
 	Daemon struct {
 		Settings  Settings
 		Store     store.Shared
@@ -107,8 +106,8 @@
 	}
 )
 
-// Run serves until stop ends, then lets what is under way finish. The context
-// ends all work at once.
+// Run serves until stop is closed, then drains requests in flight. Cancelling the
+// context aborts all work at once.
 func (d *Daemon) Run(ctx context.Context, stop <-chan struct{}) (err error) {
 	defer func() { err = errors.Wrap(err, "run front") }()
 	ctx, end := context.WithCancel(ctx)
@@ -172,7 +171,7 @@
 	d.rumor.Heard, d.rumor.Changed = d.onPeerState, d.onPeersChanged
 	go func() {
 		if err := d.rumor.Run(ctx); err != nil {
-			d.Log.Error().Err(err).Msg("nothing is heard of other daemons any more")
+			d.Log.Error().Err(err).Msg("state exchange with other daemons stopped")
 		}
 	}()
 	ln, err := listen(ctx, d.Settings.Peer)
@@ -181,7 +180,7 @@
 	}
 	go func() {
 		if err := d.link.Serve(ctx, ln); err != nil {
-			d.Log.Error().Err(err).Msg("other daemons are not served any more")
+			d.Log.Error().Err(err).Msg("listener for other daemons stopped")
 		}
 	}()
 	go d.readLoop(ctx)
@@ -191,8 +190,8 @@
 	return nil
 }
 
-// await waits until something is known, for a while: a daemon that has no
-// configuration answers 503, and its limits on callers are the usual ones.
+// waitFor waits up to a second for a view that meets the condition. A daemon that goes
+// on without a configuration answers 503 and uses the default limits for callers.
 func (d *Daemon) waitFor(ctx context.Context, cond func(*fleet.View) bool) {
 	const longest, step = time.Second, 20 * time.Millisecond
 	for range longest / step {
@@ -202,8 +201,8 @@
 	}
 }
 
-// others returns the other daemons that serve callers: those listed in the store,
-// and those heard of. A daemon that the store turns away may have no key there.
+// others returns the other fronts: those listed in the store, and those known from datagrams
+// only. A front whose calls the store refuses may have no key there.
 func (d *Daemon) others(p mesh.Picture) []fleet.Entry {
 	list := slices.Clone(d.fleet.View().Entries)
 	for i := range list {
@@ -226,8 +225,9 @@
 
 func (d *Daemon) ready() bool { return !d.leaving.Load() && d.fleet.View().Table != nil }
 
-// drain stops serving without cutting a request. Callers are sent elsewhere at
-// once, those that still come are served, and connections close with an answer.
+// drain stops serving without cutting requests off. The directories name other fronts
+// from now on, new requests are still accepted during lameDuckTime, and connections are
+// closed with their next response.
 func (d *Daemon) drain(ctx context.Context, callers *http.Server) {
 	d.leaving.Store(true)
 	d.entry.Leave()
@@ -242,7 +242,7 @@
 	d.Log.Info().Err(err).Int64("active", d.entry.Active()).Msg("drained")
 }
 
-// probe notices when the holders of records are reached again, and logs both.
+// probe checks whether the record holders are reachable and logs changes.
 func (d *Daemon) probe(ctx context.Context) {
 	down := false
 	for pause.For(ctx, probeInterval) {
--- a/internal/node/frontd/frontd_test.go
+++ b/internal/node/frontd/frontd_test.go
@@ -18,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// names has names of its own for the directory's answer.
+// testEndpoints answers the directory with a plain list of addresses.
 type testEndpoints struct{}
 
 func (testEndpoints) Directory(list []fleet.Entry, _ time.Duration) any {
@@ -31,10 +31,10 @@
 func (testEndpoints) DirectoryPath() string { return "/directory" }
 func (testEndpoints) ReadyPath() string     { return "/ready" }
 
-// addresses are of the daemons, for other daemons.
+// addresses are the fronts' addresses for other daemons.
 var addresses = map[string]string{"self": "10.0.0.1:1", "a": "10.0.0.2:1", "b": "10.0.0.3:1", "c": "10.0.0.4:1", "unwell": "10.0.0.5:1"}
 
-// outbox keeps to whom datagrams are sent.
+// outbox records the destinations of datagrams.
 type outbox struct {
 	net.PacketConn
 	to []string
@@ -47,7 +47,7 @@
 
 func newDaemon(listed ...string) *Daemon { return newDaemonAt(time.Now(), listed...) }
 
-// newDaemonAt returns a daemon that read the store at the time.
+// newDaemonAt returns a front that read the store at the given time.
 func newDaemonAt(at time.Time, listed ...string) *Daemon {
 	d := &Daemon{Settings: Settings{Node: "self", Callers: "self"}, Endpoints: testEndpoints{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
 	r := fleet.Reading{Revision: 7, Table: route.New(1, nil, nil, route.Limits{})}
@@ -68,9 +68,9 @@
 	}})
 }
 
-// The store turns a daemon away and takes its key. It lives on what the others
-// tell, so they must go on telling it: otherwise it serves with an old
-// configuration, and keeps sending to upstreams that leave.
+// The store refuses a front's calls and its key is gone. All its state comes from the other
+// fronts, so they must go on sending it datagrams: otherwise it serves with an old
+// configuration and keeps sending requests to upstreams that are leaving.
 func TestUnlistedDaemonGetsDatagrams(t *testing.T) {
 	is := is.New(t)
 	d := newDaemon("a")
@@ -81,14 +81,14 @@
 	is.Equal(sent.to, []string{addresses["a"], addresses["b"]})
 }
 
-// Nothing changes in the store for a while. One daemon reads it again and again and
-// tells so. If the others did not take that as news, each would read too, and every
-// read is paid for.
+// Nothing changes in the store for a while. One front reads it again and again and announces
+// the age of its state. If that did not confirm the same state at the others, each of them
+// would read too, and every read costs.
 func TestSameStateConfirmsAge(t *testing.T) {
 	const old = 5 * time.Second
 	cases := map[string]struct {
 		revision uint64 // against this daemon's
-		same     bool   // what it knows
+		same     bool   // the hash of the state
 		age      time.Duration
 		want     time.Duration
 	}{
@@ -116,10 +116,10 @@
 	}
 }
 
-// All daemons start at once and hear of each other before the first has read the store.
-// Two that know nothing know the same; took they that for news of the store, of centuries
-// ago, the first reading would look like the end of an outage, and each would keep
-// upstreams that leave in the next two seconds.
+// All fronts start at once and exchange datagrams before the first of them has read the
+// store. Empty states have equal hashes. If such a datagram counted as a confirmation, with an
+// age of centuries, the first read would look like the end of an outage, and each front would
+// keep upstreams that leave within the next two seconds.
 func TestEmptyStateConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	d := &Daemon{Settings: Settings{Node: "self"}, Endpoints: testEndpoints{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
@@ -132,9 +132,9 @@
 	is.Equal(len(d.fleet.View().Services["s"]), 0)
 }
 
-// A daemon was cut off for five seconds. What the others put into their datagrams must
-// tell it that the store was there, or it keeps upstreams that left. That one has not
-// heard of the newest revision yet doesn't matter.
+// A front was partitioned for five seconds. The datagrams of the others must show that the
+// store was available all the while, or it keeps upstreams that left. That holds also if the
+// sender does not have the newest revision yet.
 func TestPeersConfirmStoreWasAvailable(t *testing.T) {
 	cases := map[string]uint64{"it knows the same": 7, "it is behind": 9}
 	for name, revision := range cases {
@@ -159,12 +159,12 @@
 	}
 }
 
-// Daemons are killed, stop, or lose their keys. The directory must send callers
-// neither to one that is gone nor to one that is leaving.
+// Fronts are killed, stop, or lose their keys. The directory must name neither one that is
+// lost nor one that is leaving.
 func TestDirectory(t *testing.T) {
 	cases := map[string]struct {
 		listed  []string
-		heard   map[string]bool // leaving
+		heard   map[string]bool // fronts heard from, and whether they are leaving
 		leaving bool
 		want    []string
 	}{
@@ -199,9 +199,9 @@
 	}
 }
 
-// Hundreds of daemons serve callers, more than an answer of the directory holds. If
-// every directory named the first by name, all callers would meet at two failure
-// domains, and the loss of one of them would cut off half of them.
+// There are hundreds of fronts, more than an answer of the directory holds. If every directory
+// named the first ones by name, all callers would connect to two failure domains, and the
+// loss of one of these would disconnect half of the callers.
 func TestCallersAreSpreadOverDomains(t *testing.T) {
 	is := is.New(t)
 	var list []fleet.Entry
@@ -221,20 +221,20 @@
 			large++
 		}
 	}
-	is.Equal(large, 18) // all that there are
+	is.Equal(large, 18) // all of them
 	for _, n := range domains {
 		is.True(n >= 5 && n <= 17)
 	}
 	is.Equal(len(domains), 6)
 	slices.Reverse(list)
-	is.Equal(largest(list, maxEntries), got) // whatever the order
+	is.Equal(largest(list, maxEntries), got) // independent of the order
 	is.Equal(largest(list[:9], maxEntries), list[:9])
 }
 
-// Hundreds of daemons start at once and each hears from all others that they know
-// more. If it asked them all, it would get the whole of what is known hundreds of
-// times, more than its memory holds. One that doesn't answer must not keep it from
-// asking another.
+// Hundreds of fronts start at once and each gets announcements of newer state from all
+// others. If it fetched from all of them, it would receive the full state hundreds of times,
+// more than fits into its memory. A peer that does not answer must not block fetches from
+// another.
 func TestConcurrentFetchesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var a fetches
@@ -245,15 +245,15 @@
 		}
 	}
 	is.Equal(len(asked), maxFetches)
-	is.True(!a.begin(asked[0])) // it is being asked
+	is.True(!a.begin(asked[0])) // a fetch is in progress
 	a.end(asked[0])
 	is.True(a.begin("front-99"))
 	is.True(!a.begin("front-100"))
 }
 
-// Callers are spread over more daemons than they need, and each of those opens its own
-// connections to all upstreams. In a burst more daemons must be named at once, and not
-// be dropped again in each short pause: callers would open all connections anew.
+// If callers are spread over more fronts than the load needs, each of these opens its own
+// connections to all upstreams. In a burst more fronts must be named at once, and they must
+// not be removed again in each short pause: callers would reopen all their connections.
 func TestFanout(t *testing.T) {
 	type look struct {
 		after time.Duration
--- a/internal/node/frontd/limits.go
+++ b/internal/node/frontd/limits.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// countFor is how long a daemon that is not heard of any more counts among those
-	// that share the limits of accounts: it may be cut off and still serve. Nobody
-	// can know that it does not, so it stops by itself after holdFor without hearing
-	// of at least half of the others; the rest is for clocks that run differently.
+	// peerExpiry is how long a front that is neither listed nor heard from still counts
+	// among those that share the limits of accounts: it may be partitioned and still
+	// serve. Others can't detect that it does not, so a front that has heard from less
+	// than half of the fronts for isolationTimeout gives up its share by itself; the
+	// difference is a margin for clocks that run at different rates.
 	peerExpiry       = 30 * time.Second
 	isolationTimeout = 25 * time.Second
-	// hearEach is the least time between two reckonings of the others' use.
+	// limitInterval is the shortest interval between two updates of the others' usage.
 	limitInterval = 40 * time.Millisecond
 )
 
-// present is what is kept of the daemons that share the limits of accounts. The zero
-// value is ready.
+// limitPeers tracks the fronts that share the limits of accounts. The zero value is ready
+// for use.
 type limitPeers struct {
 	mu         sync.Mutex
 	updatedAt  time.Time
-	seen       map[string]time.Time // when each daemon was listed or heard of last
-	majorityAt time.Time            // when at least half of them were heard of last
-	accounts   *accnt.Accounts      // that names are of
+	seen       map[string]time.Time // when each front was last listed or heard from
+	majorityAt time.Time            // when at least half of them were last heard from
+	accounts   *accnt.Accounts      // that names was built from
 	names      map[mesh.ID]string
 }
 
-// hearUse takes what the other daemons have let in.
+// updateLimits passes the number of requests that the other fronts accepted to the limits.
 func (d *Daemon) updateLimits(p mesh.Picture) {
 	now := time.Now()
 	v := d.fleet.View()
@@ -48,7 +49,7 @@
 	d.allow.Hear(now, v.Table.Accounts, h)
 }
 
-// due tells whether it is time to reckon again.
+// due reports whether limitInterval has passed since the last update, and starts a new one.
 func (p *limitPeers) due(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,8 +60,9 @@
 	return true
 }
 
-// look counts the daemons that share the limits. One that has heard of less than half of
-// them for long has no part.
+// count returns how many fronts share the limits and how many of them are heard from. A front
+// that has heard from less than half of them for isolationTimeout counts none, which leaves
+// it without a share of any limit.
 func (p *limitPeers) count(now time.Time, nodes []string, heard int) ration.Heard {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +88,7 @@
 	return h
 }
 
-// gaugeLimits shows how much each account has left of its limit.
+// reportLimits updates the gauges of what each account has left of its limit.
 func (d *Daemon) reportLimits(now time.Time) {
 	for name, left := range d.allow.Left(now) {
 		if l := d.allow.Label.Of(name); l != label.Others {
@@ -95,7 +97,7 @@
 	}
 }
 
-// byName has the names of accounts in place of their short forms.
+// byAccount replaces hashed account names by the names.
 func (p *limitPeers) byAccount(accounts *accnt.Accounts, used map[mesh.ID]int) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/frontd/limits_test.go
+++ b/internal/node/frontd/limits_test.go
@@ -10,14 +10,15 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// Daemons that are cut off still serve, so they count among those that share the limits
-// until they have stopped by themselves. Counted too short, both sides of a cut take the
-// whole; a daemon that goes on alone takes a part that others think they have.
+// Fronts that are partitioned still serve, so they count among those that share the limits of
+// accounts until they have given up their share by themselves. If they were dropped too early,
+// both sides of the partition would use the whole limit; a front that goes on alone for too
+// long uses a share that the others consider theirs.
 func TestLimitPeers(t *testing.T) {
 	all, some := []string{"self", "a", "b", "c"}, []string{"self", "a"}
 	cases := map[string]struct {
-		nodes  []string // listed or heard of since all were
-		heard  int
+		nodes  []string // listed or heard from after all were
+		heard  int      // number of fronts heard from, with this one
 		lasts  time.Duration
 		fronts int
 		all    int
--- a/internal/node/frontd/read.go
+++ b/internal/node/frontd/read.go
@@ -17,61 +17,60 @@
 )
 
 const (
-	// readEvery is the age at which knowledge is read anew, by one daemon for
-	// all. A leaving upstream may get requests for two seconds, which must
-	// hold the age, the call and two exchanges between daemons. Each call a
-	// second costs as much as 0.1 VMs.
+	// readInterval is the age at which the state is read again from the store, by one front
+	// for all. A leaving upstream may get requests for two seconds, which must cover this
+	// age, the call and two exchanges between fronts. One call per second costs as much as
+	// 0.1 VMs.
 	readInterval = 500 * time.Millisecond
-	// readRank is added for each daemon that comes before this one, so that the
-	// next one reads only if the first did not.
+	// rankDelay is added for each front that ranks before this one, so that the next one
+	// reads only if the first did not.
 	rankDelay     = 130 * time.Millisecond
 	checkInterval = 40 * time.Millisecond
-	// loneMost spreads the second readings of daemons that know of no others yet, in
-	// the first startTime of their lives. Of 171 that start together each read four
-	// times until all were listed, half of what a quiet day asks of the store;
-	// the first to read again tells the others.
+	// maxStartJitter spreads the second reads of fronts that know of no others yet, during
+	// the first startupTime after their start. Without it each of 171 that start together
+	// reads four times until all are listed, half of the store's calls on a day at low load;
+	// the first to read again sends the state to the others.
 	maxStartJitter = 2 * time.Second
 	startupTime    = 5 * time.Second
-	// backOff bounds the pause after failed reads; others may reach the store.
+	// minBackoff and maxBackoff bound the pause after failed reads; other fronts may still
+	// reach the store.
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 1500 * time.Millisecond
-	// oldAge is the age from which a request without a route has everything
-	// read anew before its caller is told that there is none. An added route
-	// must be served within two seconds.
+	// staleAge is the age from which a request that matches no route triggers a read before
+	// its caller gets an error. An added route must be served within two seconds.
 	staleAge = time.Second
-	// hearFirst is how long a daemon that didn't run for a while listens to the others
-	// before it reads: a report and its answer. What it knows is old. If it read at
-	// once it would take upstreams that left meanwhile for some whose entries lapsed
-	// in an outage, until another one tells that the store was there.
+	// resumeDelay is how long a front whose process was suspended waits before it reads the
+	// store: enough for a report to another front and its answer. If it read at once, its
+	// gap without state would look like an outage of the store, and it would keep upstreams
+	// that left meanwhile, until another front reports that the store was available.
 	resumeDelay = 300 * time.Millisecond
-	// freshPause is the shortest pause between reads that requests ask for.
+	// minRefreshInterval is the shortest interval between reads triggered by requests.
 	minRefreshInterval = 250 * time.Millisecond
 )
 
 type (
-	// Source reads what the operator and the upstreams write.
+	// Source reads the operator's configuration and the entries of upstreams.
 	Source interface {
-		// Read also returns keys that are the system's own, and an error for
-		// each entry that can't be used.
+		// Read also returns all other keys, and an error for each entry that is invalid.
 		Read(ctx context.Context) (fleet.Reading, []store.Entry, []error, error)
-		// Decode reads a configuration that another daemon has passed on.
+		// Decode decodes a configuration that another daemon has sent.
 		Decode(text []byte, revision uint64) (*route.Table, error)
 	}
 
-	// reads is what is kept between reads.
+	// readState is kept from one read of the store to the next.
 	readState struct {
 		mu          sync.Mutex
-		refreshedAt time.Time // last read for a request's sake
+		refreshedAt time.Time // last read triggered by a request
 		logged      map[string]bool
 	}
 )
 
-// read keeps knowledge new until ctx ends.
+// readLoop reads the store whenever this front's state is too old, until ctx ends.
 func (d *Daemon) readLoop(ctx context.Context) {
 	wait := time.Duration(0)
 	began, jitter := time.Now(), rand.N(maxStartJitter)
 	var ran awake.Awake
-	var resumeAt time.Time // no reading before then
+	var resumeAt time.Time // no read before then
 	for {
 		v := d.fleet.View()
 		if now := time.Now(); now.Before(resumeAt) || now.Sub(v.Confirmed) < d.maxAge(v, now.Sub(began), jitter) {
@@ -87,7 +86,7 @@
 			return
 		}
 		if away, stood := ran.Look(time.Now(), due); away > 0 {
-			d.Log.Warn().Dur("away_ms", away).Dur("clock_stood_ms", stood).Msg("this process did not run for a while")
+			d.Log.Warn().Dur("away_ms", away).Dur("clock_stood_ms", stood).Msg("process did not run: VM frozen, suspended or starved")
 			d.apply(fleet.Slept{For: stood}, nil)
 			d.allow.Forget(time.Now())
 			resumeAt = time.Now().Add(resumeDelay)
@@ -95,7 +94,7 @@
 	}
 }
 
-// readAge is the age at which this daemon reads what it knows anew.
+// maxAge is the age of the state at which this front reads the store.
 func (d *Daemon) maxAge(v *fleet.View, uptime, jitter time.Duration) time.Duration {
 	if uptime < startupTime && len(d.others(mesh.Picture{})) == 0 && v.Table == nil {
 		return readInterval + jitter
@@ -104,10 +103,10 @@
 }
 
 func (d *Daemon) readStore(ctx context.Context) error {
-	asked := time.Now() // the answer tells how things were then, or later
+	asked := time.Now() // the answer is at least as new
 	n, others, bad, err := d.Source.Read(ctx)
 	if err != nil {
-		if ctx.Err() == nil { // or a caller left who wanted it read
+		if ctx.Err() == nil { // otherwise the caller that triggered the read has disconnected
 			d.apply(fleet.Outage{}, err)
 		}
 		return err
@@ -121,13 +120,13 @@
 	}
 	n.Entries = d.discov.State().Entries
 	d.applyAt(asked, n, nil)
-	d.rumor.Tell() // at once, so that the next in rank need not read
+	d.rumor.Tell() // at once, so that the front next in rank need not read
 	d.backUp(ctx)
 	d.removeLost(ctx)
 	return nil
 }
 
-// tellBad logs an entry that can't be used, once for each fault.
+// logUnusable logs an invalid entry, once per error text.
 func (d *Daemon) logUnusable(err error) {
 	d.readState.mu.Lock()
 	defer d.readState.mu.Unlock()
@@ -136,12 +135,12 @@
 	}
 	if text := err.Error(); !d.readState.logged[text] {
 		d.readState.logged[text] = true
-		d.Log.Warn().Err(err).Msg("entry can't be used")
+		d.Log.Warn().Err(err).Msg("invalid entry in the store ignored")
 	}
 }
 
-// refreshConfig reads everything for a request without a route, if what is known
-// is old and that was not tried a moment ago.
+// refreshConfig reads the store for a request that matches no route, if the state is older
+// than staleAge and the last such read is at least minRefreshInterval ago.
 func (d *Daemon) refreshConfig(ctx context.Context) {
 	if time.Since(d.fleet.View().Confirmed) < staleAge {
 		return
@@ -153,11 +152,11 @@
 	}
 	d.readState.mu.Unlock()
 	if !soon {
-		_ = d.readStore(ctx) // the request goes on with what is known
+		_ = d.readStore(ctx) // on failure the request goes on with the present state
 	}
 }
 
-// learn takes news and logs what changed.
+// apply applies an update to the fleet's state and logs the changes.
 func (d *Daemon) apply(n fleet.News, cause error) { d.applyAt(time.Now(), n, cause) }
 
 func (d *Daemon) applyAt(now time.Time, n fleet.News, cause error) {
@@ -177,7 +176,7 @@
 		default:
 			line = line.Str("upstream", c.ID).Str("from", c.From).Str("to", c.To)
 		}
-		line.Str("by", source(n)).Uint64("revision", d.fleet.View().Revision).Msg("learnt: " + c.What)
+		line.Str("by", source(n)).Uint64("revision", d.fleet.View().Revision).Msg("state changed: " + c.What)
 	}
 }
 
@@ -192,12 +191,12 @@
 	}
 }
 
-// silent drops the HTTP server's own log lines: a caller that breaks off is no
-// event of the daemon's.
+// discardLog returns a logger for HTTP servers that drops their lines: a caller that
+// disconnects is not worth a line in the daemon's log.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// gaugeKnowledge shows what is believed, for when the lines that tell how it came to be
-// believed are not kept any more.
+// reportState updates gauges of the present state, which stay available after the log lines
+// about its changes have been rotated away.
 func (d *Daemon) reportState(now time.Time) {
 	v := d.fleet.View()
 	if v.Confirmed.IsZero() {
--- a/internal/node/frontd/read_test.go
+++ b/internal/node/frontd/read_test.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// slow is a store that answers when its caller gives up.
+// blockingSource does not answer until its caller gives up.
 type blockingSource struct{ Source }
 
 func (blockingSource) Read(ctx context.Context) (r fleet.Reading, others []store.Entry, bad []error, err error) {
@@ -19,8 +19,8 @@
 	return r, nil, nil, ctx.Err()
 }
 
-// A request without a route has everything read anew, and its caller leaves before the
-// store has answered. The log must not tell of an outage that there wasn't.
+// A request that matches no route triggers a read of the store, and its caller disconnects
+// before the store has answered. That must not be recorded and logged as an outage.
 func TestCancelledRefreshIsNoOutage(t *testing.T) {
 	is := is.New(t)
 	d := newDaemonAt(time.Now().Add(-5 * time.Second))
--- a/internal/node/frontd/register.go
+++ b/internal/node/frontd/register.go
@@ -7,14 +7,15 @@
 	"github.com/slaterock/slaterock/internal/front/fleet"
 )
 
-// post has this daemon listed in the store, unless the first reading shows that it
-// still is. Others can't tell it anything before.
+// register keeps this front listed in the store. It first waits, a second at most, for a
+// first state, which may show that the key is current already. Until a front is listed,
+// others do not know its address and can't send it any state.
 func (d *Daemon) register(ctx context.Context) {
 	d.waitFor(ctx, func(v *fleet.View) bool { return !v.Confirmed.IsZero() })
 	d.regkey.Run(ctx)
 }
 
-// self is this daemon as it is listed in the store.
+// self returns this front's entry as it should be listed in the store.
 func (d *Daemon) self() fleet.Entry {
 	return fleet.Entry{
 		Node: d.Settings.Node, Address: d.Settings.Callers, Peer: d.Settings.Peer,
@@ -22,20 +23,21 @@
 	}
 }
 
-// stands tells whether the store lists this daemon as it is.
+// registered reports whether the store lists this front with its present entry, as of the
+// last known state.
 func (d *Daemon) registered() bool { return slices.Contains(d.fleet.View().Entries, d.self()) }
 
 func (d *Daemon) logRegistration(err error) {
 	if err != nil {
-		d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: the daemon's key is not written")
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: the front's key could not be written")
 		return
 	}
-	d.Log.Info().Str("dependency", "store").Msg("the daemon's key is written")
+	d.Log.Info().Str("dependency", "store").Msg("the front's key is written")
 }
 
-// unpost removes this daemon's key.
+// deregister removes this front's key.
 func (d *Daemon) deregister(ctx context.Context) {
 	if err := d.regkey.Remove(ctx); err != nil && ctx.Err() == nil {
-		d.Log.Warn().Err(err).Str("dependency", "store").Msg("the daemon's key is left to the others")
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("the front's key was not removed; another front removes it later")
 	}
 }
--- a/internal/node/frontd/serve.go
+++ b/internal/node/frontd/serve.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// headerTime, idleTime and headerBytes hold until a configuration says
-	// otherwise.
+	// headerTimeout, idleTimeout and maxHeaderBytes apply where the configuration at the
+	// start sets no limit of its own.
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 15 * time.Second
 	maxHeaderBytes = 16 << 10
@@ -41,7 +41,7 @@
 
 func (d *Daemon) serve(srv *http.Server, ln net.Listener, address string) {
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		d.Log.Error().Err(err).Str("address", address).Msg("not served any more")
+		d.Log.Error().Err(err).Str("address", address).Msg("HTTP listener stopped")
 	}
 }
 
@@ -69,7 +69,8 @@
 	return otherwise
 }
 
-// listen notices connections through which nothing passes any more.
+// listen opens a TCP listener whose keep-alive probes detect dead connections within about
+// 11 s.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	c := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
 	return c.Listen(ctx, "tcp", address)
--- a/internal/node/frontd/silent.go
+++ b/internal/node/frontd/silent.go
@@ -9,27 +9,29 @@
 	"github.com/slaterock/slaterock/internal/node/discov"
 )
 
-// A daemon that takes callers has a key without a lease, which stays behind when
-// its VM is lost for good. Datagrams would be sent there for ever, and each start
-// of a daemon would find more names of which nothing is heard. So the daemon that
-// reads the store removes keys of those who have been silent for long. One that was
-// only cut off finds its key gone and writes it again.
+// A front's key has no lease, so it stays behind when its VM is lost permanently. Datagrams
+// would be sent there forever, and the list that each starting front reads would collect more
+// and more dead entries. So the front that reads the store removes the keys of fronts that
+// have been silent for lostAfter. One that was only partitioned finds its key missing and
+// writes it again.
 
-// goneFor is how long a daemon must be silent before its key is removed: longer than
-// VMs take to start again, or are cut off as a rule.
+// lostAfter is how long a front must be silent before its key is removed: longer than VMs
+// take to restart, and than most network partitions last.
 const lostAfter = 30 * time.Second
 
-// looksApart is the longest pause between two looks after which silence is one: daemons
-// start again within two seconds. Only the one that reads for all looks, twice a second.
+// maxCheckGap is the longest pause between two checks for which a silence counts as
+// uninterrupted: fronts restart within two seconds. Only the front that reads the store for
+// all checks, twice a second.
 const maxCheckGap = 2 * time.Second
 
-// absent keeps since when listed daemons have been silent. The zero value is ready.
+// silentPeers tracks since when listed fronts have been silent. The zero value is ready for use.
 type silentPeers struct {
 	since     map[string]time.Time
 	checkedAt time.Time
 }
 
-// note returns a daemon that has been silent for long, if there is one.
+// check returns a front that has been silent for lostAfter, if there is one. A front that
+// hears from less than half of the others is partitioned itself and starts over.
 func (a *silentPeers) check(now time.Time, others []fleet.Entry, p mesh.Picture) (node string, found bool) {
 	if now.Sub(a.checkedAt) > maxCheckGap {
 		a.since = nil
@@ -56,7 +58,7 @@
 	return node, found
 }
 
-// removeGone removes the key of a daemon that has been silent for long.
+// removeLost removes the key of a front that has been silent for lostAfter, if there is one.
 func (d *Daemon) removeLost(ctx context.Context) {
 	now := time.Now()
 	node, found := d.silentPeers.check(now, d.others(mesh.Picture{}), d.rumor.Picture(now))
@@ -64,5 +66,5 @@
 		return
 	}
 	err := d.Store.Remove(ctx, discov.FrontPrefix+node)
-	d.Log.Info().Err(err).Str("peer", node).Dur("silent_ms", lostAfter).Msg("key of a daemon that is gone removed")
+	d.Log.Info().Err(err).Str("peer", node).Dur("silent_ms", lostAfter).Msg("key of a lost front removed")
 }
--- a/internal/node/frontd/silent_test.go
+++ b/internal/node/frontd/silent_test.go
@@ -10,9 +10,9 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// A VM is lost for good and its key stays in the store. If nobody removed it, it would
-// be told everything for ever. A VM that is cut off with half of the others must not
-// remove the keys of those it can't hear.
+// A VM is lost permanently and its key stays in the store. If the key were never removed,
+// datagrams would be sent there forever. A VM that hears from less than half of the others is
+// partitioned itself and must not remove any key.
 func TestKeyOfALostDaemon(t *testing.T) {
 	listed := []fleet.Entry{{Node: "a"}, {Node: "b"}, {Node: "c"}, {Node: "d"}}
 	cases := map[string]struct {
@@ -47,12 +47,12 @@
 	}
 }
 
-// A daemon reads for all for a while and misses another that starts again. Later it reads
-// for all once more, just as that other one starts again: it was never silent for long,
-// and its key must stay.
+// A front is the one that reads the store for a while, and does not hear from another that
+// restarts. Later it is the reading front again, just as the other one restarts a second time:
+// that one was never silent for long, and its key must stay.
 func TestSilenceNeedsContinuousChecks(t *testing.T) {
 	cases := map[string]struct {
-		between time.Duration // looks
+		between time.Duration // two checks
 		gone    bool
 	}{
 		"it looked all the time":            {time.Second, true},
--- a/internal/node/frontd/state.go
+++ b/internal/node/frontd/state.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	// askTime bounds what is asked of another daemon.
+	// peerTimeout bounds a call to another daemon.
 	peerTimeout = 700 * time.Millisecond
-	// asksMost is how many daemons are asked at a time for the same news: a
-	// second one in case the first is about to stop.
+	// maxFetches bounds concurrent fetches of newer state from other fronts: a second
+	// one in case the first peer is about to stop.
 	maxFetches = 2
 
 	methodSnapshot = "fleet.known"
 )
 
 type (
-	// known is what a daemon tells another.
+	// snapshot is the state that a front sends to another, and that is backed up on disks.
 	snapshot struct {
 		Revision  uint64           `cbor:"1,keyasint"`
-		Age       int64            `cbor:"2,keyasint"` // milliseconds
+		Age       int64            `cbor:"2,keyasint"` // milliseconds since the store was read
 		Config    []byte           `cbor:"3,keyasint"`
 		ConfigRev uint64           `cbor:"4,keyasint"`
 		Upstreams []fleet.Upstream `cbor:"5,keyasint"`
 		Entries   []fleet.Entry    `cbor:"6,keyasint"`
 		Roster    []byte           `cbor:"7,keyasint"`
-		// Delta has the upstreams and entries in place of the two lists if the
-		// asker's state is known.
+		// Delta replaces the lists of upstreams and entries if the sender still has the
+		// state that the receiver starts from.
 		Delta *fleet.Delta `cbor:"8,keyasint,omitempty"`
 	}
 
-	// have is what a daemon that asks another knows already.
+	// baseline identifies the state that a front already has, in its request for a snapshot.
 	baseline struct {
 		Hash    uint64 `cbor:"1,keyasint"` // of its state
 		Version int64  `cbor:"2,keyasint"` // of its configuration
 	}
 
-	// asks keeps which daemons are being asked. The zero value is ready.
+	// fetches tracks which fronts a snapshot is being fetched from. The zero value is
+	// ready for use.
 	fetches struct {
 		mu   sync.Mutex
 		busy map[string]bool
 	}
 
-	// upstreamNames has the ids of upstreams by their short forms.
+	// upstreamIDs maps the hashed ids of upstreams to the ids.
 	upstreamIDs struct {
-		hash   uint64 // of the knowledge that they are from
-		lapsed int    // how many of them the store did not list
+		hash   uint64 // of the fleet state that they are from
+		lapsed int    // how many of them are kept although the store does not list them
 		byHash map[mesh.ID]string
 	}
 )
 
-// told is what this daemon tells the others.
+// ownTick returns this front's own load, usage and state, for the other fronts.
 func (d *Daemon) ownTick() mesh.Tick {
 	v := d.fleet.View()
 	return mesh.Tick{Load: toIDs(d.picker.Own()), Used: toIDs(d.allow.Used(time.Now())), State: mesh.State{
@@ -65,7 +66,7 @@
 	}}
 }
 
-// short has short forms in place of names.
+// toIDs replaces names by their hashes.
 func toIDs(counts map[string]int) map[mesh.ID]int {
 	out := make(map[mesh.ID]int, len(counts))
 	for name, n := range counts {
@@ -74,8 +75,8 @@
 	return out
 }
 
-// named has names in place of their short forms. What this daemon doesn't know yet is
-// left out: it gets nothing from it either.
+// toNames replaces hashes by their names. Names that this front does not know yet are left
+// out: it sends no requests to such an upstream and accepts none from such an account.
 func toNames(counts map[mesh.ID]int, names map[mesh.ID]string) map[string]int {
 	out := make(map[string]int, len(counts))
 	for id, n := range counts {
@@ -86,14 +87,14 @@
 	return out
 }
 
-// changed takes what all other daemons have under way and let in.
+// onPeersChanged passes on the other fronts' requests in flight and accepted requests.
 func (d *Daemon) onPeersChanged(p mesh.Picture) {
 	d.updateLimits(p)
 	d.picker.Heard(toNames(p.Load, d.upstreamIDs().byHash), p.Fronts-1)
 	d.entry.Heard()
 }
 
-// upstreamNames returns the ids of the upstreams that are known now.
+// upstreamIDs returns the ids of the upstreams in the current view, cached by its hash.
 func (d *Daemon) upstreamIDs() *upstreamIDs {
 	v := d.fleet.View()
 	if n := d.idCache.Load(); n != nil && n.hash == v.Hash && n.lapsed == len(v.Lapsed) {
@@ -107,18 +108,17 @@
 	return n
 }
 
-// heard takes what another daemon tells of its knowledge. If it knows something
-// newer, that is asked for. If it knows the same by a later reading, this one need
-// not read: a store that does not change keeps its revision, and daemons that went
-// by newer revisions only read 10 times a second in all where 2 are enough (eight
-// daemons, a quiet day).
+// onPeerState compares another front's state with this one's. Newer state is fetched. The
+// same state from a later read confirms this front's, which then need not read the store:
+// the store's revision does not change while nothing is written, and when only newer
+// revisions counted, eight fronts at low load read 10 times a second in all instead of 2.
 //
-// Hundreds of daemons may tell of something newer at once. One or two are asked, so
-// that a start of all doesn't fill memory and links with answers that say the same; if
-// none answers, the next one heard is asked.
+// Hundreds of fronts may announce newer state at once, as when all of them start. At most
+// maxFetches are asked, so that identical answers do not fill memory and links; if none
+// answers, the next front that announces newer state is asked.
 func (d *Daemon) onPeerState(_ time.Time, s mesh.State) {
 	if s.Revision == 0 {
-		return // it has just started and knows nothing
+		return // just started, no state yet
 	}
 	v := d.fleet.View()
 	age := time.Duration(s.Age) * time.Millisecond
@@ -135,7 +135,7 @@
 	}
 }
 
-// begin is true if the daemon is to be asked now. End must be called then.
+// begin reports whether to fetch from the front now; if so, end must be called afterwards.
 func (a *fetches) begin(node string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -165,17 +165,19 @@
 		err = d.applySnapshot(k, 0)
 	}
 	if err != nil && d.entry.Stop.Err() == nil {
-		d.Log.Warn().Err(err).Str("peer", e.Node).Msg("newer knowledge not got from a daemon")
+		d.Log.Warn().Err(err).Str("peer", e.Node).Msg("newer state not fetched from another front")
 	}
 }
 
-// takeKnown learns what another daemon knew, some time ago.
+// applySnapshot applies a snapshot that was taken at another daemon that long ago. A delta
+// whose base has been replaced meanwhile is ignored: the next datagram shows whether to
+// fetch again.
 func (d *Daemon) applySnapshot(k snapshot, ago time.Duration) error {
 	t := fleet.Told{Age: time.Duration(k.Age)*time.Millisecond + ago}
 	if k.Delta != nil {
 		var ok bool
 		if t.Reading, ok = d.fleet.View().Apply(*k.Delta); !ok {
-			return nil // something else was learnt meanwhile; the next word tells
+			return nil
 		}
 	} else {
 		t.Upstreams, t.Entries = k.Upstreams, k.Entries
@@ -203,10 +205,9 @@
 	return h
 }
 
-// tellKnown answers another daemon.
-//
-// It tells differences where it can: with a thousand upstreams the whole is 0.2 MB,
-// and a hundred daemons that ask for it at every change fill the links.
+// serveSnapshot answers another front's request for a snapshot, with a delta where possible:
+// with a thousand upstreams the lists take 0.2 MB, and a hundred fronts that fetch them at
+// every change saturate the links.
 func (d *Daemon) serveSnapshot(_ context.Context, h baseline) (k snapshot, err error) {
 	delta, ok := d.fleet.Since(h.Hash)
 	v := d.fleet.View()
