--- a/internal/node/discov/discov.go
+++ b/internal/node/discov/discov.go
@@ -1,8 +1,8 @@
-// Package scout reads what daemons have to know of each other from the
-// platform's store: who takes callers, which VMs have a disk, and the roster of
-// places that hold records.
+// Package discov is service discovery through the platform's store: it reads which daemons
+// serve callers (fronts), which VMs have a disk, and the roster of the places that hold
+// records.
 //
-// Reads are the cheap, stale kind; where it matters, Fresh asks again.
+// Most reads are of the cheap, stale kind; Rescan makes one that is not stale where needed.
 package discov
 
 import (
@@ -27,12 +27,12 @@
 	DiskPrefix  = Prefix + "disk/"
 )
 
-// freshPause is the shortest pause between reads that are not stale: each costs
-// as much as ten stale ones.
+// minRescanInterval is the shortest interval between rescans. They are not stale, so each
+// costs as much as ten stale reads.
 const minRescanInterval = 150 * time.Millisecond
 
 type (
-	// Scout holds what was read. Set Store before use.
+	// Reader reads the keys and holds the newest state. Set Store before use.
 	Reader struct {
 		Store store.Shared
 
@@ -43,15 +43,15 @@
 		rescanning  chan struct{}
 	}
 
-	// State is what is known.
+	// State is what the keys hold. Its slices must not be changed.
 	State struct {
 		Roster   roster.Roster
-		Revision store.Rev // of the roster's key
-		Members  []roster.Member
-		Entries  []fleet.Entry
+		Revision store.Rev       // of the roster's key; 0 while unknown
+		Members  []roster.Member // VMs with a disk
+		Entries  []fleet.Entry   // fronts
 	}
 
-	// frontValue is the value of a daemon that takes callers.
+	// frontValue is the value of a front's key.
 	frontValue struct {
 		Address string  `json:"address"`
 		Peer    string  `json:"peer"`
@@ -60,13 +60,13 @@
 	}
 )
 
-// FrontValue encodes a daemon that takes callers.
+// FrontValue encodes the value of a front's key.
 func FrontValue(e fleet.Entry) []byte {
 	data, _ := json.Marshal(frontValue{Address: e.Address, Peer: e.Peer, Domain: e.Domain, Cores: e.Cores}) // strings always encode
 	return data
 }
 
-// State returns what is known.
+// State returns the newest state.
 func (s *Reader) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 // Roster returns the newest roster known.
 func (s *Reader) Roster() roster.Roster { return s.State().Roster }
 
-// Learn takes a roster that another daemon told.
+// Learn adopts a roster received from another daemon if it is newer. An invalid one is ignored.
 func (s *Reader) Learn(data []byte) {
 	r, err := roster.Decode(data)
 	if err != nil {
@@ -86,11 +86,11 @@
 	defer s.mu.Unlock()
 	if r.Version > s.state.Roster.Version {
 		s.state.Roster = r
-		s.state.Revision = 0 // not known; a change has to read it first
+		s.state.Revision = 0 // unknown; a writer has to scan first
 	}
 }
 
-// Scan reads everything.
+// Scan reads all keys with the prefix and applies them.
 func (s *Reader) Scan(ctx context.Context, stale bool) (err error) {
 	defer func() { err = errors.Wrap(err, "scout") }()
 	list, rev, err := s.Store.Scan(ctx, Prefix, stale)
@@ -100,8 +100,9 @@
 	return s.Apply(list, rev)
 }
 
-// Take learns all keys of the system as they were at a revision. Keys of others
-// are passed over.
+// Apply replaces the state by all keys of the system as of a revision; an older revision than
+// the one applied last is ignored, and so are other keys. On an invalid value the state stays
+// as it was and the error names the key.
 func (s *Reader) Apply(list []store.Entry, rev store.Rev) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,8 +148,9 @@
 	return nil
 }
 
-// Fresh reads everything as it is now, unless that was done a moment ago.
-// Callers that come while it reads share the answer.
+// Rescan makes a read that is not stale, unless the last one began less than
+// minRescanInterval ago. Calls during a read wait for its result. After an error the state is
+// unchanged.
 func (s *Reader) Rescan(ctx context.Context) {
 	s.mu.Lock()
 	if s.rescanning != nil {
@@ -170,7 +172,7 @@
 	s.mu.Unlock()
 	go func() {
 		defer close(done)
-		_ = s.Scan(context.WithoutCancel(ctx), false) // the caller tries again; the daemon's own reads log an outage
+		_ = s.Scan(context.WithoutCancel(ctx), false) // the caller retries; the daemon's periodic reads log outages
 		s.mu.Lock()
 		s.rescanning = nil
 		s.mu.Unlock()
--- a/internal/node/diskd/claim.go
+++ b/internal/node/diskd/claim.go
@@ -11,11 +11,13 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// lifeTime bounds the question whether a VM lives. An exchange takes milliseconds.
+// lifeTimeout bounds the call that checks whether a VM is alive. A round trip takes
+// milliseconds.
 const lifeTimeout = 300 * time.Millisecond
 
-// noteMissing notes since when nodes with a place have not been listed. After an
-// outage all keys may have lapsed, of daemons that live.
+// trackMissing records since when nodes with a place have not been listed. It starts over
+// during returnGrace after an outage of the store: all keys may have lapsed in it, also those
+// of live daemons.
 func (k *Daemon) trackMissing(s discov.State) {
 	now := time.Now()
 	if now.Sub(k.storeUpAt) < returnGrace {
@@ -39,7 +41,7 @@
 	k.missing = next
 }
 
-// long is how long a VM must be missing before its place is taken.
+// takeOverDelay is how long a VM must be missing before this one takes its place.
 func (k *Daemon) takeOverDelay() time.Duration {
 	if k.isNew() {
 		return roster.TakeOverNew
@@ -47,10 +49,10 @@
 	return roster.TakeOver
 }
 
-// isNew tells whether this VM has just started with an empty disk.
+// isNew reports whether this VM started with an empty disk less than newVMTime ago.
 func (k *Daemon) isNew() bool { return k.emptyDisk && time.Since(k.started) < newVMTime }
 
-// claim takes a place if there is one to take.
+// claim takes a place if there is one to take, and reports whether it did.
 func (k *Daemon) claim(ctx context.Context, s discov.State) bool {
 	now := time.Now()
 	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay()); !ok {
@@ -66,9 +68,9 @@
 	}, "place claimed")
 }
 
-// passLiving has places whose VMs answer not count as missing. The store lists no VM that
-// it turned away, or whose key lapsed in an outage that this one, just started, has not
-// seen. Its place would be taken while it serves, and all records copied for nothing.
+// excludeLive removes VMs that answer from those that are missing. A live VM may be unlisted
+// because the store refuses its calls, or because its key lapsed in an outage before this VM
+// started. Its place would be taken while it serves, and all records copied needlessly.
 func (k *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
 	alive := make([]bool, len(r.Places))
 	var work sync.WaitGroup
@@ -80,13 +82,13 @@
 	work.Wait()
 	for i, p := range r.Places {
 		if alive[i] {
-			k.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(k.missing[p.Node])).Msg("place not claimed: its VM is not listed, but answers")
+			k.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(k.missing[p.Node])).Msg("place not claimed: its VM is not listed in the store but answers")
 			delete(k.missing, p.Node)
 		}
 	}
 }
 
-// lives tells whether the VM of a place answers, with the disk that holds the records.
+// isAlive reports whether the VM of a place answers and still has the disk of that place.
 func (k *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
 	ctx, stop := context.WithTimeout(ctx, lifeTimeout)
 	defer stop()
--- a/internal/node/diskd/diskd.go
+++ b/internal/node/diskd/diskd.go
@@ -1,6 +1,6 @@
-// Package keeper runs a VM that holds durable records: it serves the daemons
-// that take callers, keeps the VM listed, and sees to it that the roster's places
-// are filled.
+// Package diskd is the daemon of a VM with a disk, which holds durable records: it serves
+// the daemons that serve callers (fronts), keeps the VM registered in the store, and keeps
+// the places of the roster filled.
 package diskd
 
 import (
@@ -25,51 +25,55 @@
 )
 
 const (
-	// lookEvery is the pause between looks at the store. A place that lost its
+	// rosterInterval is the pause between checks of the roster. A place that lost its
 	// VM must be filled within about four seconds of the new VM's start.
 	rosterInterval = 400 * time.Millisecond
-	// idleEvery is the same for a VM that neither has a place nor is among the first
-	// standbys that would take the next one. Of 24 VMs 16 are such; without it their
-	// looks are a fifth of all that is asked of the store on a quiet day. The first
-	// in line may be gone together with the place's VM, and who takes the place must
-	// have seen for some time that it is empty.
+	// idleInterval is the same for a VM that neither has a place nor is among the first
+	// standbys in line for the next one. Of 24 VMs 16 are idle in this sense; without
+	// idleInterval their checks are a fifth of the store's calls on a day at low load. More
+	// than one standby checks often since the first in line may be lost together with
+	// the VM of a place, and the VM that claims the place must have seen it missing for
+	// some time.
 	idleInterval = 2 * time.Second
 	standbys     = 3
-	// askEvery is the pause between looks at what the operator wants, and
-	// freshEvery that of a VM without a place between reads that are not
-	// stale, which cost ten times as much.
+	// operatorInterval is the shortest interval between reads of the operator's
+	// requests to empty VMs. freshInterval is that between reads that are not stale, by
+	// a VM without a place; these cost ten times as much as stale ones.
 	operatorInterval = 1200 * time.Millisecond
 	freshInterval    = 900 * time.Millisecond
-	// settle is how long after the store's return no place counts as missing:
+	// returnGrace is how long after an outage of the store no VM counts as missing:
 	// daemons write their keys again within about two seconds.
 	returnGrace = 2500 * time.Millisecond
-	// alone is how long a VM that is to be emptied waits for another to take
-	// its place before it hands its records to those that remain.
+	// handOverDelay is how long a VM that is to be emptied waits for another to take
+	// its place before it hands its records over to the remaining places.
 	handOverDelay = 2 * time.Second
-	// newFor is how long a VM with an empty disk counts as new: longer than its
-	// predecessor's key lives.
+	// newVMTime is how long a VM that started with an empty disk counts as new: longer than
+	// the lease of its predecessor's key lasts.
 	newVMTime = 8 * time.Second
 )
 
 type (
-	// Settings are what the keeper needs to know of its VM.
+	// Settings describe the daemon's VM.
 	Settings struct {
 		Node     string
 		Domain   string
-		Address  string // for other daemons
-		Control  string // a second address for them, where those find it that know nothing yet
-		Dir      string
-		Capacity int64 // bytes of the disk
-		Losses   int   // VMs with a disk that may be lost at once
+		Address  string // listen address for other daemons
+		Control  string // second listen address, which daemons have in their settings; empty for none
+		Dir      string // data folder
+		Capacity int64  // bytes of the disk
+		Losses   int    // VMs with a disk that may be lost at once
 	}
 
-	// Operator tells which VMs are to be emptied, and is told of it.
+	// Operator is the operator's interface for VMs that are to be emptied.
 	Operator interface {
+		// RetiringNodes returns the nodes that are to be emptied.
 		RetiringNodes(ctx context.Context) (map[string]bool, error)
+		// ReportRetirement reports that the node is being emptied or, if complete, that it
+		// holds no record that is not held elsewhere.
 		ReportRetirement(ctx context.Context, node string, complete bool) error
 	}
 
-	// Keeper runs the VM. Set the exported fields, then call Run.
+	// Daemon runs the VM. Set the exported fields, then call Run.
 	Daemon struct {
 		Settings Settings
 		Store    store.Shared
@@ -83,25 +87,25 @@
 		discov         discov.Reader
 		leased         leased.Registration
 		started        time.Time
-		emptyDisk      bool      // the disk was empty at the start
-		operatorReadAt time.Time // what the operator wants
-		freshReadAt    time.Time // last read that was not stale
-		storeDown      bool      // the store doesn't answer
-		storeUpAt      time.Time // when it came back
-		missing        map[string]time.Time
-		joining        bool
-		caughtUp       bool // what was written while this process was away is here
+		emptyDisk      bool                 // the disk was empty at the start
+		operatorReadAt time.Time            // when the operator's requests were read last
+		freshReadAt    time.Time            // last read that was not stale
+		storeDown      bool                 // the last scan failed
+		storeUpAt      time.Time            // when it was available again
+		missing        map[string]time.Time // nodes with a place: since when they have not been listed
+		joining        bool                 // a join is in progress
+		caughtUp       bool                 // the disk has what was written while this process did not run
 		joinResult     chan error
-		peerFunc       holder.Peers // the other VMs with a disk; nil for those of the link
+		peerFunc       holder.Peers // connects to other VMs with a disk; nil to use the link
 		retiring       atomic.Bool
-		retiringSince  time.Time // of retiring
-		reported       string    // what the operator was told last
+		retiringSince  time.Time // when retiring changed last
+		reported       string    // the state reported to the operator last
 	}
 )
 
 // Run serves until ctx ends.
 func (k *Daemon) Run(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "run keeper") }()
+	defer func() { err = errors.Wrap(err, "run disk daemon") }()
 	k.started = time.Now()
 	k.joinResult = make(chan error, 1)
 	k.holder.Dir, k.holder.Capacity = k.Settings.Dir, k.Settings.Capacity
@@ -109,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	k.emptyDisk, k.caughtUp = emptyDisk, emptyDisk // as the first of all, or else it joins
+	k.emptyDisk, k.caughtUp = emptyDisk, emptyDisk // an empty disk is either one of the first, or copies all records when it joins
 	programs, turns, bytes := k.holder.Stats()
 	k.Log.Info().Str("life", k.holder.Life()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
 		Int64("bytes", bytes).Dur("took_ms", time.Since(k.started)).Msg("records opened")
@@ -138,8 +142,8 @@
 	return errors.CombineErrors(err, k.holder.Close())
 }
 
-// serveControl takes daemons that know nothing but the addresses in their
-// settings.
+// serveControl serves daemons at the second address, which they know from their settings
+// before they have read the store.
 func (k *Daemon) serveControl(ctx context.Context) {
 	if k.Settings.Control == "" {
 		return
@@ -150,7 +154,7 @@
 		err = k.link.Serve(ctx, ln)
 	}
 	if err != nil && ctx.Err() == nil {
-		k.Log.Error().Err(err).Str("address", k.Settings.Control).Msg("not served any more")
+		k.Log.Error().Err(err).Str("address", k.Settings.Control).Msg("listener stopped")
 	}
 }
 
@@ -167,16 +171,16 @@
 
 func (k *Daemon) logRegistration(err error) {
 	if err != nil {
-		k.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: the daemon's key may lapse")
+		k.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: this VM's key may lapse")
 		return
 	}
-	k.Log.Info().Str("dependency", "store").Msg("regained: the daemon's key stands")
+	k.Log.Info().Str("dependency", "store").Msg("regained: this VM's key is written")
 }
 
 func (k *Daemon) trim(ctx context.Context) {
 	for pause.For(ctx, holder.TrimEvery) {
 		if err := k.holder.Trim(ctx); err != nil && ctx.Err() == nil {
-			k.Log.Warn().Err(err).Msg("old records were not dropped")
+			k.Log.Warn().Err(err).Msg("expired records not removed")
 		}
 		programs, turns, bytes := k.holder.Stats()
 		k.Scope.Gauge("records_programs").Update(float64(programs))
@@ -185,7 +189,7 @@
 	}
 }
 
-// look keeps the roster's places filled.
+// checkLoop keeps the places of the roster filled, until ctx ends.
 func (k *Daemon) checkLoop(ctx context.Context) {
 	for {
 		k.check(ctx)
@@ -195,8 +199,8 @@
 	}
 }
 
-// lookPause is the time until the next look. One that may have to act soon looks
-// often, and so does one that doesn't know yet.
+// nextInterval returns the time until the next check: short for a VM that may have to act
+// soon, or does not know the roster yet.
 func (k *Daemon) nextInterval() time.Duration {
 	s := k.discov.State()
 	_, placed := s.Roster.Find(k.holder.Life())
@@ -207,8 +211,8 @@
 }
 
 func (k *Daemon) check(ctx context.Context) {
-	// The VM that would take the next place looks for one that is free, and stale
-	// reads may be seconds behind; the others have time.
+	// Stale reads may be seconds behind. Only the VM that is first in line for a free
+	// place needs to see it sooner.
 	known := k.discov.State()
 	_, placed := known.Roster.Find(k.holder.Life())
 	stale := placed || !k.isNew() && time.Since(k.freshReadAt) < freshInterval || !known.Roster.Next(k.self(), known.Members)
@@ -255,8 +259,8 @@
 	}
 }
 
-// found writes the first roster once all VMs with a disk are there, or have had
-// time to come.
+// createRoster writes the first roster once as many VMs are listed as it has places, or once
+// this VM has waited for roster.Gather.
 func (k *Daemon) createRoster(ctx context.Context) {
 	s := k.discov.State()
 	waited := time.Since(k.started) >= roster.Gather
@@ -271,11 +275,12 @@
 	}, "founded")
 }
 
-// change writes the next roster if the store still has the one that it follows.
-// What was read may be old, so it reads again before it decides.
+// updateRoster writes the next roster unless the store's has changed meanwhile, and reports
+// whether it was written. The state that led to the call may be stale, so it scans again and
+// lets next decide on that.
 func (k *Daemon) updateRoster(ctx context.Context, next func(discov.State) (roster.Roster, bool), what string) bool {
 	if err := k.discov.Scan(ctx, false); err != nil {
-		return false // the next look tells
+		return false // the next check logs the outage
 	}
 	s := k.discov.State()
 	r, ok := next(s)
@@ -284,7 +289,7 @@
 	}
 	data, err := r.Encode()
 	if err != nil {
-		k.Log.Error().Err(err).Msg("roster not written")
+		k.Log.Error().Err(err).Msg("roster not encoded")
 		return false
 	}
 	_, err = k.Store.Put(ctx, discov.RosterKey, data, s.Revision, 0)
--- a/internal/node/diskd/diskd_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -20,7 +20,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// shelf is a store in memory, without leases.
+// memStore is a store in memory, without leases.
 type memStore struct {
 	store.Shared
 	mu    sync.Mutex
@@ -71,7 +71,7 @@
 	s.put(discov.DiskPrefix+m.Node, data)
 }
 
-// operator wants VMs emptied.
+// operator requests that VMs are emptied, and records the reports.
 type operator struct {
 	want    map[string]bool
 	reports []bool // whether complete
@@ -93,7 +93,7 @@
 	alive map[string]diskPeer // of the VMs that answer, by address
 }
 
-// life is the disk of a VM that answers; the empty one doesn't.
+// diskPeer is another VM with a disk, which answers with this life; an empty one does not answer.
 type diskPeer string
 
 func (l diskPeer) Invoke(_ context.Context, _ string, _, out any) error {
@@ -106,7 +106,8 @@
 	return err
 }
 
-// newWorld starts a VM "d" beside a, b and c. It takes no calls of others.
+// newFixture returns the daemon of a VM "d", without a listener for other daemons. The
+// others are a, b and c.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	w := &fixture{t: t, s: &memStore{items: map[string]store.Entry{}}, op: &operator{want: map[string]bool{}}}
@@ -136,14 +137,14 @@
 	}
 }
 
-// run lets the VM look for a while.
+// runFixed runs checks at rosterInterval for the time d.
 func (w *fixture) runFixed(d time.Duration) {
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(rosterInterval) {
 		w.k.check(w.t.Context())
 	}
 }
 
-// look lets the VM look as often as it means to, from call to call.
+// runPaced runs checks for the time d at the daemon's own intervals, across calls.
 func (w *fixture) runPaced(d time.Duration) {
 	until := time.Now().Add(d)
 	for w.due.Before(until) {
@@ -167,7 +168,7 @@
 	return s
 }
 
-// started has a, b and c hold the records, and d beside them.
+// started lists all four VMs and gives the places to a, b and c.
 func (w *fixture) started() {
 	for _, m := range others() {
 		w.s.list(m, true)
@@ -180,10 +181,9 @@
 	is.New(w.t).Equal(w.nodes(), "abc")
 }
 
-// Dozens of VMs have a disk and few of them hold records. If each of the others
-// looked for a free place all the time, that would be most of what the store has to
-// do. The one that would take the next place must look often, and so must the next
-// one when that one is gone.
+// Dozens of VMs have a disk and few of them hold records. If each of the others checked for a
+// free place at short intervals, these reads would be most of the store's load. The first
+// standbys in line must check often, and the ones after them once they move up.
 func TestCheckIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -193,14 +193,14 @@
 		before := roster.Member{Node: "bb", Domain: "z", Life: "4"}
 		w.s.list(before, true)
 		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), rosterInterval) // the second may be called upon at any time
+		is.Equal(w.k.nextInterval(), rosterInterval) // the first in line may be lost at any time
 		w.s.list(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
 		w.s.list(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
 		w.runFixed(rosterInterval)
 		is.Equal(w.k.nextInterval(), idleInterval)
 		w.s.down = true
 		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), rosterInterval) // to notice the store's return
+		is.Equal(w.k.nextInterval(), rosterInterval) // to notice the end of the outage
 		w.s.down = false
 		w.runFixed(rosterInterval)
 		is.Equal(w.k.nextInterval(), idleInterval)
@@ -208,13 +208,14 @@
 		w.runFixed(rosterInterval)
 		is.Equal(w.k.nextInterval(), rosterInterval)
 		w.k.retiring.Store(true)
-		is.Equal(w.k.nextInterval(), rosterInterval) // its records are to go
+		is.Equal(w.k.nextInterval(), rosterInterval) // its records are to be handed over
 	})
 }
 
-// A VM that holds records and the one that would take its place are cut off together.
-// The key of the second lapses two seconds later. The one after it must have seen since
-// when the place is empty, and take it then: one more loss can't be borne.
+// A VM that holds records and the first standby in line are partitioned together, and the
+// standby's key lapses two seconds later. The second standby must have tracked since when the
+// VM is missing, and take the place as soon as that key has lapsed: one more loss could not be
+// tolerated.
 func TestFirstStandbyIsLostToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -240,14 +241,14 @@
 		w.s.list(w.k.self(), true)
 		w.s.list(others()[0], true)
 		w.runFixed(time.Second)
-		is.Equal(w.nodes(), "") // one more may come
+		is.Equal(w.nodes(), "") // waits for one more
 		w.runFixed(roster.Gather)
-		is.Equal(w.nodes(), "ad") // it didn't
+		is.Equal(w.nodes(), "ad") // waited long enough
 	})
 }
 
-// A VM with a disk is gone for good. Another must take its place within seconds, or
-// the next loss takes records with it.
+// A VM with a disk is lost permanently. Another must take its place within seconds, or the
+// next loss loses records.
 func TestPlaceOfLostVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -261,8 +262,8 @@
 	})
 }
 
-// A VM was put there in place of one that is gone. It must not wait as long as one
-// that has stood by: until it has the records, one more loss can't be borne.
+// A new VM replaces one that is lost. It must take the place sooner than a standby would: until
+// it has the records, one more loss could not be tolerated.
 func TestPlaceForANewVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -277,8 +278,8 @@
 	})
 }
 
-// A killed process is back within two seconds. Taking its place would copy all
-// records for nothing.
+// A killed process restarts within two seconds. Taking its place would copy all records
+// needlessly.
 func TestPlaceOfRestartedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t)
@@ -291,7 +292,7 @@
 	})
 }
 
-// The store was away and all keys lapsed, of VMs that live. None of their places
+// All keys lapsed in an outage of the store, although the VMs are alive. None of their places
 // may be taken while they write their keys again.
 func TestKeysThatLapsedInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -313,8 +314,8 @@
 }
 
 // A VM with an empty disk starts just after an outage in which all keys lapsed, or while the
-// store turns others away. It has seen no outage, and would take the place of a VM that
-// lives; one that is gone, or has lost its disk, must be replaced all the same.
+// store refuses the calls of other VMs. It has not seen the outage, and must not take the place
+// of a live VM; one that is lost, or has lost its disk, must still be replaced.
 func TestPlaceOfUnlistedVM(t *testing.T) {
 	cases := map[string]struct {
 		alive map[string]diskPeer
@@ -343,8 +344,8 @@
 	}
 }
 
-// The operator wants a VM emptied. "Complete" has its disk thrown away at once, so
-// it must not be said while the VM has a place, or while another is still copying.
+// The operator requests that a VM is emptied, and discards its disk as soon as "complete" is
+// reported. That must not happen while the VM has a place, or while another is still copying.
 func TestRetire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -362,7 +363,7 @@
 		w.s.list(spare, true)
 		w.op.want["d"] = true
 		w.runFixed(3 * time.Second)
-		is.Equal(w.op.reports, []bool{false}) // c may take the place
+		is.Equal(w.op.reports, []bool{false}) // c can take the place
 		r = r.WithJoined("")
 		r.Places[2] = roster.Place{Node: "c", Life: "3", Joining: true}
 		set()
--- a/internal/node/diskd/retire.go
+++ b/internal/node/diskd/retire.go
@@ -8,7 +8,8 @@
 	"github.com/slaterock/slaterock/internal/node/discov"
 )
 
-// askOperator looks whether this VM is to be emptied, and answers when it is.
+// checkRetirement reads whether the operator wants this VM emptied, gives its place up if no
+// other VM can take it, and reports the progress.
 func (k *Daemon) checkRetirement(ctx context.Context, s discov.State) {
 	if time.Since(k.operatorReadAt) < operatorInterval {
 		return
@@ -16,13 +17,13 @@
 	k.operatorReadAt = time.Now()
 	nodes, err := k.Operator.RetiringNodes(ctx)
 	if err != nil {
-		return // asked again at the next look; the scan before tells of outages
+		return // read again after operatorInterval; check logs outages
 	}
 	if requested := nodes[k.Settings.Node]; requested != k.retiring.Load() {
 		k.retiring.Store(requested)
 		k.retiringSince = time.Now()
 		k.holder.Freeze(false)
-		k.Log.Info().Bool("retiring", k.retiring.Load()).Msg("the operator asks to empty this VM")
+		k.Log.Info().Bool("retiring", k.retiring.Load()).Msg("operator's request to empty this VM changed")
 		k.leased.Wake()
 	}
 	if !k.retiring.Load() {
@@ -38,13 +39,13 @@
 		return
 	}
 	err = k.Operator.ReportRetirement(ctx, k.Settings.Node, complete)
-	k.Log.Info().Err(err).Str("state", state).Msg("the operator is told")
+	k.Log.Info().Err(err).Str("state", state).Msg("retirement state reported to the operator")
 	if err == nil {
 		k.reported = state
 	}
 }
 
-// spare tells whether a VM without a place could take this one's.
+// hasSpare reports whether a VM without a place could take this one's, or is joining already.
 func hasSpare(s discov.State) bool {
 	for _, m := range s.Members {
 		if _, in := s.Roster.Find(m.Life); !in && !m.Retiring {
@@ -63,17 +64,18 @@
 	return false
 }
 
-// leave gives the place up where nobody can take it: the others get all records
-// first, so that each of them holds everything.
+// giveUpPlace removes this VM's place from the roster where no other VM can take it. All
+// records are copied to the remaining places first, so that each of them holds everything.
+// With only as many places as a write needs it does nothing.
 func (k *Daemon) giveUpPlace(ctx context.Context) {
 	r := k.discov.Roster()
 	if len(r.Places) <= r.Writes() {
-		return // fewer places could not bear a loss any more
+		return // with fewer places a loss could not be tolerated
 	}
 	k.holder.Freeze(true)
 	if err := k.holder.HandOver(ctx, r, k.peers()); err != nil {
 		k.holder.Freeze(false)
-		k.Log.Warn().Err(err).Msg("records were not handed over")
+		k.Log.Warn().Err(err).Msg("records not handed over")
 		return
 	}
 	life := k.holder.Life()
--- a/internal/node/leased/leased.go
+++ b/internal/node/leased/leased.go
@@ -1,10 +1,9 @@
-// Package listed keeps a daemon's key in the platform's store for as long as the
-// daemon lives.
+// Package leased keeps a daemon registered in the platform's store under a key with a
+// lease, for as long as the daemon is alive.
 //
-// The key is written under a lease, so it vanishes when the daemon dies. The
-// store may revoke the lease, lose the answer to a renewal, or be away longer
-// than the lease lasts; the key is then written again under a new lease as soon
-// as the store answers.
+// The key expires when the daemon dies. The store may also revoke the lease, lose
+// the answer to a renewal, or be unavailable for longer than the lease lasts; the key
+// is then written again under a new lease as soon as the store answers.
 package leased
 
 import (
@@ -19,25 +18,25 @@
 )
 
 const (
-	// TTL is the lease's: a VM with a disk that died is missed
-	// after this long. Renewals cost a tenth of a read.
+	// TTL is the lease's lifetime, after which the loss of a VM with a disk is noticed.
+	// A renewal costs a tenth of a read.
 	TTL = 2 * time.Second
-	// renewals is how many fit into a lease, so that one may fail before the
-	// key lapses.
+	// renewalsPerTTL is how many renewals fit into the TTL, so that one may fail before
+	// the lease lapses.
 	renewalsPerTTL = 2.7
-	// endTime bounds the last call of a daemon that stops.
+	// revokeTimeout bounds the call that revokes the lease when the daemon stops.
 	revokeTimeout = 700 * time.Millisecond
-	// backOff bounds the pause after failures, so that an outage isn't
-	// followed by a storm of calls.
+	// maxBackoff bounds the pause after failures. Retries back off so that the end of an
+	// outage is not followed by a burst of calls.
 	maxBackoff = 1200 * time.Millisecond
 )
 
-// Listed keeps one key. Set the fields, then call Run.
+// Registration keeps one key. Set the exported fields, then call Run.
 type Registration struct {
 	Store    store.Shared
 	Key      string
-	Data     func() []byte // the value; written again when it changes
-	OnStatus func(error)   // told when the key may have lapsed, and nil when it stands again
+	Data     func() []byte // the key's value; written again when it changes
+	OnStatus func(error)   // called with an error when the key may have lapsed, and with nil once it is written again
 
 	lease   store.Lease
 	written []byte
@@ -45,14 +44,14 @@
 	down    bool
 }
 
-// Init makes the value ready for Wake. Run calls it if need be.
+// Init must be called before Wake if Run may not have started yet. Run calls it, too.
 func (l *Registration) Init() {
 	if l.wake == nil {
 		l.wake = make(chan struct{}, 1)
 	}
 }
 
-// Wake has the value looked at again now.
+// Wake makes Run renew the lease and compare the value at once.
 func (l *Registration) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -60,7 +59,7 @@
 	}
 }
 
-// Run keeps the key until ctx ends, and removes it then.
+// Run keeps the key until ctx ends, then revokes its lease.
 func (l *Registration) Run(ctx context.Context) {
 	l.Init()
 	renew := time.Duration(TTL.Seconds() / renewalsPerTTL * float64(time.Second))
@@ -96,8 +95,8 @@
 	}
 }
 
-// step renews the lease or writes the key. A lease of which nothing is known
-// any more is left to lapse.
+// step renews the lease, and writes the key if the lease or the value is new. A lease that
+// was granted, but whose key could not be written, is left to lapse.
 func (l *Registration) step(ctx context.Context) error {
 	if l.lease != 0 {
 		err := l.Store.Renew(ctx, l.lease)
@@ -126,12 +125,12 @@
 	return nil
 }
 
-// remove ends the lease, so that nobody has to wait until it lapses.
+// revoke ends the lease, which deletes the key without waiting for the TTL.
 func (l *Registration) revoke() {
 	if l.lease == 0 {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), revokeTimeout)
 	defer stop()
-	_ = l.Store.Revoke(ctx, l.lease) // it lapses by itself otherwise
+	_ = l.Store.Revoke(ctx, l.lease) // on failure it lapses after its TTL
 }
--- a/internal/node/leased/leased_test.go
+++ b/internal/node/leased/leased_test.go
@@ -13,7 +13,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// fake is a store with leases that lapse.
+// fakeStore is a store in memory with leases that lapse.
 type fakeStore struct {
 	store.Shared
 	mu     sync.Mutex
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// value is what the store has under the key, empty if its lease is over.
+// value returns the key's value, empty if its lease has lapsed.
 func (f *fakeStore) value(key string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,9 +81,9 @@
 	do()
 }
 
-// The store goes away longer than the lease lasts, and revokes the lease of a
-// daemon that lives. Others would take the daemon for dead; its key must be back
-// within about two seconds of the store's return.
+// The store is unavailable for longer than the lease lasts, and later loses the lease of a live
+// daemon. Other daemons would consider this one dead; its key must be written again within
+// about two seconds once the store is available.
 func TestKeyIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -97,7 +97,7 @@
 		done := make(chan struct{})
 		go func() { defer close(done); l.Run(ctx) }()
 		time.Sleep(30 * time.Second)
-		is.Equal(f.value("k"), "one") // renewed all the while
+		is.Equal(f.value("k"), "one") // renewed all the time
 
 		f.set(func() { f.down = true })
 		time.Sleep(9 * time.Second)
@@ -118,6 +118,6 @@
 
 		stop()
 		<-done
-		is.Equal(f.value("k"), "") // nobody waits for the lease to lapse
+		is.Equal(f.value("k"), "") // revoked at once, not lapsed later
 	})
 }
--- a/internal/node/regkey/regkey.go
+++ b/internal/node/regkey/regkey.go
@@ -1,11 +1,11 @@
-// Package posted keeps a daemon's address in the platform's store.
+// Package regkey keeps a daemon registered in the platform's store under a key without
+// a lease.
 //
-// The key has no lease: others notice within a second and a half by datagrams that
-// the daemon is gone, so nobody needs the key to lapse, and renewals by hundreds of
-// daemons cost more than all else that is asked of the store. Nor do all keys lapse
-// while the store is away. A daemon that finds its key as it should be, after a
-// restart, writes nothing. It removes the key when it stops as planned; that of one
-// that never comes back is removed by the others.
+// Other daemons detect by missing datagrams within 1.5 s that this one is lost, so the key
+// need not expire, and lease renewals by hundreds of daemons would cost more than all other
+// calls to the store. Nor can all keys lapse during an outage of the store. A daemon that
+// finds its key up to date after a restart writes nothing. It removes the key on a planned
+// stop; the key of a daemon that is lost permanently is removed by others.
 package regkey
 
 import (
@@ -18,31 +18,33 @@
 )
 
 const (
-	// lookEvery is the pause between looks at what the daemon knows of its own
-	// key, which costs no call. The others have no way to it until it stands.
+	// checkInterval is the pause between checks of the key in the daemon's copy of the
+	// store's state, which cost no call. Until the key is written, other daemons do not
+	// know the address of this one.
 	checkInterval = 500 * time.Millisecond
-	// learn is how long the daemon may take to hear of what it wrote: readings
-	// are half a second apart, and a second while their reader is replaced.
+	// visibleWithin is how long a written key may take to show in the daemon's copy: reads
+	// of the store are half a second apart, and a second while another daemon takes over
+	// the reading.
 	visibleWithin = 3 * time.Second
-	// backOff bounds the pause after failures, so that an outage isn't followed
-	// by a storm of calls.
+	// maxBackoff bounds the pause after failures. Retries back off so that the end of an
+	// outage is not followed by a burst of calls.
 	maxBackoff = 1200 * time.Millisecond
-	// removeTime bounds the removal.
+	// removeTimeout bounds the call of Remove.
 	removeTimeout = 700 * time.Millisecond
 )
 
-// Posted keeps one key. Set the fields, then call Run.
+// Registration keeps one key. Set the exported fields, then call Run.
 type Registration struct {
 	Store    store.Shared
 	Key      string
 	Data     func() []byte
-	UpToDate func() bool // whether the key holds the data, as far as the daemon knows
-	OnStatus func(error) // told when the key can't be written, and nil when it was
+	UpToDate func() bool // whether the key holds the data in the daemon's copy of the store's state
+	OnStatus func(error) // called with an error when writing starts to fail, and with nil once it succeeds again
 
 	down bool
 }
 
-// Run sees to it that the key stands, until ctx ends.
+// Run writes the key whenever it is not up to date, until ctx ends.
 func (p *Registration) Run(ctx context.Context) {
 	wait, wrote := checkInterval, time.Time{}
 	for {
@@ -64,7 +66,7 @@
 	}
 }
 
-// Remove removes the key. If it stays, others remove it later.
+// Remove deletes the key. After an error it is left to other daemons to remove it.
 func (p *Registration) Remove(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, removeTimeout)
 	defer stop()
--- a/internal/node/regkey/regkey_test.go
+++ b/internal/node/regkey/regkey_test.go
@@ -12,7 +12,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// fake is a store that counts writes and may be away.
+// fakeStore is a store of one key that counts writes and may be unavailable.
 type fakeStore struct {
 	store.Shared
 	mu     sync.Mutex
@@ -48,16 +48,16 @@
 	return value
 }
 
-// Hundreds of daemons start again at once after a loss of power, and the store still
-// holds their keys. If each wrote its key again, the store would have more to do at
-// that moment than in a quarter of an hour. A key that somebody removed is back soon,
-// or callers would not be sent to a daemon that is well.
+// Hundreds of daemons restart at once after a power loss, and the store still holds their
+// keys. If each wrote its key again, these writes would be more load than the store has in a
+// quarter of an hour. A key that another daemon removed must be written again soon, or the
+// directory would not name a healthy daemon.
 func TestKeyIsWrittenOnceOnly(t *testing.T) {
 	cases := map[string]struct {
 		value  string // at the start
-		away   bool   // the store, for the first ten seconds
-		writes int
-		most   int
+		away   bool   // whether the store is unavailable for the first ten seconds
+		writes int    // least number expected
+		most   int    // largest number expected
 	}{
 		"first start":                     {"", false, 1, 1},
 		"start again":                     {"here", false, 0, 0},
