--- a/internal/node/diskd/claim.go
+++ b/internal/node/diskd/claim.go
@@ -18,10 +18,10 @@
 // trackMissing records since when nodes with a place have not been listed. It starts over
 // during returnGrace after an outage of the store: all keys may have lapsed in it, also those
 // of live daemons.
-func (k *Daemon) trackMissing(s discov.State) {
+func (d *Daemon) trackMissing(s discov.State) {
 	now := time.Now()
-	if now.Sub(k.storeUpAt) < returnGrace {
-		k.missing = nil
+	if now.Sub(d.storeUpAt) < returnGrace {
+		d.missing = nil
 		return
 	}
 	listed := map[string]bool{}
@@ -34,65 +34,65 @@
 			continue
 		}
 		next[p.Node] = now
-		if since, known := k.missing[p.Node]; known {
+		if since, known := d.missing[p.Node]; known {
 			next[p.Node] = since
 		}
 	}
-	k.missing = next
+	d.missing = next
 }
 
 // takeOverDelay is how long a VM must be missing before this one takes its place.
-func (k *Daemon) takeOverDelay() time.Duration {
-	if k.isNew() {
+func (d *Daemon) takeOverDelay() time.Duration {
+	if d.isNew() {
 		return roster.TakeOverNew
 	}
 	return roster.TakeOver
 }
 
 // isNew reports whether this VM started with an empty disk less than newVMTime ago.
-func (k *Daemon) isNew() bool { return k.emptyDisk && time.Since(k.started) < newVMTime }
+func (d *Daemon) isNew() bool { return d.emptyDisk && time.Since(d.started) < newVMTime }
 
 // claim takes a place if there is one to take, and reports whether it did.
-func (k *Daemon) claim(ctx context.Context, s discov.State) bool {
+func (d *Daemon) claim(ctx context.Context, s discov.State) bool {
 	now := time.Now()
-	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay()); !ok {
+	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay()); !ok {
 		return false
 	}
-	k.excludeLive(ctx, s.Roster)
-	if _, ok := s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay()); !ok {
+	d.excludeLive(ctx, s.Roster)
+	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay()); !ok {
 		return false
 	}
-	return k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
-		k.trackMissing(s)
-		return s.Roster.Claim(now, k.self(), s.Members, k.missing, k.takeOverDelay())
+	return d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
+		d.trackMissing(s)
+		return s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay())
 	}, "place claimed")
 }
 
 // excludeLive removes VMs that answer from those that are missing. A live VM may be unlisted
 // because the store refuses its calls, or because its key lapsed in an outage before this VM
 // started. Its place would be taken while it serves, and all records copied needlessly.
-func (k *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
+func (d *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
 	alive := make([]bool, len(r.Places))
 	var work sync.WaitGroup
 	for i, p := range r.Places {
-		if _, missing := k.missing[p.Node]; missing {
-			work.Go(func() { alive[i] = k.isAlive(ctx, p) })
+		if _, missing := d.missing[p.Node]; missing {
+			work.Go(func() { alive[i] = d.isAlive(ctx, p) })
 		}
 	}
 	work.Wait()
 	for i, p := range r.Places {
 		if alive[i] {
-			k.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(k.missing[p.Node])).Msg("place not claimed: its VM is not listed in the store but answers")
-			delete(k.missing, p.Node)
+			d.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(d.missing[p.Node])).Msg("place not claimed: its VM is not listed in the store but answers")
+			delete(d.missing, p.Node)
 		}
 	}
 }
 
 // isAlive reports whether the VM of a place answers and still has the disk of that place.
-func (k *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
+func (d *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
 	ctx, stop := context.WithTimeout(ctx, lifeTimeout)
 	defer stop()
 	var life string
-	err := link.Ask(ctx, k.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
+	err := link.Ask(ctx, d.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
 	return err == nil && life == p.Life
 }
--- a/internal/node/diskd/diskd.go
+++ b/internal/node/diskd/diskd.go
@@ -56,7 +56,7 @@
 	// Settings describe the daemon's VM.
 	Settings struct {
 		Node     string
-		Domain   string
+		Domain   string // failure domain
 		Address  string // listen address for other daemons
 		Control  string // second listen address, which daemons have in their settings; empty for none
 		Dir      string // data folder
@@ -104,96 +104,96 @@
 )
 
 // Run serves until ctx ends.
-func (k *Daemon) Run(ctx context.Context) (err error) {
+func (d *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "run disk daemon") }()
-	k.started = time.Now()
-	k.joinResult = make(chan error, 1)
-	k.holder.Dir, k.holder.Capacity = k.Settings.Dir, k.Settings.Capacity
-	emptyDisk, err := k.holder.Open()
+	d.started = time.Now()
+	d.joinResult = make(chan error, 1)
+	d.holder.Dir, d.holder.Capacity = d.Settings.Dir, d.Settings.Capacity
+	emptyDisk, err := d.holder.Open()
 	if err != nil {
 		return err
 	}
-	k.emptyDisk, k.caughtUp = emptyDisk, emptyDisk // an empty disk is either one of the first, or copies all records when it joins
-	programs, turns, bytes := k.holder.Stats()
-	k.Log.Info().Str("life", k.holder.Life()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
-		Int64("bytes", bytes).Dur("took_ms", time.Since(k.started)).Msg("records opened")
+	d.emptyDisk, d.caughtUp = emptyDisk, emptyDisk // an empty disk is either one of the first, or copies all records when it joins
+	programs, turns, bytes := d.holder.Stats()
+	d.Log.Info().Str("life", d.holder.Life()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
+		Int64("bytes", bytes).Dur("took_ms", time.Since(d.started)).Msg("records opened")
 	var lc net.ListenConfig
-	ln, err := lc.Listen(ctx, "tcp", k.Settings.Address)
+	ln, err := lc.Listen(ctx, "tcp", d.Settings.Address)
 	if err != nil {
 		return err
 	}
-	k.link.Address, k.link.Scope = k.Settings.Address, k.Scope
-	k.holder.Register(&k.link)
-	k.memo.Dir = k.Settings.Dir
-	k.memo.Register(&k.link)
-	k.discov.Store = k.Store
-	k.leased = leased.Registration{Store: k.Store, Key: discov.DiskPrefix + k.Settings.Node, Data: k.value, OnStatus: k.logRegistration}
-	k.leased.Init()
+	d.link.Address, d.link.Scope = d.Settings.Address, d.Scope
+	d.holder.Register(&d.link)
+	d.memo.Dir = d.Settings.Dir
+	d.memo.Register(&d.link)
+	d.discov.Store = d.Store
+	d.leased = leased.Registration{Store: d.Store, Key: discov.DiskPrefix + d.Settings.Node, Data: d.value, OnStatus: d.logRegistration}
+	d.leased.Init()
 	listing := make(chan struct{})
 	go func() {
 		defer close(listing)
-		k.leased.Run(ctx)
+		d.leased.Run(ctx)
 	}()
-	go k.checkLoop(ctx)
-	go k.trim(ctx)
-	go k.serveControl(ctx)
-	err = k.link.Serve(ctx, ln)
+	go d.checkLoop(ctx)
+	go d.trim(ctx)
+	go d.serveControl(ctx)
+	err = d.link.Serve(ctx, ln)
 	<-listing
-	return errors.CombineErrors(err, k.holder.Close())
+	return errors.CombineErrors(err, d.holder.Close())
 }
 
 // serveControl serves daemons at the second address, which they know from their settings
 // before they have read the store.
-func (k *Daemon) serveControl(ctx context.Context) {
-	if k.Settings.Control == "" {
+func (d *Daemon) serveControl(ctx context.Context) {
+	if d.Settings.Control == "" {
 		return
 	}
 	var lc net.ListenConfig
-	ln, err := lc.Listen(ctx, "tcp", k.Settings.Control)
+	ln, err := lc.Listen(ctx, "tcp", d.Settings.Control)
 	if err == nil {
-		err = k.link.Serve(ctx, ln)
+		err = d.link.Serve(ctx, ln)
 	}
 	if err != nil && ctx.Err() == nil {
-		k.Log.Error().Err(err).Str("address", k.Settings.Control).Msg("listener stopped")
+		d.Log.Error().Err(err).Str("address", d.Settings.Control).Msg("listener stopped")
 	}
 }
 
-func (k *Daemon) self() roster.Member {
+func (d *Daemon) self() roster.Member {
 	return roster.Member{
-		Node: k.Settings.Node, Address: k.Settings.Address, Domain: k.Settings.Domain, Life: k.holder.Life(), Retiring: k.retiring.Load(),
+		Node: d.Settings.Node, Address: d.Settings.Address, Domain: d.Settings.Domain, Life: d.holder.Life(), Retiring: d.retiring.Load(),
 	}
 }
 
-func (k *Daemon) value() []byte {
-	data, _ := json.Marshal(k.self()) // strings always encode
+func (d *Daemon) value() []byte {
+	data, _ := json.Marshal(d.self()) // strings always encode
 	return data
 }
 
-func (k *Daemon) logRegistration(err error) {
+func (d *Daemon) logRegistration(err error) {
 	if err != nil {
-		k.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: this VM's key may lapse")
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: this VM's key may lapse")
 		return
 	}
-	k.Log.Info().Str("dependency", "store").Msg("regained: this VM's key is written")
+	d.Log.Info().Str("dependency", "store").Msg("regained: this VM's key is written")
 }
 
-func (k *Daemon) trim(ctx context.Context) {
+func (d *Daemon) trim(ctx context.Context) {
 	for pause.For(ctx, holder.TrimEvery) {
-		if err := k.holder.Trim(ctx); err != nil && ctx.Err() == nil {
-			k.Log.Warn().Err(err).Msg("expired records not removed")
+		if err := d.holder.Trim(ctx); err != nil && ctx.Err() == nil {
+			d.Log.Warn().Err(err).Msg("expired records not removed")
 		}
-		programs, turns, bytes := k.holder.Stats()
-		k.Scope.Gauge("records_programs").Update(float64(programs))
-		k.Scope.Gauge("records_turns").Update(float64(turns))
-		k.Scope.Gauge("records_bytes").Update(float64(bytes))
+		programs, turns, bytes := d.holder.Stats()
+		d.Scope.Gauge("records_programs").Update(float64(programs))
+		d.Scope.Gauge("records_turns").Update(float64(turns))
+		d.Scope.Gauge("records_bytes").Update(float64(bytes))
 	}
 }
 
 // checkLoop keeps the places of the roster filled, until ctx ends.
-func (k *Daemon) checkLoop(ctx context.Context) {
+func (d *Daemon) checkLoop(ctx context.Context) {
 	for {
-		k.check(ctx)
-		if !pause.For(ctx, k.nextInterval()) {
+		d.check(ctx)
+		if !pause.For(ctx, d.nextInterval()) {
 			return
 		}
 	}
@@ -201,134 +201,134 @@
 
 // nextInterval returns the time until the next check: short for a VM that may have to act
 // soon, or does not know the roster yet.
-func (k *Daemon) nextInterval() time.Duration {
-	s := k.discov.State()
-	_, placed := s.Roster.Find(k.holder.Life())
-	if placed || k.storeDown || s.Roster.Version == 0 || k.isNew() || k.retiring.Load() || s.Roster.Line(k.self(), s.Members) < standbys {
+func (d *Daemon) nextInterval() time.Duration {
+	s := d.discov.State()
+	_, placed := s.Roster.Find(d.holder.Life())
+	if placed || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.Line(d.self(), s.Members) < standbys {
 		return rosterInterval
 	}
 	return idleInterval
 }
 
-func (k *Daemon) check(ctx context.Context) {
+func (d *Daemon) check(ctx context.Context) {
 	// Stale reads may be seconds behind. Only the VM that is first in line for a free
 	// place needs to see it sooner.
-	known := k.discov.State()
-	_, placed := known.Roster.Find(k.holder.Life())
-	stale := placed || !k.isNew() && time.Since(k.freshReadAt) < freshInterval || !known.Roster.Next(k.self(), known.Members)
+	known := d.discov.State()
+	_, placed := known.Roster.Find(d.holder.Life())
+	stale := placed || !d.isNew() && time.Since(d.freshReadAt) < freshInterval || !known.Roster.Next(d.self(), known.Members)
 	if !stale {
-		k.freshReadAt = time.Now()
+		d.freshReadAt = time.Now()
 	}
-	if err := k.discov.Scan(ctx, stale); err != nil {
-		if !k.storeDown {
-			k.storeDown = true
-			k.Log.Warn().Err(err).Str("dependency", "store").Msg("lost")
+	if err := d.discov.Scan(ctx, stale); err != nil {
+		if !d.storeDown {
+			d.storeDown = true
+			d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost")
 		}
 		return
 	}
-	if k.storeDown {
-		k.storeDown = false
-		k.storeUpAt = time.Now()
-		k.Log.Info().Str("dependency", "store").Msg("regained")
+	if d.storeDown {
+		d.storeDown = false
+		d.storeUpAt = time.Now()
+		d.Log.Info().Str("dependency", "store").Msg("regained")
 	}
-	s := k.discov.State()
-	k.trackMissing(s)
+	s := d.discov.State()
+	d.trackMissing(s)
 	if s.Roster.Version > 0 {
-		k.holder.Learn(s.Roster)
+		d.holder.Learn(s.Roster)
 	}
-	k.checkRetirement(ctx, s)
+	d.checkRetirement(ctx, s)
 	select {
-	case err := <-k.joinResult:
-		k.joining = false
-		k.endJoin(ctx, err)
-		s = k.discov.State()
+	case err := <-d.joinResult:
+		d.joining = false
+		d.endJoin(ctx, err)
+		s = d.discov.State()
 	default:
 	}
-	place, in := s.Roster.Find(k.holder.Life())
+	place, in := s.Roster.Find(d.holder.Life())
 	switch {
 	case s.Roster.Version == 0:
-		k.createRoster(ctx)
+		d.createRoster(ctx)
 	case in && place.Joining:
-		k.startJoin(ctx, s.Roster)
-	case in && !k.caughtUp:
-		k.startJoin(ctx, s.Roster)
-	case in && place.Address != k.Settings.Address:
-		k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) { return s.Roster.WithAddress(k.self()), true }, "moved")
-	case !in && k.claim(ctx, s):
-		k.startJoin(ctx, k.discov.Roster())
+		d.startJoin(ctx, s.Roster)
+	case in && !d.caughtUp:
+		d.startJoin(ctx, s.Roster)
+	case in && place.Address != d.Settings.Address:
+		d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) { return s.Roster.WithAddress(d.self()), true }, "moved")
+	case !in && d.claim(ctx, s):
+		d.startJoin(ctx, d.discov.Roster())
 	}
 }
 
 // createRoster writes the first roster once as many VMs are listed as it has places, or once
 // this VM has waited for roster.Gather.
-func (k *Daemon) createRoster(ctx context.Context) {
-	s := k.discov.State()
-	waited := time.Since(k.started) >= roster.Gather
-	if len(s.Members) < roster.Full(k.Settings.Losses) && !waited {
+func (d *Daemon) createRoster(ctx context.Context) {
+	s := d.discov.State()
+	waited := time.Since(d.started) >= roster.Gather
+	if len(s.Members) < roster.Full(d.Settings.Losses) && !waited {
 		return
 	}
-	k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
+	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		if s.Roster.Version != 0 {
 			return roster.Roster{}, false
 		}
-		return roster.First(s.Members, k.Settings.Losses)
+		return roster.First(s.Members, d.Settings.Losses)
 	}, "founded")
 }
 
 // updateRoster writes the next roster unless the store's has changed meanwhile, and reports
 // whether it was written. The state that led to the call may be stale, so it scans again and
 // lets next decide on that.
-func (k *Daemon) updateRoster(ctx context.Context, next func(discov.State) (roster.Roster, bool), what string) bool {
-	if err := k.discov.Scan(ctx, false); err != nil {
+func (d *Daemon) updateRoster(ctx context.Context, next func(discov.State) (roster.Roster, bool), what string) bool {
+	if err := d.discov.Scan(ctx, false); err != nil {
 		return false // the next check logs the outage
 	}
-	s := k.discov.State()
+	s := d.discov.State()
 	r, ok := next(s)
 	if !ok {
 		return false
 	}
 	data, err := r.Encode()
 	if err != nil {
-		k.Log.Error().Err(err).Msg("roster not encoded")
+		d.Log.Error().Err(err).Msg("roster not encoded")
 		return false
 	}
-	_, err = k.Store.Put(ctx, discov.RosterKey, data, s.Revision, 0)
-	k.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster: " + what)
+	_, err = d.Store.Put(ctx, discov.RosterKey, data, s.Revision, 0)
+	d.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster: " + what)
 	if err == nil {
-		k.discov.Learn(data)
-		k.holder.Learn(r)
+		d.discov.Learn(data)
+		d.holder.Learn(r)
 	}
 	return err == nil
 }
 
-func (k *Daemon) startJoin(ctx context.Context, r roster.Roster) {
-	if k.joining {
+func (d *Daemon) startJoin(ctx context.Context, r roster.Roster) {
+	if d.joining {
 		return
 	}
-	k.joining = true
-	k.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other places")
-	go func() { k.joinResult <- k.holder.Join(ctx, r, k.peers()) }()
+	d.joining = true
+	d.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other places")
+	go func() { d.joinResult <- d.holder.Join(ctx, r, d.peers()) }()
 }
 
-func (k *Daemon) peers() holder.Peers {
-	if k.peerFunc != nil {
-		return k.peerFunc
+func (d *Daemon) peers() holder.Peers {
+	if d.peerFunc != nil {
+		return d.peerFunc
 	}
-	return func(address string) link.Invoker { return k.link.Peer(address) }
+	return func(address string) link.Invoker { return d.link.Peer(address) }
 }
 
-func (k *Daemon) endJoin(ctx context.Context, err error) {
-	programs, turns, bytes := k.holder.Stats()
-	k.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("records copied")
+func (d *Daemon) endJoin(ctx context.Context, err error) {
+	programs, turns, bytes := d.holder.Stats()
+	d.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("records copied")
 	if err != nil {
 		return
 	}
-	k.caughtUp = true
-	life := k.holder.Life()
-	if p, in := k.discov.Roster().Find(life); !in || !p.Joining {
+	d.caughtUp = true
+	life := d.holder.Life()
+	if p, in := d.discov.Roster().Find(life); !in || !p.Joining {
 		return
 	}
-	k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
+	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		p, in := s.Roster.Find(life)
 		return s.Roster.WithJoined(life), in && p.Joining
 	}, "joined")
--- a/internal/node/diskd/diskd_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -85,12 +85,12 @@
 }
 
 type fixture struct {
-	t     *testing.T
-	s     *memStore
-	op    *operator
-	k     *Daemon
-	due   time.Time           // of the next look
-	alive map[string]diskPeer // of the VMs that answer, by address
+	t      *testing.T
+	s      *memStore
+	op     *operator
+	daemon *Daemon
+	due    time.Time           // of the next look
+	alive  map[string]diskPeer // of the VMs that answer, by address
 }
 
 // diskPeer is another VM with a disk, which answers with this life; an empty one does not answer.
@@ -110,23 +110,23 @@
 // others are a, b and c.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	w := &fixture{t: t, s: &memStore{items: map[string]store.Entry{}}, op: &operator{want: map[string]bool{}}}
-	w.k = &Daemon{
+	f := &fixture{t: t, s: &memStore{items: map[string]store.Entry{}}, op: &operator{want: map[string]bool{}}}
+	f.daemon = &Daemon{
 		Settings: Settings{Node: "d", Address: "d:1", Domain: "w", Losses: 1},
-		Store:    w.s, Operator: w.op, Log: zerolog.Nop(), Scope: tally.NoopScope,
+		Store:    f.s, Operator: f.op, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}
-	w.k.started = time.Now()
-	w.k.joinResult = make(chan error, 1)
-	w.k.holder.Dir = t.TempDir()
-	_, err := w.k.holder.Open()
+	f.daemon.started = time.Now()
+	f.daemon.joinResult = make(chan error, 1)
+	f.daemon.holder.Dir = t.TempDir()
+	_, err := f.daemon.holder.Open()
 	is.New(t).NoErr(err)
-	w.k.caughtUp = true
-	w.k.discov.Store = w.s
-	w.k.peerFunc = func(address string) link.Invoker { return w.alive[address] }
-	w.k.leased.Init()
-	is.New(t).NoErr(w.k.link.Start(t.Context()))
-	t.Cleanup(func() { _ = w.k.holder.Close() })
-	return w
+	f.daemon.caughtUp = true
+	f.daemon.discov.Store = f.s
+	f.daemon.peerFunc = func(address string) link.Invoker { return f.alive[address] }
+	f.daemon.leased.Init()
+	is.New(t).NoErr(f.daemon.link.Start(t.Context()))
+	t.Cleanup(func() { _ = f.daemon.holder.Close() })
+	return f
 }
 
 func others() []roster.Member {
@@ -138,30 +138,30 @@
 }
 
 // runFixed runs checks at rosterInterval for the time d.
-func (w *fixture) runFixed(d time.Duration) {
+func (f *fixture) runFixed(d time.Duration) {
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(rosterInterval) {
-		w.k.check(w.t.Context())
+		f.daemon.check(f.t.Context())
 	}
 }
 
 // runPaced runs checks for the time d at the daemon's own intervals, across calls.
-func (w *fixture) runPaced(d time.Duration) {
+func (f *fixture) runPaced(d time.Duration) {
 	until := time.Now().Add(d)
-	for w.due.Before(until) {
-		time.Sleep(time.Until(w.due))
-		w.k.check(w.t.Context())
-		w.due = time.Now().Add(w.k.nextInterval())
+	for f.due.Before(until) {
+		time.Sleep(time.Until(f.due))
+		f.daemon.check(f.t.Context())
+		f.due = time.Now().Add(f.daemon.nextInterval())
 	}
 	time.Sleep(time.Until(until))
 }
 
-func (w *fixture) nodes() (s string) {
-	data := w.s.items[discov.RosterKey].Data
+func (f *fixture) nodes() (s string) {
+	data := f.s.items[discov.RosterKey].Data
 	if data == nil {
 		return ""
 	}
 	r, err := roster.Decode(data)
-	is.New(w.t).NoErr(err)
+	is.New(f.t).NoErr(err)
 	for _, p := range r.Places {
 		s += p.Node
 	}
@@ -169,16 +169,16 @@
 }
 
 // started lists all four VMs and gives the places to a, b and c.
-func (w *fixture) started() {
+func (f *fixture) started() {
 	for _, m := range others() {
-		w.s.list(m, true)
+		f.s.list(m, true)
 	}
 	r, _ := roster.First(others(), 1)
 	data, _ := r.Encode()
-	w.s.put(discov.RosterKey, data)
-	w.s.list(w.k.self(), true)
-	w.runFixed(3 * time.Second)
-	is.New(w.t).Equal(w.nodes(), "abc")
+	f.s.put(discov.RosterKey, data)
+	f.s.list(f.daemon.self(), true)
+	f.runFixed(3 * time.Second)
+	is.New(f.t).Equal(f.nodes(), "abc")
 }
 
 // Dozens of VMs have a disk and few of them hold records. If each of the others checked for a
@@ -187,28 +187,28 @@
 func TestCheckIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFixture(t)
-		w.started()
-		is.Equal(w.k.nextInterval(), rosterInterval) // the next
+		f := newFixture(t)
+		f.started()
+		is.Equal(f.daemon.nextInterval(), rosterInterval) // the next
 		before := roster.Member{Node: "bb", Domain: "z", Life: "4"}
-		w.s.list(before, true)
-		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), rosterInterval) // the first in line may be lost at any time
-		w.s.list(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
-		w.s.list(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
-		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), idleInterval)
-		w.s.down = true
-		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), rosterInterval) // to notice the end of the outage
-		w.s.down = false
-		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), idleInterval)
-		w.s.list(before, false)
-		w.runFixed(rosterInterval)
-		is.Equal(w.k.nextInterval(), rosterInterval)
-		w.k.retiring.Store(true)
-		is.Equal(w.k.nextInterval(), rosterInterval) // its records are to be handed over
+		f.s.list(before, true)
+		f.runFixed(rosterInterval)
+		is.Equal(f.daemon.nextInterval(), rosterInterval) // the first in line may be lost at any time
+		f.s.list(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
+		f.s.list(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
+		f.runFixed(rosterInterval)
+		is.Equal(f.daemon.nextInterval(), idleInterval)
+		f.s.down = true
+		f.runFixed(rosterInterval)
+		is.Equal(f.daemon.nextInterval(), rosterInterval) // to notice the end of the outage
+		f.s.down = false
+		f.runFixed(rosterInterval)
+		is.Equal(f.daemon.nextInterval(), idleInterval)
+		f.s.list(before, false)
+		f.runFixed(rosterInterval)
+		is.Equal(f.daemon.nextInterval(), rosterInterval)
+		f.daemon.retiring.Store(true)
+		is.Equal(f.daemon.nextInterval(), rosterInterval) // its records are to be handed over
 	})
 }
 
@@ -219,31 +219,31 @@
 func TestFirstStandbyIsLostToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFixture(t)
-		w.started()
+		f := newFixture(t)
+		f.started()
 		next := roster.Member{Node: "bb", Domain: "z", Life: "4"}
-		w.s.list(next, true)
-		w.s.list(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
-		w.runPaced(5 * time.Second)
-		w.s.list(others()[1], false)
-		w.runPaced(roster.TakeOver + rosterInterval)
-		is.Equal(w.nodes(), "abc")
-		w.s.list(next, false)
-		w.runPaced(2 * rosterInterval)
-		is.Equal(w.nodes(), "adc")
+		f.s.list(next, true)
+		f.s.list(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
+		f.runPaced(5 * time.Second)
+		f.s.list(others()[1], false)
+		f.runPaced(roster.TakeOver + rosterInterval)
+		is.Equal(f.nodes(), "abc")
+		f.s.list(next, false)
+		f.runPaced(2 * rosterInterval)
+		is.Equal(f.nodes(), "adc")
 	})
 }
 
 func TestFirstRoster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFixture(t)
-		w.s.list(w.k.self(), true)
-		w.s.list(others()[0], true)
-		w.runFixed(time.Second)
-		is.Equal(w.nodes(), "") // waits for one more
-		w.runFixed(roster.Gather)
-		is.Equal(w.nodes(), "ad") // waited long enough
+		f := newFixture(t)
+		f.s.list(f.daemon.self(), true)
+		f.s.list(others()[0], true)
+		f.runFixed(time.Second)
+		is.Equal(f.nodes(), "") // waits for one more
+		f.runFixed(roster.Gather)
+		is.Equal(f.nodes(), "ad") // waited long enough
 	})
 }
 
@@ -252,13 +252,13 @@
 func TestPlaceOfLostVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFixture(t)
-		w.started()
-		w.s.list(others()[1], false)
-		w.runFixed(roster.TakeOver)
-		is.Equal(w.nodes(), "abc")
-		w.runFixed(2 * rosterInterval)
-		is.Equal(w.nodes(), "adc")
+		f := newFixture(t)
+		f.started()
+		f.s.list(others()[1], false)
+		f.runFixed(roster.TakeOver)
+		is.Equal(f.nodes(), "abc")
+		f.runFixed(2 * rosterInterval)
+		is.Equal(f.nodes(), "adc")
 	})
 }
 
@@ -267,14 +267,14 @@
 func TestPlaceForANewVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFixture(t)
-		w.started()
-		w.k.emptyDisk, w.k.started = true, time.Now()
-		w.s.list(others()[1], false)
-		w.runFixed(roster.TakeOverNew - rosterInterval)
-		is.Equal(w.nodes(), "abc")
-		w.runFixed(2 * rosterInterval)
-		is.Equal(w.nodes(), "adc")
+		f := newFixture(t)
+		f.started()
+		f.daemon.emptyDisk, f.daemon.started = true, time.Now()
+		f.s.list(others()[1], false)
+		f.runFixed(roster.TakeOverNew - rosterInterval)
+		is.Equal(f.nodes(), "abc")
+		f.runFixed(2 * rosterInterval)
+		is.Equal(f.nodes(), "adc")
 	})
 }
 
@@ -282,13 +282,13 @@
 // needlessly.
 func TestPlaceOfRestartedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t)
-		w.started()
-		w.s.list(others()[1], false)
-		w.runFixed(roster.TakeOver - rosterInterval)
-		w.s.list(others()[1], true)
-		w.runFixed(5 * time.Second)
-		is.New(t).Equal(w.nodes(), "abc")
+		f := newFixture(t)
+		f.started()
+		f.s.list(others()[1], false)
+		f.runFixed(roster.TakeOver - rosterInterval)
+		f.s.list(others()[1], true)
+		f.runFixed(5 * time.Second)
+		is.New(t).Equal(f.nodes(), "abc")
 	})
 }
 
@@ -296,20 +296,20 @@
 // may be taken while they write their keys again.
 func TestKeysThatLapsedInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t)
-		w.started()
-		w.s.down = true
-		w.runFixed(5 * time.Second)
+		f := newFixture(t)
+		f.started()
+		f.s.down = true
+		f.runFixed(5 * time.Second)
 		for _, m := range others() {
-			w.s.list(m, false)
+			f.s.list(m, false)
 		}
-		w.s.down = false
-		w.runFixed(2 * time.Second)
+		f.s.down = false
+		f.runFixed(2 * time.Second)
 		for _, m := range others() {
-			w.s.list(m, true)
+			f.s.list(m, true)
 		}
-		w.runFixed(5 * time.Second)
-		is.New(t).Equal(w.nodes(), "abc")
+		f.runFixed(5 * time.Second)
+		is.New(t).Equal(f.nodes(), "abc")
 	})
 }
 
@@ -330,15 +330,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t)
-				w.started()
-				w.alive = c.alive
-				w.k.emptyDisk, w.k.started = true, time.Now()
+				f := newFixture(t)
+				f.started()
+				f.alive = c.alive
+				f.daemon.emptyDisk, f.daemon.started = true, time.Now()
 				for _, m := range others() {
-					w.s.list(m, false)
+					f.s.list(m, false)
 				}
-				w.runFixed(2500 * time.Millisecond)
-				is.New(t).Equal(w.nodes(), c.want)
+				f.runFixed(2500 * time.Millisecond)
+				is.New(t).Equal(f.nodes(), c.want)
 			})
 		})
 	}
@@ -349,29 +349,29 @@
 func TestRetire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFixture(t)
-		w.started()
+		f := newFixture(t)
+		f.started()
 		r, _ := roster.First(others(), 1)
 		r.Version = 5
-		r.Places[2] = roster.Place{Node: "d", Address: "d:1", Domain: "w", Life: w.k.holder.Life()}
+		r.Places[2] = roster.Place{Node: "d", Address: "d:1", Domain: "w", Life: f.daemon.holder.Life()}
 		set := func() {
 			data, _ := r.Encode()
-			w.s.put(discov.RosterKey, data)
+			f.s.put(discov.RosterKey, data)
 		}
 		set()
 		spare := others()[2]
-		w.s.list(spare, true)
-		w.op.want["d"] = true
-		w.runFixed(3 * time.Second)
-		is.Equal(w.op.reports, []bool{false}) // c can take the place
+		f.s.list(spare, true)
+		f.op.want["d"] = true
+		f.runFixed(3 * time.Second)
+		is.Equal(f.op.reports, []bool{false}) // c can take the place
 		r = r.WithJoined("")
 		r.Places[2] = roster.Place{Node: "c", Life: "3", Joining: true}
 		set()
-		w.runFixed(3 * time.Second)
-		is.Equal(w.op.reports, []bool{false})
+		f.runFixed(3 * time.Second)
+		is.Equal(f.op.reports, []bool{false})
 		r = r.WithJoined("3")
 		set()
-		w.runFixed(3 * time.Second)
-		is.Equal(w.op.reports, []bool{false, true})
+		f.runFixed(3 * time.Second)
+		is.Equal(f.op.reports, []bool{false, true})
 	})
 }
--- a/internal/node/diskd/retire.go
+++ b/internal/node/diskd/retire.go
@@ -10,38 +10,38 @@
 
 // checkRetirement reads whether the operator wants this VM emptied, gives its place up if no
 // other VM can take it, and reports the progress.
-func (k *Daemon) checkRetirement(ctx context.Context, s discov.State) {
-	if time.Since(k.operatorReadAt) < operatorInterval {
+func (d *Daemon) checkRetirement(ctx context.Context, s discov.State) {
+	if time.Since(d.operatorReadAt) < operatorInterval {
 		return
 	}
-	k.operatorReadAt = time.Now()
-	nodes, err := k.Operator.RetiringNodes(ctx)
+	d.operatorReadAt = time.Now()
+	nodes, err := d.Operator.RetiringNodes(ctx)
 	if err != nil {
 		return // read again after operatorInterval; check logs outages
 	}
-	if requested := nodes[k.Settings.Node]; requested != k.retiring.Load() {
-		k.retiring.Store(requested)
-		k.retiringSince = time.Now()
-		k.holder.Freeze(false)
-		k.Log.Info().Bool("retiring", k.retiring.Load()).Msg("operator's request to empty this VM changed")
-		k.leased.Wake()
+	if requested := nodes[d.Settings.Node]; requested != d.retiring.Load() {
+		d.retiring.Store(requested)
+		d.retiringSince = time.Now()
+		d.holder.Freeze(false)
+		d.Log.Info().Bool("retiring", d.retiring.Load()).Msg("operator's request to empty this VM changed")
+		d.leased.Wake()
 	}
-	if !k.retiring.Load() {
+	if !d.retiring.Load() {
 		return
 	}
-	_, in := s.Roster.Find(k.holder.Life())
-	if in && time.Since(k.retiringSince) > handOverDelay && !hasSpare(s) {
-		k.giveUpPlace(ctx)
+	_, in := s.Roster.Find(d.holder.Life())
+	if in && time.Since(d.retiringSince) > handOverDelay && !hasSpare(s) {
+		d.giveUpPlace(ctx)
 	}
 	complete := !in && s.Roster.Version > 0 && !joining(s.Roster)
 	state := map[bool]string{true: "complete", false: "running"}[complete]
-	if k.reported == state {
+	if d.reported == state {
 		return
 	}
-	err = k.Operator.ReportRetirement(ctx, k.Settings.Node, complete)
-	k.Log.Info().Err(err).Str("state", state).Msg("retirement state reported to the operator")
+	err = d.Operator.ReportRetirement(ctx, d.Settings.Node, complete)
+	d.Log.Info().Err(err).Str("state", state).Msg("retirement state reported to the operator")
 	if err == nil {
-		k.reported = state
+		d.reported = state
 	}
 }
 
@@ -67,19 +67,19 @@
 // giveUpPlace removes this VM's place from the roster where no other VM can take it. All
 // records are copied to the remaining places first, so that each of them holds everything.
 // With only as many places as a write needs it does nothing.
-func (k *Daemon) giveUpPlace(ctx context.Context) {
-	r := k.discov.Roster()
+func (d *Daemon) giveUpPlace(ctx context.Context) {
+	r := d.discov.Roster()
 	if len(r.Places) <= r.Writes() {
 		return // with fewer places a loss could not be tolerated
 	}
-	k.holder.Freeze(true)
-	if err := k.holder.HandOver(ctx, r, k.peers()); err != nil {
-		k.holder.Freeze(false)
-		k.Log.Warn().Err(err).Msg("records not handed over")
+	d.holder.Freeze(true)
+	if err := d.holder.HandOver(ctx, r, d.peers()); err != nil {
+		d.holder.Freeze(false)
+		d.Log.Warn().Err(err).Msg("records not handed over")
 		return
 	}
-	life := k.holder.Life()
-	k.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
+	life := d.holder.Life()
+	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		_, in := s.Roster.Find(life)
 		return s.Roster.Without(life), in && s.Roster.Version == r.Version
 	}, "place given up")
--- a/internal/node/frontd/backup.go
+++ b/internal/node/frontd/backup.go
@@ -63,38 +63,38 @@
 
 // begin returns the addresses of the places that the next state is to be sent to. If there
 // are any, end must be called afterwards.
-func (k *backups) begin(places []roster.Place, next stamp) (stale []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.sending {
+func (b *backups) begin(places []roster.Place, next stamp) (stale []string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.sending {
 		return nil
 	}
-	least := max(minBackupInterval, time.Duration(k.size)*time.Second/maxBackupRate)
+	least := max(minBackupInterval, time.Duration(b.size)*time.Second/maxBackupRate)
 	for _, p := range places {
-		was := k.last[p.Address]
+		was := b.last[p.Address]
 		same := was.hash == next.hash && was.roster == next.roster
 		if !same && next.at.Sub(was.at) >= least {
 			stale = append(stale, p.Address)
 		}
 	}
-	k.sending = len(stale) > 0
+	b.sending = len(stale) > 0
 	return stale
 }
 
-func (k *backups) end(size int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.sending, k.size = false, size
+func (b *backups) end(size int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.sending, b.size = false, size
 }
 
 // sendBackup sends the present state and returns its size in bytes, 0 if it can't be encoded.
 func (d *Daemon) sendBackup(ctx context.Context, addresses []string, next stamp) (size int) {
-	k, err := d.backupSnapshot(ctx)
+	s, err := d.backupSnapshot(ctx)
 	if err != nil {
 		d.Log.Error().Err(err).Msg("backup not encoded")
 		return 0
 	}
-	data, err := cbor.Marshal(k)
+	data, err := cbor.Marshal(s)
 	if err != nil {
 		d.Log.Error().Err(err).Msg("backup not encoded")
 		return 0
@@ -104,7 +104,7 @@
 	var work sync.WaitGroup
 	for _, address := range addresses {
 		work.Go(func() {
-			err := link.Ask(ctx, d.link.Peer(address), memo.MethodKeep, memo.Note{Revision: k.Revision, Data: data}, nil)
+			err := link.Ask(ctx, d.link.Peer(address), memo.MethodKeep, memo.Note{Revision: s.Revision, Data: data}, nil)
 			d.backups.record(address, next, err == nil)
 			if err != nil && ctx.Err() == nil {
 				d.Log.Warn().Err(err).Str("peer", address).Msg("state not backed up on a disk")
@@ -118,24 +118,24 @@
 // backupSnapshot returns the state for the backup. A front that restores it has no other
 // source during an outage of the store, so it includes the upstreams that are kept although
 // the store does not list them.
-func (d *Daemon) backupSnapshot(ctx context.Context) (k snapshot, err error) {
-	k, err = d.serveSnapshot(ctx, baseline{})
-	k.Upstreams = d.fleet.View().All()
-	return k, err
+func (d *Daemon) backupSnapshot(ctx context.Context) (s snapshot, err error) {
+	s, err = d.serveSnapshot(ctx, baseline{})
+	s.Upstreams = d.fleet.View().All()
+	return s, err
 }
 
 // record records what a VM was sent. One that did not confirm is sent the state again after
 // the interval, even if it has not changed.
-func (k *backups) record(address string, s stamp, confirmed bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.last == nil {
-		k.last = map[string]stamp{}
+func (b *backups) record(address string, s stamp, confirmed bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.last == nil {
+		b.last = map[string]stamp{}
 	}
 	if !confirmed {
 		s = stamp{at: s.at}
 	}
-	k.last[address] = s
+	b.last[address] = s
 }
 
 // restore requests the last backup from each VM with a disk until a configuration is known.
@@ -165,9 +165,9 @@
 		return errors.New("no backup on that disk")
 	}
 	d.Log.Info().Str("peer", address).Uint64("revision", n.Revision).Int64("age_ms", n.Age).Msg("backup read from a disk")
-	var k snapshot
-	if err = cbor.Unmarshal(n.Data, &k); err != nil {
+	var s snapshot
+	if err = cbor.Unmarshal(n.Data, &s); err != nil {
 		return errors.Wrap(err, "decode backup")
 	}
-	return d.applySnapshot(k, time.Duration(n.Age)*time.Millisecond)
+	return d.applySnapshot(s, time.Duration(n.Age)*time.Millisecond)
 }
--- a/internal/node/frontd/backup_test.go
+++ b/internal/node/frontd/backup_test.go
@@ -36,10 +36,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			k := backups{last: c.before}
+			b := backups{last: c.before}
 			places := []roster.Place{{Address: "a"}, {Address: "b"}}
-			is.Equal(k.begin(places, c.next), c.want)
-			is.Equal(len(k.begin(places, c.next)), 0) // being sent already, or nothing to send
+			is.Equal(b.begin(places, c.next), c.want)
+			is.Equal(len(b.begin(places, c.next)), 0) // being sent already, or nothing to send
 		})
 	}
 }
@@ -53,10 +53,10 @@
 	d := newDaemonAt(now.Add(-10 * time.Second))
 	d.fleet.Take(now.Add(-10*time.Second), fleet.Reading{Revision: 8, Upstreams: []fleet.Upstream{{ID: "a"}, {ID: "b"}}})
 	d.fleet.Take(now, fleet.Reading{Revision: 9, Upstreams: []fleet.Upstream{{ID: "a"}}})
-	k, err := d.backupSnapshot(t.Context())
+	s, err := d.backupSnapshot(t.Context())
 	is.NoErr(err)
-	is.Equal(k.Upstreams, []fleet.Upstream{{ID: "a"}, {ID: "b"}})
-	k, err = d.serveSnapshot(t.Context(), baseline{})
+	is.Equal(s.Upstreams, []fleet.Upstream{{ID: "a"}, {ID: "b"}})
+	s, err = d.serveSnapshot(t.Context(), baseline{})
 	is.NoErr(err)
-	is.Equal(k.Upstreams, []fleet.Upstream{{ID: "a"}}) // other fronts get the listed ones only
+	is.Equal(s.Upstreams, []fleet.Upstream{{ID: "a"}}) // other fronts get the listed ones only
 }
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -43,14 +43,14 @@
 }
 
 // size returns how many fronts to name for the number of requests in flight.
-func (b *fanout) size(now time.Time, inFlight int) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fanout) size(now time.Time, inFlight int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	need := min(max((inFlight+requestsPerDaemon-1)/requestsPerDaemon, minEntries), maxEntries)
-	if need >= b.n || now.Sub(b.at) > shrinkDelay {
-		b.n, b.at = need, now
+	if need >= f.n || now.Sub(f.at) > shrinkDelay {
+		f.n, f.at = need, now
 	}
-	return b.n
+	return f.n
 }
 
 // resolve answers a caller with the addresses to connect to, or 503 if there are none.
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -54,7 +54,7 @@
 	// Settings describe the daemon's VM.
 	Settings struct {
 		Node      string
-		Domain    string
+		Domain    string           // failure domain
 		Cores     float64          // processor cores, possibly a fraction
 		Callers   string           // listen address for callers' requests
 		Ready     string           // listen address of the readiness check; empty for none
--- a/internal/node/frontd/silent.go
+++ b/internal/node/frontd/silent.go
@@ -32,13 +32,13 @@
 
 // check returns a front that has been silent for lostAfter, if there is one. A front that
 // hears from less than half of the others is partitioned itself and starts over.
-func (a *silentPeers) check(now time.Time, others []fleet.Entry, p mesh.Picture) (node string, found bool) {
-	if now.Sub(a.checkedAt) > maxCheckGap {
-		a.since = nil
+func (s *silentPeers) check(now time.Time, others []fleet.Entry, p mesh.Picture) (node string, found bool) {
+	if now.Sub(s.checkedAt) > maxCheckGap {
+		s.since = nil
 	}
-	a.checkedAt = now
+	s.checkedAt = now
 	if !p.Trusted(len(others)) {
-		a.since = nil
+		s.since = nil
 		return "", false
 	}
 	next := map[string]time.Time{}
@@ -47,14 +47,14 @@
 			continue
 		}
 		next[e.Node] = now
-		if since, known := a.since[e.Node]; known {
+		if since, known := s.since[e.Node]; known {
 			next[e.Node] = since
 		}
 		if now.Sub(next[e.Node]) >= lostAfter {
 			node, found = e.Node, true
 		}
 	}
-	a.since = next
+	s.since = next
 	return node, found
 }
 
--- a/internal/node/frontd/state.go
+++ b/internal/node/frontd/state.go
@@ -136,33 +136,33 @@
 }
 
 // begin reports whether to fetch from the front now; if so, end must be called afterwards.
-func (a *fetches) begin(node string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.busy[node] || len(a.busy) >= maxFetches {
+func (f *fetches) begin(node string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.busy[node] || len(f.busy) >= maxFetches {
 		return false
 	}
-	if a.busy == nil {
-		a.busy = map[string]bool{}
+	if f.busy == nil {
+		f.busy = map[string]bool{}
 	}
-	a.busy[node] = true
+	f.busy[node] = true
 	return true
 }
 
-func (a *fetches) end(node string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.busy, node)
+func (f *fetches) end(node string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.busy, node)
 }
 
 func (d *Daemon) fetchSnapshot(e mesh.State) {
 	ctx, stop := context.WithTimeout(d.entry.Stop, peerTimeout)
 	defer stop()
-	var k snapshot
-	err := link.Ask(ctx, d.link.Peer(e.Peer), methodSnapshot, d.baseline(), &k)
+	var s snapshot
+	err := link.Ask(ctx, d.link.Peer(e.Peer), methodSnapshot, d.baseline(), &s)
 	d.fetches.end(e.Node)
 	if err == nil {
-		err = d.applySnapshot(k, 0)
+		err = d.applySnapshot(s, 0)
 	}
 	if err != nil && d.entry.Stop.Err() == nil {
 		d.Log.Warn().Err(err).Str("peer", e.Node).Msg("newer state not fetched from another front")
@@ -172,25 +172,25 @@
 // applySnapshot applies a snapshot that was taken at another daemon that long ago. A delta
 // whose base has been replaced meanwhile is ignored: the next datagram shows whether to
 // fetch again.
-func (d *Daemon) applySnapshot(k snapshot, ago time.Duration) error {
-	t := fleet.Told{Age: time.Duration(k.Age)*time.Millisecond + ago}
-	if k.Delta != nil {
+func (d *Daemon) applySnapshot(s snapshot, ago time.Duration) error {
+	t := fleet.Told{Age: time.Duration(s.Age)*time.Millisecond + ago}
+	if s.Delta != nil {
 		var ok bool
-		if t.Reading, ok = d.fleet.View().Apply(*k.Delta); !ok {
+		if t.Reading, ok = d.fleet.View().Apply(*s.Delta); !ok {
 			return nil
 		}
 	} else {
-		t.Upstreams, t.Entries = k.Upstreams, k.Entries
+		t.Upstreams, t.Entries = s.Upstreams, s.Entries
 	}
-	t.Revision = k.Revision
-	if len(k.Config) > 0 {
+	t.Revision = s.Revision
+	if len(s.Config) > 0 {
 		var err error
-		if t.Table, err = d.Source.Decode(k.Config, k.ConfigRev); err != nil {
+		if t.Table, err = d.Source.Decode(s.Config, s.ConfigRev); err != nil {
 			return err
 		}
 	}
-	if len(k.Roster) > 0 {
-		d.discov.Learn(k.Roster)
+	if len(s.Roster) > 0 {
+		d.discov.Learn(s.Roster)
 	}
 	d.apply(t, nil)
 	return nil
@@ -198,30 +198,30 @@
 
 func (d *Daemon) baseline() baseline {
 	v := d.fleet.View()
-	h := baseline{Hash: v.Hash}
+	b := baseline{Hash: v.Hash}
 	if v.Table != nil {
-		h.Version = v.Table.Version
+		b.Version = v.Table.Version
 	}
-	return h
+	return b
 }
 
 // serveSnapshot answers another front's request for a snapshot, with a delta where possible:
 // with a thousand upstreams the lists take 0.2 MB, and a hundred fronts that fetch them at
 // every change saturate the links.
-func (d *Daemon) serveSnapshot(_ context.Context, h baseline) (k snapshot, err error) {
-	delta, ok := d.fleet.Since(h.Hash)
+func (d *Daemon) serveSnapshot(_ context.Context, b baseline) (s snapshot, err error) {
+	delta, ok := d.fleet.Since(b.Hash)
 	v := d.fleet.View()
-	k.Revision, k.Age = v.Revision, time.Since(v.Confirmed).Milliseconds()
+	s.Revision, s.Age = v.Revision, time.Since(v.Confirmed).Milliseconds()
 	if ok && delta.Hash == v.Hash {
-		k.Delta = &delta
+		s.Delta = &delta
 	} else {
-		k.Upstreams, k.Entries = v.Upstreams, v.Entries
+		s.Upstreams, s.Entries = v.Upstreams, v.Entries
 	}
-	if v.Table != nil && v.Table.Version != h.Version {
-		k.Config, k.ConfigRev = v.Table.Text, v.Table.Revision
+	if v.Table != nil && v.Table.Version != b.Version {
+		s.Config, s.ConfigRev = v.Table.Text, v.Table.Revision
 	}
 	if r := d.discov.Roster(); r.Version > 0 {
-		k.Roster, err = r.Encode()
+		s.Roster, err = r.Encode()
 	}
-	return k, err
+	return s, err
 }
