--- a/internal/node/discov/discov.go
+++ b/internal/node/discov/discov.go
@@ -2,7 +2,8 @@
 // serve callers (fronts), which VMs have a disk, and the roster of the places that hold
 // records.
 //
-// Most reads are of the cheap, stale kind; Rescan makes one that is not stale where needed.
+// Scan reads the keys; a stale read is cheap and may be seconds old. Rescan makes one that is
+// not stale. Apply takes keys that were read elsewhere.
 package discov
 
 import (
@@ -62,7 +63,7 @@
 
 // FrontValue encodes the value of a front's key.
 func FrontValue(e fleet.Entry) []byte {
-	data, _ := json.Marshal(frontValue{Address: e.Address, Peer: e.Peer, Domain: e.Domain, Cores: e.Cores}) // strings always encode
+	data, _ := json.Marshal(frontValue{Address: e.Address, Peer: e.Peer, Domain: e.Domain, Cores: e.Cores}) // strings and finite numbers always encode
 	return data
 }
 
@@ -100,9 +101,9 @@
 	return s.Apply(list, rev)
 }
 
-// Apply replaces the state by all keys of the system as of a revision; an older revision than
-// the one applied last is ignored, and so are other keys. On an invalid value the state stays
-// as it was and the error names the key.
+// Apply replaces the state by the keys in list, which were read at revision rev. It ignores a
+// list older than the last one, keys that are not of this system, and a roster older than the
+// known one. On an invalid value the state stays as it was and the error names the key.
 func (s *Reader) Apply(list []store.Entry, rev store.Rev) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/diskd/claim.go
+++ b/internal/node/diskd/claim.go
@@ -11,9 +11,9 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// lifeTimeout bounds the call that checks whether a VM is alive. A round trip takes
+// aliveTimeout bounds the call that checks whether a VM is alive. A round trip takes
 // milliseconds.
-const lifeTimeout = 300 * time.Millisecond
+const aliveTimeout = 300 * time.Millisecond
 
 // trackMissing records since when nodes with a place have not been listed. It starts over
 // during returnGrace after an outage of the store: all keys may have lapsed in it, also those
@@ -68,9 +68,10 @@
 	}, "place claimed")
 }
 
-// excludeLive removes VMs that answer from those that are missing. A live VM may be unlisted
-// because the store refuses its calls, or because its key lapsed in an outage before this VM
-// started. Its place would be taken while it serves, and all records copied needlessly.
+// excludeLive removes from d.missing the VMs that answer and still have the disk of their place.
+// A live VM may be unlisted because the store refuses its calls, or because its key lapsed in an
+// outage before this VM started. Its place would be taken while it serves, and all records
+// copied needlessly.
 func (d *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
 	alive := make([]bool, len(r.Places))
 	var work sync.WaitGroup
@@ -90,7 +91,7 @@
 
 // isAlive reports whether the VM of a place answers and still has the disk of that place.
 func (d *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
-	ctx, stop := context.WithTimeout(ctx, lifeTimeout)
+	ctx, stop := context.WithTimeout(ctx, aliveTimeout)
 	defer stop()
 	var life string
 	err := link.Ask(ctx, d.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
--- a/internal/node/diskd/diskd.go
+++ b/internal/node/diskd/diskd.go
@@ -28,17 +28,18 @@
 	// rosterInterval is the pause between checks of the roster. A place that lost its
 	// VM must be filled within about four seconds of the new VM's start.
 	rosterInterval = 400 * time.Millisecond
-	// idleInterval is the same for a VM that neither has a place nor is among the first
-	// standbys in line for the next one. Of 24 VMs 16 are idle in this sense; without
-	// idleInterval their checks are a fifth of the store's calls on a day at low load. More
-	// than one standby checks often since the first in line may be lost together with
-	// the VM of a place, and the VM that claims the place must have seen it missing for
-	// some time.
-	idleInterval = 2 * time.Second
-	standbys     = 3
-	// operatorInterval is the shortest interval between reads of the operator's
-	// requests to empty VMs. freshInterval is that between reads that are not stale, by
-	// a VM without a place; these cost ten times as much as stale ones.
+	// idleInterval is the pause between checks of a VM that has no place and is not among the
+	// first activeStandbys VMs in line for one. Of 24 VMs 16 are idle in this sense; with
+	// rosterInterval their checks would be a fifth of the store's calls on a day at low
+	// load. Several VMs in line check often, since the first may be lost together with the VM
+	// of a place, and the one that claims the place must have tracked for some time that its
+	// VM is missing.
+	idleInterval   = 2 * time.Second
+	activeStandbys = 3
+	// operatorInterval is the shortest interval between reads of the operator's requests
+	// to empty VMs. freshInterval is the shortest interval between reads that are not stale,
+	// by the VM that is first in line for a place; a new VM makes one at every check. Such a
+	// read costs as much as ten stale ones.
 	operatorInterval = 1200 * time.Millisecond
 	freshInterval    = 900 * time.Millisecond
 	// returnGrace is how long after an outage of the store no VM counts as missing:
@@ -68,8 +69,8 @@
 	Operator interface {
 		// RetiringNodes returns the nodes that are to be emptied.
 		RetiringNodes(ctx context.Context) (map[string]bool, error)
-		// ReportRetirement reports that the node is being emptied or, if complete, that it
-		// holds no record that is not held elsewhere.
+		// ReportRetirement reports that the node is being emptied or, if complete, that all
+		// its records are also held elsewhere.
 		ReportRetirement(ctx context.Context, node string, complete bool) error
 	}
 
@@ -113,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	d.emptyDisk, d.caughtUp = emptyDisk, emptyDisk // an empty disk is either one of the first, or copies all records when it joins
+	d.emptyDisk, d.caughtUp = emptyDisk, emptyDisk // an empty disk has nothing to catch up on until it joins
 	programs, turns, bytes := d.holder.Stats()
 	d.Log.Info().Str("life", d.holder.Life()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
 		Int64("bytes", bytes).Dur("took_ms", time.Since(d.started)).Msg("records opened")
@@ -129,16 +130,16 @@
 	d.discov.Store = d.Store
 	d.leased = leased.Registration{Store: d.Store, Key: discov.DiskPrefix + d.Settings.Node, Data: d.value, OnStatus: d.logRegistration}
 	d.leased.Init()
-	listing := make(chan struct{})
+	registrationEnded := make(chan struct{})
 	go func() {
-		defer close(listing)
+		defer close(registrationEnded)
 		d.leased.Run(ctx)
 	}()
 	go d.checkLoop(ctx)
 	go d.trim(ctx)
 	go d.serveControl(ctx)
 	err = d.link.Serve(ctx, ln)
-	<-listing
+	<-registrationEnded
 	return errors.CombineErrors(err, d.holder.Close())
 }
 
@@ -154,10 +155,12 @@
 		err = d.link.Serve(ctx, ln)
 	}
 	if err != nil && ctx.Err() == nil {
-		d.Log.Error().Err(err).Str("address", d.Settings.Control).Msg("listener stopped")
+		d.Log.Error().Err(err).Str("address", d.Settings.Control).Msg("second listen address not served")
 	}
 }
 
+// self returns this VM's entry for the store. Its life identifies the contents of the disk: a
+// disk that is empty at the start gets a new one.
 func (d *Daemon) self() roster.Member {
 	return roster.Member{
 		Node: d.Settings.Node, Address: d.Settings.Address, Domain: d.Settings.Domain, Life: d.holder.Life(), Retiring: d.retiring.Load(),
@@ -165,16 +168,16 @@
 }
 
 func (d *Daemon) value() []byte {
-	data, _ := json.Marshal(d.self()) // strings always encode
+	data, _ := json.Marshal(d.self()) // strings and booleans always encode
 	return data
 }
 
 func (d *Daemon) logRegistration(err error) {
 	if err != nil {
-		d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: this VM's key may lapse")
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("renewal of this VM's key fails: it may lapse")
 		return
 	}
-	d.Log.Info().Str("dependency", "store").Msg("regained: this VM's key is written")
+	d.Log.Info().Str("dependency", "store").Msg("this VM's key is written")
 }
 
 func (d *Daemon) trim(ctx context.Context) {
@@ -204,15 +207,15 @@
 func (d *Daemon) nextInterval() time.Duration {
 	s := d.discov.State()
 	_, placed := s.Roster.Find(d.holder.Life())
-	if placed || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.Line(d.self(), s.Members) < standbys {
+	if placed || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.Line(d.self(), s.Members) < activeStandbys {
 		return rosterInterval
 	}
 	return idleInterval
 }
 
 func (d *Daemon) check(ctx context.Context) {
-	// Stale reads may be seconds behind. Only the VM that is first in line for a free
-	// place needs to see it sooner.
+	// A stale read may be seconds old, which matters only to the VM that is first in line
+	// for a place.
 	known := d.discov.State()
 	_, placed := known.Roster.Find(d.holder.Life())
 	stale := placed || !d.isNew() && time.Since(d.freshReadAt) < freshInterval || !known.Roster.Next(d.self(), known.Members)
@@ -293,7 +296,7 @@
 		return false
 	}
 	_, err = d.Store.Put(ctx, discov.RosterKey, data, s.Revision, 0)
-	d.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster: " + what)
+	d.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster write: " + what)
 	if err == nil {
 		d.discov.Learn(data)
 		d.holder.Learn(r)
@@ -319,7 +322,7 @@
 
 func (d *Daemon) endJoin(ctx context.Context, err error) {
 	programs, turns, bytes := d.holder.Stats()
-	d.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("records copied")
+	d.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("copying of records ended")
 	if err != nil {
 		return
 	}
--- a/internal/node/diskd/diskd_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -59,7 +59,7 @@
 }
 
 // list writes a VM's key, or removes it.
-func (s *memStore) list(m roster.Member, on bool) {
+func (s *memStore) setListed(m roster.Member, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !on {
@@ -89,7 +89,7 @@
 	s      *memStore
 	op     *operator
 	daemon *Daemon
-	due    time.Time           // of the next look
+	due    time.Time           // time of the next check
 	alive  map[string]diskPeer // of the VMs that answer, by address
 }
 
@@ -144,7 +144,8 @@
 	}
 }
 
-// runPaced runs checks for the time d at the daemon's own intervals, across calls.
+// runPaced runs checks for the time d at the daemon's own intervals, which go on from one call
+// to the next.
 func (f *fixture) runPaced(d time.Duration) {
 	until := time.Now().Add(d)
 	for f.due.Before(until) {
@@ -171,12 +172,12 @@
 // started lists all four VMs and gives the places to a, b and c.
 func (f *fixture) started() {
 	for _, m := range others() {
-		f.s.list(m, true)
+		f.s.setListed(m, true)
 	}
 	r, _ := roster.First(others(), 1)
 	data, _ := r.Encode()
 	f.s.put(discov.RosterKey, data)
-	f.s.list(f.daemon.self(), true)
+	f.s.setListed(f.daemon.self(), true)
 	f.runFixed(3 * time.Second)
 	is.New(f.t).Equal(f.nodes(), "abc")
 }
@@ -189,13 +190,13 @@
 		is := is.New(t)
 		f := newFixture(t)
 		f.started()
-		is.Equal(f.daemon.nextInterval(), rosterInterval) // the next
+		is.Equal(f.daemon.nextInterval(), rosterInterval) // first in line
 		before := roster.Member{Node: "bb", Domain: "z", Life: "4"}
-		f.s.list(before, true)
+		f.s.setListed(before, true)
 		f.runFixed(rosterInterval)
 		is.Equal(f.daemon.nextInterval(), rosterInterval) // the first in line may be lost at any time
-		f.s.list(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
-		f.s.list(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
+		f.s.setListed(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
+		f.s.setListed(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
 		f.runFixed(rosterInterval)
 		is.Equal(f.daemon.nextInterval(), idleInterval)
 		f.s.down = true
@@ -204,7 +205,7 @@
 		f.s.down = false
 		f.runFixed(rosterInterval)
 		is.Equal(f.daemon.nextInterval(), idleInterval)
-		f.s.list(before, false)
+		f.s.setListed(before, false)
 		f.runFixed(rosterInterval)
 		is.Equal(f.daemon.nextInterval(), rosterInterval)
 		f.daemon.retiring.Store(true)
@@ -222,13 +223,13 @@
 		f := newFixture(t)
 		f.started()
 		next := roster.Member{Node: "bb", Domain: "z", Life: "4"}
-		f.s.list(next, true)
-		f.s.list(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
+		f.s.setListed(next, true)
+		f.s.setListed(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
 		f.runPaced(5 * time.Second)
-		f.s.list(others()[1], false)
+		f.s.setListed(others()[1], false)
 		f.runPaced(roster.TakeOver + rosterInterval)
 		is.Equal(f.nodes(), "abc")
-		f.s.list(next, false)
+		f.s.setListed(next, false)
 		f.runPaced(2 * rosterInterval)
 		is.Equal(f.nodes(), "adc")
 	})
@@ -238,8 +239,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFixture(t)
-		f.s.list(f.daemon.self(), true)
-		f.s.list(others()[0], true)
+		f.s.setListed(f.daemon.self(), true)
+		f.s.setListed(others()[0], true)
 		f.runFixed(time.Second)
 		is.Equal(f.nodes(), "") // waits for one more
 		f.runFixed(roster.Gather)
@@ -254,7 +255,7 @@
 		is := is.New(t)
 		f := newFixture(t)
 		f.started()
-		f.s.list(others()[1], false)
+		f.s.setListed(others()[1], false)
 		f.runFixed(roster.TakeOver)
 		is.Equal(f.nodes(), "abc")
 		f.runFixed(2 * rosterInterval)
@@ -270,7 +271,7 @@
 		f := newFixture(t)
 		f.started()
 		f.daemon.emptyDisk, f.daemon.started = true, time.Now()
-		f.s.list(others()[1], false)
+		f.s.setListed(others()[1], false)
 		f.runFixed(roster.TakeOverNew - rosterInterval)
 		is.Equal(f.nodes(), "abc")
 		f.runFixed(2 * rosterInterval)
@@ -284,9 +285,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.started()
-		f.s.list(others()[1], false)
+		f.s.setListed(others()[1], false)
 		f.runFixed(roster.TakeOver - rosterInterval)
-		f.s.list(others()[1], true)
+		f.s.setListed(others()[1], true)
 		f.runFixed(5 * time.Second)
 		is.New(t).Equal(f.nodes(), "abc")
 	})
@@ -301,12 +302,12 @@
 		f.s.down = true
 		f.runFixed(5 * time.Second)
 		for _, m := range others() {
-			f.s.list(m, false)
+			f.s.setListed(m, false)
 		}
 		f.s.down = false
 		f.runFixed(2 * time.Second)
 		for _, m := range others() {
-			f.s.list(m, true)
+			f.s.setListed(m, true)
 		}
 		f.runFixed(5 * time.Second)
 		is.New(t).Equal(f.nodes(), "abc")
@@ -335,7 +336,7 @@
 				f.alive = c.alive
 				f.daemon.emptyDisk, f.daemon.started = true, time.Now()
 				for _, m := range others() {
-					f.s.list(m, false)
+					f.s.setListed(m, false)
 				}
 				f.runFixed(2500 * time.Millisecond)
 				is.New(t).Equal(f.nodes(), c.want)
@@ -360,7 +361,7 @@
 		}
 		set()
 		spare := others()[2]
-		f.s.list(spare, true)
+		f.s.setListed(spare, true)
 		f.op.want["d"] = true
 		f.runFixed(3 * time.Second)
 		is.Equal(f.op.reports, []bool{false}) // c can take the place
--- a/internal/node/diskd/retire.go
+++ b/internal/node/diskd/retire.go
@@ -39,7 +39,7 @@
 		return
 	}
 	err = d.Operator.ReportRetirement(ctx, d.Settings.Node, complete)
-	d.Log.Info().Err(err).Str("state", state).Msg("retirement state reported to the operator")
+	d.Log.Info().Err(err).Str("state", state).Msg("report of retirement state to the operator ended")
 	if err == nil {
 		d.reported = state
 	}
--- a/internal/node/frontd/backup.go
+++ b/internal/node/frontd/backup.go
@@ -14,25 +14,25 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// A front has no disk. It backs its state up on the VMs with a disk, and restores it from
-// there if the store does not answer at its start. Without this, if all fronts restart
-// during an outage of the store, no caller is served until the store is available again.
+// A front has no disk. It backs its state up on the VMs with a place in the roster, and
+// restores it from its seeds if the store does not answer at its start. Without this, if all
+// fronts restart during an outage of the store, no caller is served until the store is
+// available again.
 
 const (
-	// minBackupInterval is the shortest interval between two backups on one VM with a disk
-	// while upstreams change constantly, and maxBackupRate bounds the backups in bytes per
-	// second: a backup takes 30 kB with a hundred upstreams, 0.3 MB with a thousand.
+	// minBackupInterval is the shortest interval between two backups on one VM while
+	// upstreams change constantly, and maxBackupRate bounds the backups in bytes per second:
+	// a backup takes 30 kB with a hundred upstreams, 0.3 MB with a thousand.
 	minBackupInterval = time.Second
 	maxBackupRate     = 64 << 10
 	// restoreInterval is how long the store has to answer at the start, and the pause
-	// between requests for the backup to a VM with a disk. The store answers in about
-	// 10 ms while it works normally.
+	// between requests for the backup to a seed. The store normally answers within about
+	// 10 ms.
 	restoreInterval = 100 * time.Millisecond
 )
 
 type (
-	// backups tracks which state each VM with a disk was sent last. The zero value is ready
-	// for use.
+	// backups tracks which state each VM was sent last. The zero value is ready for use.
 	backups struct {
 		mu      sync.Mutex
 		last    map[string]stamp // by the VM's address
@@ -48,7 +48,7 @@
 	}
 )
 
-// backUp sends the present state to the VMs with a disk whose backup differs.
+// backUp sends the present state to the VMs with a place in the roster whose backup differs.
 func (d *Daemon) backUp(ctx context.Context) {
 	r := d.discov.Roster()
 	next := stamp{hash: d.fleet.View().Hash, roster: r.Version, at: time.Now()}
@@ -138,8 +138,8 @@
 	b.last[address] = s
 }
 
-// restore requests the last backup from each VM with a disk until a configuration is known.
-// The VMs may start later than this front, at different times.
+// restore requests the last backup from each seed until a configuration is known. Seeds may
+// start later than this front, at different times.
 func (d *Daemon) restore(ctx context.Context) {
 	for _, address := range d.Settings.Seeds {
 		go func() {
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -18,24 +18,25 @@
 const directoryTTL = time.Second
 
 const (
-	// maxEntries is how many fronts an answer names at most: as many as fit in one.
+	// maxEntries is how many fronts an answer names at most: the platform's limit.
 	maxEntries = 64
 	// minEntries is how many fronts are named at low load: the loss of one then aborts
 	// a twenty-fourth of the requests in flight.
 	minEntries = 24
-	// requestsPerDaemon is the target number of requests in flight at one front. A
-	// request takes about 0.2 s and 0.6 ms of processor time, so this is an eighth of
-	// a VM with a fifth of a core and leaves room for a burst until more are named.
-	requestsPerDaemon = 8
+	// requestsPerFront is the target number of requests in flight at one front. A request
+	// takes about 0.2 s and 0.6 ms of processor time, so these use an eighth of the
+	// processor time of a VM with a fifth of a core. The rest is for a burst until more
+	// fronts are named.
+	requestsPerFront = 8
 	// shrinkDelay is how long fewer fronts must be sufficient before fewer are named:
 	// callers open new connections when the answer changes.
 	shrinkDelay = 10 * time.Second
 )
 
-// fanout decides how many fronts the directory names: few at low load, more as load grows.
-// Each front opens its own connections to the upstreams that it uses: 171 fronts with 96
-// upstreams opened 5,100 at low load with 64 fronts named, 3,250 with 32. The zero value
-// is ready for use.
+// fanout decides how many fronts the directory names: few at low load, more as load grows,
+// since each front opens its own connections to the upstreams that it uses. For example, at
+// low load 171 fronts opened 5,100 connections to 96 upstreams when 64 fronts were named, and
+// 3,250 when 32 were. The zero value is ready for use.
 type fanout struct {
 	mu sync.Mutex
 	n  int
@@ -46,7 +47,7 @@
 func (f *fanout) size(now time.Time, inFlight int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	need := min(max((inFlight+requestsPerDaemon-1)/requestsPerDaemon, minEntries), maxEntries)
+	need := min(max((inFlight+requestsPerFront-1)/requestsPerFront, minEntries), maxEntries)
 	if need >= f.n || now.Sub(f.at) > shrinkDelay {
 		f.n, f.at = need, now
 	}
@@ -71,8 +72,10 @@
 	_, _ = w.Write(text) // on failure the caller has disconnected and retries at another front
 }
 
-// directoryEntries returns the fronts that the directory names: those that are not leaving
-// and reach the record holders, or all that are not leaving if none of them does.
+// directoryEntries returns the fronts that the directory names, fanout.size of them at most:
+// those that are alive, not leaving and reach the record holders; if none reaches them, all
+// that are alive and not leaving. A front that hears from less than half of the others is
+// partitioned itself and takes all of them as alive.
 func (d *Daemon) directoryEntries() (healthy []fleet.Entry) {
 	now := time.Now()
 	p := d.rumor.Picture(now)
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -1,5 +1,5 @@
-// Package frontd is the daemon of a VM that serves callers (a front): it handles
-// their requests, the directory of addresses to connect to, and the readiness check.
+// Package frontd is the daemon that serves callers (a front): it handles their requests,
+// the directory of addresses to connect to, and the readiness check.
 package frontd
 
 import (
@@ -33,9 +33,9 @@
 )
 
 const (
-	// lameDuckTime is how long new requests are still accepted after SIGTERM: callers
-	// cache directory answers that name this VM for up to three times their TTL.
-	lameDuckTime = 2500 * time.Millisecond
+	// drainDelay is how long new requests are still accepted after SIGTERM: callers go on
+	// using cached directory answers that name this VM, some for three times their TTL.
+	drainDelay = 2500 * time.Millisecond
 	// shutdownMargin is the part of the time between SIGTERM and SIGKILL that is left unused.
 	shutdownMargin = 700 * time.Millisecond
 	sweepInterval  = time.Second
@@ -123,6 +123,7 @@
 	regCtx, stopRegistration := context.WithCancel(ctx)
 	defer stopRegistration()
 	go d.register(regCtx)
+	// without a configuration it answers 503 and uses the default limits for callers
 	d.waitFor(ctx, func(v *fleet.View) bool { return v.Table != nil })
 	callers, err := d.serveCallers()
 	if err != nil {
@@ -190,8 +191,7 @@
 	return nil
 }
 
-// waitFor waits up to a second for a view that meets the condition. A daemon that goes
-// on without a configuration answers 503 and uses the default limits for callers.
+// waitFor waits up to a second for a view that meets the condition.
 func (d *Daemon) waitFor(ctx context.Context, cond func(*fleet.View) bool) {
 	const longest, step = time.Second, 20 * time.Millisecond
 	for range longest / step {
@@ -226,16 +226,16 @@
 func (d *Daemon) ready() bool { return !d.leaving.Load() && d.fleet.View().Table != nil }
 
 // drain stops serving without cutting requests off. The directories name other fronts
-// from now on, new requests are still accepted during lameDuckTime, and connections are
-// closed with their next response.
+// from now on, new requests are still accepted during drainDelay, and connections are closed
+// with their next response.
 func (d *Daemon) drain(ctx context.Context, callers *http.Server) {
 	d.leaving.Store(true)
 	d.entry.Leave()
 	d.rumor.Tell()
 	go d.deregister(ctx)
 	d.Log.Info().Int64("active", d.entry.Active()).Msg("draining")
-	pause.For(ctx, lameDuckTime)
-	rest := max(d.Settings.Grace-lameDuckTime-shutdownMargin, 0)
+	pause.For(ctx, drainDelay)
+	rest := max(d.Settings.Grace-drainDelay-shutdownMargin, 0)
 	limited, stop := context.WithTimeout(ctx, rest)
 	defer stop()
 	err := callers.Shutdown(limited)
--- a/internal/node/frontd/frontd_test.go
+++ b/internal/node/frontd/frontd_test.go
@@ -256,9 +256,9 @@
 // not be removed again in each short pause: callers would reopen all their connections.
 func TestFanout(t *testing.T) {
 	type look struct {
-		after time.Duration
-		under int
-		want  int
+		after    time.Duration
+		inFlight int
+		want     int
 	}
 	cases := map[string][]look{
 		"little is asked":         {{0, 0, minEntries}, {time.Second, 190, minEntries}},
@@ -273,7 +273,7 @@
 			var b fanout
 			start := time.Unix(1000, 0)
 			for _, l := range looks {
-				is.New(t).Equal(b.size(start.Add(l.after), l.under), l.want)
+				is.New(t).Equal(b.size(start.Add(l.after), l.inFlight), l.want)
 			}
 		})
 	}
--- a/internal/node/frontd/limits.go
+++ b/internal/node/frontd/limits.go
@@ -13,9 +13,9 @@
 const (
 	// peerExpiry is how long a front that is neither listed nor heard from still counts
 	// among those that share the limits of accounts: it may be partitioned and still
-	// serve. Others can't detect that it does not, so a front that has heard from less
-	// than half of the fronts for isolationTimeout gives up its share by itself; the
-	// difference is a margin for clocks that run at different rates.
+	// serve, which the others can't tell. So a front that has heard from less than half
+	// of the fronts for isolationTimeout gives up its share itself. isolationTimeout is
+	// shorter than peerExpiry since clocks run at different rates.
 	peerExpiry       = 30 * time.Second
 	isolationTimeout = 25 * time.Second
 	// limitInterval is the shortest interval between two updates of the others' usage.
@@ -49,7 +49,8 @@
 	d.allow.Hear(now, v.Table.Accounts, h)
 }
 
-// due reports whether limitInterval has passed since the last update, and starts a new one.
+// due reports whether limitInterval has passed since the last update and, if so, records now
+// as the time of the last update.
 func (p *limitPeers) due(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/frontd/read.go
+++ b/internal/node/frontd/read.go
@@ -26,14 +26,14 @@
 	// reads only if the first did not.
 	rankDelay     = 130 * time.Millisecond
 	checkInterval = 40 * time.Millisecond
-	// maxStartJitter spreads the second reads of fronts that know of no others yet, during
-	// the first startupTime after their start. Without it each of 171 that start together
-	// reads four times until all are listed, half of the store's calls on a day at low load;
-	// the first to read again sends the state to the others.
+	// maxStartJitter spreads the second reads of fronts that know neither a configuration nor
+	// other fronts, during the first startupTime after their start. The first to read again
+	// sends the state to the others. Without it each of 171 fronts that start together reads
+	// four times until all are listed, which is half of the store's calls on a day at low load.
 	maxStartJitter = 2 * time.Second
 	startupTime    = 5 * time.Second
-	// minBackoff and maxBackoff bound the pause after failed reads; other fronts may still
-	// reach the store.
+	// minBackoff and maxBackoff bound the backoff after failed reads, of which at least half is
+	// waited, at random. Meanwhile other fronts may reach the store.
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 1500 * time.Millisecond
 	// staleAge is the age from which a request that matches no route triggers a read before
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// logUnusable logs an invalid entry, once per error text.
+// logUnusable logs an invalid value, once per error text.
 func (d *Daemon) logUnusable(err error) {
 	d.readState.mu.Lock()
 	defer d.readState.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 	if text := err.Error(); !d.readState.logged[text] {
 		d.readState.logged[text] = true
-		d.Log.Warn().Err(err).Msg("invalid entry in the store ignored")
+		d.Log.Warn().Err(err).Msg("invalid value in the store not applied")
 	}
 }
 
--- a/internal/node/frontd/register.go
+++ b/internal/node/frontd/register.go
@@ -8,8 +8,8 @@
 )
 
 // register keeps this front listed in the store. It first waits, a second at most, for a
-// first state, which may show that the key is current already. Until a front is listed,
-// others do not know its address and can't send it any state.
+// first state, which may show that the key is current already. Until a front is listed, only
+// the fronts that got a datagram from it know its address.
 func (d *Daemon) register(ctx context.Context) {
 	d.waitFor(ctx, func(v *fleet.View) bool { return !v.Confirmed.IsZero() })
 	d.regkey.Run(ctx)
@@ -29,7 +29,7 @@
 
 func (d *Daemon) logRegistration(err error) {
 	if err != nil {
-		d.Log.Warn().Err(err).Str("dependency", "store").Msg("lost: the front's key could not be written")
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("the front's key could not be written")
 		return
 	}
 	d.Log.Info().Str("dependency", "store").Msg("the front's key is written")
--- a/internal/node/frontd/silent.go
+++ b/internal/node/frontd/silent.go
@@ -66,5 +66,5 @@
 		return
 	}
 	err := d.Store.Remove(ctx, discov.FrontPrefix+node)
-	d.Log.Info().Err(err).Str("peer", node).Dur("silent_ms", lostAfter).Msg("key of a lost front removed")
+	d.Log.Info().Err(err).Str("peer", node).Dur("silent_ms", lostAfter).Msg("removal of a lost front's key ended")
 }
--- a/internal/node/frontd/silent_test.go
+++ b/internal/node/frontd/silent_test.go
@@ -13,7 +13,7 @@
 // A VM is lost permanently and its key stays in the store. If the key were never removed,
 // datagrams would be sent there forever. A VM that hears from less than half of the others is
 // partitioned itself and must not remove any key.
-func TestKeyOfALostDaemon(t *testing.T) {
+func TestKeyOfLostFront(t *testing.T) {
 	listed := []fleet.Entry{{Node: "a"}, {Node: "b"}, {Node: "c"}, {Node: "d"}}
 	cases := map[string]struct {
 		heard [2][]string // in the first and the second half of the time
--- a/internal/node/frontd/state.go
+++ b/internal/node/frontd/state.go
@@ -61,7 +61,8 @@
 	v := d.fleet.View()
 	return mesh.Tick{Load: toIDs(d.picker.Own()), Used: toIDs(d.allow.Used(time.Now())), State: mesh.State{
 		Node: d.Settings.Node, Peer: d.Settings.Peer, Callers: d.Settings.Callers,
-		Leaving: !d.ready(), Unwell: d.pulse.Down(time.Now()),
+		Leaving:  !d.ready(), // also before there is a configuration: it can't serve callers then
+		Unwell:   d.pulse.Down(time.Now()),
 		Revision: v.Revision, Hash: v.Hash, Age: time.Since(v.Confirmed).Milliseconds(), Steady: v.Steady().Milliseconds(),
 	}}
 }
@@ -87,7 +88,8 @@
 	return out
 }
 
-// onPeersChanged passes on the other fronts' requests in flight and accepted requests.
+// onPeersChanged updates the limits and the picker with the numbers of requests that the other
+// fronts have accepted and have in flight, and has the queue of waiting requests check the load.
 func (d *Daemon) onPeersChanged(p mesh.Picture) {
 	d.updateLimits(p)
 	d.picker.Heard(toNames(p.Load, d.upstreamIDs().byHash), p.Fronts-1)
@@ -109,9 +111,10 @@
 }
 
 // onPeerState compares another front's state with this one's. Newer state is fetched. The
-// same state from a later read confirms this front's, which then need not read the store:
-// the store's revision does not change while nothing is written, and when only newer
-// revisions counted, eight fronts at low load read 10 times a second in all instead of 2.
+// same state from a later read confirms this front's, which then need not read the store.
+// A newer revision must not be required for that, since the store's revision does not change
+// while nothing is written: eight fronts at low load would read 10 times a second in all,
+// where 2 are enough.
 //
 // Hundreds of fronts may announce newer state at once, as when all of them start. At most
 // maxFetches are asked, so that identical answers do not fill memory and links; if none
@@ -169,7 +172,7 @@
 	}
 }
 
-// applySnapshot applies a snapshot that was taken at another daemon that long ago. A delta
+// applySnapshot applies a snapshot of a front; ago is the time since it was taken. A delta
 // whose base has been replaced meanwhile is ignored: the next datagram shows whether to
 // fetch again.
 func (d *Daemon) applySnapshot(s snapshot, ago time.Duration) error {
--- a/internal/node/leased/leased.go
+++ b/internal/node/leased/leased.go
@@ -33,10 +33,12 @@
 
 // Registration keeps one key. Set the exported fields, then call Run.
 type Registration struct {
-	Store    store.Shared
-	Key      string
-	Data     func() []byte // the key's value; written again when it changes
-	OnStatus func(error)   // called with an error when the key may have lapsed, and with nil once it is written again
+	Store store.Shared
+	Key   string
+	Data  func() []byte // the key's value; written again when it changes
+	// OnStatus is called with an error when a renewal or a write starts to fail, so that the
+	// key may lapse, and with nil once one succeeds again.
+	OnStatus func(error)
 
 	lease   store.Lease
 	written []byte
--- a/internal/node/leased/leased_test.go
+++ b/internal/node/leased/leased_test.go
@@ -16,12 +16,12 @@
 // fakeStore is a store in memory with leases that lapse.
 type fakeStore struct {
 	store.Shared
-	mu     sync.Mutex
-	down   bool
-	next   store.Lease
-	ends   map[store.Lease]time.Time
-	values map[string]string
-	holder map[string]store.Lease
+	mu      sync.Mutex
+	down    bool
+	next    store.Lease
+	ends    map[store.Lease]time.Time
+	values  map[string]string
+	leaseOf map[string]store.Lease
 }
 
 func (f *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
@@ -54,7 +54,7 @@
 	if f.down {
 		return 0, store.ErrUnknown
 	}
-	f.values[key], f.holder[key] = string(data), l
+	f.values[key], f.leaseOf[key] = string(data), l
 	return 1, nil
 }
 
@@ -69,7 +69,7 @@
 func (f *fakeStore) value(key string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !time.Now().Before(f.ends[f.holder[key]]) {
+	if !time.Now().Before(f.ends[f.leaseOf[key]]) {
 		return ""
 	}
 	return f.values[key]
@@ -87,7 +87,7 @@
 func TestKeyIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := &fakeStore{ends: map[store.Lease]time.Time{}, values: map[string]string{}, holder: map[string]store.Lease{}}
+		f := &fakeStore{ends: map[store.Lease]time.Time{}, values: map[string]string{}, leaseOf: map[string]store.Lease{}}
 		ctx, stop := context.WithCancel(t.Context())
 		var data atomic.Value
 		data.Store("one")
--- a/internal/node/regkey/regkey.go
+++ b/internal/node/regkey/regkey.go
@@ -20,7 +20,7 @@
 const (
 	// checkInterval is the pause between checks of the key in the daemon's copy of the
 	// store's state, which cost no call. Until the key is written, other daemons do not
-	// know the address of this one.
+	// find this one in the store.
 	checkInterval = 500 * time.Millisecond
 	// visibleWithin is how long a written key may take to show in the daemon's copy: reads
 	// of the store are half a second apart, and a second while another daemon takes over
@@ -35,11 +35,14 @@
 
 // Registration keeps one key. Set the exported fields, then call Run.
 type Registration struct {
-	Store    store.Shared
-	Key      string
-	Data     func() []byte
-	UpToDate func() bool // whether the key holds the data in the daemon's copy of the store's state
-	OnStatus func(error) // called with an error when writing starts to fail, and with nil once it succeeds again
+	Store store.Shared
+	Key   string
+	Data  func() []byte
+	// UpToDate reports whether the key holds the data in the daemon's copy of the store's state.
+	UpToDate func() bool
+	// OnStatus is called with an error when writes start to fail, and with nil once one
+	// succeeds again.
+	OnStatus func(error)
 
 	down bool
 }
