--- a/internal/node/discov/discov.go
+++ b/internal/node/discov/discov.go
@@ -63,7 +63,8 @@
 
 // FrontValue encodes the value of a front's key.
 func FrontValue(e fleet.Entry) []byte {
-	data, _ := json.Marshal(frontValue{Address: e.Address, Peer: e.Peer, Domain: e.Domain, Cores: e.Cores}) // strings and finite numbers always encode
+	// strings and finite numbers always encode
+	data, _ := json.Marshal(frontValue{Address: e.Address, Peer: e.Peer, Domain: e.Domain, Cores: e.Cores})
 	return data
 }
 
