--- /dev/null
+++ b/internal/node/discov/discov.go
@@ -0,0 +1,186 @@
+// Package discov is service discovery through the platform's store: it reads which daemons
+// serve callers (fronts), which VMs have a disk, and the roster of the places that hold
+// records.
+//
+// Scan reads the keys; a stale read is cheap and may be seconds old. Rescan makes one that is
+// not stale. Apply takes keys that were read elsewhere.
+package discov
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/front/fleet"
+	"github.com/slaterock/slaterock/internal/plat/store"
+)
+
+// The keys of the daemons in the store.
+const (
+	Prefix      = "slaterock/"
+	RosterKey   = Prefix + "roster"
+	FrontPrefix = Prefix + "front/"
+	DiskPrefix  = Prefix + "disk/"
+)
+
+// minRescanInterval is the shortest interval between rescans. They are not stale, so each
+// costs as much as ten stale reads.
+const minRescanInterval = 150 * time.Millisecond
+
+type (
+	// Reader reads the keys and holds the newest state. Set Store before use.
+	Reader struct {
+		Store store.Shared
+
+		mu          sync.Mutex
+		state       State
+		scannedRev  store.Rev // of the newest scan
+		rescannedAt time.Time
+		rescanning  chan struct{}
+	}
+
+	// State is what the keys hold. Its slices must not be changed.
+	State struct {
+		Roster   roster.Roster
+		Revision store.Rev       // of the roster's key; 0 while unknown
+		Members  []roster.Member // VMs with a disk
+		Entries  []fleet.Entry   // fronts
+	}
+
+	// frontValue is the value of a front's key.
+	frontValue struct {
+		Address string  `json:"address"`
+		Peer    string  `json:"peer"`
+		Domain  string  `json:"domain"`
+		Cores   float64 `json:"cores,omitempty"`
+	}
+)
+
+// FrontValue encodes the value of a front's key.
+func FrontValue(e fleet.Entry) []byte {
+	// strings and finite numbers always encode
+	data, _ := json.Marshal(frontValue{Address: e.Address, Peer: e.Peer, Domain: e.Domain, Cores: e.Cores})
+	return data
+}
+
+// State returns the newest state.
+func (s *Reader) State() State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state
+}
+
+// Roster returns the newest roster known.
+func (s *Reader) Roster() roster.Roster { return s.State().Roster }
+
+// Learn adopts a roster received from another daemon if it is newer. An invalid one is ignored.
+func (s *Reader) Learn(data []byte) {
+	r, err := roster.Decode(data)
+	if err != nil {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r.Version > s.state.Roster.Version {
+		s.state.Roster = r
+		s.state.Revision = 0 // unknown; a writer has to scan first
+	}
+}
+
+// Scan reads all keys with the prefix and applies them.
+func (s *Reader) Scan(ctx context.Context, stale bool) (err error) {
+	defer func() { err = errors.Wrap(err, "scout") }()
+	list, rev, err := s.Store.Scan(ctx, Prefix, stale)
+	if err != nil {
+		return err
+	}
+	return s.Apply(list, rev)
+}
+
+// Apply replaces the state by the keys in list, which were read at revision rev. It ignores a
+// list older than the last one, keys that are not of this system, and a roster older than the
+// known one. On an invalid value the state stays as it was and the error names the key.
+func (s *Reader) Apply(list []store.Entry, rev store.Rev) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if rev < s.scannedRev {
+		return nil
+	}
+	s.scannedRev = rev
+	next := State{Roster: s.state.Roster, Revision: s.state.Revision}
+	for _, e := range list {
+		if err := next.add(e); err != nil {
+			return errors.Wrapf(err, "key %s", e.Key)
+		}
+	}
+	s.state = next
+	return nil
+}
+
+func (s *State) add(e store.Entry) error {
+	switch {
+	case e.Key == RosterKey:
+		r, err := roster.Decode(e.Data)
+		if err != nil {
+			return err
+		}
+		if r.Version >= s.Roster.Version {
+			s.Roster, s.Revision = r, e.Rev
+		}
+	case strings.HasPrefix(e.Key, DiskPrefix):
+		var m roster.Member
+		if err := json.Unmarshal(e.Data, &m); err != nil {
+			return err
+		}
+		s.Members = append(s.Members, m)
+	case strings.HasPrefix(e.Key, FrontPrefix):
+		var v frontValue
+		if err := json.Unmarshal(e.Data, &v); err != nil {
+			return err
+		}
+		s.Entries = append(s.Entries, fleet.Entry{
+			Node: strings.TrimPrefix(e.Key, FrontPrefix), Address: v.Address, Peer: v.Peer, Domain: v.Domain, Cores: v.Cores,
+		})
+	}
+	return nil
+}
+
+// Rescan makes a read that is not stale, unless the last one began less than
+// minRescanInterval ago. Calls during a read wait for its result. After an error the state is
+// unchanged.
+func (s *Reader) Rescan(ctx context.Context) {
+	s.mu.Lock()
+	if s.rescanning != nil {
+		done := s.rescanning
+		s.mu.Unlock()
+		select {
+		case <-done:
+		case <-ctx.Done():
+		}
+		return
+	}
+	if time.Since(s.rescannedAt) < minRescanInterval {
+		s.mu.Unlock()
+		return
+	}
+	s.rescannedAt = time.Now()
+	done := make(chan struct{})
+	s.rescanning = done
+	s.mu.Unlock()
+	go func() {
+		defer close(done)
+		_ = s.Scan(context.WithoutCancel(ctx), false) // the caller retries; the daemon's periodic reads log outages
+		s.mu.Lock()
+		s.rescanning = nil
+		s.mu.Unlock()
+	}()
+	select {
+	case <-done:
+	case <-ctx.Done():
+	}
+}
--- /dev/null
+++ b/internal/node/diskd/claim.go
@@ -0,0 +1,99 @@
+package diskd
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/slaterock/slaterock/internal/disk/holder"
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/node/discov"
+	"github.com/slaterock/slaterock/internal/peer/link"
+)
+
+// aliveTimeout bounds the call that checks whether a VM is alive. A round trip takes
+// milliseconds.
+const aliveTimeout = 300 * time.Millisecond
+
+// trackMissing records since when nodes with a place have not been listed. It starts over
+// during returnGrace after an outage of the store: all keys may have lapsed in it, also those
+// of live daemons.
+func (d *Daemon) trackMissing(s discov.State) {
+	now := time.Now()
+	if now.Sub(d.storeUpAt) < returnGrace {
+		d.missing = nil
+		return
+	}
+	listed := map[string]bool{}
+	for _, m := range s.Members {
+		listed[m.Node] = true
+	}
+	next := map[string]time.Time{}
+	for _, p := range s.Roster.Places {
+		if listed[p.Node] {
+			continue
+		}
+		next[p.Node] = now
+		if since, known := d.missing[p.Node]; known {
+			next[p.Node] = since
+		}
+	}
+	d.missing = next
+}
+
+// takeOverDelay is how long a VM must be missing before this one takes its place.
+func (d *Daemon) takeOverDelay() time.Duration {
+	if d.isNew() {
+		return roster.TakeOverNew
+	}
+	return roster.TakeOver
+}
+
+// isNew reports whether this VM started with an empty disk less than newVMTime ago.
+func (d *Daemon) isNew() bool { return d.emptyDisk && time.Since(d.started) < newVMTime }
+
+// claim takes a place if there is one to take, and reports whether it did.
+func (d *Daemon) claim(ctx context.Context, s discov.State) bool {
+	now := time.Now()
+	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay()); !ok {
+		return false
+	}
+	d.excludeLive(ctx, s.Roster)
+	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay()); !ok {
+		return false
+	}
+	return d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
+		d.trackMissing(s)
+		return s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay())
+	}, "place claimed")
+}
+
+// excludeLive removes from d.missing the VMs that answer and still have the disk of their place.
+// A live VM may be unlisted because the store refuses its calls, or because its key lapsed in an
+// outage before this VM started. Its place would be taken while it serves, and all records
+// copied needlessly.
+func (d *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
+	alive := make([]bool, len(r.Places))
+	var work sync.WaitGroup
+	for i, p := range r.Places {
+		if _, missing := d.missing[p.Node]; missing {
+			work.Go(func() { alive[i] = d.isAlive(ctx, p) })
+		}
+	}
+	work.Wait()
+	for i, p := range r.Places {
+		if alive[i] {
+			d.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(d.missing[p.Node])).Msg("place not claimed: its VM is not listed in the store but answers")
+			delete(d.missing, p.Node)
+		}
+	}
+}
+
+// isAlive reports whether the VM of a place answers and still has the disk of that place.
+func (d *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
+	ctx, stop := context.WithTimeout(ctx, aliveTimeout)
+	defer stop()
+	var life string
+	err := link.Ask(ctx, d.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
+	return err == nil && life == p.Life
+}
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -13,68 +13,70 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// directoryTTL is how long callers keep an answer. Some keep it three times as
-// long; with this they leave a VM within three seconds after it began to stop.
+// directoryTTL is the TTL of the directory's answers. Some callers cache them for three
+// times as long; with one second, callers leave a draining VM within three seconds.
 const directoryTTL = time.Second
 
 const (
-	// namedMost is how many daemons callers are sent to at most: as many as an
-	// answer holds.
-	namedMost = 64
-	// namedLeast is how many are named however little is asked: the loss of one
-	// then breaks off a twenty-fourth of what is under way.
-	namedLeast = 24
-	// underEach is how many requests one daemon should have under way. They take
-	// some 0.2 s and 0.6 ms of processor each, so it is an eighth of a VM with a
-	// fifth of a core: enough is left for a burst until more are named.
-	underEach = 8
-	// narrowAfter is how long fewer daemons must be enough before fewer are named:
+	// maxEntries is how many fronts an answer names at most: the platform's limit.
+	maxEntries = 64
+	// minEntries is how many fronts are named at low load: the loss of one then aborts
+	// a twenty-fourth of the requests in flight.
+	minEntries = 24
+	// requestsPerFront is the target number of requests in flight at one front. A request
+	// takes about 0.2 s and 0.6 ms of processor time, so these use an eighth of the
+	// processor time of a VM with a fifth of a core. The rest is for a burst until more
+	// fronts are named.
+	requestsPerFront = 8
+	// shrinkDelay is how long fewer fronts must be sufficient before fewer are named:
 	// callers open new connections when the answer changes.
-	narrowAfter = 10 * time.Second
+	shrinkDelay = 10 * time.Second
 )
 
-// breadth is to how many daemons callers are sent: few while little is asked, more
-// as it grows. Each daemon opens connections of its own to the upstreams that it uses;
-// 171 daemons before 96 upstreams opened 5,100 on a quiet day with 64 of them named,
-// 3,250 with 32. The zero value is ready.
-type breadth struct {
+// fanout decides how many fronts the directory names: few at low load, more as load grows,
+// since each front opens its own connections to the upstreams that it uses. For example, at
+// low load 171 fronts opened 5,100 connections to 96 upstreams when 64 fronts were named, and
+// 3,250 when 32 were. The zero value is ready for use.
+type fanout struct {
 	mu sync.Mutex
 	n  int
-	at time.Time // when so many were needed last
+	at time.Time // when at least n were needed last
 }
 
-// wide returns how many daemons to name while so many requests are under way.
-func (b *breadth) wide(now time.Time, under int) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	need := min(max((under+underEach-1)/underEach, namedLeast), namedMost)
-	if need >= b.n || now.Sub(b.at) > narrowAfter {
-		b.n, b.at = need, now
+// size returns how many fronts to name for the number of requests in flight.
+func (f *fanout) size(now time.Time, inFlight int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	need := min(max((inFlight+requestsPerFront-1)/requestsPerFront, minEntries), maxEntries)
+	if need >= f.n || now.Sub(f.at) > shrinkDelay {
+		f.n, f.at = need, now
 	}
-	return b.n
+	return f.n
 }
 
-// resolve tells a caller where to connect.
+// resolve answers a caller with the addresses to connect to, or 503 if there are none.
 func (d *Daemon) resolve(w http.ResponseWriter, _ *http.Request) {
-	list := d.named()
+	list := d.directoryEntries()
 	if len(list) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	text, err := json.Marshal(d.Names.Directory(list, min(directoryTTL, positive(d.Settings.AnswerTTL, directoryTTL))))
+	text, err := json.Marshal(d.Endpoints.Directory(list, min(directoryTTL, positive(d.Settings.AnswerTTL, directoryTTL))))
 	if err != nil {
-		d.Log.Error().Err(err).Msg("directory's answer not encoded")
+		d.Log.Error().Err(err).Msg("directory answer not encoded")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
-	_, _ = w.Write(text) // a caller that left asks another daemon
+	_, _ = w.Write(text) // on failure the caller has disconnected and retries at another front
 }
 
-// named returns the daemons that callers are sent to: those that are not leaving
-// and can serve, or all that are not leaving if none can.
-func (d *Daemon) named() (well []fleet.Entry) {
+// directoryEntries returns the fronts that the directory names, fanout.size of them at most:
+// those that are alive, not leaving and reach the record holders; if none reaches them, all
+// that are alive and not leaving. A front that hears from less than half of the others is
+// partitioned itself and takes all of them as alive.
+func (d *Daemon) directoryEntries() (healthy []fleet.Entry) {
 	now := time.Now()
 	p := d.rumor.Picture(now)
 	self := d.self()
@@ -91,22 +93,22 @@
 		}
 	}
 	for _, e := range all {
-		unwell := p.Alive[mesh.IDOf(e.Node)]&mesh.Unwell != 0
+		unhealthy := p.Alive[mesh.IDOf(e.Node)]&mesh.Unwell != 0
 		if e.Node == self.Node {
-			unwell = d.pulse.Down(now)
+			unhealthy = d.pulse.Down(now)
 		}
-		if !unwell {
-			well = append(well, e)
+		if !unhealthy {
+			healthy = append(healthy, e)
 		}
 	}
-	if len(well) == 0 {
-		well = all
+	if len(healthy) == 0 {
+		healthy = all
 	}
-	return foremost(well, d.breadth.wide(now, underWay(p, d.picker.Own())))
+	return largest(healthy, d.fanout.size(now, totalInFlight(p, d.picker.Own())))
 }
 
-// underWay is how many requests all daemons have under way.
-func underWay(p mesh.Picture, own map[string]int) (n int) {
+// totalInFlight returns the number of requests in flight at all fronts.
+func totalInFlight(p mesh.Picture, own map[string]int) (n int) {
 	for _, load := range p.Load {
 		n += load
 	}
@@ -116,10 +118,11 @@
 	return n
 }
 
-// foremost returns so many daemons at most, those with the most processor first.
-// All daemons choose the same, over all failure domains: the first by name would be
-// those of one or two domains, whose loss would take half of all callers with it.
-func foremost(list []fleet.Entry, most int) []fleet.Entry {
+// largest returns at most that many fronts, those with the most processor cores first.
+// Ties are broken by hashed name, so every front chooses the same ones, from all failure
+// domains: an order by name would choose one or two domains, and the loss of one would
+// disconnect half of all callers.
+func largest(list []fleet.Entry, most int) []fleet.Entry {
 	if len(list) <= most {
 		return list
 	}
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -1,5 +1,5 @@
-// Package frontd runs a VM that serves callers: their requests, the directory
-// that tells them where to connect, and the readiness check.
+// Package frontd is the daemon that serves callers (a front): it handles their requests,
+// the directory of addresses to connect to, and the readiness check.
 package frontd
 
 import (
@@ -24,8 +24,8 @@
 	"github.com/slaterock/slaterock/internal/front/ration"
 	"github.com/slaterock/slaterock/internal/front/rumor"
 	"github.com/slaterock/slaterock/internal/front/upconn"
-	"github.com/slaterock/slaterock/internal/node/posted"
-	"github.com/slaterock/slaterock/internal/node/scout"
+	"github.com/slaterock/slaterock/internal/node/discov"
+	"github.com/slaterock/slaterock/internal/node/regkey"
 	"github.com/slaterock/slaterock/internal/obs/trace"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/peer/pause"
@@ -33,82 +33,81 @@
 )
 
 const (
-	// keepServing is how long after SIGTERM callers are still taken: the
-	// directory's answers that name this VM are kept for three times their
-	// time at most.
-	keepServing = 2500 * time.Millisecond
-	// graceLeft is kept of the time between SIGTERM and SIGKILL.
-	graceLeft = 700 * time.Millisecond
-	sweepEach = time.Second
-	// dialTime is how long another VM has to open a connection, and dialPause the
-	// longest pause before it is tried again. A VM without power says nothing, and
-	// the kernel would repeat a lost opening packet after a second only: callers
-	// wait while the records are there. Exchanges take 2 ms on the sites, 60 ms
-	// between far regions.
-	dialTime  = 300 * time.Millisecond
-	dialPause = 300 * time.Millisecond
-	// probeEach is the pause between looks at whether the holders of records can
-	// be reached.
-	probeEach = 200 * time.Millisecond
+	// drainDelay is how long new requests are still accepted after SIGTERM: callers go on
+	// using cached directory answers that name this VM, some for three times their TTL.
+	drainDelay = 2500 * time.Millisecond
+	// shutdownMargin is the part of the time between SIGTERM and SIGKILL that is left unused.
+	shutdownMargin = 700 * time.Millisecond
+	sweepInterval  = time.Second
+	// dialTimeout bounds the opening of a connection to another VM, and maxDialBackoff
+	// the pause before the next attempt. A VM without power does not answer, and the
+	// kernel retransmits a lost SYN only after a second, while callers wait for records
+	// that other VMs have. Round trips take 2 ms within a site and 60 ms between
+	// distant regions.
+	dialTimeout    = 300 * time.Millisecond
+	maxDialBackoff = 300 * time.Millisecond
+	// probeInterval is the pause between checks whether the record holders are reachable.
+	probeInterval = 200 * time.Millisecond
 )
 
 type (
-	// Settings are what the daemon needs to know of its VM.
+	// Settings describe the daemon's VM.
 	Settings struct {
 		Node      string
-		Domain    string
-		Cores     float64 // of the processor
-		Callers   string  // addresses to listen at
-		Ready     string
-		Directory string
-		Peer      string   // for other daemons
-		Seeds     []string // addresses of VMs with a disk; some may be down or gone
-		Grace     time.Duration
-		AnswerTTL time.Duration    // longest that callers keep a directory's answer
-		Tolerance ration.Tolerance // of the limits of accounts
+		Domain    string           // failure domain
+		Cores     float64          // processor cores, possibly a fraction
+		Callers   string           // listen address for callers' requests
+		Ready     string           // listen address of the readiness check; empty for none
+		Directory string           // listen address of the directory; empty for none
+		Peer      string           // listen address for other daemons, TCP and UDP
+		Seeds     []string         // addresses of VMs with a disk; some may be down or removed
+		Grace     time.Duration    // from SIGTERM to SIGKILL
+		AnswerTTL time.Duration    // upper bound of the directory answers' TTL; 0 for none
+		Tolerance ration.Tolerance // by which account limits may be exceeded
 	}
 
-	// Names are the wire's names for the directory and the readiness check.
-	Names interface {
+	// Endpoints are the HTTP paths of the directory and the readiness check, and the
+	// body of the directory's answer.
+	Endpoints interface {
 		Directory(entries []fleet.Entry, ttl time.Duration) any
 		DirectoryPath() string
 		ReadyPath() string
 	}
 
-	// Daemon runs the VM. Set the exported fields, then call Run.
+	// Daemon serves callers at one VM. Set the exported fields, then call Run.
 	Daemon struct {
-		Settings Settings
-		Store    store.Shared
-		Source   Source
-		Dialect  proxy.Dialect
-		Names    Names
-		Log      zerolog.Logger
-		Scope    tally.Scope
-		Trace    *trace.Trace
+		Settings  Settings
+		Store     store.Shared
+		Source    Source
+		Dialect   proxy.Dialect
+		Endpoints Endpoints
+		Log       zerolog.Logger
+		Scope     tally.Scope
+		Trace     *trace.Trace
 
-		fleet   fleet.Fleet
-		picker  pick.Picker
-		pool    upconn.Pool
-		link    link.Link
-		scout   scout.Scout
-		rumor   rumor.Rumor
-		pulse   pulse.Pulse
-		posted  posted.Posted
-		proxy   proxy.Endpoint
-		leaving atomic.Bool
-		reads   reads
-		absent  absent
-		asks    asks
-		breadth breadth
-		kept    kept
-		limits  limits.Limiter
-		present present
-		names   atomic.Pointer[upstreamNames]
+		fleet       fleet.Fleet
+		picker      pick.Picker
+		pool        upconn.Pool
+		link        link.Link
+		discov      discov.Reader
+		rumor       rumor.Rumor
+		pulse       pulse.Pulse
+		regkey      regkey.Registration
+		proxy       proxy.Endpoint
+		leaving     atomic.Bool
+		readState   readState
+		silentPeers silentPeers
+		fetches     fetches
+		fanout      fanout
+		backups     backups
+		limits      limits.Limiter
+		limitPeers  limitPeers
+		idCache     atomic.Pointer[upstreamIDs]
 	}
 )
 
-// Run serves until stop ends, then lets what is under way finish. The context
-// ends all work at once.
+// Run serves until stop is closed, then drains requests in flight. Cancelling the
+// context aborts all work at once.
 func (d *Daemon) Run(ctx context.Context, stop <-chan struct{}) (err error) {
 	defer func() { err = errors.Wrap(err, "run front") }()
 	ctx, end := context.WithCancel(ctx)
@@ -121,10 +120,11 @@
 		return err
 	}
 	defer func() { _ = checks.Close() }()
-	posting, unpost := context.WithCancel(ctx)
-	defer unpost()
-	go d.post(posting)
-	d.await(ctx, func(v *fleet.View) bool { return v.Table != nil })
+	regCtx, stopRegistration := context.WithCancel(ctx)
+	defer stopRegistration()
+	go d.register(regCtx)
+	// without a configuration it answers 503 and uses the default limits for callers
+	d.waitFor(ctx, func(v *fleet.View) bool { return v.Table != nil })
 	callers, err := d.serveCallers()
 	if err != nil {
 		return err
@@ -133,25 +133,25 @@
 	case <-stop:
 	case <-ctx.Done():
 	}
-	unpost()
+	stopRegistration()
 	d.drain(ctx, callers)
 	return nil
 }
 
 func (d *Daemon) start(ctx context.Context) error {
-	d.scout.Store = d.Store
+	d.discov.Store = d.Store
 	d.picker.Name, d.picker.Domain = d.Settings.Node, d.Settings.Domain
 	d.limits.Tolerance = d.Settings.Tolerance
 	d.picker.Idle, d.picker.Age = d.pool.Idle, d.rumor.Age
 	d.link.Address, d.link.Scope = d.Settings.Peer, d.Scope
-	d.link.DialTime, d.link.BackOff = dialTime, dialPause
-	d.link.Handle(methodKnown, link.Answer(d.tellKnown))
+	d.link.DialTime, d.link.BackOff = dialTimeout, maxDialBackoff
+	d.link.Handle(methodSnapshot, link.Answer(d.serveSnapshot))
 	if err := d.link.Start(ctx); err != nil {
 		return err
 	}
-	d.posted = posted.Posted{
-		Store: d.Store, Key: scout.FrontPrefix + d.Settings.Node, OnEnd: d.tellPosted, Stands: d.stands,
-		Data: func() []byte { return scout.FrontValue(d.self()) },
+	d.regkey = regkey.Registration{
+		Store: d.Store, Key: discov.FrontPrefix + d.Settings.Node, OnStatus: d.logRegistration, UpToDate: d.registered,
+		Data: func() []byte { return discov.FrontValue(d.self()) },
 	}
 	d.proxy = proxy.Endpoint{
 		Dialect: d.Dialect, Fleet: &d.fleet, Pool: &d.pool, Picker: &d.picker, Log: d.Log, Scope: d.Scope, Trace: d.Trace,
@@ -160,19 +160,19 @@
 	}
 	d.pulse.Records = &quorum.Client{
 		Peer:   func(address string) link.Invoker { return d.link.Peer(address) },
-		Roster: d.scout.Roster, Learn: d.scout.Learn, Refresh: d.scout.Fresh, Domain: d.Settings.Domain,
+		Roster: d.discov.Roster, Learn: d.discov.Learn, Refresh: d.discov.Rescan, Domain: d.Settings.Domain,
 	}
 	var lc net.ListenConfig
 	conn, err := lc.ListenPacket(ctx, "udp", d.Settings.Peer)
 	if err != nil {
 		return err
 	}
-	d.rumor.Conn, d.rumor.Own, d.rumor.Peers = conn, d.told, d.peers
+	d.rumor.Conn, d.rumor.Own, d.rumor.Peers = conn, d.ownTick, d.peers
 	d.rumor.Self = mesh.Peer{Node: d.Settings.Node, Address: d.Settings.Peer, Domain: d.Settings.Domain, Cores: d.Settings.Cores}
-	d.rumor.Heard, d.rumor.Changed = d.heard, d.changed
+	d.rumor.Heard, d.rumor.Changed = d.onPeerState, d.onPeersChanged
 	go func() {
 		if err := d.rumor.Run(ctx); err != nil {
-			d.Log.Error().Err(err).Msg("nothing is heard of other daemons any more")
+			d.Log.Error().Err(err).Msg("state exchange with other daemons stopped")
 		}
 	}()
 	ln, err := listen(ctx, d.Settings.Peer)
@@ -181,29 +181,28 @@
 	}
 	go func() {
 		if err := d.link.Serve(ctx, ln); err != nil {
-			d.Log.Error().Err(err).Msg("other daemons are not served any more")
+			d.Log.Error().Err(err).Msg("listener for other daemons stopped")
 		}
 	}()
-	go d.read(ctx)
-	d.recall(ctx)
+	go d.readLoop(ctx)
+	d.restore(ctx)
 	go d.sweep(ctx)
 	go d.probe(ctx)
 	return nil
 }
 
-// await waits until something is known, for a while: a daemon that has no
-// configuration answers 503, and its limits on callers are the usual ones.
-func (d *Daemon) await(ctx context.Context, known func(*fleet.View) bool) {
+// waitFor waits up to a second for a view that meets the condition.
+func (d *Daemon) waitFor(ctx context.Context, cond func(*fleet.View) bool) {
 	const longest, step = time.Second, 20 * time.Millisecond
 	for range longest / step {
-		if known(d.fleet.View()) || !pause.For(ctx, step) {
+		if cond(d.fleet.View()) || !pause.For(ctx, step) {
 			return
 		}
 	}
 }
 
-// others returns the other daemons that serve callers: those listed in the store,
-// and those heard of. A daemon that the store turns away may have no key there.
+// others returns the other fronts: those listed in the store, and those known from datagrams
+// only. A front whose calls the store refuses may have no key there.
 func (d *Daemon) others(p mesh.Picture) []fleet.Entry {
 	list := slices.Clone(d.fleet.View().Entries)
 	for i := range list {
@@ -226,36 +225,37 @@
 
 func (d *Daemon) ready() bool { return !d.leaving.Load() && d.fleet.View().Table != nil }
 
-// drain stops serving without cutting a request. Callers are sent elsewhere at
-// once, those that still come are served, and connections close with an answer.
+// drain stops serving without cutting requests off. The directories name other fronts
+// from now on, new requests are still accepted during drainDelay, and connections are closed
+// with their next response.
 func (d *Daemon) drain(ctx context.Context, callers *http.Server) {
 	d.leaving.Store(true)
 	d.proxy.Drain()
 	d.rumor.Tell()
-	go d.unpost(ctx)
+	go d.deregister(ctx)
 	d.Log.Info().Int64("active", d.proxy.Active()).Msg("draining")
-	pause.For(ctx, keepServing)
-	rest := max(d.Settings.Grace-keepServing-graceLeft, 0)
+	pause.For(ctx, drainDelay)
+	rest := max(d.Settings.Grace-drainDelay-shutdownMargin, 0)
 	limited, stop := context.WithTimeout(ctx, rest)
 	defer stop()
 	err := callers.Shutdown(limited)
 	d.Log.Info().Err(err).Int64("active", d.proxy.Active()).Msg("drained")
 }
 
-// probe notices when the holders of records are reached again, and logs both.
+// probe checks whether the record holders are reachable and logs changes.
 func (d *Daemon) probe(ctx context.Context) {
 	down := false
-	for pause.For(ctx, probeEach) {
+	for pause.For(ctx, probeInterval) {
 		d.pulse.Probe(ctx)
 		if now := d.pulse.Down(time.Now()); now != down {
 			down = now
-			d.Log.Warn().Str("dependency", "records").Uint64("roster", d.scout.Roster().Version).Msg(map[bool]string{true: "lost", false: "regained"}[down])
+			d.Log.Warn().Str("dependency", "records").Uint64("roster", d.discov.Roster().Version).Msg(map[bool]string{true: "lost", false: "regained"}[down])
 		}
 	}
 }
 
 func (d *Daemon) sweep(ctx context.Context) {
-	for pause.For(ctx, sweepEach) {
+	for pause.For(ctx, sweepInterval) {
 		d.pool.CloseExpired(time.Now())
 		known := map[string]bool{}
 		for _, list := range d.fleet.View().Services {
@@ -264,8 +264,8 @@
 			}
 		}
 		d.picker.Forget(func(id string) bool { return known[id] })
-		d.gaugeKnowledge(time.Now())
-		d.gaugeLimits(time.Now())
+		d.reportState(time.Now())
+		d.reportLimits(time.Now())
 		d.Scope.Gauge("queued").Update(float64(d.proxy.Queue.Len()))
 		d.Scope.Gauge("active").Update(float64(d.proxy.Active()))
 		d.Scope.Gauge("upstream_connections_opened").Update(float64(d.pool.Opened()))
--- a/internal/node/frontd/limits.go
+++ b/internal/node/frontd/limits.go
@@ -11,83 +11,86 @@
 )
 
 const (
-	// countFor is how long a daemon that is not heard of any more counts among those
-	// that share the limits of accounts: it may be cut off and still serve. Nobody
-	// can know that it does not, so it stops by itself after holdFor without hearing
-	// of at least half of the others; the rest is for clocks that run differently.
-	countFor = 30 * time.Second
-	holdFor  = 25 * time.Second
-	// hearEach is the least time between two reckonings of the others' use.
-	hearEach = 40 * time.Millisecond
+	// peerExpiry is how long a front that is neither listed nor heard from still counts
+	// among those that share the limits of accounts: it may be partitioned and still
+	// serve, which the others can't tell. So a front that has heard from less than half
+	// of the fronts for isolationTimeout gives up its share itself. isolationTimeout is
+	// shorter than peerExpiry since clocks run at different rates.
+	peerExpiry       = 30 * time.Second
+	isolationTimeout = 25 * time.Second
+	// limitInterval is the shortest interval between two updates of the others' usage.
+	limitInterval = 40 * time.Millisecond
 )
 
-// present is what is kept of the daemons that share the limits of accounts. The zero
-// value is ready.
-type present struct {
-	mu       sync.Mutex
-	at       time.Time
-	seen     map[string]time.Time // when each daemon was listed or heard of last
-	together time.Time            // when at least half of them were heard of last
-	accounts *accnt.Accounts      // that names are of
-	names    map[mesh.ID]string
+// limitPeers tracks the fronts that share the limits of accounts. The zero value is ready
+// for use.
+type limitPeers struct {
+	mu         sync.Mutex
+	updatedAt  time.Time
+	seen       map[string]time.Time // when each front was last listed or heard from
+	majorityAt time.Time            // when at least half of them were last heard from
+	accounts   *accnt.Accounts      // that names was built from
+	names      map[mesh.ID]string
 }
 
-// hearUse takes what the other daemons have let in.
-func (d *Daemon) hearUse(p mesh.Picture) {
+// updateLimits passes the number of requests that the other fronts accepted to the limits.
+func (d *Daemon) updateLimits(p mesh.Picture) {
 	now := time.Now()
 	v := d.fleet.View()
-	if v.Table == nil || v.Table.Accounts == nil || !d.present.due(now) {
+	if v.Table == nil || v.Table.Accounts == nil || !d.limitPeers.due(now) {
 		return
 	}
 	nodes := []string{d.Settings.Node}
 	for _, e := range d.others(p) {
 		nodes = append(nodes, e.Node)
 	}
-	h := d.present.look(now, nodes, p.Fronts)
-	h.Used = d.present.byName(v.Table.Accounts, p.Used)
+	h := d.limitPeers.count(now, nodes, p.Fronts)
+	h.Used = d.limitPeers.byAccount(v.Table.Accounts, p.Used)
 	d.limits.Hear(now, v.Table.Accounts, h)
 }
 
-// due tells whether it is time to reckon again.
-func (p *present) due(now time.Time) bool {
+// due reports whether limitInterval has passed since the last update and, if so, records now
+// as the time of the last update.
+func (p *limitPeers) due(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.at) < hearEach {
+	if now.Sub(p.updatedAt) < limitInterval {
 		return false
 	}
-	p.at = now
+	p.updatedAt = now
 	return true
 }
 
-// look counts the daemons that share the limits. One that has heard of less than half of
-// them for long has no part.
-func (p *present) look(now time.Time, nodes []string, heard int) ration.Heard {
+// count returns how many fronts share the limits and how many of them are heard from. A front
+// that has heard from less than half of them for isolationTimeout counts none, which leaves
+// it without a share of any limit.
+func (p *limitPeers) count(now time.Time, nodes []string, heard int) ration.Heard {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.seen == nil {
 		p.seen = map[string]time.Time{}
-		p.together = now
+		p.majorityAt = now
 	}
 	for _, node := range nodes {
 		p.seen[node] = now
 	}
 	for node, at := range p.seen {
-		if now.Sub(at) > countFor {
+		if now.Sub(at) > peerExpiry {
 			delete(p.seen, node)
 		}
 	}
 	h := ration.Heard{Fronts: heard, All: len(p.seen)}
 	if 2*heard >= h.All {
-		p.together = now
+		p.majorityAt = now
 	}
-	if now.Sub(p.together) > holdFor {
+	if now.Sub(p.majorityAt) > isolationTimeout {
 		h.Fronts = 0
 	}
 	return h
 }
 
-// gaugeLimits shows how much each account has left of its limit.
-func (d *Daemon) gaugeLimits(now time.Time) {
+// reportLimits updates the gauges of what each account has left of its limit.
+func (d *Daemon) reportLimits(now time.Time) {
 	for name, left := range d.limits.Left(now) {
 		if l := d.limits.Label.Of(name); l != label.Others {
 			d.Scope.Tagged(map[string]string{"account": l}).Gauge("account_limit_left").Update(left)
@@ -95,8 +98,8 @@
 	}
 }
 
-// byName has the names of accounts in place of their short forms.
-func (p *present) byName(accounts *accnt.Accounts, used map[mesh.ID]int) map[string]int {
+// byAccount replaces hashed account names by the names.
+func (p *limitPeers) byAccount(accounts *accnt.Accounts, used map[mesh.ID]int) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.accounts != accounts || p.names == nil {
@@ -105,5 +108,5 @@
 			p.names[mesh.IDOf(a.Name)] = a.Name
 		}
 	}
-	return named(used, p.names)
+	return toNames(used, p.names)
 }
--- /dev/null
+++ b/internal/node/frontd/register.go
@@ -0,0 +1,43 @@
+package frontd
+
+import (
+	"context"
+	"slices"
+
+	"github.com/slaterock/slaterock/internal/front/fleet"
+)
+
+// register keeps this front listed in the store. It first waits, a second at most, for a
+// first state, which may show that the key is current already. Until a front is listed, only
+// the fronts that got a datagram from it know its address.
+func (d *Daemon) register(ctx context.Context) {
+	d.waitFor(ctx, func(v *fleet.View) bool { return !v.Confirmed.IsZero() })
+	d.regkey.Run(ctx)
+}
+
+// self returns this front's entry as it should be listed in the store.
+func (d *Daemon) self() fleet.Entry {
+	return fleet.Entry{
+		Node: d.Settings.Node, Address: d.Settings.Callers, Peer: d.Settings.Peer,
+		Domain: d.Settings.Domain, Cores: d.Settings.Cores,
+	}
+}
+
+// registered reports whether the store lists this front with its present entry, as of the
+// last known state.
+func (d *Daemon) registered() bool { return slices.Contains(d.fleet.View().Entries, d.self()) }
+
+func (d *Daemon) logRegistration(err error) {
+	if err != nil {
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("the front's key could not be written")
+		return
+	}
+	d.Log.Info().Str("dependency", "store").Msg("the front's key is written")
+}
+
+// deregister removes this front's key.
+func (d *Daemon) deregister(ctx context.Context) {
+	if err := d.regkey.Remove(ctx); err != nil && ctx.Err() == nil {
+		d.Log.Warn().Err(err).Str("dependency", "store").Msg("the front's key was not removed; another front removes it later")
+	}
+}
--- a/internal/node/frontd/serve.go
+++ b/internal/node/frontd/serve.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// headerTime, idleTime and headerBytes hold until a configuration says
-	// otherwise.
-	headerTime  = 3 * time.Second
-	idleTime    = 15 * time.Second
-	headerBytes = 16 << 10
+	// headerTimeout, idleTimeout and maxHeaderBytes apply where the configuration at the
+	// start sets no limit of its own.
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = 15 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
 func (d *Daemon) serveChecks(ctx context.Context) (srv *http.Server, err error) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+d.Names.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+d.Endpoints.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
 		if !d.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	mux.HandleFunc("GET "+d.Names.DirectoryPath(), d.resolve)
-	srv = &http.Server{Handler: mux, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: silent()}
+	mux.HandleFunc("GET "+d.Endpoints.DirectoryPath(), d.resolve)
+	srv = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog()}
 	for _, address := range []string{d.Settings.Ready, d.Settings.Directory} {
 		if address == "" {
 			continue
@@ -41,18 +41,18 @@
 
 func (d *Daemon) serve(srv *http.Server, ln net.Listener, address string) {
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		d.Log.Error().Err(err).Str("address", address).Msg("not served any more")
+		d.Log.Error().Err(err).Str("address", address).Msg("HTTP listener stopped")
 	}
 }
 
 func (d *Daemon) serveCallers() (srv *http.Server, err error) {
 	srv = &http.Server{
-		Handler: &d.proxy, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes, ErrorLog: silent(),
+		Handler: &d.proxy, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: discardLog(),
 	}
 	if t := d.fleet.View().Table; t != nil {
-		srv.ReadHeaderTimeout = positive(t.Limits.HeaderTime, headerTime)
-		srv.IdleTimeout = positive(t.Limits.IdleTime, idleTime)
-		srv.MaxHeaderBytes = positive(t.Limits.HeaderBytes, headerBytes)
+		srv.ReadHeaderTimeout = positive(t.Limits.HeaderTime, headerTimeout)
+		srv.IdleTimeout = positive(t.Limits.IdleTime, idleTimeout)
+		srv.MaxHeaderBytes = positive(t.Limits.HeaderBytes, maxHeaderBytes)
 	}
 	ln, err := listen(context.Background(), d.Settings.Callers)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return otherwise
 }
 
-// listen notices connections through which nothing passes any more.
+// listen opens a TCP listener whose keep-alive probes detect dead connections within about
+// 11 s.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	c := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
 	return c.Listen(ctx, "tcp", address)
--- a/internal/node/frontd/absent_test.go
+++ b/internal/node/frontd/silent_test.go
@@ -10,10 +10,10 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// A VM is lost for good and its key stays in the store. If nobody removed it, it would
-// be told everything for ever. A VM that is cut off with half of the others must not
-// remove the keys of those it can't hear.
-func TestKeyOfALostDaemon(t *testing.T) {
+// A VM is lost permanently and its key stays in the store. If the key were never removed,
+// datagrams would be sent there forever. A VM that hears from less than half of the others is
+// partitioned itself and must not remove any key.
+func TestKeyOfLostFront(t *testing.T) {
 	listed := []fleet.Entry{{Node: "a"}, {Node: "b"}, {Node: "c"}, {Node: "d"}}
 	cases := map[string]struct {
 		heard [2][]string // in the first and the second half of the time
@@ -29,7 +29,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var a absent
+			var a silentPeers
 			gone := ""
 			now := time.Unix(1000, 0)
 			for i := range 64 {
@@ -38,7 +38,7 @@
 					p.Alive[mesh.IDOf(node)] = 0
 					p.Fronts++
 				}
-				if node, found := a.note(now.Add(time.Duration(i)*time.Second/2), listed, p); found {
+				if node, found := a.check(now.Add(time.Duration(i)*time.Second/2), listed, p); found {
 					gone = node
 				}
 			}
@@ -47,26 +47,26 @@
 	}
 }
 
-// A daemon reads for all for a while and misses another that starts again. Later it reads
-// for all once more, just as that other one starts again: it was never silent for long,
-// and its key must stay.
-func TestSilenceBetweenLooksDoesNotCount(t *testing.T) {
+// A front is the one that reads the store for a while, and does not hear from another that
+// restarts. Later it is the reading front again, just as the other one restarts a second time:
+// that one was never silent for long, and its key must stay.
+func TestSilenceNeedsContinuousChecks(t *testing.T) {
 	cases := map[string]struct {
-		between time.Duration // looks
+		between time.Duration // two checks
 		gone    bool
 	}{
 		"it looked all the time":            {time.Second, true},
-		"it did not look for half a minute": {goneFor, false},
+		"it did not look for half a minute": {lostAfter, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var a absent
+			var a silentPeers
 			listed := []fleet.Entry{{Node: "a"}, {Node: "b"}}
 			p := mesh.Picture{Alive: map[mesh.ID]mesh.Mark{mesh.IDOf("a"): 0}, Fronts: 2}
 			now := time.Unix(1000, 0)
 			found := false
-			for at := time.Duration(0); at <= goneFor; at += c.between {
-				_, found = a.note(now.Add(at), listed, p)
+			for at := time.Duration(0); at <= lostAfter; at += c.between {
+				_, found = a.check(now.Add(at), listed, p)
 			}
 			is.New(t).Equal(found, c.gone)
 		})
--- a/internal/node/listed/listed_test.go
+++ b/internal/node/leased/leased_test.go
@@ -1,4 +1,4 @@
-package listed
+package leased
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// fake is a store with leases that lapse.
-type fake struct {
+// fakeStore is a store in memory with leases that lapse.
+type fakeStore struct {
 	store.Shared
-	mu     sync.Mutex
-	down   bool
-	next   store.Lease
-	ends   map[store.Lease]time.Time
-	values map[string]string
-	holder map[string]store.Lease
+	mu      sync.Mutex
+	down    bool
+	next    store.Lease
+	ends    map[store.Lease]time.Time
+	values  map[string]string
+	leaseOf map[string]store.Lease
 }
 
-func (f *fake) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
+func (f *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -35,7 +35,7 @@
 	return f.next, nil
 }
 
-func (f *fake) Renew(_ context.Context, l store.Lease) error {
+func (f *fakeStore) Renew(_ context.Context, l store.Lease) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -48,56 +48,56 @@
 	return nil
 }
 
-func (f *fake) Set(_ context.Context, key string, data []byte, l store.Lease) (store.Rev, error) {
+func (f *fakeStore) Set(_ context.Context, key string, data []byte, l store.Lease) (store.Rev, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
 		return 0, store.ErrUnknown
 	}
-	f.values[key], f.holder[key] = string(data), l
+	f.values[key], f.leaseOf[key] = string(data), l
 	return 1, nil
 }
 
-func (f *fake) Revoke(_ context.Context, l store.Lease) error {
+func (f *fakeStore) Revoke(_ context.Context, l store.Lease) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.ends, l)
 	return nil
 }
 
-// value is what the store has under the key, empty if its lease is over.
-func (f *fake) value(key string) string {
+// value returns the key's value, empty if its lease has lapsed.
+func (f *fakeStore) value(key string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !time.Now().Before(f.ends[f.holder[key]]) {
+	if !time.Now().Before(f.ends[f.leaseOf[key]]) {
 		return ""
 	}
 	return f.values[key]
 }
 
-func (f *fake) set(do func()) {
+func (f *fakeStore) set(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-// The store goes away longer than the lease lasts, and revokes the lease of a
-// daemon that lives. Others would take the daemon for dead; its key must be back
-// within about two seconds of the store's return.
-func TestKeyComesBack(t *testing.T) {
+// The store is unavailable for longer than the lease lasts, and later loses the lease of a live
+// daemon. Other daemons would consider this one dead; its key must be written again within
+// about two seconds once the store is available.
+func TestKeyIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := &fake{ends: map[store.Lease]time.Time{}, values: map[string]string{}, holder: map[string]store.Lease{}}
+		f := &fakeStore{ends: map[store.Lease]time.Time{}, values: map[string]string{}, leaseOf: map[string]store.Lease{}}
 		ctx, stop := context.WithCancel(t.Context())
 		var data atomic.Value
 		data.Store("one")
 		ends := []bool{}
-		l := &Listed{Store: f, Key: "k", Data: func() []byte { return []byte(data.Load().(string)) }, OnEnd: func(err error) { ends = append(ends, err != nil) }}
+		l := &Registration{Store: f, Key: "k", Data: func() []byte { return []byte(data.Load().(string)) }, OnStatus: func(err error) { ends = append(ends, err != nil) }}
 		l.Init()
 		done := make(chan struct{})
 		go func() { defer close(done); l.Run(ctx) }()
 		time.Sleep(30 * time.Second)
-		is.Equal(f.value("k"), "one") // renewed all the while
+		is.Equal(f.value("k"), "one") // renewed all the time
 
 		f.set(func() { f.down = true })
 		time.Sleep(9 * time.Second)
@@ -118,6 +118,6 @@
 
 		stop()
 		<-done
-		is.Equal(f.value("k"), "") // nobody waits for the lease to lapse
+		is.Equal(f.value("k"), "") // revoked at once, not lapsed later
 	})
 }
--- a/internal/node/posted/posted_test.go
+++ b/internal/node/regkey/regkey_test.go
@@ -1,4 +1,4 @@
-package posted
+package regkey
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// fake is a store that counts writes and may be away.
-type fake struct {
+// fakeStore is a store of one key that counts writes and may be unavailable.
+type fakeStore struct {
 	store.Shared
 	mu     sync.Mutex
 	down   bool
@@ -21,7 +21,7 @@
 	value  string
 }
 
-func (f *fake) Set(_ context.Context, _ string, data []byte, _ store.Lease) (store.Rev, error) {
+func (f *fakeStore) Set(_ context.Context, _ string, data []byte, _ store.Lease) (store.Rev, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writes++
@@ -32,32 +32,32 @@
 	return 1, nil
 }
 
-func (f *fake) Remove(context.Context, string) error {
+func (f *fakeStore) Remove(context.Context, string) error {
 	f.set(func() { f.value = "" })
 	return nil
 }
 
-func (f *fake) set(do func()) {
+func (f *fakeStore) set(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-func (f *fake) holds() (value string) {
+func (f *fakeStore) holds() (value string) {
 	f.set(func() { value = f.value })
 	return value
 }
 
-// Hundreds of daemons start again at once after a loss of power, and the store still
-// holds their keys. If each wrote its key again, the store would have more to do at
-// that moment than in a quarter of an hour. A key that somebody removed is back soon,
-// or callers would not be sent to a daemon that is well.
+// Hundreds of daemons restart at once after a power loss, and the store still holds their
+// keys. If each wrote its key again, these writes would be more load than the store has in a
+// quarter of an hour. A key that another daemon removed must be written again soon, or the
+// directory would not name a healthy daemon.
 func TestKeyIsWrittenOnceOnly(t *testing.T) {
 	cases := map[string]struct {
 		value  string // at the start
-		away   bool   // the store, for the first ten seconds
-		writes int
-		most   int
+		away   bool   // whether the store is unavailable for the first ten seconds
+		writes int    // least number expected
+		most   int    // largest number expected
 	}{
 		"first start":                     {"", false, 1, 1},
 		"start again":                     {"here", false, 0, 0},
@@ -69,9 +69,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := &fake{value: c.value, down: c.away}
+				f := &fakeStore{value: c.value, down: c.away}
 				ctx, stop := context.WithCancel(t.Context())
-				p := &Posted{Store: f, Key: "k", Data: func() []byte { return []byte("here") }, Stands: func() bool { return f.holds() == "here" }}
+				p := &Registration{Store: f, Key: "k", Data: func() []byte { return []byte("here") }, UpToDate: func() bool { return f.holds() == "here" }}
 				done := make(chan struct{})
 				go func() { defer close(done); p.Run(ctx) }()
 				time.Sleep(10 * time.Second)
