--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -24,7 +24,7 @@
 
 	service struct {
 		gate gate.Gate
-		pace pace.Pace
+		pace pace.Estimator
 	}
 
 	// Refused tells that a program may not begin, and when to come back.
@@ -45,7 +45,7 @@
 		q.wait = map[uint64]chan gate.Op{}
 	}
 	q.wait[ticket] = done
-	q.step(name, gate.Arrive{Ticket: ticket, Until: until, Load: load})
+	q.step(name, gate.Arrive{Ticket: ticket, Deadline: until, Load: load})
 	q.mu.Unlock()
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -60,7 +60,7 @@
 		case <-ctx.Done():
 			q.mu.Lock()
 			delete(q.wait, ticket)
-			q.step(name, gate.Leave{Ticket: ticket})
+			q.step(name, gate.Cancel{Ticket: ticket})
 			q.mu.Unlock()
 			return ctx.Err()
 		}
--- a/internal/front/admit/admit_test.go
+++ b/internal/front/admit/admit_test.go
@@ -12,8 +12,8 @@
 	"github.com/slaterock/slaterock/internal/place/gate"
 )
 
-func busy(string) gate.Load { return gate.Load{Under: 90, Room: 80} }
-func idle(string) gate.Load { return gate.Load{Under: 10, Room: 80} }
+func busy(string) gate.Load { return gate.Load{InFlight: 90, Capacity: 80} }
+func idle(string) gate.Load { return gate.Load{InFlight: 10, Capacity: 80} }
 
 // Engines are busy when a program comes. Its caller waits only as long as the
 // program can still be in time, is let through the moment there is room, and is
--- a/internal/front/entry/story.go
+++ b/internal/front/entry/story.go
@@ -67,8 +67,8 @@
 		line.Bool("upstream_missing", true)
 	}
 	if s.queue != "" {
-		line.Str("queue", s.queue).Int64("queued_ms", s.queued.Milliseconds()).Int("engines_under_way", s.load.Under).
-			Int("engines_room", s.load.Room).Int("daemons", s.load.Fronts)
+		line.Str("queue", s.queue).Int64("queued_ms", s.queued.Milliseconds()).Int("engines_under_way", s.load.InFlight).
+			Int("engines_room", s.load.Capacity).Int("daemons", s.load.Daemons)
 	}
 	line.Msg("request")
 }
--- a/internal/front/entry/wait.go
+++ b/internal/front/entry/wait.go
@@ -39,7 +39,7 @@
 		until = latest
 	}
 	s := &t.story
-	if s.load = t.e.load(t.service.Name); s.load.Room == 0 {
+	if s.load = t.e.load(t.service.Name); s.load.Capacity == 0 {
 		return true // no engine takes work: the caller is told at once, by dispatch
 	}
 	err := t.e.Queue.Wait(ctx, t.service.Name, until, s.load)
--- a/internal/front/pick/pick.go
+++ b/internal/front/pick/pick.go
@@ -236,9 +236,9 @@
 func (p *Picker) Load(list []fleet.Upstream, share func(places int) float64) (l gate.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.Fronts = 1 + p.fronts
+	l.Daemons = 1 + p.fronts
 	if p.Age != nil {
-		l.News = p.Age()
+		l.Staleness = p.Age()
 	}
 	room := 0.0
 	for i := range list {
@@ -247,10 +247,10 @@
 		}
 		room += share(list[i].Batch) * float64(list[i].Batch)
 		if s := p.known[list[i].ID]; s != nil {
-			l.Under += s.own + s.others
+			l.InFlight += s.own + s.others
 		}
 	}
-	l.Room = int(room)
+	l.Capacity = int(room)
 	return l
 }
 
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -280,7 +280,7 @@
 }
 
 func (d *Daemon) place(ctx context.Context, h *host.Host, m sched.Message) {
-	if e, ok := m.(sched.Ended); ok {
+	if e, ok := m.(sched.ProgramEnded); ok {
 		d.Tape.End(e.Program)
 	}
 	d.placer.Tell(ctx, h, m)
--- a/internal/node/placer/placer.go
+++ b/internal/node/placer/placer.go
@@ -119,9 +119,9 @@
 	case sched.Configure:
 		p.cfg = m.File
 		p.declare(ctx, m.File)
-	case sched.Ask:
+	case sched.Submit:
 		p.askers[m.ID] = from
-	case sched.Withdraw:
+	case sched.Cancel:
 		delete(p.askers, m.ID)
 	case sched.Done:
 		p.live[m.ID]--
@@ -241,7 +241,7 @@
 	for name, u := range p.cfg.Upstreams {
 		if len(u.Models) > 0 {
 			_, here := p.Fence(name)
-			p.stockStep(ctx, stock.Here{Upstream: name, OK: here})
+			p.stockStep(ctx, stock.Responsible{Upstream: name, OK: here})
 		}
 	}
 	p.stockStep(ctx, stock.Tick{})
--- a/internal/node/send/send.go
+++ b/internal/node/send/send.go
@@ -140,7 +140,7 @@
 func (s Send) failed(ctx context.Context, err error, unsent bool) (sched.Outcome, string) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return sched.Withdrawn, "cancelled"
+		return sched.Cancelled, "cancelled"
 	case unsent:
 		return sched.Unsent, err.Error()
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/place/brkr/brkr.go
+++ b/internal/place/brkr/brkr.go
@@ -15,7 +15,7 @@
 	firstPause = time.Second
 	maxPause   = 30 * time.Second
 	// A probe whose end is never reported must not keep the breaker shut.
-	probeLife = time.Minute
+	probeTimeout = time.Minute
 )
 
 type (
@@ -33,7 +33,7 @@
 	if b.pause == 0 {
 		return true
 	}
-	probing := !b.probe.IsZero() && now.Sub(b.probe) < probeLife
+	probing := !b.probe.IsZero() && now.Sub(b.probe) < probeTimeout
 	return !probing && !now.Before(b.until)
 }
 
--- a/internal/place/brkr/brkr_test.go
+++ b/internal/place/brkr/brkr_test.go
@@ -31,7 +31,7 @@
 		"longer by its share":     {func(b *Breaker) { b.Fail(epoch, 0); b.Fail(epoch, 0); b.Fail(epoch, 1) }, firstPause * 5 / 4, false},
 		"late failures":           {func(b *Breaker) { open(b); open(b) }, firstPause, true},
 		"one probe at a time":     {func(b *Breaker) { open(b); b.Sent(epoch.Add(firstPause)) }, 2 * firstPause, false},
-		"probe never ends":        {func(b *Breaker) { open(b); b.Sent(epoch.Add(firstPause)) }, firstPause + probeLife, true},
+		"probe never ends":        {func(b *Breaker) { open(b); b.Sent(epoch.Add(firstPause)) }, firstPause + probeTimeout, true},
 		"probe withdrawn":         {func(b *Breaker) { open(b); b.Sent(epoch); b.Abandon() }, firstPause, true},
 		"probe succeeds":          {func(b *Breaker) { open(b); b.Sent(epoch.Add(firstPause)); b.Succeed() }, firstPause, true},
 		"probe fails":             {func(b *Breaker) { open(b); b.Fail(epoch.Add(firstPause), 0) }, 3*firstPause - 1, false},
--- a/internal/place/gate/bench_test.go
+++ b/internal/place/gate/bench_test.go
@@ -11,13 +11,13 @@
 func BenchmarkArrive(b *testing.B) {
 	var g Gate
 	now := time.UnixMilli(1_000_000)
-	full := Load{Under: 100, Room: 100}
+	full := Load{InFlight: 100, Capacity: 100}
 	for i := range uint64(5000) {
-		g.Step(now, Arrive{Ticket: i, Until: now.Add(time.Hour), Load: full})
+		g.Step(now, Arrive{Ticket: i, Deadline: now.Add(time.Hour), Load: full})
 	}
 	b.ReportAllocs()
 	for i := uint64(5000); b.Loop(); i++ {
-		g.Step(now, Arrive{Ticket: i, Until: now.Add(time.Hour), Load: full})
-		g.Step(now, Leave{Ticket: i})
+		g.Step(now, Arrive{Ticket: i, Deadline: now.Add(time.Hour), Load: full})
+		g.Step(now, Cancel{Ticket: i})
 	}
 }
--- a/internal/place/gate/gate.go
+++ b/internal/place/gate/gate.go
@@ -23,11 +23,11 @@
 const (
 	// late is the part of the room up to which programs begin that can't be in time:
 	// they take what the others leave.
-	late = 0.85
+	lateFill = 0.85
 	// eager is how many times its part of the room a daemon may take: not all have
 	// programs that wait. At 1 with 54 daemons a quarter of the room was left while
 	// programs waited.
-	eager = 3
+	overcommit = 3
 	// After is when the caller of a late program may come back: bursts last for
 	// seconds, and callers come back once for each refusal, after at most a third of
 	// the time that they wait for a turn (four seconds and more).
@@ -37,12 +37,12 @@
 type (
 	// Load is what the engines of a service have to do.
 	Load struct {
-		Under  int // turns under way, of all daemons
-		Room   int // turns beside each other with which programs are in time
-		Fronts int // daemons that share the room, this one included
+		InFlight int // turns under way, of all daemons
+		Capacity int // turns beside each other with which programs are in time
+		Daemons  int // daemons that share the room, this one included
 		// News is the time between two words of another daemon: what is known of its
 		// turns may be as old.
-		News time.Duration
+		Staleness time.Duration
 	}
 
 	// Event is something that the gate is told.
@@ -51,16 +51,16 @@
 	// Arrive asks for a program to begin. Until is the latest time at which it can
 	// begin and be in time; it may have passed.
 	Arrive struct {
-		Ticket uint64
-		Until  time.Time
-		Load   Load
+		Ticket   uint64
+		Deadline time.Time
+		Load     Load
 	}
 
 	// Change tells that turns have ended or that other daemons were heard.
 	Change struct{ Load Load }
 
 	// Leave tells that a program's caller has left.
-	Leave struct{ Ticket uint64 }
+	Cancel struct{ Ticket uint64 }
 
 	// Op is something that is to be done with a program.
 	Op interface{ op() }
@@ -76,21 +76,21 @@
 
 	// Gate keeps the programs that wait. The zero value is ready.
 	Gate struct {
-		waiting []waiter  // in the order of their arrival
-		soonest time.Time // no wait ends before
-		credit  float64   // programs that may begin here
-		at      time.Time // to which credit was reckoned
+		waiting    []waiter  // in the order of their arrival
+		nextExpiry time.Time // no wait ends before
+		credit     float64   // programs that may begin here
+		refilled   time.Time // to which credit was reckoned
 	}
 
 	waiter struct {
-		ticket uint64
-		until  time.Time
+		ticket   uint64
+		deadline time.Time
 	}
 )
 
 func (Arrive) event() {}
 func (Change) event() {}
-func (Leave) event()  {}
+func (Cancel) event() {}
 func (Admit) op()     {}
 func (Refuse) op()    {}
 
@@ -101,7 +101,7 @@
 		return g.arrive(now, e)
 	case Change:
 		return g.release(now, g.expire(now, nil), e.Load)
-	case Leave:
+	case Cancel:
 		if i := slices.IndexFunc(g.waiting, func(w waiter) bool { return w.ticket == e.Ticket }); i >= 0 {
 			g.waiting = slices.Delete(g.waiting, i, i+1)
 		}
@@ -115,16 +115,16 @@
 // arrive lets a late program begin or refuses it at once: it loses nothing by
 // coming back later, and in the queue it would only stand in the way.
 func (g *Gate) arrive(now time.Time, e Arrive) []Op {
-	if !now.Before(e.Until) {
-		if len(g.waiting) == 0 && e.Load.Under < int(late*float64(e.Load.Room)) {
+	if !now.Before(e.Deadline) {
+		if len(g.waiting) == 0 && e.Load.InFlight < int(lateFill*float64(e.Load.Capacity)) {
 			return []Op{Admit{Ticket: e.Ticket}}
 		}
 		return []Op{Refuse{Ticket: e.Ticket, After: After}}
 	}
-	if len(g.waiting) == 0 || e.Until.Before(g.soonest) {
-		g.soonest = e.Until
+	if len(g.waiting) == 0 || e.Deadline.Before(g.nextExpiry) {
+		g.nextExpiry = e.Deadline
 	}
-	g.waiting = append(g.waiting, waiter{ticket: e.Ticket, until: e.Until})
+	g.waiting = append(g.waiting, waiter{ticket: e.Ticket, deadline: e.Deadline})
 	return g.release(now, g.expire(now, nil), e.Load)
 }
 
@@ -132,12 +132,12 @@
 // of its time left, while one that has waited long is late even if it begins now.
 func (g *Gate) release(now time.Time, ops []Op, l Load) []Op {
 	g.refill(now, l)
-	for l.Under < l.Room && g.credit >= 1 && len(g.waiting) > 0 {
+	for l.InFlight < l.Capacity && g.credit >= 1 && len(g.waiting) > 0 {
 		last := len(g.waiting) - 1
 		ops = append(ops, Admit{Ticket: g.waiting[last].ticket})
 		g.waiting = g.waiting[:last]
 		g.credit--
-		l.Under++
+		l.InFlight++
 	}
 	return ops
 }
@@ -149,28 +149,28 @@
 // each let one program begin whenever there is room for one, then with 54 daemons 54
 // would begin.
 func (g *Gate) refill(now time.Time, l Load) {
-	part := float64(max(l.Room-l.Under, 0))
-	if l.Fronts > eager {
-		part *= eager / float64(l.Fronts)
+	avail := float64(max(l.Capacity-l.InFlight, 0))
+	if l.Daemons > overcommit {
+		avail *= overcommit / float64(l.Daemons)
 	}
-	share := 1.0
-	if l.Fronts > 1 && l.News > 0 && !g.at.IsZero() {
-		share = min(float64(now.Sub(g.at))/float64(l.News), 1)
+	elapsed := 1.0
+	if l.Daemons > 1 && l.Staleness > 0 && !g.refilled.IsZero() {
+		elapsed = min(float64(now.Sub(g.refilled))/float64(l.Staleness), 1)
 	}
-	g.credit = min(g.credit+part*share, max(part, 1))
-	g.at = now
+	g.credit = min(g.credit+avail*elapsed, max(avail, 1))
+	g.refilled = now
 }
 
 // expire refuses the programs that can't be in time any more.
 func (g *Gate) expire(now time.Time, ops []Op) []Op {
-	if now.Before(g.soonest) {
+	if now.Before(g.nextExpiry) {
 		return ops
 	}
-	g.soonest = time.Time{}
+	g.nextExpiry = time.Time{}
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waiter) bool {
-		if now.Before(w.until) {
-			if g.soonest.IsZero() || w.until.Before(g.soonest) {
-				g.soonest = w.until
+		if now.Before(w.deadline) {
+			if g.nextExpiry.IsZero() || w.deadline.Before(g.nextExpiry) {
+				g.nextExpiry = w.deadline
 			}
 			return false
 		}
--- a/internal/place/gate/gate_test.go
+++ b/internal/place/gate/gate_test.go
@@ -10,11 +10,11 @@
 var start = time.UnixMilli(1_000_000)
 
 func arrive(ticket uint64, slack time.Duration, under int) Arrive {
-	return Arrive{Ticket: ticket, Until: start.Add(slack), Load: load(under, 1)}
+	return Arrive{Ticket: ticket, Deadline: start.Add(slack), Load: load(under, 1)}
 }
 
 func load(under, fronts int) Load {
-	return Load{Under: under, Room: 100, Fronts: fronts, News: 100 * time.Millisecond}
+	return Load{InFlight: under, Capacity: 100, Daemons: fronts, Staleness: 100 * time.Millisecond}
 }
 
 func TestStep(t *testing.T) {
@@ -46,10 +46,10 @@
 			{0, Change{load(100-1, 1)}, []Op{Admit{1}}},
 		},
 		"late, and room":               {{0, arrive(1, 0, 10), []Op{Admit{1}}}},
-		"late, and little room":        {{0, arrive(1, 0, int(100*late)), []Op{refuse(1)}}},
+		"late, and little room":        {{0, arrive(1, 0, int(100*lateFill)), []Op{refuse(1)}}},
 		"late, behind those that wait": {{0, arrive(1, second, 100), nil}, {0, arrive(2, 0, 10), []Op{refuse(2)}}},
-		"a caller that has left":       {{0, arrive(1, second, 100), nil}, {0, Leave{1}, nil}, {0, Change{load(10, 1)}, nil}},
-		"no engines":                   {{0, Arrive{Ticket: 1, Until: start.Add(second)}, nil}, {second, Change{}, []Op{refuse(1)}}},
+		"a caller that has left":       {{0, arrive(1, second, 100), nil}, {0, Cancel{1}, nil}, {0, Change{load(10, 1)}, nil}},
+		"no engines":                   {{0, Arrive{Ticket: 1, Deadline: start.Add(second)}, nil}, {second, Change{}, []Op{refuse(1)}}},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,24 +64,24 @@
 // Many programs wait at many daemons when three turns end. Each daemon sees room for
 // three, and hears of the others some time later only. If each let one begin, the
 // engines would be as full as without a gate.
-func TestDaemonsShareTheRoom(t *testing.T) {
-	const fronts, waiting, news = 54, 5, 370 * time.Millisecond
+func TestDaemonsShareCapacity(t *testing.T) {
+	const fronts, waiting, staleness = 54, 5, 370 * time.Millisecond
 	is := is.New(t)
 	gates := make([]Gate, fronts)
-	full := Load{Under: 100, Room: 100, Fronts: fronts, News: news}
+	full := Load{InFlight: 100, Capacity: 100, Daemons: fronts, Staleness: staleness}
 	for i := range gates {
 		for n := range uint64(waiting) {
-			gates[i].Step(start, Arrive{Ticket: n, Until: start.Add(time.Minute), Load: full})
+			gates[i].Step(start, Arrive{Ticket: n, Deadline: start.Add(time.Minute), Load: full})
 		}
 		gates[i].credit = float64(i) / fronts // as after a while
 	}
-	begun := 0
-	for after := news / 100; after <= 10*news; after += news / 100 {
+	admitted := 0
+	for after := staleness / 100; after <= 10*staleness; after += staleness / 100 {
 		for i := range gates {
 			l := full
-			l.Under = 97
-			begun += len(gates[i].Step(start.Add(after), Change{Load: l}))
+			l.InFlight = 97
+			admitted += len(gates[i].Step(start.Add(after), Change{Load: l}))
 		}
 	}
-	is.True(begun >= 80 && begun <= 100) // three times the room in each of ten times, not 54
+	is.True(admitted >= 80 && admitted <= 100) // three times the room in each of ten times, not 54
 }
--- a/internal/place/hedge/hedge.go
+++ b/internal/place/hedge/hedge.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	windows    = 2
-	lowest     = int64(100 * time.Microsecond)
-	highest    = int64(10 * time.Minute)
-	digits     = 2
-	quantile   = 95
-	minSamples = 20 // fewer say nothing about the slowest twentieth
-	turnover   = 30 * time.Second
+	windows      = 2
+	lowest       = int64(100 * time.Microsecond)
+	highest      = int64(10 * time.Minute)
+	digits       = 2
+	quantile     = 95
+	minSamples   = 20 // fewer say nothing about the slowest twentieth
+	windowLength = 30 * time.Second
 )
 
 type (
@@ -38,16 +38,16 @@
 	_ = h.hist.Current.RecordValue(min(max(int64(took), lowest), highest))
 	h.count++
 	if h.count == minSamples {
-		h.read()
+		h.updateThreshold()
 	}
-	if now.Sub(h.rotated) >= turnover && h.count >= minSamples {
-		h.read()
+	if now.Sub(h.rotated) >= windowLength && h.count >= minSamples {
+		h.updateThreshold()
 		h.hist.Rotate()
 		h.rotated, h.count = now, 0
 	}
 }
 
-func (h *Hedge) read() { h.after = time.Duration(h.hist.Merge().ValueAtQuantile(quantile)) }
+func (h *Hedge) updateThreshold() { h.after = time.Duration(h.hist.Merge().ValueAtQuantile(quantile)) }
 
 // After returns the time after which a call is hedged, and whether enough is
 // known to tell.
--- a/internal/place/limit/limit.go
+++ b/internal/place/limit/limit.go
@@ -11,13 +11,13 @@
 package limit
 
 const (
-	initial   = 8
-	smallest  = 1
-	tolerance = 2.0 // slower than this by comparison means crowded
-	smoothing = 0.2
-	lowest    = 0.5 // the most that one round takes away
-	growth    = 0.5 // for each round of answers
-	roomier   = 1.5
+	initial     = 8
+	smallest    = 1
+	tolerance   = 2.0 // slower than this by comparison means crowded
+	smoothing   = 0.2
+	maxDecrease = 0.5 // the most that one round takes away
+	growth      = 0.5 // for each round of answers
+	roomGrowth  = 1.5
 
 	// Answers between two probes, and in one, for each unit of the limit.
 	probeEvery = 12
@@ -25,7 +25,7 @@
 	minEvery   = 40
 	minFor     = 16
 	// A probe's answers faster than this by comparison mean saturation.
-	faster = 0.75
+	saturatedBelow = 0.75
 )
 
 type (
@@ -41,7 +41,7 @@
 	}
 
 	probe struct {
-		on     bool
+		active bool
 		before float64 // ratio when it began
 		sum    float64
 		n      int
@@ -51,7 +51,7 @@
 // Value returns how many requests may be in flight, at least one.
 func (l *Limit) Value() int {
 	v := l.value()
-	if l.probe.on {
+	if l.probe.active {
 		v /= 2
 	}
 	return int(max(v, smallest))
@@ -71,22 +71,22 @@
 	now := min(measured/expected, 4*tolerance)
 	l.ratio += smoothing * (now - l.ratio)
 	l.count++
-	if l.probe.on {
-		l.probing(now)
+	if l.probe.active {
+		l.observeProbe(now)
 		return
 	}
 	v := l.value()
 	full := float64(inflight) >= v/2
 	switch {
 	case l.ratio > tolerance:
-		l.limit = l.clamp(v - (1-max(lowest, tolerance/l.ratio))*v/max(v, 1))
+		l.limit = l.clamp(v - (1-max(maxDecrease, tolerance/l.ratio))*v/max(v, 1))
 	case full && v < l.room:
 		l.limit = l.clamp(v + 1)
 	case full: // otherwise the limit was not what held the work back
 		l.limit = l.clamp(v + growth/v)
 	}
 	if full && v >= 2 && l.count >= max(minEvery, int(probeEvery*v)) {
-		l.probe, l.count = probe{on: true, before: l.ratio}, 0
+		l.probe, l.count = probe{active: true, before: l.ratio}, 0
 	}
 }
 
@@ -95,16 +95,16 @@
 // slowly before an engine that itself says that it has room would keep requests
 // waiting here for nothing. Several owners may take the same room; the next
 // report then tells.
-func (l *Limit) Room(waiting int) {
+func (l *Limit) SetWaiting(waiting int) {
 	l.room = 0
 	if waiting == 0 {
-		l.room = roomier * l.value()
+		l.room = roomGrowth * l.value()
 	}
 }
 
 // probing takes an answer while the limit is halved. The first ones were still
 // sent before.
-func (l *Limit) probing(ratio float64) {
+func (l *Limit) observeProbe(ratio float64) {
 	v := int(l.value())
 	if l.count <= v {
 		return
@@ -114,7 +114,7 @@
 	if l.probe.n < max(minFor, probeFor*v) {
 		return
 	}
-	if l.probe.sum/float64(l.probe.n) < faster*l.probe.before {
+	if l.probe.sum/float64(l.probe.n) < saturatedBelow*l.probe.before {
 		l.limit = l.clamp(l.value() / 2)
 	}
 	l.probe, l.count = probe{}, 0
--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -19,10 +19,10 @@
 	// Work of others is forgotten by half in this time without a report.
 	halfLife = 5 * time.Second
 	// The part that each report has in the usual load.
-	usualShare = 0.05
+	usualAlpha = 0.05
 	// How much of a report's difference from the usual still holds when a
 	// request that is sent by it has arrived.
-	news = 0.1
+	reportWeight = 0.1
 )
 
 type (
@@ -63,20 +63,20 @@
 	if r.Seq <= l.report.Seq && !r.At.After(l.report.At) {
 		return false
 	}
-	at := r.At
-	if at.After(now) {
-		at = now
+	measured := r.At
+	if measured.After(now) {
+		measured = now
 	}
-	if now.Sub(at) > maxLag {
-		at = now.Add(-maxLag)
+	if now.Sub(measured) > maxLag {
+		measured = now.Add(-maxLag)
 	}
 	l.report, l.received = r, now
 	// How much an upstream serves at a time shows when it keeps some waiting.
 	if r.Waiting > 0 || l.slots > 0 && float64(r.Running) > l.slots {
 		l.slots = float64(r.Running)
 	}
-	l.others = max(0, float64(r.Running+r.Waiting-l.own(at)))
-	l.usual += usualShare * (l.others - l.usual)
+	l.others = max(0, float64(r.Running+r.Waiting-l.own(measured)))
+	l.usual += usualAlpha * (l.others - l.usual)
 	return true
 }
 
@@ -96,13 +96,13 @@
 
 // Others estimates the requests that other owners have in flight.
 func (l *Load) Others(now time.Time) float64 {
-	return (l.usual + news*(l.others-l.usual)) * l.fresh(now)
+	return (l.usual + reportWeight*(l.others-l.usual)) * l.freshness(now)
 }
 
 // Usual returns the work of other owners on average over the last reports. A
 // single report tells of a moment that is over when it arrives; where others'
 // programs live shows in the average.
-func (l *Load) Usual(now time.Time) float64 { return l.usual * l.fresh(now) }
+func (l *Load) Usual(now time.Time) float64 { return l.usual * l.freshness(now) }
 
 // Slots returns how many requests the upstream serves at a time, 0 if it was
 // never seen full.
@@ -110,7 +110,7 @@
 
 // fresh falls from 1 to 0 as the report ages, so that an upstream whose
 // reports stopped in a bad moment is not shunned for good.
-func (l *Load) fresh(now time.Time) float64 {
+func (l *Load) freshness(now time.Time) float64 {
 	age := now.Sub(l.received)
 	return float64(halfLife) / float64(halfLife+max(age, 0))
 }
--- a/internal/place/load/load_test.go
+++ b/internal/place/load/load_test.go
@@ -58,7 +58,7 @@
 
 // The reports of a busy upstream stop. If its last one counted for ever, no
 // work would go there again although it may long be idle.
-func TestSilenceFades(t *testing.T) {
+func TestOldReportsLoseWeight(t *testing.T) {
 	is := is.New(t)
 	var l Load
 	for i := range 100 {
--- a/internal/place/pace/pace_test.go
+++ b/internal/place/pace/pace_test.go
@@ -21,7 +21,7 @@
 		"16 places":                      {26, 1.3, 6, 16, 1.14},
 		"12 places":                      {27, 1.9, 5, 12, 1.13},
 		"6 places, a full batch is fine": {46, 1.9, 3, 6, 1.66},
-		"64 places, slow long before":    {18, 1.9, 6, 64, least},
+		"64 places, slow long before":    {18, 1.9, 6, 64, minShare},
 		"load makes no difference":       {20, 0, 5, 16, 2},
 	}
 	for name, c := range cases {
@@ -29,9 +29,9 @@
 			const daemons = 20 // that learn by themselves
 			mean := 0.0
 			for seed := range uint64(daemons) {
-				var p Pace
+				var p Estimator
 				rnd := rand.New(rand.NewPCG(seed, 1))
-				is.New(t).Equal(p.Share(c.places), most) // nothing is known, so nobody is held back
+				is.New(t).Equal(p.Share(c.places), maxShare) // nothing is known, so nobody is held back
 				for range 600 {
 					n := max(1, c.usual+2*rnd.NormFloat64())
 					p.Observe(n, (c.alone+c.beside*(n-1)+2*rnd.NormFloat64())/1000)
--- a/internal/place/prefix/block.go
+++ b/internal/place/prefix/block.go
@@ -27,24 +27,24 @@
 // hear returns the block, which is remembered for a while if no program of
 // this owner needs it. Without the bound the events of a large fleet would
 // fill the memory of every daemon.
-func (x *Index) hear(hash uint64) *block {
+func (x *Index) track(hash uint64) *block {
 	if b := x.blocks[hash]; b != nil {
 		return b
 	}
-	if len(x.heard) < maxHeard {
-		x.heard = append(x.heard, hash)
+	if len(x.tracked) < maxTracked {
+		x.tracked = append(x.tracked, hash)
 		return x.block(hash)
 	}
-	old := x.heard[x.heardAt]
+	old := x.tracked[x.trackedNext]
 	if b := x.blocks[old]; b != nil && b.users == 0 {
 		delete(x.blocks, old)
 	}
-	x.heard[x.heardAt] = hash
-	x.heardAt = (x.heardAt + 1) % maxHeard
+	x.tracked[x.trackedNext] = hash
+	x.trackedNext = (x.trackedNext + 1) % maxTracked
 	return x.block(hash)
 }
 
-func (x *Index) drop(chain []uint64) {
+func (x *Index) unref(chain []uint64) {
 	for _, h := range chain {
 		b := x.blocks[h]
 		b.users--
@@ -60,7 +60,7 @@
 func (x *Index) retire(hash uint64, b *block) {
 	kept := b.holders[:0]
 	for _, h := range b.holders {
-		if h.heard {
+		if h.reported {
 			h.placed = false
 			kept = append(kept, h)
 		}
@@ -68,7 +68,7 @@
 	b.holders = kept
 	delete(x.blocks, hash)
 	if len(kept) > 0 {
-		x.hear(hash).holders = kept
+		x.track(hash).holders = kept
 	}
 }
 
@@ -76,7 +76,7 @@
 	for i, h := range b.holders {
 		if h.engine == n.engine {
 			n.placed = n.placed || h.placed
-			n.heard = n.heard || h.heard
+			n.reported = n.reported || h.reported
 			b.holders[i] = n
 			return
 		}
@@ -95,7 +95,7 @@
 	}
 }
 
-func has(list []int, e int) bool {
+func contains(list []int, e int) bool {
 	for _, v := range list {
 		if v == e {
 			return true
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -20,7 +20,7 @@
 	tailScan   = 32      // blocks looked at from the end of a prompt
 	headScan   = 8       // and from its beginning, where shared contexts are
 	maxMatches = 64      // engines returned at most
-	maxHeard   = 1 << 16 // blocks of unknown programs remembered
+	maxTracked = 1 << 16 // blocks of unknown programs remembered
 )
 
 type (
@@ -31,14 +31,14 @@
 		// that several programs here share is shared by more elsewhere.
 		Part float64
 
-		blocks   map[uint64]*block
-		programs map[string]*program
-		engines  []state
-		heard    []uint64 // ring
-		heardAt  int
-		matches  []Match
-		stamp    uint32
-		all      float64 // the weight of the last lookup's whole prompt
+		blocks      map[uint64]*block
+		programs    map[string]*program
+		engines     []state
+		tracked     []uint64 // ring
+		trackedNext int
+		matches     []Match
+		stamp       uint32
+		totalWeight float64 // the weight of the last lookup's whole prompt
 	}
 
 	// Match is an engine that holds the first Tokens of a prompt. Weight is
@@ -55,10 +55,10 @@
 	}
 
 	holder struct {
-		engine uint16
-		placed bool // this owner sent a prompt with the block there
-		heard  bool // an event told of it
-		era    uint32
+		engine   uint16
+		placed   bool // this owner sent a prompt with the block there
+		reported bool // an event told of it
+		epoch    uint32
 	}
 
 	program struct {
@@ -69,12 +69,12 @@
 	}
 
 	state struct {
-		seq   uint64 // of the last event
-		era   uint32 // rises with each gap
-		base  uint32 // placements before this era are void
-		stamp uint32 // of the last lookup that met the engine
-		match Match
-		homes int // programs that were sent here last
+		seq      uint64 // of the last event
+		epoch    uint32 // rises with each gap
+		minEpoch uint32 // placements before this era are void
+		stamp    uint32 // of the last lookup that met the engine
+		match    Match
+		programs int // programs that were sent here last
 	}
 )
 
@@ -92,7 +92,7 @@
 	for same < len(blocks) && same < len(p.chain) && blocks[same].Hash == p.chain[same] {
 		same++
 	}
-	x.drop(p.chain[same:])
+	x.unref(p.chain[same:])
 	p.chain = p.chain[:same]
 	for _, b := range blocks[same:] {
 		x.block(b.Hash).users++
@@ -105,21 +105,21 @@
 	x.grow(e)
 	p := x.program(name)
 	p.calls++
-	x.settle(p, e+1)
-	if !has(p.engines, e) {
+	x.setHome(p, e+1)
+	if !contains(p.engines, e) {
 		p.engines = append(p.engines, e)
 	}
 	for _, h := range p.chain {
-		x.block(h).hold(holder{engine: uint16(e), placed: true, era: x.engines[e].era})
+		x.block(h).hold(holder{engine: uint16(e), placed: true, epoch: x.engines[e].epoch})
 	}
 }
 
-func (x *Index) settle(p *program, home int) {
+func (x *Index) setHome(p *program, home int) {
 	if p.home > 0 {
-		x.engines[p.home-1].homes--
+		x.engines[p.home-1].programs--
 	}
 	if home > 0 {
-		x.engines[home-1].homes++
+		x.engines[home-1].programs++
 	}
 	p.home = home
 }
@@ -130,7 +130,7 @@
 	if e >= len(x.engines) {
 		return 0
 	}
-	return x.engines[e].homes
+	return x.engines[e].programs
 }
 
 // Home returns where the program was sent last.
@@ -155,13 +155,13 @@
 // computed since is held, so only other programs' view of shared blocks can
 // be wrong; those are the blocks that it had to compute again, and are right
 // now. Nothing is left to forget but the engine's claim on longer chains.
-func (x *Index) Found(e int, blocks []engine.Block, cached int) {
+func (x *Index) Correct(e int, blocks []engine.Block, cached int) {
 	x.grow(e)
 	sum := 0
 	for _, b := range blocks {
 		sum += b.Tokens
 		if sum <= cached {
-			x.block(b.Hash).hold(holder{engine: uint16(e), placed: true, era: x.engines[e].era})
+			x.block(b.Hash).hold(holder{engine: uint16(e), placed: true, epoch: x.engines[e].epoch})
 		}
 	}
 }
@@ -180,14 +180,14 @@
 // Programs calls f for each program with memory at the engine, in no order.
 func (x *Index) Programs(e int, f func(name string, tokens []uint64)) {
 	for name, p := range x.programs {
-		if has(p.engines, e) {
+		if contains(p.engines, e) {
 			f(name, p.chain)
 		}
 	}
 }
 
 // Left notes that the engine holds nothing for the program any more.
-func (x *Index) Left(name string, e int) {
+func (x *Index) Released(name string, e int) {
 	p := x.programs[name]
 	if p == nil {
 		return
@@ -203,8 +203,8 @@
 // End forgets the program. Blocks that another program shares stay known.
 func (x *Index) End(name string) {
 	if p := x.programs[name]; p != nil {
-		x.settle(p, 0)
-		x.drop(p.chain)
+		x.setHome(p, 0)
+		x.unref(p.chain)
 		delete(x.programs, name)
 	}
 }
@@ -212,8 +212,8 @@
 // Reset forgets all that was known of the engine, which restarted empty.
 func (x *Index) Reset(e int) {
 	x.grow(e)
-	x.engines[e].era++
-	x.engines[e].base = x.engines[e].era
+	x.engines[e].epoch++
+	x.engines[e].minEpoch = x.engines[e].epoch
 	x.engines[e].seq = 0
 }
 
@@ -229,12 +229,12 @@
 		case ev.Seq < s.seq:
 			x.Reset(e)
 		case s.seq > 0 && ev.Seq != s.seq+1:
-			s.era++
+			s.epoch++
 			gap = true
 		}
 		s.seq = ev.Seq
 		for _, h := range ev.Stored {
-			x.hear(h).hold(holder{engine: uint16(e), heard: true, era: s.era})
+			x.track(h).hold(holder{engine: uint16(e), reported: true, epoch: s.epoch})
 		}
 		for _, h := range ev.Evicted {
 			if b := x.blocks[h]; b != nil {
@@ -261,7 +261,7 @@
 			m.Weight += float64(b.Tokens)
 		}
 	}
-	x.all = m.Weight
+	x.totalWeight = m.Weight
 	tail := max(len(blocks)-tailScan, 0)
 	for i := len(blocks) - 1; i >= 0 && len(x.matches) < maxMatches; i-- {
 		if i >= tail || i < headScan {
@@ -289,7 +289,7 @@
 }
 
 // All returns the weight of the prompt of the last Match.
-func (x *Index) All() float64 { return x.all }
+func (x *Index) TotalWeight() float64 { return x.totalWeight }
 
 // Matched returns what the last Match found at the engine.
 func (x *Index) Matched(e int) Match {
@@ -320,7 +320,7 @@
 
 func (s *state) trusts(h holder) bool {
 	if h.placed {
-		return h.era >= s.base
+		return h.epoch >= s.minEpoch
 	}
-	return h.era == s.era
+	return h.epoch == s.epoch
 }
--- a/internal/place/prefix/prefix_test.go
+++ b/internal/place/prefix/prefix_test.go
@@ -27,7 +27,7 @@
 // Cache events come late, are lost, or begin anew after a restart. Believing a
 // cache that is gone sends a program to an engine that computes its whole
 // prompt again, and its user waits.
-func TestWhatIsBelieved(t *testing.T) {
+func TestHeldPrefixes(t *testing.T) {
 	tests := map[string]struct {
 		do   func(x *Index)
 		want map[int]int
@@ -51,7 +51,7 @@
 			x.Apply(4, []engine.Event{{Seq: 9}, {Seq: 1, Stored: []uint64{1}}})
 		}, map[int]int{4: 100}},
 		"repeated event":  {func(x *Index) { x.Apply(4, []engine.Event{{Seq: 1, Stored: []uint64{1}}, {Seq: 1}}) }, map[int]int{4: 100}},
-		"usage tells":     {func(x *Index) { x.Found(3, blocks(1, 2, 3), 200) }, map[int]int{3: 200}},
+		"usage tells":     {func(x *Index) { x.Correct(3, blocks(1, 2, 3), 200) }, map[int]int{3: 200}},
 		"program is over": {func(x *Index) { place(x, "p", 1, 1, 2); x.End("p") }, map[int]int{}},
 		"shared with one that goes on": {func(x *Index) {
 			place(x, "p", 1, 1, 2)
@@ -107,11 +107,11 @@
 
 // The events of a large fleet tell of blocks of programs that this owner never
 // sees. Without a bound they would fill its memory.
-func TestHeardIsBounded(t *testing.T) {
+func TestTrackedBlocksAreBounded(t *testing.T) {
 	is := is.New(t)
 	var x Index
-	for i := range uint64(2 * maxHeard) {
+	for i := range uint64(2 * maxTracked) {
 		x.Apply(0, []engine.Event{{Seq: i + 1, Stored: []uint64{i + 1}}})
 	}
-	is.Equal(len(x.blocks), maxHeard)
+	is.Equal(len(x.blocks), maxTracked)
 }
--- a/internal/place/queue/queue.go
+++ b/internal/place/queue/queue.go
@@ -78,7 +78,7 @@
 // one request is taken out and returned: the last one that begins a program,
 // otherwise the last one. A program under way has spent work that its refusal
 // would waste, so overload is met by not beginning more of them.
-func (q *Queue) Push(it Item, limit int) (out Item, dropped bool) {
+func (q *Queue) Push(it Item, limit int) (evicted Item, dropped bool) {
 	i := sort.Search(len(q.items), func(i int) bool { return q.items[i].Key <= it.Key })
 	q.items = append(q.items, Item{})
 	copy(q.items[i+1:], q.items[i:])
@@ -87,9 +87,9 @@
 		return Item{}, false
 	}
 	j := q.victim()
-	out = q.items[j]
+	evicted = q.items[j]
 	q.items = append(q.items[:j], q.items[j+1:]...)
-	return out, true
+	return evicted, true
 }
 
 func (q *Queue) victim() int {
--- a/internal/place/retry/retry.go
+++ b/internal/place/retry/retry.go
@@ -14,8 +14,8 @@
 
 	defaultShare = 0.1
 	// A quiet owner may always make a few retries, whatever the share.
-	floorTokens = 3
-	maxTokens   = 100
+	minTokens = 3
+	maxTokens = 100
 )
 
 type (
@@ -51,7 +51,7 @@
 		b.tokens--
 		return true
 	}
-	if b.spent+1 > floorTokens {
+	if b.spent+1 > minTokens {
 		return false
 	}
 	b.spent++
--- a/internal/place/retry/retry_test.go
+++ b/internal/place/retry/retry_test.go
@@ -13,12 +13,12 @@
 		attempts int
 		want     int
 	}{
-		"idle":          {0.1, 0, floorTokens},
-		"a tenth":       {0.1, 500, 50 + floorTokens},
-		"default":       {0, 500, 50 + floorTokens},
-		"a fifth":       {0.2, 200, 40 + floorTokens},
+		"idle":          {0.1, 0, minTokens},
+		"a tenth":       {0.1, 500, 50 + minTokens},
+		"default":       {0, 500, 50 + minTokens},
+		"a fifth":       {0.2, 200, 40 + minTokens},
 		"none":          {-1, 500, 0},
-		"never hoarded": {0.5, 10_000, maxTokens + floorTokens},
+		"never hoarded": {0.5, 10_000, maxTokens + minTokens},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/place/sched/admit.go
+++ b/internal/place/sched/admit.go
@@ -13,17 +13,17 @@
 	defaultQueueLimit = 256
 	defaultQueueWait  = 5 * time.Second
 	// A request is held for its best upstream no longer than this.
-	holdLimit = time.Second
+	maxHold = time.Second
 	// Requests looked at in one round, so that a step's time is bounded.
 	dispatchScan  = 16
 	failureMemory = time.Minute
 	minRetryAfter = 500 * time.Millisecond
 	// New programs are refused at this share of the wait that programs under
 	// way may expect.
-	newShare = 0.5
+	newProgramShare = 0.5
 )
 
-func (s *Sched) ask(now time.Time, a Ask) {
+func (s *Sched) submit(now time.Time, a Submit) {
 	if slot, ok := s.byID[a.ID]; ok {
 		if s.requests[slot].queued {
 			return
@@ -31,14 +31,14 @@
 		s.withdraw(now, a.ID)
 	}
 	last, again := s.failed[a.ID]
-	if !s.mayTry(a, last, again) {
+	if !s.admitAttempt(a, last, again) {
 		return
 	}
 	slot := s.open(now, a, last, again)
 	r := &s.requests[slot]
 	g := s.groups[a.Group]
 	if g == nil || !s.reachable(now, g, r) {
-		s.refuse(slot, result.CodeNoUpstream, "no upstream in group "+a.Group, s.reopens(now, g))
+		s.refuse(slot, result.CodeNoUpstream, "no upstream in group "+a.Group, s.breakerWait(now, g))
 		return
 	}
 	if len(a.Blocks) > 0 {
@@ -50,13 +50,13 @@
 
 // mayTry refuses a further attempt that could run a request twice, and one
 // that the retry budget does not pay for.
-func (s *Sched) mayTry(a Ask, last failure, again bool) bool {
+func (s *Sched) admitAttempt(a Submit, last failure, again bool) bool {
 	idempotent := a.Idempotent || a.Service == ""
 	switch {
 	case again && !retry.Safe(idempotent, last.sent):
 		s.emit(Refuse{ID: a.ID, Code: result.CodeUnknown, Message: "an earlier attempt may have run at " + last.upstream})
 	case (a.Retry || again) && !s.retries.Spend():
-		s.emit(Refuse{ID: a.ID, Code: result.CodeUpstreamFailed, Message: "retry budget is spent", RetryAfter: s.spread(time.Second)})
+		s.emit(Refuse{ID: a.ID, Code: result.CodeUpstreamFailed, Message: "retry budget is spent", RetryAfter: s.jitter(time.Second)})
 	default:
 		if !a.Retry && !again {
 			s.retries.Earn()
@@ -72,20 +72,20 @@
 func (s *Sched) reachable(now time.Time, g *group, r *request) bool {
 	for _, i := range g.ups {
 		u := s.ups[i]
-		if u.usable(now) && u.serves(r.ask.Model) && !r.avoids(u.name) {
+		if u.usable(now) && u.serves(r.submit.Model) && !r.avoids(u.name) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Sched) reopens(now time.Time, g *group) time.Duration {
+func (s *Sched) breakerWait(now time.Time, g *group) time.Duration {
 	if g == nil {
 		return 0
 	}
 	first := time.Duration(0)
 	for _, i := range g.ups {
-		w := s.ups[i].brk.Wait(now)
+		w := s.ups[i].breaker.Wait(now)
 		if w > 0 && (first == 0 || w < first) {
 			first = w
 		}
@@ -93,31 +93,31 @@
 	if first == 0 {
 		return 0
 	}
-	return s.spread(first)
+	return s.jitter(first)
 }
 
 // enqueue admits the request or refuses it, or another one that counts less.
 func (s *Sched) enqueue(now time.Time, g *group, slot int32) {
 	r := &s.requests[slot]
-	key := queue.Key(now.Sub(s.start).Seconds(), r.ask.Priority, r.ask.Attained, s.accounts[r.ask.Account]-1)
-	begins := r.ask.Attained == 0 && r.ask.Model != ""
+	key := queue.Key(now.Sub(s.start).Seconds(), r.submit.Priority, r.submit.Attained, s.accounts[r.submit.Account]-1)
+	begins := r.submit.Attained == 0 && r.submit.Model != ""
 	wait := g.wait(g.queue.Ahead(key))
-	bound := g.bound()
+	maxWait := g.maxWait()
 	if begins {
-		bound = time.Duration(newShare * float64(bound))
+		maxWait = time.Duration(newProgramShare * float64(maxWait))
 	}
-	if g.queue.Len() > 0 && wait > bound {
-		s.refuse(slot, result.CodeOverloaded, overloaded(g, wait), s.spread(wait))
+	if g.queue.Len() > 0 && wait > maxWait {
+		s.refuse(slot, result.CodeOverloaded, overloaded(g, wait), s.jitter(wait))
 		return
 	}
 	r.queued = true
-	most := g.conf.QueueLimit
-	if most <= 0 {
-		most = defaultQueueLimit
+	limit := g.conf.QueueLimit
+	if limit <= 0 {
+		limit = defaultQueueLimit
 	}
-	out, dropped := g.queue.Push(queue.Item{ID: slot, Key: key, New: begins}, most)
+	out, dropped := g.queue.Push(queue.Item{ID: slot, Key: key, New: begins}, limit)
 	if dropped {
-		s.refuse(out.ID, result.CodeOverloaded, overloaded(g, wait), s.spread(wait))
+		s.refuse(out.ID, result.CodeOverloaded, overloaded(g, wait), s.jitter(wait))
 	}
 }
 
@@ -126,16 +126,16 @@
 func (s *Sched) expire(now time.Time, g *group) {
 	for i := 0; i < g.queue.Len(); {
 		slot := g.queue.At(i).ID
-		if now.Sub(s.requests[slot].arrived) <= 2*g.bound() {
+		if now.Sub(s.requests[slot].arrived) <= 2*g.maxWait() {
 			i++
 			continue
 		}
 		g.queue.RemoveAt(i)
-		s.refuse(slot, result.CodeOverloaded, overloaded(g, g.wait(g.queue.Len())), s.spread(g.wait(g.queue.Len())))
+		s.refuse(slot, result.CodeOverloaded, overloaded(g, g.wait(g.queue.Len())), s.jitter(g.wait(g.queue.Len())))
 	}
 }
 
-func (g *group) bound() time.Duration {
+func (g *group) maxWait() time.Duration {
 	if g.conf.QueueWait > 0 {
 		return g.conf.QueueWait
 	}
@@ -149,7 +149,7 @@
 }
 
 // spread spreads callers that are told to come back over twice the time.
-func (s *Sched) spread(d time.Duration) time.Duration {
+func (s *Sched) jitter(d time.Duration) time.Duration {
 	d = max(d, minRetryAfter)
 	return d + time.Duration(s.rng.Float64()*float64(d))
 }
@@ -159,6 +159,6 @@
 }
 
 func (s *Sched) refuse(slot int32, code result.Code, message string, after time.Duration) {
-	s.emit(Refuse{ID: s.requests[slot].ask.ID, Code: code, Message: message, RetryAfter: after})
+	s.emit(Refuse{ID: s.requests[slot].submit.ID, Code: code, Message: message, RetryAfter: after})
 	s.close(slot)
 }
--- a/internal/place/sched/attempt.go
+++ b/internal/place/sched/attempt.go
@@ -12,13 +12,13 @@
 type (
 	// request is one request from its Ask to the end of its attempts.
 	request struct {
-		ask     Ask
-		arrived time.Time
-		due     time.Time // not sent before
-		last    string    // the upstream that failed it last
-		queued  bool
-		used    bool
-		tries   [2]try // the second is a hedge
+		submit     Submit
+		arrived    time.Time
+		notBefore  time.Time // not sent before
+		lastFailed string    // the upstream that failed it last
+		queued     bool
+		used       bool
+		attempts   [2]attempt // the second is a hedge
 	}
 
 	// service is what was learnt of one service, wherever it ran.
@@ -27,7 +27,7 @@
 		speed speed.Speed
 	}
 
-	try struct {
+	attempt struct {
 		up       int
 		at       time.Time
 		first    time.Time
@@ -38,22 +38,22 @@
 )
 
 func (r *request) avoids(name string) bool {
-	return name == r.last || slices.Contains(r.ask.Avoid, name)
+	return name == r.lastFailed || slices.Contains(r.submit.Avoid, name)
 }
 
-func (r *request) start(t try) {
-	if r.tries[0].active {
-		r.tries[1] = t
+func (r *request) start(t attempt) {
+	if r.attempts[0].active {
+		r.attempts[1] = t
 		return
 	}
-	r.tries[0] = t
+	r.attempts[0] = t
 }
 
-func (r *request) active() bool { return r.tries[0].active || r.tries[1].active }
+func (r *request) active() bool { return r.attempts[0].active || r.attempts[1].active }
 
-func (r *request) try(up int) *try {
-	for i := range r.tries {
-		if t := &r.tries[i]; t.active && t.up == up {
+func (r *request) attempt(up int) *attempt {
+	for i := range r.attempts {
+		if t := &r.attempts[i]; t.active && t.up == up {
 			return t
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // open takes a slot for the request.
-func (s *Sched) open(now time.Time, a Ask, last failure, again bool) int32 {
+func (s *Sched) open(now time.Time, a Submit, lastFailed failure, again bool) int32 {
 	var slot int32
 	if n := len(s.free); n > 0 {
 		slot, s.free = s.free[n-1], s.free[:n-1]
@@ -70,10 +70,10 @@
 		s.requests = append(s.requests, request{})
 	}
 	r := &s.requests[slot]
-	*r = request{ask: a, arrived: now, due: now, used: true}
+	*r = request{submit: a, arrived: now, notBefore: now, used: true}
 	if again {
-		r.last = last.upstream
-		r.due = now.Add(retry.Delay(last.tries, s.rng.Float64()))
+		r.lastFailed = lastFailed.upstream
+		r.notBefore = now.Add(retry.Delay(lastFailed.tries, s.rng.Float64()))
 	}
 	s.byID[a.ID] = slot
 	s.accounts[a.Account]++
@@ -82,10 +82,10 @@
 
 func (s *Sched) close(slot int32) {
 	r := &s.requests[slot]
-	delete(s.byID, r.ask.ID)
-	s.accounts[r.ask.Account]--
-	if s.accounts[r.ask.Account] <= 0 {
-		delete(s.accounts, r.ask.Account)
+	delete(s.byID, r.submit.ID)
+	s.accounts[r.submit.Account]--
+	if s.accounts[r.submit.Account] <= 0 {
+		delete(s.accounts, r.submit.Account)
 	}
 	*r = request{}
 	s.free = append(s.free, slot)
@@ -97,21 +97,21 @@
 		return
 	}
 	r := &s.requests[slot]
-	g := s.groups[r.ask.Group]
+	g := s.groups[r.submit.Group]
 	if r.queued {
 		g.queue.Remove(slot)
 	}
-	for i := range r.tries {
-		if t := &r.tries[i]; t.active {
+	for i := range r.attempts {
+		if t := &r.attempts[i]; t.active {
 			s.end(now, t)
-			s.ups[t.up].brk.Abandon()
+			s.ups[t.up].breaker.Abandon()
 		}
 	}
 	s.close(slot)
 	s.dispatch(now, g)
 }
 
-func (s *Sched) end(now time.Time, t *try) {
+func (s *Sched) end(now time.Time, t *attempt) {
 	t.active = false
 	s.ups[t.up].load.End(now)
 }
@@ -122,16 +122,16 @@
 		return
 	}
 	r := &s.requests[slot]
-	t := r.try(s.upstream(m.Upstream))
+	t := r.attempt(s.upstream(m.Upstream))
 	if t == nil || !t.first.IsZero() {
 		return
 	}
 	t.first = now
-	if r.ask.Service != "" {
+	if r.submit.Service != "" {
 		return
 	}
 	u := s.ups[t.up]
-	sp := u.speed.Among(now, &u.group.speed)
+	sp := u.speed.Blend(now, &u.group.speed)
 	u.limit.Observe(now.Sub(t.at).Seconds(), sp.Expected(t.uncached), u.load.Inflight())
 }
 
@@ -148,15 +148,15 @@
 		return
 	}
 	r := &s.requests[slot]
-	t := r.try(s.upstream(m.Upstream))
+	t := r.attempt(s.upstream(m.Upstream))
 	if t == nil {
 		return
 	}
-	g := s.groups[r.ask.Group]
+	g := s.groups[r.submit.Group]
 	s.end(now, t)
-	s.judge(now, r, t, m)
+	s.recordOutcome(now, r, t, m)
 	if !r.active() && !r.queued {
-		s.late(r, m.Upstream)
+		s.releaseLate(r, m.Upstream)
 		s.close(slot)
 	}
 	s.freed = s.upstream(m.Upstream)
@@ -165,56 +165,56 @@
 }
 
 // judge learns from how the attempt ended.
-func (s *Sched) judge(now time.Time, r *request, t *try, m Done) {
+func (s *Sched) recordOutcome(now time.Time, r *request, t *attempt, m Done) {
 	u := s.ups[t.up]
 	switch m.Outcome {
 	case Succeeded:
-		u.brk.Succeed()
+		u.breaker.Succeed()
 		delete(s.failed, m.ID)
-		s.learn(now, r, t, m)
+		s.observe(now, r, t, m)
 	case Failed, Unsent:
-		u.brk.Fail(now, s.rng.Float64())
+		u.breaker.Fail(now, s.rng.Float64())
 		u.limit.Drop()
 		f := s.failed[m.ID]
 		s.failed[m.ID] = failure{at: now, upstream: u.name, sent: f.sent || m.Outcome == Failed, tries: f.tries + 1}
-	case Withdrawn:
-		u.brk.Abandon()
+	case Cancelled:
+		u.breaker.Abandon()
 	}
 }
 
-func (s *Sched) learn(now time.Time, r *request, t *try, m Done) {
+func (s *Sched) observe(now time.Time, r *request, t *attempt, m Done) {
 	u, took := s.ups[t.up], now.Sub(t.at)
 	g := u.group
-	u.speed.Call(now, took)
-	g.speed.Call(now, took)
-	if r.ask.Service != "" {
-		u.speed.Pace(took.Seconds(), g.call.At(t.beside))
-		g.call.Observe(t.beside, took.Seconds())
-		sv := s.service(r.ask.Service)
-		sv.speed.Call(now, took)
+	u.speed.ObserveCall(now, took)
+	g.speed.ObserveCall(now, took)
+	if r.submit.Service != "" {
+		u.speed.ObserveFactor(took.Seconds(), g.callTime.At(t.beside))
+		g.callTime.Observe(t.beside, took.Seconds())
+		sv := s.service(r.submit.Service)
+		sv.speed.ObserveCall(now, took)
 		sv.hedge.Observe(now, took)
 		u.limit.Observe(took.Seconds(), sv.speed.Usual(), u.load.Inflight()+1)
 		return
 	}
-	s.index.Found(t.up, r.ask.Blocks, m.Usage.Cached)
+	s.index.Correct(t.up, r.submit.Blocks, m.Usage.Cached)
 	if t.first.IsZero() {
 		return
 	}
-	u.speed.Prefill(t.first.Sub(t.at), m.Usage.Prompt-m.Usage.Cached)
-	g.speed.Prefill(t.first.Sub(t.at), m.Usage.Prompt-m.Usage.Cached)
-	if g.output == 0 {
-		g.output = float64(m.Usage.Output)
+	u.speed.ObservePrefill(t.first.Sub(t.at), m.Usage.Prompt-m.Usage.Cached)
+	g.speed.ObservePrefill(t.first.Sub(t.at), m.Usage.Prompt-m.Usage.Cached)
+	if g.answerTokens == 0 {
+		g.answerTokens = float64(m.Usage.Output)
 	}
-	g.output += outputShare * (float64(m.Usage.Output) - g.output)
+	g.answerTokens += outputAlpha * (float64(m.Usage.Output) - g.answerTokens)
 	if m.Usage.Output > 1 {
 		each := now.Sub(t.first).Seconds() / float64(m.Usage.Output)
 		beside := (t.beside + float64(u.load.Inflight()) + u.load.Others(now)) / 2
-		u.speed.Pace(each, g.decode.At(beside))
-		g.decode.Observe(beside, each)
+		u.speed.ObserveFactor(each, g.tokenTime.At(beside))
+		g.tokenTime.Observe(beside, each)
 	}
 }
 
-const outputShare = 0.05
+const outputAlpha = 0.05
 
 func (s *Sched) service(name string) *service {
 	v := s.services[name]
@@ -230,24 +230,24 @@
 func (s *Sched) hedge(now time.Time) {
 	for slot := range s.requests {
 		r := &s.requests[slot]
-		t := &r.tries[0]
-		if !r.used || !t.active || r.tries[1].active || !r.ask.Idempotent || !s.cfg.Services[r.ask.Service].Hedge {
+		t := &r.attempts[0]
+		if !r.used || !t.active || r.attempts[1].active || !r.submit.Idempotent || !s.cfg.Services[r.submit.Service].Hedge {
 			continue
 		}
-		after, ok := s.service(r.ask.Service).hedge.After()
+		after, ok := s.service(r.submit.Service).hedge.After()
 		if !ok || now.Sub(t.at) <= after || !t.first.IsZero() {
 			continue
 		}
-		s.second(now, int32(slot))
+		s.sendHedge(now, int32(slot))
 	}
 }
 
-func (s *Sched) second(now time.Time, slot int32) {
+func (s *Sched) sendHedge(now time.Time, slot int32) {
 	r := &s.requests[slot]
-	last := r.last
-	r.last = s.ups[r.tries[0].up].name
+	lastFailed := r.lastFailed
+	r.lastFailed = s.ups[r.attempts[0].up].name
 	c := s.pick(now, r)
-	r.last = last
+	r.lastFailed = lastFailed
 	if c.free == none || !s.hedges.Spend() {
 		return
 	}
--- a/internal/place/sched/bench_test.go
+++ b/internal/place/sched/bench_test.go
@@ -13,7 +13,7 @@
 // large returns a machine with 1,100 engines and 5,000 programs, each with a
 // prompt of 100 blocks of which the first is shared by a hundred, and a
 // request of one of them.
-func large() (s *Sched, r request) {
+func largeFleet() (s *Sched, r request) {
 	s = &Sched{Seed: 1}
 	f := fleet(1100)
 	g := f.Groups["engines"]
@@ -24,7 +24,7 @@
 		s.Step(epoch, Load{Upstream: fmt.Sprintf("e%d", i), Report: engine.Load{Seq: 1, At: epoch, Running: i % 7, Total: 1 << 20}})
 	}
 	for i := range 5000 {
-		a := ask(fmt.Sprint(i))
+		a := submit(fmt.Sprint(i))
 		a.Blocks = []engine.Block{{Hash: uint64(1 + i%50), Tokens: 20_000}}
 		for j := range 99 {
 			a.Blocks = append(a.Blocks, engine.Block{Hash: uint64(1000 + 100*i + j), Tokens: 300})
@@ -32,21 +32,21 @@
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
 		up := assigned(s.Step(now, a), a.ID)
 		s.Step(now, Done{ID: a.ID, Upstream: up, Usage: engine.Usage{Prompt: 50_000, Output: 100}})
-		r = request{ask: a}
+		r = request{submit: a}
 	}
 	return s, r
 }
 
 func TestDecisionDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
-	s, r := large()
+	s, r := largeFleet()
 	now := epoch.Add(time.Minute)
 	is.Equal(testing.AllocsPerRun(100, func() { s.pick(now, &r) }), 0.0)
 	is.True(s.pick(now, &r).best != none)
 }
 
 func BenchmarkDecision(b *testing.B) {
-	s, r := large()
+	s, r := largeFleet()
 	now := epoch.Add(time.Minute)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -54,19 +54,19 @@
 	}
 }
 
-func BenchmarkAskDone(b *testing.B) {
-	s, r := large()
+func BenchmarkSubmitDone(b *testing.B) {
+	s, r := largeFleet()
 	now := epoch.Add(time.Minute)
 	ended := engine.Usage{Prompt: 50_000, Cached: 50_000, Output: 100}
 	b.ReportAllocs()
 	for b.Loop() {
-		up := assigned(s.Step(now, r.ask), r.ask.ID)
-		s.Step(now, Done{ID: r.ask.ID, Upstream: up, Usage: ended})
+		up := assigned(s.Step(now, r.submit), r.submit.ID)
+		s.Step(now, Done{ID: r.submit.ID, Upstream: up, Usage: ended})
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	s, _ := large()
+	s, _ := largeFleet()
 	now := epoch.Add(time.Minute)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -76,16 +76,16 @@
 
 // BenchmarkPress asks for 35,000 accounts in turn while all is full, so that
 // each request is queued in the place of another or refused.
-func BenchmarkPress(b *testing.B) {
-	s, _ := large()
+func BenchmarkSubmitOverloaded(b *testing.B) {
+	s, _ := largeFleet()
 	f := fleet(4)
 	g := f.Groups["engines"]
 	g.QueueLimit, g.QueueWait = 1000, time.Hour
 	f.Groups["engines"] = g
 	s.Step(epoch, Configure{File: f})
-	asks := make([]Ask, 35_000)
+	asks := make([]Submit, 35_000)
 	for i := range asks {
-		asks[i] = ask(fmt.Sprint("press", i))
+		asks[i] = submit(fmt.Sprint("press", i))
 		asks[i].Account = fmt.Sprint("account", i)
 	}
 	b.ReportAllocs()
--- a/internal/place/sched/fair_test.go
+++ b/internal/place/sched/fair_test.go
@@ -15,7 +15,7 @@
 // press keeps a group of four slots busy for ten minutes. In each tick every
 // account asks as often as the function says, and what runs ends after its
 // second. It returns how many requests of each account were served.
-func press(asks func(account int, rng *rand.Rand) int, accounts int, edit func(account int, a *Ask)) map[int]int {
+func runLoad(asks func(account int, rng *rand.Rand) int, accounts int, edit func(account int, a *Submit)) map[int]int {
 	var s Sched
 	f := fleet(2)
 	f.Groups["engines"] = file.Group{Kind: file.Engines, QueueLimit: 60, QueueWait: 20 * time.Second, MaxInflight: 2}
@@ -29,7 +29,7 @@
 	}
 	var running []run
 	served, owner, n := map[int]int{}, map[string]int{}, 0
-	take := func(effects []Effect) {
+	track := func(effects []Effect) {
 		for _, e := range effects {
 			if a, ok := e.(Assign); ok {
 				running = append(running, run{a.ID, a.Upstream, owner[a.ID], now.Add(time.Second)})
@@ -40,31 +40,31 @@
 		for _, account := range rng.Perm(accounts) {
 			for range asks(account, rng) {
 				n++
-				a := ask(fmt.Sprint(n))
+				a := submit(fmt.Sprint(n))
 				a.Account = fmt.Sprint(account)
 				if edit != nil {
 					edit(account, &a)
 				}
 				owner[a.ID] = account
-				take(s.Step(now, a))
+				track(s.Step(now, a))
 			}
 		}
 		now = now.Add(100 * time.Millisecond)
-		var still []run
+		var remaining []run
 		for _, r := range running {
 			if r.end.After(now) {
-				still = append(still, r)
+				remaining = append(remaining, r)
 			}
 		}
 		ended := running
-		running = still
+		running = remaining
 		for _, r := range ended {
 			if !r.end.After(now) {
 				served[r.account]++
-				take(s.Step(now, Done{ID: r.id, Upstream: r.up}))
+				track(s.Step(now, Done{ID: r.id, Upstream: r.up}))
 			}
 		}
-		take(s.Step(now, Tick{}))
+		track(s.Step(now, Tick{}))
 	}
 	return served
 }
@@ -74,7 +74,7 @@
 // of all others would be refused.
 func TestAccountsShareFairly(t *testing.T) {
 	is := is.New(t)
-	served := press(func(account int, rng *rand.Rand) int {
+	served := runLoad(func(account int, rng *rand.Rand) int {
 		if account == 0 {
 			return 4
 		}
@@ -97,21 +97,21 @@
 
 // A stream of urgent requests that alone would fill the group. Without ageing
 // a request of low priority would wait for as long as it lasts.
-func TestNothingStarves(t *testing.T) {
+func TestNoStarvation(t *testing.T) {
 	is := is.New(t)
-	served := press(func(account int, _ *rand.Rand) int {
+	served := runLoad(func(account int, _ *rand.Rand) int {
 		if account == 0 {
 			return 1
 		}
 		return 0
 	}, 2, nil)
 	is.True(served[0] > 2200)
-	mixed := press(func(account int, rng *rand.Rand) int {
+	mixed := runLoad(func(account int, rng *rand.Rand) int {
 		if account == 0 || rng.IntN(20) == 0 {
 			return 1
 		}
 		return 0
-	}, 2, func(account int, a *Ask) {
+	}, 2, func(account int, a *Submit) {
 		if account == 0 {
 			a.Priority = 1
 		}
@@ -131,7 +131,7 @@
 	var at []string
 	for i := 0; len(at) < 100; i++ {
 		id := fmt.Sprint(i)
-		if up := assigned(s.Step(epoch, ask(id)), id); up != "" {
+		if up := assigned(s.Step(epoch, submit(id)), id); up != "" {
 			at = append(at, id+" "+up)
 			continue
 		}
@@ -140,7 +140,7 @@
 		}
 		at = append(at, id)
 	}
-	is.Equal(assigned(s.Step(epoch, ask("waits")), "waits"), "")
+	is.Equal(assigned(s.Step(epoch, submit("waits")), "waits"), "")
 	var id, up string
 	_, err := fmt.Sscan(at[0], &id, &up)
 	is.NoErr(err)
@@ -178,7 +178,7 @@
 				var out []Effect
 				for len(s.byID) < 30 {
 					n++
-					out = append(out, s.Step(now, toolAsk(fmt.Sprint(n)))...)
+					out = append(out, s.Step(now, submitTool(fmt.Sprint(n)))...)
 				}
 				var still []run
 				for _, r := range running {
@@ -220,6 +220,6 @@
 		now = now.Add(time.Second)
 		s.Step(now, Load{Upstream: "e0", Report: engine.Load{Seq: uint64(i + 1), At: now, Running: 6}})
 	}
-	is.Equal(assigned(s.Step(now, ask("1")), "1"), "e0")
-	is.Equal(assigned(s.Step(now, ask("2")), "2"), "")
+	is.Equal(assigned(s.Step(now, submit("1")), "1"), "e0")
+	is.Equal(assigned(s.Step(now, submit("2")), "2"), "")
 }
--- a/internal/place/sched/machine.go
+++ b/internal/place/sched/machine.go
@@ -54,13 +54,13 @@
 // Step applies one message and returns the effects in the order in which they
 // must be carried out.
 func (s *Sched) Step(now time.Time, m Message) []Effect {
-	s.begin(now)
+	s.setup(now)
 	switch m := m.(type) {
 	case Configure:
 		s.configure(now, m.File)
-	case Ask:
-		s.ask(now, m)
-	case Withdraw:
+	case Submit:
+		s.submit(now, m)
+	case Cancel:
 		s.withdraw(now, m.ID)
 	case First:
 		s.first(now, m)
@@ -72,10 +72,10 @@
 		s.cache(m)
 	case VMs:
 		s.vms(now, m)
-	case Ended:
-		s.ended(m)
-	case Forget:
-		s.forget(m.Program)
+	case ProgramEnded:
+		s.programEnded(m)
+	case ProgramMoved:
+		s.programMoved(m.Program)
 	case Held:
 		s.held(m)
 	case Tick:
@@ -84,7 +84,7 @@
 	return s.out
 }
 
-func (s *Sched) begin(now time.Time) {
+func (s *Sched) setup(now time.Time) {
 	s.out = nil // the caller may keep the last effects while others call Step
 	if s.rng != nil {
 		return
--- a/internal/place/sched/memory.go
+++ b/internal/place/sched/memory.go
@@ -19,10 +19,10 @@
 
 // ended releases the program's memory wherever it was placed, here or by an owner before
 // this one, whose placements are not known here.
-func (s *Sched) ended(m Ended) {
+func (s *Sched) programEnded(m ProgramEnded) {
 	if e, ok := s.index.Home(m.Program); ok && s.ups[e].group != nil {
 		g := s.ups[e].group
-		g.ended(float64(s.index.Calls(m.Program)))
+		g.programEnded(float64(s.index.Calls(m.Program)))
 	}
 	holders := slices.Clone(s.index.Holders(m.Program))
 	for _, name := range m.Engines {
@@ -38,20 +38,20 @@
 
 // forget drops a program that another daemon owns now. Its attempts that are
 // still under way here must not release its memory when they end.
-func (s *Sched) forget(program string) {
+func (s *Sched) programMoved(program string) {
 	s.index.End(program)
 	for i := range s.requests {
-		if r := &s.requests[i]; r.used && r.ask.Program == program {
-			r.ask.Blocks = nil
+		if r := &s.requests[i]; r.used && r.submit.Program == program {
+			r.submit.Blocks = nil
 		}
 	}
 }
 
 // late releases again where an attempt outlived its program: the engine went
 // on after the first release and left memory that nobody would release.
-func (s *Sched) late(r *request, upstream string) {
-	if len(r.ask.Blocks) > 0 && !s.index.Known(r.ask.Program) {
-		s.emit(Release{Upstream: upstream, Program: r.ask.Program})
+func (s *Sched) releaseLate(r *request, upstream string) {
+	if len(r.submit.Blocks) > 0 && !s.index.Known(r.submit.Program) {
+		s.emit(Release{Upstream: upstream, Program: r.submit.Program})
 	}
 }
 
@@ -64,15 +64,15 @@
 // leave exports, once, what programs still need of an upstream that leaves.
 // Without that every program there would pay its whole prefill again, all at
 // the same moment.
-func (s *Sched) leave(now time.Time, i int, u *upstream) {
+func (s *Sched) handleLeaving(now time.Time, i int, u *upstream) {
 	if !u.leaving() {
-		u.left = false
+		u.leaveHandled = false
 		return
 	}
-	if u.left || u.group == nil {
+	if u.leaveHandled || u.group == nil {
 		return
 	}
-	u.left = true
+	u.leaveHandled = true
 	u.group.measure(s, now)
 	var names []string
 	s.index.Programs(i, func(name string, _ []uint64) { names = append(names, name) })
@@ -87,9 +87,9 @@
 		return // another engine holds it, perhaps an older part
 	}
 	u := s.ups[from]
-	r := request{ask: Ask{Program: program, Group: u.group.name}}
+	r := request{submit: Submit{Program: program, Group: u.group.name}}
 	if len(u.conf.Models) == 1 {
-		r.ask.Model = u.conf.Models[0]
+		r.submit.Model = u.conf.Models[0]
 	}
 	c := s.pick(now, &r)
 	if c.free == none {
--- a/internal/place/sched/memory_test.go
+++ b/internal/place/sched/memory_test.go
@@ -14,17 +14,17 @@
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(2)})
-	a := ask("1")
+	a := submit("1")
 	a.Blocks = prompt(1, 2)
 	up := assigned(s.Step(epoch, a), "1")
-	is.Equal(s.Step(epoch, Ended{Program: a.Program}), []Effect{Release{Upstream: up, Program: a.Program}})
+	is.Equal(s.Step(epoch, ProgramEnded{Program: a.Program}), []Effect{Release{Upstream: up, Program: a.Program}})
 	// The stream went on for a moment and left memory after the release.
-	is.Equal(s.Step(epoch, Done{ID: "1", Upstream: up, Outcome: Withdrawn}), []Effect{Release{Upstream: up, Program: a.Program}})
+	is.Equal(s.Step(epoch, Done{ID: "1", Upstream: up, Outcome: Cancelled}), []Effect{Release{Upstream: up, Program: a.Program}})
 }
 
 // Some of a program's calls ran while another daemon owned it. Each engine that may hold
 // memory for it must free that once, whoever chose it.
-func TestMemoryOfAFormerOwnerIsReleased(t *testing.T) {
+func TestMemoryFromPreviousOwnerIsReleased(t *testing.T) {
 	cases := map[string]struct {
 		placed  bool // a call here
 		engines []string
@@ -41,11 +41,11 @@
 			var s Sched
 			s.Step(epoch, Configure{File: fleet(2)})
 			if c.placed {
-				a := ask("1")
+				a := submit("1")
 				a.Program, a.Blocks = "p", prompt(1, 2)
 				assigned(s.Step(epoch, a), "1")
 			}
-			got := s.Step(epoch, Ended{Program: "p", Engines: c.engines})
+			got := s.Step(epoch, ProgramEnded{Program: "p", Engines: c.engines})
 			slices.SortFunc(got, func(a, b Effect) int { return cmp.Compare(a.(Release).Upstream, b.(Release).Upstream) })
 			is.Equal(got, c.want)
 		})
@@ -54,22 +54,22 @@
 
 // A shard moved to another daemon while one of its calls is still answered
 // here. A release when that ends would take the cache from the new owner.
-func TestForgottenIsNotReleased(t *testing.T) {
+func TestMovedProgramIsNotReleased(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(1)})
-	a := ask("1")
+	a := submit("1")
 	a.Blocks = prompt(1, 2)
 	up := assigned(s.Step(epoch, a), "1")
-	is.Equal(len(s.Step(epoch, Forget{Program: a.Program})), 0)
+	is.Equal(len(s.Step(epoch, ProgramMoved{Program: a.Program})), 0)
 	is.Equal(len(s.Step(epoch, Done{ID: "1", Upstream: up})), 0)
 }
 
-func TestLeavingExportsWhatIsNeeded(t *testing.T) {
+func TestLeavingUpstreamExportsPrefixes(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(2)})
-	a := ask("1")
+	a := submit("1")
 	a.Blocks = prompt(1, 2)
 	up := assigned(s.Step(epoch, a), "1")
 	s.Step(epoch, Done{ID: "1", Upstream: up})
@@ -81,7 +81,7 @@
 
 // A daemon died before it released what its programs held. The sweep finds
 // them with nobody to answer for them, twice, and has them released.
-func TestSweepReleasesWhatNobodyOwns(t *testing.T) {
+func TestSweepReleasesOrphans(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(1)})
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -16,17 +16,17 @@
 	sample = 3
 	none   = -1
 	// Calls to come that are counted; a program may move before its end.
-	maxTurns = 8
+	maxCalls = 8
 	// How much of the usual work of other owners counts for calls to come. It
 	// is known with so much noise that programs would chase it.
-	trust = 0.3
+	othersWeight = 0.3
 	// What is assumed before any program has ended: its calls, the part of
 	// its life that it has one under way, and by which part each request
 	// slows those beside it. An owner that began with nothing would put all
 	// its first programs where the first was put.
-	firstTurns = 4
-	firstDuty  = 0.3
-	firstRise  = 0.1
+	defaultCalls = 4
+	defaultDuty  = 0.3
+	defaultRise  = 0.1
 )
 
 type (
@@ -42,18 +42,18 @@
 // pick compares upstreams for the request without changing anything.
 func (s *Sched) pick(now time.Time, r *request) choice {
 	c := choice{best: none, free: none}
-	g := s.groups[r.ask.Group]
+	g := s.groups[r.submit.Group]
 	if g == nil || len(g.ups) == 0 {
 		return c
 	}
 	total := 0
-	for _, b := range r.ask.Blocks {
+	for _, b := range r.submit.Blocks {
 		total += b.Tokens
 	}
-	total = max(total, r.ask.Prompt)
-	matches := s.index.Match(r.ask.Blocks)
+	total = max(total, r.submit.Prompt)
+	matches := s.index.Match(r.submit.Blocks)
 	c.home = none
-	if home, ok := s.index.Home(r.ask.Program); ok {
+	if home, ok := s.index.Home(r.submit.Program); ok {
 		c.home = home
 	}
 	held := 0.0
@@ -83,12 +83,12 @@
 
 func (s *Sched) compare(now time.Time, c *choice, g *group, i int, r *request, total int, held float64) {
 	u := s.ups[i]
-	if u.group != g || !u.usable(now) || !u.serves(r.ask.Model) || r.avoids(u.name) {
+	if u.group != g || !u.usable(now) || !u.serves(r.submit.Model) || r.avoids(u.name) {
 		return
 	}
-	cost := s.weights.Cost(s.weigh(now, g, i, total, held, s.index.All(), i == c.home))
+	cost := s.weights.Cost(s.estimate(now, g, i, total, held, s.index.TotalWeight(), i == c.home))
 	if c.home != none && c.home != i {
-		cost += s.weights.Move()
+		cost += s.weights.MoveThreshold()
 	}
 	if c.best == none || cost < c.bestCost {
 		c.best, c.bestCost = i, cost
@@ -98,9 +98,9 @@
 	}
 }
 
-func (s *Sched) weigh(now time.Time, g *group, i, total int, held, all float64, stays bool) score.Case {
+func (s *Sched) estimate(now time.Time, g *group, i, total int, held, all float64, stays bool) score.Case {
 	u := s.ups[i]
-	sp := u.speed.Among(now, &g.speed)
+	sp := u.speed.Blend(now, &g.speed)
 	n := float64(u.load.Inflight()) + u.load.Others(now)
 	capacity := u.load.Slots()
 	if capacity == 0 {
@@ -110,17 +110,17 @@
 	missing := total - m.Tokens
 	service, rise := g.service(n)
 	return score.Case{
-		Queued:   max(0, n+1-capacity),
-		Capacity: capacity,
-		Mean:     sp.Mean(),
-		Service:  service * sp.Factor(),
-		Slowed:   rise * n,
-		Later:    s.later(now, g, i, sp.Factor(), stays),
-		PerToken: sp.PerToken(),
-		Missing:  missing,
-		Shared:   max(0, float64(missing)-(all-m.Weight)),
-		Lost:     max(0, held-m.Weight),
-		Evicted:  evicted(u, missing),
+		Queued:     max(0, n+1-capacity),
+		Capacity:   capacity,
+		Mean:       sp.Mean(),
+		Service:    service * sp.Factor(),
+		Slowdown:   rise * n,
+		LaterCalls: s.later(now, g, i, sp.Factor(), stays),
+		PerToken:   sp.PerToken(),
+		Missing:    missing,
+		Shared:     max(0, float64(missing)-(all-m.Weight)),
+		Lost:       max(0, held-m.Weight),
+		Evicted:    evicted(u, missing),
 	}
 }
 
@@ -128,33 +128,33 @@
 // the upstream. Programs stay where their prefix is, so what counts is not the
 // work there at this moment but how many programs live there.
 func (s *Sched) later(now time.Time, g *group, i int, factor float64, stays bool) float64 {
-	turns := min(g.turns, maxTurns)
-	if turns == 0 {
-		turns = firstTurns
+	programCalls := min(g.programCalls, maxCalls)
+	if programCalls == 0 {
+		programCalls = defaultCalls
 	}
-	turns--
-	if turns <= 0 {
+	programCalls--
+	if programCalls <= 0 {
 		return 0
 	}
 	homes := s.index.Homes(i)
 	if stays {
 		homes-- // itself
 	}
-	n := trust*s.ups[i].load.Usual(now) + g.duty*float64(homes)
+	n := othersWeight*s.ups[i].load.Usual(now) + g.duty*float64(homes)
 	service, rise := g.service(n)
-	return turns * (service*factor + rise*n)
+	return programCalls * (service*factor + rise*n)
 }
 
 // service returns the seconds that one request takes beside n others, and by
 // how much each of them adds.
 func (g *group) service(n float64) (seconds, rise float64) {
 	if g.conf.Kind == file.Services {
-		return g.call.At(n), g.call.Rise()
+		return g.callTime.At(n), g.callTime.Rise()
 	}
-	if !g.decode.Known() {
-		return g.speed.Mean(), firstRise * g.speed.Mean()
+	if !g.tokenTime.Known() {
+		return g.speed.Mean(), defaultRise * g.speed.Mean()
 	}
-	return g.output * g.decode.At(n), g.output * g.decode.Rise()
+	return g.answerTokens * g.tokenTime.At(n), g.answerTokens * g.tokenTime.Rise()
 }
 
 func evicted(u *upstream, missing int) int {
@@ -184,14 +184,14 @@
 // place returns where to send the request now, if it is to be sent now.
 func (s *Sched) place(now time.Time, slot int32) (up int, ok bool) {
 	r := &s.requests[slot]
-	if now.Before(r.due) {
+	if now.Before(r.notBefore) {
 		return none, false
 	}
 	c := s.pick(now, r)
 	if c.free == none {
 		return none, false
 	}
-	if c.free != c.best && c.bestCost < c.freeCost && now.Sub(r.arrived) < holdLimit {
+	if c.free != c.best && c.bestCost < c.freeCost && now.Sub(r.arrived) < maxHold {
 		return none, false
 	}
 	return c.free, true
@@ -199,16 +199,16 @@
 
 func (s *Sched) send(now time.Time, slot int32, up int, second bool) {
 	r, u := &s.requests[slot], s.ups[up]
-	expected := s.uncached(up, r.ask.Blocks, r.ask.Prompt)
+	expected := s.uncached(up, r.submit.Blocks, r.submit.Prompt)
 	beside := float64(u.load.Inflight()) + u.load.Others(now)
-	r.start(try{up: up, at: now, uncached: expected, beside: beside, active: true})
+	r.start(attempt{up: up, at: now, uncached: expected, beside: beside, active: true})
 	r.queued = false
 	u.load.Start(now)
-	u.brk.Sent(now)
-	if len(r.ask.Blocks) > 0 {
-		s.index.Placed(r.ask.Program, up)
+	u.breaker.Sent(now)
+	if len(r.submit.Blocks) > 0 {
+		s.index.Placed(r.submit.Program, up)
 	}
-	s.emit(Assign{ID: r.ask.ID, Upstream: u.name, Address: u.conf.Address, Hedge: second})
+	s.emit(Assign{ID: r.submit.ID, Upstream: u.name, Address: u.conf.Address, Hedge: second})
 }
 
 // uncached returns how many tokens of the prompt the upstream must compute.
--- a/internal/place/sched/sched.go
+++ b/internal/place/sched/sched.go
@@ -25,7 +25,7 @@
 	// Unsent is an attempt of which no byte reached the upstream.
 	Unsent
 	// Withdrawn is an attempt that its caller gave up.
-	Withdrawn
+	Cancelled
 )
 
 type (
@@ -40,7 +40,7 @@
 
 	// Ask queues a request. It is answered by one Assign or one Refuse; a
 	// further attempt is a new Ask with the same ID and Avoid set.
-	Ask struct {
+	Submit struct {
 		ID         string
 		Account    string // whose share counts when there is not enough for all
 		Program    string
@@ -59,7 +59,7 @@
 	}
 
 	// Withdraw takes back a request that is queued or under way.
-	Withdraw struct{ ID string }
+	Cancel struct{ ID string }
 
 	// First tells that the first piece of an assigned request's answer came.
 	First struct{ ID, Upstream string }
@@ -89,14 +89,14 @@
 
 	// Ended tells that a program is over and its memory not needed. Engines ran its
 	// calls, as the journal has them; some while another daemon owned the program.
-	Ended struct {
+	ProgramEnded struct {
 		Program string
 		Engines []string
 	}
 
 	// Forget tells that another daemon owns the program now: nothing is
 	// released, as the program goes on.
-	Forget struct{ Program string }
+	ProgramMoved struct{ Program string }
 
 	// Held is an engine's answer to List: the programs it holds memory for.
 	// Live are those of them that some owner still knows.
@@ -139,18 +139,18 @@
 	List struct{ Upstream string }
 )
 
-func (Configure) message() {}
-func (Ask) message()       {}
-func (Withdraw) message()  {}
-func (First) message()     {}
-func (Done) message()      {}
-func (Load) message()      {}
-func (Cache) message()     {}
-func (VMs) message()       {}
-func (Ended) message()     {}
-func (Forget) message()    {}
-func (Held) message()      {}
-func (Tick) message()      {}
+func (Configure) message()    {}
+func (Submit) message()       {}
+func (Cancel) message()       {}
+func (First) message()        {}
+func (Done) message()         {}
+func (Load) message()         {}
+func (Cache) message()        {}
+func (VMs) message()          {}
+func (ProgramEnded) message() {}
+func (ProgramMoved) message() {}
+func (Held) message()         {}
+func (Tick) message()         {}
 
 func (Assign) effect()  {}
 func (Refuse) effect()  {}
--- a/internal/place/sched/sched_test.go
+++ b/internal/place/sched/sched_test.go
@@ -36,12 +36,12 @@
 	return f
 }
 
-func ask(id string) Ask {
-	return Ask{ID: id, Account: "a", Program: "p-" + id, Group: "engines", Model: "m", Attained: 1}
+func submit(id string) Submit {
+	return Submit{ID: id, Account: "a", Program: "p-" + id, Group: "engines", Model: "m", Attained: 1}
 }
 
-func toolAsk(id string) Ask {
-	return Ask{ID: id, Account: "a", Program: "p-" + id, Group: "tools", Service: "ledger", Idempotent: true}
+func submitTool(id string) Submit {
+	return Submit{ID: id, Account: "a", Program: "p-" + id, Group: "tools", Service: "ledger", Idempotent: true}
 }
 
 func prompt(hashes ...uint64) []engine.Block {
@@ -71,14 +71,14 @@
 	return Refuse{}, false
 }
 
-func TestAskIsAnswered(t *testing.T) {
+func TestSubmitIsAnswered(t *testing.T) {
 	cfg := file.File{Upstreams: map[string]file.Upstream{"e1": {Group: "engines", Address: "127.0.0.1:1"}}}
 	tests := map[string]struct {
-		ask  Ask
+		ask  Submit
 		want Effect
 	}{
-		"assigned":    {Ask{ID: "a", Group: "engines"}, Assign{ID: "a", Upstream: "e1", Address: "127.0.0.1:1"}},
-		"no upstream": {Ask{ID: "a", Group: "other"}, Refuse{ID: "a", Code: result.CodeNoUpstream, Message: "no upstream in group other"}},
+		"assigned":    {Submit{ID: "a", Group: "engines"}, Assign{ID: "a", Upstream: "e1", Address: "127.0.0.1:1"}},
+		"no upstream": {Submit{ID: "a", Group: "other"}, Refuse{ID: "a", Code: result.CodeNoUpstream, Message: "no upstream in group other"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -91,11 +91,11 @@
 	}
 }
 
-func TestStaysWhereTheCacheIs(t *testing.T) {
+func TestStaysOnCachedUpstream(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(8)})
-	a := ask("1")
+	a := submit("1")
 	a.Blocks = prompt(1, 2, 3)
 	home := assigned(s.Step(epoch, a), "1")
 	s.Step(epoch, Done{ID: "1", Upstream: home, Usage: engine.Usage{Prompt: 3000, Output: 10}})
@@ -126,7 +126,7 @@
 			s.Step(epoch, tt.notice)
 			for i := range 20 {
 				id := fmt.Sprint(i)
-				is.Equal(assigned(s.Step(epoch, ask(id)), id), "e1")
+				is.Equal(assigned(s.Step(epoch, submit(id)), id), "e1")
 				s.Step(epoch, Done{ID: id, Upstream: "e1"})
 			}
 		})
@@ -156,7 +156,7 @@
 			is := is.New(t)
 			var s Sched
 			s.Step(epoch, Configure{File: fleet(1)})
-			a := toolAsk("1")
+			a := submitTool("1")
 			a.Idempotent = tt.idempotent
 			first := assigned(s.Step(epoch, a), "1")
 			s.Step(epoch, Done{ID: "1", Upstream: first, Outcome: tt.outcome})
@@ -178,7 +178,7 @@
 
 // A receipt printer's worker refuses a connection. Sent there again, the
 // request fails again and its user waits for nothing.
-func TestNotWhereItJustFailed(t *testing.T) {
+func TestRetryAvoidsFailedUpstream(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	f := fleet(1)
@@ -186,7 +186,7 @@
 	s.Step(epoch, Configure{File: f})
 	now := epoch
 	for i := range 50 {
-		a := toolAsk(fmt.Sprint(i))
+		a := submitTool(fmt.Sprint(i))
 		first := assigned(s.Step(now, a), a.ID)
 		s.Step(now, Done{ID: a.ID, Upstream: first, Outcome: Unsent})
 		out := s.Step(now, a) // its caller forgot Retry and Avoid
@@ -210,7 +210,7 @@
 	now := epoch
 	for i := range 1000 {
 		now = now.Add(time.Second)
-		a := toolAsk(fmt.Sprint(i))
+		a := submitTool(fmt.Sprint(i))
 		up := assigned(s.Step(now, a), a.ID)
 		s.Step(now, Done{ID: a.ID, Upstream: up, Outcome: Succeeded})
 		a.Retry = true
@@ -228,7 +228,7 @@
 
 // An operator declares a share of 0 to have no further attempts at all. Taken
 // for an unset value it would allow a tenth.
-func TestShareOfZeroIsNone(t *testing.T) {
+func TestZeroShareDisables(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	f := fleet(1)
@@ -236,14 +236,14 @@
 	s.Step(epoch, Configure{File: f})
 	now := epoch
 	for i := range 30 {
-		a := toolAsk(fmt.Sprint(i))
+		a := submitTool(fmt.Sprint(i))
 		up := assigned(s.Step(now, a), a.ID)
 		now = now.Add(time.Second)
 		s.Step(now, Done{ID: a.ID, Upstream: up})
 	}
-	s.Step(now, toolAsk("slow"))
+	s.Step(now, submitTool("slow"))
 	is.Equal(assigned(s.Step(now.Add(time.Minute), Tick{}), "slow"), "")
-	a := toolAsk("again")
+	a := submitTool("again")
 	a.Retry = true
 	r, ok := refused(s.Step(now, a), a.ID)
 	is.True(ok)
@@ -252,13 +252,13 @@
 
 // One tool crashes and refuses every connection. Until its breaker opens each
 // request that meets it is delayed by a failed attempt.
-func TestBreakerKeepsWorkAway(t *testing.T) {
+func TestBreakerStopsRequests(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(1)})
 	failures := 0
 	for i := range 200 {
-		a := toolAsk(fmt.Sprint(i))
+		a := submitTool(fmt.Sprint(i))
 		up := assigned(s.Step(epoch, a), a.ID)
 		out := Succeeded
 		if up == "t0" {
@@ -271,7 +271,7 @@
 	later := epoch.Add(2 * time.Second)
 	probes := 0
 	for i := range 20 {
-		a := toolAsk(fmt.Sprint("p", i))
+		a := submitTool(fmt.Sprint("p", i))
 		if assigned(s.Step(later, a), a.ID) == "t0" {
 			probes++
 		}
@@ -285,22 +285,22 @@
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(2)})
-	var sent, told int
+	var sent, refused int
 	for i := range 20 {
-		got := s.Step(epoch, ask(fmt.Sprint(i)))
+		got := s.Step(epoch, submit(fmt.Sprint(i)))
 		for _, e := range got {
 			switch e := e.(type) {
 			case Assign:
 				sent++
 			case Refuse:
-				told++
+				refused++
 				is.Equal(e.Code, result.CodeOverloaded)
 				is.True(e.RetryAfter > 0)
 			}
 		}
 	}
 	is.Equal(sent, 4)
-	is.Equal(told, 12)
+	is.Equal(refused, 12)
 }
 
 func TestHedgePastP95(t *testing.T) {
@@ -309,13 +309,13 @@
 	s.Step(epoch, Configure{File: fleet(1)})
 	now := epoch
 	for i := range 30 {
-		a := toolAsk(fmt.Sprint(i))
+		a := submitTool(fmt.Sprint(i))
 		up := assigned(s.Step(now, a), a.ID)
 		now = now.Add(100 * time.Millisecond)
 		s.Step(now, Done{ID: a.ID, Upstream: up})
 	}
-	s.Step(now, First{ID: "begun", Upstream: assigned(s.Step(now, toolAsk("begun")), "begun")})
-	up := assigned(s.Step(now, toolAsk("slow")), "slow")
+	s.Step(now, First{ID: "begun", Upstream: assigned(s.Step(now, submitTool("begun")), "begun")})
+	up := assigned(s.Step(now, submitTool("slow")), "slow")
 	is.Equal(assigned(s.Step(now.Add(90*time.Millisecond), Tick{}), "slow"), "")
 	got := s.Step(now.Add(200*time.Millisecond), Tick{})
 	is.Equal(len(got), 1)
@@ -326,12 +326,12 @@
 
 // All upstreams hang, and what waits was promised a turn that does not come.
 // Its callers hear so, and that it did not run, while they still listen.
-func TestWaitingEnds(t *testing.T) {
+func TestQueueWaitIsBounded(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	s.Step(epoch, Configure{File: fleet(1)})
 	for i := range 3 {
-		s.Step(epoch, ask(fmt.Sprint(i)))
+		s.Step(epoch, submit(fmt.Sprint(i)))
 	}
 	is.Equal(len(s.byID), 3)
 	_, ok := refused(s.Step(epoch.Add(20*time.Second), Tick{}), "2")
@@ -342,7 +342,7 @@
 	is.True(r.RetryAfter > 0)
 }
 
-func TestOnlyWhereTheModelIs(t *testing.T) {
+func TestOnlyUpstreamsWithModel(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	f := fleet(3)
@@ -351,7 +351,7 @@
 	f.Upstreams["e1"] = u
 	s.Step(epoch, Configure{File: f})
 	for i := range 30 {
-		a := ask(fmt.Sprint(i))
+		a := submit(fmt.Sprint(i))
 		up := assigned(s.Step(epoch, a), a.ID)
 		is.True(up != "" && up != "e1")
 		s.Step(epoch, Done{ID: a.ID, Upstream: up})
@@ -360,17 +360,17 @@
 
 // An upstream is replaced by another process under the same name. What was
 // learnt of the old one, here that it fails, must not keep work from the new.
-func TestReplacedUpstreamBeginsAnew(t *testing.T) {
+func TestReplacedUpstreamStartsFresh(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	f := fleet(1)
 	s.Step(epoch, Configure{File: f})
 	for i := range brkr.Threshold {
-		a := ask(fmt.Sprint(i))
+		a := submit(fmt.Sprint(i))
 		s.Step(epoch, a)
 		s.Step(epoch, Done{ID: a.ID, Upstream: "e0", Outcome: Unsent})
 	}
-	r, ok := refused(s.Step(epoch, ask("no")), "no")
+	r, ok := refused(s.Step(epoch, submit("no")), "no")
 	is.True(ok)
 	is.Equal(r.Code, result.CodeNoUpstream)
 	is.True(r.RetryAfter > 0) // when the breaker lets a probe through
@@ -378,5 +378,5 @@
 	u.Address = "127.0.0.1:99"
 	f.Upstreams["e0"] = u
 	s.Step(epoch, Configure{File: f})
-	is.Equal(assigned(s.Step(epoch, ask("yes")), "yes"), "e0")
+	is.Equal(assigned(s.Step(epoch, submit("yes")), "yes"), "e0")
 }
--- a/internal/place/sched/table.go
+++ b/internal/place/sched/upstream.go
@@ -19,47 +19,47 @@
 const (
 	// One request may wait inside an upstream, so that it has no idle moment
 	// while the end of another is reported.
-	spare = 1
+	upstreamBacklog = 1
 	// Parts of the newest value in running means.
-	dutyShare  = 0.02
-	turnsShare = 0.05
+	dutyAlpha  = 0.02
+	callsAlpha = 0.05
 )
 
 type (
 	upstream struct {
-		name   string
-		conf   file.Upstream
-		group  *group
-		load   load.Load
-		limit  limit.Limit
-		brk    brkr.Breaker
-		speed  speed.Speed
-		listed bool // the platform's list had it
-		gone   bool // the list calls it leaving, or had it and has it no more
-		absent bool // not in the configuration in force
-		left   bool // its leaving was acted on
+		name         string
+		conf         file.Upstream
+		group        *group
+		load         load.Load
+		limit        limit.Limit
+		breaker      brkr.Breaker
+		speed        speed.Speed
+		listed       bool // the platform's list had it
+		delisted     bool // the list calls it leaving, or had it and has it no more
+		undeclared   bool // not in the configuration in force
+		leaveHandled bool // its leaving was acted on
 	}
 
 	group struct {
-		name     string
-		conf     file.Group
-		ups      []int
-		queue    queue.Queue
-		speed    speed.Speed
-		capacity float64     // requests that its usable upstreams take at a time
-		output   float64     // mean tokens of an answer
-		turns    float64     // mean calls of a program
-		duty     float64     // mean share of its life that a program has a call under way
-		decode   slope.Slope // seconds of one token of an answer, by the requests beside it
-		call     slope.Slope // seconds of one service call
+		name         string
+		conf         file.Group
+		ups          []int
+		queue        queue.Queue
+		speed        speed.Speed
+		capacity     float64     // requests that its usable upstreams take at a time
+		answerTokens float64     // mean tokens of an answer
+		programCalls float64     // mean calls of a program
+		duty         float64     // mean share of its life that a program has a call under way
+		tokenTime    slope.Slope // seconds of one token of an answer, by the requests beside it
+		callTime     slope.Slope // seconds of one service call
 	}
 )
 
-func (u *upstream) engine() bool { return !u.absent && u.group.conf.Kind != file.Services }
+func (u *upstream) engine() bool { return !u.undeclared && u.group.conf.Kind != file.Services }
 
-func (u *upstream) leaving() bool { return u.gone || u.absent || u.load.Leaving() }
+func (u *upstream) leaving() bool { return u.delisted || u.undeclared || u.load.Leaving() }
 
-func (u *upstream) usable(now time.Time) bool { return !u.leaving() && u.brk.Allow(now) }
+func (u *upstream) usable(now time.Time) bool { return !u.leaving() && u.breaker.Allow(now) }
 
 func (u *upstream) serves(model string) bool {
 	return model == "" || len(u.conf.Models) == 0 || slices.Contains(u.conf.Models, model)
@@ -77,7 +77,7 @@
 		return false
 	}
 	total := float64(own) + u.load.Others(now)
-	if slots := u.load.Slots(); slots > 0 && total >= slots+spare {
+	if slots := u.load.Slots(); slots > 0 && total >= slots+upstreamBacklog {
 		return false
 	}
 	most := u.group.conf.MaxInflight
@@ -88,12 +88,12 @@
 func (s *Sched) configure(now time.Time, f file.File) {
 	s.cfg = f
 	s.weights = score.Weights{Latency: f.System.LatencyWeight, Cache: f.System.CacheWeight}
-	s.retries.Share, s.hedges.Share = share(f.Limits.RetryShare), share(f.Limits.HedgeShare)
+	s.retries.Share, s.hedges.Share = budgetShare(f.Limits.RetryShare), budgetShare(f.Limits.HedgeShare)
 	for _, g := range s.groups {
 		g.ups = g.ups[:0]
 	}
 	for _, u := range s.ups {
-		u.absent = true
+		u.undeclared = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Upstreams)) {
 		s.register(name, f.Upstreams[name])
@@ -109,13 +109,13 @@
 		s.dispatch(now, s.groups[name])
 	}
 	for i, u := range s.ups {
-		s.leave(now, i, u)
+		s.handleLeaving(now, i, u)
 	}
 }
 
 // share turns a declared share of 0, which is none, into the one that pays for
 // nothing.
-func share(v float64) float64 {
+func budgetShare(v float64) float64 {
 	if v == 0 {
 		return -1
 	}
@@ -135,7 +135,7 @@
 		u = s.ups[i]
 		s.index.Reset(i)
 	}
-	u.conf, u.absent = conf, false
+	u.conf, u.undeclared = conf, false
 	u.group = s.group(conf.Group)
 	u.limit.Max = u.group.conf.MaxInflight
 	u.group.ups = append(u.group.ups, i)
@@ -144,7 +144,7 @@
 func (s *Sched) group(name string) *group {
 	g := s.groups[name]
 	if g == nil {
-		g = &group{name: name, duty: firstDuty}
+		g = &group{name: name, duty: defaultDuty}
 		s.groups[name] = g
 	}
 	g.conf = s.cfg.Groups[name]
@@ -170,10 +170,10 @@
 		if s.index.Part == 0 {
 			s.index.Part = 1
 		}
-		s.index.Part += dutyShare * (float64(inflight)/(float64(inflight)+others) - s.index.Part)
+		s.index.Part += dutyAlpha * (float64(inflight)/(float64(inflight)+others) - s.index.Part)
 	}
 	if homes > 0 {
-		g.duty += dutyShare * (min(float64(inflight)/float64(homes), 1) - g.duty)
+		g.duty += dutyAlpha * (min(float64(inflight)/float64(homes), 1) - g.duty)
 	}
 }
 
@@ -186,9 +186,9 @@
 		return
 	}
 	u := s.ups[i]
-	u.limit.Room(m.Report.Waiting)
+	u.limit.SetWaiting(m.Report.Waiting)
 	if u.load.Report(now, m.Report) {
-		s.leave(now, i, u)
+		s.handleLeaving(now, i, u)
 	}
 }
 
@@ -205,16 +205,16 @@
 		if !ok {
 			state, ok = states[u.name]
 		}
-		u.gone = ok && state == vmlist.Leaving || !ok && u.listed
+		u.delisted = ok && state == vmlist.Leaving || !ok && u.listed
 		u.listed = u.listed || ok
-		s.leave(now, i, u)
+		s.handleLeaving(now, i, u)
 	}
 }
 
 // ended notes how many calls a program made in all.
-func (g *group) ended(calls float64) {
-	if g.turns == 0 {
-		g.turns = firstTurns
+func (g *group) programEnded(calls float64) {
+	if g.programCalls == 0 {
+		g.programCalls = defaultCalls
 	}
-	g.turns += turnsShare * (calls - g.turns)
+	g.programCalls += callsAlpha * (calls - g.programCalls)
 }
--- a/internal/place/score/score.go
+++ b/internal/place/score/score.go
@@ -13,7 +13,7 @@
 	reuse    = 0.5
 	moveCost = 0.4
 	// How much of the prefill of a shared context is counted as done for the programs that will share it.
-	invest = 0.9
+	sharedCredit = 0.9
 )
 
 type (
@@ -26,17 +26,17 @@
 
 	// Case is one request before one upstream.
 	Case struct {
-		Queued   float64 // requests that would be served before ours
-		Capacity float64 // requests that the upstream serves at a time
-		Mean     float64 // seconds of one request, which its turn costs those behind it
-		Service  float64 // seconds from the first token to the end, at its load
-		Slowed   float64 // seconds that ours adds to those under way there
-		Later    float64 // seconds of the program's calls to come, if it stays
-		PerToken float64 // seconds of prefill for one token
-		Missing  int     // tokens of the prompt that it does not hold
-		Shared   float64 // tokens of these that others pay for by sharing them
-		Lost     float64 // tokens of these that are rebuilt for this request alone
-		Evicted  int     // tokens that leave its cache for ours
+		Queued     float64 // requests that would be served before ours
+		Capacity   float64 // requests that the upstream serves at a time
+		Mean       float64 // seconds of one request, which its turn costs those behind it
+		Service    float64 // seconds from the first token to the end, at its load
+		Slowdown   float64 // seconds that ours adds to those under way there
+		LaterCalls float64 // seconds of the program's calls to come, if it stays
+		PerToken   float64 // seconds of prefill for one token
+		Missing    int     // tokens of the prompt that it does not hold
+		Shared     float64 // tokens of these that others pay for by sharing them
+		Lost       float64 // tokens of these that are rebuilt for this request alone
+		Evicted    int     // tokens that leave its cache for ours
 	}
 )
 
@@ -45,7 +45,7 @@
 	if w.Latency == 0 && w.Cache == 0 {
 		w = Weights{Latency: 1, Cache: 1}
 	}
-	latency := c.Wait() + c.Service + c.Slowed + c.Later + (float64(c.Missing)-invest*c.Shared)*c.PerToken
+	latency := c.Wait() + c.Service + c.Slowdown + c.LaterCalls + (float64(c.Missing)-sharedCredit*c.Shared)*c.PerToken
 	waste := (c.Lost + reuse*float64(c.Evicted)) * c.PerToken
 	return w.Latency*latency + w.Cache*waste
 }
@@ -53,7 +53,7 @@
 // Move returns the seconds, weighted, by which another upstream must be better
 // than the one where a program lives. Estimates are noisy; without a threshold
 // the best of several noisy ones would nearly always look better than home.
-func (w Weights) Move() float64 { return moveCost * max(w.Latency, 1) }
+func (w Weights) MoveThreshold() float64 { return moveCost * max(w.Latency, 1) }
 
 // Wait returns the seconds before the request is served.
 func (c Case) Wait() float64 { return c.Mean * c.Queued / max(c.Capacity, 1) }
--- a/internal/place/slope/slope.go
+++ b/internal/place/slope/slope.go
@@ -9,13 +9,13 @@
 import "cmp"
 
 const (
-	usual = 0.99 // of the weight of earlier pairs, at each new one
+	defaultKeep = 0.99 // of the weight of earlier pairs, at each new one
 	// What is assumed before much was seen, as if so much variance of load had
 	// been seen: each unit adds this part of the mean time. Batching slows
 	// every upstream somewhat, and an owner that starts by assuming nothing
 	// sends all its first programs to one of them.
-	prior = 10.0
-	part  = 0.05
+	priorWeight = 10.0
+	priorRise   = 0.05
 )
 
 type (
@@ -32,7 +32,7 @@
 
 // Observe adds one pair.
 func (s *Slope) Observe(x, y float64) {
-	keep := cmp.Or(s.Keep, usual)
+	keep := cmp.Or(s.Keep, defaultKeep)
 	s.n = s.n*keep + 1
 	dx := x - s.x
 	s.x += dx / s.n
@@ -43,7 +43,7 @@
 
 // Rise returns by how much the time grows with each unit of load, never less
 // than nothing.
-func (s *Slope) Rise() float64 { return max(0, (s.xy+prior*part*s.y)/(s.xx+prior)) }
+func (s *Slope) Rise() float64 { return max(0, (s.xy+priorWeight*priorRise*s.y)/(s.xx+priorWeight)) }
 
 // At returns the expected time at the load.
 func (s *Slope) At(x float64) float64 { return max(s.y+s.Rise()*(x-s.x), s.y/4) }
--- a/internal/place/speed/speed.go
+++ b/internal/place/speed/speed.go
@@ -10,18 +10,18 @@
 import "time"
 
 const (
-	down = 0.2
-	up   = 0.01
-	mean = 0.1
-	slow = 0.005
+	fastAlpha  = 0.2
+	slowAlpha  = 0.01
+	meanAlpha  = 0.1
+	usualAlpha = 0.005
 	// Calls of one service differ; their mean is taken for no more than so
 	// many times the low end.
-	mostUsual = 4
+	maxUsual = 4
 	// Shorter prompts measure the fixed cost of a request, not the prefill.
 	minPrefill = 256
-	maxPace    = 10 // so that one stray time does not count for ever
+	maxFactor  = 10 // so that one stray time does not count for ever
 	// An upstream's own speed counts for half when it was last seen so long ago.
-	memory = 30 * time.Second
+	halfWeight = 30 * time.Second
 
 	defaultPrefill = 0.0002 // seconds per token
 	defaultCall    = 0.5    // seconds
@@ -34,7 +34,7 @@
 		call    float64 // mean time of one request, from dispatch to end
 		best    float64 // low end of the time of one request
 		usual   float64 // mean over a long time
-		pace    float64 // multiple of the time that its group takes
+		factor  float64 // multiple of the time that its group takes
 		calls   int
 		seen    time.Time
 	}
@@ -42,49 +42,49 @@
 
 // Prefill notes the time to the first token of a request with so many tokens
 // that were not cached.
-func (s *Speed) Prefill(took time.Duration, tokens int) {
+func (s *Speed) ObservePrefill(took time.Duration, tokens int) {
 	if tokens < minPrefill || took <= 0 {
 		return
 	}
-	s.prefill = low(s.prefill, took.Seconds()/float64(tokens))
+	s.prefill = trackLow(s.prefill, took.Seconds()/float64(tokens))
 }
 
 // Pace notes the time of a request as a multiple of what its group takes at
 // the same load.
-func (s *Speed) Pace(measured, expected float64) {
+func (s *Speed) ObserveFactor(measured, expected float64) {
 	if expected <= 0 || measured <= 0 {
 		return
 	}
-	if s.pace == 0 {
-		s.pace = 1
+	if s.factor == 0 {
+		s.factor = 1
 	}
-	s.pace += mean * (min(measured/expected, maxPace) - s.pace)
+	s.factor += meanAlpha * (min(measured/expected, maxFactor) - s.factor)
 }
 
 // Call notes the whole time of one request that ended now.
-func (s *Speed) Call(now time.Time, took time.Duration) {
+func (s *Speed) ObserveCall(now time.Time, took time.Duration) {
 	x := took.Seconds()
 	s.seen = now
-	s.best = low(s.best, x)
+	s.best = trackLow(s.best, x)
 	s.calls++
-	s.usual += max(slow, 1/float64(s.calls)) * (x - s.usual)
+	s.usual += max(usualAlpha, 1/float64(s.calls)) * (x - s.usual)
 	if s.call == 0 {
 		s.call = x
 		return
 	}
-	s.call += mean * (x - s.call)
+	s.call += meanAlpha * (x - s.call)
 }
 
 // Among returns what is to be believed of the upstream when others of its
 // group are as fast as group on average: its own speed while it is fresh, the
 // group's when it is unknown or old. An upstream that was slow once and got no
 // work since would otherwise look slow for ever.
-func (s *Speed) Among(now time.Time, group *Speed) Speed {
+func (s *Speed) Blend(now time.Time, group *Speed) Speed {
 	if s.seen.IsZero() {
 		return *group
 	}
 	age := max(now.Sub(s.seen), 0)
-	w := float64(memory) / float64(memory+age)
+	w := float64(halfWeight) / float64(halfWeight+age)
 	mix := func(own, all float64) float64 {
 		if own == 0 || all == 0 {
 			return max(own, all)
@@ -94,17 +94,17 @@
 	return Speed{
 		prefill: mix(s.prefill, group.prefill),
 		call:    mix(s.call, group.call),
-		pace:    mix(s.pace, 1),
+		factor:  mix(s.factor, 1),
 		best:    s.best,
 	}
 }
 
 // Factor returns by how much the upstream is slower than its group.
 func (s *Speed) Factor() float64 {
-	if s.pace == 0 {
+	if s.factor == 0 {
 		return 1
 	}
-	return s.pace
+	return s.factor
 }
 
 // PerToken returns the seconds of prefill for one token.
@@ -133,15 +133,15 @@
 // of a moment hardly changes. It is bounded by a multiple of the low end, so
 // that a service that was crowded all along is not taken for slow. 0 is
 // unknown.
-func (s *Speed) Usual() float64 { return min(s.usual, mostUsual*s.best) }
+func (s *Speed) Usual() float64 { return min(s.usual, maxUsual*s.best) }
 
-func low(est, x float64) float64 {
+func trackLow(est, x float64) float64 {
 	switch {
 	case est == 0:
 		return x
 	case x < est:
-		return est + down*(x-est)
+		return est + fastAlpha*(x-est)
 	default:
-		return est + up*(x-est)
+		return est + slowAlpha*(x-est)
 	}
 }
--- a/internal/place/speed/speed_test.go
+++ b/internal/place/speed/speed_test.go
@@ -10,7 +10,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestPrefillIsTheLowEnd(t *testing.T) {
+func TestPrefillTracksLowEnd(t *testing.T) {
 	is := is.New(t)
 	var s Speed
 	for i := range 1000 {
@@ -18,26 +18,26 @@
 		if i%2 == 0 {
 			took = 5 * time.Second // waited
 		}
-		s.Prefill(took, 1000)
-		s.Prefill(time.Minute, minPrefill-1) // too short to tell
+		s.ObservePrefill(took, 1000)
+		s.ObservePrefill(time.Minute, minPrefill-1) // too short to tell
 	}
 	is.True(s.PerToken() > 0.0009 && s.PerToken() < 0.0015)
 }
 
 // One upstream was slow once and gets no work for it. Without forgetting, it
 // would never be tried again.
-func TestOldSpeedFades(t *testing.T) {
+func TestOldSpeedLosesWeight(t *testing.T) {
 	is := is.New(t)
 	var u, group Speed
 	for range 100 {
-		u.Call(epoch, 10*time.Second)
-		u.Pace(4, 1)
-		group.Call(epoch, time.Second)
+		u.ObserveCall(epoch, 10*time.Second)
+		u.ObserveFactor(4, 1)
+		group.ObserveCall(epoch, time.Second)
 	}
-	now, later := u.Among(epoch, &group), u.Among(epoch.Add(30*memory), &group)
+	now, later := u.Blend(epoch, &group), u.Blend(epoch.Add(30*halfWeight), &group)
 	is.True(now.Factor() > 3.9 && now.Mean() > 9.9)
 	is.True(later.Factor() < 1.2 && later.Mean() < 1.5)
 	var unknown Speed
-	as := unknown.Among(epoch, &group)
+	as := unknown.Blend(epoch, &group)
 	is.True(math.Abs(as.Mean()-1) < 1e-9)
 }
--- a/internal/place/stock/stock.go
+++ b/internal/place/stock/stock.go
@@ -34,7 +34,7 @@
 	Declare struct{ Models map[string][]string }
 
 	// Here tells whether this daemon gives the engine its orders.
-	Here struct {
+	Responsible struct {
 		Upstream string
 		OK       bool
 	}
@@ -69,21 +69,21 @@
 	Load struct{ Upstream, Model string }
 
 	engine struct {
-		models  []string
-		loaded  map[string]bool
-		here    bool
-		busy    bool
-		next    time.Time
-		backoff time.Duration
+		models      []string
+		loaded      map[string]bool
+		responsible bool
+		busy        bool
+		next        time.Time
+		backoff     time.Duration
 	}
 )
 
-func (Declare) message()   {}
-func (Here) message()      {}
-func (Restarted) message() {}
-func (Admitted) message()  {}
-func (Loaded) message()    {}
-func (Tick) message()      {}
+func (Declare) message()     {}
+func (Responsible) message() {}
+func (Restarted) message()   {}
+func (Admitted) message()    {}
+func (Loaded) message()      {}
+func (Tick) message()        {}
 
 func (Admit) effect() {}
 func (Load) effect()  {}
@@ -93,19 +93,19 @@
 	switch m := m.(type) {
 	case Declare:
 		s.declare(m.Models)
-	case Here:
-		if e := s.engines[m.Upstream]; e != nil && e.here != m.OK {
-			e.here = m.OK
-			e.forget()
+	case Responsible:
+		if e := s.engines[m.Upstream]; e != nil && e.responsible != m.OK {
+			e.responsible = m.OK
+			e.reset()
 		}
 	case Restarted:
 		if e := s.engines[m.Upstream]; e != nil {
-			e.forget()
+			e.reset()
 		}
 	case Admitted:
 		return s.admitted(now, m)
 	case Loaded:
-		s.ended(now, m)
+		s.loadDone(now, m)
 	case Tick:
 		return s.tick(now)
 	}
@@ -125,13 +125,13 @@
 	}
 }
 
-func (e *engine) forget() {
+func (e *engine) reset() {
 	e.loaded = map[string]bool{}
 	e.next, e.backoff = time.Time{}, 0
 }
 
 // wanted is the next model to load, if there is one.
-func (e *engine) wanted() (string, bool) {
+func (e *engine) nextModel() (string, bool) {
 	for _, m := range e.models {
 		if !e.loaded[m] {
 			return m, true
@@ -143,8 +143,8 @@
 func (s *Stock) tick(now time.Time) (effs []Effect) {
 	for _, name := range slices.Sorted(maps.Keys(s.engines)) {
 		e := s.engines[name]
-		m, ok := e.wanted()
-		if !ok || !e.here || e.busy || now.Before(e.next) {
+		m, ok := e.nextModel()
+		if !ok || !e.responsible || e.busy || now.Before(e.next) {
 			continue
 		}
 		e.busy = true
@@ -158,11 +158,11 @@
 	if e == nil {
 		return nil
 	}
-	want, ok := e.wanted()
+	want, ok := e.nextModel()
 	switch {
 	case m.Err != nil:
 		e.fail(now)
-	case m.Wait > 0 || !ok || !e.here:
+	case m.Wait > 0 || !ok || !e.responsible:
 		e.busy = false
 		e.next = now.Add(m.Wait)
 	default:
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (s *Stock) ended(now time.Time, m Loaded) {
+func (s *Stock) loadDone(now time.Time, m Loaded) {
 	e := s.engines[m.Upstream]
 	switch {
 	case e == nil:
--- a/internal/place/stock/stock_test.go
+++ b/internal/place/stock/stock_test.go
@@ -68,10 +68,10 @@
 		},
 		"orders go elsewhere meanwhile": {
 			{0, stock.Tick{}, admit},
-			{0, stock.Here{Upstream: "e"}, nil},
+			{0, stock.Responsible{Upstream: "e"}, nil},
 			{0, stock.Admitted{Upstream: "e"}, nil},
 			{time.Minute, stock.Tick{}, nil},
-			{0, stock.Here{Upstream: "e", OK: true}, nil},
+			{0, stock.Responsible{Upstream: "e", OK: true}, nil},
 			{0, stock.Tick{}, admit},
 		},
 		"no longer declared": {
@@ -86,7 +86,7 @@
 			is := is.New(t)
 			var s stock.Stock
 			s.Step(start, stock.Declare{Models: map[string][]string{"e": {"a", "b"}}})
-			s.Step(start, stock.Here{Upstream: "e", OK: true})
+			s.Step(start, stock.Responsible{Upstream: "e", OK: true})
 			now := start
 			for _, x := range steps {
 				now = now.Add(x.after)
--- a/internal/place/sweep/sweep.go
+++ b/internal/place/sweep/sweep.go
@@ -14,7 +14,7 @@
 
 const (
 	// Every is the time between two readings.
-	Every = 5 * time.Second
+	Interval = 5 * time.Second
 )
 
 type (
@@ -35,7 +35,7 @@
 	if n == 0 || now.Before(s.next) {
 		return 0, false
 	}
-	s.next = now.Add(Every)
+	s.next = now.Add(Interval)
 	if len(s.suspects) > 0 && s.turn > 0 {
 		s.turn-- // read the same one again, to be sure
 	}
--- a/internal/place/sweep/sweep_test.go
+++ b/internal/place/sweep/sweep_test.go
@@ -40,16 +40,16 @@
 	}
 }
 
-func TestDueTakesTurns(t *testing.T) {
+func TestDueRoundRobin(t *testing.T) {
 	is := is.New(t)
 	s := Sweep{Start: 7}
 	var got []int
 	for i := range 4 {
-		now := epoch.Add(time.Duration(i) * Every)
+		now := epoch.Add(time.Duration(i) * Interval)
 		n, ok := s.Due(now, 3)
 		is.True(ok)
 		got = append(got, n)
-		_, ok = s.Due(now.Add(Every-1), 3)
+		_, ok = s.Due(now.Add(Interval-1), 3)
 		is.True(!ok)
 		if i == 1 {
 			s.Compare("e", []string{"p"}, nil) // to be read again
--- a/internal/play/basis/basis.go
+++ b/internal/play/basis/basis.go
@@ -55,7 +55,7 @@
 	switch m := m.(type) {
 	case sched.Configure:
 		b.cfg, b.names = m.File, slices.Sorted(maps.Keys(m.File.Upstreams))
-	case sched.Ask:
+	case sched.Submit:
 		return b.ask(m)
 	case sched.Done:
 		b.inflight[m.Upstream]--
@@ -65,7 +65,7 @@
 		for _, vm := range m.List {
 			b.leaving[vm.Name] = b.leaving[vm.Name] || vm.State == vmlist.Leaving
 		}
-	case sched.Ended:
+	case sched.ProgramEnded:
 		return b.ended(m.Program)
 	}
 	return nil
@@ -79,7 +79,7 @@
 	return out
 }
 
-func (b *Basis) ask(a sched.Ask) []sched.Effect {
+func (b *Basis) ask(a sched.Submit) []sched.Effect {
 	var able []string
 	for _, name := range b.names {
 		if b.cfg.Upstreams[name].Group == a.Group && !b.leaving[name] && !slices.Contains(a.Avoid, name) {
@@ -97,7 +97,7 @@
 	return []sched.Effect{sched.Assign{ID: a.ID, Upstream: name, Address: b.cfg.Upstreams[name].Address}}
 }
 
-func (b *Basis) choose(able []string, a sched.Ask) string {
+func (b *Basis) choose(able []string, a sched.Submit) string {
 	switch b.Policy {
 	case StickyHash:
 		return slices.MaxFunc(able, func(x, y string) int {
--- a/internal/play/replay/program.go
+++ b/internal/play/replay/program.go
@@ -48,7 +48,7 @@
 		id       string
 		p        *program
 		call     trace.Call
-		ask      sched.Ask
+		ask      sched.Submit
 		blocks   []engine.Block
 		attempts []*attempt // under way
 		tries    int
@@ -86,7 +86,7 @@
 	}
 	c := p.t.Calls[p.number%len(p.t.Calls)]
 	r := &request{id: fmt.Sprintf("%s/%d/%d", p.t.Name, p.number, p.returns), p: p, call: c}
-	r.ask = sched.Ask{
+	r.ask = sched.Submit{
 		ID: r.id, Account: p.t.Account, Program: p.t.Name, Root: p.t.Name,
 		Priority: p.t.Priority, Attained: p.spent, Group: p.t.Group, Model: p.t.Group,
 	}
@@ -186,7 +186,7 @@
 // cancel ends the attempts that are still under way.
 func (w *world) cancel(r *request) {
 	for len(r.attempts) > 0 {
-		w.attemptEnded(r.attempts[0], sched.Withdrawn, engine.Usage{})
+		w.attemptEnded(r.attempts[0], sched.Cancelled, engine.Usage{})
 	}
 }
 
@@ -269,11 +269,11 @@
 	w.open--
 	if r := p.req; r != nil {
 		if len(r.attempts) == 0 {
-			w.step(p.owner, sched.Withdraw{ID: r.id})
+			w.step(p.owner, sched.Cancel{ID: r.id})
 		}
 		w.cancel(r)
 		w.remove(r)
 		p.req = nil
 	}
-	w.step(p.owner, sched.Ended{Program: p.t.Name})
+	w.step(p.owner, sched.ProgramEnded{Program: p.t.Name})
 }
--- a/internal/play/replay/replay.go
+++ b/internal/play/replay/replay.go
@@ -23,7 +23,7 @@
 	// Production names the policy that the daemon runs.
 	Production = "slaterock"
 
-	sweepEvery = sweep.Every
+	sweepEvery = sweep.Interval
 	jitterMS   = 1000
 	jitterPart = 0.1
 )
--- a/internal/play/soak/drive.go
+++ b/internal/play/soak/drive.go
@@ -121,9 +121,9 @@
 func (n *node) place(own *owner.Owner, m sched.Message) {
 	w := n.w
 	switch m := m.(type) {
-	case sched.Withdraw:
+	case sched.Cancel:
 		delete(n.asked, m.ID)
-	case sched.Ask:
+	case sched.Submit:
 		n.asked[m.ID] = true
 		n.later(w.span(0, 300*time.Millisecond), func() {
 			if !n.asked[m.ID] {
@@ -151,7 +151,7 @@
 	done := func(t owner.Tried) {
 		n.later(w.span(1, 200*time.Millisecond), func() {
 			if !n.attempts[key] && t.Outcome != sched.Succeeded {
-				t.Outcome = sched.Withdrawn
+				t.Outcome = sched.Cancelled
 			}
 			delete(n.attempts, key)
 			if n.given[own] {
--- a/internal/shard/owner/calls_test.go
+++ b/internal/shard/owner/calls_test.go
@@ -161,7 +161,7 @@
 	is.Equal(d.replies[fits].Code, result.CodeCancelled)
 	released := map[string]bool{}
 	for _, m := range d.places {
-		if e, ok := m.(sched.Ended); ok {
+		if e, ok := m.(sched.ProgramEnded); ok {
 			released[e.Program] = true
 		}
 	}
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -143,7 +143,7 @@
 		o.abandon(now, r, result.CodeCancelled, "the program has ended: "+code)
 	}
 	seq := o.add(record.Closed{Program: p.id, Code: code, At: now})
-	o.emit(Place{Message: sched.Ended{Program: p.id, Engines: o.engines(p.id)}})
+	o.emit(Place{Message: sched.ProgramEnded{Program: p.id, Engines: o.engines(p.id)}})
 	return seq
 }
 
@@ -175,7 +175,7 @@
 		o.finish(now, r, result.Failed(code, r.ran(), "%s", why))
 		return
 	case waitPlace:
-		o.emit(Place{Message: sched.Withdraw{ID: r.call.Request}})
+		o.emit(Place{Message: sched.Cancel{ID: r.call.Request}})
 	case waitIntent, waitBudget:
 		if r.phase == waitIntent && o.Chain.Drop(r.seq) {
 			o.queue = slices.DeleteFunc(o.queue, func(p pending) bool { return p.seq == r.seq })
@@ -198,7 +198,7 @@
 func (o *Owner) stop(r *run) {
 	for _, u := range r.live {
 		o.emit(Stop{Request: r.call.Request, Upstream: u})
-		o.place(r, sched.Done{ID: r.call.Request, Upstream: u, Outcome: sched.Withdrawn})
+		o.place(r, sched.Done{ID: r.call.Request, Upstream: u, Outcome: sched.Cancelled})
 	}
 	r.live = nil
 }
--- a/internal/shard/owner/move.go
+++ b/internal/shard/owner/move.go
@@ -42,7 +42,7 @@
 	}
 	o.settle()
 	for _, id := range o.ids() {
-		o.emit(Place{Message: sched.Forget{Program: id}})
+		o.emit(Place{Message: sched.ProgramMoved{Program: id}})
 	}
 }
 
@@ -71,7 +71,7 @@
 		return
 	}
 	if r.phase == waitPlace {
-		o.emit(Place{Message: sched.Withdraw{ID: r.call.Request}})
+		o.emit(Place{Message: sched.Cancel{ID: r.call.Request}})
 	}
 	r.result = o.moving()
 	o.answer(r)
--- a/internal/shard/owner/move_test.go
+++ b/internal/shard/owner/move_test.go
@@ -197,5 +197,5 @@
 	d.answer(sched.Succeeded)
 	next := d.successor(is)
 	next.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "p", Kind: call.Finish}})
-	is.Equal(next.places[len(next.places)-1], sched.Ended{Program: "p", Engines: []string{"u0"}})
+	is.Equal(next.places[len(next.places)-1], sched.ProgramEnded{Program: "p", Engines: []string{"u0"}})
 }
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -66,7 +66,7 @@
 			d.store()
 		case owner.Place:
 			d.places = append(d.places, e.Message)
-			if a, ok := e.Message.(sched.Ask); ok && !d.full {
+			if a, ok := e.Message.(sched.Submit); ok && !d.full {
 				d.step(owner.Assigned{Assign: sched.Assign{ID: a.ID, Upstream: fmt.Sprint("u", len(a.Avoid))}})
 			}
 		case owner.Dispatch:
--- a/internal/shard/owner/try.go
+++ b/internal/shard/owner/try.go
@@ -27,7 +27,7 @@
 	r.phase = waitPlace
 	r.deadline = time.Time{}
 	p := r.prog
-	a := sched.Ask{
+	a := sched.Submit{
 		ID:         r.call.Request,
 		Program:    p.id,
 		Root:       p.root.id,
@@ -55,7 +55,7 @@
 func (o *Owner) assigned(now time.Time, a sched.Assign) {
 	r := o.runs[a.ID]
 	if r == nil || !o.wants(r, a.Hedge) {
-		o.emit(Place{Message: sched.Done{ID: a.ID, Upstream: a.Upstream, Outcome: sched.Withdrawn}})
+		o.emit(Place{Message: sched.Done{ID: a.ID, Upstream: a.Upstream, Outcome: sched.Cancelled}})
 		return
 	}
 	if !o.MayDispatch(now) {
@@ -134,7 +134,7 @@
 		r.charge(m)
 		r.failed = append(r.failed, m.Upstream)
 		o.retry(now, r, m)
-	case sched.Withdrawn:
+	case sched.Cancelled:
 		r.charge(m)
 		o.finish(now, r, result.Failed(result.CodeCancelled, r.ran(), "cancelled while it ran"))
 	}
@@ -158,7 +158,7 @@
 			t.Ended = endedOK
 		case sched.Unsent:
 			t.Ended = endedUnsent + m.Why
-		case sched.Withdrawn:
+		case sched.Cancelled:
 			t.Ended = endedWithdrawn
 		case sched.Failed:
 			t.Ended = m.Why
