--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/slaterock/slaterock/internal/place/batch"
 	"github.com/slaterock/slaterock/internal/place/gate"
-	"github.com/slaterock/slaterock/internal/place/pace"
 )
 
 type (
@@ -23,8 +23,8 @@
 	}
 
 	service struct {
-		gate gate.Gate
-		pace pace.Estimator
+		gate  gate.Gate
+		batch batch.Estimator
 	}
 
 	// Refused tells that a program may not begin, and when to come back.
@@ -103,7 +103,7 @@
 func (q *Queue) Observe(name string, turns float64, event time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.service(name).pace.Observe(turns, event.Seconds())
+	q.service(name).batch.Observe(turns, event.Seconds())
 }
 
 // Share returns up to which share of its places an engine of the service should be
@@ -111,7 +111,7 @@
 func (q *Queue) Share(name string) func(places int) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.service(name).pace
+	p := q.service(name).batch
 	return p.Share
 }
 
--- a/internal/node/placer/load.go
+++ b/internal/node/placer/load.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/slaterock/slaterock/internal/conf/file"
-	"github.com/slaterock/slaterock/internal/place/stock"
+	"github.com/slaterock/slaterock/internal/place/loader"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
@@ -23,22 +23,22 @@
 			models[name] = u.Models
 		}
 	}
-	p.stockStep(ctx, stock.Declare{Models: models})
+	p.stockStep(ctx, loader.Declare{Models: models})
 }
 
-func (p *Placer) stockStep(ctx context.Context, m stock.Message) {
-	for _, e := range p.stock.Step(time.Now(), m) {
+func (p *Placer) stockStep(ctx context.Context, m loader.Message) {
+	for _, e := range p.loader.Step(time.Now(), m) {
 		switch e := e.(type) {
-		case stock.Admit:
+		case loader.Admit:
 			p.Go(func() { p.admit(ctx, e) })
-		case stock.Load:
+		case loader.Load:
 			p.Go(func() { p.load(ctx, e) })
 		}
 	}
 }
 
-func (p *Placer) admit(ctx context.Context, e stock.Admit) {
-	m := stock.Admitted{Upstream: e.Upstream}
+func (p *Placer) admit(ctx context.Context, e loader.Admit) {
+	m := loader.Admitted{Upstream: e.Upstream}
 	if p.Weights != nil {
 		call, stop := context.WithTimeout(ctx, admitTimeout)
 		defer stop()
@@ -47,10 +47,10 @@
 	p.do(ctx, func() { p.stockStep(ctx, m) })
 }
 
-func (p *Placer) load(ctx context.Context, e stock.Load) {
+func (p *Placer) load(ctx context.Context, e loader.Load) {
 	call, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
-	m := stock.Loaded{Upstream: e.Upstream, Model: e.Model}
+	m := loader.Loaded{Upstream: e.Upstream, Model: e.Model}
 	fence, here := p.Fence(e.Upstream)
 	if !here {
 		m.Err = errElsewhere
--- a/internal/node/placer/placer.go
+++ b/internal/node/placer/placer.go
@@ -15,8 +15,8 @@
 
 	"github.com/slaterock/slaterock/internal/conf/file"
 	"github.com/slaterock/slaterock/internal/peer/pause"
+	"github.com/slaterock/slaterock/internal/place/loader"
 	"github.com/slaterock/slaterock/internal/place/sched"
-	"github.com/slaterock/slaterock/internal/place/stock"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
 	"github.com/slaterock/slaterock/internal/plat/weight"
@@ -50,7 +50,7 @@
 		Loaded  func(upstream string, l engine.Load) // told each load report; may be nil
 
 		sched  sched.Sched
-		stock  stock.Stock
+		loader loader.Loader
 		cfg    file.File
 		mail   chan letter
 		askers map[string]Asker
@@ -220,7 +220,7 @@
 					// The engine started anew and counts from one again; its
 					// events would stay unseen until they pass the old number.
 					p.seen[name] = 0
-					p.stockStep(ctx, stock.Restarted{Upstream: name})
+					p.stockStep(ctx, loader.Restarted{Upstream: name})
 				}
 				p.loads[name] = load.Seq
 				if p.Loaded != nil {
@@ -241,10 +241,10 @@
 	for name, u := range p.cfg.Upstreams {
 		if len(u.Models) > 0 {
 			_, here := p.Fence(name)
-			p.stockStep(ctx, stock.Responsible{Upstream: name, OK: here})
+			p.stockStep(ctx, loader.Responsible{Upstream: name, OK: here})
 		}
 	}
-	p.stockStep(ctx, stock.Tick{})
+	p.stockStep(ctx, loader.Tick{})
 }
 
 func (p *Placer) do(ctx context.Context, f func()) {
--- a/internal/place/pace/pace.go
+++ b/internal/place/batch/batch.go
@@ -5,7 +5,7 @@
 // differs: a full batch of 16 doubles the time of an event, one of 6 adds a third, and
 // 18 of 64 places make it 3.6 times as long. So the time of events is compared with
 // the turns that were under way.
-package pace
+package batch
 
 import "github.com/slaterock/slaterock/internal/place/slope"
 
--- a/internal/place/pace/pace_test.go
+++ b/internal/place/batch/batch_test.go
@@ -1,4 +1,4 @@
-package pace
+package batch
 
 import (
 	"math"
--- a/internal/place/limit/limit.go
+++ b/internal/place/limit/limit.go
@@ -11,13 +11,13 @@
 package limit
 
 const (
-	initial     = 8
-	smallest    = 1
-	tolerance   = 2.0 // slower than this by comparison means crowded
-	smoothing   = 0.2
-	maxDecrease = 0.5 // the most that one round takes away
-	growth      = 0.5 // for each round of answers
-	roomGrowth  = 1.5
+	initial    = 8
+	smallest   = 1
+	tolerance  = 2.0 // slower than this by comparison means crowded
+	smoothing  = 0.2
+	minFactor  = 0.5 // the most that one round takes away
+	growth     = 0.5 // for each round of answers
+	roomGrowth = 1.5
 
 	// Answers between two probes, and in one, for each unit of the limit.
 	probeEvery = 12
@@ -79,7 +79,7 @@
 	full := float64(inflight) >= v/2
 	switch {
 	case l.ratio > tolerance:
-		l.limit = l.clamp(v - (1-max(maxDecrease, tolerance/l.ratio))*v/max(v, 1))
+		l.limit = l.clamp(v - (1-max(minFactor, tolerance/l.ratio))*v/max(v, 1))
 	case full && v < l.room:
 		l.limit = l.clamp(v + 1)
 	case full: // otherwise the limit was not what held the work back
--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -19,7 +19,7 @@
 	// Work of others is forgotten by half in this time without a report.
 	halfLife = 5 * time.Second
 	// The part that each report has in the usual load.
-	usualAlpha = 0.05
+	averageAlpha = 0.05
 	// How much of a report's difference from the usual still holds when a
 	// request that is sent by it has arrived.
 	reportWeight = 0.1
@@ -28,14 +28,14 @@
 type (
 	// Load is the picture of one upstream. The zero value is idle.
 	Load struct {
-		report   engine.Load
-		received time.Time
-		others   float64
-		usual    float64 // others, on average over some time
-		slots    float64 // requests that it serves at a time, 0 if unknown
-		inflight int
-		ring     [ringSize]change
-		next     int
+		report        engine.Load
+		received      time.Time
+		others        float64
+		averageOthers float64 // others, on average over some time
+		slots         float64 // requests that it serves at a time, 0 if unknown
+		inflight      int
+		ring          [ringSize]change
+		next          int
 	}
 
 	change struct {
@@ -76,7 +76,7 @@
 		l.slots = float64(r.Running)
 	}
 	l.others = max(0, float64(r.Running+r.Waiting-l.own(measured)))
-	l.usual += usualAlpha * (l.others - l.usual)
+	l.averageOthers += averageAlpha * (l.others - l.averageOthers)
 	return true
 }
 
@@ -96,13 +96,13 @@
 
 // Others estimates the requests that other owners have in flight.
 func (l *Load) Others(now time.Time) float64 {
-	return (l.usual + reportWeight*(l.others-l.usual)) * l.freshness(now)
+	return (l.averageOthers + reportWeight*(l.others-l.averageOthers)) * l.freshness(now)
 }
 
 // Usual returns the work of other owners on average over the last reports. A
 // single report tells of a moment that is over when it arrives; where others'
 // programs live shows in the average.
-func (l *Load) Usual(now time.Time) float64 { return l.usual * l.freshness(now) }
+func (l *Load) AverageOthers(now time.Time) float64 { return l.averageOthers * l.freshness(now) }
 
 // Slots returns how many requests the upstream serves at a time, 0 if it was
 // never seen full.
--- a/internal/place/stock/stock.go
+++ b/internal/place/loader/loader.go
@@ -8,7 +8,7 @@
 //
 // Stock is a state machine: Step takes the time and one message and returns
 // effects.
-package stock
+package loader
 
 import (
 	"maps"
@@ -23,7 +23,7 @@
 
 type (
 	// Stock is the machine. The zero value orders nothing.
-	Stock struct {
+	Loader struct {
 		engines map[string]*engine
 	}
 
@@ -89,7 +89,7 @@
 func (Load) effect()  {}
 
 // Step applies one message.
-func (s *Stock) Step(now time.Time, m Message) []Effect {
+func (s *Loader) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
 	case Declare:
 		s.declare(m.Models)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (s *Stock) declare(models map[string][]string) {
+func (s *Loader) declare(models map[string][]string) {
 	old := s.engines
 	s.engines = map[string]*engine{}
 	for name, ms := range models {
@@ -140,7 +140,7 @@
 	return "", false
 }
 
-func (s *Stock) tick(now time.Time) (effs []Effect) {
+func (s *Loader) tick(now time.Time) (effs []Effect) {
 	for _, name := range slices.Sorted(maps.Keys(s.engines)) {
 		e := s.engines[name]
 		m, ok := e.nextModel()
@@ -153,7 +153,7 @@
 	return effs
 }
 
-func (s *Stock) admitted(now time.Time, m Admitted) []Effect {
+func (s *Loader) admitted(now time.Time, m Admitted) []Effect {
 	e := s.engines[m.Upstream]
 	if e == nil {
 		return nil
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (s *Stock) loadDone(now time.Time, m Loaded) {
+func (s *Loader) loadDone(now time.Time, m Loaded) {
 	e := s.engines[m.Upstream]
 	switch {
 	case e == nil:
--- a/internal/place/sched/attempt.go
+++ b/internal/place/sched/attempt.go
@@ -193,7 +193,7 @@
 		sv := s.service(r.submit.Service)
 		sv.speed.ObserveCall(now, took)
 		sv.hedge.Observe(now, took)
-		u.limit.Observe(took.Seconds(), sv.speed.Usual(), u.load.Inflight()+1)
+		u.limit.Observe(took.Seconds(), sv.speed.LongMean(), u.load.Inflight()+1)
 		return
 	}
 	s.index.Correct(t.up, r.submit.Blocks, m.Usage.Cached)
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -140,7 +140,7 @@
 	if stays {
 		homes-- // itself
 	}
-	n := othersWeight*s.ups[i].load.Usual(now) + g.duty*float64(homes)
+	n := othersWeight*s.ups[i].load.AverageOthers(now) + g.duty*float64(homes)
 	service, rise := g.service(n)
 	return programCalls * (service*factor + rise*n)
 }
--- a/internal/place/sched/upstream.go
+++ b/internal/place/sched/upstream.go
@@ -161,7 +161,7 @@
 		u := s.ups[i]
 		homes += s.index.Homes(i)
 		inflight += u.load.Inflight()
-		others += u.load.Usual(now)
+		others += u.load.AverageOthers(now)
 		if u.usable(now) {
 			g.capacity += u.capacity()
 		}
--- a/internal/place/speed/speed.go
+++ b/internal/place/speed/speed.go
@@ -10,13 +10,13 @@
 import "time"
 
 const (
-	fastAlpha  = 0.2
-	slowAlpha  = 0.01
-	meanAlpha  = 0.1
-	usualAlpha = 0.005
+	fastAlpha = 0.2
+	slowAlpha = 0.01
+	meanAlpha = 0.1
+	longAlpha = 0.005
 	// Calls of one service differ; their mean is taken for no more than so
 	// many times the low end.
-	maxUsual = 4
+	maxLongMean = 4
 	// Shorter prompts measure the fixed cost of a request, not the prefill.
 	minPrefill = 256
 	maxFactor  = 10 // so that one stray time does not count for ever
@@ -30,13 +30,13 @@
 type (
 	// Speed is what was learnt of one upstream. All values are in seconds.
 	Speed struct {
-		prefill float64 // per token
-		call    float64 // mean time of one request, from dispatch to end
-		best    float64 // low end of the time of one request
-		usual   float64 // mean over a long time
-		factor  float64 // multiple of the time that its group takes
-		calls   int
-		seen    time.Time
+		prefill  float64 // per token
+		call     float64 // mean time of one request, from dispatch to end
+		best     float64 // low end of the time of one request
+		longMean float64 // mean over a long time
+		factor   float64 // multiple of the time that its group takes
+		calls    int
+		seen     time.Time
 	}
 )
 
@@ -67,7 +67,7 @@
 	s.seen = now
 	s.best = trackLow(s.best, x)
 	s.calls++
-	s.usual += max(usualAlpha, 1/float64(s.calls)) * (x - s.usual)
+	s.longMean += max(longAlpha, 1/float64(s.calls)) * (x - s.longMean)
 	if s.call == 0 {
 		s.call = x
 		return
@@ -133,7 +133,7 @@
 // of a moment hardly changes. It is bounded by a multiple of the low end, so
 // that a service that was crowded all along is not taken for slow. 0 is
 // unknown.
-func (s *Speed) Usual() float64 { return min(s.usual, maxUsual*s.best) }
+func (s *Speed) LongMean() float64 { return min(s.longMean, maxLongMean*s.best) }
 
 func trackLow(est, x float64) float64 {
 	switch {
