--- a/internal/place/gate/bench_test.go
+++ b/internal/place/gate/bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BenchmarkArrive is a program that comes while 5,000 wait, and its caller that
-// leaves again: 5 us and no allocation beside other load (46 us when each step looked at
-// all that wait). A decision may take 20 us.
+// BenchmarkArrive measures the arrival and cancellation of one program while 5,000
+// wait: 5 us and no allocation on a machine under other load (46 us when each step
+// scanned the whole queue). The budget for a decision is 20 us.
 func BenchmarkArrive(b *testing.B) {
 	var g Gate
 	now := time.UnixMilli(1_000_000)
--- a/internal/place/gate/burst_test.go
+++ b/internal/place/gate/burst_test.go
@@ -12,24 +12,23 @@
 const (
 	engines       = 8
 	batch         = 16
-	fleetCapacity = engines * 13 // turns beside which an event takes 1.6 times as long as alone
+	fleetCapacity = engines * 13 // turns in flight at which an event takes 1.6 times as long as alone
 	step          = 5 * time.Millisecond
 	loadFor       = 20 * time.Second
 	drainFor      = 20 * time.Second
 )
 
 type (
-	// agent is one program: rounds of turns that run side by side, with a pause
-	// after each round.
+	// agent is one program: rounds of concurrent turns with a pause after each round.
 	agent struct {
 		long     bool
 		start    time.Duration
-		deadline time.Duration   // when it should be finished
+		deadline time.Duration   // to finish in time
 		rounds   [][]float64     // events of the turns of each round
 		pauses   []time.Duration // after each round
 		round    int
 		running  int
-		nextAt   time.Duration // of the next round, or of the next attempt
+		nextAt   time.Duration // time of the next round, or of the next attempt
 		tries    int
 		started  bool
 		waiting  bool
@@ -42,10 +41,10 @@
 		left float64
 	}
 
-	// play is a fleet of engines under a load, all at steps of five milliseconds.
+	// sim is a fleet of engines under load, simulated in steps of five milliseconds.
 	sim struct {
 		rnd    *rand.Rand
-		gate   *Gate // nil lets all through
+		gate   *Gate // nil admits all
 		agents []*agent
 		run    [engines][]job
 		queue  [engines][]job
@@ -55,8 +54,8 @@
 	}
 )
 
-// eventTime is how long an engine takes for an event beside n turns, as measured
-// on engines of 16 places.
+// eventTime returns the time between stream events at an engine with n running turns,
+// as measured on engines with a batch size of 16.
 func eventTime(n int) time.Duration {
 	return 26*time.Millisecond + time.Duration(n)*1450*time.Microsecond
 }
@@ -101,7 +100,7 @@
 
 func (p *sim) clock() time.Time { return time.Unix(1000, 0).Add(p.now) }
 
-// begin sends the next round to the engines with the least to do.
+// start sends each turn of the next round to the engine with the fewest turns.
 func (p *sim) start(a *agent) {
 	a.waiting = false
 	for _, n := range a.rounds[a.round] {
@@ -128,7 +127,7 @@
 	p.apply(p.gate.Step(p.clock(), Arrive{Ticket: p.last, Deadline: p.clock().Add(a.latestStart() - p.now), Load: p.load()}))
 }
 
-// slack is the latest time at which a program can begin and be in time.
+// latestStart returns the latest start with which the program can finish in time.
 func (a *agent) latestStart() time.Duration { return a.start + (a.deadline-a.start)/5 }
 
 func (p *sim) apply(ops []Op) {
@@ -142,8 +141,8 @@
 	}
 }
 
-// refused has a caller come back: each turn is sent once more, and after that
-// twice from its start.
+// refused schedules the caller's next attempt: a turn is sent twice, the whole program
+// three times, so the sixth refusal is final.
 func (a *agent) refused(p *sim, after time.Duration) {
 	a.waiting = false
 	if a.tries++; a.tries == 6 {
@@ -194,8 +193,8 @@
 	}
 }
 
-// burst plays the load and returns the worth of the programs in time, as a share
-// of all, over the whole time and in the worst two seconds.
+// simulate runs the load and returns the value of the programs finished in time as a
+// share of the total, over the whole run and in the worst two seconds.
 func simulate(seed uint64, g *Gate) (all, worst float64) {
 	p := &sim{rnd: rand.New(rand.NewPCG(seed, 1)), gate: g, byID: map[uint64]*agent{}}
 	for at := time.Duration(0); at < loadFor; at += step {
@@ -249,10 +248,10 @@
 	return total / count, worst
 }
 
-// For six seconds one and a half times the usual programs come, of the long ones three
-// and a half times as many. Without the gate all of them share the engines and nearly all
-// are late until long after the burst; with it most of those that begin are in time.
-// The engines are of the kind and number on which the thresholds were measured.
+// For six seconds programs arrive at 1.5 times the usual rate, and for five of them long
+// ones at about 3.5 times. Without the gate all share the engines, and nearly all miss
+// their deadlines until long after the burst; with it most of the admitted ones finish in
+// time. The thresholds were measured on engines of this kind and number.
 func TestBurst(t *testing.T) {
 	is := is.New(t)
 	var without, with, worst0, worst1 float64
@@ -263,7 +262,7 @@
 		a, w = simulate(seed, &Gate{})
 		with, worst1 = with+a/seeds, worst1+w/seeds
 	}
-	t.Logf("in time %.3f without the gate, %.3f with it; worst two seconds %.3f, %.3f", without, with, worst0, worst1)
+	t.Logf("value in time: %.3f without the gate, %.3f with it; in the worst two seconds: %.3f, %.3f", without, with, worst0, worst1)
 	is.True(with > without+0.1)
 	is.True(worst1 > worst0+0.1)
 }
--- a/internal/place/gate/gate.go
+++ b/internal/place/gate/gate.go
@@ -1,18 +1,19 @@
-// Package gate decides which programs wait or come back later while engines are
-// busy.
+// Package gate is the admission control for new programs while engines are busy: it
+// queues, admits or refuses them.
 //
-// An engine makes each event more slowly the more turns it runs. Programs are
-// given some multiple of the time that they need on idle engines, so beyond some
-// number of turns all of them are late, and beyond the places of a batch turns
-// only wait. The gate keeps the turns under way near that number by letting new
-// programs wait while they can still be in time, and refusing them after that: what
-// has begun is finished in time, and who has to come later is told so before
-// anything ran. Eight seconds of 3.5 times the usual programs, on eight engines of
-// 16 places, gained 0.24 ±0.02 of a day's worth by it (three paired plays); what the
-// engines can bear passes as if there were no gate.
+// The more turns an engine runs, the longer each stream event takes. A program's
+// deadline is a multiple of the time that it needs on idle engines, so beyond some
+// number of concurrent turns all programs miss theirs, and beyond the batch size
+// further turns only queue in the engine. The gate keeps the turns in flight near
+// that number: a new program waits while it can still meet its deadline and is
+// refused afterwards. Programs that were admitted then finish in time, and a refused
+// program has not run anything. On eight engines with a batch size of 16, with 3.5 times
+// the usual arrivals for eight seconds, the gate raised the value of the programs
+// finished in time by 0.24 ±0.02 of the day's total (three paired replays). Load within
+// the capacity is not affected.
 //
-// It is a state machine without clock, lock or network: events go in, operations
-// come out.
+// It is a state machine without clock, lock or network: Step takes an event and
+// returns operations.
 package gate
 
 import (
@@ -21,65 +22,65 @@
 )
 
 const (
-	// late is the part of the room up to which programs begin that can't be in time:
-	// they take what the others leave.
+	// lateFill is the share of the capacity below which a program that has already
+	// missed its latest start is still admitted; it only uses capacity that is left over.
 	lateFill = 0.85
-	// eager is how many times its part of the room a daemon may take: not all have
-	// programs that wait. At 1 with 54 daemons a quarter of the room was left while
-	// programs waited.
+	// overcommit is the multiple of its equal share of the free capacity that a daemon
+	// may use, since not every daemon has programs waiting. With a factor of 1 and 54
+	// daemons, a quarter of the capacity stayed free while programs waited.
 	overcommit = 3
-	// After is when the caller of a late program may come back: bursts last for
-	// seconds, and callers come back once for each refusal, after at most a third of
-	// the time that they wait for a turn (four seconds and more).
+	// After is the retry delay of a refusal. Bursts last for seconds, and callers retry
+	// once per refusal, after at most a third of their timeout for a turn (four seconds
+	// or more).
 	After = 1300 * time.Millisecond
 )
 
 type (
-	// Load is what the engines of a service have to do.
+	// Load is the load and the capacity of a service's engines.
 	Load struct {
-		InFlight int // turns under way, of all daemons
-		Capacity int // turns beside each other with which programs are in time
-		Daemons  int // daemons that share the room, this one included
-		// News is the time between two words of another daemon: what is known of its
-		// turns may be as old.
+		InFlight int // turns in flight, sent by all daemons
+		Capacity int // concurrent turns up to which programs meet their deadlines
+		Daemons  int // daemons that share the capacity, including this one
+		// Staleness is the interval between two updates from another daemon, hence the
+		// greatest age of its share of InFlight.
 		Staleness time.Duration
 	}
 
-	// Event is something that the gate is told.
+	// Event is an input of Step.
 	Event interface{ event() }
 
-	// Arrive asks for a program to begin. Until is the latest time at which it can
-	// begin and be in time; it may have passed.
+	// Arrive requests the admission of a program. Deadline is the latest start with
+	// which the program can finish in time; it may have passed.
 	Arrive struct {
 		Ticket   uint64
 		Deadline time.Time
 		Load     Load
 	}
 
-	// Change tells that turns have ended or that other daemons were heard.
+	// Change reports a new load, after turns have ended or another daemon's update.
 	Change struct{ Load Load }
 
-	// Leave tells that a program's caller has left.
+	// Cancel removes a waiting program whose caller has disconnected.
 	Cancel struct{ Ticket uint64 }
 
-	// Op is something that is to be done with a program.
+	// Op is an output of Step: the decision on one program.
 	Op interface{ op() }
 
-	// Admit lets a program begin.
+	// Admit starts a program.
 	Admit struct{ Ticket uint64 }
 
-	// Refuse tells a program's caller to come back.
+	// Refuse rejects a program; its caller may retry after After.
 	Refuse struct {
 		Ticket uint64
 		After  time.Duration
 	}
 
-	// Gate keeps the programs that wait. The zero value is ready.
+	// Gate holds the waiting programs of one service. The zero value is ready.
 	Gate struct {
-		waiting    []waiter  // in the order of their arrival
-		nextExpiry time.Time // no wait ends before
-		credit     float64   // programs that may begin here
-		refilled   time.Time // to which credit was reckoned
+		waiting    []waiter  // in order of arrival
+		nextExpiry time.Time // no deadline is earlier
+		credit     float64   // programs that this daemon may admit
+		refilled   time.Time // when credit was last updated
 	}
 
 	waiter struct {
@@ -94,7 +95,7 @@
 func (Admit) op()     {}
 func (Refuse) op()    {}
 
-// Step takes an event and returns what is to be done.
+// Step applies an event and returns the resulting decisions.
 func (g *Gate) Step(now time.Time, e Event) (ops []Op) {
 	switch e := e.(type) {
 	case Arrive:
@@ -109,11 +110,12 @@
 	return nil
 }
 
-// Len returns how many programs wait.
+// Len returns the number of waiting programs.
 func (g *Gate) Len() int { return len(g.waiting) }
 
-// arrive lets a late program begin or refuses it at once: it loses nothing by
-// coming back later, and in the queue it would only stand in the way.
+// arrive queues a program. One whose deadline has passed is admitted or refused at
+// once: retrying later costs it nothing more, and in the queue it would only delay
+// others.
 func (g *Gate) arrive(now time.Time, e Arrive) []Op {
 	if !now.Before(e.Deadline) {
 		if len(g.waiting) == 0 && e.Load.InFlight < int(lateFill*float64(e.Load.Capacity)) {
@@ -128,8 +130,8 @@
 	return g.release(now, g.expire(now, nil), e.Load)
 }
 
-// release lets programs begin while there is room, the newest first: it has most
-// of its time left, while one that has waited long is late even if it begins now.
+// release admits waiting programs while there is capacity, the newest first: the newest
+// has the most time left, while one that has waited long is late even if it starts now.
 func (g *Gate) release(now time.Time, ops []Op, l Load) []Op {
 	g.refill(now, l)
 	for l.InFlight < l.Capacity && g.credit >= 1 && len(g.waiting) > 0 {
@@ -142,12 +144,12 @@
 	return ops
 }
 
-// refill reckons how many programs may begin here: this daemon's part of the room,
-// once in the time in which it hears of the others.
+// refill adds to the credit in proportion to the time since the last call: this daemon's
+// share of the free capacity in each Staleness interval.
 //
-// All daemons see the same room, and none sees what the others have just begun. If
-// each let one program begin whenever there is room for one, then with 54 daemons 54
-// would begin.
+// All daemons see the same free capacity, and none sees what the others have just
+// admitted. If each admitted one program whenever there is capacity for one, 54 daemons
+// would admit 54.
 func (g *Gate) refill(now time.Time, l Load) {
 	avail := float64(max(l.Capacity-l.InFlight, 0))
 	if l.Daemons > overcommit {
@@ -161,7 +163,7 @@
 	g.refilled = now
 }
 
-// expire refuses the programs that can't be in time any more.
+// expire refuses the programs whose deadline has passed.
 func (g *Gate) expire(now time.Time, ops []Op) []Op {
 	if now.Before(g.nextExpiry) {
 		return ops
--- a/internal/place/gate/gate_test.go
+++ b/internal/place/gate/gate_test.go
@@ -9,12 +9,12 @@
 
 var start = time.UnixMilli(1_000_000)
 
-func arrive(ticket uint64, slack time.Duration, under int) Arrive {
-	return Arrive{Ticket: ticket, Deadline: start.Add(slack), Load: load(under, 1)}
+func arrive(ticket uint64, slack time.Duration, inFlight int) Arrive {
+	return Arrive{Ticket: ticket, Deadline: start.Add(slack), Load: load(inFlight, 1)}
 }
 
-func load(under, fronts int) Load {
-	return Load{InFlight: under, Capacity: 100, Daemons: fronts, Staleness: 100 * time.Millisecond}
+func load(inFlight, daemons int) Load {
+	return Load{InFlight: inFlight, Capacity: 100, Daemons: daemons, Staleness: 100 * time.Millisecond}
 }
 
 func TestStep(t *testing.T) {
@@ -61,19 +61,20 @@
 	}
 }
 
-// Many programs wait at many daemons when three turns end. Each daemon sees room for
-// three, and hears of the others some time later only. If each let one begin, the
-// engines would be as full as without a gate.
+// Programs wait at many daemons while the shared engines have capacity for three more
+// turns. Every daemon sees those three free and learns only later what the others have
+// admitted. If each admitted one program, the engines would be as overloaded as without
+// a gate.
 func TestDaemonsShareCapacity(t *testing.T) {
-	const fronts, waiting, staleness = 54, 5, 370 * time.Millisecond
+	const daemons, waiting, staleness = 54, 5, 370 * time.Millisecond
 	is := is.New(t)
-	gates := make([]Gate, fronts)
-	full := Load{InFlight: 100, Capacity: 100, Daemons: fronts, Staleness: staleness}
+	gates := make([]Gate, daemons)
+	full := Load{InFlight: 100, Capacity: 100, Daemons: daemons, Staleness: staleness}
 	for i := range gates {
 		for n := range uint64(waiting) {
 			gates[i].Step(start, Arrive{Ticket: n, Deadline: start.Add(time.Minute), Load: full})
 		}
-		gates[i].credit = float64(i) / fronts // as after a while
+		gates[i].credit = float64(i) / daemons // spread as in steady state
 	}
 	admitted := 0
 	for after := staleness / 100; after <= 10*staleness; after += staleness / 100 {
@@ -83,5 +84,5 @@
 			admitted += len(gates[i].Step(start.Add(after), Change{Load: l}))
 		}
 	}
-	is.True(admitted >= 80 && admitted <= 100) // three times the room in each of ten times, not 54
+	is.True(admitted >= 80 && admitted <= 100) // about overcommit times 3 in each of ten intervals, not 54
 }
