--- a/internal/place/sched/admit.go
+++ b/internal/place/sched/admit.go
@@ -12,14 +12,15 @@
 const (
 	defaultQueueLimit = 256
 	defaultQueueWait  = 5 * time.Second
-	// A request is held for its best upstream no longer than this.
+	// Longest time for which a request waits for its cheapest upstream while
+	// another has room.
 	maxHold = time.Second
-	// Requests looked at in one round, so that a step's time is bounded.
+	// Queued requests examined in one dispatch, which bounds the time of a step.
 	dispatchScan  = 16
 	failureMemory = time.Minute
 	minRetryAfter = 500 * time.Millisecond
-	// New programs are refused at this share of the wait that programs under
-	// way may expect.
+	// Maximum expected wait of a new program's first request, as a share of
+	// that of other requests.
 	newProgramShare = 0.5
 )
 
@@ -48,8 +49,8 @@
 	s.dispatch(now, g)
 }
 
-// mayTry refuses a further attempt that could run a request twice, and one
-// that the retry budget does not pay for.
+// admitAttempt refuses a further attempt that could run a request twice, and
+// one that exceeds the retry budget.
 func (s *Sched) admitAttempt(a Submit, last failure, again bool) bool {
 	idempotent := a.Idempotent || a.Service == ""
 	switch {
@@ -64,11 +65,11 @@
 		}
 		return true
 	}
-	return false // the failure stays known: asking again must not help
+	return false // the failure stays recorded, so that submitting again is refused too
 }
 
-// reachable reports whether any upstream could take the request, now or later
-// in the queue.
+// reachable reports whether any usable upstream could serve the request, even
+// if it has no room yet.
 func (s *Sched) reachable(now time.Time, g *group, r *request) bool {
 	for _, i := range g.ups {
 		u := s.ups[i]
@@ -96,7 +97,8 @@
 	return s.jitter(first)
 }
 
-// enqueue admits the request or refuses it, or another one that counts less.
+// enqueue queues the request, or refuses it if the expected wait is too long.
+// A full queue then drops one request, which may be another.
 func (s *Sched) enqueue(now time.Time, g *group, slot int32) {
 	r := &s.requests[slot]
 	key := queue.Key(now.Sub(s.start).Seconds(), r.submit.Priority, r.submit.Attained, s.accounts[r.submit.Account]-1)
@@ -121,8 +123,8 @@
 	}
 }
 
-// expire refuses requests that waited twice as long as was promised. It is a
-// guard: admission refuses at arrival what it expects to wait too long.
+// expire refuses requests that have waited for twice the maximum wait. This
+// is a safeguard: enqueue already refuses requests with a too long expected wait.
 func (s *Sched) expire(now time.Time, g *group) {
 	for i := 0; i < g.queue.Len(); {
 		slot := g.queue.At(i).ID
@@ -142,13 +144,14 @@
 	return defaultQueueWait
 }
 
-// wait estimates how long a request waits behind so many others.
+// wait estimates how long a request waits behind ahead others.
 func (g *group) wait(ahead int) time.Duration {
 	mean := g.speed.Mean()
 	return time.Duration(float64(ahead+1) * mean / max(g.capacity, 1) * float64(time.Second))
 }
 
-// spread spreads callers that are told to come back over twice the time.
+// jitter returns a random delay of d to 2d, at least minRetryAfter, so that
+// refused callers don't retry all at once.
 func (s *Sched) jitter(d time.Duration) time.Duration {
 	d = max(d, minRetryAfter)
 	return d + time.Duration(s.rng.Float64()*float64(d))
--- a/internal/place/sched/attempt.go
+++ b/internal/place/sched/attempt.go
@@ -10,30 +10,30 @@
 )
 
 type (
-	// request is one request from its Ask to the end of its attempts.
+	// request is one request from its Submit to the end of its attempts.
 	request struct {
 		submit     Submit
 		arrived    time.Time
-		notBefore  time.Time // not sent before
-		lastFailed string    // the upstream that failed it last
+		notBefore  time.Time // end of the backoff after a failed attempt
+		lastFailed string    // upstream of the last failed attempt
 		queued     bool
 		used       bool
 		attempts   [2]attempt // the second is a hedge
 	}
 
-	// service is what was learnt of one service, wherever it ran.
+	// service holds the statistics of one service over all its upstreams.
 	service struct {
 		hedge hedge.Hedge
 		speed speed.Speed
 	}
 
 	attempt struct {
-		up       int
-		at       time.Time
-		first    time.Time
-		uncached int     // tokens expected to be computed
-		beside   float64 // requests at the upstream when it was sent
-		active   bool
+		up         int
+		at         time.Time
+		first      time.Time
+		uncached   int     // tokens expected to be computed
+		concurrent float64 // other requests at the upstream when it was sent
+		active     bool
 	}
 )
 
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// open takes a slot for the request.
+// open allocates a slot for the request.
 func (s *Sched) open(now time.Time, a Submit, lastFailed failure, again bool) int32 {
 	var slot int32
 	if n := len(s.free); n > 0 {
@@ -164,7 +164,7 @@
 	s.freed = none
 }
 
-// judge learns from how the attempt ended.
+// recordOutcome updates the breaker, the limit and the estimates.
 func (s *Sched) recordOutcome(now time.Time, r *request, t *attempt, m Done) {
 	u := s.ups[t.up]
 	switch m.Outcome {
@@ -188,8 +188,8 @@
 	u.speed.ObserveCall(now, took)
 	g.speed.ObserveCall(now, took)
 	if r.submit.Service != "" {
-		u.speed.ObserveFactor(took.Seconds(), g.callTime.At(t.beside))
-		g.callTime.Observe(t.beside, took.Seconds())
+		u.speed.ObserveFactor(took.Seconds(), g.callTime.At(t.concurrent))
+		g.callTime.Observe(t.concurrent, took.Seconds())
 		sv := s.service(r.submit.Service)
 		sv.speed.ObserveCall(now, took)
 		sv.hedge.Observe(now, took)
@@ -208,9 +208,9 @@
 	g.answerTokens += outputAlpha * (float64(m.Usage.Output) - g.answerTokens)
 	if m.Usage.Output > 1 {
 		each := now.Sub(t.first).Seconds() / float64(m.Usage.Output)
-		beside := (t.beside + float64(u.load.Inflight()) + u.load.Others(now)) / 2
-		u.speed.ObserveFactor(each, g.tokenTime.At(beside))
-		g.tokenTime.Observe(beside, each)
+		concurrent := (t.concurrent + float64(u.load.Inflight()) + u.load.Others(now)) / 2
+		u.speed.ObserveFactor(each, g.tokenTime.At(concurrent))
+		g.tokenTime.Observe(concurrent, each)
 	}
 }
 
@@ -226,7 +226,7 @@
 }
 
 // hedge starts a second attempt of idempotent service calls that have taken
-// longer than 95 of 100, while the hedge budget lasts.
+// longer than the 95th percentile, while the hedge budget lasts.
 func (s *Sched) hedge(now time.Time) {
 	for slot := range s.requests {
 		r := &s.requests[slot]
--- a/internal/place/sched/bench_test.go
+++ b/internal/place/sched/bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// large returns a machine with 1,100 engines and 5,000 programs, each with a
-// prompt of 100 blocks of which the first is shared by a hundred, and a
-// request of one of them.
+// largeFleet returns a scheduler with 1,100 engines and 5,000 programs, each
+// with a prompt of 100 blocks of which the first is shared by a hundred
+// programs, and a request of one of them.
 func largeFleet() (s *Sched, r request) {
 	s = &Sched{Seed: 1}
 	f := fleet(1100)
@@ -74,8 +74,8 @@
 	}
 }
 
-// BenchmarkPress asks for 35,000 accounts in turn while all is full, so that
-// each request is queued in the place of another or refused.
+// BenchmarkSubmitOverloaded submits for 35,000 accounts in turn to a full
+// group, so that each request displaces a queued one or is refused.
 func BenchmarkSubmitOverloaded(b *testing.B) {
 	s, _ := largeFleet()
 	f := fleet(4)
--- a/internal/place/sched/fair_test.go
+++ b/internal/place/sched/fair_test.go
@@ -12,10 +12,10 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// press keeps a group of four slots busy for ten minutes. In each tick every
-// account asks as often as the function says, and what runs ends after its
-// second. It returns how many requests of each account were served.
-func runLoad(asks func(account int, rng *rand.Rand) int, accounts int, edit func(account int, a *Submit)) map[int]int {
+// runLoad simulates ten minutes of load on a group with four slots. In each
+// tick, every account submits as many requests as rate returns; each request
+// runs for a second. It returns the number of requests served by account.
+func runLoad(rate func(account int, rng *rand.Rand) int, accounts int, edit func(account int, a *Submit)) map[int]int {
 	var s Sched
 	f := fleet(2)
 	f.Groups["engines"] = file.Group{Kind: file.Engines, QueueLimit: 60, QueueWait: 20 * time.Second, MaxInflight: 2}
@@ -38,7 +38,7 @@
 	}
 	for now.Sub(epoch) < 10*time.Minute {
 		for _, account := range rng.Perm(accounts) {
-			for range asks(account, rng) {
+			for range rate(account, rng) {
 				n++
 				a := submit(fmt.Sprint(n))
 				a.Account = fmt.Sprint(account)
@@ -69,9 +69,9 @@
 	return served
 }
 
-// One chain's programs ask twenty times as often as each other account. Served
-// in the order of arrival, it would take most of the engines, and the callers
-// of all others would be refused.
+// One account submits twenty times as many requests as each other. Served in
+// order of arrival, it would occupy most of the engines, and requests of the
+// other accounts would be refused.
 func TestAccountsShareFairly(t *testing.T) {
 	is := is.New(t)
 	served := runLoad(func(account int, rng *rand.Rand) int {
@@ -90,13 +90,13 @@
 			least = min(least, n)
 		}
 	}
-	is.True(total > 2200) // of 2,400: the slots stay busy
+	is.True(total > 2200) // of 2,400, so the slots stay busy
 	is.True(served[0] < 2*total/12)
 	is.True(least > total/12/2)
 }
 
-// A stream of urgent requests that alone would fill the group. Without ageing
-// a request of low priority would wait for as long as it lasts.
+// One account submits enough high-priority requests to fill the group. Without
+// ageing, requests of low priority would wait until that load ends.
 func TestNoStarvation(t *testing.T) {
 	is := is.New(t)
 	served := runLoad(func(account int, _ *rand.Rand) int {
@@ -116,12 +116,12 @@
 			a.Priority = 1
 		}
 	})
-	is.True(mixed[0] > mixed[1]) // urgent first
-	is.True(mixed[1] > 0)        // but not only
+	is.True(mixed[0] > mixed[1]) // high priority first
+	is.True(mixed[1] > 0)        // but low priority is served too
 }
 
-// In a group of a hundred full upstreams one comes free. The request that
-// waits must find it, although only a few upstreams are compared for each.
+// One of a hundred full upstreams gets a free slot. The queued request must be
+// sent there, although only a few upstreams are sampled for each decision.
 func TestFreedUpstreamIsFound(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -135,7 +135,7 @@
 			at = append(at, id+" "+up)
 			continue
 		}
-		for assigned(s.Step(epoch, Tick{}), id) == "" { // until the sample meets a free one
+		for assigned(s.Step(epoch, Tick{}), id) == "" { // until the sample contains a free one
 			continue
 		}
 		at = append(at, id)
@@ -147,14 +147,14 @@
 	is.Equal(assigned(s.Step(epoch, Done{ID: id, Upstream: up}), "waits"), up)
 }
 
-// Calls of one service differ by ten times in the work they ask for. If the
-// shortest were taken for what all should take, the limit would shrink while
-// the service is idle, and callers would be refused for nothing. A crowded
-// service, where all take longer, must still be noticed.
+// Calls of one service differ by a factor of ten in duration. If the shortest
+// were the expected duration of all, the limit would shrink while the service
+// is idle, and requests would be refused without need. An overloaded service,
+// where all calls take longer, must still be detected.
 func TestLimitOfUnequalCalls(t *testing.T) {
 	tests := map[string]struct {
-		slots     int // of each of two tools
-		low, high int // where the limits must end
+		slots     int // of each of two upstreams
+		low, high int // bounds of the limits at the end
 	}{
 		"idle":    {1000, 8, 1000},
 		"crowded": {3, 1, 12},
@@ -191,8 +191,8 @@
 				running = still
 				for _, e := range out {
 					if a, ok := e.(Assign); ok {
-						beside := s.ups[s.byName[a.Upstream]].load.Inflight()
-						took := (20 + 180*rng.Float64()) * max(1, float64(beside)/float64(tt.slots))
+						inflight := s.ups[s.byName[a.Upstream]].load.Inflight()
+						took := (20 + 180*rng.Float64()) * max(1, float64(inflight)/float64(tt.slots))
 						running = append(running, run{a.ID, a.Upstream, now.Add(time.Duration(took * float64(time.Millisecond)))})
 					}
 				}
@@ -205,8 +205,8 @@
 	}
 }
 
-// Other daemons have an upstream as full as it may be. Counting only its own
-// work, each of many daemons would send as much as all may together.
+// Other daemons' requests fill an upstream to its limit. If a daemon counted
+// only its own requests, each of many would send as many as all may together.
 func TestBoundCountsWorkOfOthers(t *testing.T) {
 	is := is.New(t)
 	var s Sched
--- a/internal/place/sched/machine.go
+++ b/internal/place/sched/machine.go
@@ -12,10 +12,10 @@
 )
 
 type (
-	// Sched is the machine. The zero value works and refuses every request
-	// until it is configured.
+	// Sched is the scheduler. The zero value refuses every request until it is
+	// configured.
 	Sched struct {
-		Seed uint64 // of the sampling among upstreams; differs between daemons
+		Seed uint64 // of the random choices; must differ between daemons
 
 		cfg      file.File
 		weights  score.Weights
@@ -23,12 +23,12 @@
 		rng      *rand.Rand
 		ups      []*upstream
 		byName   map[string]int
-		engines  []int // those of ups that are swept
+		engines  []int // indices of the upstreams that are swept
 		groups   map[string]*group
 		requests []request
 		free     []int32
 		byID     map[string]int32
-		accounts map[string]int // requests in the system
+		accounts map[string]int // requests queued or in flight
 		failed   map[string]failure
 		pruned   time.Time
 		services map[string]*service
@@ -36,13 +36,14 @@
 		hedges   retry.Budget
 		index    prefix.Index
 		sweep    sweep.Sweep
-		// freed is where an attempt has just ended. In a large and full group
-		// a small sample would seldom meet the few upstreams with room.
+		// freed is the upstream at which an attempt has just ended. In a large
+		// and full group a small sample rarely contains one of the few
+		// upstreams with room.
 		freed int
 		out   []Effect
 	}
 
-	// failure is how the last attempt of a request ended.
+	// failure records the failed attempts of a request.
 	failure struct {
 		at       time.Time
 		upstream string
@@ -85,7 +86,7 @@
 }
 
 func (s *Sched) setup(now time.Time) {
-	s.out = nil // the caller may keep the last effects while others call Step
+	s.out = nil // not reused: the caller may still hold the last effects
 	if s.rng != nil {
 		return
 	}
@@ -116,7 +117,7 @@
 	s.prune(now)
 }
 
-// prune forgets failures whose request never came back.
+// prune removes failures whose request was not submitted again.
 func (s *Sched) prune(now time.Time) {
 	if now.Sub(s.pruned) < failureMemory {
 		return
--- a/internal/place/sched/memory.go
+++ b/internal/place/sched/memory.go
@@ -6,19 +6,18 @@
 )
 
 const (
-	// Exports of one leaving upstream; more would hold up its own streams.
+	// Most exports of one leaving upstream; more would delay its streams.
 	maxExports = 256
 )
 
-// cache takes cache events.
 func (s *Sched) cache(m Cache) {
 	if i, ok := s.byName[m.Upstream]; ok {
 		s.index.Apply(i, m.Events)
 	}
 }
 
-// ended releases the program's memory wherever it was placed, here or by an owner before
-// this one, whose placements are not known here.
+// programEnded releases the program's memory at each engine that may hold some: those
+// where this owner placed it, and those in the message, where a previous owner did.
 func (s *Sched) programEnded(m ProgramEnded) {
 	if e, ok := s.index.Home(m.Program); ok && s.ups[e].group != nil {
 		g := s.ups[e].group
@@ -36,8 +35,8 @@
 	s.index.End(m.Program)
 }
 
-// forget drops a program that another daemon owns now. Its attempts that are
-// still under way here must not release its memory when they end.
+// programMoved removes a program that another daemon owns now. Attempts that
+// are still in flight here must not release its memory when they end.
 func (s *Sched) programMoved(program string) {
 	s.index.End(program)
 	for i := range s.requests {
@@ -47,8 +46,9 @@
 	}
 }
 
-// late releases again where an attempt outlived its program: the engine went
-// on after the first release and left memory that nobody would release.
+// releaseLate releases the memory again after an attempt that ended later than
+// its program: the engine continued after the first release and left memory
+// that would leak until the next sweep.
 func (s *Sched) releaseLate(r *request, upstream string) {
 	if len(r.submit.Blocks) > 0 && !s.index.Known(r.submit.Program) {
 		s.emit(Release{Upstream: upstream, Program: r.submit.Program})
@@ -61,9 +61,9 @@
 	}
 }
 
-// leave exports, once, what programs still need of an upstream that leaves.
-// Without that every program there would pay its whole prefill again, all at
-// the same moment.
+// handleLeaving exports, once, the cached prefixes of the programs on a
+// leaving upstream. Otherwise each of them would have to compute its whole
+// prompt again, all at the same time.
 func (s *Sched) handleLeaving(now time.Time, i int, u *upstream) {
 	if !u.leaving() {
 		u.leaveHandled = false
@@ -84,7 +84,7 @@
 
 func (s *Sched) export(now time.Time, from int, program string) {
 	if len(s.index.Holders(program)) > 1 {
-		return // another engine holds it, perhaps an older part
+		return // another engine holds at least an older part
 	}
 	u := s.ups[from]
 	r := request{submit: Submit{Program: program, Group: u.group.name}}
--- a/internal/place/sched/memory_test.go
+++ b/internal/place/sched/memory_test.go
@@ -18,15 +18,15 @@
 	a.Blocks = prompt(1, 2)
 	up := assigned(s.Step(epoch, a), "1")
 	is.Equal(s.Step(epoch, ProgramEnded{Program: a.Program}), []Effect{Release{Upstream: up, Program: a.Program}})
-	// The stream went on for a moment and left memory after the release.
+	// The stream continued after the release and left memory again.
 	is.Equal(s.Step(epoch, Done{ID: "1", Upstream: up, Outcome: Cancelled}), []Effect{Release{Upstream: up, Program: a.Program}})
 }
 
 // Some of a program's calls ran while another daemon owned it. Each engine that may hold
-// memory for it must free that once, whoever chose it.
+// memory for it must get one release, whichever daemon placed the calls.
 func TestMemoryFromPreviousOwnerIsReleased(t *testing.T) {
 	cases := map[string]struct {
-		placed  bool // a call here
+		placed  bool // by this owner too
 		engines []string
 		want    []Effect
 	}{
@@ -52,8 +52,9 @@
 	}
 }
 
-// A shard moved to another daemon while one of its calls is still answered
-// here. A release when that ends would take the cache from the new owner.
+// A shard moved to another daemon while one of its calls is still in flight
+// here. A release at the end of that call would drop the cache that the new
+// owner uses.
 func TestMovedProgramIsNotReleased(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -79,8 +80,8 @@
 	is.True(got[0].(Export).To != up)
 }
 
-// A daemon died before it released what its programs held. The sweep finds
-// them with nobody to answer for them, twice, and has them released.
+// A daemon died before it released its programs' engine memory. The sweep must
+// release a program that two readings in a row found without an owner.
 func TestSweepReleasesOrphans(t *testing.T) {
 	is := is.New(t)
 	var s Sched
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -9,31 +9,30 @@
 )
 
 const (
-	// sample is the number of upstreams that are compared, drawn among all and
-	// again among those that hold a part of the prompt. Owners that all
-	// compared the whole fleet by the same reports would all send to the same
-	// one.
+	// sample is the number of upstreams drawn for comparison from the whole
+	// group, and again from those that hold a part of the prompt. Owners that
+	// compared all upstreams by the same reports would all choose the same one.
 	sample = 3
 	none   = -1
-	// Calls to come that are counted; a program may move before its end.
+	// Most calls of a program that are counted; it may move before its end.
 	maxCalls = 8
-	// How much of the usual work of other owners counts for calls to come. It
-	// is known with so much noise that programs would chase it.
+	// Weight of other owners' average load in the cost of later calls. The
+	// estimate is so noisy that programs would move after each fluctuation.
 	othersWeight = 0.3
-	// What is assumed before any program has ended: its calls, the part of
-	// its life that it has one under way, and by which part each request
-	// slows those beside it. An owner that began with nothing would put all
-	// its first programs where the first was put.
+	// Assumptions before the first measurements: the calls of a program, the
+	// share of its lifetime that it has one in flight, and the relative slowdown
+	// by each concurrent request. With zeros, an owner would place all its first
+	// programs on the upstream of the first one.
 	defaultCalls = 4
 	defaultDuty  = 0.3
 	defaultRise  = 0.1
 )
 
 type (
-	// choice is the cheapest upstream, and the cheapest of those that have
+	// choice holds the cheapest upstream and the cheapest of those that have
 	// room for one more request now.
 	choice struct {
-		home               int // where the program was sent last
+		home               int // where the program's last request was sent, or none
 		best, free         int
 		bestCost, freeCost float64
 	}
@@ -124,9 +123,9 @@
 	}
 }
 
-// later returns the seconds that the calls to come of a program would cost at
-// the upstream. Programs stay where their prefix is, so what counts is not the
-// work there at this moment but how many programs live there.
+// later returns the seconds that the remaining calls of a program would take
+// at the upstream. Programs stay where their prefix is cached, so this depends
+// not on the current load but on the average one and the programs placed there.
 func (s *Sched) later(now time.Time, g *group, i int, factor float64, stays bool) float64 {
 	programCalls := min(g.programCalls, maxCalls)
 	if programCalls == 0 {
@@ -145,8 +144,8 @@
 	return programCalls * (service*factor + rise*n)
 }
 
-// service returns the seconds that one request takes beside n others, and by
-// how much each of them adds.
+// service returns the seconds that one request takes with n others in flight,
+// and how much each of them adds.
 func (g *group) service(n float64) (seconds, rise float64) {
 	if g.conf.Kind == file.Services {
 		return g.callTime.At(n), g.callTime.Rise()
@@ -165,9 +164,9 @@
 	return min(max(0, missing-room), missing)
 }
 
-// dispatch sends waiting requests, the first in order first, as long as there
-// is room. A request whose best upstream is full is passed over for a while:
-// its turn there costs less than its prefill elsewhere.
+// dispatch sends queued requests in order while there is room. A request whose
+// cheapest upstream is full is skipped for up to maxHold: waiting there costs
+// less than its prefill elsewhere.
 func (s *Sched) dispatch(now time.Time, g *group) {
 	for i, seen := 0, 0; i < g.queue.Len() && seen < dispatchScan; seen++ {
 		slot := g.queue.At(i).ID
@@ -181,7 +180,8 @@
 	}
 }
 
-// place returns where to send the request now, if it is to be sent now.
+// place returns the upstream to which to send the request; ok is false if it
+// is not to be sent now.
 func (s *Sched) place(now time.Time, slot int32) (up int, ok bool) {
 	r := &s.requests[slot]
 	if now.Before(r.notBefore) {
@@ -200,8 +200,8 @@
 func (s *Sched) send(now time.Time, slot int32, up int, second bool) {
 	r, u := &s.requests[slot], s.ups[up]
 	expected := s.uncached(up, r.submit.Blocks, r.submit.Prompt)
-	beside := float64(u.load.Inflight()) + u.load.Others(now)
-	r.start(attempt{up: up, at: now, uncached: expected, beside: beside, active: true})
+	concurrent := float64(u.load.Inflight()) + u.load.Others(now)
+	r.start(attempt{up: up, at: now, uncached: expected, concurrent: concurrent, active: true})
 	r.queued = false
 	u.load.Start(now)
 	u.breaker.Sent(now)
@@ -211,7 +211,7 @@
 	s.emit(Assign{ID: r.submit.ID, Upstream: u.name, Address: u.conf.Address, Hedge: second})
 }
 
-// uncached returns how many tokens of the prompt the upstream must compute.
+// uncached returns the tokens of the prompt that the upstream must compute.
 func (s *Sched) uncached(up int, blocks []engine.Block, prompt int) int {
 	if len(blocks) == 0 {
 		return prompt
--- a/internal/place/sched/sched.go
+++ b/internal/place/sched/sched.go
@@ -1,11 +1,11 @@
-// Package sched chooses the upstream and the moment for each request of the
-// programs that one daemon owns.
+// Package sched schedules the requests of the programs that one daemon owns: it
+// decides to which upstream each request is sent, and when.
 //
 // Sched is a state machine: Step takes the time and one message and returns
 // the effects to carry out. It holds no clock, goroutine or socket, and its
-// only randomness comes from Seed, so that a replayed trace takes the same
-// decisions as production. The order of calls within a program is kept by its
-// caller, which asks for at most one call of a program at a time.
+// only randomness comes from Seed, so that the replay of a trace makes the same
+// decisions as production. The caller keeps the order of calls within a
+// program by submitting at most one call of a program at a time.
 package sched
 
 import (
@@ -18,33 +18,33 @@
 )
 
 const (
-	// Succeeded is an attempt with a whole answer.
+	// Succeeded is an attempt with a complete answer.
 	Succeeded Outcome = iota
 	// Failed is an attempt that failed after it may have reached the upstream.
 	Failed
 	// Unsent is an attempt of which no byte reached the upstream.
 	Unsent
-	// Withdrawn is an attempt that its caller gave up.
+	// Cancelled is an attempt that its caller cancelled.
 	Cancelled
 )
 
 type (
-	// Outcome tells how an attempt ended.
+	// Outcome is the result of an attempt.
 	Outcome int
 
-	// Message is what Sched reacts to.
+	// Message is an input of Step.
 	Message interface{ message() }
 
-	// Configure puts a configuration in force.
+	// Configure applies a configuration.
 	Configure struct{ File file.File }
 
-	// Ask queues a request. It is answered by one Assign or one Refuse; a
-	// further attempt is a new Ask with the same ID and Avoid set.
+	// Submit queues a request. It is answered by one Assign or one Refuse; a
+	// further attempt is a new Submit with the same ID and Avoid set.
 	Submit struct {
 		ID         string
-		Account    string // whose share counts when there is not enough for all
+		Account    string // for fair sharing under overload
 		Program    string
-		Root       string // the family whose attained service counts
+		Root       string // root of the program's family, to which Attained applies
 		Group      string
 		Model      string // empty for a service
 		Service    string // empty for a model
@@ -52,19 +52,19 @@
 		Prompt     int // tokens
 		MaxTokens  int
 		Priority   int
-		Attained   int64 // tokens that the family was served so far
+		Attained   int64 // attained service of the family, in tokens
 		Avoid      []string
 		Idempotent bool
 		Retry      bool // counts against the retry budget
 	}
 
-	// Withdraw takes back a request that is queued or under way.
+	// Cancel cancels a request that is queued or in flight.
 	Cancel struct{ ID string }
 
-	// First tells that the first piece of an assigned request's answer came.
+	// First reports the first chunk of the answer to an assigned request.
 	First struct{ ID, Upstream string }
 
-	// Done tells that an assigned attempt ended.
+	// Done reports the end of an assigned attempt.
 	Done struct {
 		ID       string
 		Upstream string
@@ -72,7 +72,7 @@
 		Usage    engine.Usage // zero for a service
 	}
 
-	// Load is an upstream's load report, at least as old as it says.
+	// Load is an upstream's load report, measured at Report.At or earlier.
 	Load struct {
 		Upstream string
 		Report   engine.Load
@@ -84,36 +84,37 @@
 		Events   []engine.Event
 	}
 
-	// VMs is a reading of the platform's list.
+	// VMs is the platform's list of VMs.
 	VMs struct{ List []vmlist.VM }
 
-	// Ended tells that a program is over and its memory not needed. Engines ran its
-	// calls, as the journal has them; some while another daemon owned the program.
+	// ProgramEnded reports that a program has ended and its engine memory is no longer
+	// needed. Engines are those that ran its calls according to the journal, some of
+	// them while another daemon owned the program.
 	ProgramEnded struct {
 		Program string
 		Engines []string
 	}
 
-	// Forget tells that another daemon owns the program now: nothing is
-	// released, as the program goes on.
+	// ProgramMoved reports that another daemon owns the program now. Its memory is
+	// not released, as the program continues.
 	ProgramMoved struct{ Program string }
 
-	// Held is an engine's answer to List: the programs it holds memory for.
-	// Live are those of them that some owner still knows.
+	// Held is an engine's answer to List: the programs for which it holds
+	// memory. Live are those that still have an owner.
 	Held struct {
 		Upstream string
 		Programs []string
 		Live     []string
 	}
 
-	// Tick lets time pass; one is due every 100 ms or so.
+	// Tick drives the timeouts; it should be sent about every 100 ms.
 	Tick struct{}
 
-	// Effect is what Sched wants done.
+	// Effect is an output of Step, for the caller to carry out.
 	Effect interface{ effect() }
 
 	// Assign sends the request to the upstream. Hedge marks a second attempt
-	// beside one that is still under way; the first answer counts.
+	// while another is in flight; the first answer is used.
 	Assign struct {
 		ID       string
 		Upstream string
@@ -121,7 +122,7 @@
 		Hedge    bool
 	}
 
-	// Refuse ends the request, which was not sent.
+	// Refuse ends a request that was not sent.
 	Refuse struct {
 		ID         string
 		Code       result.Code
@@ -132,10 +133,10 @@
 	// Release orders the upstream to free what it holds for the program.
 	Release struct{ Upstream, Program string }
 
-	// Export orders the upstream to send the program's prefix to another.
+	// Export orders the upstream to send the program's prefix to the upstream To.
 	Export struct{ Upstream, Program, To string }
 
-	// List asks what the engine holds; its answer is Held.
+	// List asks the engine for the programs that it holds; its answer is Held.
 	List struct{ Upstream string }
 )
 
--- a/internal/place/sched/sched_test.go
+++ b/internal/place/sched/sched_test.go
@@ -16,7 +16,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a configuration with n engines e0, e1 ... and two tools t0, t1.
+// fleet returns a configuration with n engines e0, e1 ... and two service
+// upstreams t0, t1.
 func fleet(n int) file.File {
 	f := file.File{
 		Limits: file.Limits{RetryShare: 0.1, HedgeShare: 0.1},
@@ -106,9 +107,9 @@
 	}
 }
 
-// An upstream that is being replaced says so in its load report, or the
-// platform's list does, whichever is first. A request that is sent there
-// afterwards dies with it, and its user waits for a second attempt.
+// An upstream that is being replaced is marked as leaving in its load report or
+// in the platform's list, whichever is first. A request sent there afterwards
+// would fail with it and need a second attempt.
 func TestLeavingGetsNoNewWork(t *testing.T) {
 	tests := map[string]struct{ notice Message }{
 		"own signal":       {Load{Upstream: "e0", Report: engine.Load{Seq: 1, Leaving: true}}},
@@ -138,8 +139,8 @@
 	return f
 }
 
-// An attempt fails after the upstream may have begun it. If it were sent
-// again, a receipt would be issued twice.
+// A non-idempotent attempt fails after the upstream may have executed it. Sent
+// again, it would for instance issue a receipt twice.
 func TestRetryOnlyWhereSafe(t *testing.T) {
 	tests := map[string]struct {
 		idempotent bool
@@ -164,7 +165,7 @@
 			got := s.Step(epoch, a)
 			if r, ok := refused(got, "1"); ok {
 				is.Equal(r.Code, tt.want)
-				r, ok = refused(s.Step(epoch, a), "1") // insisting does not help
+				r, ok = refused(s.Step(epoch, a), "1") // submitting again is refused too
 				is.True(ok)
 				is.Equal(r.Code, tt.want)
 				return
@@ -176,8 +177,8 @@
 	}
 }
 
-// A receipt printer's worker refuses a connection. Sent there again, the
-// request fails again and its user waits for nothing.
+// An upstream refuses connections. A further attempt must go elsewhere, or it
+// would fail again.
 func TestRetryAvoidsFailedUpstream(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -189,7 +190,7 @@
 		a := submitTool(fmt.Sprint(i))
 		first := assigned(s.Step(now, a), a.ID)
 		s.Step(now, Done{ID: a.ID, Upstream: first, Outcome: Unsent})
-		out := s.Step(now, a) // its caller forgot Retry and Avoid
+		out := s.Step(now, a) // without Retry and Avoid
 		second := assigned(append(out, s.Step(now.Add(time.Second), Tick{})...), a.ID)
 		now = now.Add(time.Minute / 2)
 		is.True(second != "" && second != first)
@@ -197,9 +198,9 @@
 	}
 }
 
-// Every upstream of a group fails at once, and every request asks for another
-// attempt. Without a budget the load doubles in the moment it can be borne
-// least; with it the retries stay a share of the traffic.
+// A further attempt is submitted for every request, as when all upstreams of a
+// group fail. Without a budget the load would double when the group can least
+// serve it; with it the retries stay a share of the traffic.
 func TestRetriesAreAShareOfTraffic(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -226,8 +227,8 @@
 	is.True(spent >= 95 && spent <= 110)
 }
 
-// An operator declares a share of 0 to have no further attempts at all. Taken
-// for an unset value it would allow a tenth.
+// A configured share of 0 disables further attempts. Taken for an unset value
+// it would allow a tenth.
 func TestZeroShareDisables(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -250,8 +251,8 @@
 	is.Equal(r.Code, result.CodeUpstreamFailed)
 }
 
-// One tool crashes and refuses every connection. Until its breaker opens each
-// request that meets it is delayed by a failed attempt.
+// An upstream crashes and refuses every connection. Until its breaker opens,
+// each request sent there is delayed by a failed attempt.
 func TestBreakerStopsRequests(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -276,11 +277,11 @@
 			probes++
 		}
 	}
-	is.Equal(probes, 1) // half-open: one at a time
+	is.Equal(probes, 1) // half-open: one probe at a time
 }
 
-// A group takes four requests at a time and four more may wait. The callers of
-// the others hear at once that their request did not run, and when to return.
+// A group runs four requests at a time and four more may queue. The others are
+// refused at once as overloaded, with a retry delay.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -321,11 +322,12 @@
 	is.Equal(len(got), 1)
 	hedge := got[0].(Assign)
 	is.True(hedge.Hedge && hedge.Upstream != up)
-	is.Equal(assigned(s.Step(now.Add(300*time.Millisecond), Tick{}), "slow"), "") // one hedge only
+	is.Equal(assigned(s.Step(now.Add(300*time.Millisecond), Tick{}), "slow"), "") // at most one hedge
 }
 
-// All upstreams hang, and what waits was promised a turn that does not come.
-// Its callers hear so, and that it did not run, while they still listen.
+// All upstreams hang, so a queued request waits longer than was estimated at its
+// arrival. It must be refused after twice the maximum wait, before its caller
+// times out.
 func TestQueueWaitIsBounded(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -358,8 +360,8 @@
 	}
 }
 
-// An upstream is replaced by another process under the same name. What was
-// learnt of the old one, here that it fails, must not keep work from the new.
+// An upstream is replaced by a new process under the same name. The state of the
+// old one, here its open breaker, must not apply to the new one.
 func TestReplacedUpstreamStartsFresh(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -373,7 +375,7 @@
 	r, ok := refused(s.Step(epoch, submit("no")), "no")
 	is.True(ok)
 	is.Equal(r.Code, result.CodeNoUpstream)
-	is.True(r.RetryAfter > 0) // when the breaker lets a probe through
+	is.True(r.RetryAfter > 0) // until the breaker allows a probe
 	u := f.Upstreams["e0"]
 	u.Address = "127.0.0.1:99"
 	f.Upstreams["e0"] = u
--- a/internal/place/sched/upstream.go
+++ b/internal/place/sched/upstream.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// One request may wait inside an upstream, so that it has no idle moment
-	// while the end of another is reported.
+	// One request may queue inside an upstream, so that the upstream is not idle
+	// while the end of another request is being reported.
 	upstreamBacklog = 1
-	// Parts of the newest value in running means.
+	// Weights of the newest value in exponential moving averages.
 	dutyAlpha  = 0.02
 	callsAlpha = 0.05
 )
@@ -34,10 +34,10 @@
 		limit        limit.Limit
 		breaker      brkr.Breaker
 		speed        speed.Speed
-		listed       bool // the platform's list had it
-		delisted     bool // the list calls it leaving, or had it and has it no more
-		undeclared   bool // not in the configuration in force
-		leaveHandled bool // its leaving was acted on
+		listed       bool // was in the platform's list
+		delisted     bool // leaving according to the list, or no longer in it
+		undeclared   bool // not in the current configuration
+		leaveHandled bool // handleLeaving has run
 	}
 
 	group struct {
@@ -46,12 +46,12 @@
 		ups          []int
 		queue        queue.Queue
 		speed        speed.Speed
-		capacity     float64     // requests that its usable upstreams take at a time
+		capacity     float64     // concurrent requests that its usable upstreams accept
 		answerTokens float64     // mean tokens of an answer
 		programCalls float64     // mean calls of a program
-		duty         float64     // mean share of its life that a program has a call under way
-		tokenTime    slope.Slope // seconds of one token of an answer, by the requests beside it
-		callTime     slope.Slope // seconds of one service call
+		duty         float64     // mean share of its lifetime that a program has a call in flight
+		tokenTime    slope.Slope // seconds per output token, by concurrent requests
+		callTime     slope.Slope // seconds per service call, by concurrent requests
 	}
 )
 
@@ -65,9 +65,9 @@
 	return model == "" || len(u.conf.Models) == 0 || slices.Contains(u.conf.Models, model)
 }
 
-// room reports whether one more request may be sent. The configured bound
-// counts the work of all owners; one request of this owner is always let
-// through, or the others could shut it out for good.
+// room reports whether one more request may be sent. The configured limit
+// counts the requests of all owners. One request of this owner is always
+// admitted, or the others could starve it.
 func (u *upstream) room(now time.Time) bool {
 	own := u.load.Inflight()
 	if own == 0 {
@@ -84,7 +84,8 @@
 	return most == 0 || total < float64(most)
 }
 
-// configure keeps what was learnt of upstreams that stay.
+// configure applies the configuration and keeps the state of upstreams that
+// are still configured.
 func (s *Sched) configure(now time.Time, f file.File) {
 	s.cfg = f
 	s.weights = score.Weights{Latency: f.System.LatencyWeight, Cache: f.System.CacheWeight}
@@ -113,8 +114,8 @@
 	}
 }
 
-// share turns a declared share of 0, which is none, into the one that pays for
-// nothing.
+// budgetShare maps a configured share of 0, which disables further attempts,
+// to a negative value: retry.Budget takes 0 for its default.
 func budgetShare(v float64) float64 {
 	if v == 0 {
 		return -1
@@ -131,7 +132,7 @@
 	}
 	u := s.ups[i]
 	if u.conf.Address != conf.Address {
-		s.ups[i] = &upstream{name: name} // another process under the same name
+		s.ups[i] = &upstream{name: name} // a new process under the same name
 		u = s.ups[i]
 		s.index.Reset(i)
 	}
@@ -153,7 +154,7 @@
 
 func (s *Sched) groupNames() []string { return slices.Sorted(maps.Keys(s.groups)) }
 
-// measure sums up the group's upstreams.
+// measure updates the group's totals and averages from its upstreams.
 func (g *group) measure(s *Sched, now time.Time) {
 	g.capacity = 0
 	homes, inflight, others := 0, 0, 0.0
@@ -177,7 +178,7 @@
 	}
 }
 
-// capacity is the requests of this owner that the upstream takes at a time.
+// capacity returns the concurrent requests that this owner may send.
 func (u *upstream) capacity() float64 { return float64(u.limit.Value()) }
 
 func (s *Sched) load(now time.Time, m Load) {
@@ -192,9 +193,9 @@
 	}
 }
 
-// vms takes the platform's list. It lags, so a VM that was listed and is no
-// more is treated as leaving; one that was never listed is given the benefit
-// of the doubt, as the list may be late in naming it.
+// vms applies the platform's list. The list lags: a VM that is no longer
+// listed is treated as leaving, while one that was never listed stays usable,
+// as the list may not contain it yet.
 func (s *Sched) vms(now time.Time, m VMs) {
 	states := make(map[string]vmlist.State, 2*len(m.List))
 	for _, vm := range m.List {
@@ -211,7 +212,7 @@
 	}
 }
 
-// ended notes how many calls a program made in all.
+// programEnded records how many calls a program made in total.
 func (g *group) programEnded(calls float64) {
 	if g.programCalls == 0 {
 		g.programCalls = defaultCalls
