--- a/internal/place/prefix/block.go
+++ b/internal/place/prefix/block.go
@@ -24,9 +24,9 @@
 	return b
 }
 
-// hear returns the block, which is remembered for a while if no program of
-// this owner needs it. Without the bound the events of a large fleet would
-// fill the memory of every daemon.
+// track returns the block. If the index does not have it, no program of this
+// owner uses it, and it is added to a ring of maxTracked blocks: unbounded, the
+// cache events of a large fleet would fill the memory of every daemon.
 func (x *Index) track(hash uint64) *block {
 	if b := x.blocks[hash]; b != nil {
 		return b
@@ -54,9 +54,9 @@
 	}
 }
 
-// retire keeps a block that no program of this owner needs any more among
-// those heard of, if events told of it: an engine may hold it for programs of
-// other owners, and the next program here may begin with it.
+// retire moves a block that no program of this owner uses any more to the
+// tracked ones if cache events reported it: an engine may hold it for programs
+// of other owners, and the next program here may begin with it.
 func (x *Index) retire(hash uint64, b *block) {
 	kept := b.holders[:0]
 	for _, h := range b.holders {
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -1,15 +1,15 @@
-// Package prefix keeps what is known of the prompt prefixes that engines hold.
+// Package prefix is an index of the prompt prefixes that engines have cached.
 //
-// There are two sources. Own placements tell what an engine must have computed
-// and may have evicted since. Cache events tell both, but late and with gaps.
-// After a gap all that was only heard of is distrusted, and what was placed by
-// this owner is what remains; the usage that comes with each answer corrects
-// it. Only blocks of programs of this owner are kept for good; of others' a
-// bounded number is remembered, since a context shared by many programs may be
-// needed here next.
+// It has two sources. This owner's placements show what an engine has computed
+// but may have evicted since. Cache events report both, but late and with gaps.
+// After a gap, entries known only from events are ignored and those from
+// placements remain; the usage in each answer corrects them. Blocks of this
+// owner's programs are kept as long as a program uses them. Of all others a
+// bounded number is kept, since a context shared by many programs may be used
+// here next.
 //
 // Engines evict the end of a prefix before its beginning. An engine that holds
-// a block is therefore taken to hold all blocks before it.
+// a block is therefore assumed to hold all blocks before it.
 package prefix
 
 import (
@@ -17,18 +17,18 @@
 )
 
 const (
-	tailScan   = 32      // blocks looked at from the end of a prompt
-	headScan   = 8       // and from its beginning, where shared contexts are
-	maxMatches = 64      // engines returned at most
-	maxTracked = 1 << 16 // blocks of unknown programs remembered
+	tailScan   = 32      // blocks looked up at the end of a prompt
+	headScan   = 8       // and at its beginning, where shared contexts are
+	maxMatches = 64      // most engines returned
+	maxTracked = 1 << 16 // most blocks kept that no program of this owner uses
 )
 
 type (
-	// Index is the knowledge about all engines, which are named by small
-	// numbers. The zero value knows nothing.
+	// Index holds the cached prefixes of all engines, which are identified by
+	// small numbers. The zero value is empty.
 	Index struct {
-		// Part is this owner's part of all programs, 0 if unknown. A block
-		// that several programs here share is shared by more elsewhere.
+		// Part is this owner's share of all programs, 0 if unknown. Users of
+		// a shared block are scaled by it to estimate those of all owners.
 		Part float64
 
 		blocks      map[uint64]*block
@@ -38,43 +38,43 @@
 		trackedNext int
 		matches     []Match
 		stamp       uint32
-		totalWeight float64 // the weight of the last lookup's whole prompt
+		totalWeight float64 // weight of the whole prompt of the last Match
 	}
 
 	// Match is an engine that holds the first Tokens of a prompt. Weight is
-	// the same with each block's tokens divided by the programs of this owner
-	// that need it: what one program's share of building them is.
+	// their sum with the tokens of each shared block divided by the programs
+	// that use it, hence one program's share of computing them.
 	Match struct {
 		Engine, Tokens int
 		Weight         float64
 	}
 
 	block struct {
-		users   int32 // programs of this owner that need it
+		users   int32 // programs of this owner that use it
 		holders []holder
 	}
 
 	holder struct {
 		engine   uint16
-		placed   bool // this owner sent a prompt with the block there
-		reported bool // an event told of it
+		placed   bool // this owner sent a prompt with the block to the engine
+		reported bool // a cache event reported it
 		epoch    uint32
 	}
 
 	program struct {
 		chain   []uint64
 		engines []int
-		home    int // where it was sent last, plus one
+		home    int // engine of the last request plus one, 0 for none
 		calls   int
 	}
 
 	state struct {
 		seq      uint64 // of the last event
-		epoch    uint32 // rises with each gap
-		minEpoch uint32 // placements before this era are void
-		stamp    uint32 // of the last lookup that met the engine
+		epoch    uint32 // incremented with each gap or restart
+		minEpoch uint32 // placements of earlier epochs are ignored
+		stamp    uint32 // of the last Match that found the engine
 		match    Match
-		programs int // programs that were sent here last
+		programs int // programs whose last request was sent here
 	}
 )
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// Use notes the prompt that a program sends, which replaces its earlier one.
-// Blocks that no program needs any more are forgotten.
+// Use records the prompt that a program sends; it replaces the previous one.
+// Blocks that no program uses any more are retired.
 func (x *Index) Use(name string, blocks []engine.Block) {
 	p := x.program(name)
 	same := 0
@@ -100,7 +100,7 @@
 	}
 }
 
-// Placed notes that the program's prompt was sent to the engine.
+// Placed records that the program's prompt was sent to the engine.
 func (x *Index) Placed(name string, e int) {
 	x.grow(e)
 	p := x.program(name)
@@ -124,8 +124,8 @@
 	p.home = home
 }
 
-// Homes returns how many programs were sent to the engine last: its load to
-// come, as long as they stay.
+// Homes returns the number of programs whose last request was sent to the
+// engine. It indicates the future load, as programs usually stay.
 func (x *Index) Homes(e int) int {
 	if e >= len(x.engines) {
 		return 0
@@ -133,7 +133,7 @@
 	return x.engines[e].programs
 }
 
-// Home returns where the program was sent last.
+// Home returns the engine to which the program's last request was sent.
 func (x *Index) Home(name string) (e int, ok bool) {
 	p := x.programs[name]
 	if p == nil || p.home == 0 {
@@ -142,7 +142,7 @@
 	return p.home - 1, true
 }
 
-// Calls returns how often the program was sent.
+// Calls returns the number of requests sent for the program.
 func (x *Index) Calls(name string) int {
 	if p := x.programs[name]; p != nil {
 		return p.calls
@@ -150,11 +150,10 @@
 	return 0
 }
 
-// Found corrects the index by an answer's usage: the engine had only so many
-// tokens of the prompt cached when it began, fewer than expected. What it
-// computed since is held, so only other programs' view of shared blocks can
-// be wrong; those are the blocks that it had to compute again, and are right
-// now. Nothing is left to forget but the engine's claim on longer chains.
+// Correct updates the index by an answer's usage: the engine had that many
+// tokens of the prompt cached when the request began, so it holds the blocks
+// within them. Blocks that it lacked it has computed since, so they need no
+// removal.
 func (x *Index) Correct(e int, blocks []engine.Block, cached int) {
 	x.grow(e)
 	sum := 0
@@ -166,7 +165,7 @@
 	}
 }
 
-// Holders returns the engines where the program left memory.
+// Holders returns the engines that may hold memory for the program.
 func (x *Index) Holders(name string) []int {
 	if p := x.programs[name]; p != nil {
 		return p.engines
@@ -174,11 +173,12 @@
 	return nil
 }
 
-// Known reports whether the program is one of this owner's.
+// Known reports whether the index has the program.
 func (x *Index) Known(name string) bool { return x.programs[name] != nil }
 
-// Programs calls f for each program with memory at the engine, in no order.
-func (x *Index) Programs(e int, f func(name string, tokens []uint64)) {
+// Programs calls f, in no particular order, for each program that may have memory
+// at the engine, with the hashes of its prompt's blocks.
+func (x *Index) Programs(e int, f func(name string, hashes []uint64)) {
 	for name, p := range x.programs {
 		if contains(p.engines, e) {
 			f(name, p.chain)
@@ -186,7 +186,7 @@
 	}
 }
 
-// Left notes that the engine holds nothing for the program any more.
+// Released records that the engine holds no memory for the program any more.
 func (x *Index) Released(name string, e int) {
 	p := x.programs[name]
 	if p == nil {
@@ -200,7 +200,7 @@
 	}
 }
 
-// End forgets the program. Blocks that another program shares stay known.
+// End removes the program. Blocks that another program uses are kept.
 func (x *Index) End(name string) {
 	if p := x.programs[name]; p != nil {
 		x.setHome(p, 0)
@@ -209,7 +209,7 @@
 	}
 }
 
-// Reset forgets all that was known of the engine, which restarted empty.
+// Reset invalidates all entries of the engine, which restarted with an empty cache.
 func (x *Index) Reset(e int) {
 	x.grow(e)
 	x.engines[e].epoch++
@@ -217,8 +217,8 @@
 	x.engines[e].seq = 0
 }
 
-// Apply takes an engine's cache events in order and reports whether some were
-// missing. A number that falls tells that the engine restarted.
+// Apply applies an engine's cache events in order and reports whether some were
+// missing. A sequence number that decreases means that the engine restarted.
 func (x *Index) Apply(e int, events []engine.Event) (gap bool) {
 	x.grow(e)
 	for _, ev := range events {
@@ -245,8 +245,8 @@
 	return gap
 }
 
-// Match returns engines that hold a beginning of the prompt, the longest
-// first. The result is valid until the next call.
+// Match returns up to maxMatches engines that hold a prefix of the prompt, the
+// longest first. The result is valid until the next call.
 func (x *Index) Match(blocks []engine.Block) []Match {
 	x.matches = x.matches[:0]
 	x.stamp++
@@ -288,10 +288,11 @@
 	return float64(b.Tokens)
 }
 
-// All returns the weight of the prompt of the last Match.
+// TotalWeight returns the weight of the whole prompt of the last Match.
 func (x *Index) TotalWeight() float64 { return x.totalWeight }
 
-// Matched returns what the last Match found at the engine.
+// Matched returns the engine's result in the last Match; Tokens is 0 if it was
+// not found.
 func (x *Index) Matched(e int) Match {
 	if e >= len(x.engines) || x.engines[e].stamp != x.stamp {
 		return Match{Engine: e}
--- a/internal/place/prefix/prefix_test.go
+++ b/internal/place/prefix/prefix_test.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-// held returns the tokens that the index believes each engine to hold.
+// held returns the prefix length in tokens that the index has for each engine.
 func held(x *Index, hashes ...uint64) map[int]int {
 	out := map[int]int{}
 	for _, m := range x.Match(blocks(hashes...)) {
@@ -24,9 +24,8 @@
 	return out
 }
 
-// Cache events come late, are lost, or begin anew after a restart. Believing a
-// cache that is gone sends a program to an engine that computes its whole
-// prompt again, and its user waits.
+// Cache events come late, get lost, or restart with the engine. A stale entry
+// would send a program to an engine that has to compute its whole prompt again.
 func TestHeldPrefixes(t *testing.T) {
 	tests := map[string]struct {
 		do   func(x *Index)
@@ -94,8 +93,8 @@
 	is.Equal(x.Homes(1)+x.Homes(2), 0)
 }
 
-// A shared context counts for each program as its share, so that one more copy
-// is not charged to the program that happens to be the first there.
+// Each program is charged its share of a shared context, so that the cost of a
+// new copy is not borne by the program that happens to be the first there.
 func TestWeightIsShared(t *testing.T) {
 	is := is.New(t)
 	x := Index{Part: 0.5}
@@ -105,8 +104,8 @@
 	is.Equal(m[0].Weight, 100.0/4+100) // two here, as many elsewhere
 }
 
-// The events of a large fleet tell of blocks of programs that this owner never
-// sees. Without a bound they would fill its memory.
+// The cache events of a large fleet report blocks of programs of other owners.
+// Unbounded, these would fill the memory.
 func TestTrackedBlocksAreBounded(t *testing.T) {
 	is := is.New(t)
 	var x Index
