--- a/internal/place/queue/queue.go
+++ b/internal/place/queue/queue.go
@@ -1,12 +1,12 @@
-// Package queue holds the requests that wait for an upstream of one group, in
-// the order in which they are to be served, within a bound.
+// Package queue is a bounded priority queue of the requests that wait for an
+// upstream of one group.
 //
-// A request's key is a time in seconds: its arrival, put earlier by its
-// declared priority and later by the service its family has attained and by
-// the requests that its account has in the system already. The lowest key goes
-// first. As a key never changes, every request ages at the same pace, and no
-// newcomer is put before one that has waited longer than the greatest
-// difference of two keys: nothing starves.
+// A request's key is a time in seconds: its arrival, made earlier by its
+// priority and later by the attained service of its program's family and by
+// the requests that its account already has queued or in flight. The lowest
+// key is served first. As a key never changes, all requests age at the same
+// rate, and a new request is never put before one that has waited longer than
+// the greatest possible difference of these terms, so none starves.
 package queue
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	// priorityStep is the seconds that one step of declared priority is worth.
-	// It exceeds what attained service can add, so that priority goes first.
+	// priorityStep is the seconds for each step of priority. It exceeds
+	// attainedMax, so that priority outweighs attained service.
 	priorityStep = 30.0
 	attainedStep = 1.0 // for each doubling of the attained service
 	attainedMax  = 20.0
@@ -26,20 +26,21 @@
 )
 
 type (
-	// Item is one waiting request. ID is the owner's name for it.
+	// Item is one waiting request. ID is chosen by the user of the queue.
 	Item struct {
 		ID  int32
 		Key float64
-		New bool // the first request of its program: nothing is lost by refusing it
+		New bool // first request of its program: refusing it wastes no work
 	}
 
-	// Queue is sorted from the last to the first, so that the first is taken
-	// from the end without moving the others.
+	// Queue is sorted by descending key, so that the first in order of service
+	// is removed from the end of the slice without moving the others.
 	Queue struct{ items []Item }
 )
 
 // Key returns the key of a request that arrives at the time now in seconds.
-// Ahead counts the requests that its account has in the system.
+// attained is in tokens; ahead is the number of other requests that the account
+// has queued or in flight.
 func Key(now float64, priority int, attained int64, ahead int) float64 {
 	p := min(max(priority, -maxPriority), maxPriority)
 	served := attainedStep * math.Log2(1+float64(max(attained, 0))/attainedUnit)
@@ -57,13 +58,13 @@
 	return len(q.items) - sort.Search(len(q.items), func(i int) bool { return q.items[i].Key <= key })
 }
 
-// RemoveAt takes the i-th request out.
+// RemoveAt removes the i-th request in the order of service.
 func (q *Queue) RemoveAt(i int) {
 	j := len(q.items) - 1 - i
 	q.items = append(q.items[:j], q.items[j+1:]...)
 }
 
-// Remove takes the request out and reports whether it waited.
+// Remove removes the request and reports whether it was in the queue.
 func (q *Queue) Remove(id int32) bool {
 	for i := range q.items {
 		if q.items[i].ID == id {
@@ -74,10 +75,10 @@
 	return false
 }
 
-// Push puts the request in its place. If the queue then holds more than limit
-// one request is taken out and returned: the last one that begins a program,
-// otherwise the last one. A program under way has spent work that its refusal
-// would waste, so overload is met by not beginning more of them.
+// Push inserts the request. If the queue then holds more than limit requests, one
+// is removed and returned: the last in order that is the first of its program, or
+// else the last. Refusing a running program would waste the work done for it, so
+// overload is handled by not starting more programs. A limit of 0 is none.
 func (q *Queue) Push(it Item, limit int) (evicted Item, dropped bool) {
 	i := sort.Search(len(q.items), func(i int) bool { return q.items[i].Key <= it.Key })
 	q.items = append(q.items, Item{})
