--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -1,9 +1,10 @@
-// Package load keeps one owner's picture of the work at one upstream.
+// Package load estimates the load of one upstream as seen by one owner.
 //
-// Load reports lag: what was sent after a report was measured is missing from
-// it, and what ended since is still in it. Load therefore remembers its own
-// recent starts and ends, takes its own share out of each report, and adds
-// what it has in flight now. What remains is the work of other owners.
+// Load reports lag: requests sent after the measurement are missing from a
+// report, and requests that ended since are still in it. Load therefore keeps
+// its own recent starts and ends and subtracts from each report the own
+// requests that were in flight at the time of measurement. The rest are
+// requests of other owners; Inflight plus Others is the estimated load.
 package load
 
 import (
@@ -14,25 +15,25 @@
 
 const (
 	ringSize = 64
-	// An engine's clock may be off; no report is taken for older than this.
+	// Upper bound on the assumed age of a report, as an engine's clock may be off.
 	maxLag = 5 * time.Second
-	// Work of others is forgotten by half in this time without a report.
+	// Age of the last report at which the load of others counts half.
 	halfLife = 5 * time.Second
-	// The part that each report has in the usual load.
+	// Weight of each report in the average load.
 	averageAlpha = 0.05
-	// How much of a report's difference from the usual still holds when a
-	// request that is sent by it has arrived.
+	// Weight of the last report's difference from the average: the share of it
+	// that still holds when a request sent on its basis arrives.
 	reportWeight = 0.1
 )
 
 type (
-	// Load is the picture of one upstream. The zero value is idle.
+	// Load is the estimate for one upstream. The zero value is idle.
 	Load struct {
 		report        engine.Load
 		received      time.Time
 		others        float64
-		averageOthers float64 // others, on average over some time
-		slots         float64 // requests that it serves at a time, 0 if unknown
+		averageOthers float64 // moving average of others
+		slots         float64 // concurrent requests that it serves, 0 if unknown
 		inflight      int
 		ring          [ringSize]change
 		next          int
@@ -44,10 +45,10 @@
 	}
 )
 
-// Start notes that a request was sent.
+// Start records that a request was sent.
 func (l *Load) Start(now time.Time) { l.change(now, 1) }
 
-// End notes that a request ended.
+// End records that a request ended.
 func (l *Load) End(now time.Time) { l.change(now, -1) }
 
 func (l *Load) change(now time.Time, delta int) {
@@ -56,9 +57,9 @@
 	l.next = (l.next + 1) % ringSize
 }
 
-// Report takes a load report and reports whether it was newer than the last.
-// An engine that restarted counts from the start again, so the time of
-// measurement decides where the numbers do not.
+// Report applies a load report and reports whether it was newer than the last.
+// An engine that restarted begins its sequence numbers anew, so a report with a
+// later time of measurement is newer as well.
 func (l *Load) Report(now time.Time, r engine.Load) bool {
 	if r.Seq <= l.report.Seq && !r.At.After(l.report.At) {
 		return false
@@ -71,7 +72,7 @@
 		measured = now.Add(-maxLag)
 	}
 	l.report, l.received = r, now
-	// How much an upstream serves at a time shows when it keeps some waiting.
+	// The number of slots is visible only when requests queue at the upstream.
 	if r.Waiting > 0 || l.slots > 0 && float64(r.Running) > l.slots {
 		l.slots = float64(r.Running)
 	}
@@ -80,7 +81,7 @@
 	return true
 }
 
-// own returns how many own requests were in flight at the time.
+// own returns the number of own requests that were in flight at that time.
 func (l *Load) own(at time.Time) int {
 	n := l.inflight
 	for _, c := range l.ring {
@@ -91,35 +92,35 @@
 	return max(n, 0)
 }
 
-// Inflight returns the owner's own requests in flight.
+// Inflight returns the number of this owner's requests in flight.
 func (l *Load) Inflight() int { return l.inflight }
 
-// Others estimates the requests that other owners have in flight.
+// Others estimates the number of other owners' requests in flight.
 func (l *Load) Others(now time.Time) float64 {
 	return (l.averageOthers + reportWeight*(l.others-l.averageOthers)) * l.freshness(now)
 }
 
-// Usual returns the work of other owners on average over the last reports. A
-// single report tells of a moment that is over when it arrives; where others'
-// programs live shows in the average.
+// AverageOthers returns the average number of other owners' requests over the last
+// reports. A single report is outdated when it arrives; the average shows where
+// the programs of others are placed.
 func (l *Load) AverageOthers(now time.Time) float64 { return l.averageOthers * l.freshness(now) }
 
-// Slots returns how many requests the upstream serves at a time, 0 if it was
+// Slots returns how many concurrent requests the upstream serves, 0 if it was
 // never seen full.
 func (l *Load) Slots() float64 { return l.slots }
 
-// fresh falls from 1 to 0 as the report ages, so that an upstream whose
-// reports stopped in a bad moment is not shunned for good.
+// freshness falls from 1 towards 0 as the last report ages, so that an upstream
+// whose reports stopped while it was busy is not avoided for good.
 func (l *Load) freshness(now time.Time) float64 {
 	age := now.Sub(l.received)
 	return float64(halfLife) / float64(halfLife+max(age, 0))
 }
 
-// Room returns how many tokens fit before something is evicted, and whether
-// the upstream ever said.
+// Room returns the free cache space in tokens; known is false if the upstream has
+// not reported its cache size.
 func (l *Load) Room() (tokens int, known bool) {
 	return l.report.Total - l.report.Used, l.report.Total > 0
 }
 
-// Leaving reports whether the newest report said that the upstream leaves.
+// Leaving reports whether the newest report marks the upstream as leaving.
 func (l *Load) Leaving() bool { return l.report.Leaving }
--- a/internal/place/load/load_test.go
+++ b/internal/place/load/load_test.go
@@ -13,9 +13,9 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-// A report is a second old when it arrives. What this owner sent since is not
-// in it; taken as it is, it would make a busy upstream look idle, and the next
-// requests would all go there.
+// A report is a second old when it arrives and does not contain what this owner
+// sent since. Taken as it is, it would make a busy upstream look idle, and all
+// further requests would go there.
 func TestReportsLag(t *testing.T) {
 	tests := map[string]struct {
 		starts, ends []float64 // seconds
@@ -56,8 +56,8 @@
 	is.True(l.Leaving())
 }
 
-// The reports of a busy upstream stop. If its last one counted for ever, no
-// work would go there again although it may long be idle.
+// The reports of a busy upstream stop. If the last one counted for ever, no
+// request would go there again even if the upstream is idle.
 func TestOldReportsLoseWeight(t *testing.T) {
 	is := is.New(t)
 	var l Load
