--- a/internal/place/limit/limit.go
+++ b/internal/place/limit/limit.go
@@ -1,30 +1,31 @@
-// Package limit finds how much work one owner may have in flight at one
-// upstream, from the latency that it measures there.
+// Package limit is an adaptive concurrency limit for one owner's requests to one
+// upstream, driven by the measured latency.
 //
-// Each answer is compared with the latency that is usual for such a request.
-// While answers come about as fast, the limit grows slowly; when they come
-// much slower it shrinks in proportion. What is usual may itself have been
-// measured in a crowd, so now and then the limit is halved for a moment. If
-// answers come clearly faster then, the upstream was saturated and the half
-// stays; otherwise the limit is put back. Several owners that share an upstream
-// thus settle on shares of it without talking to each other.
+// Each answer's latency is compared with the expected latency of such a request.
+// While the two are about equal, the limit grows slowly; when answers are much
+// slower, it shrinks in proportion. The expected latency may itself have been
+// measured under saturation, so from time to time a probe halves the limit for
+// some answers. If these are clearly faster, the upstream was saturated and the
+// limit stays halved; otherwise it is restored. Several owners that share an
+// upstream thus converge on shares of it without communication.
 package limit
 
 const (
 	initial    = 8
 	smallest   = 1
-	tolerance  = 2.0 // slower than this by comparison means crowded
+	tolerance  = 2.0 // ratio of measured to expected latency above which the limit shrinks
 	smoothing  = 0.2
-	minFactor  = 0.5 // the most that one round takes away
-	growth     = 0.5 // for each round of answers
+	minFactor  = 0.5 // smallest factor that a round of answers applies to the limit
+	growth     = 0.5 // increase in a round of answers
 	roomGrowth = 1.5
 
-	// Answers between two probes, and in one, for each unit of the limit.
+	// Answers between two probes, and in one, per unit of the limit.
 	probeEvery = 12
 	probeFor   = 4
 	minEvery   = 40
 	minFor     = 16
-	// A probe's answers faster than this by comparison mean saturation.
+	// A mean ratio during the probe below this share of that before it indicates
+	// saturation.
 	saturatedBelow = 0.75
 )
 
@@ -35,20 +36,20 @@
 
 		limit float64
 		ratio float64 // smoothed measured latency over expected
-		count int     // answers since the last probe, or in it
+		count int     // answers since the last probe, or since the probe began
 		probe probe
-		room  float64 // up to which it grows fast
+		room  float64 // limit up to which it grows by one for each answer
 	}
 
 	probe struct {
 		active bool
-		before float64 // ratio when it began
+		before float64 // smoothed ratio when the probe began
 		sum    float64
 		n      int
 	}
 )
 
-// Value returns how many requests may be in flight, at least one.
+// Value returns the number of requests that may be in flight, at least 1.
 func (l *Limit) Value() int {
 	v := l.value()
 	if l.probe.active {
@@ -57,8 +58,8 @@
 	return int(max(v, smallest))
 }
 
-// Observe takes one answer's latency and the latency expected of such a
-// request, in the same unit, and the requests in flight when it came.
+// Observe records the latency of one answer, the expected latency of such a
+// request in the same unit, and the requests in flight at the time of the answer.
 func (l *Limit) Observe(measured, expected float64, inflight int) {
 	if expected <= 0 || measured < 0 {
 		return
@@ -66,8 +67,9 @@
 	if l.ratio == 0 {
 		l.ratio = 1
 	}
-	// One request that was held up by another's long prompt says little; ten
-	// do. The cap keeps a single stray answer from shutting the upstream.
+	// One slow request may only have waited for another's long prompt; ten
+	// indicate overload. The cap keeps a single outlier from reducing the limit
+	// to its minimum.
 	now := min(measured/expected, 4*tolerance)
 	l.ratio += smoothing * (now - l.ratio)
 	l.count++
@@ -82,7 +84,7 @@
 		l.limit = l.clamp(v - (1-max(minFactor, tolerance/l.ratio))*v/max(v, 1))
 	case full && v < l.room:
 		l.limit = l.clamp(v + 1)
-	case full: // otherwise the limit was not what held the work back
+	case full: // otherwise the limit did not restrict the load
 		l.limit = l.clamp(v + growth/v)
 	}
 	if full && v >= 2 && l.count >= max(minEvery, int(probeEvery*v)) {
@@ -90,11 +92,10 @@
 	}
 }
 
-// Room takes a load report that says whether anything waits at the upstream. If
-// nothing does, the limit may grow by a half before the next report; growing
-// slowly before an engine that itself says that it has room would keep requests
-// waiting here for nothing. Several owners may take the same room; the next
-// report then tells.
+// SetWaiting applies the number of requests queued at the upstream, from a load
+// report. If it is 0, the limit may grow quickly by half before the next report:
+// with slow growth, requests would queue here while the engine has free slots.
+// Several owners may use the same free slots; the next report then shows it.
 func (l *Limit) SetWaiting(waiting int) {
 	l.room = 0
 	if waiting == 0 {
@@ -102,8 +103,8 @@
 	}
 }
 
-// probing takes an answer while the limit is halved. The first ones were still
-// sent before.
+// observeProbe records an answer during a probe. The first answers, up to the
+// limit, are skipped: their requests were sent before the probe.
 func (l *Limit) observeProbe(ratio float64) {
 	v := int(l.value())
 	if l.count <= v {
@@ -120,7 +121,7 @@
 	l.probe, l.count = probe{}, 0
 }
 
-// Drop takes half of the limit away after a failure.
+// Drop halves the limit after a failure.
 func (l *Limit) Drop() { l.limit = l.clamp(l.value() / 2) }
 
 func (l *Limit) value() float64 {
--- a/internal/place/limit/limit_test.go
+++ b/internal/place/limit/limit_test.go
@@ -6,13 +6,13 @@
 	"github.com/matryer/is"
 )
 
-// An upstream slows down because more is sent to it than it can serve. With a
-// fixed limit the work would pile up inside it, where nothing can be refused
-// or sent elsewhere any more.
+// An upstream slows down because it gets more requests than it can serve. With a
+// fixed limit they would queue inside it, where they can no longer be refused or
+// sent elsewhere.
 func TestLimitFollowsLatency(t *testing.T) {
 	tests := map[string]struct {
 		slots, most int
-		low, high   int // where the limit must settle
+		low, high   int // bounds of the limit at the end
 	}{
 		"small upstream": {4, 0, 3, 16},
 		"large upstream": {64, 0, 40, 200},
@@ -23,7 +23,7 @@
 			is := is.New(t)
 			l := Limit{Max: tt.most}
 			for range 3000 {
-				n := l.Value() // a sender with more than enough to send
+				n := l.Value() // unlimited demand
 				latency := max(1, float64(n)/float64(tt.slots))
 				l.Observe(latency, 1, n)
 			}
@@ -39,7 +39,7 @@
 	for range 1000 {
 		l.Observe(1, 1, 1)
 	}
-	is.Equal(l.Value(), initial) // idle work proves nothing
+	is.Equal(l.Value(), initial) // no growth below half of the limit in flight
 	for range 10 {
 		l.Drop()
 	}
