--- a/internal/place/speed/speed.go
+++ b/internal/place/speed/speed.go
@@ -1,10 +1,10 @@
-// Package speed learns how fast one upstream works: prefill and decoding time
-// for each token of an engine, and the time of one call to a service.
+// Package speed estimates the speed of one upstream: the prefill time per token,
+// the time of one request, and its slowdown relative to its group.
 //
-// What is wanted is the speed without waiting, but only times with waiting can
-// be measured. An estimate therefore follows faster times quickly and slower
-// ones slowly, which settles near the low end of what is seen and still
-// follows an upstream that has become slower for good.
+// The quantity of interest is the time without queueing, but only times with
+// queueing can be measured. An estimate of the low end therefore follows faster
+// times quickly and slower ones slowly: it settles near the low end of the
+// measured times and still follows an upstream that has become slower for good.
 package speed
 
 import "time"
@@ -14,13 +14,13 @@
 	slowAlpha = 0.01
 	meanAlpha = 0.1
 	longAlpha = 0.005
-	// Calls of one service differ; their mean is taken for no more than so
-	// many times the low end.
+	// Upper bound of LongMean as a multiple of the low end, as calls of one service
+	// differ in duration.
 	maxLongMean = 4
-	// Shorter prompts measure the fixed cost of a request, not the prefill.
+	// Fewer tokens measure the fixed cost of a request, not the prefill.
 	minPrefill = 256
-	maxFactor  = 10 // so that one stray time does not count for ever
-	// An upstream's own speed counts for half when it was last seen so long ago.
+	maxFactor  = 10 // limits the effect of one outlier
+	// Age of the last measurement at which an upstream's own speed counts half.
 	halfWeight = 30 * time.Second
 
 	defaultPrefill = 0.0002 // seconds per token
@@ -28,20 +28,20 @@
 )
 
 type (
-	// Speed is what was learnt of one upstream. All values are in seconds.
+	// Speed holds the estimates for one upstream. Times are in seconds.
 	Speed struct {
 		prefill  float64 // per token
-		call     float64 // mean time of one request, from dispatch to end
+		call     float64 // moving average of the time of one request, from dispatch to end
 		best     float64 // low end of the time of one request
-		longMean float64 // mean over a long time
-		factor   float64 // multiple of the time that its group takes
+		longMean float64 // average of the time of one request over a long time
+		factor   float64 // time as a multiple of that of its group at the same load
 		calls    int
 		seen     time.Time
 	}
 )
 
-// Prefill notes the time to the first token of a request with so many tokens
-// that were not cached.
+// ObservePrefill records the time to the first token of a request with the given
+// number of uncached tokens.
 func (s *Speed) ObservePrefill(took time.Duration, tokens int) {
 	if tokens < minPrefill || took <= 0 {
 		return
@@ -49,8 +49,8 @@
 	s.prefill = trackLow(s.prefill, took.Seconds()/float64(tokens))
 }
 
-// Pace notes the time of a request as a multiple of what its group takes at
-// the same load.
+// ObserveFactor records the time of a request and the time that its group takes
+// at the same load.
 func (s *Speed) ObserveFactor(measured, expected float64) {
 	if expected <= 0 || measured <= 0 {
 		return
@@ -61,7 +61,7 @@
 	s.factor += meanAlpha * (min(measured/expected, maxFactor) - s.factor)
 }
 
-// Call notes the whole time of one request that ended now.
+// ObserveCall records the total time of one request that ended now.
 func (s *Speed) ObserveCall(now time.Time, took time.Duration) {
 	x := took.Seconds()
 	s.seen = now
@@ -75,10 +75,10 @@
 	s.call += meanAlpha * (x - s.call)
 }
 
-// Among returns what is to be believed of the upstream when others of its
-// group are as fast as group on average: its own speed while it is fresh, the
-// group's when it is unknown or old. An upstream that was slow once and got no
-// work since would otherwise look slow for ever.
+// Blend returns the upstream's speed mixed with the average of its group: its own
+// while the measurements are recent, that of the group if they are old or missing.
+// Otherwise an upstream that was slow once and got no requests since would be
+// considered slow for ever.
 func (s *Speed) Blend(now time.Time, group *Speed) Speed {
 	if s.seen.IsZero() {
 		return *group
@@ -99,7 +99,7 @@
 	}
 }
 
-// Factor returns by how much the upstream is slower than its group.
+// Factor returns the upstream's time as a multiple of its group's.
 func (s *Speed) Factor() float64 {
 	if s.factor == 0 {
 		return 1
@@ -115,8 +115,8 @@
 	return s.prefill
 }
 
-// Expected returns the seconds to the first token of a request with so many
-// tokens to prefill, at an upstream that is not crowded.
+// Expected returns the seconds to the first token of a request with the given
+// number of uncached tokens, at an upstream without queueing.
 func (s *Speed) Expected(tokens int) float64 {
 	return s.PerToken() * float64(max(tokens, minPrefill))
 }
@@ -129,10 +129,9 @@
 	return s.call
 }
 
-// Usual returns the seconds of one request over a long time, which the work
-// of a moment hardly changes. It is bounded by a multiple of the low end, so
-// that a service that was crowded all along is not taken for slow. 0 is
-// unknown.
+// LongMean returns the long-term average seconds of one request, which the current
+// load hardly changes. It is at most maxLongMean times the low end, so that constant
+// overload of a service is not mistaken for its normal duration. 0 is unknown.
 func (s *Speed) LongMean() float64 { return min(s.longMean, maxLongMean*s.best) }
 
 func trackLow(est, x float64) float64 {
--- a/internal/place/speed/speed_test.go
+++ b/internal/place/speed/speed_test.go
@@ -14,18 +14,18 @@
 	is := is.New(t)
 	var s Speed
 	for i := range 1000 {
-		took := time.Second // 1 ms for each token
+		took := time.Second // 1 ms per token
 		if i%2 == 0 {
-			took = 5 * time.Second // waited
+			took = 5 * time.Second // queued
 		}
 		s.ObservePrefill(took, 1000)
-		s.ObservePrefill(time.Minute, minPrefill-1) // too short to tell
+		s.ObservePrefill(time.Minute, minPrefill-1) // too few tokens, ignored
 	}
 	is.True(s.PerToken() > 0.0009 && s.PerToken() < 0.0015)
 }
 
-// One upstream was slow once and gets no work for it. Without forgetting, it
-// would never be tried again.
+// An upstream was slow once and gets no requests because of it. Unless old
+// measurements lose weight, it would never be used again.
 func TestOldSpeedLosesWeight(t *testing.T) {
 	is := is.New(t)
 	var u, group Speed
