--- a/internal/place/slope/slope.go
+++ b/internal/place/slope/slope.go
@@ -1,28 +1,29 @@
-// Package slope fits a line through recent pairs of load and time.
+// Package slope is a linear regression of time over load with exponentially
+// decaying weights.
 //
-// The load that an owner sees is an estimate: reports lag and others send too.
-// A line fitted to what was estimated, not to what was true, says how far the
-// estimate can be trusted: if it tells nothing about the time that follows, the
-// line is flat and nothing is moved for its sake.
+// The load that an owner sees is an estimate: reports lag and other owners send
+// too. The line is fitted to this estimate, so its slope shows how well the
+// estimate predicts the time: if it does not, the line is flat and the load has
+// no influence on placement.
 package slope
 
 import "cmp"
 
 const (
-	defaultKeep = 0.99 // of the weight of earlier pairs, at each new one
-	// What is assumed before much was seen, as if so much variance of load had
-	// been seen: each unit adds this part of the mean time. Batching slows
-	// every upstream somewhat, and an owner that starts by assuming nothing
-	// sends all its first programs to one of them.
+	defaultKeep = 0.99 // default of Slope.Keep, about the last hundred pairs
+	// Prior for few observations: each unit of load adds priorRise of the mean
+	// time, weighted like a sum of squares of the load of priorWeight. Batching
+	// slows every upstream somewhat, and without a prior an owner would send all
+	// its first programs to one of them.
 	priorWeight = 10.0
 	priorRise   = 0.05
 )
 
 type (
-	// Slope is the line. The zero value is flat at zero.
+	// Slope is the fitted line. The zero value is flat at zero.
 	Slope struct {
-		// Keep is how much of the weight of earlier pairs is kept at each new one;
-		// 0 is for the last hundred or so.
+		// Keep is the factor on the weight of earlier pairs at each new one; 0 means
+		// 0.99, about the last hundred pairs.
 		Keep float64
 
 		n, x, y float64 // weight and means
@@ -30,7 +31,7 @@
 	}
 )
 
-// Observe adds one pair.
+// Observe adds one pair of load x and time y.
 func (s *Slope) Observe(x, y float64) {
 	keep := cmp.Or(s.Keep, defaultKeep)
 	s.n = s.n*keep + 1
@@ -41,11 +42,10 @@
 	s.xy = s.xy*keep + dx*(y-s.y)
 }
 
-// Rise returns by how much the time grows with each unit of load, never less
-// than nothing.
+// Rise returns the increase of the time with each unit of load, at least 0.
 func (s *Slope) Rise() float64 { return max(0, (s.xy+priorWeight*priorRise*s.y)/(s.xx+priorWeight)) }
 
-// At returns the expected time at the load.
+// At returns the expected time at load x, at least a quarter of the mean time.
 func (s *Slope) At(x float64) float64 { return max(s.y+s.Rise()*(x-s.x), s.y/4) }
 
 // Known reports whether anything was observed.
