--- a/internal/place/score/score.go
+++ b/internal/place/score/score.go
@@ -1,46 +1,48 @@
-// Package score weighs what it costs to send one request to one upstream.
+// Package score computes the cost of sending one request to one upstream.
 //
-// The cost has three parts, all in seconds: the wait before the request is
-// served, the prefill of what the upstream does not hold, and the rebuilding
-// of what the request pushes out of its cache or leaves unused elsewhere. The
-// deployment's weights say what a second of each is worth. The lowest cost
-// wins: a program stays where its cache is worth more than the queue costs and
-// moves where it is not.
+// All parts are in seconds. Latency is the time in the queue, the prefill of
+// uncached tokens, the service time, the slowdown of other requests and the
+// program's later calls. Waste is the prefill that is repeated because the
+// request evicts cached tokens or leaves its own unused elsewhere. Both have a
+// configured weight. The upstream with the lowest cost is chosen: a program stays
+// where its cache saves more than the queue costs, and moves otherwise.
 package score
 
 const (
-	// An evicted block is needed again only if its program goes on.
+	// Assumed fraction of the evicted tokens that are needed again; the programs of
+	// the others have ended.
 	reuse    = 0.5
 	moveCost = 0.4
-	// How much of the prefill of a shared context is counted as done for the programs that will share it.
+	// Fraction of the Shared tokens whose prefill is not counted as this request's
+	// latency, since other programs will use them too.
 	sharedCredit = 0.9
 )
 
 type (
-	// Weights are the worth of a second of program latency and of a second
-	// of prefill that waste costs. The zero value weighs both as one.
+	// Weights are the weights of a second of latency and of a second of wasted
+	// prefill. The zero value weighs both as 1.
 	Weights struct {
 		Latency float64
 		Cache   float64
 	}
 
-	// Case is one request before one upstream.
+	// Case describes one request at one upstream.
 	Case struct {
-		Queued     float64 // requests that would be served before ours
-		Capacity   float64 // requests that the upstream serves at a time
-		Mean       float64 // seconds of one request, which its turn costs those behind it
-		Service    float64 // seconds from the first token to the end, at its load
-		Slowdown   float64 // seconds that ours adds to those under way there
-		LaterCalls float64 // seconds of the program's calls to come, if it stays
-		PerToken   float64 // seconds of prefill for one token
-		Missing    int     // tokens of the prompt that it does not hold
-		Shared     float64 // tokens of these that others pay for by sharing them
-		Lost       float64 // tokens of these that are rebuilt for this request alone
-		Evicted    int     // tokens that leave its cache for ours
+		Queued     float64 // requests queued before this one
+		Capacity   float64 // concurrent requests that the upstream serves
+		Mean       float64 // mean seconds of one request
+		Service    float64 // seconds from the first token to the end at the upstream's load
+		Slowdown   float64 // seconds that this request adds to the others in flight there, in total
+		LaterCalls float64 // seconds of the program's later calls, if it stays there
+		PerToken   float64 // seconds of prefill per token
+		Missing    int     // tokens of the prompt that are not cached there
+		Shared     float64 // part of Missing charged to other programs that use the same blocks
+		Lost       float64 // tokens cached at another upstream but not here, less the share of other programs
+		Evicted    int     // cached tokens that the request evicts
 	}
 )
 
-// Cost returns the seconds, weighted.
+// Cost returns the weighted cost in seconds.
 func (w Weights) Cost(c Case) float64 {
 	if w.Latency == 0 && w.Cache == 0 {
 		w = Weights{Latency: 1, Cache: 1}
@@ -50,10 +52,10 @@
 	return w.Latency*latency + w.Cache*waste
 }
 
-// Move returns the seconds, weighted, by which another upstream must be better
-// than the one where a program lives. Estimates are noisy; without a threshold
-// the best of several noisy ones would nearly always look better than home.
+// MoveThreshold returns the weighted seconds by which another upstream must be
+// cheaper than the program's current one. Estimates are noisy: without a threshold
+// the lowest of several would nearly always be below that of the current one.
 func (w Weights) MoveThreshold() float64 { return moveCost * max(w.Latency, 1) }
 
-// Wait returns the seconds before the request is served.
+// Wait returns the seconds that the request spends in the queue.
 func (c Case) Wait() float64 { return c.Mean * c.Queued / max(c.Capacity, 1) }
--- a/internal/place/score/score_test.go
+++ b/internal/place/score/score_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// The same two upstreams: one holds the prompt and has a queue, the other is
-// idle and holds nothing.
+// Chooses between an upstream that has the prompt cached and a queue, and one
+// that is idle and has nothing cached.
 func TestWeightsDecide(t *testing.T) {
 	const perToken = 0.0002
 	home := func(queued float64) Case {
