--- a/internal/place/loader/loader.go
+++ b/internal/place/loader/loader.go
@@ -1,12 +1,12 @@
-// Package stock has each engine load the models that it is declared to serve.
+// Package loader makes each engine load the models that it is configured to serve.
 //
-// The weight store admits few loads at a time, so each load is asked for before
-// it is ordered, one at a time for an engine. An engine that started anew has
-// lost what it had loaded and is ordered again; so is one whose orders another
-// daemon gave before, because nobody here knows what it has. Loading a model
-// that is loaded does no harm.
+// The weight store admits few loads at a time, so a load needs its admission
+// first, and each engine gets one load at a time. An engine that restarted has
+// lost its models and gets all loads again; so does one for which another daemon
+// was responsible before, because its state is unknown here. Loading a model that
+// is already loaded has no effect.
 //
-// Stock is a state machine: Step takes the time and one message and returns
+// Loader is a state machine: Step takes the time and one message and returns
 // effects.
 package loader
 
@@ -22,44 +22,45 @@
 )
 
 type (
-	// Stock is the machine. The zero value orders nothing.
+	// Loader holds the state of the engines. The zero value has none.
 	Loader struct {
 		engines map[string]*engine
 	}
 
-	// Message is what Stock reacts to.
+	// Message is an input of Step.
 	Message interface{ message() }
 
-	// Declare gives the models that each engine is to serve.
+	// Declare sets the models that each engine is to serve, by upstream name.
 	Declare struct{ Models map[string][]string }
 
-	// Here tells whether this daemon gives the engine its orders.
+	// Responsible reports whether this daemon orders the engine's loads.
 	Responsible struct {
 		Upstream string
 		OK       bool
 	}
 
-	// Restarted tells that the engine started anew.
+	// Restarted reports that the engine restarted.
 	Restarted struct{ Upstream string }
 
-	// Admitted answers Admit. Wait is zero if the load may start.
+	// Admitted is the answer to Admit. With a Wait of 0 the load may start, otherwise
+	// it is to be requested again after Wait.
 	Admitted struct {
 		Upstream string
 		Wait     time.Duration
 		Err      error
 	}
 
-	// Loaded answers Load.
+	// Loaded is the answer to Load.
 	Loaded struct {
 		Upstream string
 		Model    string
 		Err      error
 	}
 
-	// Tick lets time pass.
+	// Tick starts the loads that are due.
 	Tick struct{}
 
-	// Effect is what Stock wants done.
+	// Effect is an output of Step, for the caller to carry out.
 	Effect interface{ effect() }
 
 	// Admit asks the weight store whether the model may be loaded.
@@ -130,7 +131,7 @@
 	e.next, e.backoff = time.Time{}, 0
 }
 
-// wanted is the next model to load, if there is one.
+// nextModel returns the first model that is not loaded.
 func (e *engine) nextModel() (string, bool) {
 	for _, m := range e.models {
 		if !e.loaded[m] {
@@ -183,8 +184,8 @@
 	}
 }
 
-// fail backs off, so that an engine or a weight store that is down isn't asked
-// at every tick.
+// fail backs off exponentially, so that an engine or a weight store that is down
+// doesn't get a request at every tick.
 func (e *engine) fail(now time.Time) {
 	e.busy = false
 	e.backoff = min(max(2*e.backoff, minBackoff), maxBackoff)
--- a/internal/place/loader/loader_test.go
+++ b/internal/place/loader/loader_test.go
@@ -21,10 +21,9 @@
 	want  []loader.Effect
 }
 
-// Engines lose what they loaded, the weight store refuses or is down, orders go
-// over to another daemon. A user would notice an engine that answers that it
-// does not have the model; the platform's operators a weight store that is asked
-// without pause.
+// Engines lose their models, the weight store refuses or is down, another daemon
+// becomes responsible. A missing load would make an engine reject requests for the
+// model; a missing backoff would flood the weight store.
 func TestLoads(t *testing.T) {
 	admit := []loader.Effect{loader.Admit{Upstream: "e", Model: "a"}}
 	load := []loader.Effect{loader.Load{Upstream: "e", Model: "a"}}
