--- a/internal/place/sweep/sweep.go
+++ b/internal/place/sweep/sweep.go
@@ -1,10 +1,10 @@
-// Package sweep finds engine memory that is held for programs that are gone.
+// Package sweep finds engine memory that is held for programs that have ended.
 //
-// A release can be lost: the owner died before it sent it, the engine was
-// unreachable, or a request that was still running left memory behind after
-// it. Sweep asks one upstream at a time what it holds. Every daemon sweeps, each
-// from its own starting place, so the whole fleet is read the more often the
-// more daemons there are, at a constant cost to each.
+// A release can be lost: the owner crashed before it sent it, the engine was
+// unreachable, or a running request left memory behind after the release. Sweep
+// lists the programs of one upstream at a time. Every daemon sweeps from an offset
+// of its own, so with more daemons the whole fleet is read more often, at a
+// constant cost to each.
 package sweep
 
 import (
@@ -13,42 +13,44 @@
 )
 
 const (
-	// Every is the time between two readings.
+	// Interval is the time between two readings.
 	Interval = 5 * time.Second
 )
 
 type (
-	// Sweep is ready as a zero value. Start shifts the first upstream, so
-	// that daemons that start together read different ones.
+	// Sweep selects the upstreams to read and compares the readings. The zero
+	// value is ready. Start is the index of the first upstream, so that daemons
+	// that start together read different ones.
 	Sweep struct {
 		Start uint64
 
 		next     time.Time
 		turn     uint64
-		upstream string   // read last
-		suspects []string // and what it held for nobody then
+		upstream string   // last one read
+		suspects []string // programs without an owner in that reading
 	}
 )
 
-// Due returns which of n upstreams is to be read now.
+// Due returns the index of the upstream to read now, of n; ok is false if none is
+// due.
 func (s *Sweep) Due(now time.Time, n int) (i int, ok bool) {
 	if n == 0 || now.Before(s.next) {
 		return 0, false
 	}
 	s.next = now.Add(Interval)
 	if len(s.suspects) > 0 && s.turn > 0 {
-		s.turn-- // read the same one again, to be sure
+		s.turn-- // read the same one again, to confirm the suspects
 	}
 	i = int((s.Start + s.turn) % uint64(n))
 	s.turn++
 	return i, true
 }
 
-// Compare takes what an upstream holds and which of it is live, and returns
-// the programs to release. A program is released when two readings in a row
-// found it without an owner. One reading does not prove it: while a shard
-// changes hands nobody answers for its programs for a moment, and releasing
-// them then would throw away the cache of every program that moves.
+// Compare takes the programs that an upstream holds and those of them that are
+// live, and returns the programs to release: those found without an owner in two
+// readings in a row. One reading is not enough. While a shard moves to another
+// daemon, its programs have no owner for a moment, and a release would drop the
+// cache of every program that moves.
 func (s *Sweep) Compare(upstream string, held, live []string) (release []string) {
 	alive := make(map[string]bool, len(live))
 	for _, p := range live {
--- a/internal/place/sweep/sweep_test.go
+++ b/internal/place/sweep/sweep_test.go
@@ -9,8 +9,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A shard changes hands while an engine is read, and for a moment nobody
-// answers for its programs. Releasing them at once would cost each its cache.
+// A shard moves to another daemon while an engine is read, and for a moment its
+// programs have no owner. Releasing them at once would drop their caches.
 func TestReleasedAfterTwoReadings(t *testing.T) {
 	type reading struct {
 		upstream   string
