--- a/internal/place/retry/retry.go
+++ b/internal/place/retry/retry.go
@@ -1,6 +1,8 @@
-// Package retry bounds further attempts. Retries of a failing fleet add load
-// exactly when there is none to spare, so they are paid from a Budget that
-// first attempts fill: a share of the traffic, not a count for each request.
+// Package retry limits further attempts by a token budget.
+//
+// Retries on a failing fleet add load when it can serve it least. The Budget is
+// therefore filled by first attempts, which makes retries a share of the traffic
+// rather than a number for each request.
 package retry
 
 import (
@@ -13,23 +15,24 @@
 	maxDelay  = 2 * time.Second
 
 	defaultShare = 0.1
-	// A quiet owner may always make a few retries, whatever the share.
+	// Retries available without earned tokens, so that an owner with little
+	// traffic can retry too.
 	minTokens = 3
 	maxTokens = 100
 )
 
 type (
-	// Budget holds the tokens that pay for further attempts. The zero value
-	// holds a few and earns a tenth.
+	// Budget is a token bucket for further attempts. The zero value allows
+	// minTokens of them and earns 0.1 for each first attempt.
 	Budget struct {
-		Share float64 // earned by each first attempt; 0 means a tenth, less pays for nothing
+		Share float64 // tokens earned by each first attempt; 0 means 0.1, less than 0 disables further attempts
 
-		spent  float64 // below floorTokens
+		spent  float64 // of minTokens, repaid by Earn before tokens grows
 		tokens float64
 	}
 )
 
-// Earn notes a first attempt.
+// Earn records a first attempt.
 func (b *Budget) Earn() {
 	share := b.Share
 	if share == 0 {
@@ -58,13 +61,13 @@
 	return true
 }
 
-// Safe reports whether an attempt may be repeated: it is idempotent, or it
-// certainly did not reach the upstream.
+// Safe reports whether an attempt may be repeated: the request is idempotent, or
+// nothing of it was sent to the upstream.
 func Safe(idempotent, sent bool) bool { return idempotent || !sent }
 
-// Delay returns how long to wait before the n-th further attempt, n from 1.
-// The share is random, from 0 to 1: full jitter, so that requests that failed
-// together do not come back together.
+// Delay returns the exponential backoff before the n-th further attempt, n from 1,
+// with full jitter: share is a random number from 0 to 1, so that requests that
+// failed together are not repeated together.
 func Delay(n int, share float64) time.Duration {
 	top := min(float64(baseDelay)*math.Pow(2, float64(n)), float64(maxDelay))
 	return time.Duration(share * top)
