--- a/internal/place/hedge/hedge.go
+++ b/internal/place/hedge/hedge.go
@@ -1,6 +1,5 @@
-// Package hedge tells when a second attempt beside a slow first one is worth
-// its work: once the first has taken longer than 95 of 100 recent calls of the
-// same service.
+// Package hedge computes after which time a second, concurrent attempt is worth
+// its cost: the 95th percentile of the recent calls of the same service.
 package hedge
 
 import (
@@ -15,12 +14,13 @@
 	highest      = int64(10 * time.Minute)
 	digits       = 2
 	quantile     = 95
-	minSamples   = 20 // fewer say nothing about the slowest twentieth
+	minSamples   = 20 // fewer don't determine the 95th percentile
 	windowLength = 30 * time.Second
 )
 
 type (
-	// Hedge is the record of one service. The zero value hedges nothing yet.
+	// Hedge holds the recent durations of one service. The zero value has no
+	// threshold yet.
 	Hedge struct {
 		hist    *hdrhistogram.WindowedHistogram
 		rotated time.Time
@@ -29,7 +29,7 @@
 	}
 )
 
-// Observe notes how long a successful call took.
+// Observe records the duration of a successful call.
 func (h *Hedge) Observe(now time.Time, took time.Duration) {
 	if h.hist == nil {
 		h.hist = hdrhistogram.NewWindowed(windows, lowest, highest, digits)
@@ -49,6 +49,6 @@
 
 func (h *Hedge) updateThreshold() { h.after = time.Duration(h.hist.Merge().ValueAtQuantile(quantile)) }
 
-// After returns the time after which a call is hedged, and whether enough is
-// known to tell.
+// After returns the time after which a call is hedged; ok is false as long as there
+// are too few samples.
 func (h *Hedge) After() (d time.Duration, ok bool) { return h.after, h.after > 0 }
--- a/internal/place/hedge/hedge_test.go
+++ b/internal/place/hedge/hedge_test.go
@@ -15,7 +15,7 @@
 		h.Observe(now, time.Second)
 	}
 	_, ok := h.After()
-	is.True(!ok) // too few to tell
+	is.True(!ok) // too few samples
 	for i := range 1000 {
 		now = now.Add(time.Second)
 		h.Observe(now, time.Duration(i%20)*5*time.Millisecond)
