--- a/internal/place/brkr/brkr_test.go
+++ b/internal/place/brkr/brkr_test.go
@@ -9,9 +9,9 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// An upstream fails, recovers, or fails again when it is probed. A breaker
-// that stays shut too long costs capacity; one that opens to all at once
-// sends a crowd to an upstream that is still down.
+// An upstream fails, recovers, or fails again when it is probed. A breaker that
+// stays open too long costs capacity; one that allows all requests at once sends a
+// burst of them to an upstream that is still down.
 func TestBreaker(t *testing.T) {
 	open := func(b *Breaker) {
 		for range Threshold {
