--- a/internal/place/limit/limit.go
+++ b/internal/place/limit/limit.go
@@ -34,11 +34,11 @@
 	Limit struct {
 		Max int // upper bound, 0 for none
 
-		limit float64
-		ratio float64 // smoothed measured latency over expected
-		count int     // answers since the last probe, or since the probe began
-		probe probe
-		room  float64 // limit up to which it grows by one for each answer
+		limit     float64
+		ratio     float64 // smoothed measured latency over expected
+		count     int     // answers since the last probe, or since the probe began
+		probe     probe
+		fastLimit float64 // limit up to which it grows by one for each answer
 	}
 
 	probe struct {
@@ -82,7 +82,7 @@
 	switch {
 	case l.ratio > tolerance:
 		l.limit = l.clamp(v - (1-max(minFactor, tolerance/l.ratio))*v/max(v, 1))
-	case full && v < l.room:
+	case full && v < l.fastLimit:
 		l.limit = l.clamp(v + 1)
 	case full: // otherwise the limit did not restrict the load
 		l.limit = l.clamp(v + growth/v)
@@ -97,9 +97,9 @@
 // with slow growth, requests would queue here while the engine has free slots.
 // Several owners may use the same free slots; the next report then shows it.
 func (l *Limit) SetWaiting(waiting int) {
-	l.room = 0
+	l.fastLimit = 0
 	if waiting == 0 {
-		l.room = roomGrowth * l.value()
+		l.fastLimit = roomGrowth * l.value()
 	}
 }
 
--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -118,7 +118,7 @@
 
 // Room returns the free cache space in tokens; known is false if the upstream has
 // not reported its cache size.
-func (l *Load) Room() (tokens int, known bool) {
+func (l *Load) FreeTokens() (tokens int, known bool) {
 	return l.report.Total - l.report.Used, l.report.Total > 0
 }
 
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -29,7 +29,7 @@
 	Index struct {
 		// Part is this owner's share of all programs, 0 if unknown. Users of
 		// a shared block are scaled by it to estimate those of all owners.
-		Part float64
+		OwnShare float64
 
 		blocks      map[uint64]*block
 		programs    map[string]*program
@@ -154,7 +154,7 @@
 // tokens of the prompt cached when the request began, so it holds the blocks
 // within them. Blocks that it lacked it has computed since, so they need no
 // removal.
-func (x *Index) Correct(e int, blocks []engine.Block, cached int) {
+func (x *Index) Confirm(e int, blocks []engine.Block, cached int) {
 	x.grow(e)
 	sum := 0
 	for _, b := range blocks {
@@ -280,8 +280,8 @@
 func (x *Index) share(b engine.Block) float64 {
 	if known := x.blocks[b.Hash]; known != nil && known.users > 1 {
 		users := float64(known.users)
-		if x.Part > 0 {
-			users /= x.Part
+		if x.OwnShare > 0 {
+			users /= x.OwnShare
 		}
 		return float64(b.Tokens) / users
 	}
--- a/internal/place/prefix/prefix_test.go
+++ b/internal/place/prefix/prefix_test.go
@@ -50,7 +50,7 @@
 			x.Apply(4, []engine.Event{{Seq: 9}, {Seq: 1, Stored: []uint64{1}}})
 		}, map[int]int{4: 100}},
 		"repeated event":  {func(x *Index) { x.Apply(4, []engine.Event{{Seq: 1, Stored: []uint64{1}}, {Seq: 1}}) }, map[int]int{4: 100}},
-		"usage tells":     {func(x *Index) { x.Correct(3, blocks(1, 2, 3), 200) }, map[int]int{3: 200}},
+		"usage tells":     {func(x *Index) { x.Confirm(3, blocks(1, 2, 3), 200) }, map[int]int{3: 200}},
 		"program is over": {func(x *Index) { place(x, "p", 1, 1, 2); x.End("p") }, map[int]int{}},
 		"shared with one that goes on": {func(x *Index) {
 			place(x, "p", 1, 1, 2)
@@ -97,7 +97,7 @@
 // new copy is not borne by the program that happens to be the first there.
 func TestWeightIsShared(t *testing.T) {
 	is := is.New(t)
-	x := Index{Part: 0.5}
+	x := Index{OwnShare: 0.5}
 	place(&x, "p", 1, 1, 2)
 	place(&x, "q", 1, 1, 3)
 	m := x.Match(blocks(1, 2))
--- a/internal/place/sched/admit.go
+++ b/internal/place/sched/admit.go
@@ -29,7 +29,7 @@
 		if s.requests[slot].queued {
 			return
 		}
-		s.withdraw(now, a.ID)
+		s.cancel(now, a.ID)
 	}
 	last, again := s.failed[a.ID]
 	if !s.admitAttempt(a, last, again) {
--- a/internal/place/sched/attempt.go
+++ b/internal/place/sched/attempt.go
@@ -91,7 +91,7 @@
 	s.free = append(s.free, slot)
 }
 
-func (s *Sched) withdraw(now time.Time, id string) {
+func (s *Sched) cancel(now time.Time, id string) {
 	slot, ok := s.byID[id]
 	if !ok {
 		return
@@ -196,7 +196,7 @@
 		u.limit.Observe(took.Seconds(), sv.speed.LongMean(), u.load.Inflight()+1)
 		return
 	}
-	s.index.Correct(t.up, r.submit.Blocks, m.Usage.Cached)
+	s.index.Confirm(t.up, r.submit.Blocks, m.Usage.Cached)
 	if t.first.IsZero() {
 		return
 	}
--- a/internal/place/sched/fair_test.go
+++ b/internal/place/sched/fair_test.go
@@ -207,7 +207,7 @@
 
 // Other daemons' requests fill an upstream to its limit. If a daemon counted
 // only its own requests, each of many would send as many as all may together.
-func TestBoundCountsWorkOfOthers(t *testing.T) {
+func TestLimitCountsOtherOwners(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	f := fleet(1)
--- a/internal/place/sched/machine.go
+++ b/internal/place/sched/machine.go
@@ -62,7 +62,7 @@
 	case Submit:
 		s.submit(now, m)
 	case Cancel:
-		s.withdraw(now, m.ID)
+		s.cancel(now, m.ID)
 	case First:
 		s.first(now, m)
 	case Done:
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -92,12 +92,12 @@
 	if c.best == none || cost < c.bestCost {
 		c.best, c.bestCost = i, cost
 	}
-	if u.room(now) && (c.free == none || cost < c.freeCost) {
+	if u.hasRoom(now) && (c.free == none || cost < c.freeCost) {
 		c.free, c.freeCost = i, cost
 	}
 }
 
-func (s *Sched) estimate(now time.Time, g *group, i, total int, held, all float64, stays bool) score.Case {
+func (s *Sched) estimate(now time.Time, g *group, i, total int, held, all float64, stays bool) score.Candidate {
 	u := s.ups[i]
 	sp := u.speed.Blend(now, &g.speed)
 	n := float64(u.load.Inflight()) + u.load.Others(now)
@@ -108,13 +108,13 @@
 	m := s.index.Matched(i)
 	missing := total - m.Tokens
 	service, rise := g.service(n)
-	return score.Case{
+	return score.Candidate{
 		Queued:     max(0, n+1-capacity),
 		Capacity:   capacity,
 		Mean:       sp.Mean(),
 		Service:    service * sp.Factor(),
 		Slowdown:   rise * n,
-		LaterCalls: s.later(now, g, i, sp.Factor(), stays),
+		LaterCalls: s.laterCalls(now, g, i, sp.Factor(), stays),
 		PerToken:   sp.PerToken(),
 		Missing:    missing,
 		Shared:     max(0, float64(missing)-(all-m.Weight)),
@@ -126,7 +126,7 @@
 // later returns the seconds that the remaining calls of a program would take
 // at the upstream. Programs stay where their prefix is cached, so this depends
 // not on the current load but on the average one and the programs placed there.
-func (s *Sched) later(now time.Time, g *group, i int, factor float64, stays bool) float64 {
+func (s *Sched) laterCalls(now time.Time, g *group, i int, factor float64, stays bool) float64 {
 	programCalls := min(g.programCalls, maxCalls)
 	if programCalls == 0 {
 		programCalls = defaultCalls
@@ -157,7 +157,7 @@
 }
 
 func evicted(u *upstream, missing int) int {
-	room, known := u.load.Room()
+	room, known := u.load.FreeTokens()
 	if !known {
 		return 0
 	}
--- a/internal/place/sched/upstream.go
+++ b/internal/place/sched/upstream.go
@@ -68,7 +68,7 @@
 // room reports whether one more request may be sent. The configured limit
 // counts the requests of all owners. One request of this owner is always
 // admitted, or the others could starve it.
-func (u *upstream) room(now time.Time) bool {
+func (u *upstream) hasRoom(now time.Time) bool {
 	own := u.load.Inflight()
 	if own == 0 {
 		return true
@@ -168,10 +168,10 @@
 		}
 	}
 	if g.conf.Kind != file.Services && float64(inflight)+others > 0 {
-		if s.index.Part == 0 {
-			s.index.Part = 1
+		if s.index.OwnShare == 0 {
+			s.index.OwnShare = 1
 		}
-		s.index.Part += dutyAlpha * (float64(inflight)/(float64(inflight)+others) - s.index.Part)
+		s.index.OwnShare += dutyAlpha * (float64(inflight)/(float64(inflight)+others) - s.index.OwnShare)
 	}
 	if homes > 0 {
 		g.duty += dutyAlpha * (min(float64(inflight)/float64(homes), 1) - g.duty)
--- a/internal/place/score/score.go
+++ b/internal/place/score/score.go
@@ -27,7 +27,7 @@
 	}
 
 	// Case describes one request at one upstream.
-	Case struct {
+	Candidate struct {
 		Queued     float64 // requests queued before this one
 		Capacity   float64 // concurrent requests that the upstream serves
 		Mean       float64 // mean seconds of one request
@@ -43,7 +43,7 @@
 )
 
 // Cost returns the weighted cost in seconds.
-func (w Weights) Cost(c Case) float64 {
+func (w Weights) Cost(c Candidate) float64 {
 	if w.Latency == 0 && w.Cache == 0 {
 		w = Weights{Latency: 1, Cache: 1}
 	}
@@ -58,4 +58,4 @@
 func (w Weights) MoveThreshold() float64 { return moveCost * max(w.Latency, 1) }
 
 // Wait returns the seconds that the request spends in the queue.
-func (c Case) Wait() float64 { return c.Mean * c.Queued / max(c.Capacity, 1) }
+func (c Candidate) Wait() float64 { return c.Mean * c.Queued / max(c.Capacity, 1) }
--- a/internal/place/score/score_test.go
+++ b/internal/place/score/score_test.go
@@ -10,10 +10,10 @@
 // that is idle and has nothing cached.
 func TestWeightsDecide(t *testing.T) {
 	const perToken = 0.0002
-	home := func(queued float64) Case {
-		return Case{Queued: queued, Capacity: 8, Mean: 2, Service: 2, PerToken: perToken}
+	home := func(queued float64) Candidate {
+		return Candidate{Queued: queued, Capacity: 8, Mean: 2, Service: 2, PerToken: perToken}
 	}
-	idle := Case{Capacity: 8, Mean: 2, Service: 2, PerToken: perToken, Missing: 10_000, Lost: 10_000}
+	idle := Candidate{Capacity: 8, Mean: 2, Service: 2, PerToken: perToken, Missing: 10_000, Lost: 10_000}
 	tests := map[string]struct {
 		w      Weights
 		queued float64
@@ -35,6 +35,6 @@
 func TestEvictionCosts(t *testing.T) {
 	is := is.New(t)
 	w := Weights{Latency: 1, Cache: 1}
-	free, full := Case{PerToken: 0.001}, Case{PerToken: 0.001, Evicted: 1000}
+	free, full := Candidate{PerToken: 0.001}, Candidate{PerToken: 0.001, Evicted: 1000}
 	is.Equal(w.Cost(full)-w.Cost(free), reuse*1.0)
 }
--- a/internal/place/sweep/sweep.go
+++ b/internal/place/sweep/sweep.go
@@ -25,7 +25,7 @@
 		Start uint64
 
 		next     time.Time
-		turn     uint64
+		position uint64
 		upstream string   // last one read
 		suspects []string // programs without an owner in that reading
 	}
@@ -38,11 +38,11 @@
 		return 0, false
 	}
 	s.next = now.Add(Interval)
-	if len(s.suspects) > 0 && s.turn > 0 {
-		s.turn-- // read the same one again, to confirm the suspects
+	if len(s.suspects) > 0 && s.position > 0 {
+		s.position-- // read the same one again, to confirm the suspects
 	}
-	i = int((s.Start + s.turn) % uint64(n))
-	s.turn++
+	i = int((s.Start + s.position) % uint64(n))
+	s.position++
 	return i, true
 }
 
