--- a/internal/place/gate/gate.go
+++ b/internal/place/gate/gate.go
@@ -131,7 +131,8 @@
 }
 
 // release admits waiting programs while there is capacity, the newest first: the newest
-// has the most time left, while one that has waited long is late even if it starts now.
+// has the most time left, while one that has waited long is likely to finish late even
+// if it starts now.
 func (g *Gate) release(now time.Time, ops []Op, l Load) []Op {
 	g.refill(now, l)
 	for l.InFlight < l.Capacity && g.credit >= 1 && len(g.waiting) > 0 {
--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -116,7 +116,7 @@
 	return float64(halfLife) / float64(halfLife+max(age, 0))
 }
 
-// Room returns the free cache space in tokens; known is false if the upstream has
+// FreeTokens returns the free cache space in tokens; known is false if the upstream has
 // not reported its cache size.
 func (l *Load) FreeTokens() (tokens int, known bool) {
 	return l.report.Total - l.report.Used, l.report.Total > 0
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -3,7 +3,7 @@
 // It has two sources. This owner's placements show what an engine has computed
 // but may have evicted since. Cache events report both, but late and with gaps.
 // After a gap, entries known only from events are ignored and those from
-// placements remain; the usage in each answer corrects them. Blocks of this
+// placements remain; the usage in each answer confirms them. Blocks of this
 // owner's programs are kept as long as a program uses them. Of all others a
 // bounded number is kept, since a context shared by many programs may be used
 // here next.
@@ -27,7 +27,7 @@
 	// Index holds the cached prefixes of all engines, which are identified by
 	// small numbers. The zero value is empty.
 	Index struct {
-		// Part is this owner's share of all programs, 0 if unknown. Users of
+		// OwnShare is this owner's share of all programs, 0 if unknown. Users of
 		// a shared block are scaled by it to estimate those of all owners.
 		OwnShare float64
 
@@ -150,10 +150,9 @@
 	return 0
 }
 
-// Correct updates the index by an answer's usage: the engine had that many
-// tokens of the prompt cached when the request began, so it holds the blocks
-// within them. Blocks that it lacked it has computed since, so they need no
-// removal.
+// Confirm applies an answer's usage: the engine had that many tokens of the
+// prompt cached when the request began, so it holds the blocks within them. The
+// blocks that it lacked it has computed since, so none are removed.
 func (x *Index) Confirm(e int, blocks []engine.Block, cached int) {
 	x.grow(e)
 	sum := 0
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -38,7 +38,8 @@
 	}
 )
 
-// pick compares upstreams for the request without changing anything.
+// pick compares a sample of the upstreams for the request, or all of them if none of
+// the sample is usable. It records no placement.
 func (s *Sched) pick(now time.Time, r *request) choice {
 	c := choice{best: none, free: none}
 	g := s.groups[r.submit.Group]
@@ -123,7 +124,7 @@
 	}
 }
 
-// later returns the seconds that the remaining calls of a program would take
+// laterCalls returns the seconds that the remaining calls of a program would take
 // at the upstream. Programs stay where their prefix is cached, so this depends
 // not on the current load but on the average one and the programs placed there.
 func (s *Sched) laterCalls(now time.Time, g *group, i int, factor float64, stays bool) float64 {
@@ -157,11 +158,11 @@
 }
 
 func evicted(u *upstream, missing int) int {
-	room, known := u.load.FreeTokens()
+	free, known := u.load.FreeTokens()
 	if !known {
 		return 0
 	}
-	return min(max(0, missing-room), missing)
+	return min(max(0, missing-free), missing)
 }
 
 // dispatch sends queued requests in order while there is room. A request whose
--- a/internal/place/sched/sched.go
+++ b/internal/place/sched/sched.go
@@ -52,7 +52,7 @@
 		Prompt     int // tokens
 		MaxTokens  int
 		Priority   int
-		Attained   int64 // attained service of the family, in tokens
+		Attained   int64 // attained service of the family so far, in tokens
 		Avoid      []string
 		Idempotent bool
 		Retry      bool // counts against the retry budget
--- a/internal/place/sched/upstream.go
+++ b/internal/place/sched/upstream.go
@@ -65,7 +65,7 @@
 	return model == "" || len(u.conf.Models) == 0 || slices.Contains(u.conf.Models, model)
 }
 
-// room reports whether one more request may be sent. The configured limit
+// hasRoom reports whether one more request may be sent. The configured limit
 // counts the requests of all owners. One request of this owner is always
 // admitted, or the others could starve it.
 func (u *upstream) hasRoom(now time.Time) bool {
--- a/internal/place/score/score.go
+++ b/internal/place/score/score.go
@@ -26,7 +26,7 @@
 		Cache   float64
 	}
 
-	// Case describes one request at one upstream.
+	// Candidate is one upstream for one request, with the estimates for both.
 	Candidate struct {
 		Queued     float64 // requests queued before this one
 		Capacity   float64 // concurrent requests that the upstream serves
