--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -45,7 +45,7 @@
 		q.wait = map[uint64]chan gate.Op{}
 	}
 	q.wait[ticket] = done
-	q.step(name, gate.Arrive{Ticket: ticket, Deadline: until, Load: load})
+	q.step(name, gate.Arrive{Ticket: ticket, LatestStart: until, Load: load})
 	q.mu.Unlock()
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
--- a/internal/node/placer/load.go
+++ b/internal/node/placer/load.go
@@ -38,7 +38,7 @@
 }
 
 func (p *Placer) admit(ctx context.Context, e loader.Admit) {
-	m := loader.Admitted{Upstream: e.Upstream}
+	m := loader.AdmitResult{Upstream: e.Upstream}
 	if p.Weights != nil {
 		call, stop := context.WithTimeout(ctx, admitTimeout)
 		defer stop()
@@ -50,7 +50,7 @@
 func (p *Placer) load(ctx context.Context, e loader.Load) {
 	call, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
-	m := loader.Loaded{Upstream: e.Upstream, Model: e.Model}
+	m := loader.LoadResult{Upstream: e.Upstream, Model: e.Model}
 	fence, here := p.Fence(e.Upstream)
 	if !here {
 		m.Err = errElsewhere
--- a/internal/place/batch/batch.go
+++ b/internal/place/batch/batch.go
@@ -45,27 +45,27 @@
 
 // Observe adds the time of one event, in seconds, and the number of turns that the
 // engine ran meanwhile.
-func (p *Estimator) Observe(turns, event float64) {
-	if p.samples >= minSamples && event > outlier*p.fit.At(turns) {
+func (e *Estimator) Observe(turns, event float64) {
+	if e.samples >= minSamples && event > outlier*e.fit.At(turns) {
 		return
 	}
-	p.fit.Keep = decay
-	p.fit.Observe(turns, event)
-	p.samples++
+	e.fit.Keep = decay
+	e.fit.Observe(turns, event)
+	e.samples++
 }
 
 // Share returns the fill level, the number of turns in flight as a share of the batch
 // size, up to which an engine with that batch size should be filled. Above 1, turns
 // queue in the engine: with 1.3 times the batch size in flight, each takes 1.3 times as
 // long as its time in the batch.
-func (p *Estimator) Share(batchSize int) float64 {
-	if p.samples < minSamples || batchSize <= 0 {
+func (e *Estimator) Share(batchSize int) float64 {
+	if e.samples < minSamples || batchSize <= 0 {
 		return maxShare
 	}
-	alone, full := p.fit.At(1), p.fit.At(float64(batchSize))
+	alone, full := e.fit.At(1), e.fit.At(float64(batchSize))
 	if full <= maxSlowdown*alone {
 		return min(maxSlowdown*alone/full, maxShare)
 	}
-	turns := 1 + (maxSlowdown-1)*alone/p.fit.Rise()
+	turns := 1 + (maxSlowdown-1)*alone/e.fit.Rise()
 	return max(turns/float64(batchSize), minShare)
 }
--- a/internal/place/batch/batch_test.go
+++ b/internal/place/batch/batch_test.go
@@ -15,7 +15,7 @@
 	cases := map[string]struct {
 		alone, perTurn float64
 		meanTurns      float64 // turns in flight
-		places         int
+		batchSize      int
 		want           float64
 	}{
 		"16 places":                      {26, 1.3, 6, 16, 1.14},
@@ -31,12 +31,12 @@
 			for seed := range uint64(daemons) {
 				var p Estimator
 				rnd := rand.New(rand.NewPCG(seed, 1))
-				is.New(t).Equal(p.Share(c.places), maxShare) // no samples, no limit
+				is.New(t).Equal(p.Share(c.batchSize), maxShare) // no samples, no limit
 				for range 600 {
 					n := max(1, c.meanTurns+2*rnd.NormFloat64())
 					p.Observe(n, (c.alone+c.perTurn*(n-1)+2*rnd.NormFloat64())/1000)
 				}
-				got := p.Share(c.places)
+				got := p.Share(c.batchSize)
 				is.New(t).True(math.Abs(got-c.want) < 0.12*c.want)
 				mean += got / daemons
 			}
--- a/internal/place/gate/bench_test.go
+++ b/internal/place/gate/bench_test.go
@@ -13,11 +13,11 @@
 	now := time.UnixMilli(1_000_000)
 	full := Load{InFlight: 100, Capacity: 100}
 	for i := range uint64(5000) {
-		g.Step(now, Arrive{Ticket: i, Deadline: now.Add(time.Hour), Load: full})
+		g.Step(now, Arrive{Ticket: i, LatestStart: now.Add(time.Hour), Load: full})
 	}
 	b.ReportAllocs()
 	for i := uint64(5000); b.Loop(); i++ {
-		g.Step(now, Arrive{Ticket: i, Deadline: now.Add(time.Hour), Load: full})
+		g.Step(now, Arrive{Ticket: i, LatestStart: now.Add(time.Hour), Load: full})
 		g.Step(now, Cancel{Ticket: i})
 	}
 }
--- a/internal/place/gate/burst_test.go
+++ b/internal/place/gate/burst_test.go
@@ -124,7 +124,7 @@
 	p.last++
 	p.byID[p.last] = a
 	a.waiting = true
-	p.apply(p.gate.Step(p.clock(), Arrive{Ticket: p.last, Deadline: p.clock().Add(a.latestStart() - p.now), Load: p.load()}))
+	p.apply(p.gate.Step(p.clock(), Arrive{Ticket: p.last, LatestStart: p.clock().Add(a.latestStart() - p.now), Load: p.load()}))
 }
 
 // latestStart returns the latest start with which the program can finish in time.
--- a/internal/place/gate/gate.go
+++ b/internal/place/gate/gate.go
@@ -52,9 +52,9 @@
 	// Arrive requests the admission of a program. Deadline is the latest start with
 	// which the program can finish in time; it may have passed.
 	Arrive struct {
-		Ticket   uint64
-		Deadline time.Time
-		Load     Load
+		Ticket      uint64
+		LatestStart time.Time
+		Load        Load
 	}
 
 	// Change reports a new load, after turns have ended or another daemon's update.
@@ -84,8 +84,8 @@
 	}
 
 	waiter struct {
-		ticket   uint64
-		deadline time.Time
+		ticket      uint64
+		latestStart time.Time
 	}
 )
 
@@ -117,16 +117,16 @@
 // once: retrying later costs it nothing more, and in the queue it would only delay
 // others.
 func (g *Gate) arrive(now time.Time, e Arrive) []Op {
-	if !now.Before(e.Deadline) {
+	if !now.Before(e.LatestStart) {
 		if len(g.waiting) == 0 && e.Load.InFlight < int(lateFill*float64(e.Load.Capacity)) {
 			return []Op{Admit{Ticket: e.Ticket}}
 		}
 		return []Op{Refuse{Ticket: e.Ticket, After: After}}
 	}
-	if len(g.waiting) == 0 || e.Deadline.Before(g.nextExpiry) {
-		g.nextExpiry = e.Deadline
+	if len(g.waiting) == 0 || e.LatestStart.Before(g.nextExpiry) {
+		g.nextExpiry = e.LatestStart
 	}
-	g.waiting = append(g.waiting, waiter{ticket: e.Ticket, deadline: e.Deadline})
+	g.waiting = append(g.waiting, waiter{ticket: e.Ticket, latestStart: e.LatestStart})
 	return g.release(now, g.expire(now, nil), e.Load)
 }
 
@@ -171,9 +171,9 @@
 	}
 	g.nextExpiry = time.Time{}
 	g.waiting = slices.DeleteFunc(g.waiting, func(w waiter) bool {
-		if now.Before(w.deadline) {
-			if g.nextExpiry.IsZero() || w.deadline.Before(g.nextExpiry) {
-				g.nextExpiry = w.deadline
+		if now.Before(w.latestStart) {
+			if g.nextExpiry.IsZero() || w.latestStart.Before(g.nextExpiry) {
+				g.nextExpiry = w.latestStart
 			}
 			return false
 		}
--- a/internal/place/gate/gate_test.go
+++ b/internal/place/gate/gate_test.go
@@ -10,7 +10,7 @@
 var start = time.UnixMilli(1_000_000)
 
 func arrive(ticket uint64, slack time.Duration, inFlight int) Arrive {
-	return Arrive{Ticket: ticket, Deadline: start.Add(slack), Load: load(inFlight, 1)}
+	return Arrive{Ticket: ticket, LatestStart: start.Add(slack), Load: load(inFlight, 1)}
 }
 
 func load(inFlight, daemons int) Load {
@@ -49,7 +49,7 @@
 		"late, and little room":        {{0, arrive(1, 0, int(100*lateFill)), []Op{refuse(1)}}},
 		"late, behind those that wait": {{0, arrive(1, second, 100), nil}, {0, arrive(2, 0, 10), []Op{refuse(2)}}},
 		"a caller that has left":       {{0, arrive(1, second, 100), nil}, {0, Cancel{1}, nil}, {0, Change{load(10, 1)}, nil}},
-		"no engines":                   {{0, Arrive{Ticket: 1, Deadline: start.Add(second)}, nil}, {second, Change{}, []Op{refuse(1)}}},
+		"no engines":                   {{0, Arrive{Ticket: 1, LatestStart: start.Add(second)}, nil}, {second, Change{}, []Op{refuse(1)}}},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	full := Load{InFlight: 100, Capacity: 100, Daemons: daemons, Staleness: staleness}
 	for i := range gates {
 		for n := range uint64(waiting) {
-			gates[i].Step(start, Arrive{Ticket: n, Deadline: start.Add(time.Minute), Load: full})
+			gates[i].Step(start, Arrive{Ticket: n, LatestStart: start.Add(time.Minute), Load: full})
 		}
 		gates[i].credit = float64(i) / daemons // spread as in steady state
 	}
--- a/internal/place/limit/limit.go
+++ b/internal/place/limit/limit.go
@@ -70,24 +70,24 @@
 	// One slow request may only have waited for another's long prompt; ten
 	// indicate overload. The cap keeps a single outlier from reducing the limit
 	// to its minimum.
-	now := min(measured/expected, 4*tolerance)
-	l.ratio += smoothing * (now - l.ratio)
+	current := min(measured/expected, 4*tolerance)
+	l.ratio += smoothing * (current - l.ratio)
 	l.count++
 	if l.probe.active {
-		l.observeProbe(now)
+		l.observeProbe(current)
 		return
 	}
 	v := l.value()
-	full := float64(inflight) >= v/2
+	inUse := float64(inflight) >= v/2
 	switch {
 	case l.ratio > tolerance:
 		l.limit = l.clamp(v - (1-max(minFactor, tolerance/l.ratio))*v/max(v, 1))
-	case full && v < l.fastLimit:
+	case inUse && v < l.fastLimit:
 		l.limit = l.clamp(v + 1)
-	case full: // otherwise the limit did not restrict the load
+	case inUse: // otherwise the limit did not restrict the load
 		l.limit = l.clamp(v + growth/v)
 	}
-	if full && v >= 2 && l.count >= max(minEvery, int(probeEvery*v)) {
+	if inUse && v >= 2 && l.count >= max(minEvery, int(probeEvery*v)) {
 		l.probe, l.count = probe{active: true, before: l.ratio}, 0
 	}
 }
--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -18,7 +18,7 @@
 	// Upper bound on the assumed age of a report, as an engine's clock may be off.
 	maxLag = 5 * time.Second
 	// Age of the last report at which the load of others counts half.
-	halfLife = 5 * time.Second
+	halfWeightAge = 5 * time.Second
 	// Weight of each report in the average load.
 	averageAlpha = 0.05
 	// Weight of the last report's difference from the average: the share of it
@@ -113,7 +113,7 @@
 // whose reports stopped while it was busy is not avoided for good.
 func (l *Load) freshness(now time.Time) float64 {
 	age := now.Sub(l.received)
-	return float64(halfLife) / float64(halfLife+max(age, 0))
+	return float64(halfWeightAge) / float64(halfWeightAge+max(age, 0))
 }
 
 // FreeTokens returns the free cache space in tokens; known is false if the upstream has
--- a/internal/place/loader/loader.go
+++ b/internal/place/loader/loader.go
@@ -44,14 +44,14 @@
 
 	// Admitted is the answer to Admit. With a Wait of 0 the load may start, otherwise
 	// it is to be requested again after Wait.
-	Admitted struct {
+	AdmitResult struct {
 		Upstream string
 		Wait     time.Duration
 		Err      error
 	}
 
 	// Loaded is the answer to Load.
-	Loaded struct {
+	LoadResult struct {
 		Upstream string
 		Model    string
 		Err      error
@@ -82,8 +82,8 @@
 func (Declare) message()     {}
 func (Responsible) message() {}
 func (Restarted) message()   {}
-func (Admitted) message()    {}
-func (Loaded) message()      {}
+func (AdmitResult) message() {}
+func (LoadResult) message()  {}
 func (Tick) message()        {}
 
 func (Admit) effect() {}
@@ -103,9 +103,9 @@
 		if e := s.engines[m.Upstream]; e != nil {
 			e.reset()
 		}
-	case Admitted:
+	case AdmitResult:
 		return s.admitted(now, m)
-	case Loaded:
+	case LoadResult:
 		s.loadDone(now, m)
 	case Tick:
 		return s.tick(now)
@@ -154,7 +154,7 @@
 	return effs
 }
 
-func (s *Loader) admitted(now time.Time, m Admitted) []Effect {
+func (s *Loader) admitted(now time.Time, m AdmitResult) []Effect {
 	e := s.engines[m.Upstream]
 	if e == nil {
 		return nil
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (s *Loader) loadDone(now time.Time, m Loaded) {
+func (s *Loader) loadDone(now time.Time, m LoadResult) {
 	e := s.engines[m.Upstream]
 	switch {
 	case e == nil:
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -33,11 +33,11 @@
 
 		blocks      map[uint64]*block
 		programs    map[string]*program
-		engines     []state
+		engines     []engineState
 		tracked     []uint64 // ring
 		trackedNext int
 		matches     []Match
-		stamp       uint32
+		matchNumber uint32
 		totalWeight float64 // weight of the whole prompt of the last Match
 	}
 
@@ -68,19 +68,19 @@
 		calls   int
 	}
 
-	state struct {
-		seq      uint64 // of the last event
-		epoch    uint32 // incremented with each gap or restart
-		minEpoch uint32 // placements of earlier epochs are ignored
-		stamp    uint32 // of the last Match that found the engine
-		match    Match
-		programs int // programs whose last request was sent here
+	engineState struct {
+		seq         uint64 // of the last event
+		epoch       uint32 // incremented with each gap or restart
+		minEpoch    uint32 // placements of earlier epochs are ignored
+		matchNumber uint32 // of the last Match that found the engine
+		match       Match
+		programs    int // programs whose last request was sent here
 	}
 )
 
 func (x *Index) grow(e int) {
 	for len(x.engines) <= e {
-		x.engines = append(x.engines, state{})
+		x.engines = append(x.engines, engineState{})
 	}
 }
 
@@ -248,7 +248,7 @@
 // longest first. The result is valid until the next call.
 func (x *Index) Match(blocks []engine.Block) []Match {
 	x.matches = x.matches[:0]
-	x.stamp++
+	x.matchNumber++
 	var shares [headScan]float64
 	m := Match{}
 	for i, b := range blocks {
@@ -293,7 +293,7 @@
 // Matched returns the engine's result in the last Match; Tokens is 0 if it was
 // not found.
 func (x *Index) Matched(e int) Match {
-	if e >= len(x.engines) || x.engines[e].stamp != x.stamp {
+	if e >= len(x.engines) || x.engines[e].matchNumber != x.matchNumber {
 		return Match{Engine: e}
 	}
 	return x.engines[e].match
@@ -306,11 +306,11 @@
 	}
 	for _, h := range b.holders {
 		s := &x.engines[h.engine]
-		if s.stamp == x.stamp || !s.trusts(h) {
+		if s.matchNumber == x.matchNumber || !s.isValid(h) {
 			continue
 		}
 		m.Engine = int(h.engine)
-		s.stamp, s.match = x.stamp, m
+		s.matchNumber, s.match = x.matchNumber, m
 		x.matches = append(x.matches, m)
 		if len(x.matches) == maxMatches {
 			return
@@ -318,7 +318,7 @@
 	}
 }
 
-func (s *state) trusts(h holder) bool {
+func (s *engineState) isValid(h holder) bool {
 	if h.placed {
 		return h.epoch >= s.minEpoch
 	}
--- a/internal/place/queue/queue.go
+++ b/internal/place/queue/queue.go
@@ -79,7 +79,7 @@
 // is removed and returned: the last in order that is the first of its program, or
 // else the last. Refusing a running program would waste the work done for it, so
 // overload is handled by not starting more programs. A limit of 0 is none.
-func (q *Queue) Push(it Item, limit int) (evicted Item, dropped bool) {
+func (q *Queue) Push(it Item, limit int) (dropped Item, ok bool) {
 	i := sort.Search(len(q.items), func(i int) bool { return q.items[i].Key <= it.Key })
 	q.items = append(q.items, Item{})
 	copy(q.items[i+1:], q.items[i:])
@@ -87,13 +87,13 @@
 	if limit <= 0 || len(q.items) <= limit {
 		return Item{}, false
 	}
-	j := q.victim()
-	evicted = q.items[j]
+	j := q.dropIndex()
+	dropped = q.items[j]
 	q.items = append(q.items[:j], q.items[j+1:]...)
-	return evicted, true
+	return dropped, true
 }
 
-func (q *Queue) victim() int {
+func (q *Queue) dropIndex() int {
 	for i := range q.items {
 		if q.items[i].New {
 			return i
--- a/internal/place/sched/admit.go
+++ b/internal/place/sched/admit.go
@@ -102,10 +102,10 @@
 func (s *Sched) enqueue(now time.Time, g *group, slot int32) {
 	r := &s.requests[slot]
 	key := queue.Key(now.Sub(s.start).Seconds(), r.submit.Priority, r.submit.Attained, s.accounts[r.submit.Account]-1)
-	begins := r.submit.Attained == 0 && r.submit.Model != ""
+	isNew := r.submit.Attained == 0 && r.submit.Model != ""
 	wait := g.wait(g.queue.Ahead(key))
 	maxWait := g.maxWait()
-	if begins {
+	if isNew {
 		maxWait = time.Duration(newProgramShare * float64(maxWait))
 	}
 	if g.queue.Len() > 0 && wait > maxWait {
@@ -117,9 +117,9 @@
 	if limit <= 0 {
 		limit = defaultQueueLimit
 	}
-	out, dropped := g.queue.Push(queue.Item{ID: slot, Key: key, New: begins}, limit)
-	if dropped {
-		s.refuse(out.ID, result.CodeOverloaded, overloaded(g, wait), s.jitter(wait))
+	dropped, ok := g.queue.Push(queue.Item{ID: slot, Key: key, New: isNew}, limit)
+	if ok {
+		s.refuse(dropped.ID, result.CodeOverloaded, overloaded(g, wait), s.jitter(wait))
 	}
 }
 
--- a/internal/place/sched/attempt.go
+++ b/internal/place/sched/attempt.go
@@ -22,7 +22,7 @@
 	}
 
 	// service holds the statistics of one service over all its upstreams.
-	service struct {
+	serviceStats struct {
 		hedge hedge.Hedge
 		speed speed.Speed
 	}
@@ -63,8 +63,8 @@
 // open allocates a slot for the request.
 func (s *Sched) open(now time.Time, a Submit, lastFailed failure, again bool) int32 {
 	var slot int32
-	if n := len(s.free); n > 0 {
-		slot, s.free = s.free[n-1], s.free[:n-1]
+	if n := len(s.freeSlots); n > 0 {
+		slot, s.freeSlots = s.freeSlots[n-1], s.freeSlots[:n-1]
 	} else {
 		slot = int32(len(s.requests))
 		s.requests = append(s.requests, request{})
@@ -88,7 +88,7 @@
 		delete(s.accounts, r.submit.Account)
 	}
 	*r = request{}
-	s.free = append(s.free, slot)
+	s.freeSlots = append(s.freeSlots, slot)
 }
 
 func (s *Sched) cancel(now time.Time, id string) {
@@ -159,9 +159,9 @@
 		s.releaseLate(r, m.Upstream)
 		s.close(slot)
 	}
-	s.freed = s.upstream(m.Upstream)
+	s.freedUpstream = s.upstream(m.Upstream)
 	s.dispatch(now, g)
-	s.freed = none
+	s.freedUpstream = none
 }
 
 // recordOutcome updates the breaker, the limit and the estimates.
@@ -190,7 +190,7 @@
 	if r.submit.Service != "" {
 		u.speed.ObserveFactor(took.Seconds(), g.callTime.At(t.concurrent))
 		g.callTime.Observe(t.concurrent, took.Seconds())
-		sv := s.service(r.submit.Service)
+		sv := s.serviceStats(r.submit.Service)
 		sv.speed.ObserveCall(now, took)
 		sv.hedge.Observe(now, took)
 		u.limit.Observe(took.Seconds(), sv.speed.LongMean(), u.load.Inflight()+1)
@@ -216,10 +216,10 @@
 
 const outputAlpha = 0.05
 
-func (s *Sched) service(name string) *service {
+func (s *Sched) serviceStats(name string) *serviceStats {
 	v := s.services[name]
 	if v == nil {
-		v = &service{}
+		v = &serviceStats{}
 		s.services[name] = v
 	}
 	return v
@@ -234,7 +234,7 @@
 		if !r.used || !t.active || r.attempts[1].active || !r.submit.Idempotent || !s.cfg.Services[r.submit.Service].Hedge {
 			continue
 		}
-		after, ok := s.service(r.submit.Service).hedge.After()
+		after, ok := s.serviceStats(r.submit.Service).hedge.After()
 		if !ok || now.Sub(t.at) <= after || !t.first.IsZero() {
 			continue
 		}
@@ -248,8 +248,8 @@
 	r.lastFailed = s.ups[r.attempts[0].up].name
 	c := s.pick(now, r)
 	r.lastFailed = lastFailed
-	if c.free == none || !s.hedges.Spend() {
+	if c.withRoom == none || !s.hedges.Spend() {
 		return
 	}
-	s.send(now, slot, c.free, true)
+	s.send(now, slot, c.withRoom, true)
 }
--- a/internal/place/sched/machine.go
+++ b/internal/place/sched/machine.go
@@ -17,30 +17,30 @@
 	Sched struct {
 		Seed uint64 // of the random choices; must differ between daemons
 
-		cfg      file.File
-		weights  score.Weights
-		start    time.Time
-		rng      *rand.Rand
-		ups      []*upstream
-		byName   map[string]int
-		engines  []int // indices of the upstreams that are swept
-		groups   map[string]*group
-		requests []request
-		free     []int32
-		byID     map[string]int32
-		accounts map[string]int // requests queued or in flight
-		failed   map[string]failure
-		pruned   time.Time
-		services map[string]*service
-		retries  retry.Budget
-		hedges   retry.Budget
-		index    prefix.Index
-		sweep    sweep.Sweep
+		cfg       file.File
+		weights   score.Weights
+		start     time.Time
+		rng       *rand.Rand
+		ups       []*upstream
+		byName    map[string]int
+		engines   []int // indices of the upstreams that are swept
+		groups    map[string]*group
+		requests  []request
+		freeSlots []int32
+		byID      map[string]int32
+		accounts  map[string]int // requests queued or in flight
+		failed    map[string]failure
+		pruned    time.Time
+		services  map[string]*serviceStats
+		retries   retry.Budget
+		hedges    retry.Budget
+		index     prefix.Index
+		sweep     sweep.Sweep
 		// freed is the upstream at which an attempt has just ended. In a large
 		// and full group a small sample rarely contains one of the few
 		// upstreams with room.
-		freed int
-		out   []Effect
+		freedUpstream int
+		out           []Effect
 	}
 
 	// failure records the failed attempts of a request.
@@ -91,13 +91,13 @@
 		return
 	}
 	s.rng = rand.New(rand.NewPCG(s.Seed, 1))
-	s.start, s.freed = now, none
+	s.start, s.freedUpstream = now, none
 	s.byName = map[string]int{}
 	s.groups = map[string]*group{}
 	s.byID = map[string]int32{}
 	s.accounts = map[string]int{}
 	s.failed = map[string]failure{}
-	s.services = map[string]*service{}
+	s.services = map[string]*serviceStats{}
 	s.sweep.Start = s.Seed
 }
 
--- a/internal/place/sched/memory.go
+++ b/internal/place/sched/memory.go
@@ -92,9 +92,9 @@
 		r.submit.Model = u.conf.Models[0]
 	}
 	c := s.pick(now, &r)
-	if c.free == none {
+	if c.withRoom == none {
 		return
 	}
-	s.index.Placed(program, c.free)
-	s.emit(Export{Upstream: u.name, Program: program, To: s.ups[c.free].name})
+	s.index.Placed(program, c.withRoom)
+	s.emit(Export{Upstream: u.name, Program: program, To: s.ups[c.withRoom].name})
 }
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -23,82 +23,82 @@
 	// share of its lifetime that it has one in flight, and the relative slowdown
 	// by each concurrent request. With zeros, an owner would place all its first
 	// programs on the upstream of the first one.
-	defaultCalls = 4
-	defaultDuty  = 0.3
-	defaultRise  = 0.1
+	defaultCalls     = 4
+	defaultBusyShare = 0.3
+	defaultRise      = 0.1
 )
 
 type (
 	// choice holds the cheapest upstream and the cheapest of those that have
 	// room for one more request now.
 	choice struct {
-		home               int // where the program's last request was sent, or none
-		best, free         int
-		bestCost, freeCost float64
+		home                   int // where the program's last request was sent, or none
+		best, withRoom         int
+		bestCost, withRoomCost float64
 	}
 )
 
 // pick compares a sample of the upstreams for the request, or all of them if none of
 // the sample is usable. It records no placement.
 func (s *Sched) pick(now time.Time, r *request) choice {
-	c := choice{best: none, free: none}
+	c := choice{best: none, withRoom: none}
 	g := s.groups[r.submit.Group]
 	if g == nil || len(g.ups) == 0 {
 		return c
 	}
-	total := 0
+	promptTokens := 0
 	for _, b := range r.submit.Blocks {
-		total += b.Tokens
+		promptTokens += b.Tokens
 	}
-	total = max(total, r.submit.Prompt)
+	promptTokens = max(promptTokens, r.submit.Prompt)
 	matches := s.index.Match(r.submit.Blocks)
 	c.home = none
 	if home, ok := s.index.Home(r.submit.Program); ok {
 		c.home = home
 	}
-	held := 0.0
+	bestWeight := 0.0
 	for _, m := range matches {
-		held = max(held, m.Weight)
+		bestWeight = max(bestWeight, m.Weight)
 	}
 	if c.home != none {
-		s.compare(now, &c, g, c.home, r, total, held)
+		s.compare(now, &c, g, c.home, r, promptTokens, bestWeight)
 	}
-	if s.freed != none {
-		s.compare(now, &c, g, s.freed, r, total, held)
+	if s.freedUpstream != none {
+		s.compare(now, &c, g, s.freedUpstream, r, promptTokens, bestWeight)
 	}
 	for range min(sample, len(matches)) {
-		s.compare(now, &c, g, matches[s.rng.IntN(len(matches))].Engine, r, total, held)
+		s.compare(now, &c, g, matches[s.rng.IntN(len(matches))].Engine, r, promptTokens, bestWeight)
 	}
 	for range sample {
-		s.compare(now, &c, g, g.ups[s.rng.IntN(len(g.ups))], r, total, held)
+		s.compare(now, &c, g, g.ups[s.rng.IntN(len(g.ups))], r, promptTokens, bestWeight)
 	}
 	if c.best != none {
 		return c
 	}
 	for _, i := range g.ups {
-		s.compare(now, &c, g, i, r, total, held)
+		s.compare(now, &c, g, i, r, promptTokens, bestWeight)
 	}
 	return c
 }
 
-func (s *Sched) compare(now time.Time, c *choice, g *group, i int, r *request, total int, held float64) {
+func (s *Sched) compare(now time.Time, c *choice, g *group, i int, r *request, promptTokens int, bestWeight float64) {
 	u := s.ups[i]
 	if u.group != g || !u.usable(now) || !u.serves(r.submit.Model) || r.avoids(u.name) {
 		return
 	}
-	cost := s.weights.Cost(s.estimate(now, g, i, total, held, s.index.TotalWeight(), i == c.home))
+	cost := s.weights.Cost(s.estimate(now, g, i, promptTokens, bestWeight, s.index.TotalWeight(), i == c.home))
 	if c.home != none && c.home != i {
 		cost += s.weights.MoveThreshold()
 	}
 	if c.best == none || cost < c.bestCost {
 		c.best, c.bestCost = i, cost
 	}
-	if u.hasRoom(now) && (c.free == none || cost < c.freeCost) {
-		c.free, c.freeCost = i, cost
+	if u.hasRoom(now) && (c.withRoom == none || cost < c.withRoomCost) {
+		c.withRoom, c.withRoomCost = i, cost
 	}
 }
 
-func (s *Sched) estimate(now time.Time, g *group, i, total int, held, all float64, stays bool) score.Candidate {
+func (s *Sched) estimate(now time.Time, g *group, i, promptTokens int, bestWeight, promptWeight float64, stays bool) score.Candidate {
 	u := s.ups[i]
 	sp := u.speed.Blend(now, &g.speed)
 	n := float64(u.load.Inflight()) + u.load.Others(now)
@@ -107,20 +107,20 @@
 		capacity = float64(u.limit.Value()) + u.load.Others(now)
 	}
 	m := s.index.Matched(i)
-	missing := total - m.Tokens
-	service, rise := g.service(n)
+	missing := promptTokens - m.Tokens
+	requestTime, rise := g.requestTime(n)
 	return score.Candidate{
-		Queued:     max(0, n+1-capacity),
-		Capacity:   capacity,
-		Mean:       sp.Mean(),
-		Service:    service * sp.Factor(),
-		Slowdown:   rise * n,
-		LaterCalls: s.laterCalls(now, g, i, sp.Factor(), stays),
-		PerToken:   sp.PerToken(),
-		Missing:    missing,
-		Shared:     max(0, float64(missing)-(all-m.Weight)),
-		Lost:       max(0, held-m.Weight),
-		Evicted:    evicted(u, missing),
+		Queued:      max(0, n+1-capacity),
+		Capacity:    capacity,
+		Mean:        sp.Mean(),
+		ServiceTime: requestTime * sp.Factor(),
+		Slowdown:    rise * n,
+		LaterCalls:  s.laterCalls(now, g, i, sp.Factor(), stays),
+		PerToken:    sp.PerToken(),
+		Missing:     missing,
+		Shared:      max(0, float64(missing)-(promptWeight-m.Weight)),
+		Lost:        max(0, bestWeight-m.Weight),
+		Evicted:     evicted(u, missing),
 	}
 }
 
@@ -140,14 +140,14 @@
 	if stays {
 		homes-- // itself
 	}
-	n := othersWeight*s.ups[i].load.AverageOthers(now) + g.duty*float64(homes)
-	service, rise := g.service(n)
-	return programCalls * (service*factor + rise*n)
+	n := othersWeight*s.ups[i].load.AverageOthers(now) + g.busyShare*float64(homes)
+	requestTime, rise := g.requestTime(n)
+	return programCalls * (requestTime*factor + rise*n)
 }
 
 // service returns the seconds that one request takes with n others in flight,
 // and how much each of them adds.
-func (g *group) service(n float64) (seconds, rise float64) {
+func (g *group) requestTime(n float64) (seconds, rise float64) {
 	if g.conf.Kind == file.Services {
 		return g.callTime.At(n), g.callTime.Rise()
 	}
@@ -189,13 +189,13 @@
 		return none, false
 	}
 	c := s.pick(now, r)
-	if c.free == none {
+	if c.withRoom == none {
 		return none, false
 	}
-	if c.free != c.best && c.bestCost < c.freeCost && now.Sub(r.arrived) < maxHold {
+	if c.withRoom != c.best && c.bestCost < c.withRoomCost && now.Sub(r.arrived) < maxHold {
 		return none, false
 	}
-	return c.free, true
+	return c.withRoom, true
 }
 
 func (s *Sched) send(now time.Time, slot int32, up int, second bool) {
--- a/internal/place/sched/upstream.go
+++ b/internal/place/sched/upstream.go
@@ -21,23 +21,23 @@
 	// while the end of another request is being reported.
 	upstreamBacklog = 1
 	// Weights of the newest value in exponential moving averages.
-	dutyAlpha  = 0.02
+	busyAlpha  = 0.02
 	callsAlpha = 0.05
 )
 
 type (
 	upstream struct {
-		name         string
-		conf         file.Upstream
-		group        *group
-		load         load.Load
-		limit        limit.Limit
-		breaker      brkr.Breaker
-		speed        speed.Speed
-		listed       bool // was in the platform's list
-		delisted     bool // leaving according to the list, or no longer in it
-		undeclared   bool // not in the current configuration
-		leaveHandled bool // handleLeaving has run
+		name          string
+		conf          file.Upstream
+		group         *group
+		load          load.Load
+		limit         limit.Limit
+		breaker       brkr.Breaker
+		speed         speed.Speed
+		listed        bool // was in the platform's list
+		leavingByList bool // leaving according to the list, or no longer in it
+		undeclared    bool // not in the current configuration
+		leaveHandled  bool // handleLeaving has run
 	}
 
 	group struct {
@@ -49,15 +49,15 @@
 		capacity     float64     // concurrent requests that its usable upstreams accept
 		answerTokens float64     // mean tokens of an answer
 		programCalls float64     // mean calls of a program
-		duty         float64     // mean share of its lifetime that a program has a call in flight
+		busyShare    float64     // mean share of its lifetime that a program has a call in flight
 		tokenTime    slope.Slope // seconds per output token, by concurrent requests
 		callTime     slope.Slope // seconds per service call, by concurrent requests
 	}
 )
 
-func (u *upstream) engine() bool { return !u.undeclared && u.group.conf.Kind != file.Services }
+func (u *upstream) isEngine() bool { return !u.undeclared && u.group.conf.Kind != file.Services }
 
-func (u *upstream) leaving() bool { return u.delisted || u.undeclared || u.load.Leaving() }
+func (u *upstream) leaving() bool { return u.leavingByList || u.undeclared || u.load.Leaving() }
 
 func (u *upstream) usable(now time.Time) bool { return !u.leaving() && u.breaker.Allow(now) }
 
@@ -101,7 +101,7 @@
 	}
 	s.engines = s.engines[:0]
 	for i, u := range s.ups {
-		if u.engine() {
+		if u.isEngine() {
 			s.engines = append(s.engines, i)
 		}
 	}
@@ -145,7 +145,7 @@
 func (s *Sched) group(name string) *group {
 	g := s.groups[name]
 	if g == nil {
-		g = &group{name: name, duty: defaultDuty}
+		g = &group{name: name, busyShare: defaultBusyShare}
 		s.groups[name] = g
 	}
 	g.conf = s.cfg.Groups[name]
@@ -171,10 +171,10 @@
 		if s.index.OwnShare == 0 {
 			s.index.OwnShare = 1
 		}
-		s.index.OwnShare += dutyAlpha * (float64(inflight)/(float64(inflight)+others) - s.index.OwnShare)
+		s.index.OwnShare += busyAlpha * (float64(inflight)/(float64(inflight)+others) - s.index.OwnShare)
 	}
 	if homes > 0 {
-		g.duty += dutyAlpha * (min(float64(inflight)/float64(homes), 1) - g.duty)
+		g.busyShare += busyAlpha * (min(float64(inflight)/float64(homes), 1) - g.busyShare)
 	}
 }
 
@@ -206,7 +206,7 @@
 		if !ok {
 			state, ok = states[u.name]
 		}
-		u.delisted = ok && state == vmlist.Leaving || !ok && u.listed
+		u.leavingByList = ok && state == vmlist.Leaving || !ok && u.listed
 		u.listed = u.listed || ok
 		s.handleLeaving(now, i, u)
 	}
--- a/internal/place/score/score.go
+++ b/internal/place/score/score.go
@@ -28,17 +28,17 @@
 
 	// Candidate is one upstream for one request, with the estimates for both.
 	Candidate struct {
-		Queued     float64 // requests queued before this one
-		Capacity   float64 // concurrent requests that the upstream serves
-		Mean       float64 // mean seconds of one request
-		Service    float64 // seconds from the first token to the end at the upstream's load
-		Slowdown   float64 // seconds that this request adds to the others in flight there, in total
-		LaterCalls float64 // seconds of the program's later calls, if it stays there
-		PerToken   float64 // seconds of prefill per token
-		Missing    int     // tokens of the prompt that are not cached there
-		Shared     float64 // part of Missing charged to other programs that use the same blocks
-		Lost       float64 // tokens cached at another upstream but not here, less the share of other programs
-		Evicted    int     // cached tokens that the request evicts
+		Queued      float64 // requests queued before this one
+		Capacity    float64 // concurrent requests that the upstream serves
+		Mean        float64 // mean seconds of one request
+		ServiceTime float64 // seconds from the first token to the end at the upstream's load
+		Slowdown    float64 // seconds that this request adds to the others in flight there, in total
+		LaterCalls  float64 // seconds of the program's later calls, if it stays there
+		PerToken    float64 // seconds of prefill per token
+		Missing     int     // tokens of the prompt that are not cached there
+		Shared      float64 // part of Missing charged to other programs that use the same blocks
+		Lost        float64 // tokens cached at another upstream but not here, less the share of other programs
+		Evicted     int     // cached tokens that the request evicts
 	}
 )
 
@@ -47,7 +47,7 @@
 	if w.Latency == 0 && w.Cache == 0 {
 		w = Weights{Latency: 1, Cache: 1}
 	}
-	latency := c.Wait() + c.Service + c.Slowdown + c.LaterCalls + (float64(c.Missing)-sharedCredit*c.Shared)*c.PerToken
+	latency := c.Wait() + c.ServiceTime + c.Slowdown + c.LaterCalls + (float64(c.Missing)-sharedCredit*c.Shared)*c.PerToken
 	waste := (c.Lost + reuse*float64(c.Evicted)) * c.PerToken
 	return w.Latency*latency + w.Cache*waste
 }
--- a/internal/place/score/score_test.go
+++ b/internal/place/score/score_test.go
@@ -11,9 +11,9 @@
 func TestWeightsDecide(t *testing.T) {
 	const perToken = 0.0002
 	home := func(queued float64) Candidate {
-		return Candidate{Queued: queued, Capacity: 8, Mean: 2, Service: 2, PerToken: perToken}
+		return Candidate{Queued: queued, Capacity: 8, Mean: 2, ServiceTime: 2, PerToken: perToken}
 	}
-	idle := Candidate{Capacity: 8, Mean: 2, Service: 2, PerToken: perToken, Missing: 10_000, Lost: 10_000}
+	idle := Candidate{Capacity: 8, Mean: 2, ServiceTime: 2, PerToken: perToken, Missing: 10_000, Lost: 10_000}
 	tests := map[string]struct {
 		w      Weights
 		queued float64
--- a/internal/place/speed/speed.go
+++ b/internal/place/speed/speed.go
@@ -21,7 +21,7 @@
 	minPrefill = 256
 	maxFactor  = 10 // limits the effect of one outlier
 	// Age of the last measurement at which an upstream's own speed counts half.
-	halfWeight = 30 * time.Second
+	halfWeightAge = 30 * time.Second
 
 	defaultPrefill = 0.0002 // seconds per token
 	defaultCall    = 0.5    // seconds
@@ -84,7 +84,7 @@
 		return *group
 	}
 	age := max(now.Sub(s.seen), 0)
-	w := float64(halfWeight) / float64(halfWeight+age)
+	w := float64(halfWeightAge) / float64(halfWeightAge+age)
 	mix := func(own, all float64) float64 {
 		if own == 0 || all == 0 {
 			return max(own, all)
--- a/internal/place/speed/speed_test.go
+++ b/internal/place/speed/speed_test.go
@@ -34,7 +34,7 @@
 		u.ObserveFactor(4, 1)
 		group.ObserveCall(epoch, time.Second)
 	}
-	now, later := u.Blend(epoch, &group), u.Blend(epoch.Add(30*halfWeight), &group)
+	now, later := u.Blend(epoch, &group), u.Blend(epoch.Add(30*halfWeightAge), &group)
 	is.True(now.Factor() > 3.9 && now.Mean() > 9.9)
 	is.True(later.Factor() < 1.2 && later.Mean() < 1.5)
 	var unknown Speed
--- a/internal/place/sweep/sweep.go
+++ b/internal/place/sweep/sweep.go
@@ -56,7 +56,7 @@
 	for _, p := range live {
 		alive[p] = true
 	}
-	var before, now []string
+	var before, unowned []string
 	if s.upstream == upstream {
 		before = s.suspects
 	}
@@ -66,9 +66,9 @@
 		case slices.Contains(before, p):
 			release = append(release, p)
 		default:
-			now = append(now, p)
+			unowned = append(unowned, p)
 		}
 	}
-	s.upstream, s.suspects = upstream, now
+	s.upstream, s.suspects = upstream, unowned
 	return release
 }
