--- a/internal/place/gate/burst_test.go
+++ b/internal/place/gate/burst_test.go
@@ -127,7 +127,8 @@
 	p.apply(p.gate.Step(p.clock(), Arrive{Ticket: p.last, LatestStart: p.clock().Add(a.latestStart() - p.now), Load: p.load()}))
 }
 
-// latestStart returns the latest start with which the program can finish in time.
+// latestStart returns the latest start with which the program is assumed to finish in
+// time: after a fifth of the allowed time.
 func (a *agent) latestStart() time.Duration { return a.start + (a.deadline-a.start)/5 }
 
 func (p *sim) apply(ops []Op) {
@@ -193,8 +194,9 @@
 	}
 }
 
-// simulate runs the load and returns the value of the programs finished in time as a
-// share of the total, over the whole run and in the worst two seconds.
+// simulate runs the load and returns the earned share of the value of all programs, over
+// the whole run and for the programs that arrived in the worst two seconds. A program
+// earns its full value by its deadline and a tenth up to twice the allowed time.
 func simulate(seed uint64, g *Gate) (all, worst float64) {
 	p := &sim{rnd: rand.New(rand.NewPCG(seed, 1)), gate: g, byID: map[uint64]*agent{}}
 	for at := time.Duration(0); at < loadFor; at += step {
@@ -262,7 +264,7 @@
 		a, w = simulate(seed, &Gate{})
 		with, worst1 = with+a/seeds, worst1+w/seeds
 	}
-	t.Logf("value in time: %.3f without the gate, %.3f with it; in the worst two seconds: %.3f, %.3f", without, with, worst0, worst1)
+	t.Logf("earned value: %.3f without the gate, %.3f with it; arrivals of the worst two seconds: %.3f, %.3f", without, with, worst0, worst1)
 	is.True(with > without+0.1)
 	is.True(worst1 > worst0+0.1)
 }
--- a/internal/place/gate/gate.go
+++ b/internal/place/gate/gate.go
@@ -7,10 +7,10 @@
 // further turns only queue in the engine. The gate keeps the turns in flight near
 // that number: a new program waits while it can still meet its deadline and is
 // refused afterwards. Programs that were admitted then finish in time, and a refused
-// program has not run anything. On eight engines with a batch size of 16, with 3.5 times
-// the usual arrivals for eight seconds, the gate raised the value of the programs
-// finished in time by 0.24 ±0.02 of the day's total (three paired replays). Load within
-// the capacity is not affected.
+// program has not run anything. Load within the capacity is not affected.
+// In three paired replays of a day's load, with 3.5 times the usual arrivals for eight
+// seconds on eight engines with a batch size of 16, the gate raised the value of the
+// programs finished in time by 0.24 ±0.02 of the value of all programs.
 //
 // It is a state machine without clock, lock or network: Step takes an event and
 // returns operations.
@@ -29,9 +29,10 @@
 	// may use, since not every daemon has programs waiting. With a factor of 1 and 54
 	// daemons, a quarter of the capacity stayed free while programs waited.
 	overcommit = 3
-	// After is the retry delay of a refusal. Bursts last for seconds, and callers retry
-	// once per refusal, after at most a third of their timeout for a turn (four seconds
-	// or more).
+	// After is the time after which the caller of a refused program may retry. It should
+	// be long, as bursts last for seconds. But a caller retries only once per refusal and
+	// waits for that at most a third of its timeout for a turn, which is four seconds or
+	// more: with 1.3 s every caller can comply.
 	After = 1300 * time.Millisecond
 )
 
@@ -49,8 +50,8 @@
 	// Event is an input of Step.
 	Event interface{ event() }
 
-	// Arrive requests the admission of a program. Deadline is the latest start with
-	// which the program can finish in time; it may have passed.
+	// Arrive requests the admission of a program. LatestStart is the latest start with
+	// which the program can meet its deadline; it may have passed.
 	Arrive struct {
 		Ticket      uint64
 		LatestStart time.Time
@@ -78,7 +79,7 @@
 	// Gate holds the waiting programs of one service. The zero value is ready.
 	Gate struct {
 		waiting    []waiter  // in order of arrival
-		nextExpiry time.Time // no deadline is earlier
+		nextExpiry time.Time // no latest start is earlier
 		credit     float64   // programs that this daemon may admit
 		refilled   time.Time // when credit was last updated
 	}
@@ -113,7 +114,7 @@
 // Len returns the number of waiting programs.
 func (g *Gate) Len() int { return len(g.waiting) }
 
-// arrive queues a program. One whose deadline has passed is admitted or refused at
+// arrive queues a program. One whose latest start has passed is admitted or refused at
 // once: retrying later costs it nothing more, and in the queue it would only delay
 // others.
 func (g *Gate) arrive(now time.Time, e Arrive) []Op {
@@ -164,7 +165,7 @@
 	g.refilled = now
 }
 
-// expire refuses the programs whose deadline has passed.
+// expire refuses the programs whose latest start has passed.
 func (g *Gate) expire(now time.Time, ops []Op) []Op {
 	if now.Before(g.nextExpiry) {
 		return ops
--- a/internal/place/limit/limit.go
+++ b/internal/place/limit/limit.go
@@ -19,7 +19,8 @@
 	growth     = 0.5 // increase in a round of answers
 	roomGrowth = 1.5
 
-	// Answers between two probes, and in one, per unit of the limit.
+	// Answers between two probes and within one: probeEvery and probeFor per unit of
+	// the limit, but at least minEvery and minFor.
 	probeEvery = 12
 	probeFor   = 4
 	minEvery   = 40
@@ -67,9 +68,9 @@
 	if l.ratio == 0 {
 		l.ratio = 1
 	}
-	// One slow request may only have waited for another's long prompt; ten
-	// indicate overload. The cap keeps a single outlier from reducing the limit
-	// to its minimum.
+	// A single slow answer may only have waited for another's long prompt, so the
+	// ratio is smoothed. The cap keeps one outlier from reducing the limit to its
+	// minimum.
 	current := min(measured/expected, 4*tolerance)
 	l.ratio += smoothing * (current - l.ratio)
 	l.count++
@@ -78,13 +79,15 @@
 		return
 	}
 	v := l.value()
-	inUse := float64(inflight) >= v/2
+	inUse := float64(inflight) >= v/2 // with less in flight the limit restricts nothing, and must not grow
+	// A round is as many answers as the limit; each answer changes it by 1/v of the
+	// change for a round.
 	switch {
 	case l.ratio > tolerance:
 		l.limit = l.clamp(v - (1-max(minFactor, tolerance/l.ratio))*v/max(v, 1))
 	case inUse && v < l.fastLimit:
 		l.limit = l.clamp(v + 1)
-	case inUse: // otherwise the limit did not restrict the load
+	case inUse:
 		l.limit = l.clamp(v + growth/v)
 	}
 	if inUse && v >= 2 && l.count >= max(minEvery, int(probeEvery*v)) {
--- a/internal/place/load/load.go
+++ b/internal/place/load/load.go
@@ -1,10 +1,10 @@
 // Package load estimates the load of one upstream as seen by one owner.
 //
-// Load reports lag: requests sent after the measurement are missing from a
-// report, and requests that ended since are still in it. Load therefore keeps
-// its own recent starts and ends and subtracts from each report the own
-// requests that were in flight at the time of measurement. The rest are
-// requests of other owners; Inflight plus Others is the estimated load.
+// An upstream's reports lag: requests sent after the measurement are missing from
+// a report, and requests that ended since are still in it. The type Load therefore
+// records this owner's recent starts and ends, and subtracts from each report this
+// owner's requests that were in flight when it was measured. The rest are requests
+// of other owners; Inflight plus Others is the estimated load.
 package load
 
 import (
@@ -21,8 +21,8 @@
 	halfWeightAge = 5 * time.Second
 	// Weight of each report in the average load.
 	averageAlpha = 0.05
-	// Weight of the last report's difference from the average: the share of it
-	// that still holds when a request sent on its basis arrives.
+	// Weight of the last report's deviation from the average. Most of a deviation
+	// is gone before a request that was placed because of it arrives.
 	reportWeight = 0.1
 )
 
--- a/internal/place/loader/loader.go
+++ b/internal/place/loader/loader.go
@@ -36,21 +36,21 @@
 	// Responsible reports whether this daemon orders the engine's loads.
 	Responsible struct {
 		Upstream string
-		OK       bool
+		OK       bool // this daemon is responsible
 	}
 
 	// Restarted reports that the engine restarted.
 	Restarted struct{ Upstream string }
 
-	// Admitted is the answer to Admit. With a Wait of 0 the load may start, otherwise
-	// it is to be requested again after Wait.
+	// AdmitResult is the answer to Admit. Without an Err and a Wait the load may start;
+	// after a Wait it is to be requested again.
 	AdmitResult struct {
 		Upstream string
 		Wait     time.Duration
 		Err      error
 	}
 
-	// Loaded is the answer to Load.
+	// LoadResult is the answer to Load.
 	LoadResult struct {
 		Upstream string
 		Model    string
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -19,16 +19,17 @@
 const (
 	tailScan   = 32      // blocks looked up at the end of a prompt
 	headScan   = 8       // and at its beginning, where shared contexts are
-	maxMatches = 64      // most engines returned
-	maxTracked = 1 << 16 // most blocks kept that no program of this owner uses
+	maxMatches = 64      // maximum number of engines returned
+	maxTracked = 1 << 16 // maximum number of tracked blocks of other owners' programs
 )
 
 type (
 	// Index holds the cached prefixes of all engines, which are identified by
 	// small numbers. The zero value is empty.
 	Index struct {
-		// OwnShare is this owner's share of all programs, 0 if unknown. Users of
-		// a shared block are scaled by it to estimate those of all owners.
+		// OwnShare estimates this owner's share of all programs, 0 if unknown.
+		// The users of a shared block are divided by it to estimate those of
+		// all owners.
 		OwnShare float64
 
 		blocks      map[uint64]*block
@@ -37,13 +38,14 @@
 		tracked     []uint64 // ring
 		trackedNext int
 		matches     []Match
-		matchNumber uint32
+		matchNumber uint32  // number of the last Match
 		totalWeight float64 // weight of the whole prompt of the last Match
 	}
 
-	// Match is an engine that holds the first Tokens of a prompt. Weight is
-	// their sum with the tokens of each shared block divided by the programs
-	// that use it, hence one program's share of computing them.
+	// Match is an engine that holds the first Tokens of a prompt. Weight counts
+	// the same tokens, but those of a shared block divided by the number of
+	// programs that use it, hence one program's share of computing them. Only
+	// the first headScan blocks are taken to be shared.
 	Match struct {
 		Engine, Tokens int
 		Weight         float64
@@ -64,7 +66,7 @@
 	program struct {
 		chain   []uint64
 		engines []int
-		home    int // engine of the last request plus one, 0 for none
+		home    int // engine of the last placement plus one, 0 for none
 		calls   int
 	}
 
@@ -74,7 +76,7 @@
 		minEpoch    uint32 // placements of earlier epochs are ignored
 		matchNumber uint32 // of the last Match that found the engine
 		match       Match
-		programs    int // programs whose last request was sent here
+		programs    int // programs that were last placed here
 	}
 )
 
@@ -100,7 +102,8 @@
 	}
 }
 
-// Placed records that the program's prompt was sent to the engine.
+// Placed records that the program was placed at the engine: its prompt was sent
+// there by a request, or its prefix by an export.
 func (x *Index) Placed(name string, e int) {
 	x.grow(e)
 	p := x.program(name)
@@ -124,8 +127,8 @@
 	p.home = home
 }
 
-// Homes returns the number of programs whose last request was sent to the
-// engine. It indicates the future load, as programs usually stay.
+// Homes returns the number of programs that were last placed at the engine. It
+// indicates the future load, as programs usually stay.
 func (x *Index) Homes(e int) int {
 	if e >= len(x.engines) {
 		return 0
@@ -133,7 +136,7 @@
 	return x.engines[e].programs
 }
 
-// Home returns the engine to which the program's last request was sent.
+// Home returns the engine at which the program was last placed.
 func (x *Index) Home(name string) (e int, ok bool) {
 	p := x.programs[name]
 	if p == nil || p.home == 0 {
@@ -142,7 +145,8 @@
 	return p.home - 1, true
 }
 
-// Calls returns the number of requests sent for the program.
+// Calls returns the number of placements of the program: requests, including
+// hedges and further attempts, and exports.
 func (x *Index) Calls(name string) int {
 	if p := x.programs[name]; p != nil {
 		return p.calls
@@ -245,7 +249,9 @@
 }
 
 // Match returns up to maxMatches engines that hold a prefix of the prompt, the
-// longest first. The result is valid until the next call.
+// longest first. It looks up only the first headScan and the last tailScan blocks;
+// a prefix that ends between them is found with its first headScan blocks. The
+// result is valid until the next call.
 func (x *Index) Match(blocks []engine.Block) []Match {
 	x.matches = x.matches[:0]
 	x.matchNumber++
--- a/internal/place/queue/queue.go
+++ b/internal/place/queue/queue.go
@@ -30,7 +30,7 @@
 	Item struct {
 		ID  int32
 		Key float64
-		New bool // first request of its program: refusing it wastes no work
+		New bool // of a program family that has received no service yet: refusing it wastes no work
 	}
 
 	// Queue is sorted by descending key, so that the first in order of service
@@ -76,9 +76,10 @@
 }
 
 // Push inserts the request. If the queue then holds more than limit requests, one
-// is removed and returned: the last in order that is the first of its program, or
-// else the last. Refusing a running program would waste the work done for it, so
-// overload is handled by not starting more programs. A limit of 0 is none.
+// is dropped and returned: of those marked New the one that would be served last, or
+// if there is none, the one that would be served last of all. Refusing a running
+// program would waste the work done for it, so overload is handled by not starting
+// more programs. A limit of 0 or less is none.
 func (q *Queue) Push(it Item, limit int) (dropped Item, ok bool) {
 	i := sort.Search(len(q.items), func(i int) bool { return q.items[i].Key <= it.Key })
 	q.items = append(q.items, Item{})
--- a/internal/place/queue/queue_test.go
+++ b/internal/place/queue/queue_test.go
@@ -30,7 +30,7 @@
 		items []Item
 		limit int
 		order []int32 // after all pushes
-		out   []int32 // evicted
+		out   []int32 // dropped
 	}{
 		"sorted":                 {[]Item{{ID: 1, Key: 3}, {ID: 2, Key: 1}, {ID: 3, Key: 2}}, 0, []int32{2, 3, 1}, nil},
 		"equal keys in turn":     {[]Item{{ID: 1, Key: 1}, {ID: 2, Key: 1}, {ID: 3, Key: 1}}, 0, []int32{1, 2, 3}, nil},
--- a/internal/place/sched/admit.go
+++ b/internal/place/sched/admit.go
@@ -17,9 +17,9 @@
 	maxHold = time.Second
 	// Queued requests examined in one dispatch, which bounds the time of a step.
 	dispatchScan  = 16
-	failureMemory = time.Minute
+	failureMemory = time.Minute // age at which failures are removed, and interval of that
 	minRetryAfter = 500 * time.Millisecond
-	// Maximum expected wait of a new program's first request, as a share of
+	// Maximum expected wait of a request of a new program family, as a share of
 	// that of other requests.
 	newProgramShare = 0.5
 )
--- a/internal/place/sched/attempt.go
+++ b/internal/place/sched/attempt.go
@@ -17,11 +17,11 @@
 		notBefore  time.Time // end of the backoff after a failed attempt
 		lastFailed string    // upstream of the last failed attempt
 		queued     bool
-		used       bool
+		used       bool       // the slot holds a request
 		attempts   [2]attempt // the second is a hedge
 	}
 
-	// service holds the statistics of one service over all its upstreams.
+	// serviceStats holds the statistics of one service over all its upstreams.
 	serviceStats struct {
 		hedge hedge.Hedge
 		speed speed.Speed
@@ -245,7 +245,7 @@
 func (s *Sched) sendHedge(now time.Time, slot int32) {
 	r := &s.requests[slot]
 	lastFailed := r.lastFailed
-	r.lastFailed = s.ups[r.attempts[0].up].name
+	r.lastFailed = s.ups[r.attempts[0].up].name // pick must avoid the upstream of the first attempt
 	c := s.pick(now, r)
 	r.lastFailed = lastFailed
 	if c.withRoom == none || !s.hedges.Spend() {
--- a/internal/place/sched/machine.go
+++ b/internal/place/sched/machine.go
@@ -25,7 +25,7 @@
 		byName    map[string]int
 		engines   []int // indices of the upstreams that are swept
 		groups    map[string]*group
-		requests  []request
+		requests  []request // by slot
 		freeSlots []int32
 		byID      map[string]int32
 		accounts  map[string]int // requests queued or in flight
@@ -36,7 +36,7 @@
 		hedges    retry.Budget
 		index     prefix.Index
 		sweep     sweep.Sweep
-		// freed is the upstream at which an attempt has just ended. In a large
+		// freedUpstream is the upstream at which an attempt has just ended. In a large
 		// and full group a small sample rarely contains one of the few
 		// upstreams with room.
 		freedUpstream int
@@ -117,7 +117,8 @@
 	s.prune(now)
 }
 
-// prune removes failures whose request was not submitted again.
+// prune removes, once per failureMemory, the failures that are older than that, so
+// that those whose request is not submitted again don't accumulate.
 func (s *Sched) prune(now time.Time) {
 	if now.Sub(s.pruned) < failureMemory {
 		return
--- a/internal/place/sched/memory.go
+++ b/internal/place/sched/memory.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// Most exports of one leaving upstream; more would delay its streams.
+	// Maximum number of exports of one leaving upstream; more would delay its streams.
 	maxExports = 256
 )
 
@@ -41,7 +41,7 @@
 	s.index.End(program)
 	for i := range s.requests {
 		if r := &s.requests[i]; r.used && r.submit.Program == program {
-			r.submit.Blocks = nil
+			r.submit.Blocks = nil // releaseLate ignores requests without blocks
 		}
 	}
 }
@@ -61,9 +61,9 @@
 	}
 }
 
-// handleLeaving exports, once, the cached prefixes of the programs on a
-// leaving upstream. Otherwise each of them would have to compute its whole
-// prompt again, all at the same time.
+// handleLeaving exports, once per departure, the cached prefixes of up to
+// maxExports programs that no engine but the leaving one holds. Otherwise they
+// would all have to compute their whole prompts again at the same time.
 func (s *Sched) handleLeaving(now time.Time, i int, u *upstream) {
 	if !u.leaving() {
 		u.leaveHandled = false
--- a/internal/place/sched/place.go
+++ b/internal/place/sched/place.go
@@ -14,7 +14,8 @@
 	// compared all upstreams by the same reports would all choose the same one.
 	sample = 3
 	none   = -1
-	// Most calls of a program that are counted; it may move before its end.
+	// Maximum number of calls per program that laterCalls assumes, as a program
+	// may move before it ends.
 	maxCalls = 8
 	// Weight of other owners' average load in the cost of later calls. The
 	// estimate is so noisy that programs would move after each fluctuation.
@@ -32,7 +33,7 @@
 	// choice holds the cheapest upstream and the cheapest of those that have
 	// room for one more request now.
 	choice struct {
-		home                   int // where the program's last request was sent, or none
+		home                   int // where the program was last placed, or none
 		best, withRoom         int
 		bestCost, withRoomCost float64
 	}
@@ -124,9 +125,11 @@
 	}
 }
 
-// laterCalls returns the seconds that the remaining calls of a program would take
-// at the upstream. Programs stay where their prefix is cached, so this depends
-// not on the current load but on the average one and the programs placed there.
+// laterCalls estimates the cost in seconds of a program's later calls at the
+// upstream: the time of each and the slowdown that it causes to others. Their
+// number is the group's mean minus one, however many the program has made.
+// Programs stay where their prefix is cached, so the cost depends not on the
+// current load but on the average one and the programs placed there.
 func (s *Sched) laterCalls(now time.Time, g *group, i int, factor float64, stays bool) float64 {
 	programCalls := min(g.programCalls, maxCalls)
 	if programCalls == 0 {
@@ -145,8 +148,8 @@
 	return programCalls * (requestTime*factor + rise*n)
 }
 
-// service returns the seconds that one request takes with n others in flight,
-// and how much each of them adds.
+// requestTime returns the seconds that one request takes with n others in flight,
+// for engines after its prefill, and how much each of them adds.
 func (g *group) requestTime(n float64) (seconds, rise float64) {
 	if g.conf.Kind == file.Services {
 		return g.callTime.At(n), g.callTime.Rise()
--- a/internal/place/sched/sched.go
+++ b/internal/place/sched/sched.go
@@ -38,8 +38,10 @@
 	// Configure applies a configuration.
 	Configure struct{ File file.File }
 
-	// Submit queues a request. It is answered by one Assign or one Refuse; a
-	// further attempt is a new Submit with the same ID and Avoid set.
+	// Submit queues a request. It is answered by an Assign or a Refuse, unless
+	// it is cancelled first or already queued; a hedge is a second Assign. A
+	// further attempt is a new Submit with the same ID. It avoids the upstream
+	// of the last failed attempt; Avoid names further ones.
 	Submit struct {
 		ID         string
 		Account    string // for fair sharing under overload
@@ -55,7 +57,7 @@
 		Attained   int64 // attained service of the family so far, in tokens
 		Avoid      []string
 		Idempotent bool
-		Retry      bool // counts against the retry budget
+		Retry      bool // a further attempt, as is any Submit after a failure recorded here
 	}
 
 	// Cancel cancels a request that is queued or in flight.
--- a/internal/place/sched/upstream.go
+++ b/internal/place/sched/upstream.go
@@ -35,7 +35,7 @@
 		breaker       brkr.Breaker
 		speed         speed.Speed
 		listed        bool // was in the platform's list
-		leavingByList bool // leaving according to the list, or no longer in it
+		leavingByList bool // marked as leaving in the list, or no longer in it
 		undeclared    bool // not in the current configuration
 		leaveHandled  bool // handleLeaving has run
 	}
@@ -84,8 +84,8 @@
 	return most == 0 || total < float64(most)
 }
 
-// configure applies the configuration and keeps the state of upstreams that
-// are still configured.
+// configure applies the configuration. It keeps the state of each upstream whose
+// address is unchanged, and marks those no longer configured as undeclared.
 func (s *Sched) configure(now time.Time, f file.File) {
 	s.cfg = f
 	s.weights = score.Weights{Latency: f.System.LatencyWeight, Cache: f.System.CacheWeight}
@@ -154,7 +154,8 @@
 
 func (s *Sched) groupNames() []string { return slices.Sorted(maps.Keys(s.groups)) }
 
-// measure updates the group's totals and averages from its upstreams.
+// measure updates the group's capacity and busyShare and, for a group of engines, the
+// index's OwnShare: this owner's part of the requests in flight in the group.
 func (g *group) measure(s *Sched, now time.Time) {
 	g.capacity = 0
 	homes, inflight, others := 0, 0, 0.0
--- a/internal/place/score/score.go
+++ b/internal/place/score/score.go
@@ -9,10 +9,10 @@
 package score
 
 const (
-	// Assumed fraction of the evicted tokens that are needed again; the programs of
-	// the others have ended.
+	// Assumed fraction of the evicted tokens that will be needed again; the rest
+	// belong to programs that have ended.
 	reuse    = 0.5
-	moveCost = 0.4
+	moveCost = 0.4 // seconds, before weighting
 	// Fraction of the Shared tokens whose prefill is not counted as this request's
 	// latency, since other programs will use them too.
 	sharedCredit = 0.9
@@ -26,12 +26,12 @@
 		Cache   float64
 	}
 
-	// Candidate is one upstream for one request, with the estimates for both.
+	// Candidate is one upstream with the estimates for sending one request there.
 	Candidate struct {
 		Queued      float64 // requests queued before this one
 		Capacity    float64 // concurrent requests that the upstream serves
 		Mean        float64 // mean seconds of one request
-		ServiceTime float64 // seconds from the first token to the end at the upstream's load
+		ServiceTime float64 // seconds of the request after its prefill, at the upstream's load
 		Slowdown    float64 // seconds that this request adds to the others in flight there, in total
 		LaterCalls  float64 // seconds of the program's later calls, if it stays there
 		PerToken    float64 // seconds of prefill per token
@@ -54,7 +54,8 @@
 
 // MoveThreshold returns the weighted seconds by which another upstream must be
 // cheaper than the program's current one. Estimates are noisy: without a threshold
-// the lowest of several would nearly always be below that of the current one.
+// the lowest of several would nearly always be below that of the current one. The
+// threshold is weighted as latency, with a weight of at least 1.
 func (w Weights) MoveThreshold() float64 { return moveCost * max(w.Latency, 1) }
 
 // Wait returns the seconds that the request spends in the queue.
--- a/internal/place/slope/slope.go
+++ b/internal/place/slope/slope.go
@@ -11,10 +11,10 @@
 
 const (
 	defaultKeep = 0.99 // default of Slope.Keep, about the last hundred pairs
-	// Prior for few observations: each unit of load adds priorRise of the mean
-	// time, weighted like a sum of squares of the load of priorWeight. Batching
-	// slows every upstream somewhat, and without a prior an owner would send all
-	// its first programs to one of them.
+	// Prior for the slope: priorRise times the mean time per unit of load. It weighs
+	// as much as observations whose squared deviations of the load sum to
+	// priorWeight. Batching slows every upstream somewhat, and without a prior an
+	// owner would send all its first programs to one of them.
 	priorWeight = 10.0
 	priorRise   = 0.05
 )
--- a/internal/place/speed/speed.go
+++ b/internal/place/speed/speed.go
@@ -1,10 +1,12 @@
-// Package speed estimates the speed of one upstream: the prefill time per token,
-// the time of one request, and its slowdown relative to its group.
+// Package speed estimates the speed of an upstream, a group or a service: the prefill
+// time per token, the time of one request, and an upstream's slowdown relative to its
+// group.
 //
-// The quantity of interest is the time without queueing, but only times with
-// queueing can be measured. An estimate of the low end therefore follows faster
-// times quickly and slower ones slowly: it settles near the low end of the
-// measured times and still follows an upstream that has become slower for good.
+// The prefill time and the shortest time of a request are wanted without queueing, but
+// only times with queueing can be measured. Their estimates therefore follow faster times
+// quickly and slower ones slowly: they settle near the low end of the measured times and
+// still follow an upstream that has become slower for good. The other estimates are
+// moving averages.
 package speed
 
 import "time"
@@ -28,7 +30,8 @@
 )
 
 type (
-	// Speed holds the estimates for one upstream. Times are in seconds.
+	// Speed holds the estimates for one upstream, group or service. Times are in
+	// seconds.
 	Speed struct {
 		prefill  float64 // per token
 		call     float64 // moving average of the time of one request, from dispatch to end
@@ -78,7 +81,7 @@
 // Blend returns the upstream's speed mixed with the average of its group: its own
 // while the measurements are recent, that of the group if they are old or missing.
 // Otherwise an upstream that was slow once and got no requests since would be
-// considered slow for ever.
+// considered slow for ever. The result has no LongMean.
 func (s *Speed) Blend(now time.Time, group *Speed) Speed {
 	if s.seen.IsZero() {
 		return *group
