--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/slaterock/slaterock/internal/place/batch"
 	"github.com/slaterock/slaterock/internal/place/gate"
-	"github.com/slaterock/slaterock/internal/place/pace"
 )
 
 type (
@@ -23,8 +23,8 @@
 	}
 
 	service struct {
-		gate gate.Gate
-		pace pace.Pace
+		gate  gate.Gate
+		batch batch.Estimator
 	}
 
 	// NotAdmittedError reports that a program may not begin. Its caller may retry after
@@ -47,7 +47,7 @@
 		q.waiters = map[uint64]chan gate.Op{}
 	}
 	q.waiters[ticket] = done
-	q.step(name, gate.Arrive{Ticket: ticket, Until: waitUntil, Load: load})
+	q.step(name, gate.Arrive{Ticket: ticket, LatestStart: waitUntil, Load: load})
 	q.mu.Unlock()
 	timer := time.NewTimer(time.Until(waitUntil))
 	defer timer.Stop()
@@ -62,7 +62,7 @@
 		case <-ctx.Done():
 			q.mu.Lock()
 			delete(q.waiters, ticket)
-			q.step(name, gate.Leave{Ticket: ticket})
+			q.step(name, gate.Cancel{Ticket: ticket})
 			q.mu.Unlock()
 			return ctx.Err()
 		}
@@ -106,7 +106,7 @@
 func (q *Queue) Observe(name string, turns float64, event time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.service(name).pace.Observe(turns, event.Seconds())
+	q.service(name).batch.Observe(turns, event.Seconds())
 }
 
 // Share returns a function that gives, for an engine of the service that runs so many turns
@@ -114,7 +114,7 @@
 func (q *Queue) Share(name string) func(places int) float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p := q.service(name).pace
+	p := q.service(name).batch
 	return p.Share
 }
 
--- a/internal/front/admit/admit_test.go
+++ b/internal/front/admit/admit_test.go
@@ -12,8 +12,8 @@
 	"github.com/slaterock/slaterock/internal/place/gate"
 )
 
-func busy(string) gate.Load { return gate.Load{Under: 90, Room: 80} }
-func idle(string) gate.Load { return gate.Load{Under: 10, Room: 80} }
+func busy(string) gate.Load { return gate.Load{InFlight: 90, Capacity: 80} }
+func idle(string) gate.Load { return gate.Load{InFlight: 10, Capacity: 80} }
 
 // Engines are busy when a program arrives. It is admitted as soon as there is room, refused
 // when it can no longer finish in time, and removed when its caller disconnects.
--- a/internal/front/proxy/admission.go
+++ b/internal/front/proxy/admission.go
@@ -42,7 +42,7 @@
 		waitUntil = maxWaitUntil
 	}
 	s := &t.summary
-	if s.load = t.e.load(t.service.Name); s.load.Room == 0 {
+	if s.load = t.e.load(t.service.Name); s.load.Capacity == 0 {
 		return true // no engine accepts work: dispatch refuses the turn at once
 	}
 	err := t.e.Queue.Wait(ctx, t.service.Name, waitUntil, s.load)
--- a/internal/front/proxy/summary.go
+++ b/internal/front/proxy/summary.go
@@ -67,8 +67,8 @@
 		line.Bool("upstream_missing", true)
 	}
 	if s.queueReason != "" {
-		line.Str("queue", s.queueReason).Int64("queued_ms", s.queueTime.Milliseconds()).Int("engines_under_way", s.load.Under).
-			Int("engines_room", s.load.Room).Int("daemons", s.load.Fronts)
+		line.Str("queue", s.queueReason).Int64("queued_ms", s.queueTime.Milliseconds()).Int("engines_under_way", s.load.InFlight).
+			Int("engines_room", s.load.Capacity).Int("daemons", s.load.Daemons)
 	}
 	line.Msg("request")
 }
--- a/internal/place/gate/gate_test.go
+++ b/internal/place/gate/gate_test.go
@@ -9,12 +9,12 @@
 
 var start = time.UnixMilli(1_000_000)
 
-func arrive(ticket uint64, slack time.Duration, under int) Arrive {
-	return Arrive{Ticket: ticket, Until: start.Add(slack), Load: load(under, 1)}
+func arrive(ticket uint64, slack time.Duration, inFlight int) Arrive {
+	return Arrive{Ticket: ticket, LatestStart: start.Add(slack), Load: load(inFlight, 1)}
 }
 
-func load(under, fronts int) Load {
-	return Load{Under: under, Room: 100, Fronts: fronts, News: 100 * time.Millisecond}
+func load(inFlight, daemons int) Load {
+	return Load{InFlight: inFlight, Capacity: 100, Daemons: daemons, Staleness: 100 * time.Millisecond}
 }
 
 func TestStep(t *testing.T) {
@@ -46,10 +46,10 @@
 			{0, Change{load(100-1, 1)}, []Op{Admit{1}}},
 		},
 		"late, and room":               {{0, arrive(1, 0, 10), []Op{Admit{1}}}},
-		"late, and little room":        {{0, arrive(1, 0, int(100*late)), []Op{refuse(1)}}},
+		"late, and little room":        {{0, arrive(1, 0, int(100*lateFill)), []Op{refuse(1)}}},
 		"late, behind those that wait": {{0, arrive(1, second, 100), nil}, {0, arrive(2, 0, 10), []Op{refuse(2)}}},
-		"a caller that has left":       {{0, arrive(1, second, 100), nil}, {0, Leave{1}, nil}, {0, Change{load(10, 1)}, nil}},
-		"no engines":                   {{0, Arrive{Ticket: 1, Until: start.Add(second)}, nil}, {second, Change{}, []Op{refuse(1)}}},
+		"a caller that has left":       {{0, arrive(1, second, 100), nil}, {0, Cancel{1}, nil}, {0, Change{load(10, 1)}, nil}},
+		"no engines":                   {{0, Arrive{Ticket: 1, LatestStart: start.Add(second)}, nil}, {second, Change{}, []Op{refuse(1)}}},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -61,27 +61,28 @@
 	}
 }
 
-// Many programs wait at many daemons when three turns end. Each daemon sees room for
-// three, and hears of the others some time later only. If each let one begin, the
-// engines would be as full as without a gate.
-func TestDaemonsShareTheRoom(t *testing.T) {
-	const fronts, waiting, news = 54, 5, 370 * time.Millisecond
+// Programs wait at many daemons while the shared engines have capacity for three more
+// turns. Every daemon sees those three free and learns only later what the others have
+// admitted. If each admitted one program, the engines would be as overloaded as without
+// a gate.
+func TestDaemonsShareCapacity(t *testing.T) {
+	const daemons, waiting, staleness = 54, 5, 370 * time.Millisecond
 	is := is.New(t)
-	gates := make([]Gate, fronts)
-	full := Load{Under: 100, Room: 100, Fronts: fronts, News: news}
+	gates := make([]Gate, daemons)
+	full := Load{InFlight: 100, Capacity: 100, Daemons: daemons, Staleness: staleness}
 	for i := range gates {
 		for n := range uint64(waiting) {
-			gates[i].Step(start, Arrive{Ticket: n, Until: start.Add(time.Minute), Load: full})
+			gates[i].Step(start, Arrive{Ticket: n, LatestStart: start.Add(time.Minute), Load: full})
 		}
-		gates[i].credit = float64(i) / fronts // as after a while
+		gates[i].credit = float64(i) / daemons // spread as in steady state
 	}
-	begun := 0
-	for after := news / 100; after <= 10*news; after += news / 100 {
+	admitted := 0
+	for after := staleness / 100; after <= 10*staleness; after += staleness / 100 {
 		for i := range gates {
 			l := full
-			l.Under = 97
-			begun += len(gates[i].Step(start.Add(after), Change{Load: l}))
+			l.InFlight = 97
+			admitted += len(gates[i].Step(start.Add(after), Change{Load: l}))
 		}
 	}
-	is.True(begun >= 80 && begun <= 100) // three times the room in each of ten times, not 54
+	is.True(admitted >= 80 && admitted <= 100) // about overcommit times 3 in each of ten intervals, not 54
 }
--- a/internal/place/prefix/prefix.go
+++ b/internal/place/prefix/prefix.go
@@ -1,15 +1,15 @@
-// Package prefix keeps what is known of the prompt prefixes that engines hold.
+// Package prefix is an index of the prompt prefixes that engines have cached.
 //
-// There are two sources. Own placements tell what an engine must have computed
-// and may have evicted since. Cache events tell both, but late and with gaps.
-// After a gap all that was only heard of is distrusted, and what was placed by
-// this owner is what remains; the usage that comes with each answer corrects
-// it. Only blocks of programs of this owner are kept for good; of others' a
-// bounded number is remembered, since a context shared by many programs may be
-// needed here next.
+// It has two sources. This owner's placements show what an engine has computed
+// but may have evicted since. Cache events report both, but late and with gaps.
+// After a gap, entries known only from events are ignored and those from
+// placements remain; the usage in each answer confirms them. Blocks of this
+// owner's programs are kept as long as a program uses them. Of all others a
+// bounded number is kept, since a context shared by many programs may be used
+// here next.
 //
 // Engines evict the end of a prefix before its beginning. An engine that holds
-// a block is therefore taken to hold all blocks before it.
+// a block is therefore assumed to hold all blocks before it.
 package prefix
 
 import (
@@ -17,82 +17,84 @@
 )
 
 const (
-	tailScan   = 32      // blocks looked at from the end of a prompt
-	headScan   = 8       // and from its beginning, where shared contexts are
-	maxMatches = 64      // engines returned at most
-	maxHeard   = 1 << 16 // blocks of unknown programs remembered
+	tailScan   = 32      // blocks looked up at the end of a prompt
+	headScan   = 8       // and at its beginning, where shared contexts are
+	maxMatches = 64      // maximum number of engines returned
+	maxTracked = 1 << 16 // maximum number of tracked blocks of other owners' programs
 )
 
 type (
-	// Index is the knowledge about all engines, which are named by small
-	// numbers. The zero value knows nothing.
+	// Index holds the cached prefixes of all engines, which are identified by
+	// small numbers. The zero value is empty.
 	Index struct {
-		// Part is this owner's part of all programs, 0 if unknown. A block
-		// that several programs here share is shared by more elsewhere.
-		Part float64
+		// OwnShare estimates this owner's share of all programs, 0 if unknown.
+		// The users of a shared block are divided by it to estimate those of
+		// all owners.
+		OwnShare float64
 
-		blocks   map[uint64]*block
-		programs map[string]*program
-		engines  []state
-		heard    []uint64 // ring
-		heardAt  int
-		matches  []Match
-		stamp    uint32
-		all      float64 // the weight of the last lookup's whole prompt
+		blocks      map[uint64]*block
+		programs    map[string]*program
+		engines     []engineState
+		tracked     []uint64 // ring
+		trackedNext int
+		matches     []Match
+		matchNumber uint32  // number of the last Match
+		totalWeight float64 // weight of the whole prompt of the last Match
 	}
 
-	// Match is an engine that holds the first Tokens of a prompt. Weight is
-	// the same with each block's tokens divided by the programs of this owner
-	// that need it: what one program's share of building them is.
+	// Match is an engine that holds the first Tokens of a prompt. Weight counts
+	// the same tokens, but those of a shared block divided by the number of
+	// programs that use it, hence one program's share of computing them. Only
+	// the first headScan blocks are taken to be shared.
 	Match struct {
 		Engine, Tokens int
 		Weight         float64
 	}
 
 	block struct {
-		users   int32 // programs of this owner that need it
+		users   int32 // programs of this owner that use it
 		holders []holder
 	}
 
 	holder struct {
-		engine uint16
-		placed bool // this owner sent a prompt with the block there
-		heard  bool // an event told of it
-		era    uint32
+		engine   uint16
+		placed   bool // this owner sent a prompt with the block to the engine
+		reported bool // a cache event reported it
+		epoch    uint32
 	}
 
 	program struct {
 		chain   []uint64
 		engines []int
-		home    int // where it was sent last, plus one
+		home    int // engine of the last placement plus one, 0 for none
 		calls   int
 	}
 
-	state struct {
-		seq   uint64 // of the last event
-		era   uint32 // rises with each gap
-		base  uint32 // placements before this era are void
-		stamp uint32 // of the last lookup that met the engine
-		match Match
-		homes int // programs that were sent here last
+	engineState struct {
+		seq         uint64 // of the last event
+		epoch       uint32 // incremented with each gap or restart
+		minEpoch    uint32 // placements of earlier epochs are ignored
+		matchNumber uint32 // of the last Match that found the engine
+		match       Match
+		programs    int // programs that were last placed here
 	}
 )
 
 func (x *Index) grow(e int) {
 	for len(x.engines) <= e {
-		x.engines = append(x.engines, state{})
+		x.engines = append(x.engines, engineState{})
 	}
 }
 
-// Use notes the prompt that a program sends, which replaces its earlier one.
-// Blocks that no program needs any more are forgotten.
+// Use records the prompt that a program sends; it replaces the previous one.
+// Blocks that no program uses any more are retired.
 func (x *Index) Use(name string, blocks []engine.Block) {
 	p := x.program(name)
 	same := 0
 	for same < len(blocks) && same < len(p.chain) && blocks[same].Hash == p.chain[same] {
 		same++
 	}
-	x.drop(p.chain[same:])
+	x.unref(p.chain[same:])
 	p.chain = p.chain[:same]
 	for _, b := range blocks[same:] {
 		x.block(b.Hash).users++
@@ -100,40 +102,41 @@
 	}
 }
 
-// Placed notes that the program's prompt was sent to the engine.
+// Placed records that the program was placed at the engine: its prompt was sent
+// there by a request, or its prefix by an export.
 func (x *Index) Placed(name string, e int) {
 	x.grow(e)
 	p := x.program(name)
 	p.calls++
-	x.settle(p, e+1)
-	if !has(p.engines, e) {
+	x.setHome(p, e+1)
+	if !contains(p.engines, e) {
 		p.engines = append(p.engines, e)
 	}
 	for _, h := range p.chain {
-		x.block(h).hold(holder{engine: uint16(e), placed: true, era: x.engines[e].era})
+		x.block(h).hold(holder{engine: uint16(e), placed: true, epoch: x.engines[e].epoch})
 	}
 }
 
-func (x *Index) settle(p *program, home int) {
+func (x *Index) setHome(p *program, home int) {
 	if p.home > 0 {
-		x.engines[p.home-1].homes--
+		x.engines[p.home-1].programs--
 	}
 	if home > 0 {
-		x.engines[home-1].homes++
+		x.engines[home-1].programs++
 	}
 	p.home = home
 }
 
-// Homes returns how many programs were sent to the engine last: its load to
-// come, as long as they stay.
+// Homes returns the number of programs that were last placed at the engine. It
+// indicates the future load, as programs usually stay.
 func (x *Index) Homes(e int) int {
 	if e >= len(x.engines) {
 		return 0
 	}
-	return x.engines[e].homes
+	return x.engines[e].programs
 }
 
-// Home returns where the program was sent last.
+// Home returns the engine at which the program was last placed.
 func (x *Index) Home(name string) (e int, ok bool) {
 	p := x.programs[name]
 	if p == nil || p.home == 0 {
@@ -142,7 +145,8 @@
 	return p.home - 1, true
 }
 
-// Calls returns how often the program was sent.
+// Calls returns the number of placements of the program: requests, including
+// hedges and further attempts, and exports.
 func (x *Index) Calls(name string) int {
 	if p := x.programs[name]; p != nil {
 		return p.calls
@@ -150,23 +154,21 @@
 	return 0
 }
 
-// Found corrects the index by an answer's usage: the engine had only so many
-// tokens of the prompt cached when it began, fewer than expected. What it
-// computed since is held, so only other programs' view of shared blocks can
-// be wrong; those are the blocks that it had to compute again, and are right
-// now. Nothing is left to forget but the engine's claim on longer chains.
-func (x *Index) Found(e int, blocks []engine.Block, cached int) {
+// Confirm applies an answer's usage: the engine had that many tokens of the
+// prompt cached when the request began, so it holds the blocks within them. The
+// blocks that it lacked it has computed since, so none are removed.
+func (x *Index) Confirm(e int, blocks []engine.Block, cached int) {
 	x.grow(e)
 	sum := 0
 	for _, b := range blocks {
 		sum += b.Tokens
 		if sum <= cached {
-			x.block(b.Hash).hold(holder{engine: uint16(e), placed: true, era: x.engines[e].era})
+			x.block(b.Hash).hold(holder{engine: uint16(e), placed: true, epoch: x.engines[e].epoch})
 		}
 	}
 }
 
-// Holders returns the engines where the program left memory.
+// Holders returns the engines that may hold memory for the program.
 func (x *Index) Holders(name string) []int {
 	if p := x.programs[name]; p != nil {
 		return p.engines
@@ -174,20 +176,21 @@
 	return nil
 }
 
-// Known reports whether the program is one of this owner's.
+// Known reports whether the index has the program.
 func (x *Index) Known(name string) bool { return x.programs[name] != nil }
 
-// Programs calls f for each program with memory at the engine, in no order.
-func (x *Index) Programs(e int, f func(name string, tokens []uint64)) {
+// Programs calls f, in no particular order, for each program that may have memory
+// at the engine, with the hashes of its prompt's blocks.
+func (x *Index) Programs(e int, f func(name string, hashes []uint64)) {
 	for name, p := range x.programs {
-		if has(p.engines, e) {
+		if contains(p.engines, e) {
 			f(name, p.chain)
 		}
 	}
 }
 
-// Left notes that the engine holds nothing for the program any more.
-func (x *Index) Left(name string, e int) {
+// Released records that the engine holds no memory for the program any more.
+func (x *Index) Released(name string, e int) {
 	p := x.programs[name]
 	if p == nil {
 		return
@@ -200,25 +203,25 @@
 	}
 }
 
-// End forgets the program. Blocks that another program shares stay known.
+// End removes the program. Blocks that another program uses are kept.
 func (x *Index) End(name string) {
 	if p := x.programs[name]; p != nil {
-		x.settle(p, 0)
-		x.drop(p.chain)
+		x.setHome(p, 0)
+		x.unref(p.chain)
 		delete(x.programs, name)
 	}
 }
 
-// Reset forgets all that was known of the engine, which restarted empty.
+// Reset invalidates all entries of the engine, which restarted with an empty cache.
 func (x *Index) Reset(e int) {
 	x.grow(e)
-	x.engines[e].era++
-	x.engines[e].base = x.engines[e].era
+	x.engines[e].epoch++
+	x.engines[e].minEpoch = x.engines[e].epoch
 	x.engines[e].seq = 0
 }
 
-// Apply takes an engine's cache events in order and reports whether some were
-// missing. A number that falls tells that the engine restarted.
+// Apply applies an engine's cache events in order and reports whether some were
+// missing. A sequence number that decreases means that the engine restarted.
 func (x *Index) Apply(e int, events []engine.Event) (gap bool) {
 	x.grow(e)
 	for _, ev := range events {
@@ -229,12 +232,12 @@
 		case ev.Seq < s.seq:
 			x.Reset(e)
 		case s.seq > 0 && ev.Seq != s.seq+1:
-			s.era++
+			s.epoch++
 			gap = true
 		}
 		s.seq = ev.Seq
 		for _, h := range ev.Stored {
-			x.hear(h).hold(holder{engine: uint16(e), heard: true, era: s.era})
+			x.track(h).hold(holder{engine: uint16(e), reported: true, epoch: s.epoch})
 		}
 		for _, h := range ev.Evicted {
 			if b := x.blocks[h]; b != nil {
@@ -245,11 +248,13 @@
 	return gap
 }
 
-// Match returns engines that hold a beginning of the prompt, the longest
-// first. The result is valid until the next call.
+// Match returns up to maxMatches engines that hold a prefix of the prompt, the
+// longest first. It looks up only the first headScan and the last tailScan blocks;
+// a prefix that ends between them is found with its first headScan blocks. The
+// result is valid until the next call.
 func (x *Index) Match(blocks []engine.Block) []Match {
 	x.matches = x.matches[:0]
-	x.stamp++
+	x.matchNumber++
 	var shares [headScan]float64
 	m := Match{}
 	for i, b := range blocks {
@@ -261,7 +266,7 @@
 			m.Weight += float64(b.Tokens)
 		}
 	}
-	x.all = m.Weight
+	x.totalWeight = m.Weight
 	tail := max(len(blocks)-tailScan, 0)
 	for i := len(blocks) - 1; i >= 0 && len(x.matches) < maxMatches; i-- {
 		if i >= tail || i < headScan {
@@ -280,20 +285,21 @@
 func (x *Index) share(b engine.Block) float64 {
 	if known := x.blocks[b.Hash]; known != nil && known.users > 1 {
 		users := float64(known.users)
-		if x.Part > 0 {
-			users /= x.Part
+		if x.OwnShare > 0 {
+			users /= x.OwnShare
 		}
 		return float64(b.Tokens) / users
 	}
 	return float64(b.Tokens)
 }
 
-// All returns the weight of the prompt of the last Match.
-func (x *Index) All() float64 { return x.all }
+// TotalWeight returns the weight of the whole prompt of the last Match.
+func (x *Index) TotalWeight() float64 { return x.totalWeight }
 
-// Matched returns what the last Match found at the engine.
+// Matched returns the engine's result in the last Match; Tokens is 0 if it was
+// not found.
 func (x *Index) Matched(e int) Match {
-	if e >= len(x.engines) || x.engines[e].stamp != x.stamp {
+	if e >= len(x.engines) || x.engines[e].matchNumber != x.matchNumber {
 		return Match{Engine: e}
 	}
 	return x.engines[e].match
@@ -306,11 +312,11 @@
 	}
 	for _, h := range b.holders {
 		s := &x.engines[h.engine]
-		if s.stamp == x.stamp || !s.trusts(h) {
+		if s.matchNumber == x.matchNumber || !s.isValid(h) {
 			continue
 		}
 		m.Engine = int(h.engine)
-		s.stamp, s.match = x.stamp, m
+		s.matchNumber, s.match = x.matchNumber, m
 		x.matches = append(x.matches, m)
 		if len(x.matches) == maxMatches {
 			return
@@ -318,9 +324,9 @@
 	}
 }
 
-func (s *state) trusts(h holder) bool {
+func (s *engineState) isValid(h holder) bool {
 	if h.placed {
-		return h.era >= s.base
+		return h.epoch >= s.minEpoch
 	}
-	return h.era == s.era
+	return h.epoch == s.epoch
 }
--- a/internal/place/sched/fair_test.go
+++ b/internal/place/sched/fair_test.go
@@ -12,10 +12,10 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// press keeps a group of four slots busy for ten minutes. In each tick every
-// account asks as often as the function says, and what runs ends after its
-// second. It returns how many requests of each account were served.
-func press(asks func(account int, rng *rand.Rand) int, accounts int, edit func(account int, a *Ask)) map[int]int {
+// runLoad simulates ten minutes of load on a group with four slots. In each
+// tick, every account submits as many requests as rate returns; each request
+// runs for a second. It returns the number of requests served by account.
+func runLoad(rate func(account int, rng *rand.Rand) int, accounts int, edit func(account int, a *Submit)) map[int]int {
 	var s Sched
 	f := fleet(2)
 	f.Groups["engines"] = file.Group{Kind: file.Engines, QueueLimit: 60, QueueWait: 20 * time.Second, MaxInflight: 2}
@@ -29,7 +29,7 @@
 	}
 	var running []run
 	served, owner, n := map[int]int{}, map[string]int{}, 0
-	take := func(effects []Effect) {
+	track := func(effects []Effect) {
 		for _, e := range effects {
 			if a, ok := e.(Assign); ok {
 				running = append(running, run{a.ID, a.Upstream, owner[a.ID], now.Add(time.Second)})
@@ -38,43 +38,43 @@
 	}
 	for now.Sub(epoch) < 10*time.Minute {
 		for _, account := range rng.Perm(accounts) {
-			for range asks(account, rng) {
+			for range rate(account, rng) {
 				n++
-				a := ask(fmt.Sprint(n))
+				a := submit(fmt.Sprint(n))
 				a.Account = fmt.Sprint(account)
 				if edit != nil {
 					edit(account, &a)
 				}
 				owner[a.ID] = account
-				take(s.Step(now, a))
+				track(s.Step(now, a))
 			}
 		}
 		now = now.Add(100 * time.Millisecond)
-		var still []run
+		var remaining []run
 		for _, r := range running {
 			if r.end.After(now) {
-				still = append(still, r)
+				remaining = append(remaining, r)
 			}
 		}
 		ended := running
-		running = still
+		running = remaining
 		for _, r := range ended {
 			if !r.end.After(now) {
 				served[r.account]++
-				take(s.Step(now, Done{ID: r.id, Upstream: r.up}))
+				track(s.Step(now, Done{ID: r.id, Upstream: r.up}))
 			}
 		}
-		take(s.Step(now, Tick{}))
+		track(s.Step(now, Tick{}))
 	}
 	return served
 }
 
-// One chain's programs ask twenty times as often as each other account. Served
-// in the order of arrival, it would take most of the engines, and the callers
-// of all others would be refused.
+// One account submits twenty times as many requests as each other. Served in
+// order of arrival, it would occupy most of the engines, and requests of the
+// other accounts would be refused.
 func TestAccountsShareFairly(t *testing.T) {
 	is := is.New(t)
-	served := press(func(account int, rng *rand.Rand) int {
+	served := runLoad(func(account int, rng *rand.Rand) int {
 		if account == 0 {
 			return 4
 		}
@@ -90,38 +90,38 @@
 			least = min(least, n)
 		}
 	}
-	is.True(total > 2200) // of 2,400: the slots stay busy
+	is.True(total > 2200) // of 2,400, so the slots stay busy
 	is.True(served[0] < 2*total/12)
 	is.True(least > total/12/2)
 }
 
-// A stream of urgent requests that alone would fill the group. Without ageing
-// a request of low priority would wait for as long as it lasts.
-func TestNothingStarves(t *testing.T) {
+// One account submits enough high-priority requests to fill the group. Without
+// ageing, requests of low priority would wait until that load ends.
+func TestNoStarvation(t *testing.T) {
 	is := is.New(t)
-	served := press(func(account int, _ *rand.Rand) int {
+	served := runLoad(func(account int, _ *rand.Rand) int {
 		if account == 0 {
 			return 1
 		}
 		return 0
 	}, 2, nil)
 	is.True(served[0] > 2200)
-	mixed := press(func(account int, rng *rand.Rand) int {
+	mixed := runLoad(func(account int, rng *rand.Rand) int {
 		if account == 0 || rng.IntN(20) == 0 {
 			return 1
 		}
 		return 0
-	}, 2, func(account int, a *Ask) {
+	}, 2, func(account int, a *Submit) {
 		if account == 0 {
 			a.Priority = 1
 		}
 	})
-	is.True(mixed[0] > mixed[1]) // urgent first
-	is.True(mixed[1] > 0)        // but not only
+	is.True(mixed[0] > mixed[1]) // high priority first
+	is.True(mixed[1] > 0)        // but low priority is served too
 }
 
-// In a group of a hundred full upstreams one comes free. The request that
-// waits must find it, although only a few upstreams are compared for each.
+// One of a hundred full upstreams gets a free slot. The queued request must be
+// sent there, although only a few upstreams are sampled for each decision.
 func TestFreedUpstreamIsFound(t *testing.T) {
 	is := is.New(t)
 	var s Sched
@@ -131,30 +131,30 @@
 	var at []string
 	for i := 0; len(at) < 100; i++ {
 		id := fmt.Sprint(i)
-		if up := assigned(s.Step(epoch, ask(id)), id); up != "" {
+		if up := assigned(s.Step(epoch, submit(id)), id); up != "" {
 			at = append(at, id+" "+up)
 			continue
 		}
-		for assigned(s.Step(epoch, Tick{}), id) == "" { // until the sample meets a free one
+		for assigned(s.Step(epoch, Tick{}), id) == "" { // until the sample contains a free one
 			continue
 		}
 		at = append(at, id)
 	}
-	is.Equal(assigned(s.Step(epoch, ask("waits")), "waits"), "")
+	is.Equal(assigned(s.Step(epoch, submit("waits")), "waits"), "")
 	var id, up string
 	_, err := fmt.Sscan(at[0], &id, &up)
 	is.NoErr(err)
 	is.Equal(assigned(s.Step(epoch, Done{ID: id, Upstream: up}), "waits"), up)
 }
 
-// Calls of one service differ by ten times in the work they ask for. If the
-// shortest were taken for what all should take, the limit would shrink while
-// the service is idle, and callers would be refused for nothing. A crowded
-// service, where all take longer, must still be noticed.
+// Calls of one service differ by a factor of ten in duration. If the shortest
+// were the expected duration of all, the limit would shrink while the service
+// is idle, and requests would be refused without need. An overloaded service,
+// where all calls take longer, must still be detected.
 func TestLimitOfUnequalCalls(t *testing.T) {
 	tests := map[string]struct {
-		slots     int // of each of two tools
-		low, high int // where the limits must end
+		slots     int // of each of two upstreams
+		low, high int // bounds of the limits at the end
 	}{
 		"idle":    {1000, 8, 1000},
 		"crowded": {3, 1, 12},
@@ -178,7 +178,7 @@
 				var out []Effect
 				for len(s.byID) < 30 {
 					n++
-					out = append(out, s.Step(now, toolAsk(fmt.Sprint(n)))...)
+					out = append(out, s.Step(now, submitTool(fmt.Sprint(n)))...)
 				}
 				var still []run
 				for _, r := range running {
@@ -191,8 +191,8 @@
 				running = still
 				for _, e := range out {
 					if a, ok := e.(Assign); ok {
-						beside := s.ups[s.byName[a.Upstream]].load.Inflight()
-						took := (20 + 180*rng.Float64()) * max(1, float64(beside)/float64(tt.slots))
+						inflight := s.ups[s.byName[a.Upstream]].load.Inflight()
+						took := (20 + 180*rng.Float64()) * max(1, float64(inflight)/float64(tt.slots))
 						running = append(running, run{a.ID, a.Upstream, now.Add(time.Duration(took * float64(time.Millisecond)))})
 					}
 				}
@@ -205,9 +205,9 @@
 	}
 }
 
-// Other daemons have an upstream as full as it may be. Counting only its own
-// work, each of many daemons would send as much as all may together.
-func TestBoundCountsWorkOfOthers(t *testing.T) {
+// Other daemons' requests fill an upstream to its limit. If a daemon counted
+// only its own requests, each of many would send as many as all may together.
+func TestLimitCountsOtherOwners(t *testing.T) {
 	is := is.New(t)
 	var s Sched
 	f := fleet(1)
@@ -220,6 +220,6 @@
 		now = now.Add(time.Second)
 		s.Step(now, Load{Upstream: "e0", Report: engine.Load{Seq: uint64(i + 1), At: now, Running: 6}})
 	}
-	is.Equal(assigned(s.Step(now, ask("1")), "1"), "e0")
-	is.Equal(assigned(s.Step(now, ask("2")), "2"), "")
+	is.Equal(assigned(s.Step(now, submit("1")), "1"), "e0")
+	is.Equal(assigned(s.Step(now, submit("2")), "2"), "")
 }
--- a/internal/place/sched/machine.go
+++ b/internal/place/sched/machine.go
@@ -12,37 +12,38 @@
 )
 
 type (
-	// Sched is the machine. The zero value works and refuses every request
-	// until it is configured.
+	// Sched is the scheduler. The zero value refuses every request until it is
+	// configured.
 	Sched struct {
-		Seed uint64 // of the sampling among upstreams; differs between daemons
+		Seed uint64 // of the random choices; must differ between daemons
 
-		cfg      file.File
-		weights  score.Weights
-		start    time.Time
-		rng      *rand.Rand
-		ups      []*upstream
-		byName   map[string]int
-		engines  []int // those of ups that are swept
-		groups   map[string]*group
-		requests []request
-		free     []int32
-		byID     map[string]int32
-		accounts map[string]int // requests in the system
-		failed   map[string]failure
-		pruned   time.Time
-		services map[string]*service
-		retries  retry.Budget
-		hedges   retry.Budget
-		index    prefix.Index
-		sweep    sweep.Sweep
-		// freed is where an attempt has just ended. In a large and full group
-		// a small sample would seldom meet the few upstreams with room.
-		freed int
-		out   []Effect
+		cfg       file.File
+		weights   score.Weights
+		start     time.Time
+		rng       *rand.Rand
+		ups       []*upstream
+		byName    map[string]int
+		engines   []int // indices of the upstreams that are swept
+		groups    map[string]*group
+		requests  []request // by slot
+		freeSlots []int32
+		byID      map[string]int32
+		accounts  map[string]int // requests queued or in flight
+		failed    map[string]failure
+		pruned    time.Time
+		services  map[string]*serviceStats
+		retries   retry.Budget
+		hedges    retry.Budget
+		index     prefix.Index
+		sweep     sweep.Sweep
+		// freedUpstream is the upstream at which an attempt has just ended. In a large
+		// and full group a small sample rarely contains one of the few
+		// upstreams with room.
+		freedUpstream int
+		out           []Effect
 	}
 
-	// failure is how the last attempt of a request ended.
+	// failure records the failed attempts of a request.
 	failure struct {
 		at       time.Time
 		upstream string
@@ -54,14 +55,14 @@
 // Step applies one message and returns the effects in the order in which they
 // must be carried out.
 func (s *Sched) Step(now time.Time, m Message) []Effect {
-	s.begin(now)
+	s.setup(now)
 	switch m := m.(type) {
 	case Configure:
 		s.configure(now, m.File)
-	case Ask:
-		s.ask(now, m)
-	case Withdraw:
-		s.withdraw(now, m.ID)
+	case Submit:
+		s.submit(now, m)
+	case Cancel:
+		s.cancel(now, m.ID)
 	case First:
 		s.first(now, m)
 	case Done:
@@ -72,10 +73,10 @@
 		s.cache(m)
 	case VMs:
 		s.vms(now, m)
-	case Ended:
-		s.ended(m)
-	case Forget:
-		s.forget(m.Program)
+	case ProgramEnded:
+		s.programEnded(m)
+	case ProgramMoved:
+		s.programMoved(m.Program)
 	case Held:
 		s.held(m)
 	case Tick:
@@ -84,19 +85,19 @@
 	return s.out
 }
 
-func (s *Sched) begin(now time.Time) {
-	s.out = nil // the caller may keep the last effects while others call Step
+func (s *Sched) setup(now time.Time) {
+	s.out = nil // not reused: the caller may still hold the last effects
 	if s.rng != nil {
 		return
 	}
 	s.rng = rand.New(rand.NewPCG(s.Seed, 1))
-	s.start, s.freed = now, none
+	s.start, s.freedUpstream = now, none
 	s.byName = map[string]int{}
 	s.groups = map[string]*group{}
 	s.byID = map[string]int32{}
 	s.accounts = map[string]int{}
 	s.failed = map[string]failure{}
-	s.services = map[string]*service{}
+	s.services = map[string]*serviceStats{}
 	s.sweep.Start = s.Seed
 }
 
@@ -116,7 +117,8 @@
 	s.prune(now)
 }
 
-// prune forgets failures whose request never came back.
+// prune removes, once per failureMemory, the failures that are older than that, so
+// that those whose request is not submitted again don't accumulate.
 func (s *Sched) prune(now time.Time) {
 	if now.Sub(s.pruned) < failureMemory {
 		return
--- a/internal/place/sched/memory.go
+++ b/internal/place/sched/memory.go
@@ -6,23 +6,22 @@
 )
 
 const (
-	// Exports of one leaving upstream; more would hold up its own streams.
+	// Maximum number of exports of one leaving upstream; more would delay its streams.
 	maxExports = 256
 )
 
-// cache takes cache events.
 func (s *Sched) cache(m Cache) {
 	if i, ok := s.byName[m.Upstream]; ok {
 		s.index.Apply(i, m.Events)
 	}
 }
 
-// ended releases the program's memory wherever it was placed, here or by an owner before
-// this one, whose placements are not known here.
-func (s *Sched) ended(m Ended) {
+// programEnded releases the program's memory at each engine that may hold some: those
+// where this owner placed it, and those in the message, where a previous owner did.
+func (s *Sched) programEnded(m ProgramEnded) {
 	if e, ok := s.index.Home(m.Program); ok && s.ups[e].group != nil {
 		g := s.ups[e].group
-		g.ended(float64(s.index.Calls(m.Program)))
+		g.programEnded(float64(s.index.Calls(m.Program)))
 	}
 	holders := slices.Clone(s.index.Holders(m.Program))
 	for _, name := range m.Engines {
@@ -36,22 +35,23 @@
 	s.index.End(m.Program)
 }
 
-// forget drops a program that another daemon owns now. Its attempts that are
-// still under way here must not release its memory when they end.
-func (s *Sched) forget(program string) {
+// programMoved removes a program that another daemon owns now. Attempts that
+// are still in flight here must not release its memory when they end.
+func (s *Sched) programMoved(program string) {
 	s.index.End(program)
 	for i := range s.requests {
-		if r := &s.requests[i]; r.used && r.ask.Program == program {
-			r.ask.Blocks = nil
+		if r := &s.requests[i]; r.used && r.submit.Program == program {
+			r.submit.Blocks = nil // releaseLate ignores requests without blocks
 		}
 	}
 }
 
-// late releases again where an attempt outlived its program: the engine went
-// on after the first release and left memory that nobody would release.
-func (s *Sched) late(r *request, upstream string) {
-	if len(r.ask.Blocks) > 0 && !s.index.Known(r.ask.Program) {
-		s.emit(Release{Upstream: upstream, Program: r.ask.Program})
+// releaseLate releases the memory again after an attempt that ended later than
+// its program: the engine continued after the first release and left memory
+// that would leak until the next sweep.
+func (s *Sched) releaseLate(r *request, upstream string) {
+	if len(r.submit.Blocks) > 0 && !s.index.Known(r.submit.Program) {
+		s.emit(Release{Upstream: upstream, Program: r.submit.Program})
 	}
 }
 
@@ -61,18 +61,18 @@
 	}
 }
 
-// leave exports, once, what programs still need of an upstream that leaves.
-// Without that every program there would pay its whole prefill again, all at
-// the same moment.
-func (s *Sched) leave(now time.Time, i int, u *upstream) {
+// handleLeaving exports, once per departure, the cached prefixes of up to
+// maxExports programs that no engine but the leaving one holds. Otherwise they
+// would all have to compute their whole prompts again at the same time.
+func (s *Sched) handleLeaving(now time.Time, i int, u *upstream) {
 	if !u.leaving() {
-		u.left = false
+		u.leaveHandled = false
 		return
 	}
-	if u.left || u.group == nil {
+	if u.leaveHandled || u.group == nil {
 		return
 	}
-	u.left = true
+	u.leaveHandled = true
 	u.group.measure(s, now)
 	var names []string
 	s.index.Programs(i, func(name string, _ []uint64) { names = append(names, name) })
@@ -84,17 +84,17 @@
 
 func (s *Sched) export(now time.Time, from int, program string) {
 	if len(s.index.Holders(program)) > 1 {
-		return // another engine holds it, perhaps an older part
+		return // another engine holds at least an older part
 	}
 	u := s.ups[from]
-	r := request{ask: Ask{Program: program, Group: u.group.name}}
+	r := request{submit: Submit{Program: program, Group: u.group.name}}
 	if len(u.conf.Models) == 1 {
-		r.ask.Model = u.conf.Models[0]
+		r.submit.Model = u.conf.Models[0]
 	}
 	c := s.pick(now, &r)
-	if c.free == none {
+	if c.withRoom == none {
 		return
 	}
-	s.index.Placed(program, c.free)
-	s.emit(Export{Upstream: u.name, Program: program, To: s.ups[c.free].name})
+	s.index.Placed(program, c.withRoom)
+	s.emit(Export{Upstream: u.name, Program: program, To: s.ups[c.withRoom].name})
 }
