--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -17,7 +17,7 @@
 	"github.com/slaterock/slaterock/internal/front/ration"
 	"github.com/slaterock/slaterock/internal/node/frontd"
 	"github.com/slaterock/slaterock/internal/node/keeper"
-	"github.com/slaterock/slaterock/internal/obs/flow"
+	"github.com/slaterock/slaterock/internal/obs/logbuf"
 	"github.com/slaterock/slaterock/internal/obs/metric"
 	"github.com/slaterock/slaterock/internal/obs/trace"
 	"github.com/slaterock/slaterock/platform"
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	log, closing := flow.Open(os.Stdout, s.Node)
+	log, closing := logbuf.Open(os.Stdout, s.Node)
 	defer closing()
 	p := &process{settings: s, store: platform.Open(s.Store.Address), log: log, metric: metric.New(), stop: make(chan struct{})}
 	log.Info().Interface("settings", s).Msg("start")
@@ -120,7 +120,7 @@
 
 func runFront(ctx context.Context, p *process) error {
 	s := p.settings
-	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceVariable), Fault: func(err error) {
+	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceVariable), OnError: func(err error) {
 		p.log.Warn().Err(err).Msg("spans were lost")
 	}})
 	if err != nil {
--- a/cmd/slaterock/serve.go
+++ b/cmd/slaterock/serve.go
@@ -77,7 +77,7 @@
 		d.Tape = &tape.Tape{W: record, Name: d.Settings.Daemon.Name}
 	}
 	log := d.Logs.Logger()
-	t.Fault = func(err error) { log.Warn().Err(err).Msg("spans were lost") }
+	t.OnError = func(err error) { log.Warn().Err(err).Msg("spans were lost") }
 	if d.Trace, err = trace.Open(ctx, t); err != nil {
 		return nil, err
 	}
--- a/internal/disk/synced/synced.go
+++ b/internal/disk/fsync/fsync.go
@@ -1,5 +1,5 @@
 // Package synced makes small files and the names of files survive a loss of power.
-package synced
+package fsync
 
 import (
 	"os"
--- a/internal/disk/book/book.go
+++ b/internal/disk/index/index.go
@@ -3,7 +3,7 @@
 //
 // It is a state machine without clock, lock or disk. Expiry is by the time that
 // is passed in.
-package book
+package index
 
 import (
 	"time"
@@ -17,18 +17,18 @@
 	MaxChain = 4096
 	// Slack is added to the time for which a record is kept: VMs' clocks differ
 	// and may be set by seconds.
-	Slack = 20 * time.Second
+	ClockSlack = 20 * time.Second
 )
 
 type (
 	// Book is the index. The zero value is empty.
-	Book struct {
+	Index struct {
 		programs map[string]*program
 		turns    map[string]*turn
 	}
 
 	program struct {
-		shares  map[string]Share
+		charges map[string]Charge
 		expires time.Time
 	}
 
@@ -40,27 +40,27 @@
 )
 
 // Apply takes a record that lies at pos.
-func (b *Book) Apply(r Record, pos seglog.Pos, now time.Time) {
-	b.Note(r, now)
+func (ix *Index) Apply(r Record, pos seglog.Pos, now time.Time) {
+	ix.ApplyCharge(r, now)
 	if r.Turn == nil {
 		return
 	}
-	if b.turns == nil {
-		b.turns = map[string]*turn{}
+	if ix.turns == nil {
+		ix.turns = map[string]*turn{}
 	}
-	t := b.turns[r.Attempt]
+	t := ix.turns[r.Attempt]
 	if t == nil {
 		t = &turn{previous: r.Turn.Previous}
-		b.turns[r.Attempt] = t
+		ix.turns[r.Attempt] = t
 	}
 	t.pos = pos
-	b.extend(r.Attempt, r.expires(now))
+	ix.extendChain(r.Attempt, r.expires(now))
 }
 
 // extend keeps a turn together with the chain before it.
-func (b *Book) extend(id string, until time.Time) {
+func (ix *Index) extendChain(id string, until time.Time) {
 	for range MaxChain {
-		t := b.turns[id]
+		t := ix.turns[id]
 		if t == nil || !t.expires.Before(until) {
 			return
 		}
@@ -71,34 +71,34 @@
 
 // Note takes what a record says of a budget. It may come before the record is
 // durable, so that attempts which run at the same time see each other.
-func (b *Book) Note(r Record, now time.Time) {
+func (ix *Index) ApplyCharge(r Record, now time.Time) {
 	if r.Program == "" || !r.Reserved && !r.Settled {
 		return
 	}
-	if b.programs == nil {
-		b.programs = map[string]*program{}
+	if ix.programs == nil {
+		ix.programs = map[string]*program{}
 	}
-	p := b.programs[r.Program]
+	p := ix.programs[r.Program]
 	if p == nil {
-		p = &program{shares: map[string]Share{}}
-		b.programs[r.Program] = p
+		p = &program{charges: map[string]Charge{}}
+		ix.programs[r.Program] = p
 	}
 	if until := r.expires(now); until.After(p.expires) {
 		p.expires = until
 	}
-	p.shares[r.Attempt] = Join(p.shares[r.Attempt], r.share())
+	p.charges[r.Attempt] = Merge(p.charges[r.Attempt], r.charge())
 }
 
-func (r Record) share() Share {
+func (r Record) charge() Charge {
 	if r.Settled {
-		return Share{Attempt: r.Attempt, Tokens: r.Spent, Settled: true, Upstream: r.Upstream, Session: r.Session, At: r.At}
+		return Charge{Attempt: r.Attempt, Tokens: r.Spent, Settled: true, Upstream: r.Upstream, Session: r.Session, At: r.At}
 	}
-	return Share{Attempt: r.Attempt, Tokens: r.Most}
+	return Charge{Attempt: r.Attempt, Tokens: r.MaxTokens}
 }
 
 // Join returns what two replicas know together of one attempt: what was spent
 // in the end goes before what it might spend.
-func Join(a, b Share) Share {
+func Merge(a, b Charge) Charge {
 	switch {
 	case a.Attempt == "":
 		return b
@@ -116,7 +116,7 @@
 
 // Fits tells whether a program's budget holds what its attempts take, the one
 // asked for included: what has ended by what it spent, all others by their most.
-func Fits(shares []Share, budget int) bool {
+func WithinBudget(shares []Charge, budget int) bool {
 	sum := 0
 	for _, s := range shares {
 		sum += s.Tokens
@@ -126,7 +126,7 @@
 
 // LastRan returns the upstream that last ran a turn of the session, else one of
 // the whole program: a sub-agent's prompt begins with its parent's.
-func LastRan(shares []Share, session string) (upstream string) {
+func LastUpstream(shares []Charge, session string) (upstream string) {
 	newest, own := int64(-1), false
 	for _, s := range shares {
 		mine := s.Session == session
@@ -140,7 +140,7 @@
 
 // Begun tells whether any other attempt of the program than this one has run, or
 // may be running.
-func Begun(shares []Share, attempt string) bool {
+func OthersStarted(shares []Charge, attempt string) bool {
 	for _, s := range shares {
 		if s.Attempt != attempt && (s.Tokens > 0 || s.Upstream != "") {
 			return true
@@ -150,7 +150,7 @@
 }
 
 // Since returns when the first attempt of a program came, now if none is known.
-func Since(shares []Share, now time.Time) time.Time {
+func StartTime(shares []Charge, now time.Time) time.Time {
 	first := now
 	for _, s := range shares {
 		if at := time.UnixMilli(s.At); s.At > 0 && at.Before(first) {
@@ -167,17 +167,17 @@
 	if r.At > 0 && r.At < now.UnixMilli() {
 		at = time.UnixMilli(r.At)
 	}
-	return at.Add(time.Duration(r.Keep)*time.Millisecond + Slack)
+	return at.Add(time.Duration(r.TTL)*time.Millisecond + ClockSlack)
 }
 
 // Shares returns what the attempts of a program take of its budget.
-func (b *Book) Shares(name string) []Share {
-	p := b.programs[name]
+func (ix *Index) Charges(name string) []Charge {
+	p := ix.programs[name]
 	if p == nil {
 		return nil
 	}
-	list := make([]Share, 0, len(p.shares))
-	for _, s := range p.shares {
+	list := make([]Charge, 0, len(p.charges))
+	for _, s := range p.charges {
 		list = append(list, s)
 	}
 	return list
@@ -186,9 +186,9 @@
 // Chain returns where the turn and those before it lie, the newest first, as far
 // as they are known here. Next is the first that isn't, empty if all are: a
 // replica that was away may have a turn but lack one that it continues.
-func (b *Book) Chain(id string) (list []seglog.Pos, next string) {
+func (ix *Index) Chain(id string) (list []seglog.Pos, next string) {
 	for id != "" && len(list) < MaxChain {
-		t := b.turns[id]
+		t := ix.turns[id]
 		if t == nil {
 			return list, id
 		}
@@ -199,49 +199,49 @@
 }
 
 // Expire forgets what need not be remembered any more.
-func (b *Book) Expire(now time.Time) {
-	for name, p := range b.programs {
+func (ix *Index) Expire(now time.Time) {
+	for name, p := range ix.programs {
 		if now.After(p.expires) {
-			delete(b.programs, name)
+			delete(ix.programs, name)
 		}
 	}
-	for id, t := range b.turns {
+	for id, t := range ix.turns {
 		if now.After(t.expires) {
-			delete(b.turns, id)
+			delete(ix.turns, id)
 		}
 	}
 }
 
 // Live tells whether a record that lies at pos is still needed.
-func (b *Book) Live(r Record, pos seglog.Pos) bool {
+func (ix *Index) Live(r Record, pos seglog.Pos) bool {
 	if r.Turn != nil {
-		if t := b.turns[r.Attempt]; t != nil && t.pos == pos {
+		if t := ix.turns[r.Attempt]; t != nil && t.pos == pos {
 			return true
 		}
 	}
-	p := b.programs[r.Program]
+	p := ix.programs[r.Program]
 	if p == nil {
 		return false
 	}
-	_, ok := p.shares[r.Attempt]
+	_, ok := p.charges[r.Attempt]
 	return ok
 }
 
 // Has tells whether the book already knows everything that the record says.
-func (b *Book) Has(r Record) bool {
-	if r.Turn != nil && b.turns[r.Attempt] == nil {
+func (ix *Index) Has(r Record) bool {
+	if r.Turn != nil && ix.turns[r.Attempt] == nil {
 		return false
 	}
 	if r.Program == "" || !r.Reserved && !r.Settled {
 		return true
 	}
-	p := b.programs[r.Program]
+	p := ix.programs[r.Program]
 	if p == nil {
 		return false
 	}
-	old, known := p.shares[r.Attempt]
-	return known && Join(old, r.share()) == old
+	old, known := p.charges[r.Attempt]
+	return known && Merge(old, r.charge()) == old
 }
 
 // Len returns the number of programs and turns.
-func (b *Book) Len() (programs, turns int) { return len(b.programs), len(b.turns) }
+func (ix *Index) Len() (programs, turns int) { return len(ix.programs), len(ix.turns) }
--- a/internal/disk/book/book_test.go
+++ b/internal/disk/index/index_test.go
@@ -1,4 +1,4 @@
-package book
+package index
 
 import (
 	"fmt"
@@ -15,15 +15,15 @@
 var start = time.UnixMilli(1_000_000)
 
 func reserve(program, attempt string, most int) Record {
-	return Record{Program: program, Attempt: attempt, Reserved: true, Most: most, Keep: 60_000}
+	return Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: most, TTL: 60_000}
 }
 
 func settle(program, attempt string, spent int) Record {
-	return Record{Program: program, Attempt: attempt, Settled: true, Spent: spent, Keep: 60_000}
+	return Record{Program: program, Attempt: attempt, Settled: true, Spent: spent, TTL: 60_000}
 }
 
 func turnOf(attempt, previous string) Record {
-	return Record{Attempt: attempt, Keep: 60_000, Turn: &Turn{Previous: previous}}
+	return Record{Attempt: attempt, TTL: 60_000, Turn: &Turn{Previous: previous}}
 }
 
 func at(n int64) seglog.Pos { return seglog.Pos{Segment: 1, Offset: n} }
@@ -43,42 +43,42 @@
 
 // Replicas get records in different orders, some twice. If they ended in
 // different states, a program could spend beyond its budget after one was lost.
-func TestOrderDoesNotMatter(t *testing.T) {
+func TestRecordsCommute(t *testing.T) {
 	records := []Record{
 		reserve("p", "a", 100), settle("p", "a", 30), reserve("p", "b", 100), reserve("p", "c", 50), settle("p", "c", 0), settle("p", "a", 30),
 	}
 	want := "[{a 30 true   0} {b 100 false   0} {c 0 true   0}]"
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		var b Book
+		var b Index
 		for _, i := range rnd.Perm(len(records)) {
 			b.Apply(records[i], at(1), start)
 		}
-		list := b.Shares("p")
+		list := b.Charges("p")
 		sort.Slice(list, func(i, j int) bool { return list[i].Attempt < list[j].Attempt })
 		is.New(t).Equal(fmt.Sprint(list), want)
 	}
 }
 
-func TestFits(t *testing.T) {
+func TestWithinBudget(t *testing.T) {
 	cases := map[string]struct {
-		shares []Share
+		shares []Charge
 		budget int
 		want   bool
 	}{
 		"none":         {nil, 0, true},
-		"exactly":      {[]Share{{Attempt: "a", Tokens: 60, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, true},
-		"one too many": {[]Share{{Attempt: "a", Tokens: 61, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, false},
-		"at its most":  {[]Share{{Attempt: "a", Tokens: 80}, {Attempt: "b", Tokens: 40}}, 100, false},
+		"exactly":      {[]Charge{{Attempt: "a", Tokens: 60, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, true},
+		"one too many": {[]Charge{{Attempt: "a", Tokens: 61, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, false},
+		"at its most":  {[]Charge{{Attempt: "a", Tokens: 80}, {Attempt: "b", Tokens: 40}}, 100, false},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(Fits(c.shares, c.budget), c.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(WithinBudget(c.shares, c.budget), c.want) })
 	}
 }
 
 func TestChain(t *testing.T) {
 	is := is.New(t)
-	var b Book
+	var b Index
 	b.Apply(turnOf("1", ""), at(1), start)
 	b.Apply(turnOf("3", "2"), at(3), start)
 	list, next := b.Chain("3")
@@ -95,44 +95,44 @@
 
 // A program pauses for long between its turns. As long as its last turn is kept,
 // so must be all before it, or the caller is told that the conversation is gone.
-func TestChainLivesAsLongAsItsLastTurn(t *testing.T) {
+func TestChainExpiresWithItsLastTurn(t *testing.T) {
 	is := is.New(t)
-	var b Book
+	var b Index
 	b.Apply(turnOf("1", ""), at(1), start)
 	later := start.Add(50 * time.Second)
 	b.Apply(turnOf("2", "1"), at(2), later)
-	b.Expire(start.Add(60*time.Second + Slack + time.Second))
+	b.Expire(start.Add(60*time.Second + ClockSlack + time.Second))
 	_, next := b.Chain("2")
 	is.Equal(next, "")
-	b.Expire(later.Add(60*time.Second + Slack + time.Second))
+	b.Expire(later.Add(60*time.Second + ClockSlack + time.Second))
 	_, turns := b.Len()
 	is.Equal(turns, 0)
 }
 
 // All records are read again after a restart. None may live longer for it, or a
 // VM that restarts often would fill its disk.
-func TestExpiryCountsFromTheRecordsTime(t *testing.T) {
+func TestExpiryCountsFromRecordTime(t *testing.T) {
 	is := is.New(t)
-	var b Book
+	var b Index
 	r := reserve("p", "a", 1)
 	r.At = start.UnixMilli()
 	b.Apply(r, at(1), start.Add(time.Minute))
-	b.Expire(start.Add(time.Minute + Slack + time.Second))
+	b.Expire(start.Add(time.Minute + ClockSlack + time.Second))
 	programs, _ := b.Len()
 	is.Equal(programs, 0)
 }
 
-func TestLastRan(t *testing.T) {
+func TestLastUpstream(t *testing.T) {
 	cases := map[string]struct {
-		shares []Share
+		shares []Charge
 		want   string
 	}{
-		"nothing ran":            {[]Share{{Attempt: "a", Tokens: 3}}, ""},
-		"the session's newest":   {[]Share{{Upstream: "u", Session: "s", At: 1}, {Upstream: "v", Session: "s", At: 2}, {Upstream: "w", Session: "t", At: 3}}, "v"},
-		"its parent's otherwise": {[]Share{{Upstream: "u", Session: "t", At: 2}, {Upstream: "v", Session: "r", At: 1}}, "u"},
-		"own, although older":    {[]Share{{Upstream: "u", Session: "t", At: 9}, {Upstream: "v", Session: "s", At: 1}}, "v"},
+		"nothing ran":            {[]Charge{{Attempt: "a", Tokens: 3}}, ""},
+		"the session's newest":   {[]Charge{{Upstream: "u", Session: "s", At: 1}, {Upstream: "v", Session: "s", At: 2}, {Upstream: "w", Session: "t", At: 3}}, "v"},
+		"its parent's otherwise": {[]Charge{{Upstream: "u", Session: "t", At: 2}, {Upstream: "v", Session: "r", At: 1}}, "u"},
+		"own, although older":    {[]Charge{{Upstream: "u", Session: "t", At: 9}, {Upstream: "v", Session: "s", At: 1}}, "v"},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(LastRan(c.shares, "s"), c.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(LastUpstream(c.shares, "s"), c.want) })
 	}
 }
--- a/internal/disk/book/record.go
+++ b/internal/disk/index/record.go
@@ -1,4 +1,4 @@
-package book
+package index
 
 import (
 	"github.com/cockroachdb/errors"
@@ -10,18 +10,18 @@
 	// idempotent and commute: applying them twice or in another order ends in
 	// the same state, so replicas need no agreed order.
 	Record struct {
-		Program  string `cbor:"1,keyasint,omitempty"`
-		Attempt  string `cbor:"2,keyasint,omitempty"`
-		Reserved bool   `cbor:"3,keyasint,omitempty"`
-		Most     int    `cbor:"4,keyasint,omitempty"` // tokens that the attempt may generate
-		Settled  bool   `cbor:"5,keyasint,omitempty"`
-		Spent    int    `cbor:"6,keyasint,omitempty"`  // tokens that its caller was handed
-		Turn     *Turn  `cbor:"7,keyasint,omitempty"`  // what was said, if it is kept
-		At       int64  `cbor:"8,keyasint,omitempty"`  // Unix milliseconds
-		Keep     int64  `cbor:"9,keyasint,omitempty"`  // milliseconds for which it must be remembered
-		Fence    uint64 `cbor:"10,keyasint,omitempty"` // requests of older rosters are refused from here on
-		Upstream string `cbor:"11,keyasint,omitempty"` // that ran the attempt; set with Settled
-		Session  string `cbor:"12,keyasint,omitempty"` // the line of turns that it belongs to
+		Program   string `cbor:"1,keyasint,omitempty"`
+		Attempt   string `cbor:"2,keyasint,omitempty"`
+		Reserved  bool   `cbor:"3,keyasint,omitempty"`
+		MaxTokens int    `cbor:"4,keyasint,omitempty"` // tokens that the attempt may generate
+		Settled   bool   `cbor:"5,keyasint,omitempty"`
+		Spent     int    `cbor:"6,keyasint,omitempty"`  // tokens that its caller was handed
+		Turn      *Turn  `cbor:"7,keyasint,omitempty"`  // what was said, if it is kept
+		At        int64  `cbor:"8,keyasint,omitempty"`  // Unix milliseconds
+		TTL       int64  `cbor:"9,keyasint,omitempty"`  // milliseconds for which it must be remembered
+		Fence     uint64 `cbor:"10,keyasint,omitempty"` // requests of older rosters are refused from here on
+		Upstream  string `cbor:"11,keyasint,omitempty"` // that ran the attempt; set with Settled
+		Session   string `cbor:"12,keyasint,omitempty"` // the line of turns that it belongs to
 	}
 
 	// Turn is what a turn adds to its chain. Its id is the attempt's.
@@ -34,7 +34,7 @@
 	}
 
 	// Share is what one attempt takes of its program's budget, and where it ran.
-	Share struct {
+	Charge struct {
 		Attempt  string `cbor:"1,keyasint,omitempty"`
 		Tokens   int    `cbor:"2,keyasint,omitempty"`
 		Settled  bool   `cbor:"3,keyasint,omitempty"`
--- /dev/null
+++ b/internal/disk/quorum/cluster_test.go
@@ -0,0 +1,176 @@
+package quorum
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"sync"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/peer/link"
+)
+
+// world has holders in temporary folders, which are called without a network, and
+// may be down, lose a request or an answer, or lose their disk.
+type cluster struct {
+	t *testing.T
+
+	mu          sync.Mutex
+	servers     map[string]*recsrv.Server // by address
+	down        map[string]bool
+	dropReplies map[string]bool // does what it is asked, but its answer is lost
+	hangs       map[string]bool // says nothing, as behind a cut link
+	roster      roster.Roster   // as the store has it
+	next        int
+	bytesPulled int // bytes of copies between holders
+}
+
+func newCluster(t *testing.T, n, losses int) *cluster {
+	cl := &cluster{t: t, servers: map[string]*recsrv.Server{}, down: map[string]bool{}, dropReplies: map[string]bool{}, hangs: map[string]bool{}}
+	var members []roster.Member
+	for range n {
+		members = append(members, cl.add())
+	}
+	var ok bool
+	cl.roster, ok = roster.Initial(members, losses)
+	is.New(t).True(ok)
+	return cl
+}
+
+// add starts a holder with an empty disk.
+func (cl *cluster) add() roster.Member {
+	cl.next++
+	name := fmt.Sprintf("n%d", cl.next)
+	h := &recsrv.Server{Dir: cl.t.TempDir()}
+	_, err := h.Open()
+	is.New(cl.t).NoErr(err)
+	cl.t.Cleanup(func() { _ = h.Close() })
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.servers[name] = h
+	return roster.Member{Node: name, Address: name, Domain: name, DiskID: h.DiskID()}
+}
+
+// restart starts the holder's process again, on the same disk.
+func (cl *cluster) restart(name string) {
+	cl.mu.Lock()
+	old := cl.servers[name]
+	cl.mu.Unlock()
+	is := is.New(cl.t)
+	is.NoErr(old.Close())
+	h := &recsrv.Server{Dir: old.Dir}
+	_, err := h.Open()
+	is.NoErr(err)
+	cl.t.Cleanup(func() { _ = h.Close() })
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.servers[name] = h
+}
+
+func (cl *cluster) set(m map[string]bool, name string, on bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	m[name] = on
+}
+
+func (cl *cluster) current() roster.Roster {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.roster
+}
+
+// replace gives place i to the member and has it join, as the keeper does.
+func (cl *cluster) replace(i int, m roster.Member) error {
+	r := cl.current()
+	r.Version++
+	r.Replicas = append([]roster.Replica(nil), r.Replicas...)
+	r.Replicas[i] = roster.Replica{Node: m.Node, Address: m.Address, Domain: m.Domain, DiskID: m.DiskID, Joining: true}
+	cl.mu.Lock()
+	cl.roster = r
+	h := cl.servers[m.Address]
+	cl.mu.Unlock()
+	if err := h.CatchUp(context.Background(), r, func(a string) link.Invoker { return conn{cl, a} }); err != nil {
+		return err
+	}
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.roster = cl.roster.WithJoined(m.DiskID)
+	return nil
+}
+
+var errDown = errors.New("down")
+
+// way calls a holder.
+type conn struct {
+	cl      *cluster
+	address string
+}
+
+func (c conn) Invoke(ctx context.Context, method string, params, out any) error {
+	c.cl.mu.Lock()
+	h, down, dropReplies, hangs := c.cl.servers[c.address], c.cl.down[c.address], c.cl.dropReplies[c.address], c.cl.hangs[c.address]
+	c.cl.mu.Unlock()
+	if hangs {
+		<-ctx.Done()
+		return ctx.Err()
+	}
+	if h == nil || down {
+		return errDown
+	}
+	reply, err := h.Serve(ctx, method, json.RawMessage(params.(link.Raw)))
+	if err != nil || dropReplies {
+		return errors.Join(err, errDown)
+	}
+	*out.(*link.Raw) = reply.(link.Raw)
+	if method == recsrv.MethodPull {
+		c.cl.mu.Lock()
+		c.cl.bytesPulled += len(reply.(link.Raw))
+		c.cl.mu.Unlock()
+	}
+	return nil
+}
+
+// client returns a daemon's access; it knows the roster of the moment.
+func (cl *cluster) client() *Client {
+	var mu sync.Mutex
+	known := cl.current()
+	return &Client{
+		Peer:   func(address string) link.Invoker { return conn{cl, address} },
+		Roster: func() roster.Roster { mu.Lock(); defer mu.Unlock(); return known },
+		Learn: func(data []byte) {
+			r, err := roster.Decode(data)
+			is.New(cl.t).NoErr(err)
+			mu.Lock()
+			defer mu.Unlock()
+			if r.Version > known.Version {
+				known = r
+			}
+		},
+		Refresh: func(context.Context) {
+			mu.Lock()
+			defer mu.Unlock()
+			known = cl.current()
+		},
+	}
+}
+
+func reserve(program, attempt string, most int) index.Record {
+	return index.Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: most, TTL: 60_000}
+}
+
+func turn(attempt, previous string) index.Record {
+	return index.Record{Attempt: attempt, TTL: 60_000, Turn: &index.Turn{Previous: previous, Input: []byte(attempt)}}
+}
+
+func attempt(t *testing.T, data []byte) string {
+	t.Helper()
+	r, err := index.Decode(data)
+	is.New(t).NoErr(err)
+	return r.Attempt
+}
--- a/internal/disk/quorum/paces.go
+++ b/internal/disk/quorum/latency.go
@@ -15,7 +15,7 @@
 	// paceShare is the weight of a new answer in a place's usual time. At the
 	// dozens of answers a second that a daemon gets under load, the usual time
 	// follows a change within half a second.
-	paceShare = 0.1
+	averageWeight = 0.1
 	// hedgeFactor is how much longer than usual at most places an answer may
 	// take before another place is asked. The slowest of a hundred answers of a
 	// healthy place takes about three times as long as usual.
@@ -28,43 +28,43 @@
 // are slow because they have too much to do, it makes them slower still: at a
 // fixed time of 20 ms, each write went to all five places in place of three, and
 // the holders were kept from catching up after a burst.
-type paces struct {
-	mu    sync.Mutex
-	usual map[string]time.Duration // by the disk's life
+type latencies struct {
+	mu       sync.Mutex
+	averages map[string]time.Duration // by the disk's life
 }
 
 // note learns from an answer. Failures tell nothing of a place's pace, but for
 // one that never answered.
-func (p *paces) note(place roster.Place, took time.Duration, err error) {
+func (l *latencies) observe(replica roster.Replica, took time.Duration, err error) {
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.usual == nil {
-		p.usual = map[string]time.Duration{}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.averages == nil {
+		l.averages = map[string]time.Duration{}
 	}
-	old, known := p.usual[place.Life]
+	old, known := l.averages[replica.DiskID]
 	if !known {
 		old = took
 	}
-	p.usual[place.Life] = old + time.Duration(paceShare*float64(took-old))
+	l.averages[replica.DiskID] = old + time.Duration(averageWeight*float64(took-old))
 }
 
 // hedge is how long to wait for an answer before the next place is asked.
-func (p *paces) hedge(places []roster.Place, least time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	usual := make([]time.Duration, 0, len(places))
-	for _, place := range places {
-		if d, known := p.usual[place.Life]; known {
-			usual = append(usual, d)
+func (l *latencies) hedge(replicas []roster.Replica, minDelay time.Duration) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	averages := make([]time.Duration, 0, len(replicas))
+	for _, place := range replicas {
+		if d, known := l.averages[place.DiskID]; known {
+			averages = append(averages, d)
 		}
 	}
-	if len(usual) == 0 {
-		return least
+	if len(averages) == 0 {
+		return minDelay
 	}
-	slices.Sort(usual)
+	slices.Sort(averages)
 	// The middle one: at most f of 2f+1 places are slow for a reason of their own.
-	return max(hedgeFactor*usual[(len(usual)-1)/2], least)
+	return max(hedgeFactor*averages[(len(averages)-1)/2], minDelay)
 }
--- a/internal/disk/quorum/paces_test.go
+++ b/internal/disk/quorum/latency_test.go
@@ -11,73 +11,73 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
-	"github.com/slaterock/slaterock/internal/disk/holder"
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
 // queues are places that do one thing after the other, each in some time.
-type queues struct {
-	mu     sync.Mutex
-	each   time.Duration
-	slow   map[string]time.Duration // places with a time of their own
-	until  map[string]time.Time
-	served int
+type serialReplicas struct {
+	mu           sync.Mutex
+	serviceTime  time.Duration
+	serviceTimes map[string]time.Duration // places with a time of their own
+	busyUntil    map[string]time.Time
+	served       int
 }
 
 // place is the way to one of them.
-type place struct {
-	q       *queues
+type serialConn struct {
+	s       *serialReplicas
 	address string
 }
 
-func (p place) Invoke(ctx context.Context, _ string, _, out any) error {
-	p.q.mu.Lock()
-	each, ok := p.q.slow[p.address]
+func (c serialConn) Invoke(ctx context.Context, _ string, _, out any) error {
+	c.s.mu.Lock()
+	serviceTime, ok := c.s.serviceTimes[c.address]
 	if !ok {
-		each = p.q.each
+		serviceTime = c.s.serviceTime
 	}
-	p.q.served++
-	end := p.q.until[p.address]
+	c.s.served++
+	end := c.s.busyUntil[c.address]
 	if now := time.Now(); end.Before(now) {
 		end = now
 	}
-	end = end.Add(each)
-	p.q.until[p.address] = end
-	p.q.mu.Unlock()
+	end = end.Add(serviceTime)
+	c.s.busyUntil[c.address] = end
+	c.s.mu.Unlock()
 	select {
 	case <-time.After(time.Until(end)):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	data, err := cbor.Marshal(holder.WriteReply{})
+	data, err := cbor.Marshal(recsrv.WriteReply{})
 	*out.(*link.Raw) = data
 	return err
 }
 
 // client writes to five places, of which two may be lost.
-func (q *queues) client() *Client {
-	r := roster.Roster{Version: 1, Losses: 2}
+func (s *serialReplicas) client() *Client {
+	r := roster.Roster{Version: 1, MaxFailures: 2}
 	for i := range 5 {
 		name := fmt.Sprint("n", i)
-		r.Places = append(r.Places, roster.Place{Node: name, Address: name, Life: name})
+		r.Replicas = append(r.Replicas, roster.Replica{Node: name, Address: name, DiskID: name})
 	}
 	return &Client{
-		Peer:   func(address string) link.Invoker { return place{q, address} },
+		Peer:   func(address string) link.Invoker { return serialConn{s, address} },
 		Roster: func() roster.Roster { return r },
 	}
 }
 
 // play writes records at a rate and returns how many became durable in time.
-func (q *queues) play(c *Client, perSecond int, last time.Duration) (inTime, all int) {
+func (s *serialReplicas) send(c *Client, perSecond int, duration time.Duration) (inTime, all int) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
-	for i := range int(last.Seconds() * float64(perSecond)) {
+	for i := range int(duration.Seconds() * float64(perSecond)) {
 		work.Go(func() {
 			ctx, stop := context.WithTimeout(context.Background(), 900*time.Millisecond)
 			defer stop()
-			_, err := c.Write(ctx, book.Record{Program: fmt.Sprint(i), Attempt: fmt.Sprint(i)})
+			_, err := c.Write(ctx, index.Record{Program: fmt.Sprint(i), Attempt: fmt.Sprint(i)})
 			mu.Lock()
 			defer mu.Unlock()
 			all++
@@ -95,19 +95,19 @@
 // can for two seconds. Afterwards they could do all that is asked. If every late
 // answer made daemons ask further places, they would go on being asked for more
 // than they can do, and callers would be refused until traffic fell far lower.
-func TestBurstPasses(t *testing.T) {
+func TestRecoversAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		// 200 a second at each place are 333 writes a second to three of five.
-		q := &queues{each: 5 * time.Millisecond, until: map[string]time.Time{}}
+		q := &serialReplicas{serviceTime: 5 * time.Millisecond, busyUntil: map[string]time.Time{}}
 		c := q.client()
-		q.play(c, 200, time.Second)
-		q.play(c, 600, 2*time.Second)
-		q.play(c, 250, 4*time.Second) // time to catch up
+		q.send(c, 200, time.Second)
+		q.send(c, 600, 2*time.Second)
+		q.send(c, 250, 4*time.Second) // time to catch up
 		before := q.served
-		inTime, all := q.play(c, 250, 2*time.Second)
+		inTime, all := q.send(c, 250, 2*time.Second)
 		asked := float64(q.served-before) / float64(all)
-		time.Sleep(2 * placeTime) // until all has ended
+		time.Sleep(2 * replicaTimeout) // until all has ended
 		t.Logf("%d of %d writes in time, %.2f places asked for each", inTime, all, asked)
 		is.True(inTime == all)
 	})
@@ -115,19 +115,19 @@
 
 // One disk hangs or is slow. Callers must not wait for it: another place is asked
 // as soon as the slow one is late by the others' measure.
-func TestSlowPlaceIsPassedBy(t *testing.T) {
+func TestHedgesPastSlowReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		q := &queues{each: 2 * time.Millisecond, until: map[string]time.Time{}, slow: map[string]time.Duration{"n0": 150 * time.Millisecond, "n3": time.Hour}}
+		q := &serialReplicas{serviceTime: 2 * time.Millisecond, busyUntil: map[string]time.Time{}, serviceTimes: map[string]time.Duration{"n0": 150 * time.Millisecond, "n3": time.Hour}}
 		c := q.client()
 		worst := time.Duration(0)
 		for i := range 50 {
 			began := time.Now()
-			_, err := c.Write(t.Context(), book.Record{Program: fmt.Sprint(i), Attempt: fmt.Sprint(i)})
+			_, err := c.Write(t.Context(), index.Record{Program: fmt.Sprint(i), Attempt: fmt.Sprint(i)})
 			is.NoErr(err)
 			worst = max(worst, time.Since(began))
 		}
-		time.Sleep(placeTime)
-		is.True(worst <= 2*hedgeWrite+10*time.Millisecond)
+		time.Sleep(replicaTimeout)
+		is.True(worst <= 2*minWriteHedge+10*time.Millisecond)
 	})
 }
--- a/internal/disk/quorum/quorum_test.go
+++ b/internal/disk/quorum/quorum_test.go
@@ -14,17 +14,17 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-func soon(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	t.Cleanup(stop)
 	return ctx
 }
 
-func inputs(chain []book.Turn) string {
+func inputs(chain []index.Turn) string {
 	var list []string
 	for _, c := range chain {
 		list = append(list, string(c.Input))
@@ -32,7 +32,7 @@
 	return strings.Join(list, " ")
 }
 
-func write(t *testing.T, c *Client, r book.Record) {
+func write(t *testing.T, c *Client, r index.Record) {
 	t.Helper()
 	_, err := c.Write(context.Background(), r)
 	is.New(t).NoErr(err)
@@ -41,20 +41,20 @@
 // A holder of records is away while some turns are written, and another while
 // others are. Each has a part of the chain, and neither has all of it. The
 // caller's next turn must get the whole chain, not be told that it is gone.
-func TestChainIsSpreadOverPlaces(t *testing.T) { synctest.Test(t, testChainIsSpreadOverPlaces) }
+func TestChainSpreadOverReplicas(t *testing.T) { synctest.Test(t, testChainSpreadOverReplicas) }
 
-func testChainIsSpreadOverPlaces(t *testing.T) {
+func testChainSpreadOverReplicas(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	c := w.client()
+	cl := newCluster(t, 3, 1)
+	c := cl.client()
 	write(t, c, turn("1", ""))
-	w.set(w.down, "n1", true)
+	cl.set(cl.down, "n1", true)
 	write(t, c, turn("2", "1"))
-	w.set(w.down, "n1", false)
-	w.set(w.down, "n2", true)
+	cl.set(cl.down, "n1", false)
+	cl.set(cl.down, "n2", true)
 	write(t, c, turn("3", "2"))
-	w.set(w.down, "n2", false)
-	w.set(w.down, "n3", true) // the only one that has everything
+	cl.set(cl.down, "n2", false)
+	cl.set(cl.down, "n3", true) // the only one that has everything
 	chain, err := c.Read(context.Background(), "", "3")
 	is.NoErr(err)
 	is.Equal(inputs(chain), "1 2 3")
@@ -62,42 +62,42 @@
 
 // Too few holders answer. A caller that names a turn is told to come back, since
 // "no such turn" would end a program whose turn lies on a disk that is away.
-func TestNoTurnIsCertain(t *testing.T) { synctest.Test(t, testNoTurnIsCertain) }
+func TestNoTurnNeedsQuorum(t *testing.T) { synctest.Test(t, testNoTurnNeedsQuorum) }
 
-func testNoTurnIsCertain(t *testing.T) {
+func testNoTurnNeedsQuorum(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	c := w.client()
+	cl := newCluster(t, 3, 1)
+	c := cl.client()
 	_, err := c.Read(context.Background(), "", "1")
 	is.True(errors.Is(err, ErrNoTurn))
-	w.set(w.down, "n1", true)
+	cl.set(cl.down, "n1", true)
 	_, err = c.Read(context.Background(), "", "1")
 	is.True(errors.Is(err, ErrNoTurn)) // two of three are enough
-	w.set(w.down, "n2", true)
-	_, err = c.Read(soon(t), "", "1")
-	is.True(errors.Is(err, ErrUnsure))
-	_, err = c.Write(soon(t), turn("1", ""))
-	is.True(errors.Is(err, ErrUnsure))
+	cl.set(cl.down, "n2", true)
+	_, err = c.Read(shortContext(t), "", "1")
+	is.True(errors.Is(err, ErrNoQuorum))
+	_, err = c.Write(shortContext(t), turn("1", ""))
+	is.True(errors.Is(err, ErrNoQuorum))
 }
 
 // A VM came back with an empty disk and another is down. The empty one knows of
 // no turn at all; if its answer counted, callers would be told that turns which
 // they saw whole don't exist.
-func TestJoiningPlaceDoesNotCount(t *testing.T) { synctest.Test(t, testJoiningPlaceDoesNotCount) }
+func TestJoiningReplicaDoesNotCount(t *testing.T) { synctest.Test(t, testJoiningReplicaDoesNotCount) }
 
-func testJoiningPlaceDoesNotCount(t *testing.T) {
+func testJoiningReplicaDoesNotCount(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	c := w.client()
-	w.set(w.down, "n3", true)
+	cl := newCluster(t, 3, 1)
+	c := cl.client()
+	cl.set(cl.down, "n3", true)
 	write(t, c, turn("1", ""))
-	w.set(w.down, "n1", true) // two are down: the copy can't be made whole
-	w.set(w.down, "n3", false)
-	is.True(w.replace(1, w.add()) != nil)
+	cl.set(cl.down, "n1", true) // two are down: the copy can't be made whole
+	cl.set(cl.down, "n3", false)
+	is.True(cl.replace(1, cl.add()) != nil)
 	c.Refresh(context.Background())
-	_, err := c.Read(soon(t), "", "1")
-	is.True(errors.Is(err, ErrUnsure))
-	w.set(w.down, "n1", false)
+	_, err := c.Read(shortContext(t), "", "1")
+	is.True(errors.Is(err, ErrNoQuorum))
+	cl.set(cl.down, "n1", false)
 	chain, err := c.Read(context.Background(), "", "1")
 	is.NoErr(err)
 	is.Equal(inputs(chain), "1")
@@ -112,16 +112,16 @@
 
 func testWritesUnderAnOldRosterAreFenced(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	old, fresh := w.client(), w.client()
-	is.NoErr(w.replace(2, w.add()))
-	w.set(w.down, "n2", true)
+	cl := newCluster(t, 3, 1)
+	old, fresh := cl.client(), cl.client()
+	is.NoErr(cl.replace(2, cl.add()))
+	cl.set(cl.down, "n2", true)
 	old.Refresh = func(context.Context) {} // it doesn't reach the store
 	old.Learn = func([]byte) {}
-	_, err := old.Write(soon(t), turn("1", ""))
+	_, err := old.Write(shortContext(t), turn("1", ""))
 	is.True(err != nil) // n1 refuses, though n3 would take it
-	w.restart("n1")
-	_, err = old.Write(soon(t), turn("2", ""))
+	cl.restart("n1")
+	_, err = old.Write(shortContext(t), turn("2", ""))
 	is.True(err != nil) // and it still does after a restart
 	fresh.Refresh(context.Background())
 	write(t, fresh, turn("3", ""))
@@ -133,46 +133,46 @@
 // A VM with a disk is gone without a word and another has taken its place. A daemon
 // that has not heard of it asks the old places; two say so at once. If it waited
 // for the third, callers' turns would stand still for seconds.
-func TestNewRosterIsTakenAtOnce(t *testing.T) { synctest.Test(t, testNewRosterIsTakenAtOnce) }
+func TestStaleRosterIsReplacedAtOnce(t *testing.T) { synctest.Test(t, testStaleRosterIsReplacedAtOnce) }
 
-func testNewRosterIsTakenAtOnce(t *testing.T) {
+func testStaleRosterIsReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
 	for _, program := range []string{"p", "q", "r", "s"} { // whichever places they prefer
-		w := newWorld(t, 3, 1)
-		c := w.client()
+		cl := newCluster(t, 3, 1)
+		c := cl.client()
 		write(t, c, turn(program, ""))
-		w.set(w.hangs, "n1", true)
-		is.NoErr(w.replace(0, w.add()))
+		cl.set(cl.hangs, "n1", true)
+		is.NoErr(cl.replace(0, cl.add()))
 		began := time.Now()
 		write(t, c, reserve(program, "1", 10))
 		_, err := c.Read(context.Background(), program, program)
 		is.NoErr(err)
 		is.True(time.Since(began) < 200*time.Millisecond)
-		time.Sleep(placeTime) // until what still waits for n1 has ended
+		time.Sleep(replicaTimeout) // until what still waits for n1 has ended
 	}
 }
 
 // A process that was away catches up while another disk is joining, so that fewer
 // places can be read than a new disk needs. Trying again and again would cost the
 // others their time; a disk that is new must not be content with it.
-func TestCatchUpTakesWhatThereIs(t *testing.T) { synctest.Test(t, testCatchUpTakesWhatThereIs) }
+func TestCatchUpWithTooFewSources(t *testing.T) { synctest.Test(t, testCatchUpWithTooFewSources) }
 
-func testCatchUpTakesWhatThereIs(t *testing.T) {
+func testCatchUpWithTooFewSources(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	c := w.client()
-	w.set(w.down, "n1", true)
+	cl := newCluster(t, 3, 1)
+	c := cl.client()
+	cl.set(cl.down, "n1", true)
 	write(t, c, turn("1", ""))
-	w.set(w.down, "n1", false)
-	r := w.current()
-	r.Places[2].Joining = true
-	peers := func(a string) link.Invoker { return way{w, a} }
-	is.NoErr(w.holders["n1"].Join(t.Context(), r, peers))
-	_, turns, _ := w.holders["n1"].Stats()
+	cl.set(cl.down, "n1", false)
+	r := cl.current()
+	r.Replicas[2].Joining = true
+	peers := func(a string) link.Invoker { return conn{cl, a} }
+	is.NoErr(cl.servers["n1"].CatchUp(t.Context(), r, peers))
+	_, turns, _ := cl.servers["n1"].Stats()
 	is.Equal(turns, 1)
-	is.True(w.holders["n3"].Join(t.Context(), r, peers) == nil) // two others are whole
-	r.Places[1].Joining = true
-	is.True(w.holders["n3"].Join(t.Context(), r, peers) != nil)
+	is.True(cl.servers["n3"].CatchUp(t.Context(), r, peers) == nil) // two others are whole
+	r.Replicas[1].Joining = true
+	is.True(cl.servers["n3"].CatchUp(t.Context(), r, peers) != nil)
 }
 
 // Two of a program's sub-agents ask at the same time, through two daemons. Each
@@ -184,15 +184,15 @@
 }
 
 func reserveTwice(t *testing.T, seed uint64) {
-	w := newWorld(t, 3, 1)
+	cl := newCluster(t, 3, 1)
 	rnd := rand.New(rand.NewPCG(seed, 0))
-	w.set(w.deaf, fmt.Sprintf("n%d", 1+rnd.IntN(3)), true)
+	cl.set(cl.dropReplies, fmt.Sprintf("n%d", 1+rnd.IntN(3)), true)
 	fits := make(chan bool, 2)
 	for _, attempt := range []string{"a", "b"} {
-		c := w.client()
+		c := cl.client()
 		go func() {
 			res, err := c.Write(context.Background(), reserve("p", attempt, 60))
-			fits <- err == nil && book.Fits(res.Shares, 100)
+			fits <- err == nil && index.WithinBudget(res.Charges, 100)
 		}()
 	}
 	first, second := <-fits, <-fits
@@ -206,20 +206,20 @@
 
 func testJoinCopiesWhatIsMissing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 5, 2)
-	c := w.client()
+	cl := newCluster(t, 5, 2)
+	c := cl.client()
 	for i := range 40 {
 		r := turn(fmt.Sprint(i), "")
 		r.Turn.Input = make([]byte, 5000)
 		write(t, c, r)
 	}
 	const bytes = 40 * 5100 // of the records, each of which lies on three places
-	m := w.add()
-	is.NoErr(w.replace(0, m))
-	_, turns, copied := w.holders[m.Address].Stats()
+	m := cl.add()
+	is.NoErr(cl.replace(0, m))
+	_, turns, copied := cl.servers[m.Address].Stats()
 	is.Equal(turns, 40)
-	is.True(copied < bytes*11/10)    // no record twice
-	is.True(w.carried < bytes*13/10) // and hardly more asked for
+	is.True(copied < bytes*11/10)         // no record twice
+	is.True(cl.bytesPulled < bytes*13/10) // and hardly more asked for
 }
 
 var histories = flag.Int("histories", 80, "how many random histories TestHistories plays")
@@ -244,7 +244,7 @@
 				if seed%4 == 3 {
 					losses = 2
 				}
-				synctest.Test(t, func(t *testing.T) { playHistory(t, seed, losses) })
+				synctest.Test(t, func(t *testing.T) { runHistory(t, seed, losses) })
 				if t.Failed() {
 					t.Fatalf("history %d, %d losses", seed, losses)
 				}
@@ -253,28 +253,28 @@
 	}
 }
 
-func playHistory(t *testing.T, seed uint64, losses int) {
+func runHistory(t *testing.T, seed uint64, losses int) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(seed, uint64(losses)))
-	w := newWorld(t, 2*losses+1, losses)
-	clients := []*Client{w.client(), w.client(), w.client()}
+	cl := newCluster(t, 2*losses+1, losses)
+	clients := []*Client{cl.client(), cl.client(), cl.client()}
 	acked := []string{""}
 	reserved := map[string]int{}
 	for step := range 60 {
 		c := clients[rnd.IntN(len(clients))]
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		id := fmt.Sprint("t", step)
-		switch places := len(w.current().Places); rnd.IntN(9) {
+		switch places := len(cl.current().Replicas); rnd.IntN(9) {
 		case 0:
-			hurt(w, rnd, places-losses-1)
+			injectFaults(cl, rnd, places-losses-1)
 		case 1:
-			heal(w)
-			lostDisk(t, w, rnd)
+			clearFaults(cl)
+			replaceDisk(t, cl, rnd)
 		case 2:
-			w.restart(w.current().Places[rnd.IntN(places)].Address)
+			cl.restart(cl.current().Replicas[rnd.IntN(places)].Address)
 		case 3:
 			if places > losses+1 && rnd.IntN(4) == 0 {
-				_ = w.handOver(rnd.IntN(places)) // one that breaks off changes nothing
+				_ = cl.retire(rnd.IntN(places)) // one that breaks off changes nothing
 			}
 		case 4, 5:
 			if res, err := c.Write(ctx, reserve("p", id, step+1)); err == nil {
@@ -289,7 +289,7 @@
 		}
 		stop()
 	}
-	heal(w)
+	clearFaults(cl)
 	for _, id := range acked[1:] {
 		chain, err := clients[0].Read(context.Background(), "", id)
 		is.NoErr(err)
@@ -298,34 +298,34 @@
 }
 
 // hurt takes as many places down, or their answers away, as may be lost.
-func hurt(w *world, rnd *rand.Rand, losses int) {
-	heal(w)
-	for _, i := range rnd.Perm(len(w.current().Places))[:losses] {
-		a := w.current().Places[i].Address
+func injectFaults(cl *cluster, rnd *rand.Rand, losses int) {
+	clearFaults(cl)
+	for _, i := range rnd.Perm(len(cl.current().Replicas))[:losses] {
+		a := cl.current().Replicas[i].Address
 		if rnd.IntN(2) == 0 {
-			w.set(w.down, a, true)
+			cl.set(cl.down, a, true)
 		} else {
-			w.set(w.deaf, a, true)
+			cl.set(cl.dropReplies, a, true)
 		}
 	}
 }
 
-func heal(w *world) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.down)
-	clear(w.deaf)
+func clearFaults(cl *cluster) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	clear(cl.down)
+	clear(cl.dropReplies)
 }
 
-func lostDisk(t *testing.T, w *world, rnd *rand.Rand) {
-	i := rnd.IntN(len(w.current().Places))
-	w.set(w.down, w.current().Places[i].Address, true)
-	is.New(t).NoErr(w.replace(i, w.add()))
+func replaceDisk(t *testing.T, cl *cluster, rnd *rand.Rand) {
+	i := rnd.IntN(len(cl.current().Replicas))
+	cl.set(cl.down, cl.current().Replicas[i].Address, true)
+	is.New(t).NoErr(cl.replace(i, cl.add()))
 }
 
 func checkShares(is *is.I, res Result, reserved map[string]int) {
 	known := map[string]int{}
-	for _, s := range res.Shares {
+	for _, s := range res.Charges {
 		known[s.Attempt] = s.Tokens
 	}
 	for attempt, most := range reserved {
--- a/internal/disk/quorum/retire_test.go
+++ b/internal/disk/quorum/retire_test.go
@@ -11,37 +11,37 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/holder"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
 // handOver empties place i where no VM can take it, as the keeper does.
-func (w *world) handOver(i int) error {
-	r := w.current()
-	p := r.Places[i]
-	w.mu.Lock()
-	h := w.holders[p.Address]
-	w.mu.Unlock()
+func (cl *cluster) retire(i int) error {
+	r := cl.current()
+	p := r.Replicas[i]
+	cl.mu.Lock()
+	h := cl.servers[p.Address]
+	cl.mu.Unlock()
 	h.Freeze(true)
-	if err := h.HandOver(context.Background(), r, func(a string) link.Invoker { return way{w, a} }); err != nil {
+	if err := h.CopyToOthers(context.Background(), r, func(a string) link.Invoker { return conn{cl, a} }); err != nil {
 		h.Freeze(false)
 		return err
 	}
-	w.mu.Lock()
-	w.roster = w.roster.Without(p.Life)
-	w.mu.Unlock()
-	h.Learn(w.current())
+	cl.mu.Lock()
+	cl.roster = cl.roster.Without(p.DiskID)
+	cl.mu.Unlock()
+	h.Learn(cl.current())
 	return nil
 }
 
 // missing returns a turn that a place of the roster lacks, or "".
-func (w *world) missing(turns []string) string {
-	r := w.current()
-	for _, p := range r.Places {
-		h := w.holders[p.Address]
+func (cl *cluster) missing(turns []string) string {
+	r := cl.current()
+	for _, p := range r.Replicas {
+		h := cl.servers[p.Address]
 		for _, id := range turns {
-			reply, err := h.Read(context.Background(), holder.ReadAsk{Stamp: holder.Stamp{Version: r.Version}, Turn: id})
+			reply, err := h.Read(context.Background(), recsrv.ReadRequest{Target: recsrv.Target{Version: r.Version}, Turn: id})
 			if err != nil || len(reply.Chain) == 0 {
 				return fmt.Sprintf("%s lacks %s (%v)", p.Address, id, err)
 			}
@@ -59,13 +59,13 @@
 func testRetireWithoutASpare(t *testing.T) {
 	for round := range 5 {
 		is := is.New(t)
-		w := newWorld(t, 3, 1)
+		cl := newCluster(t, 3, 1)
 		var mu sync.Mutex
 		var acked []string
 		var stop atomic.Bool
 		var work sync.WaitGroup
 		for n := range 6 {
-			c := w.client()
+			c := cl.client()
 			work.Go(func() {
 				for i := 0; !stop.Load() || i < 5; i++ {
 					id := fmt.Sprintf("%d-%d-%d", round, n, i)
@@ -79,27 +79,27 @@
 				}
 			})
 		}
-		is.NoErr(w.handOver(0))
+		is.NoErr(cl.retire(0))
 		stop.Store(true)
 		work.Wait()
 		is.True(len(acked) >= 6)
-		is.Equal(len(w.current().Places), 2)
-		is.Equal(w.missing(acked), "")
+		is.Equal(len(cl.current().Replicas), 2)
+		is.Equal(cl.missing(acked), "")
 	}
 }
 
 // The hand-over breaks off because one of the others is down. The VM must go on
 // holding its place and taking records, or nothing could be written any more.
-func TestRetireThatBreaksOff(t *testing.T) { synctest.Test(t, testRetireThatBreaksOff) }
+func TestRetireFails(t *testing.T) { synctest.Test(t, testRetireFails) }
 
-func testRetireThatBreaksOff(t *testing.T) {
+func testRetireFails(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	c := w.client()
+	cl := newCluster(t, 3, 1)
+	c := cl.client()
 	write(t, c, turn("1", ""))
-	w.set(w.down, "n3", true)
-	is.True(w.handOver(0) != nil)
-	is.Equal(len(w.current().Places), 3)
+	cl.set(cl.down, "n3", true)
+	is.True(cl.retire(0) != nil)
+	is.Equal(len(cl.current().Replicas), 3)
 	write(t, c, turn("2", "1"))
 	chain, err := c.Read(t.Context(), "", "2")
 	is.NoErr(err)
@@ -109,15 +109,15 @@
 // A copy of a disk begins while records are written to it. What it acknowledges
 // after the copy has asked must be in what the copy gets, or be refused: it would
 // be on one disk of the new roster only.
-func TestWriteBesideTheStartOfACopy(t *testing.T) { synctest.Test(t, testWriteBesideTheStartOfACopy) }
+func TestWriteDuringStartOfCopy(t *testing.T) { synctest.Test(t, testWriteDuringStartOfCopy) }
 
-func testWriteBesideTheStartOfACopy(t *testing.T) {
+func testWriteDuringStartOfCopy(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	h := w.holders["n1"]
-	old := w.current()
+	cl := newCluster(t, 3, 1)
+	h := cl.servers["n1"]
+	old := cl.current()
 	next := old
-	next.Places = append([]roster.Place(nil), old.Places...)
+	next.Replicas = append([]roster.Replica(nil), old.Replicas...)
 	next.Version++
 	var mu sync.Mutex
 	acked := map[string]bool{}
@@ -125,7 +125,7 @@
 	for i := range 200 {
 		work.Go(func() {
 			id := fmt.Sprint(i)
-			reply, err := h.Write(t.Context(), holder.WriteAsk{Stamp: holder.Stamp{Version: old.Version, Life: h.Life()}, Record: turn(id, "")})
+			reply, err := h.Write(t.Context(), recsrv.WriteRequest{Target: recsrv.Target{Version: old.Version, DiskID: h.DiskID()}, Record: turn(id, "")})
 			if err == nil && reply.Refusal.Code == "" {
 				mu.Lock()
 				defer mu.Unlock()
@@ -133,7 +133,7 @@
 			}
 		})
 	}
-	first, err := h.Pull(t.Context(), holder.PullAsk{Stamp: holder.Stamp{Version: next.Version}, First: true})
+	first, err := h.Pull(t.Context(), recsrv.PullRequest{Target: recsrv.Target{Version: next.Version}, First: true})
 	is.NoErr(err)
 	work.Wait()
 	copied := map[string]bool{}
@@ -149,18 +149,20 @@
 // taken over while its former VM lived on behind a cut. A daemon that has heard of
 // neither asks that VM first. Its "no such turn" is not certain: the caller would
 // be told that a turn is gone which it saw whole.
-func TestFormerPlaceIsNotCertain(t *testing.T) { synctest.Test(t, testFormerPlaceIsNotCertain) }
+func TestFormerReplicaCannotProveAbsence(t *testing.T) {
+	synctest.Test(t, testFormerReplicaCannotProveAbsence)
+}
 
-func testFormerPlaceIsNotCertain(t *testing.T) {
+func testFormerReplicaCannotProveAbsence(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, 1)
-	is.NoErr(w.handOver(0))
+	cl := newCluster(t, 3, 1)
+	is.NoErr(cl.retire(0))
 	var stale []*Client
 	for range 8 {
-		stale = append(stale, w.client())
+		stale = append(stale, cl.client())
 	}
-	is.NoErr(w.replace(0, w.add()))
-	fresh := w.client()
+	is.NoErr(cl.replace(0, cl.add()))
+	fresh := cl.client()
 	for i, c := range stale {
 		id := fmt.Sprint(i) // some ask the former place first, some last
 		write(t, fresh, turn(id, ""))
@@ -174,36 +176,36 @@
 // disk and has not claimed the place yet, or its disk is full or frozen. The other
 // two are enough. If a daemon gave up at the refusal, the callers whose programs
 // prefer that place would be told to come back until the roster changes.
-func TestPlaceThatRefusesIsPassedBy(t *testing.T) { synctest.Test(t, testPlaceThatRefusesIsPassedBy) }
+func TestRefusingReplicaIsSkipped(t *testing.T) { synctest.Test(t, testRefusingReplicaIsSkipped) }
 
-func testPlaceThatRefusesIsPassedBy(t *testing.T) {
-	cases := map[string]func(w *world){
-		"an empty disk": func(w *world) {
-			m := w.add()
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.holders["n1"] = w.holders[m.Address]
+func testRefusingReplicaIsSkipped(t *testing.T) {
+	cases := map[string]func(cl *cluster){
+		"an empty disk": func(cl *cluster) {
+			m := cl.add()
+			cl.mu.Lock()
+			defer cl.mu.Unlock()
+			cl.servers["n1"] = cl.servers[m.Address]
 		},
-		"a frozen disk": func(w *world) { w.holders["n1"].Freeze(true) },
-		"a full disk":   func(w *world) { w.holders["n1"].Capacity = 1 },
+		"a frozen disk": func(cl *cluster) { cl.servers["n1"].Freeze(true) },
+		"a full disk":   func(cl *cluster) { cl.servers["n1"].Capacity = 1 },
 	}
 	for name, change := range cases {
 		t.Log(name)
 		is := is.New(t)
-		w := newWorld(t, 3, 1)
-		c := w.client()
+		cl := newCluster(t, 3, 1)
+		c := cl.client()
 		for i := range 8 { // some prefer the place, some don't
 			write(t, c, reserve(fmt.Sprint(i), fmt.Sprint("r", i), 1))
 			write(t, c, turn(fmt.Sprint(i), ""))
 		}
-		change(w)
+		change(cl)
 		for i := range 8 {
 			program := fmt.Sprint(i)
-			_, err := c.Write(soon(t), reserve(program, fmt.Sprint("s", i), 1))
+			_, err := c.Write(shortContext(t), reserve(program, fmt.Sprint("s", i), 1))
 			is.NoErr(err)
-			_, err = c.Write(soon(t), turn(fmt.Sprint("next", i), program))
+			_, err = c.Write(shortContext(t), turn(fmt.Sprint("next", i), program))
 			is.NoErr(err)
-			_, err = c.Read(soon(t), program, fmt.Sprint("next", i))
+			_, err = c.Read(shortContext(t), program, fmt.Sprint("next", i))
 			is.NoErr(err)
 		}
 	}
--- /dev/null
+++ b/internal/disk/recsrv/recsrv.go
@@ -0,0 +1,359 @@
+// Package holder keeps durable records on one VM's disk for the daemons that
+// serve callers: it appends what they write, answers what they read, and lets
+// another holder copy everything.
+//
+// A holder decides nothing about budgets or turns. It acknowledges a record once
+// it is synced, and tells what it knows. What it refuses are requests made under
+// a roster older than the newest it has heard of: they may come from a daemon
+// that doesn't know that another disk has taken a place.
+package recsrv
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/seglog"
+	"github.com/slaterock/slaterock/internal/peer/link"
+)
+
+const (
+	// pageSize bounds one answer of a pull, in bytes. It takes 20 ms on the
+	// slowest link, so requests that share it are hardly delayed.
+	pageSize = 256 << 10
+	// lightPage is how much of the log is looked through for one answer without
+	// texts, in bytes, which is a fiftieth of that.
+	scanPage = 1 << 20
+	// lateCopy is the age beyond its keeping time after which a segment's last
+	// live records are copied forward, so that the segment can be dropped.
+	forceDropAfter = 10 * time.Second
+	// fullShare is the part of the disk that records may fill.
+	maxFill = 0.85
+)
+
+// Holder keeps records. Set the exported fields, then call Open.
+type Server struct {
+	Dir      string
+	Capacity int64 // bytes of the disk; 0 is unbounded
+	Now      func() time.Time
+
+	log    seglog.Log
+	diskID string
+
+	mu         sync.Mutex
+	index      index.Index
+	minVersion uint64 // newest roster's version heard of
+	roster     roster.Roster
+	maxTTL     time.Duration // that any record is to be kept
+	frozen     bool          // no new records, because this VM is to be emptied
+}
+
+// Open reads the records. Blank tells that the disk was empty.
+func (s *Server) Open() (empty bool, err error) {
+	defer func() { err = errors.Wrap(err, "open holder") }()
+	if s.Now == nil {
+		s.Now = time.Now
+	}
+	if s.diskID, empty, err = loadDiskID(s.Dir); err != nil {
+		return false, err
+	}
+	s.log.Dir = s.Dir
+	now := s.Now()
+	var decodeErr error
+	err = s.log.Open(func(pos seglog.Pos, data []byte) {
+		r, err := index.Decode(data)
+		if err != nil {
+			decodeErr = errors.CombineErrors(decodeErr, err)
+			return
+		}
+		s.apply(r, pos, now)
+	})
+	return empty, errors.CombineErrors(err, decodeErr)
+}
+
+// Life names the disk.
+func (s *Server) DiskID() string { return s.diskID }
+
+// Close ends the holder after what waits was written.
+func (s *Server) Close() error { return s.log.Close() }
+
+// Register offers the holder's methods over the link.
+func (s *Server) Register(l *link.Link) {
+	for name, do := range s.methods() {
+		l.Handle(name, do)
+	}
+}
+
+// Serve answers one call of another daemon.
+func (s *Server) Serve(ctx context.Context, method string, params json.RawMessage) (any, error) {
+	do := s.methods()[method]
+	if do == nil {
+		return nil, errors.Newf("no method %s", method)
+	}
+	return do(ctx, params)
+}
+
+func (s *Server) methods() map[string]link.Handler {
+	return map[string]link.Handler{
+		MethodWrite:  link.Answer(s.Write),
+		MethodRead:   link.Answer(s.Read),
+		MethodPull:   link.Answer(s.Pull),
+		MethodImport: link.Answer(s.handleImport),
+		MethodDiskID: link.Answer(func(context.Context, struct{}) (string, error) { return s.diskID, nil }),
+	}
+}
+
+// Learn takes a roster that this daemon has read.
+func (s *Server) Learn(r roster.Roster) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r.Version > s.roster.Version {
+		s.roster = r
+	}
+	s.fence(r.Version)
+}
+
+// fence refuses older rosters from now on, also after a restart.
+func (s *Server) fence(version uint64) {
+	if version <= s.minVersion {
+		return
+	}
+	s.minVersion = version
+	data, err := index.Record{Fence: version}.Encode()
+	if err == nil {
+		s.log.Append(data, func(seglog.Pos, error) {})
+	}
+}
+
+// admit checks whom a request means.
+func (s *Server) checkTarget(t Target) Refusal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.checkTargetLocked(t)
+}
+
+func (s *Server) checkTargetLocked(t Target) Refusal {
+	if t.DiskID != "" && t.DiskID != s.diskID {
+		return s.refusal(CodeWrongDisk)
+	}
+	if t.Version < s.minVersion {
+		return s.refusal(CodeStaleRoster)
+	}
+	s.fence(t.Version)
+	return Refusal{}
+}
+
+func (s *Server) refusal(code string) Refusal {
+	r := Refusal{Code: code, Version: s.minVersion}
+	if s.roster.Version > 0 {
+		r.Roster, _ = s.roster.Encode() // plain fields always encode
+	}
+	return r
+}
+
+// Write makes a record durable and tells what is known of its program.
+func (s *Server) Write(ctx context.Context, req WriteRequest) (reply WriteReply, err error) {
+	data, err := req.Record.Encode()
+	if err != nil {
+		return WriteReply{}, err
+	}
+	done := make(chan error, 1)
+	if reply.Refusal = s.appendIfAllowed(req, data, done); reply.Refusal.Code != "" {
+		return reply, nil
+	}
+	if err = await(ctx, done); err != nil {
+		return WriteReply{}, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	reply.Charges = s.index.Charges(req.Record.Program)
+	return reply, nil
+}
+
+// take appends a record unless it must be refused. What refuses and the append
+// are one step: a record that was let in just before a copy of this disk began,
+// or before the disk was frozen to be emptied, and that came into the log after
+// it, would be acknowledged here and lie on no other disk of the new roster.
+func (s *Server) appendIfAllowed(req WriteRequest, data []byte, done chan<- error) Refusal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r := s.checkTargetLocked(req.Target); r.Code != "" {
+		return r
+	}
+	full := s.Capacity > 0 && float64(s.log.Bytes()) > maxFill*float64(s.Capacity)
+	if s.frozen || full {
+		return Refusal{Code: CodeFull}
+	}
+	s.index.ApplyCharge(req.Record, s.Now())
+	s.append(req.Record, data, done)
+	return Refusal{}
+}
+
+// Freeze refuses new records, or takes them again. Records are then
+// acknowledged by the other holders alone.
+func (s *Server) Freeze(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.frozen = on
+}
+
+// store appends a record and waits until it is durable.
+func (s *Server) appendAndWait(ctx context.Context, r index.Record) error {
+	data, err := r.Encode()
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.index.ApplyCharge(r, s.Now())
+	s.mu.Unlock()
+	errs := make(chan error, 1)
+	s.append(r, data, errs)
+	return await(ctx, errs)
+}
+
+// append tells done once the record is durable and known.
+func (s *Server) append(r index.Record, data []byte, done chan<- error) {
+	s.log.Append(data, func(pos seglog.Pos, err error) {
+		if err == nil {
+			s.mu.Lock()
+			s.apply(r, pos, s.Now())
+			s.mu.Unlock()
+		}
+		done <- err
+	})
+}
+
+func await(ctx context.Context, done <-chan error) error {
+	select {
+	case err := <-done:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// apply takes a durable record; h.mu is held, or nobody else knows h yet.
+func (s *Server) apply(r index.Record, pos seglog.Pos, now time.Time) {
+	s.minVersion = max(s.minVersion, r.Fence)
+	s.maxTTL = max(s.maxTTL, time.Duration(r.TTL)*time.Millisecond)
+	s.index.Apply(r, pos, now)
+}
+
+// Read returns a turn with its chain.
+func (s *Server) Read(_ context.Context, req ReadRequest) (ReadReply, error) {
+	if r := s.checkTarget(req.Target); r.Code != "" {
+		return ReadReply{Refusal: r}, nil
+	}
+	s.mu.Lock()
+	positions, next := s.index.Chain(req.Turn)
+	s.mu.Unlock()
+	chain := make([]index.Turn, 0, len(positions))
+	for _, pos := range positions {
+		data, err := s.log.Read(pos)
+		if err != nil {
+			return ReadReply{}, err
+		}
+		r, err := index.Decode(data)
+		if err != nil || r.Turn == nil {
+			return ReadReply{}, errors.CombineErrors(errors.New("no turn there"), err)
+		}
+		chain = append(chain, *r.Turn)
+	}
+	return ReadReply{Chain: chain, Next: next}, nil
+}
+
+// Pull tells what is here from a position on, or returns picked records. The
+// first ask waits until all that was taken under older rosters is committed: an
+// acknowledgement of such a record may still go out, so the puller must see it.
+func (s *Server) Pull(ctx context.Context, req PullRequest) (reply PullReply, err error) {
+	if r := s.checkTarget(req.Target); r.Code != "" {
+		return PullReply{Refusal: r}, nil
+	}
+	if len(req.Pick) > 0 {
+		reply.Records, err = s.readAt(req.Pick)
+		return reply, err
+	}
+	if req.First {
+		if err = s.barrier(ctx, req.Target.Version); err != nil {
+			return PullReply{}, err
+		}
+		reply.End = s.log.End()
+	}
+	var recs [][]byte
+	recs, reply.Positions, reply.After, err = s.log.Scan(req.From, scanPage)
+	if err != nil {
+		return PullReply{}, err
+	}
+	for _, data := range recs {
+		r, err := index.Decode(data)
+		if err != nil {
+			return PullReply{}, err
+		}
+		light, err := r.WithoutText().Encode()
+		if err != nil {
+			return PullReply{}, err
+		}
+		reply.Records = append(reply.Records, light)
+	}
+	return reply, nil
+}
+
+func (s *Server) readAt(positions []seglog.Pos) (recs [][]byte, err error) {
+	for _, pos := range positions {
+		rec, err := s.log.Read(pos)
+		if err != nil {
+			return nil, err
+		}
+		recs = append(recs, rec)
+	}
+	return recs, nil
+}
+
+// barrier returns once everything appended before is committed, with the fence.
+func (s *Server) barrier(ctx context.Context, version uint64) error {
+	return s.appendAndWait(ctx, index.Record{Fence: version})
+}
+
+func (s *Server) handleImport(ctx context.Context, req ImportRequest) (ImportReply, error) {
+	if r := s.checkTarget(req.Target); r.Code != "" {
+		return ImportReply{Refusal: r}, nil
+	}
+	return ImportReply{}, s.Import(ctx, req.Records)
+}
+
+// Fill makes a record that was copied from another holder durable.
+func (s *Server) Import(ctx context.Context, records [][]byte) error {
+	var last error
+	wait := make(chan error, len(records))
+	for _, data := range records {
+		r, err := index.Decode(data)
+		if err != nil {
+			return err
+		}
+		s.mu.Lock()
+		has := s.index.Has(r) // also where it holds no more than the other holder's fence
+		s.mu.Unlock()
+		if has {
+			wait <- nil
+			continue
+		}
+		s.append(r, data, wait)
+	}
+	for range records {
+		last = errors.CombineErrors(last, await(ctx, wait))
+	}
+	return last
+}
+
+// Stats returns the number of programs and turns, and the bytes on disk.
+func (s *Server) Stats() (programs, turns int, bytes int64) {
+	s.mu.Lock()
+	programs, turns = s.index.Len()
+	s.mu.Unlock()
+	return programs, turns, s.log.Bytes()
+}
--- a/internal/disk/roster/roster.go
+++ b/internal/disk/roster/roster.go
@@ -28,30 +28,30 @@
 	// TakeOver is how long a place's VM must be missing from the store's list
 	// before another VM takes the place. Killed processes are back within two
 	// seconds with their records; moving a place costs a copy of all records.
-	TakeOver = 2500 * time.Millisecond
+	TakeoverDelay = 2500 * time.Millisecond
 	// TakeOverNew is the same for a VM that has just started with an empty disk:
 	// most likely it was put there in place of the one that is missing, and
 	// until it has the records one more loss could not be borne.
-	TakeOverNew = 800 * time.Millisecond
+	TakeoverDelayEmptyDisk = 800 * time.Millisecond
 	// Gather is how long the first VMs wait for the others at the first start.
 	// All start within 0.3 s of each other, and some are slow to start.
-	Gather = 2500 * time.Millisecond
+	BootstrapWait = 2500 * time.Millisecond
 )
 
 type (
 	// Roster is one version of the places. It is immutable.
 	Roster struct {
-		Version uint64  `json:"version"`
-		Losses  int     `json:"losses"` // disks that may be lost at once
-		Places  []Place `json:"places"`
+		Version     uint64    `json:"version"`
+		MaxFailures int       `json:"losses"` // disks that may be lost at once
+		Replicas    []Replica `json:"places"`
 	}
 
 	// Place is one holder of records.
-	Place struct {
+	Replica struct {
 		Node    string `json:"node"`
 		Address string `json:"address"` // for other daemons
 		Domain  string `json:"domain"`
-		Life    string `json:"life"`
+		DiskID  string `json:"life"`
 		Joining bool   `json:"joining,omitempty"` // does not hold all records yet
 	}
 
@@ -60,7 +60,7 @@
 		Node     string `json:"node"`
 		Address  string `json:"address"`
 		Domain   string `json:"domain"`
-		Life     string `json:"life"`
+		DiskID   string `json:"life"`
 		Retiring bool   `json:"retiring,omitempty"` // it is to be emptied
 	}
 )
@@ -78,44 +78,46 @@
 }
 
 // Writes returns how many places must have a record before it is acknowledged.
-func (r Roster) Writes() int { return r.Losses + 1 }
+func (r Roster) WriteQuorum() int { return r.MaxFailures + 1 }
 
 // Reads returns how many places must answer before a reader has met every
 // acknowledged write. Places that are joining don't count.
-func (r Roster) Reads() int { return max(len(r.Places)-r.Writes()+1, 1) }
+func (r Roster) ReadQuorum() int { return max(len(r.Replicas)-r.WriteQuorum()+1, 1) }
 
 // Certain returns how many places must say that they lack a record before it
 // certainly does not exist. Places that have been replaced may live on and not
 // know it, and the reader's roster may be as old; f of them must not be enough,
 // also where the roster has so few places that one meets every write.
-func (r Roster) Certain() int { return max(r.Reads(), min(r.Writes(), len(r.Places))) }
+func (r Roster) AbsenceQuorum() int {
+	return max(r.ReadQuorum(), min(r.WriteQuorum(), len(r.Replicas)))
+}
 
 // Find returns the place with that life.
-func (r Roster) Find(life string) (Place, bool) {
-	for _, p := range r.Places {
-		if p.Life == life {
+func (r Roster) Find(diskID string) (Replica, bool) {
+	for _, p := range r.Replicas {
+		if p.DiskID == diskID {
 			return p, true
 		}
 	}
-	return Place{}, false
+	return Replica{}, false
 }
 
 // Full returns the most places that a roster has.
-func Full(losses int) int { return 2*losses + 1 }
+func MaxReplicas(maxFailures int) int { return 2*maxFailures + 1 }
 
 // First returns the first roster, of the members that are there, spread over
 // failure domains. It is false while too few are.
-func First(members []Member, losses int) (Roster, bool) {
-	if len(members) < losses+1 {
+func Initial(members []Member, maxFailures int) (Roster, bool) {
+	if len(members) < maxFailures+1 {
 		return Roster{}, false
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].Node < members[j].Node })
 	used := map[string]int{}
-	r := Roster{Version: 1, Losses: losses}
-	for len(r.Places) < min(Full(losses), len(members)) {
+	r := Roster{Version: 1, MaxFailures: maxFailures}
+	for len(r.Replicas) < min(MaxReplicas(maxFailures), len(members)) {
 		best := -1
 		for i, m := range members {
-			if _, taken := r.Find(m.Life); taken {
+			if _, taken := r.Find(m.DiskID); taken {
 				continue
 			}
 			if best < 0 || used[m.Domain] < used[members[best].Domain] {
@@ -123,24 +125,24 @@
 			}
 		}
 		used[members[best].Domain]++
-		r.Places = append(r.Places, members[best].place())
+		r.Replicas = append(r.Replicas, members[best].replica())
 	}
 	return r, true
 }
 
-func (m Member) place() Place {
-	return Place{Node: m.Node, Address: m.Address, Domain: m.Domain, Life: m.Life}
+func (m Member) replica() Replica {
+	return Replica{Node: m.Node, Address: m.Address, Domain: m.Domain, DiskID: m.DiskID}
 }
 
 // with returns the next version, with place i held by the member, which joins.
-func (r Roster) with(i int, m Member) Roster {
+func (r Roster) withReplica(i int, m Member) Roster {
 	next := r.copy()
-	p := m.place()
+	p := m.replica()
 	p.Joining = true
-	if i == len(next.Places) {
-		next.Places = append(next.Places, p)
+	if i == len(next.Replicas) {
+		next.Replicas = append(next.Replicas, p)
 	} else {
-		next.Places[i] = p
+		next.Replicas[i] = p
 	}
 	return next
 }
@@ -148,17 +150,17 @@
 func (r Roster) copy() Roster {
 	next := r
 	next.Version++
-	next.Places = append([]Place(nil), r.Places...)
+	next.Replicas = append([]Replica(nil), r.Replicas...)
 	return next
 }
 
 // WithJoined returns the next version, in which the place with that life holds
 // all records.
-func (r Roster) WithJoined(life string) Roster {
+func (r Roster) WithJoined(diskID string) Roster {
 	next := r.copy()
-	for i := range next.Places {
-		if next.Places[i].Life == life {
-			next.Places[i].Joining = false
+	for i := range next.Replicas {
+		if next.Replicas[i].DiskID == diskID {
+			next.Replicas[i].Joining = false
 		}
 	}
 	return next
@@ -168,9 +170,9 @@
 // reached at another address.
 func (r Roster) WithAddress(m Member) Roster {
 	next := r.copy()
-	for i := range next.Places {
-		if next.Places[i].Life == m.Life {
-			next.Places[i].Address = m.Address
+	for i := range next.Replicas {
+		if next.Replicas[i].DiskID == m.DiskID {
+			next.Replicas[i].Address = m.Address
 		}
 	}
 	return next
@@ -181,40 +183,40 @@
 // emptied, or one whose VM has been missing for that long. Missing tells since when
 // a node has not been listed. While another place is joining, none is taken that
 // holds records: two at once could leave too few that hold them all.
-func (r Roster) Claim(now time.Time, self Member, members []Member, missing map[string]time.Time, long time.Duration) (Roster, bool) {
-	if _, in := r.Find(self.Life); in || self.Retiring {
+func (r Roster) Claim(now time.Time, self Member, members []Member, missingSince map[string]time.Time, minMissing time.Duration) (Roster, bool) {
+	if _, in := r.Find(self.DiskID); in || self.Retiring {
 		return Roster{}, false
 	}
-	for i, p := range r.Places {
+	for i, p := range r.Replicas {
 		if p.Node == self.Node {
-			return r.with(i, self), true
+			return r.withReplica(i, self), true
 		}
 	}
-	if len(r.Places) < Full(r.Losses) {
-		return r.with(len(r.Places), self), true
+	if len(r.Replicas) < MaxReplicas(r.MaxFailures) {
+		return r.withReplica(len(r.Replicas), self), true
 	}
-	if !r.Next(self, members) {
+	if !r.IsNextClaimant(self, members) {
 		return Roster{}, false
 	}
 	retiring := map[string]bool{}
 	for _, m := range members {
-		retiring[m.Life] = m.Retiring
+		retiring[m.DiskID] = m.Retiring
 	}
-	for i, p := range r.Places {
-		since, gone := missing[p.Node]
-		if gone && now.Sub(since) >= long || retiring[p.Life] {
-			if r.joining(i) {
+	for i, p := range r.Replicas {
+		since, gone := missingSince[p.Node]
+		if gone && now.Sub(since) >= minMissing || retiring[p.DiskID] {
+			if r.otherJoining(i) {
 				return Roster{}, false
 			}
-			return r.with(i, self), true
+			return r.withReplica(i, self), true
 		}
 	}
 	return Roster{}, false
 }
 
 // joining tells whether a place other than i is joining.
-func (r Roster) joining(i int) bool {
-	for j, p := range r.Places {
+func (r Roster) otherJoining(i int) bool {
+	for j, p := range r.Replicas {
 		if j != i && p.Joining {
 			return true
 		}
@@ -224,12 +226,14 @@
 
 // Next tells whether self is the first of the members without a place, so that
 // one of them claims and the others don't conflict with it.
-func (r Roster) Next(self Member, members []Member) bool { return r.Line(self, members) == 0 }
+func (r Roster) IsNextClaimant(self Member, members []Member) bool {
+	return r.ClaimPosition(self, members) == 0
+}
 
 // Line returns how many VMs would take the next free place before this one.
-func (r Roster) Line(self Member, members []Member) (n int) {
+func (r Roster) ClaimPosition(self Member, members []Member) (n int) {
 	for _, m := range members {
-		if _, in := r.Find(m.Life); !in && !m.Retiring && m.Node < self.Node {
+		if _, in := r.Find(m.DiskID); !in && !m.Retiring && m.Node < self.Node {
 			n++
 		}
 	}
@@ -238,12 +242,12 @@
 
 // Without returns the next version without the place of that life, whose
 // records all others hold.
-func (r Roster) Without(life string) Roster {
+func (r Roster) Without(diskID string) Roster {
 	next := r.copy()
-	next.Places = nil
-	for _, p := range r.Places {
-		if p.Life != life {
-			next.Places = append(next.Places, p)
+	next.Replicas = nil
+	for _, p := range r.Replicas {
+		if p.DiskID != diskID {
+			next.Replicas = append(next.Replicas, p)
 		}
 	}
 	return next
--- a/internal/disk/roster/roster_test.go
+++ b/internal/disk/roster/roster_test.go
@@ -10,22 +10,22 @@
 
 var now = time.Unix(1000, 0)
 
-func member(node, domain, life string) Member {
-	return Member{Node: node, Address: node + ":1", Domain: domain, Life: life}
+func member(node, domain, diskID string) Member {
+	return Member{Node: node, Address: node + ":1", Domain: domain, DiskID: diskID}
 }
 
-func places(r Roster) (s string) {
-	for _, p := range r.Places {
+func replicas(r Roster) (s string) {
+	for _, p := range r.Replicas {
 		mark := ""
 		if p.Joining {
 			mark = "*"
 		}
-		s += fmt.Sprintf("%s/%s%s ", p.Node, p.Life, mark)
+		s += fmt.Sprintf("%s/%s%s ", p.Node, p.DiskID, mark)
 	}
 	return s
 }
 
-func TestFirst(t *testing.T) {
+func TestInitial(t *testing.T) {
 	cases := map[string]struct {
 		members []Member
 		losses  int
@@ -40,39 +40,39 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, ok := First(c.members, c.losses)
+			r, ok := Initial(c.members, c.losses)
 			is.Equal(ok, c.want != "")
 			if ok && c.losses == 1 {
-				is.Equal(places(r), c.want)
+				is.Equal(replicas(r), c.want)
 			}
 			if ok && c.losses == 2 {
-				is.Equal(len(r.Places), 5)
-				is.Equal(r.Writes(), 3)
-				is.Equal(r.Reads(), 3)
+				is.Equal(len(r.Replicas), 5)
+				is.Equal(r.WriteQuorum(), 3)
+				is.Equal(r.ReadQuorum(), 3)
 			}
 		})
 	}
 }
 
 // A read must meet every acknowledged write, whichever places each of them used.
-func TestReadsMeetWrites(t *testing.T) {
+func TestReadAndWriteQuorumsOverlap(t *testing.T) {
 	for losses := range 4 {
-		for n := losses + 1; n <= Full(losses); n++ {
+		for n := losses + 1; n <= MaxReplicas(losses); n++ {
 			is := is.New(t)
-			r := Roster{Losses: losses, Places: make([]Place, n)}
-			is.True(r.Reads()+r.Writes() > n) // any two sets share a place
-			is.True(r.Writes() > losses)      // one acknowledged copy outlives the lost disks
+			r := Roster{MaxFailures: losses, Replicas: make([]Replica, n)}
+			is.True(r.ReadQuorum()+r.WriteQuorum() > n) // any two sets share a place
+			is.True(r.WriteQuorum() > losses)           // one acknowledged copy outlives the lost disks
 		}
 	}
 }
 
 func TestClaim(t *testing.T) {
-	base := Roster{Version: 4, Losses: 1, Places: []Place{
-		{Node: "a", Life: "1"}, {Node: "b", Life: "2"}, {Node: "c", Life: "3"},
+	base := Roster{Version: 4, MaxFailures: 1, Replicas: []Replica{
+		{Node: "a", DiskID: "1"}, {Node: "b", DiskID: "2"}, {Node: "c", DiskID: "3"},
 	}}
 	joining := base.copy()
-	joining.Places[1].Joining = true
-	long := map[string]time.Time{"c": now.Add(-TakeOver)}
+	joining.Replicas[1].Joining = true
+	long := map[string]time.Time{"c": now.Add(-TakeoverDelay)}
 	retiring := member("c", "z", "3")
 	retiring.Retiring = true
 	leaver := member("e", "z", "9")
@@ -86,7 +86,7 @@
 	}{
 		"has a place":                     {base, member("a", "x", "1"), nil, long, ""},
 		"nothing is free":                 {base, member("d", "x", "4"), nil, nil, ""},
-		"one is missing, not yet long":    {base, member("d", "x", "4"), nil, map[string]time.Time{"c": now.Add(-TakeOver + 1)}, ""},
+		"one is missing, not yet long":    {base, member("d", "x", "4"), nil, map[string]time.Time{"c": now.Add(-TakeoverDelay + 1)}, ""},
 		"one is missing for long":         {base, member("d", "x", "4"), nil, long, "a/1 b/2 d/4* "},
 		"own place with an empty disk":    {base, member("b", "x", "7"), nil, nil, "a/1 b/7* c/3 "},
 		"another claims first":            {base, member("e", "x", "5"), []Member{member("d", "x", "4")}, long, ""},
@@ -96,15 +96,15 @@
 		"another place is joining":        {joining, member("d", "x", "4"), nil, long, ""},
 		"own disk lost while one joins":   {joining, member("a", "x", "8"), nil, nil, "a/8* b/2* c/3 "},
 		"fewer places than there may be":  {base.Without("3"), member("d", "x", "4"), nil, nil, "a/1 b/2 d/4* "},
-		"the place that is joining again": {joining, member("d", "x", "4"), nil, map[string]time.Time{"b": now.Add(-TakeOver)}, "a/1 d/4* c/3 "},
+		"the place that is joining again": {joining, member("d", "x", "4"), nil, map[string]time.Time{"b": now.Add(-TakeoverDelay)}, "a/1 d/4* c/3 "},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			next, ok := c.r.Claim(now, c.self, append(c.others, c.self), c.missing, TakeOver)
+			next, ok := c.r.Claim(now, c.self, append(c.others, c.self), c.missing, TakeoverDelay)
 			is.Equal(ok, c.want != "")
 			if ok {
-				is.Equal(places(next), c.want)
+				is.Equal(replicas(next), c.want)
 				is.Equal(next.Version, c.r.Version+1)
 			}
 		})
@@ -113,13 +113,13 @@
 
 func TestEncode(t *testing.T) {
 	is := is.New(t)
-	r, _ := First([]Member{member("a", "x", "1"), member("b", "y", "2")}, 1)
-	data, err := r.WithJoined("1").WithAddress(Member{Life: "2", Address: "new"}).Encode()
+	r, _ := Initial([]Member{member("a", "x", "1"), member("b", "y", "2")}, 1)
+	data, err := r.WithJoined("1").WithAddress(Member{DiskID: "2", Address: "new"}).Encode()
 	is.NoErr(err)
 	back, err := Decode(data)
 	is.NoErr(err)
 	is.Equal(back.Version, uint64(3))
-	is.Equal(back.Places[1].Address, "new")
+	is.Equal(back.Replicas[1].Address, "new")
 	p, ok := back.Find("1")
 	is.True(ok)
 	is.Equal(p.Node, "a")
--- a/internal/disk/seglog/scan.go
+++ b/internal/disk/seglog/scan.go
@@ -10,31 +10,31 @@
 
 // Segments returns the numbers of the segments that are complete, with the time
 // of their last write, in order.
-func (l *Log) Segments() (numbers []uint64, last []time.Time) {
+func (l *Log) Segments() (numbers []uint64, lastWrite []time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for n := range l.files {
+	for n := range l.segments {
 		if n != l.number {
 			numbers = append(numbers, n)
 		}
 	}
 	sort.Slice(numbers, func(i, j int) bool { return numbers[i] < numbers[j] })
 	for _, n := range numbers {
-		last = append(last, l.files[n].last)
+		lastWrite = append(lastWrite, l.segments[n].lastWrite)
 	}
-	return numbers, last
+	return numbers, lastWrite
 }
 
 // Drop removes a complete segment.
 func (l *Log) Drop(n uint64) (err error) {
 	defer func() { err = errors.Wrapf(err, "drop segment %d", n) }()
 	l.mu.Lock()
-	s := l.files[n]
+	s := l.segments[n]
 	if s == nil || n == l.number {
 		l.mu.Unlock()
 		return errors.New("no complete segment")
 	}
-	delete(l.files, n)
+	delete(l.segments, n)
 	l.mu.Unlock()
 	return errors.CombineErrors(s.file.Close(), os.Remove(l.name(n)))
 }
@@ -55,7 +55,7 @@
 func (l *Log) Bytes() (n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range l.files {
+	for _, s := range l.segments {
 		n += s.size
 	}
 	return n
@@ -63,20 +63,20 @@
 
 // Scan returns records from the position on, about limit bytes of them, and the
 // position after them. It returns no records at the end of what is committed.
-func (l *Log) Scan(from Pos, limit int) (recs [][]byte, places []Pos, after Pos, err error) {
+func (l *Log) Scan(from Pos, limit int) (recs [][]byte, positions []Pos, after Pos, err error) {
 	defer func() { err = errors.Wrapf(err, "scan from %d at %d", from.Segment, from.Offset) }()
 	after = from
 	for size := 0; size < limit; {
 		s, n, more := l.segmentAt(after)
 		if s == nil {
-			return recs, places, after, nil
+			return recs, positions, after, nil
 		}
 		if n != after.Segment {
 			after = Pos{Segment: n}
 		}
 		if after.Offset >= s.size {
 			if !more {
-				return recs, places, after, nil
+				return recs, positions, after, nil
 			}
 			after = Pos{Segment: n + 1}
 			continue
@@ -85,26 +85,26 @@
 		if _, err = s.file.ReadAt(data, after.Offset); err != nil {
 			return nil, nil, from, err
 		}
-		rec := next(data)
+		rec := firstRecord(data)
 		if rec == nil {
 			data = make([]byte, s.size-after.Offset) // a record larger than the page
 			if _, err = s.file.ReadAt(data, after.Offset); err != nil {
 				return nil, nil, from, err
 			}
-			if rec = next(data); rec == nil {
+			if rec = firstRecord(data); rec == nil {
 				return nil, nil, from, errors.New("record is spoilt")
 			}
 		}
 		for rec != nil && size < limit {
 			recs = append(recs, rec)
-			places = append(places, Pos{Segment: n, Offset: after.Offset, Size: len(rec)})
+			positions = append(positions, Pos{Segment: n, Offset: after.Offset, Size: len(rec)})
 			size += len(rec)
-			after.Offset += headSize + int64(len(rec))
-			data = data[headSize+len(rec):]
-			rec = next(data)
+			after.Offset += headerSize + int64(len(rec))
+			data = data[headerSize+len(rec):]
+			rec = firstRecord(data)
 		}
 	}
-	return recs, places, after, nil
+	return recs, positions, after, nil
 }
 
 // segmentAt returns a copy of the first segment from the position on, and
@@ -113,7 +113,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for n := max(p.Segment, 1); n <= l.number; n++ {
-		if found := l.files[n]; found != nil {
+		if found := l.segments[n]; found != nil {
 			c := *found
 			return &c, n, n < l.number
 		}
--- a/internal/disk/seglog/seglog.go
+++ b/internal/disk/seglog/seglog.go
@@ -23,20 +23,20 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/disk/synced"
+	"github.com/slaterock/slaterock/internal/disk/fsync"
 )
 
 const (
 	// DefaultSegment is the size in bytes after which a new segment is begun.
 	// Retention drops whole segments, so it bounds what is kept too long.
-	DefaultSegment = 8 << 20
+	DefaultSegmentSize = 8 << 20
 	// MaxRecord bounds a record in bytes: a caller's body is at most a few MB.
 	MaxRecord = 16 << 20
 
-	headSize = 8 // length and checksum
-	suffix   = ".seg"
-	dirMode  = 0o700
-	fileMode = 0o600
+	headerSize = 8 // length and checksum
+	suffix     = ".seg"
+	dirMode    = 0o700
+	fileMode   = 0o600
 )
 
 type (
@@ -45,15 +45,15 @@
 		Dir     string
 		Segment int64 // bytes; 0 is DefaultSegment
 
-		mu      sync.Mutex
-		cond    *sync.Cond
-		pending []entry
-		file    *os.File
-		number  uint64
-		size    int64
-		files   map[uint64]*segment
-		closed  bool
-		done    chan struct{}
+		mu       sync.Mutex
+		cond     *sync.Cond
+		pending  []entry
+		file     *os.File
+		number   uint64
+		size     int64
+		segments map[uint64]*segment
+		closed   bool
+		done     chan struct{}
 	}
 
 	// Pos says where a record lies.
@@ -64,17 +64,17 @@
 	}
 
 	// Done is told where a record lies once it is durable, or why it is not.
-	Done func(Pos, error)
+	Callback func(Pos, error)
 
 	entry struct {
 		data []byte
-		done Done
+		done Callback
 	}
 
 	segment struct {
-		file *os.File
-		size int64
-		last time.Time // of the last write
+		file      *os.File
+		size      int64
+		lastWrite time.Time // of the last write
 	}
 )
 
@@ -82,17 +82,17 @@
 	// ErrClosed reports an append to a closed log.
 	ErrClosed = errors.New("seglog: closed")
 
-	table = crc32.MakeTable(crc32.Castagnoli)
+	crcTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Open reads all records that are whole, in their order, and begins a segment.
 func (l *Log) Open(visit func(Pos, []byte)) (err error) {
 	defer func() { err = errors.Wrapf(err, "open log %s", l.Dir) }()
 	if l.Segment == 0 {
-		l.Segment = DefaultSegment
+		l.Segment = DefaultSegmentSize
 	}
 	l.cond = sync.NewCond(&l.mu)
-	l.files = map[uint64]*segment{}
+	l.segments = map[uint64]*segment{}
 	l.done = make(chan struct{})
 	if err = os.MkdirAll(l.Dir, dirMode); err != nil {
 		return err
@@ -107,7 +107,7 @@
 		}
 		l.number = n
 	}
-	if err = l.begin(); err != nil {
+	if err = l.newSegment(); err != nil {
 		return err
 	}
 	go l.run()
@@ -144,28 +144,28 @@
 	}
 	var offset int64
 	for {
-		rec := next(data[offset:])
+		rec := firstRecord(data[offset:])
 		if rec == nil {
 			break
 		}
 		visit(Pos{Segment: n, Offset: offset, Size: len(rec)}, rec)
-		offset += headSize + int64(len(rec))
+		offset += headerSize + int64(len(rec))
 	}
-	l.files[n] = &segment{file: f, size: offset, last: time.Now()}
+	l.segments[n] = &segment{file: f, size: offset, lastWrite: time.Now()}
 	return nil
 }
 
 // next returns the record that begins data, nil if it is not whole.
-func next(data []byte) []byte {
-	if len(data) < headSize {
+func firstRecord(data []byte) []byte {
+	if len(data) < headerSize {
 		return nil
 	}
 	size := binary.LittleEndian.Uint32(data)
-	if size == 0 || size > MaxRecord || int(size) > len(data)-headSize {
+	if size == 0 || size > MaxRecord || int(size) > len(data)-headerSize {
 		return nil
 	}
-	rec := data[headSize : headSize+int(size)]
-	if crc32.Checksum(rec, table) != binary.LittleEndian.Uint32(data[4:]) {
+	rec := data[headerSize : headerSize+int(size)]
+	if crc32.Checksum(rec, crcTable) != binary.LittleEndian.Uint32(data[4:]) {
 		return nil
 	}
 	return rec
@@ -173,23 +173,23 @@
 
 // begin starts a new segment. Its name becomes durable with its first sync; the
 // folder is synced too, for file systems where it does not.
-func (l *Log) begin() error {
+func (l *Log) newSegment() error {
 	l.number++
 	f, err := os.OpenFile(l.name(l.number), os.O_CREATE|os.O_EXCL|os.O_RDWR, fileMode)
 	if err != nil {
 		return err
 	}
 	l.file, l.size = f, 0
-	l.files[l.number] = &segment{file: f, last: time.Now()}
-	return synced.Dir(l.Dir)
+	l.segments[l.number] = &segment{file: f, lastWrite: time.Now()}
+	return fsync.Dir(l.Dir)
 }
 
 // Append queues a record; done is called from the log's own goroutine.
-func (l *Log) Append(data []byte, done Done) {
+func (l *Log) Append(data []byte, done Callback) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || len(data) > MaxRecord || len(data) == 0 {
-		go done(Pos{}, l.refusal(data))
+		go done(Pos{}, l.appendError(data))
 		return
 	}
 	l.pending = append(l.pending, entry{data: data, done: done})
@@ -197,7 +197,7 @@
 }
 
 // refusal tells why a record isn't taken.
-func (l *Log) refusal(data []byte) error {
+func (l *Log) appendError(data []byte) error {
 	if l.closed {
 		return ErrClosed
 	}
@@ -212,34 +212,34 @@
 		for len(l.pending) == 0 && !l.closed {
 			l.cond.Wait()
 		}
-		group := l.pending
+		batch := l.pending
 		l.pending = nil
 		l.mu.Unlock()
-		if len(group) == 0 {
+		if len(batch) == 0 {
 			return
 		}
-		places, err := l.commit(group)
-		for i, e := range group {
-			e.done(places[i], err)
+		positions, err := l.commit(batch)
+		for i, e := range batch {
+			e.done(positions[i], err)
 		}
 	}
 }
 
 // commit writes and syncs a group. After a failure nothing is known of the
 // segment's tail, so the next group goes to a new one.
-func (l *Log) commit(group []entry) (places []Pos, err error) {
-	places = make([]Pos, len(group))
+func (l *Log) commit(batch []entry) (positions []Pos, err error) {
+	positions = make([]Pos, len(batch))
 	l.mu.Lock()
 	file, number, size := l.file, l.number, l.size
 	l.mu.Unlock()
 	var buf []byte
 	offset := size
-	for i, e := range group {
-		places[i] = Pos{Segment: number, Offset: offset, Size: len(e.data)}
+	for i, e := range batch {
+		positions[i] = Pos{Segment: number, Offset: offset, Size: len(e.data)}
 		buf = binary.LittleEndian.AppendUint32(buf, uint32(len(e.data)))
-		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(e.data, table))
+		buf = binary.LittleEndian.AppendUint32(buf, crc32.Checksum(e.data, crcTable))
 		buf = append(buf, e.data...)
-		offset += headSize + int64(len(e.data))
+		offset += headerSize + int64(len(e.data))
 	}
 	_, err = file.WriteAt(buf, size)
 	if err == nil {
@@ -248,28 +248,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.size = offset
-	s := l.files[number]
-	s.size, s.last = offset, time.Now()
+	s := l.segments[number]
+	s.size, s.lastWrite = offset, time.Now()
 	if err != nil || offset >= l.Segment {
-		err = errors.CombineErrors(err, l.begin())
+		err = errors.CombineErrors(err, l.newSegment())
 	}
-	return places, errors.Wrap(err, "commit")
+	return positions, errors.Wrap(err, "commit")
 }
 
 // Read returns a record.
 func (l *Log) Read(p Pos) (rec []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "read %d at %d", p.Segment, p.Offset) }()
 	l.mu.Lock()
-	s := l.files[p.Segment]
+	s := l.segments[p.Segment]
 	l.mu.Unlock()
 	if s == nil {
 		return nil, os.ErrNotExist
 	}
-	data := make([]byte, headSize+p.Size)
+	data := make([]byte, headerSize+p.Size)
 	if _, err = s.file.ReadAt(data, p.Offset); err != nil {
 		return nil, err
 	}
-	if rec = next(data); rec == nil {
+	if rec = firstRecord(data); rec == nil {
 		return nil, errors.New("record is spoilt")
 	}
 	return rec, nil
@@ -284,7 +284,7 @@
 	<-l.done
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range l.files {
+	for _, s := range l.segments {
 		err = errors.CombineErrors(err, s.file.Close())
 	}
 	return err
--- a/internal/disk/seglog/seglog_test.go
+++ b/internal/disk/seglog/seglog_test.go
@@ -57,7 +57,7 @@
 		"cut in the head":   func(d []byte) []byte { return d[:len(d)-len("two")-3] },
 		"cut in the record": func(d []byte) []byte { return d[:len(d)-1] },
 		"a flipped bit":     func(d []byte) []byte { d[len(d)-1] ^= 1; return d },
-		"zeros instead":     func(d []byte) []byte { clear(d[len(d)-len("two")-headSize:]); return d },
+		"zeros instead":     func(d []byte) []byte { clear(d[len(d)-len("two")-headerSize:]); return d },
 		"bytes behind":      func(d []byte) []byte { d[len(d)-1] ^= 1; return append(d, 0xff, 1, 2) },
 	}
 	for name, harm := range cases {
--- a/internal/disk/memo/memo.go
+++ b/internal/disk/snap/snap.go
@@ -3,7 +3,7 @@
 // Daemons that serve callers have no disk. When all of them start anew while the
 // platform's store is away, nothing but the VMs with a disk can tell them the
 // configuration, the upstreams and each other.
-package memo
+package snap
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/slaterock/slaterock/internal/disk/synced"
+	"github.com/slaterock/slaterock/internal/disk/fsync"
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
 // The methods that a memo offers to other daemons.
 const (
-	MethodKeep = "memo.keep" // a Note; answered once it is durable
-	MethodLast = "memo.last" // answered with the newest Note
+	MethodSave = "memo.keep" // a Note; answered once it is durable
+	MethodLoad = "memo.last" // answered with the newest Note
 )
 
 const (
@@ -38,25 +38,25 @@
 
 type (
 	// Memo keeps a value. Set Dir before use.
-	Memo struct {
+	Snapshotter struct {
 		Dir string
 		Now func() time.Time // time.Now if it is nil
 
 		mu     sync.Mutex
 		opened bool
 		slot   int // that holds the newest value
-		last   saved
+		last   fileContent
 	}
 
 	// Note is a value with what orders it.
-	Note struct {
+	Snapshot struct {
 		Revision uint64 `cbor:"1,keyasint"`
 		Data     []byte `cbor:"2,keyasint"`
 		Age      int64  `cbor:"3,keyasint,omitempty"` // milliseconds since it was kept
 	}
 
 	// saved is what a file holds.
-	saved struct {
+	fileContent struct {
 		Revision uint64 `cbor:"1,keyasint"`
 		At       int64  `cbor:"2,keyasint"` // Unix milliseconds
 		Data     []byte `cbor:"3,keyasint"`
@@ -65,92 +65,92 @@
 )
 
 // Register offers the memo over the link.
-func (m *Memo) Register(l *link.Link) {
-	l.Handle(MethodKeep, link.Answer(func(_ context.Context, n Note) (struct{}, error) { return struct{}{}, m.Keep(n) }))
-	l.Handle(MethodLast, link.Answer(func(context.Context, struct{}) (Note, error) { return m.Last() }))
+func (s *Snapshotter) Register(l *link.Link) {
+	l.Handle(MethodSave, link.Answer(func(_ context.Context, n Snapshot) (struct{}, error) { return struct{}{}, s.Save(n) }))
+	l.Handle(MethodLoad, link.Answer(func(context.Context, struct{}) (Snapshot, error) { return s.Load() }))
 }
 
 // Keep makes the note durable, unless a newer one is kept already.
-func (m *Memo) Keep(n Note) (err error) {
+func (s *Snapshotter) Save(n Snapshot) (err error) {
 	defer func() { err = errors.Wrap(err, "keep memo") }()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err = m.open(); err != nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err = s.open(); err != nil {
 		return err
 	}
-	if n.Revision < m.last.Revision {
+	if n.Revision < s.last.Revision {
 		return nil
 	}
-	next := saved{Revision: n.Revision, At: m.now().UnixMilli(), Data: n.Data}
+	next := fileContent{Revision: n.Revision, At: s.now().UnixMilli(), Data: n.Data}
 	next.Sum = next.sum()
-	slot := (m.slot + 1) % slots
+	slot := (s.slot + 1) % slots
 	data, err := cbor.Marshal(next)
 	if err != nil {
 		return err
 	}
-	if err = synced.Write(m.name(slot), data); err != nil {
+	if err = fsync.Write(s.name(slot), data); err != nil {
 		return err
 	}
-	m.slot, m.last = slot, next
+	s.slot, s.last = slot, next
 	return nil
 }
 
 // Last returns the newest note, which has no data if none was kept.
-func (m *Memo) Last() (n Note, err error) {
+func (s *Snapshotter) Load() (n Snapshot, err error) {
 	defer func() { err = errors.Wrap(err, "read memo") }()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err = m.open(); err != nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err = s.open(); err != nil {
 		return n, err
 	}
-	if len(m.last.Data) == 0 {
+	if len(s.last.Data) == 0 {
 		return n, nil
 	}
 	// The clock may have been set back since.
-	age := max(m.now().UnixMilli()-m.last.At, 0)
-	return Note{Revision: m.last.Revision, Data: m.last.Data, Age: age}, nil
+	age := max(s.now().UnixMilli()-s.last.At, 0)
+	return Snapshot{Revision: s.last.Revision, Data: s.last.Data, Age: age}, nil
 }
 
 // open reads the files at the first use; m.mu is held.
-func (m *Memo) open() error {
-	if m.opened {
+func (s *Snapshotter) open() error {
+	if s.opened {
 		return nil
 	}
-	if err := os.MkdirAll(m.Dir, dirMode); err != nil {
+	if err := os.MkdirAll(s.Dir, dirMode); err != nil {
 		return err
 	}
 	for slot := range slots {
-		data, err := os.ReadFile(m.name(slot))
+		data, err := os.ReadFile(s.name(slot))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		var s saved
-		if cbor.Unmarshal(data, &s) != nil || s.Sum != s.sum() {
+		var c fileContent
+		if cbor.Unmarshal(data, &c) != nil || c.Sum != c.sum() {
 			continue // torn: the other file has the value before it
 		}
-		if s.Revision >= m.last.Revision {
-			m.slot, m.last = slot, s
+		if c.Revision >= s.last.Revision {
+			s.slot, s.last = slot, c
 		}
 	}
-	m.opened = true
+	s.opened = true
 	return nil
 }
 
-func (m *Memo) name(slot int) string { return filepath.Join(m.Dir, "memo-"+strconv.Itoa(slot)) }
+func (s *Snapshotter) name(slot int) string { return filepath.Join(s.Dir, "memo-"+strconv.Itoa(slot)) }
 
-func (m *Memo) now() time.Time {
-	if m.Now == nil {
+func (s *Snapshotter) now() time.Time {
+	if s.Now == nil {
 		return time.Now()
 	}
-	return m.Now()
+	return s.Now()
 }
 
-func (s saved) sum() uint64 {
+func (c fileContent) sum() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(strconv.FormatUint(s.Revision, 10) + " " + strconv.FormatInt(s.At, 10) + " ") // never fails
-	_, _ = d.Write(s.Data)
+	_, _ = d.WriteString(strconv.FormatUint(c.Revision, 10) + " " + strconv.FormatInt(c.At, 10) + " ") // never fails
+	_, _ = d.Write(c.Data)
 	return d.Sum64()
 }
--- a/internal/disk/memo/memo_test.go
+++ b/internal/disk/snap/snap_test.go
@@ -1,4 +1,4 @@
-package memo_test
+package snap_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/memo"
+	"github.com/slaterock/slaterock/internal/disk/snap"
 )
 
 // Power is lost while a value is written, at any byte of it, and the process
@@ -17,25 +17,25 @@
 func TestTornWriteKeepsTheValueBefore(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	m := memo.Memo{Dir: dir}
-	is.NoErr(m.Keep(memo.Note{Revision: 1, Data: []byte("one")}))
-	is.NoErr(m.Keep(memo.Note{Revision: 2, Data: []byte("two")}))
-	is.NoErr(m.Keep(memo.Note{Revision: 3, Data: []byte("three")}))
+	m := snap.Snapshotter{Dir: dir}
+	is.NoErr(m.Save(snap.Snapshot{Revision: 1, Data: []byte("one")}))
+	is.NoErr(m.Save(snap.Snapshot{Revision: 2, Data: []byte("two")}))
+	is.NoErr(m.Save(snap.Snapshot{Revision: 3, Data: []byte("three")}))
 	newest := filepath.Join(dir, "memo-1")
 	whole, err := os.ReadFile(newest)
 	is.NoErr(err)
 	for n := range whole {
 		is.NoErr(os.WriteFile(newest, whole[:n], 0o600))
-		again := memo.Memo{Dir: dir}
-		note, err := again.Last()
+		again := snap.Snapshotter{Dir: dir}
+		note, err := again.Load()
 		is.NoErr(err)
 		is.Equal(string(note.Data), "two")
 	}
 	spoilt := append([]byte(nil), whole...)
 	spoilt[len(spoilt)/2] ^= 1
 	is.NoErr(os.WriteFile(newest, spoilt, 0o600))
-	again := memo.Memo{Dir: dir}
-	note, err := again.Last()
+	again := snap.Snapshotter{Dir: dir}
+	note, err := again.Load()
 	is.NoErr(err)
 	is.Equal(string(note.Data), "two")
 }
@@ -46,19 +46,19 @@
 	is := is.New(t)
 	dir := t.TempDir()
 	now := time.UnixMilli(5000)
-	m := memo.Memo{Dir: dir, Now: func() time.Time { return now }}
-	note, err := m.Last()
+	m := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now }}
+	note, err := m.Load()
 	is.NoErr(err)
 	is.Equal(len(note.Data), 0) // nothing was kept
-	is.NoErr(m.Keep(memo.Note{Revision: 7, Data: []byte("new")}))
-	is.NoErr(m.Keep(memo.Note{Revision: 6, Data: []byte("old")}))
-	again := memo.Memo{Dir: dir, Now: func() time.Time { return now.Add(time.Second) }}
-	is.NoErr(again.Keep(memo.Note{Revision: 5, Data: []byte("older")}))
-	note, err = again.Last()
+	is.NoErr(m.Save(snap.Snapshot{Revision: 7, Data: []byte("new")}))
+	is.NoErr(m.Save(snap.Snapshot{Revision: 6, Data: []byte("old")}))
+	again := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now.Add(time.Second) }}
+	is.NoErr(again.Save(snap.Snapshot{Revision: 5, Data: []byte("older")}))
+	note, err = again.Load()
 	is.NoErr(err)
-	is.Equal(note, memo.Note{Revision: 7, Data: []byte("new"), Age: 1000})
-	setBack := memo.Memo{Dir: dir, Now: func() time.Time { return now.Add(-time.Hour) }}
-	note, err = setBack.Last()
+	is.Equal(note, snap.Snapshot{Revision: 7, Data: []byte("new"), Age: 1000})
+	setBack := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now.Add(-time.Hour) }}
+	note, err = setBack.Load()
 	is.NoErr(err)
 	is.Equal(note.Age, int64(0))
 }
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -156,7 +156,7 @@
 	x.Response.Header.Set(HeaderProgram, c.Program)
 	x.told.Kind, x.told.Program, x.told.Call = c.Kind, c.Program, c.Number
 	c.Request = x.id.String()
-	c.TraceParent = x.told.span.Parent()
+	c.TraceParent = x.told.span.Traceparent()
 }
 
 // launch starts the call, or reports that too many are under way.
--- a/internal/front/entry/account_test.go
+++ b/internal/front/entry/account_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/accnt"
 	"github.com/slaterock/slaterock/internal/conf/route"
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/front/fleet"
 	"github.com/slaterock/slaterock/internal/front/ration"
 )
@@ -149,7 +149,7 @@
 		is := is.New(t)
 		w := newWorld([]string{whole})
 		defer w.close()
-		w.rec.turns["r0"] = book.Turn{Input: []byte("old")}
+		w.rec.turns["r0"] = index.Turn{Input: []byte("old")}
 		w.begin()
 		rec, _ := w.ask(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
 		is.Equal(rec.Code, 200)
--- a/internal/front/entry/entry.go
+++ b/internal/front/entry/entry.go
@@ -20,7 +20,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/accnt"
 	"github.com/slaterock/slaterock/internal/conf/route"
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/admit"
 	"github.com/slaterock/slaterock/internal/front/allow"
@@ -52,8 +52,8 @@
 
 	// Records reads and writes what must last.
 	Records interface {
-		Write(context.Context, book.Record) (quorum.Result, error)
-		Read(ctx context.Context, program, turn string) ([]book.Turn, error)
+		Write(context.Context, index.Record) (quorum.Result, error)
+		Read(ctx context.Context, program, turn string) ([]index.Turn, error)
 	}
 
 	// Entry serves callers. Set the exported fields before use.
--- a/internal/front/entry/entry_test.go
+++ b/internal/front/entry/entry_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 )
 
 const (
@@ -206,7 +206,7 @@
 				share := w.rec.shares["r1"]
 				is.Equal(share.Upstream != "", c.tokens > 0) // where the program's next turn finds its prompt
 				share.Upstream, share.At = "", 0
-				is.Equal(share, book.Share{Attempt: "r1", Tokens: c.tokens, Settled: true})
+				is.Equal(share, index.Charge{Attempt: "r1", Tokens: c.tokens, Settled: true})
 				for i, g := range w.ups["up1"].requests()[1:] {
 					is.Equal(g.header.Get("Last"), fmt.Sprint(i+1)) // goes on where it stopped
 					if name == "not resumed for ever" {
--- a/internal/front/entry/stream.go
+++ b/internal/front/entry/stream.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/asked"
 	"github.com/slaterock/slaterock/internal/front/event"
@@ -129,9 +129,9 @@
 	return (t.Output + n - 1) / n * n
 }
 
-func (t *turn) record() book.Record {
-	return book.Record{
-		Program: t.own(t.Program), Attempt: t.own(t.ID), At: t.began.UnixMilli(), Keep: t.route.KeepFor.Milliseconds(),
+func (t *turn) record() index.Record {
+	return index.Record{
+		Program: t.own(t.Program), Attempt: t.own(t.ID), At: t.began.UnixMilli(), TTL: t.route.KeepFor.Milliseconds(),
 	}
 }
 
@@ -142,7 +142,7 @@
 		return true
 	}
 	rec := t.record()
-	rec.Reserved, rec.Most = true, t.most()
+	rec.Reserved, rec.MaxTokens = true, t.most()
 	res, err := t.e.Records.Write(ctx, rec)
 	t.reserved = true
 	if err != nil {
@@ -154,10 +154,10 @@
 		t.unavailable("records_away", retryRecords, err)
 		return false
 	}
-	t.begun = t.Previous != "" || book.Begun(res.Shares, rec.Attempt)
-	t.since = book.Since(res.Shares, t.began)
-	t.ranAt = book.LastRan(res.Shares, t.Session)
-	if !book.Fits(res.Shares, t.Budget) {
+	t.begun = t.Previous != "" || index.OthersStarted(res.Charges, rec.Attempt)
+	t.since = index.StartTime(res.Charges, t.began)
+	t.ranAt = index.LastUpstream(res.Charges, t.Session)
+	if !index.WithinBudget(res.Charges, t.Budget) {
 		t.settle()
 		t.refuse(http.StatusPaymentRequired, "budget_spent", nil)
 		return false
@@ -337,7 +337,7 @@
 	rec := t.record()
 	rec.Settled, rec.Spent = t.reserved, t.story.tokens
 	rec.Upstream, rec.Session = s.up.ID, t.Session
-	rec.Turn = &book.Turn{Previous: t.previous, Input: t.body, Output: t.output, Upstream: s.up.ID, Tokens: t.story.tokens}
+	rec.Turn = &index.Turn{Previous: t.previous, Input: t.body, Output: t.output, Upstream: s.up.ID, Tokens: t.story.tokens}
 	if _, err := t.e.Records.Write(ctx, rec); err != nil {
 		return errors.Wrap(err, "the turn was not recorded")
 	}
--- a/internal/front/entry/wait_test.go
+++ b/internal/front/entry/wait_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 )
 
 // More programs come than the engines can finish in time. One that has begun goes
@@ -38,9 +38,9 @@
 				is := is.New(t)
 				w := newWorld([]string{whole})
 				defer w.close()
-				w.rec.turns["t0"] = book.Turn{}
+				w.rec.turns["t0"] = index.Turn{}
 				if c.began > 0 {
-					w.rec.shares["r0"] = book.Share{Attempt: "r0", Settled: true, Tokens: c.ran, At: time.Now().Add(-c.began).UnixMilli()}
+					w.rec.shares["r0"] = index.Charge{Attempt: "r0", Settled: true, Tokens: c.ran, At: time.Now().Add(-c.began).UnixMilli()}
 				}
 				w.occupy("up1", 3)
 				if c.frees > 0 {
--- a/internal/front/entry/world_test.go
+++ b/internal/front/entry/world_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/accnt"
 	"github.com/slaterock/slaterock/internal/conf/route"
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/allow"
 	"github.com/slaterock/slaterock/internal/front/asked"
@@ -51,8 +51,8 @@
 	records struct {
 		mu     sync.Mutex
 		down   bool
-		shares map[string]book.Share
-		turns  map[string]book.Turn
+		shares map[string]index.Charge
+		turns  map[string]index.Turn
 	}
 
 	world struct {
@@ -114,38 +114,38 @@
 
 func (dialect) RetryAfter(h http.Header, d time.Duration) { h.Set("Again", d.String()) }
 
-func (r *records) Write(_ context.Context, rec book.Record) (res quorum.Result, err error) {
+func (r *records) Write(_ context.Context, rec index.Record) (res quorum.Result, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return res, quorum.ErrUnsure
+		return res, quorum.ErrNoQuorum
 	}
-	var b book.Book
-	b.Note(rec, time.Now())
-	for _, s := range b.Shares(rec.Program) {
-		r.shares[s.Attempt] = book.Join(r.shares[s.Attempt], s)
+	var b index.Index
+	b.ApplyCharge(rec, time.Now())
+	for _, s := range b.Charges(rec.Program) {
+		r.shares[s.Attempt] = index.Merge(r.shares[s.Attempt], s)
 	}
 	if rec.Turn != nil {
 		r.turns[rec.Attempt] = *rec.Turn
 	}
 	for _, s := range r.shares {
-		res.Shares = append(res.Shares, s)
+		res.Charges = append(res.Charges, s)
 	}
 	return res, nil
 }
 
-func (r *records) Read(_ context.Context, _, id string) (chain []book.Turn, err error) {
+func (r *records) Read(_ context.Context, _, id string) (chain []index.Turn, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return nil, quorum.ErrUnsure
+		return nil, quorum.ErrNoQuorum
 	}
 	for id != "" {
 		t, ok := r.turns[id]
 		if !ok {
 			return nil, quorum.ErrNoTurn
 		}
-		chain = append([]book.Turn{t}, chain...)
+		chain = append([]index.Turn{t}, chain...)
 		id = t.Previous
 	}
 	return chain, nil
@@ -186,7 +186,7 @@
 }
 
 func newWorld(answers ...[]string) *world {
-	w := &world{rec: &records{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, ups: map[string]*upstream{}}
+	w := &world{rec: &records{shares: map[string]index.Charge{}, turns: map[string]index.Turn{}}, ups: map[string]*upstream{}}
 	var f fleet.Fleet
 	reading := fleet.Reading{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
 	for i, list := range answers {
--- a/internal/front/pulse/pulse.go
+++ b/internal/front/pulse/pulse.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 )
 
@@ -34,8 +34,8 @@
 type (
 	// Records reads and writes what must last.
 	Records interface {
-		Write(context.Context, book.Record) (quorum.Result, error)
-		Read(ctx context.Context, program, turn string) ([]book.Turn, error)
+		Write(context.Context, index.Record) (quorum.Result, error)
+		Read(ctx context.Context, program, turn string) ([]index.Turn, error)
 	}
 
 	// Pulse is Records that fail at once while they are out of reach. Set
@@ -52,12 +52,12 @@
 
 // Write writes a record. A reservation has Patience at most; what a turn has said
 // or spent is worth waiting for.
-func (p *Pulse) Write(ctx context.Context, rec book.Record) (res quorum.Result, err error) {
+func (p *Pulse) Write(ctx context.Context, rec index.Record) (res quorum.Result, err error) {
 	if !rec.Reserved {
 		return p.Records.Write(ctx, rec)
 	}
 	if !p.pass(time.Now()) {
-		return res, quorum.ErrUnsure
+		return res, quorum.ErrNoQuorum
 	}
 	limited, stop := context.WithTimeout(ctx, Patience)
 	defer stop()
@@ -67,9 +67,9 @@
 }
 
 // Read reads a turn with its chain.
-func (p *Pulse) Read(ctx context.Context, program, turn string) (chain []book.Turn, err error) {
+func (p *Pulse) Read(ctx context.Context, program, turn string) (chain []index.Turn, err error) {
 	if !p.pass(time.Now()) {
-		return nil, quorum.ErrUnsure
+		return nil, quorum.ErrNoQuorum
 	}
 	limited, stop := context.WithTimeout(ctx, Patience)
 	defer stop()
--- a/internal/front/pulse/pulse_test.go
+++ b/internal/front/pulse/pulse_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 )
 
@@ -19,11 +19,11 @@
 	calls int
 }
 
-func (a *away) Write(ctx context.Context, _ book.Record) (quorum.Result, error) {
+func (a *away) Write(ctx context.Context, _ index.Record) (quorum.Result, error) {
 	return quorum.Result{}, a.call(ctx)
 }
 
-func (a *away) Read(ctx context.Context, _, _ string) ([]book.Turn, error) {
+func (a *away) Read(ctx context.Context, _, _ string) ([]index.Turn, error) {
 	return nil, errors.CombineErrors(a.call(ctx), quorum.ErrNoTurn)
 }
 
@@ -33,7 +33,7 @@
 		return nil
 	}
 	<-ctx.Done()
-	return quorum.ErrUnsure
+	return quorum.ErrNoQuorum
 }
 
 // A front is cut off from all holders of records, and from nothing else. Its
@@ -44,7 +44,7 @@
 		is := is.New(t)
 		a := &away{}
 		p := &Pulse{Records: a}
-		reserve := book.Record{Reserved: true}
+		reserve := index.Record{Reserved: true}
 		try := func() (took time.Duration, err error) {
 			began := time.Now()
 			_, err = p.Write(t.Context(), reserve)
@@ -63,7 +63,7 @@
 		_, _ = p.Read(t.Context(), "", "x")
 		before := a.calls
 		took, err = try()
-		is.True(errors.Is(err, quorum.ErrUnsure))
+		is.True(errors.Is(err, quorum.ErrNoQuorum))
 		is.True(took <= Patience)
 		for range 5 {
 			took, err = try()
@@ -89,7 +89,7 @@
 		for range 5 {
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
-			_, err := p.Write(ctx, book.Record{Reserved: true})
+			_, err := p.Write(ctx, index.Record{Reserved: true})
 			is.True(err != nil)
 		}
 		is.True(!p.Down(time.Now()))
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -203,7 +203,7 @@
 
 func (h hop) Try(ctx context.Context, c call.Call, sink runner.Sink) (r result.Result, err error) {
 	ctx, span := h.trace.Start(ctx, trace.Relay, c.TraceParent, attribute.String("request", c.Request), attribute.String("peer", h.address))
-	c.TraceParent = span.Parent()
+	c.TraceParent = span.Traceparent()
 	defer func() { span.End(err) }()
 	return h.Remote.Try(ctx, c, sink)
 }
--- a/internal/node/frontd/recall.go
+++ b/internal/node/frontd/recall.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/slaterock/slaterock/internal/disk/memo"
 	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/snap"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
@@ -53,7 +53,7 @@
 func (d *Daemon) keep(ctx context.Context) {
 	r := d.scout.Roster()
 	next := sent{hash: d.fleet.View().Hash, roster: r.Version, at: time.Now()}
-	stale := d.kept.begin(r.Places, next)
+	stale := d.kept.begin(r.Replicas, next)
 	if len(stale) == 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // begin returns the addresses of the places that are to be sent the next state.
 // End must be called if there are any.
-func (k *kept) begin(places []roster.Place, next sent) (stale []string) {
+func (k *kept) begin(places []roster.Replica, next sent) (stale []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.now {
@@ -105,7 +105,7 @@
 	var work sync.WaitGroup
 	for _, address := range addresses {
 		work.Go(func() {
-			err := link.Ask(ctx, d.link.Peer(address), memo.MethodKeep, memo.Note{Revision: k.Revision, Data: data}, nil)
+			err := link.Ask(ctx, d.link.Peer(address), snap.MethodSave, snap.Snapshot{Revision: k.Revision, Data: data}, nil)
 			d.kept.note(address, next, err == nil)
 			if err != nil && ctx.Err() == nil {
 				d.Log.Warn().Err(err).Str("peer", address).Msg("knowledge not kept on a disk")
@@ -157,8 +157,8 @@
 func (d *Daemon) recallFrom(ctx context.Context, address string) (err error) {
 	ctx, stop := context.WithTimeout(ctx, askTime)
 	defer stop()
-	var n memo.Note
-	if err = link.Ask(ctx, d.link.Peer(address), memo.MethodLast, struct{}{}, &n); err != nil {
+	var n snap.Snapshot
+	if err = link.Ask(ctx, d.link.Peer(address), snap.MethodLoad, struct{}{}, &n); err != nil {
 		return err
 	}
 	if len(n.Data) == 0 {
--- a/internal/node/frontd/recall_test.go
+++ b/internal/node/frontd/recall_test.go
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			k := kept{of: c.before}
-			places := []roster.Place{{Address: "a"}, {Address: "b"}}
+			places := []roster.Replica{{Address: "a"}, {Address: "b"}}
 			is.Equal(k.begin(places, c.next), c.want)
 			is.Equal(len(k.begin(places, c.next)), 0) // it is being sent, or there is nothing to send
 		})
--- a/internal/node/host/ask.go
+++ b/internal/node/host/ask.go
@@ -62,7 +62,7 @@
 // Call implements runner.Runner.
 func (h *Host) Call(ctx context.Context, c call.Call, sink runner.Sink) (r result.Result) {
 	ctx, span := h.Trace.Start(ctx, trace.Owner, c.TraceParent, attribute.String("request", c.Request))
-	c.TraceParent = span.Parent()
+	c.TraceParent = span.Traceparent()
 	defer func() { span.Result(r) }()
 	return h.ask(ctx, sink, func(t owner.Ticket) owner.Message { return owner.Call{Ticket: t, Call: c} })
 }
--- a/internal/node/keeper/claim.go
+++ b/internal/node/keeper/claim.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/disk/holder"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
 	"github.com/slaterock/slaterock/internal/node/scout"
 	"github.com/slaterock/slaterock/internal/peer/link"
@@ -27,7 +27,7 @@
 		listed[m.Node] = true
 	}
 	next := map[string]time.Time{}
-	for _, p := range s.Roster.Places {
+	for _, p := range s.Roster.Replicas {
 		if listed[p.Node] {
 			continue
 		}
@@ -42,9 +42,9 @@
 // long is how long a VM must be missing before its place is taken.
 func (k *Keeper) long() time.Duration {
 	if k.isNew() {
-		return roster.TakeOverNew
+		return roster.TakeoverDelayEmptyDisk
 	}
-	return roster.TakeOver
+	return roster.TakeoverDelay
 }
 
 // isNew tells whether this VM has just started with an empty disk.
@@ -70,15 +70,15 @@
 // it turned away, or whose key lapsed in an outage that this one, just started, has not
 // seen. Its place would be taken while it serves, and all records copied for nothing.
 func (k *Keeper) passLiving(ctx context.Context, r roster.Roster) {
-	living := make([]bool, len(r.Places))
+	living := make([]bool, len(r.Replicas))
 	var work sync.WaitGroup
-	for i, p := range r.Places {
+	for i, p := range r.Replicas {
 		if _, missing := k.missing[p.Node]; missing {
 			work.Go(func() { living[i] = k.lives(ctx, p) })
 		}
 	}
 	work.Wait()
-	for i, p := range r.Places {
+	for i, p := range r.Replicas {
 		if living[i] {
 			k.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(k.missing[p.Node])).Msg("place not claimed: its VM is not listed, but answers")
 			delete(k.missing, p.Node)
@@ -87,10 +87,10 @@
 }
 
 // lives tells whether the VM of a place answers, with the disk that holds the records.
-func (k *Keeper) lives(ctx context.Context, p roster.Place) bool {
+func (k *Keeper) lives(ctx context.Context, p roster.Replica) bool {
 	ctx, stop := context.WithTimeout(ctx, lifeTime)
 	defer stop()
 	var life string
-	err := link.Ask(ctx, k.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
-	return err == nil && life == p.Life
+	err := link.Ask(ctx, k.peers()(p.Address), recsrv.MethodDiskID, struct{}{}, &life)
+	return err == nil && life == p.DiskID
 }
--- a/internal/node/keeper/keeper.go
+++ b/internal/node/keeper/keeper.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"github.com/slaterock/slaterock/internal/disk/holder"
-	"github.com/slaterock/slaterock/internal/disk/memo"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/snap"
 	"github.com/slaterock/slaterock/internal/node/listed"
 	"github.com/slaterock/slaterock/internal/node/scout"
 	"github.com/slaterock/slaterock/internal/peer/link"
@@ -77,8 +77,8 @@
 		Log      zerolog.Logger
 		Scope    tally.Scope
 
-		holder   holder.Holder
-		memo     memo.Memo
+		recsrv   recsrv.Server
+		snap     snap.Snapshotter
 		link     link.Link
 		scout    scout.Scout
 		listed   listed.Listed
@@ -92,7 +92,7 @@
 		joining  bool
 		caughtUp bool // what was written while this process was away is here
 		joined   chan error
-		reach    holder.Peers // the other VMs with a disk; nil for those of the link
+		reach    recsrv.Peers // the other VMs with a disk; nil for those of the link
 		retiring atomic.Bool
 		since    time.Time // of retiring
 		told     string    // what the operator was told last
@@ -104,14 +104,14 @@
 	defer func() { err = errors.Wrap(err, "run keeper") }()
 	k.started = time.Now()
 	k.joined = make(chan error, 1)
-	k.holder.Dir, k.holder.Capacity = k.Settings.Dir, k.Settings.Capacity
-	blank, err := k.holder.Open()
+	k.recsrv.Dir, k.recsrv.Capacity = k.Settings.Dir, k.Settings.Capacity
+	blank, err := k.recsrv.Open()
 	if err != nil {
 		return err
 	}
 	k.blank, k.caughtUp = blank, blank // as the first of all, or else it joins
-	programs, turns, bytes := k.holder.Stats()
-	k.Log.Info().Str("life", k.holder.Life()).Bool("blank", blank).Int("programs", programs).Int("turns", turns).
+	programs, turns, bytes := k.recsrv.Stats()
+	k.Log.Info().Str("life", k.recsrv.DiskID()).Bool("blank", blank).Int("programs", programs).Int("turns", turns).
 		Int64("bytes", bytes).Dur("took_ms", time.Since(k.started)).Msg("records opened")
 	var lc net.ListenConfig
 	ln, err := lc.Listen(ctx, "tcp", k.Settings.Address)
@@ -119,9 +119,9 @@
 		return err
 	}
 	k.link.Address, k.link.Scope = k.Settings.Address, k.Scope
-	k.holder.Register(&k.link)
-	k.memo.Dir = k.Settings.Dir
-	k.memo.Register(&k.link)
+	k.recsrv.Register(&k.link)
+	k.snap.Dir = k.Settings.Dir
+	k.snap.Register(&k.link)
 	k.scout.Store = k.Store
 	k.listed = listed.Listed{Store: k.Store, Key: scout.DiskPrefix + k.Settings.Node, Data: k.value, OnEnd: k.tellListed}
 	k.listed.Init()
@@ -135,7 +135,7 @@
 	go k.serveControl(ctx)
 	err = k.link.Serve(ctx, ln)
 	<-listing
-	return errors.CombineErrors(err, k.holder.Close())
+	return errors.CombineErrors(err, k.recsrv.Close())
 }
 
 // serveControl takes daemons that know nothing but the addresses in their
@@ -156,7 +156,7 @@
 
 func (k *Keeper) self() roster.Member {
 	return roster.Member{
-		Node: k.Settings.Node, Address: k.Settings.Address, Domain: k.Settings.Domain, Life: k.holder.Life(), Retiring: k.retiring.Load(),
+		Node: k.Settings.Node, Address: k.Settings.Address, Domain: k.Settings.Domain, DiskID: k.recsrv.DiskID(), Retiring: k.retiring.Load(),
 	}
 }
 
@@ -174,11 +174,11 @@
 }
 
 func (k *Keeper) trim(ctx context.Context) {
-	for pause.For(ctx, holder.TrimEvery) {
-		if err := k.holder.Trim(ctx); err != nil && ctx.Err() == nil {
+	for pause.For(ctx, recsrv.TrimInterval) {
+		if err := k.recsrv.Trim(ctx); err != nil && ctx.Err() == nil {
 			k.Log.Warn().Err(err).Msg("old records were not dropped")
 		}
-		programs, turns, bytes := k.holder.Stats()
+		programs, turns, bytes := k.recsrv.Stats()
 		k.Scope.Gauge("records_programs").Update(float64(programs))
 		k.Scope.Gauge("records_turns").Update(float64(turns))
 		k.Scope.Gauge("records_bytes").Update(float64(bytes))
@@ -199,8 +199,8 @@
 // often, and so does one that doesn't know yet.
 func (k *Keeper) lookPause() time.Duration {
 	s := k.scout.State()
-	_, placed := s.Roster.Find(k.holder.Life())
-	if placed || k.away || s.Roster.Version == 0 || k.isNew() || k.retiring.Load() || s.Roster.Line(k.self(), s.Members) < standbys {
+	_, placed := s.Roster.Find(k.recsrv.DiskID())
+	if placed || k.away || s.Roster.Version == 0 || k.isNew() || k.retiring.Load() || s.Roster.ClaimPosition(k.self(), s.Members) < standbys {
 		return lookEvery
 	}
 	return idleEvery
@@ -210,8 +210,8 @@
 	// The VM that would take the next place looks for one that is free, and stale
 	// reads may be seconds behind; the others have time.
 	known := k.scout.State()
-	_, placed := known.Roster.Find(k.holder.Life())
-	stale := placed || !k.isNew() && time.Since(k.freshAt) < freshEvery || !known.Roster.Next(k.self(), known.Members)
+	_, placed := known.Roster.Find(k.recsrv.DiskID())
+	stale := placed || !k.isNew() && time.Since(k.freshAt) < freshEvery || !known.Roster.IsNextClaimant(k.self(), known.Members)
 	if !stale {
 		k.freshAt = time.Now()
 	}
@@ -230,7 +230,7 @@
 	s := k.scout.State()
 	k.noteMissing(s)
 	if s.Roster.Version > 0 {
-		k.holder.Learn(s.Roster)
+		k.recsrv.Learn(s.Roster)
 	}
 	k.askOperator(ctx, s)
 	select {
@@ -240,7 +240,7 @@
 		s = k.scout.State()
 	default:
 	}
-	place, in := s.Roster.Find(k.holder.Life())
+	place, in := s.Roster.Find(k.recsrv.DiskID())
 	switch {
 	case s.Roster.Version == 0:
 		k.found(ctx)
@@ -259,15 +259,15 @@
 // time to come.
 func (k *Keeper) found(ctx context.Context) {
 	s := k.scout.State()
-	waited := time.Since(k.started) >= roster.Gather
-	if len(s.Members) < roster.Full(k.Settings.Losses) && !waited {
+	waited := time.Since(k.started) >= roster.BootstrapWait
+	if len(s.Members) < roster.MaxReplicas(k.Settings.Losses) && !waited {
 		return
 	}
 	k.change(ctx, func(s scout.State) (roster.Roster, bool) {
 		if s.Roster.Version != 0 {
 			return roster.Roster{}, false
 		}
-		return roster.First(s.Members, k.Settings.Losses)
+		return roster.Initial(s.Members, k.Settings.Losses)
 	}, "founded")
 }
 
@@ -291,7 +291,7 @@
 	k.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster: " + what)
 	if err == nil {
 		k.scout.Learn(data)
-		k.holder.Learn(r)
+		k.recsrv.Learn(r)
 	}
 	return err == nil
 }
@@ -302,10 +302,10 @@
 	}
 	k.joining = true
 	k.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other places")
-	go func() { k.joined <- k.holder.Join(ctx, r, k.peers()) }()
+	go func() { k.joined <- k.recsrv.CatchUp(ctx, r, k.peers()) }()
 }
 
-func (k *Keeper) peers() holder.Peers {
+func (k *Keeper) peers() recsrv.Peers {
 	if k.reach != nil {
 		return k.reach
 	}
@@ -313,13 +313,13 @@
 }
 
 func (k *Keeper) endJoin(ctx context.Context, err error) {
-	programs, turns, bytes := k.holder.Stats()
+	programs, turns, bytes := k.recsrv.Stats()
 	k.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("records copied")
 	if err != nil {
 		return
 	}
 	k.caughtUp = true
-	life := k.holder.Life()
+	life := k.recsrv.DiskID()
 	if p, in := k.scout.Roster().Find(life); !in || !p.Joining {
 		return
 	}
--- a/internal/node/keeper/keeper_test.go
+++ b/internal/node/keeper/keeper_test.go
@@ -116,23 +116,23 @@
 	}
 	w.k.started = time.Now()
 	w.k.joined = make(chan error, 1)
-	w.k.holder.Dir = t.TempDir()
-	_, err := w.k.holder.Open()
+	w.k.recsrv.Dir = t.TempDir()
+	_, err := w.k.recsrv.Open()
 	is.New(t).NoErr(err)
 	w.k.caughtUp = true
 	w.k.scout.Store = w.s
 	w.k.reach = func(address string) link.Invoker { return w.lives[address] }
 	w.k.listed.Init()
 	is.New(t).NoErr(w.k.link.Start(t.Context()))
-	t.Cleanup(func() { _ = w.k.holder.Close() })
+	t.Cleanup(func() { _ = w.k.recsrv.Close() })
 	return w
 }
 
 func others() []roster.Member {
 	return []roster.Member{
-		{Node: "a", Address: "a:1", Domain: "x", Life: "1"},
-		{Node: "b", Address: "b:1", Domain: "y", Life: "2"},
-		{Node: "c", Address: "c:1", Domain: "z", Life: "3"},
+		{Node: "a", Address: "a:1", Domain: "x", DiskID: "1"},
+		{Node: "b", Address: "b:1", Domain: "y", DiskID: "2"},
+		{Node: "c", Address: "c:1", Domain: "z", DiskID: "3"},
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	r, err := roster.Decode(data)
 	is.New(w.t).NoErr(err)
-	for _, p := range r.Places {
+	for _, p := range r.Replicas {
 		s += p.Node
 	}
 	return s
@@ -172,7 +172,7 @@
 	for _, m := range others() {
 		w.s.list(m, true)
 	}
-	r, _ := roster.First(others(), 1)
+	r, _ := roster.Initial(others(), 1)
 	data, _ := r.Encode()
 	w.s.put(scout.RosterKey, data)
 	w.s.list(w.k.self(), true)
@@ -190,12 +190,12 @@
 		w := newWorld(t)
 		w.started()
 		is.Equal(w.k.lookPause(), lookEvery) // the next
-		before := roster.Member{Node: "bb", Domain: "z", Life: "4"}
+		before := roster.Member{Node: "bb", Domain: "z", DiskID: "4"}
 		w.s.list(before, true)
 		w.run(lookEvery)
 		is.Equal(w.k.lookPause(), lookEvery) // the second may be called upon at any time
-		w.s.list(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
-		w.s.list(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
+		w.s.list(roster.Member{Node: "bc", Domain: "z", DiskID: "5"}, true)
+		w.s.list(roster.Member{Node: "bd", Domain: "z", DiskID: "6"}, true)
 		w.run(lookEvery)
 		is.Equal(w.k.lookPause(), idleEvery)
 		w.s.down = true
@@ -220,12 +220,12 @@
 		is := is.New(t)
 		w := newWorld(t)
 		w.started()
-		next := roster.Member{Node: "bb", Domain: "z", Life: "4"}
+		next := roster.Member{Node: "bb", Domain: "z", DiskID: "4"}
 		w.s.list(next, true)
-		w.s.list(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
+		w.s.list(roster.Member{Node: "e", Domain: "z", DiskID: "5"}, true)
 		w.look(5 * time.Second)
 		w.s.list(others()[1], false)
-		w.look(roster.TakeOver + lookEvery)
+		w.look(roster.TakeoverDelay + lookEvery)
 		is.Equal(w.nodes(), "abc")
 		w.s.list(next, false)
 		w.look(2 * lookEvery)
@@ -241,7 +241,7 @@
 		w.s.list(others()[0], true)
 		w.run(time.Second)
 		is.Equal(w.nodes(), "") // one more may come
-		w.run(roster.Gather)
+		w.run(roster.BootstrapWait)
 		is.Equal(w.nodes(), "ad") // it didn't
 	})
 }
@@ -254,7 +254,7 @@
 		w := newWorld(t)
 		w.started()
 		w.s.list(others()[1], false)
-		w.run(roster.TakeOver)
+		w.run(roster.TakeoverDelay)
 		is.Equal(w.nodes(), "abc")
 		w.run(2 * lookEvery)
 		is.Equal(w.nodes(), "adc")
@@ -270,7 +270,7 @@
 		w.started()
 		w.k.blank, w.k.started = true, time.Now()
 		w.s.list(others()[1], false)
-		w.run(roster.TakeOverNew - lookEvery)
+		w.run(roster.TakeoverDelayEmptyDisk - lookEvery)
 		is.Equal(w.nodes(), "abc")
 		w.run(2 * lookEvery)
 		is.Equal(w.nodes(), "adc")
@@ -284,7 +284,7 @@
 		w := newWorld(t)
 		w.started()
 		w.s.list(others()[1], false)
-		w.run(roster.TakeOver - lookEvery)
+		w.run(roster.TakeoverDelay - lookEvery)
 		w.s.list(others()[1], true)
 		w.run(5 * time.Second)
 		is.New(t).Equal(w.nodes(), "abc")
@@ -350,9 +350,9 @@
 		is := is.New(t)
 		w := newWorld(t)
 		w.started()
-		r, _ := roster.First(others(), 1)
+		r, _ := roster.Initial(others(), 1)
 		r.Version = 5
-		r.Places[2] = roster.Place{Node: "d", Address: "d:1", Domain: "w", Life: w.k.holder.Life()}
+		r.Replicas[2] = roster.Replica{Node: "d", Address: "d:1", Domain: "w", DiskID: w.k.recsrv.DiskID()}
 		set := func() {
 			data, _ := r.Encode()
 			w.s.put(scout.RosterKey, data)
@@ -364,7 +364,7 @@
 		w.run(3 * time.Second)
 		is.Equal(w.op.told, []bool{false}) // c may take the place
 		r = r.WithJoined("")
-		r.Places[2] = roster.Place{Node: "c", Life: "3", Joining: true}
+		r.Replicas[2] = roster.Replica{Node: "c", DiskID: "3", Joining: true}
 		set()
 		w.run(3 * time.Second)
 		is.Equal(w.op.told, []bool{false})
--- a/internal/node/keeper/retire.go
+++ b/internal/node/keeper/retire.go
@@ -21,14 +21,14 @@
 	if asked := nodes[k.Settings.Node]; asked != k.retiring.Load() {
 		k.retiring.Store(asked)
 		k.since = time.Now()
-		k.holder.Freeze(false)
+		k.recsrv.Freeze(false)
 		k.Log.Info().Bool("retiring", k.retiring.Load()).Msg("the operator asks to empty this VM")
 		k.listed.Wake()
 	}
 	if !k.retiring.Load() {
 		return
 	}
-	_, in := s.Roster.Find(k.holder.Life())
+	_, in := s.Roster.Find(k.recsrv.DiskID())
 	if in && time.Since(k.since) > alone && !spare(s) {
 		k.leave(ctx)
 	}
@@ -47,7 +47,7 @@
 // spare tells whether a VM without a place could take this one's.
 func spare(s scout.State) bool {
 	for _, m := range s.Members {
-		if _, in := s.Roster.Find(m.Life); !in && !m.Retiring {
+		if _, in := s.Roster.Find(m.DiskID); !in && !m.Retiring {
 			return true
 		}
 	}
@@ -55,7 +55,7 @@
 }
 
 func joining(r roster.Roster) bool {
-	for _, p := range r.Places {
+	for _, p := range r.Replicas {
 		if p.Joining {
 			return true
 		}
@@ -67,16 +67,16 @@
 // first, so that each of them holds everything.
 func (k *Keeper) leave(ctx context.Context) {
 	r := k.scout.Roster()
-	if len(r.Places) <= r.Writes() {
+	if len(r.Replicas) <= r.WriteQuorum() {
 		return // fewer places could not bear a loss any more
 	}
-	k.holder.Freeze(true)
-	if err := k.holder.HandOver(ctx, r, k.peers()); err != nil {
-		k.holder.Freeze(false)
+	k.recsrv.Freeze(true)
+	if err := k.recsrv.CopyToOthers(ctx, r, k.peers()); err != nil {
+		k.recsrv.Freeze(false)
 		k.Log.Warn().Err(err).Msg("records were not handed over")
 		return
 	}
-	life := k.holder.Life()
+	life := k.recsrv.DiskID()
 	k.change(ctx, func(s scout.State) (roster.Roster, bool) {
 		_, in := s.Roster.Find(life)
 		return s.Roster.Without(life), in && s.Roster.Version == r.Version
--- a/internal/node/send/send.go
+++ b/internal/node/send/send.go
@@ -43,7 +43,7 @@
 func (s Send) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.Tried) {
 	ctx, span := s.Trace.Start(ctx, trace.Upstream, d.Call.TraceParent,
 		attribute.String("request", d.Request), attribute.String("upstream", d.Upstream), attribute.Int("attempt", d.Try))
-	d.Call.TraceParent = span.Parent()
+	d.Call.TraceParent = span.Traceparent()
 	defer func() {
 		var err error
 		if t.Outcome != sched.Succeeded {
--- a/internal/obs/label/label.go
+++ b/internal/obs/label/label.go
@@ -6,7 +6,7 @@
 
 const (
 	// most is how many values get a label of their own.
-	most = 100
+	maxValues = 100
 	// Others is the label of all other values.
 	Others = "others"
 )
@@ -25,7 +25,7 @@
 	if l.known[value] {
 		return value
 	}
-	if len(l.known) >= most {
+	if len(l.known) >= maxValues {
 		return Others
 	}
 	if l.known == nil {
--- a/internal/obs/flow/flow.go
+++ b/internal/obs/logbuf/logbuf.go
@@ -2,7 +2,7 @@
 //
 // Lines go to a ring that one goroutine empties. If the output can't keep up,
 // the oldest lines are dropped, and how many were is logged.
-package flow
+package logbuf
 
 import (
 	"io"
@@ -13,13 +13,13 @@
 )
 
 // ring is how many lines may wait: about a second of the busiest VM.
-const ring = 4096
+const bufferLines = 4096
 
 // Open returns a logger whose lines name the daemon, and what writes the lines
 // that still wait.
 func Open(w io.Writer, daemon string) (log zerolog.Logger, closing func()) {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	out := diode.NewWriter(w, ring, 0, func(missed int) {
+	out := diode.NewWriter(w, bufferLines, 0, func(missed int) {
 		l := zerolog.New(w)
 		l.Warn().Int("lines", missed).Str("daemon", daemon).Msg("log lines were dropped")
 	})
--- a/internal/obs/logs/logs.go
+++ b/internal/obs/logs/logs.go
@@ -55,16 +55,16 @@
 // empty for info; format is JSON, Console or Auto.
 func Open(w io.Writer, level, format string) (l Logs, err error) {
 	defer func() { err = errors.Wrap(err, "open log") }()
-	lowest := zerolog.InfoLevel
+	minLevel := zerolog.InfoLevel
 	if level != "" {
-		if lowest, err = zerolog.ParseLevel(level); err != nil {
+		if minLevel, err = zerolog.ParseLevel(level); err != nil {
 			return Logs{}, err
 		}
 	}
 	if format == Console || format == Auto && terminal(w) {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: !terminal(w)}
 	}
-	return Logs{log: zerolog.New(zerolog.SyncWriter(w)).Level(lowest).With().Timestamp().Logger()}, nil
+	return Logs{log: zerolog.New(zerolog.SyncWriter(w)).Level(minLevel).With().Timestamp().Logger()}, nil
 }
 
 // WithDaemon returns Logs whose lines name the daemon.
--- a/internal/obs/metric/metric.go
+++ b/internal/obs/metric/metric.go
@@ -27,15 +27,15 @@
 const (
 	prefix = "slaterock"
 	// reportEvery is how old a scraped number may be.
-	reportEvery = time.Second
+	reportInterval = time.Second
 )
 
 // Metric is one daemon's metrics. The zero value counts nothing.
 type Metric struct {
-	scope  tally.Scope
-	closer io.Closer
-	serve  fasthttp.RequestHandler
-	plain  http.Handler
+	scope       tally.Scope
+	closer      io.Closer
+	fastHandler fasthttp.RequestHandler
+	handler     http.Handler
 }
 
 // New returns metrics that are gathered until Close.
@@ -48,24 +48,24 @@
 	reporter := promreporter.NewReporter(promreporter.Options{
 		Registerer:              registry,
 		DefaultTimerType:        promreporter.HistogramTimerType,
-		DefaultHistogramBuckets: seconds(),
+		DefaultHistogramBuckets: timerBuckets(),
 		// A name used with two sets of tags loses the second set. That must
 		// not end a daemon; the missing series shows on the dashboard.
 		OnRegisterError: func(error) {},
 	})
-	plain := promhttp.HandlerFor(prometheus.GathererFunc(func() ([]*dto.MetricFamily, error) {
+	handler := promhttp.HandlerFor(prometheus.GathererFunc(func() ([]*dto.MetricFamily, error) {
 		families, err := registry.Gather()
-		slices.SortStableFunc(families, byUse)
+		slices.SortStableFunc(families, byPriority)
 		return families, err
 	}), promhttp.HandlerOpts{})
-	m := &Metric{serve: fasthttpadaptor.NewFastHTTPHandler(plain), plain: plain}
+	m := &Metric{fastHandler: fasthttpadaptor.NewFastHTTPHandler(handler), handler: handler}
 	m.scope, m.closer = tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 prefix,
 		CachedReporter:         reporter,
 		Separator:              promreporter.DefaultSeparator,
-		SanitizeOptions:        sanitize(),
+		SanitizeOptions:        sanitizeOptions(),
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return m
 }
 
@@ -79,15 +79,15 @@
 
 // Serve answers a scrape.
 func (m *Metric) Serve(ctx *fasthttp.RequestCtx) {
-	if m == nil || m.serve == nil {
+	if m == nil || m.fastHandler == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	m.serve(ctx)
+	m.fastHandler(ctx)
 }
 
 // Handler answers a scrape where the daemon serves with net/http.
-func (m *Metric) Handler() http.Handler { return m.plain }
+func (m *Metric) Handler() http.Handler { return m.handler }
 
 // Close reports what was counted last and stops gathering.
 func (m *Metric) Close() error {
@@ -100,9 +100,9 @@
 // byUse has a daemon's own state first, then what it counted, what it timed, and Go's own.
 // A collector that keeps the beginning of a long answer keeps what only this daemon knows:
 // Go's metrics alone have 10 kB, and come first by name.
-func byUse(a, b *dto.MetricFamily) int { return cmp.Compare(use(a), use(b)) }
+func byPriority(a, b *dto.MetricFamily) int { return cmp.Compare(priority(a), priority(b)) }
 
-func use(f *dto.MetricFamily) int {
+func priority(f *dto.MetricFamily) int {
 	switch {
 	case !strings.HasPrefix(f.GetName(), prefix+promreporter.DefaultSeparator):
 		return 3
@@ -117,11 +117,11 @@
 
 // seconds are the bounds of timers' buckets: from a hop within a VM to a long
 // model call, with those of the first token (0.45) and between tokens (0.05).
-func seconds() []float64 {
+func timerBuckets() []float64 {
 	return []float64{0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.45, 1, 2.5, 5, 10, 30, 60, 300}
 }
 
-func sanitize() *tally.SanitizeOptions {
+func sanitizeOptions() *tally.SanitizeOptions {
 	o := promreporter.DefaultSanitizerOpts
 	o.ValueCharacters.Characters = []rune{'_', '-', '.', ':', '/'}
 	return &o
--- a/internal/obs/metric/metric_test.go
+++ b/internal/obs/metric/metric_test.go
@@ -58,7 +58,7 @@
 
 // A newcomer counts the same name with other tags. Losing that series is bad
 // enough; it must not take the daemon down.
-func TestClashOfTags(t *testing.T) {
+func TestConflictingTags(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	m.Scope().Counter("requests").Inc(1)
--- a/internal/obs/trace/trace.go
+++ b/internal/obs/trace/trace.go
@@ -50,11 +50,11 @@
 	// Settings tell where spans go. Without Endpoint and File they go nowhere,
 	// but traces are still carried on.
 	Settings struct {
-		Daemon   string
-		Endpoint string      // IP number and port of an OTLP/HTTP collector
-		File     io.Writer   // spans as JSON lines
-		Share    float64     // of traces that begin here; 0 means all
-		Fault    func(error) // told why spans were lost; process-wide
+		Daemon      string
+		Endpoint    string      // IP number and port of an OTLP/HTTP collector
+		File        io.Writer   // spans as JSON lines
+		SampleRatio float64     // of traces that begin here; 0 means all
+		OnError     func(error) // told why spans were lost; process-wide
 	}
 
 	// Trace records spans.
@@ -92,8 +92,8 @@
 		}
 		exporters = append(exporters, e)
 	}
-	if s.Fault != nil {
-		otel.SetErrorHandler(otel.ErrorHandlerFunc(s.Fault))
+	if s.OnError != nil {
+		otel.SetErrorHandler(otel.ErrorHandlerFunc(s.OnError))
 	}
 	return open(s, exporters...), nil
 }
@@ -118,10 +118,10 @@
 	if exporters == 0 {
 		return sdk.NeverSample()
 	}
-	if s.Share <= 0 || s.Share >= 1 {
+	if s.SampleRatio <= 0 || s.SampleRatio >= 1 {
 		return sdk.ParentBased(sdk.AlwaysSample())
 	}
-	return sdk.ParentBased(sdk.TraceIDRatioBased(s.Share))
+	return sdk.ParentBased(sdk.TraceIDRatioBased(s.SampleRatio))
 }
 
 // Start begins a hop. Parent is the traceparent that came with the request; if
@@ -146,7 +146,7 @@
 }
 
 // Parent returns the traceparent for the next hop.
-func (s Span) Parent() string {
+func (s Span) Traceparent() string {
 	if s.span == nil {
 		return s.parent
 	}
--- a/internal/obs/trace/trace_test.go
+++ b/internal/obs/trace/trace_test.go
@@ -34,8 +34,8 @@
 	tr, err := Open(t.Context(), Settings{Daemon: "vm1", File: &file})
 	is.NoErr(err)
 	_, edge := tr.Start(t.Context(), Edge, parent)
-	_, owner := tr.Start(t.Context(), Owner, edge.Parent())
-	ctx, upstream := tr.Start(t.Context(), Upstream, owner.Parent())
+	_, owner := tr.Start(t.Context(), Owner, edge.Traceparent())
+	ctx, upstream := tr.Start(t.Context(), Upstream, owner.Traceparent())
 	_, inner := tr.Start(ctx, Store, "") // the parent is in ctx
 	inner.End(nil)
 	upstream.End(errors.New("engine gone"))
@@ -46,8 +46,8 @@
 	is.Equal(strings.Count(file.String(), "\n"), 4)
 	is.True(strings.Contains(file.String(), "engine gone"))
 	is.True(strings.Contains(file.String(), "overloaded"))
-	is.True(Parse(edge.Parent()).IsValid())
-	is.True(edge.Parent() != parent) // a child, not the caller's span
+	is.True(Parse(edge.Traceparent()).IsValid())
+	is.True(edge.Traceparent() != parent) // a child, not the caller's span
 }
 
 // The collector hangs. If that reached the requests, the part that is there to
@@ -66,7 +66,7 @@
 	close(s.release)
 }
 
-func TestCarriedOn(t *testing.T) {
+func TestTraceparentIsPropagated(t *testing.T) {
 	tests := map[string]struct {
 		trace  *Trace
 		parent string
@@ -79,14 +79,14 @@
 		"no parent":          {open(Settings{}), "", false, true},
 		"malformed parent":   {open(Settings{}), "00-zz", false, true},
 		"zero without one":   {&Trace{}, "", true, false},
-		"share of new ones":  {open(Settings{Share: 0.5}, stuck{}), parent, false, true},
+		"share of new ones":  {open(Settings{SampleRatio: 0.5}, stuck{}), parent, false, true},
 		"malformed and zero": {&Trace{}, "00-zz", true, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, span := tt.trace.Start(t.Context(), Edge, tt.parent)
-			next := span.Parent()
+			next := span.Traceparent()
 			span.Set()
 			span.End(nil)
 			is.Equal(next == tt.parent, tt.same)
--- a/internal/play/storm/storm.go
+++ b/internal/play/storm/storm.go
@@ -227,7 +227,7 @@
 		defer disk.Unlock()
 		do()
 		for range 200 {
-			if r := s.roster(); len(r.Places) >= min(s.Disks, roster.Full(r.Losses)) && !joins(r) {
+			if r := s.roster(); len(r.Replicas) >= min(s.Disks, roster.MaxReplicas(r.MaxFailures)) && !joins(r) {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -244,7 +244,7 @@
 }
 
 func joins(r roster.Roster) bool {
-	for _, p := range r.Places {
+	for _, p := range r.Replicas {
 		if p.Joining {
 			return true
 		}
--- a/internal/shard/blobs/folder.go
+++ b/internal/shard/blobs/folder.go
@@ -21,7 +21,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/disk/synced"
+	"github.com/slaterock/slaterock/internal/disk/fsync"
 )
 
 const (
@@ -247,7 +247,7 @@
 		_ = os.Remove(temp)
 		return err
 	}
-	return synced.Dir(filepath.Dir(path))
+	return fsync.Dir(filepath.Dir(path))
 }
 
 func fill(t *os.File, data []byte) error {
