--- a/internal/disk/quorum/cluster_test.go
+++ b/internal/disk/quorum/cluster_test.go
@@ -16,19 +16,20 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// world has holders in temporary folders, which are called without a network, and
-// may be down, lose a request or an answer, or lose their disk.
+// cluster has record servers in temporary folders, which are called without a
+// network. Tests inject faults: a server is down, hangs, loses its replies, or loses
+// its disk.
 type cluster struct {
 	t *testing.T
 
 	mu          sync.Mutex
 	servers     map[string]*recsrv.Server // by address
 	down        map[string]bool
-	dropReplies map[string]bool // does what it is asked, but its answer is lost
-	hangs       map[string]bool // says nothing, as behind a cut link
-	roster      roster.Roster   // as the store has it
+	dropReplies map[string]bool // the request is executed, but its reply is lost
+	hangs       map[string]bool // never replies, as behind a network partition
+	roster      roster.Roster   // as in the store
 	next        int
-	bytesPulled int // bytes of copies between holders
+	bytesPulled int // by servers from each other
 }
 
 func newCluster(t *testing.T, n, losses int) *cluster {
@@ -43,7 +44,7 @@
 	return cl
 }
 
-// add starts a holder with an empty disk.
+// add starts a server with an empty disk.
 func (cl *cluster) add() roster.Member {
 	cl.next++
 	name := fmt.Sprintf("n%d", cl.next)
@@ -57,7 +58,7 @@
 	return roster.Member{Node: name, Address: name, Domain: name, DiskID: h.DiskID()}
 }
 
-// restart starts the holder's process again, on the same disk.
+// restart restarts a server's process, on the same disk.
 func (cl *cluster) restart(name string) {
 	cl.mu.Lock()
 	old := cl.servers[name]
@@ -85,7 +86,7 @@
 	return cl.roster
 }
 
-// replace gives place i to the member and has it join, as the keeper does.
+// replace makes the member replica i and copies the records to it, as the keeper does.
 func (cl *cluster) replace(i int, m roster.Member) error {
 	r := cl.current()
 	r.Version++
@@ -106,7 +107,7 @@
 
 var errDown = errors.New("down")
 
-// way calls a holder.
+// conn calls a server in the same process.
 type conn struct {
 	cl      *cluster
 	address string
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// client returns a daemon's access; it knows the roster of the moment.
+// client returns a daemon's client, which starts with the current roster.
 func (cl *cluster) client() *Client {
 	var mu sync.Mutex
 	known := cl.current()
--- a/internal/disk/quorum/latency.go
+++ b/internal/disk/quorum/latency.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// paceShare is the weight of a new answer in a place's usual time. At the
-	// dozens of answers a second that a daemon gets under load, the usual time
+	// averageWeight is the weight of a new sample in a replica's moving average.
+	// At the dozens of answers a second that a daemon gets under load, the average
 	// follows a change within half a second.
 	averageWeight = 0.1
-	// hedgeFactor is how much longer than usual at most places an answer may
-	// take before another place is asked. The slowest of a hundred answers of a
-	// healthy place takes about three times as long as usual.
+	// hedgeFactor times the median of the replicas' average latencies is the delay
+	// before a hedged request. The slowest of a hundred answers of a healthy replica
+	// takes about three times its average.
 	hedgeFactor = 3
 )
 
-// paces tells how long places usually take to answer.
+// latencies keeps a moving average of each replica's latency, from which the hedge
+// delay follows.
 //
-// A place that is slower than the others is worth asking another one. Where all
-// are slow because they have too much to do, it makes them slower still: at a
-// fixed time of 20 ms, each write went to all five places in place of three, and
-// the holders were kept from catching up after a burst.
+// Hedging helps against a replica that is slower than the others. Where all are slow
+// because they are overloaded, it adds load: with a fixed delay of 20 ms, each write
+// went to all five replicas instead of three, and the record servers could not work
+// off their queues after a burst.
 type latencies struct {
 	mu       sync.Mutex
-	averages map[string]time.Duration // by the disk's life
+	averages map[string]time.Duration // by disk ID
 }
 
-// note learns from an answer. Failures tell nothing of a place's pace, but for
-// one that never answered.
+// observe adds the latency of one request. Failures are ignored, except for a
+// time-out, which counts with the time waited.
 func (l *latencies) observe(replica roster.Replica, took time.Duration, err error) {
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return
@@ -51,13 +52,14 @@
 	l.averages[replica.DiskID] = old + time.Duration(averageWeight*float64(took-old))
 }
 
-// hedge is how long to wait for an answer before the next place is asked.
+// hedge returns how long to wait for an answer before the request also goes to the
+// next replica: at least minDelay.
 func (l *latencies) hedge(replicas []roster.Replica, minDelay time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	averages := make([]time.Duration, 0, len(replicas))
-	for _, place := range replicas {
-		if d, known := l.averages[place.DiskID]; known {
+	for _, replica := range replicas {
+		if d, known := l.averages[replica.DiskID]; known {
 			averages = append(averages, d)
 		}
 	}
@@ -65,6 +67,6 @@
 		return minDelay
 	}
 	slices.Sort(averages)
-	// The middle one: at most f of 2f+1 places are slow for a reason of their own.
+	// The median: at most f of 2f+1 replicas are slow because of a fault of their own.
 	return max(hedgeFactor*averages[(len(averages)-1)/2], minDelay)
 }
--- a/internal/disk/quorum/latency_test.go
+++ b/internal/disk/quorum/latency_test.go
@@ -17,16 +17,15 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// queues are places that do one thing after the other, each in some time.
+// serialReplicas are replicas that process their requests one after the other.
 type serialReplicas struct {
 	mu           sync.Mutex
 	serviceTime  time.Duration
-	serviceTimes map[string]time.Duration // places with a time of their own
+	serviceTimes map[string]time.Duration // of replicas that differ
 	busyUntil    map[string]time.Time
 	served       int
 }
 
-// place is the way to one of them.
 type serialConn struct {
 	s       *serialReplicas
 	address string
@@ -56,7 +55,7 @@
 	return err
 }
 
-// client writes to five places, of which two may be lost.
+// client writes to five replicas, of which two may be lost.
 func (s *serialReplicas) client() *Client {
 	r := roster.Roster{Version: 1, MaxFailures: 2}
 	for i := range 5 {
@@ -69,7 +68,8 @@
 	}
 }
 
-// play writes records at a rate and returns how many became durable in time.
+// send writes records at a rate and returns how many became durable in time, and how
+// many were written in all.
 func (s *serialReplicas) send(c *Client, perSecond int, duration time.Duration) (inTime, all int) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -91,35 +91,34 @@
 	return inTime, all
 }
 
-// Many callers come at once, and the places of records have more to do than they
-// can for two seconds. Afterwards they could do all that is asked. If every late
-// answer made daemons ask further places, they would go on being asked for more
-// than they can do, and callers would be refused until traffic fell far lower.
+// A burst overloads the record servers for two seconds; the load afterwards is within
+// their capacity. If every late answer led to a hedged request, the hedges would keep
+// them overloaded, and callers would be refused until traffic fell far lower.
 func TestRecoversAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		// 200 a second at each place are 333 writes a second to three of five.
-		q := &serialReplicas{serviceTime: 5 * time.Millisecond, busyUntil: map[string]time.Time{}}
-		c := q.client()
-		q.send(c, 200, time.Second)
-		q.send(c, 600, 2*time.Second)
-		q.send(c, 250, 4*time.Second) // time to catch up
-		before := q.served
-		inTime, all := q.send(c, 250, 2*time.Second)
-		asked := float64(q.served-before) / float64(all)
-		time.Sleep(2 * replicaTimeout) // until all has ended
-		t.Logf("%d of %d writes in time, %.2f places asked for each", inTime, all, asked)
+		// 200 a second at each replica are 333 writes a second to three of five.
+		s := &serialReplicas{serviceTime: 5 * time.Millisecond, busyUntil: map[string]time.Time{}}
+		c := s.client()
+		s.send(c, 200, time.Second)
+		s.send(c, 600, 2*time.Second)
+		s.send(c, 250, 4*time.Second) // time to catch up
+		before := s.served
+		inTime, all := s.send(c, 250, 2*time.Second)
+		perWrite := float64(s.served-before) / float64(all)
+		time.Sleep(2 * replicaTimeout) // until all requests have ended
+		t.Logf("%d of %d writes in time, %.2f replicas asked for each", inTime, all, perWrite)
 		is.True(inTime == all)
 	})
 }
 
-// One disk hangs or is slow. Callers must not wait for it: another place is asked
-// as soon as the slow one is late by the others' measure.
+// One disk hangs and another is slow. Callers must not wait for them: the write is
+// hedged to another replica once the slow one exceeds the usual latency of the others.
 func TestHedgesPastSlowReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		q := &serialReplicas{serviceTime: 2 * time.Millisecond, busyUntil: map[string]time.Time{}, serviceTimes: map[string]time.Duration{"n0": 150 * time.Millisecond, "n3": time.Hour}}
-		c := q.client()
+		s := &serialReplicas{serviceTime: 2 * time.Millisecond, busyUntil: map[string]time.Time{}, serviceTimes: map[string]time.Duration{"n0": 150 * time.Millisecond, "n3": time.Hour}}
+		c := s.client()
 		worst := time.Duration(0)
 		for i := range 50 {
 			began := time.Now()
--- a/internal/disk/quorum/quorum.go
+++ b/internal/disk/quorum/quorum.go
@@ -1,11 +1,11 @@
-// Package quorum reads and writes durable records at the holders, for a daemon
-// that serves callers.
+// Package quorum is the client side of the replicated durable records: it reads and
+// writes them at the record servers, for a daemon that serves callers.
 //
-// A write goes to f+1 places of the roster, and to others as soon as one fails or
-// is slower than most, so that a slow disk delays nobody for long; it is
-// acknowledged once f+1 have synced it. A read asks the nearest of these places
-// first. That a turn does not exist is certain only after so many places have said
-// so that they would include one with every acknowledged write.
+// A write goes to f+1 replicas of the roster, and is hedged to others as soon as one
+// fails or is slower than most, so that a slow disk adds little latency; it is
+// acknowledged once f+1 have synced it. A read asks the nearest of these replicas
+// first. A turn is reported as missing only after so many replicas have answered that
+// they lack it that one of them would have every acknowledged write.
 package quorum
 
 import (
@@ -25,42 +25,44 @@
 )
 
 const (
-	// placeTime bounds one request to one place. Slow disks take 150 ms, and
-	// hang for seconds; a write that comes late is still of use.
+	// replicaTimeout bounds one request to one replica. Slow disks take 150 ms, and
+	// hang for seconds; a late write still adds a copy.
 	replicaTimeout = 2500 * time.Millisecond
-	// hedgeWrite is the least time after which a write that is not durable also
-	// goes to the next place: on the slowest disks a sync takes 5 ms and may wait
+	// minWriteHedge is the minimum delay before a write that is not yet durable also
+	// goes to the next replica: on the slowest disks a sync takes 5 ms and may wait
 	// for another.
 	minWriteHedge = 20 * time.Millisecond
-	// hedgeRead is the same of a read: a healthy place answers in 2 ms.
+	// minReadHedge is the same for reads: a healthy replica answers in 2 ms.
 	minReadHedge = 25 * time.Millisecond
-	// tryPause is kept between tries, so that a roster that just changed is learnt.
+	// retryPause is the pause between attempts, in which a roster that has just
+	// changed reaches this daemon.
 	retryPause = 40 * time.Millisecond
 )
 
 var (
-	// ErrNoTurn reports a turn that certainly does not exist.
+	// ErrNoTurn reports a turn that does not exist, as an absence quorum of replicas
+	// has confirmed.
 	ErrNoTurn = errors.New("no such turn")
-	// ErrUnsure reports that too few places answered.
-	ErrNoQuorum = errors.New("too few holders of records answer")
+	// ErrNoQuorum reports that too few replicas answered.
+	ErrNoQuorum = errors.New("no quorum: too few record servers answered")
 )
 
 type (
-	// Client is the daemon's access to the records.
+	// Client reads and writes records. Set the fields before use.
 	Client struct {
 		Peer    func(address string) link.Invoker
 		Roster  func() roster.Roster
-		Learn   func(data []byte)         // takes a roster that a holder told
-		Refresh func(ctx context.Context) // reads the roster from the store, at most now and then
+		Learn   func(data []byte)         // called with a newer roster, encoded, from a record server's refusal
+		Refresh func(ctx context.Context) // reads the roster from the store; limits its own rate
 		Domain  string                    // own failure domain
 
 		writeLatency latencies
 		readLatency  latencies
 	}
 
-	// Result is what a write has learnt.
+	// Result is the outcome of a write.
 	Result struct {
-		Charges []index.Charge // of the program, what any place knows
+		Charges []index.Charge // of the program, merged from all replicas that answered
 	}
 
 	reply struct {
@@ -71,9 +73,10 @@
 	}
 )
 
-// Write makes a record durable. After an error it may be durable or not. The
-// result of a reservation has what every acknowledged reservation of the program
-// before it takes; that of other records may lack some.
+// Write makes a record durable. It retries until ctx ends; after an error the record
+// may be durable or not. The result of a reservation has the charge of every
+// reservation of the program that was acknowledged before; that of other records may
+// lack some.
 func (c *Client) Write(ctx context.Context, rec index.Record) (res Result, err error) {
 	defer func() { err = errors.Wrapf(err, "write record of %s", rec.Attempt) }()
 	for {
@@ -87,8 +90,8 @@
 	}
 }
 
-// again waits before the next try, and has a roster that may be old read anew. It
-// is false if ctx has ended.
+// waitRetry waits before the next attempt, and first refreshes the roster if it may
+// be stale. It returns false if ctx has ended.
 func (c *Client) waitRetry(ctx context.Context, stale bool) bool {
 	if stale {
 		c.Refresh(ctx)
@@ -122,10 +125,10 @@
 		case got := <-replies:
 			received++
 			if !c.accepted(got.err, got.write.Refusal, &stale) {
-				// Under a newer roster other places count, so nothing is gained
-				// by waiting for those of this one, which may be gone. A place
-				// that refuses for a reason of its own (another disk is there
-				// now, or it is full) is passed by.
+				// A newer roster has other replicas, so waiting for the rest of
+				// this one, which may be gone, is useless. A replica that
+				// refuses for a reason of its own (its disk was replaced, or is
+				// full) is skipped.
 				if got.write.Refusal.Version > r.Version {
 					return res, stale, ErrNoQuorum
 				}
@@ -155,8 +158,8 @@
 	return res, stale, ErrNoQuorum
 }
 
-// writeTo writes to one place. It goes on after the caller has what it needs: a
-// place that has the record is one more disk that may outlive the others.
+// writeTo writes to one replica. It goes on after the write quorum is reached, and
+// after ctx is cancelled: each further copy may outlive the others.
 func (c *Client) writeTo(ctx context.Context, version uint64, p roster.Replica, rec index.Record, replies chan<- reply) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), replicaTimeout)
 	defer stop()
@@ -168,11 +171,11 @@
 	replies <- out
 }
 
-// preferred returns the places in the order in which a program's records go to
-// them. Writing to f+1 of the 2f+1 places takes a third to two fifths off the
-// holders' work and off the bytes between failure domains; that all daemons
-// prefer the same ones keeps a program's turns together, so that the first place
-// that is asked has the whole chain.
+// preferenceOrder returns the replicas in the order in which a program's records are
+// written to them, by rendezvous hashing; joining ones come last. Writing to f+1 of the
+// 2f+1 replicas saves a third to two fifths of the record servers' work and of the
+// bytes between failure domains. All daemons use the same order, which keeps a
+// program's turns together, so that the first replica asked has the whole chain.
 func preferenceOrder(r roster.Roster, key string) []roster.Replica {
 	list := slices.Clone(r.Replicas)
 	slices.SortStableFunc(list, func(a, b roster.Replica) int {
@@ -187,7 +190,8 @@
 	return list
 }
 
-// accepted tells whether a place did what it was asked.
+// accepted reports whether a replica executed the request. After a refusal it sets
+// stale, and passes on the roster that came with it.
 func (c *Client) accepted(err error, refusal recsrv.Refusal, stale *bool) bool {
 	if err != nil {
 		return false
@@ -202,12 +206,12 @@
 	return false
 }
 
-// Read returns a turn with its chain, the oldest first. The error is ErrNoTurn
-// only if it is certain that the turn does not exist.
+// Read returns a turn with its chain, the oldest first. It retries until ctx ends. The
+// error is ErrNoTurn only if an absence quorum lacks the turn.
 //
-// A place may hold a turn and lack one before it that was written while the place
-// was away. So what a place lacks is asked of the others, turn by turn; only the
-// places' answers about one and the same turn can add up to a certain no.
+// A replica may have a turn and lack a previous one that was written while the replica
+// was down. The turns that one replica lacks are therefore read from the others, one
+// by one; an absence quorum is counted for each turn separately.
 func (c *Client) Read(ctx context.Context, program, turn string) (chain []index.Turn, err error) {
 	defer func() { err = errors.Wrapf(err, "read turn %s", turn) }()
 	for next := turn; next != ""; {
@@ -215,7 +219,7 @@
 		part, next, err = c.readPart(ctx, program, next)
 		switch {
 		case errors.Is(err, ErrNoTurn) && len(chain) > 0:
-			return nil, errors.Wrapf(ErrNoQuorum, "a turn before it is missing: %s", next)
+			return nil, errors.Wrapf(ErrNoQuorum, "a previous turn is missing: %s", next)
 		case err != nil:
 			return nil, err
 		}
@@ -225,8 +229,8 @@
 	return chain, nil
 }
 
-// readPart returns the turn and those before it, the newest first, as far as one
-// place has them, and the first that it lacks.
+// readPart returns the turn and the previous ones, the newest first, as far as one
+// replica has them, and the id of the first that it lacks.
 func (c *Client) readPart(ctx context.Context, program, turn string) (part []index.Turn, next string, err error) {
 	for {
 		var stale bool
@@ -261,7 +265,7 @@
 			send()
 			if !c.accepted(got.err, got.read.Refusal, &stale) {
 				if got.read.Refusal.Version > r.Version {
-					return nil, turn, stale, ErrNoQuorum // as for writes
+					return nil, turn, stale, ErrNoQuorum // as in write
 				}
 				continue
 			}
@@ -283,7 +287,7 @@
 	return nil, turn, stale, ErrNoQuorum
 }
 
-// asker returns a function that asks the next place.
+// sendNext returns a function that sends the read to the next replica.
 func (c *Client) sendNext(ctx context.Context, version uint64, turn string, replicas []roster.Replica, replies chan<- reply) func() {
 	next := 0
 	return func() {
@@ -305,9 +309,9 @@
 	}
 }
 
-// nearest returns the places in the order in which a read asks them: those that
-// the program's records go to first, and of these the one in the own failure
-// domain first.
+// readOrder returns the replicas in the order in which a read asks them: those that
+// the program's records are written to first, and of these the ones in this daemon's
+// failure domain first.
 func (c *Client) readOrder(r roster.Roster, key string) []roster.Replica {
 	list := preferenceOrder(r, key)
 	preferred := list[:min(r.WriteQuorum(), len(list))]
--- a/internal/disk/quorum/quorum_test.go
+++ b/internal/disk/quorum/quorum_test.go
@@ -38,9 +38,9 @@
 	is.New(t).NoErr(err)
 }
 
-// A holder of records is away while some turns are written, and another while
-// others are. Each has a part of the chain, and neither has all of it. The
-// caller's next turn must get the whole chain, not be told that it is gone.
+// Each of two record servers is down while some turns of a chain are written, so that
+// neither has all of it. A read must return the whole chain and not report a turn as
+// missing.
 func TestChainSpreadOverReplicas(t *testing.T) { synctest.Test(t, testChainSpreadOverReplicas) }
 
 func testChainSpreadOverReplicas(t *testing.T) {
@@ -54,14 +54,14 @@
 	cl.set(cl.down, "n2", true)
 	write(t, c, turn("3", "2"))
 	cl.set(cl.down, "n2", false)
-	cl.set(cl.down, "n3", true) // the only one that has everything
+	cl.set(cl.down, "n3", true) // the only one that has the whole chain
 	chain, err := c.Read(context.Background(), "", "3")
 	is.NoErr(err)
 	is.Equal(inputs(chain), "1 2 3")
 }
 
-// Too few holders answer. A caller that names a turn is told to come back, since
-// "no such turn" would end a program whose turn lies on a disk that is away.
+// Too few record servers answer. The read must fail with ErrNoQuorum, so that the
+// caller retries; ErrNoTurn would end a program whose turn is on a disk that is down.
 func TestNoTurnNeedsQuorum(t *testing.T) { synctest.Test(t, testNoTurnNeedsQuorum) }
 
 func testNoTurnNeedsQuorum(t *testing.T) {
@@ -80,9 +80,9 @@
 	is.True(errors.Is(err, ErrNoQuorum))
 }
 
-// A VM came back with an empty disk and another is down. The empty one knows of
-// no turn at all; if its answer counted, callers would be told that turns which
-// they saw whole don't exist.
+// A VM was replaced by one with an empty disk and another is down. The empty one has no
+// turns; if its answer counted for the quorum, turns that were delivered whole would be
+// reported as missing.
 func TestJoiningReplicaDoesNotCount(t *testing.T) { synctest.Test(t, testJoiningReplicaDoesNotCount) }
 
 func testJoiningReplicaDoesNotCount(t *testing.T) {
@@ -91,7 +91,7 @@
 	c := cl.client()
 	cl.set(cl.down, "n3", true)
 	write(t, c, turn("1", ""))
-	cl.set(cl.down, "n1", true) // two are down: the copy can't be made whole
+	cl.set(cl.down, "n1", true) // two are down: the copy can't be completed
 	cl.set(cl.down, "n3", false)
 	is.True(cl.replace(1, cl.add()) != nil)
 	c.Refresh(context.Background())
@@ -103,9 +103,9 @@
 	is.Equal(inputs(chain), "1")
 }
 
-// A place was taken over while its former VM lives on, and one daemon has not
-// heard of it. What that daemon writes may be acknowledged by the former VM, which
-// no reader asks any more; it must not count as durable.
+// A replica was replaced while its former VM still runs, and one daemon has not learnt
+// the new roster. Its writes may be acknowledged by the former VM, which readers do not
+// ask any more; they must not count as durable.
 func TestWritesUnderAnOldRosterAreFenced(t *testing.T) {
 	synctest.Test(t, testWritesUnderAnOldRosterAreFenced)
 }
@@ -116,13 +116,13 @@
 	old, fresh := cl.client(), cl.client()
 	is.NoErr(cl.replace(2, cl.add()))
 	cl.set(cl.down, "n2", true)
-	old.Refresh = func(context.Context) {} // it doesn't reach the store
+	old.Refresh = func(context.Context) {} // the store is unreachable
 	old.Learn = func([]byte) {}
 	_, err := old.Write(shortContext(t), turn("1", ""))
 	is.True(err != nil) // n1 refuses, though n3 would take it
 	cl.restart("n1")
 	_, err = old.Write(shortContext(t), turn("2", ""))
-	is.True(err != nil) // and it still does after a restart
+	is.True(err != nil) // also after a restart
 	fresh.Refresh(context.Background())
 	write(t, fresh, turn("3", ""))
 	chain, err := fresh.Read(context.Background(), "", "3")
@@ -130,14 +130,14 @@
 	is.Equal(inputs(chain), "3")
 }
 
-// A VM with a disk is gone without a word and another has taken its place. A daemon
-// that has not heard of it asks the old places; two say so at once. If it waited
-// for the third, callers' turns would stand still for seconds.
+// A VM with a disk stops answering and is replaced. A daemon with the old roster asks
+// the old replicas, and two refuse at once because its roster is stale. If it waited for
+// the third, callers' turns would be delayed by seconds.
 func TestStaleRosterIsReplacedAtOnce(t *testing.T) { synctest.Test(t, testStaleRosterIsReplacedAtOnce) }
 
 func testStaleRosterIsReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
-	for _, program := range []string{"p", "q", "r", "s"} { // whichever places they prefer
+	for _, program := range []string{"p", "q", "r", "s"} { // with different preference orders
 		cl := newCluster(t, 3, 1)
 		c := cl.client()
 		write(t, c, turn(program, ""))
@@ -148,13 +148,13 @@
 		_, err := c.Read(context.Background(), program, program)
 		is.NoErr(err)
 		is.True(time.Since(began) < 200*time.Millisecond)
-		time.Sleep(replicaTimeout) // until what still waits for n1 has ended
+		time.Sleep(replicaTimeout) // until the requests to n1 have timed out
 	}
 }
 
-// A process that was away catches up while another disk is joining, so that fewer
-// places can be read than a new disk needs. Trying again and again would cost the
-// others their time; a disk that is new must not be content with it.
+// A restarted process catches up while another disk is joining, so that fewer replicas
+// than the read quorum can be copied from. That must be enough for it, since each retry
+// loads the others; for a new disk it must not be enough.
 func TestCatchUpWithTooFewSources(t *testing.T) { synctest.Test(t, testCatchUpWithTooFewSources) }
 
 func testCatchUpWithTooFewSources(t *testing.T) {
@@ -170,13 +170,13 @@
 	is.NoErr(cl.servers["n1"].CatchUp(t.Context(), r, peers))
 	_, turns, _ := cl.servers["n1"].Stats()
 	is.Equal(turns, 1)
-	is.True(cl.servers["n3"].CatchUp(t.Context(), r, peers) == nil) // two others are whole
+	is.True(cl.servers["n3"].CatchUp(t.Context(), r, peers) == nil) // two others are complete
 	r.Replicas[1].Joining = true
 	is.True(cl.servers["n3"].CatchUp(t.Context(), r, peers) != nil)
 }
 
-// Two of a program's sub-agents ask at the same time, through two daemons. Each
-// must see what the other takes, or both are let in where the budget bears one.
+// Two of a program's sub-agents reserve at the same time, through two daemons. At least
+// one must see the other's reservation, or both are admitted where the budget covers one.
 func TestConcurrentReservationsSeeEachOther(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) { reserveTwice(t, seed) })
@@ -199,9 +199,9 @@
 	is.New(t).True(!first || !second)
 }
 
-// A VM with a new disk copies from several others, which hold nearly the same. If
-// it copied all of each, it would take so long and so much of the others' time
-// that the next loss comes before it is done.
+// A VM with a new disk copies from several others, which have nearly the same records.
+// If it copied all of each, the copy would take so long, and load the others so much,
+// that another disk may be lost before it is complete.
 func TestJoinCopiesWhatIsMissing(t *testing.T) { synctest.Test(t, testJoinCopiesWhatIsMissing) }
 
 func testJoinCopiesWhatIsMissing(t *testing.T) {
@@ -213,21 +213,21 @@
 		r.Turn.Input = make([]byte, 5000)
 		write(t, c, r)
 	}
-	const bytes = 40 * 5100 // of the records, each of which lies on three places
+	const bytes = 40 * 5100 // of the records, each of which is on three replicas
 	m := cl.add()
 	is.NoErr(cl.replace(0, m))
 	_, turns, copied := cl.servers[m.Address].Stats()
 	is.Equal(turns, 40)
 	is.True(copied < bytes*11/10)         // no record twice
-	is.True(cl.bytesPulled < bytes*13/10) // and hardly more asked for
+	is.True(cl.bytesPulled < bytes*13/10) // and hardly more transferred
 }
 
 var histories = flag.Int("histories", 80, "how many random histories TestHistories plays")
 
-// Places go down, lose answers, restart, lose their disks one after the other and
-// are emptied while turns are written. Whatever was acknowledged must be read, and
-// a program's shares must hold all that was. Three in four histories bear one loss,
-// the others two; `-args -histories 100000` plays many.
+// Record servers go down, lose replies, restart, lose their disks one after the other
+// and are retired while turns are written. Every acknowledged turn must be readable, and
+// a program's charges must include every acknowledged reservation. Three in four
+// histories tolerate one lost disk, the others two; `-args -histories 100000` runs many.
 func TestHistories(t *testing.T) {
 	work := make(chan uint64)
 	go func() {
@@ -264,17 +264,17 @@
 		c := clients[rnd.IntN(len(clients))]
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		id := fmt.Sprint("t", step)
-		switch places := len(cl.current().Replicas); rnd.IntN(9) {
+		switch replicas := len(cl.current().Replicas); rnd.IntN(9) {
 		case 0:
-			injectFaults(cl, rnd, places-losses-1)
+			injectFaults(cl, rnd, replicas-losses-1)
 		case 1:
 			clearFaults(cl)
 			replaceDisk(t, cl, rnd)
 		case 2:
-			cl.restart(cl.current().Replicas[rnd.IntN(places)].Address)
+			cl.restart(cl.current().Replicas[rnd.IntN(replicas)].Address)
 		case 3:
-			if places > losses+1 && rnd.IntN(4) == 0 {
-				_ = cl.retire(rnd.IntN(places)) // one that breaks off changes nothing
+			if replicas > losses+1 && rnd.IntN(4) == 0 {
+				_ = cl.retire(rnd.IntN(replicas)) // one that fails changes nothing
 			}
 		case 4, 5:
 			if res, err := c.Write(ctx, reserve("p", id, step+1)); err == nil {
@@ -297,7 +297,8 @@
 	}
 }
 
-// hurt takes as many places down, or their answers away, as may be lost.
+// injectFaults takes that many replicas down or drops their replies, in place of the
+// faults before.
 func injectFaults(cl *cluster, rnd *rand.Rand, losses int) {
 	clearFaults(cl)
 	for _, i := range rnd.Perm(len(cl.current().Replicas))[:losses] {
--- a/internal/disk/quorum/retire_test.go
+++ b/internal/disk/quorum/retire_test.go
@@ -16,7 +16,7 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// handOver empties place i where no VM can take it, as the keeper does.
+// retire removes replica i without a successor, as the keeper does.
 func (cl *cluster) retire(i int) error {
 	r := cl.current()
 	p := r.Replicas[i]
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// missing returns a turn that a place of the roster lacks, or "".
+// missing describes a turn that a replica of the roster lacks; it is "" if there is none.
 func (cl *cluster) missing(turns []string) string {
 	r := cl.current()
 	for _, p := range r.Replicas {
@@ -50,10 +50,9 @@
 	return ""
 }
 
-// A VM with a disk is to be taken away for good, and no other can take its place,
-// while callers' turns are written. The two that remain must both have every turn
-// that was acknowledged: from then on one answer is enough to tell a caller that a
-// turn does not exist.
+// A VM with a disk is retired without a successor while turns are written. The two that
+// remain must both have every acknowledged turn, since a read quorum is one replica from
+// then on.
 func TestRetireWithoutASpare(t *testing.T) { synctest.Test(t, testRetireWithoutASpare) }
 
 func testRetireWithoutASpare(t *testing.T) {
@@ -88,8 +87,8 @@
 	}
 }
 
-// The hand-over breaks off because one of the others is down. The VM must go on
-// holding its place and taking records, or nothing could be written any more.
+// Retiring fails because one of the others is down. The VM must stay a replica and accept
+// records again, or nothing could be written any more.
 func TestRetireFails(t *testing.T) { synctest.Test(t, testRetireFails) }
 
 func testRetireFails(t *testing.T) {
@@ -106,9 +105,9 @@
 	is.Equal(inputs(chain), "1 2")
 }
 
-// A copy of a disk begins while records are written to it. What it acknowledges
-// after the copy has asked must be in what the copy gets, or be refused: it would
-// be on one disk of the new roster only.
+// A copy of a disk begins while records are written to it. Each write that it
+// acknowledges under the old roster must be in the copy, or be refused: otherwise the
+// record would be on only one disk of the new roster.
 func TestWriteDuringStartOfCopy(t *testing.T) { synctest.Test(t, testWriteDuringStartOfCopy) }
 
 func testWriteDuringStartOfCopy(t *testing.T) {
@@ -141,14 +140,14 @@
 		copied[attempt(t, data)] = true
 	}
 	for id := range acked {
-		is.True(copied[id]) // or else it had to be refused
+		is.True(copied[id]) // it was acknowledged, so it must have been copied
 	}
 }
 
-// One of three VMs was emptied without a successor, and later another place was
-// taken over while its former VM lived on behind a cut. A daemon that has heard of
-// neither asks that VM first. Its "no such turn" is not certain: the caller would
-// be told that a turn is gone which it saw whole.
+// One of three VMs was retired without a successor, and later another replica was
+// replaced while its former VM still runs, partitioned off. A daemon whose roster is from
+// before the replacement may ask that VM first. That the VM lacks a turn must not be
+// reported as ErrNoTurn: the turn may have been delivered whole.
 func TestFormerReplicaCannotProveAbsence(t *testing.T) {
 	synctest.Test(t, testFormerReplicaCannotProveAbsence)
 }
@@ -164,7 +163,7 @@
 	is.NoErr(cl.replace(0, cl.add()))
 	fresh := cl.client()
 	for i, c := range stale {
-		id := fmt.Sprint(i) // some ask the former place first, some last
+		id := fmt.Sprint(i) // some ask the former replica first, some last
 		write(t, fresh, turn(id, ""))
 		chain, err := c.Read(t.Context(), id, id)
 		is.NoErr(err)
@@ -172,10 +171,10 @@
 	}
 }
 
-// One place of three refuses for a reason of its own: its VM came back with an empty
-// disk and has not claimed the place yet, or its disk is full or frozen. The other
-// two are enough. If a daemon gave up at the refusal, the callers whose programs
-// prefer that place would be told to come back until the roster changes.
+// One replica of three refuses for a reason of its own: its VM restarted with an empty
+// disk and has not claimed its place yet, or its disk is full or frozen. The other two
+// are enough. If a daemon gave up at the refusal, the programs that prefer that replica
+// would fail until the roster changes.
 func TestRefusingReplicaIsSkipped(t *testing.T) { synctest.Test(t, testRefusingReplicaIsSkipped) }
 
 func testRefusingReplicaIsSkipped(t *testing.T) {
@@ -194,7 +193,7 @@
 		is := is.New(t)
 		cl := newCluster(t, 3, 1)
 		c := cl.client()
-		for i := range 8 { // some prefer the place, some don't
+		for i := range 8 { // some prefer the replica, some don't
 			write(t, c, reserve(fmt.Sprint(i), fmt.Sprint("r", i), 1))
 			write(t, c, turn(fmt.Sprint(i), ""))
 		}
