--- a/internal/disk/recsrv/copy.go
+++ b/internal/disk/recsrv/copy.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// pageTime bounds one page of a copy, which takes some 20 ms where nothing
-	// is wrong; pageTries and pagePause bridge a restart of the other process.
+	// pageTimeout bounds one page of a copy, which normally takes some 20 ms;
+	// pageAttempts and pageRetryPause bridge a restart of the other process.
 	pageTimeout    = 2 * time.Second
 	pageAttempts   = 3
 	pageRetryPause = 100 * time.Millisecond
 )
 
-// Peers returns the way to a daemon.
+// Peers returns the connection to the daemon at an address.
 type Peers func(address string) link.Invoker
 
-// ErrTooFew reports that too few other places could be copied from.
-var ErrTooFewSources = errors.New("too few places to copy from")
+// ErrTooFewSources reports that too few other replicas could be copied from.
+var ErrTooFewSources = errors.New("too few replicas to copy from")
 
-// Join copies the records of so many other places that every acknowledged record
-// is among them. The roster is the one in which this holder is joining, or one in
-// which it has missed some.
+// CatchUp copies the records of a read quorum of other replicas, so that every
+// acknowledged record is among them. It is used when this replica is joining the roster,
+// and after a restart, in which it has missed records.
 //
-// The places hold nearly the same. So each first tells what it has without texts,
-// which is a fiftieth of the bytes, and only what is missing here is fetched.
+// The replicas have nearly the same records. Each is therefore first scanned without
+// texts, which is a fiftieth of the bytes, and only missing records are fetched.
 func (s *Server) CatchUp(ctx context.Context, r roster.Roster, peers Peers) (err error) {
-	defer func() { err = errors.Wrap(err, "join") }()
+	defer func() { err = errors.Wrap(err, "catch up") }()
 	copied := 0
 	for _, p := range r.Replicas {
 		if p.DiskID == s.diskID || p.Joining {
@@ -46,13 +46,13 @@
 		}
 		err = errors.CombineErrors(err, copyErr)
 		if copied >= r.ReadQuorum() {
-			// What this holder knew already may have been on its way to the disk.
+			// Records that were indexed already may not have been synced yet.
 			return s.barrier(ctx, r.Version)
 		}
 	}
 	if self, _ := r.Find(s.diskID); !self.Joining {
-		// This holder has all that it acknowledged. What it missed only makes
-		// one more copy, so it takes what there is.
+		// This replica has all records that it acknowledged. Those that it missed
+		// are only additional copies, so the ones available are enough.
 		return nil
 	}
 	return errors.Wrapf(ErrTooFewSources, "%d of %d (%v)", copied, r.ReadQuorum(), err)
@@ -84,7 +84,7 @@
 	}
 }
 
-// missing returns where the records lie that this holder lacks.
+// missing returns the positions of the records that this replica lacks.
 func (s *Server) missing(reply PullReply) (list []seglog.Pos, err error) {
 	for i, data := range reply.Records {
 		r, err := index.Decode(data)
@@ -100,7 +100,7 @@
 	return list, nil
 }
 
-// fetch copies whole records, some at a time.
+// fetch copies the records at these positions in full, about pageSize bytes at a time.
 func (s *Server) fetch(ctx context.Context, t Target, list []seglog.Pos, peer link.Invoker) error {
 	for len(list) > 0 {
 		n, size := 0, 0
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// pull makes one ask, again where it had no answer: it is idempotent, and a copy
-// that starts over takes seconds in which one more loss could not be borne.
+// pull makes one request and retries it after an error: it is idempotent, and a copy
+// that starts over takes seconds in which the loss of another disk could lose records.
 func pull(ctx context.Context, peer link.Invoker, req PullRequest) (reply PullReply, err error) {
 	for range pageAttempts {
 		reply = PullReply{}
@@ -133,7 +133,7 @@
 		}
 	}
 	if err == nil && reply.Refusal.Code != "" {
-		err = errors.Newf("refused: %s", reply.Refusal.Code)
+		err = errors.Newf("pull refused: %s", reply.Refusal.Code)
 	}
 	return reply, err
 }
@@ -144,11 +144,11 @@
 	return link.Ask(ctx, p, method, in, out)
 }
 
-// HandOver copies all records from here to every other place. It is used where
-// no VM can take this one's place: afterwards the others hold everything
-// without it. The holder must be frozen.
+// CopyToOthers copies all records to every other replica. It is used to retire this
+// VM where no other can replace it: afterwards each of the others has all records. The
+// server must be frozen.
 func (s *Server) CopyToOthers(ctx context.Context, r roster.Roster, peers Peers) (err error) {
-	defer func() { err = errors.Wrap(err, "hand over") }()
+	defer func() { err = errors.Wrap(err, "copy to others") }()
 	if err = s.barrier(ctx, r.Version); err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 				return err
 			}
 			if reply.Refusal.Code != "" {
-				return errors.Newf("%s refused: %s", p.Node, reply.Refusal.Code)
+				return errors.Newf("%s refused the copy: %s", p.Node, reply.Refusal.Code)
 			}
 		}
 		from = after
--- a/internal/disk/recsrv/diskid.go
+++ b/internal/disk/recsrv/diskid.go
@@ -18,16 +18,16 @@
 	dirMode     = 0o700
 )
 
-// identify returns the disk's life, and whether the disk was empty. The life is
-// durable before anything else is written: a holder that lost its records but
-// kept its name would count as one that has them.
+// loadDiskID returns the disk's random ID, and whether the disk was empty and the ID is
+// new. The ID is durable before any record is written: a disk that lost its records but
+// kept its ID would count as one that has them.
 func loadDiskID(dir string) (id string, empty bool, err error) {
-	defer func() { err = errors.Wrap(err, "identify disk") }()
+	defer func() { err = errors.Wrap(err, "load disk ID") }()
 	if err = os.MkdirAll(dir, dirMode); err != nil {
 		return "", false, err
 	}
 	name := filepath.Join(dir, diskIDFile)
-	data, err := os.ReadFile(name) //nolint:gosec // the settings name the folder
+	data, err := os.ReadFile(name) //nolint:gosec // the folder comes from the settings
 	id = strings.TrimSpace(string(data))
 	if err == nil && len(id) == 2*diskIDBytes {
 		return id, false, nil
--- a/internal/disk/recsrv/recsrv.go
+++ b/internal/disk/recsrv/recsrv.go
@@ -1,11 +1,10 @@
-// Package holder keeps durable records on one VM's disk for the daemons that
-// serve callers: it appends what they write, answers what they read, and lets
-// another holder copy everything.
+// Package recsrv is the record server: it stores durable records on one VM's disk for
+// the daemons that serve callers. It appends the records they write, answers their
+// reads, and lets other record servers copy its log.
 //
-// A holder decides nothing about budgets or turns. It acknowledges a record once
-// it is synced, and tells what it knows. What it refuses are requests made under
-// a roster older than the newest it has heard of: they may come from a daemon
-// that doesn't know that another disk has taken a place.
+// A record server decides nothing about budgets or turns. It acknowledges a record once
+// it is synced. It refuses requests made under a roster older than the newest it has
+// seen: they may come from a daemon that doesn't know that a disk has been replaced.
 package recsrv
 
 import (
@@ -26,17 +25,17 @@
 	// pageSize bounds one answer of a pull, in bytes. It takes 20 ms on the
 	// slowest link, so requests that share it are hardly delayed.
 	pageSize = 256 << 10
-	// lightPage is how much of the log is looked through for one answer without
-	// texts, in bytes, which is a fiftieth of that.
+	// scanPage is how much of the log is scanned for one answer of a pull without
+	// texts, in bytes; the answer is a fiftieth of that.
 	scanPage = 1 << 20
-	// lateCopy is the age beyond its keeping time after which a segment's last
-	// live records are copied forward, so that the segment can be dropped.
+	// forceDropAfter is how long after the retention of its records a segment is
+	// dropped even if some are live; those are copied to the end of the log.
 	forceDropAfter = 10 * time.Second
-	// fullShare is the part of the disk that records may fill.
+	// maxFill is the part of the disk that records may fill.
 	maxFill = 0.85
 )
 
-// Holder keeps records. Set the exported fields, then call Open.
+// Server stores records in Dir. Set the exported fields, then call Open.
 type Server struct {
 	Dir      string
 	Capacity int64 // bytes of the disk; 0 is unbounded
@@ -47,15 +46,15 @@
 
 	mu         sync.Mutex
 	index      index.Index
-	minVersion uint64 // newest roster's version heard of
+	minVersion uint64 // of the newest roster seen; requests under older ones are refused
 	roster     roster.Roster
-	maxTTL     time.Duration // that any record is to be kept
-	frozen     bool          // no new records, because this VM is to be emptied
+	maxTTL     time.Duration // longest retention of any record
+	frozen     bool          // no new records are accepted, because this VM is being retired
 }
 
-// Open reads the records. Blank tells that the disk was empty.
+// Open reads the log. Empty reports that the disk was empty and has got a new ID.
 func (s *Server) Open() (empty bool, err error) {
-	defer func() { err = errors.Wrap(err, "open holder") }()
+	defer func() { err = errors.Wrap(err, "open record server") }()
 	if s.Now == nil {
 		s.Now = time.Now
 	}
@@ -76,24 +75,24 @@
 	return empty, errors.CombineErrors(err, decodeErr)
 }
 
-// Life names the disk.
+// DiskID returns the random ID of the disk, in hex.
 func (s *Server) DiskID() string { return s.diskID }
 
-// Close ends the holder after what waits was written.
+// Close writes the pending records and closes the log.
 func (s *Server) Close() error { return s.log.Close() }
 
-// Register offers the holder's methods over the link.
+// Register registers the server's methods with the link.
 func (s *Server) Register(l *link.Link) {
 	for name, do := range s.methods() {
 		l.Handle(name, do)
 	}
 }
 
-// Serve answers one call of another daemon.
+// Serve executes one call without a link.
 func (s *Server) Serve(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	do := s.methods()[method]
 	if do == nil {
-		return nil, errors.Newf("no method %s", method)
+		return nil, errors.Newf("unknown method %s", method)
 	}
 	return do(ctx, params)
 }
@@ -108,7 +107,7 @@
 	}
 }
 
-// Learn takes a roster that this daemon has read.
+// Learn updates the roster, if r is newer, and refuses requests under older ones.
 func (s *Server) Learn(r roster.Roster) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +117,8 @@
 	s.fence(r.Version)
 }
 
-// fence refuses older rosters from now on, also after a restart.
+// fence has requests under older rosters refused from now on. The version is logged, so
+// that this also holds after a restart.
 func (s *Server) fence(version uint64) {
 	if version <= s.minVersion {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// admit checks whom a request means.
+// checkTarget checks that a request is for this disk and its roster is not stale.
 func (s *Server) checkTarget(t Target) Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,12 +151,12 @@
 func (s *Server) refusal(code string) Refusal {
 	r := Refusal{Code: code, Version: s.minVersion}
 	if s.roster.Version > 0 {
-		r.Roster, _ = s.roster.Encode() // plain fields always encode
+		r.Roster, _ = s.roster.Encode() // never fails: strings and numbers only
 	}
 	return r
 }
 
-// Write makes a record durable and tells what is known of its program.
+// Write makes a record durable and returns the charges of its program.
 func (s *Server) Write(ctx context.Context, req WriteRequest) (reply WriteReply, err error) {
 	data, err := req.Record.Encode()
 	if err != nil {
@@ -175,10 +175,10 @@
 	return reply, nil
 }
 
-// take appends a record unless it must be refused. What refuses and the append
-// are one step: a record that was let in just before a copy of this disk began,
-// or before the disk was frozen to be emptied, and that came into the log after
-// it, would be acknowledged here and lie on no other disk of the new roster.
+// appendIfAllowed appends a record unless it must be refused. The checks and the append
+// are atomic: a record that passed the checks just before a copy of this disk began, or
+// before the disk was frozen to be retired, and that was appended after that, would be
+// acknowledged here and be on no other disk of the new roster.
 func (s *Server) appendIfAllowed(req WriteRequest, data []byte, done chan<- error) Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,15 +194,15 @@
 	return Refusal{}
 }
 
-// Freeze refuses new records, or takes them again. Records are then
-// acknowledged by the other holders alone.
+// Freeze sets whether new records are refused. While they are, only the other record
+// servers acknowledge records.
 func (s *Server) Freeze(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.frozen = on
 }
 
-// store appends a record and waits until it is durable.
+// appendAndWait appends a record and waits until it is durable.
 func (s *Server) appendAndWait(ctx context.Context, r index.Record) error {
 	data, err := r.Encode()
 	if err != nil {
@@ -211,12 +211,12 @@
 	s.mu.Lock()
 	s.index.ApplyCharge(r, s.Now())
 	s.mu.Unlock()
-	errs := make(chan error, 1)
-	s.append(r, data, errs)
-	return await(ctx, errs)
+	done := make(chan error, 1)
+	s.append(r, data, done)
+	return await(ctx, done)
 }
 
-// append tells done once the record is durable and known.
+// append appends a record, and sends to done once it is durable and indexed.
 func (s *Server) append(r index.Record, data []byte, done chan<- error) {
 	s.log.Append(data, func(pos seglog.Pos, err error) {
 		if err == nil {
@@ -237,14 +237,14 @@
 	}
 }
 
-// apply takes a durable record; h.mu is held, or nobody else knows h yet.
+// apply indexes a durable record. The caller holds s.mu, or is Open.
 func (s *Server) apply(r index.Record, pos seglog.Pos, now time.Time) {
 	s.minVersion = max(s.minVersion, r.Fence)
 	s.maxTTL = max(s.maxTTL, time.Duration(r.TTL)*time.Millisecond)
 	s.index.Apply(r, pos, now)
 }
 
-// Read returns a turn with its chain.
+// Read returns a turn and the previous ones, as far as they are on this disk.
 func (s *Server) Read(_ context.Context, req ReadRequest) (ReadReply, error) {
 	if r := s.checkTarget(req.Target); r.Code != "" {
 		return ReadReply{Refusal: r}, nil
@@ -260,16 +260,16 @@
 		}
 		r, err := index.Decode(data)
 		if err != nil || r.Turn == nil {
-			return ReadReply{}, errors.CombineErrors(errors.New("no turn there"), err)
+			return ReadReply{}, errors.CombineErrors(errors.New("record has no turn"), err)
 		}
 		chain = append(chain, *r.Turn)
 	}
 	return ReadReply{Chain: chain, Next: next}, nil
 }
 
-// Pull tells what is here from a position on, or returns picked records. The
-// first ask waits until all that was taken under older rosters is committed: an
-// acknowledgement of such a record may still go out, so the puller must see it.
+// Pull returns the records from a position on without their texts, or picked records in
+// full. The first request of a copy waits until all records accepted under older rosters
+// are committed: such a record may still be acknowledged, so the copy must include it.
 func (s *Server) Pull(ctx context.Context, req PullRequest) (reply PullReply, err error) {
 	if r := s.checkTarget(req.Target); r.Code != "" {
 		return PullReply{Refusal: r}, nil
@@ -314,7 +314,8 @@
 	return recs, nil
 }
 
-// barrier returns once everything appended before is committed, with the fence.
+// barrier appends a fence for the version and returns once it and all records appended
+// before are committed.
 func (s *Server) barrier(ctx context.Context, version uint64) error {
 	return s.appendAndWait(ctx, index.Record{Fence: version})
 }
@@ -326,7 +327,7 @@
 	return ImportReply{}, s.Import(ctx, req.Records)
 }
 
-// Fill makes a record that was copied from another holder durable.
+// Import makes records that were copied from another record server durable.
 func (s *Server) Import(ctx context.Context, records [][]byte) error {
 	var last error
 	wait := make(chan error, len(records))
@@ -336,7 +337,7 @@
 			return err
 		}
 		s.mu.Lock()
-		has := s.index.Has(r) // also where it holds no more than the other holder's fence
+		has := s.index.Has(r) // also true of a record that has only a fence, which need not be copied
 		s.mu.Unlock()
 		if has {
 			wait <- nil
--- a/internal/disk/recsrv/trim.go
+++ b/internal/disk/recsrv/trim.go
@@ -10,8 +10,8 @@
 	"github.com/slaterock/slaterock/internal/disk/seglog"
 )
 
-// Trim forgets what need not be kept any more and drops segments that hold
-// nothing else. It is called every few seconds.
+// Trim expires entries of the index, and drops segments without live records. It is
+// called every TrimInterval.
 func (s *Server) Trim(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "trim") }()
 	now := s.Now()
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// drop removes a segment without live records. With force it copies live ones
-// to the log's end first: a turn is kept as long as one that continues it.
+// dropSegment removes a segment without live records. With force it first copies live
+// ones to the end of the log: a turn is kept as long as the turns that continue it.
 func (s *Server) dropSegment(ctx context.Context, n uint64, force bool) error {
 	live, err := s.live(n)
 	if err != nil {
@@ -79,5 +79,5 @@
 	}
 }
 
-// TrimEvery is how often Trim is called.
+// TrimInterval is how often Trim should be called.
 const TrimInterval = 3 * time.Second
--- a/internal/disk/recsrv/wire.go
+++ b/internal/disk/recsrv/wire.go
@@ -5,52 +5,52 @@
 	"github.com/slaterock/slaterock/internal/disk/seglog"
 )
 
-// The methods that a holder offers to other daemons.
+// The methods that a record server offers to other daemons.
 const (
 	MethodWrite  = "disk.write"
 	MethodRead   = "disk.read"
 	MethodPull   = "disk.pull"
 	MethodImport = "disk.fill"
-	MethodDiskID = "disk.life" // answered with the life of the disk, as a string
+	MethodDiskID = "disk.life" // takes no parameters; returns the disk ID as a string
 )
 
 type (
-	// Stamp names the place that is meant, as a daemon knows it.
+	// Target is the roster and the disk that a request assumes. The server refuses
+	// requests for a stale roster or another disk.
 	Target struct {
 		Version uint64 `cbor:"1,keyasint,omitempty"` // of the roster
-		DiskID  string `cbor:"2,keyasint,omitempty"` // of the disk; empty where any will do
+		DiskID  string `cbor:"2,keyasint,omitempty"` // empty for any disk
 	}
 
-	// WriteAsk asks for a record to be made durable.
+	// WriteRequest asks for a record to be made durable.
 	WriteRequest struct {
 		Target Target       `cbor:"1,keyasint"`
 		Record index.Record `cbor:"2,keyasint"`
 	}
 
-	// WriteReply tells what the program's attempts take of its budget, this
-	// record included.
+	// WriteReply has the charges of the program's attempts, this record's included.
 	WriteReply struct {
 		Refusal Refusal        `cbor:"1,keyasint"`
 		Charges []index.Charge `cbor:"2,keyasint,omitempty"`
 	}
 
-	// ReadAsk asks for a turn with its chain.
+	// ReadRequest asks for a turn and the previous ones.
 	ReadRequest struct {
 		Target Target `cbor:"1,keyasint"`
 		Turn   string `cbor:"2,keyasint"`
 	}
 
-	// ReadReply has the turn and those before it, the newest first, as far as
-	// the holder has them. Next is the first that it lacks, empty if it has all.
+	// ReadReply has the turn and the previous ones, the newest first, as far as the
+	// replica has them. Next is the id of the first that it lacks, empty if it has all.
 	ReadReply struct {
 		Refusal Refusal      `cbor:"1,keyasint"`
 		Chain   []index.Turn `cbor:"3,keyasint,omitempty"`
 		Next    string       `cbor:"4,keyasint,omitempty"`
 	}
 
-	// PullAsk asks what a holder has, from a position on, without texts. The
-	// first ask of a copy fences older rosters. With Pick it asks for the whole
-	// records at these positions instead.
+	// PullRequest asks for the records from a position on, without their texts. With
+	// Pick it asks for the records at these positions in full instead. Any request
+	// fences older rosters; the first of a copy also waits for the fence to be durable.
 	PullRequest struct {
 		Target Target       `cbor:"1,keyasint"`
 		From   seglog.Pos   `cbor:"2,keyasint"`
@@ -58,9 +58,10 @@
 		Pick   []seglog.Pos `cbor:"4,keyasint,omitempty"`
 	}
 
-	// PullReply has records, and where each of them lies; none at the end. End
-	// is where the log ended at the first ask: what comes after it reaches a
-	// joining holder by itself.
+	// PullReply has records with their positions, none at the end of the log, and the
+	// position to continue from. End is set in the first reply of a copy and is the
+	// end of the log then; later records are written under the new roster and need not
+	// be copied.
 	PullReply struct {
 		Refusal   Refusal      `cbor:"1,keyasint"`
 		Records   [][]byte     `cbor:"2,keyasint,omitempty"`
@@ -69,28 +70,29 @@
 		End       seglog.Pos   `cbor:"5,keyasint"`
 	}
 
-	// FillAsk hands over records of a holder that is to be emptied.
+	// ImportRequest has records of a replica that is being retired.
 	ImportRequest struct {
 		Target  Target   `cbor:"1,keyasint"`
 		Records [][]byte `cbor:"2,keyasint"`
 	}
 
-	// FillReply tells that they are durable.
+	// ImportReply confirms that they are durable.
 	ImportReply struct {
 		Refusal Refusal `cbor:"1,keyasint"`
 	}
 
-	// Refusal tells that nothing was done, and why. The zero value is none.
+	// Refusal reports that the request was not executed, and why. The zero value means
+	// that it was executed.
 	Refusal struct {
 		Code    string `cbor:"1,keyasint,omitempty"`
-		Version uint64 `cbor:"2,keyasint,omitempty"` // of the newest roster known here
-		Roster  []byte `cbor:"3,keyasint,omitempty"` // it, if it is known
+		Version uint64 `cbor:"2,keyasint,omitempty"` // of the newest roster that the server has seen
+		Roster  []byte `cbor:"3,keyasint,omitempty"` // newest roster that the server has, encoded; empty if it has none
 	}
 )
 
 // The codes of refusals.
 const (
-	CodeStaleRoster = "stale" // the asker's roster is older than the one known here
-	CodeWrongDisk   = "other" // another disk is meant
-	CodeFull        = "full"  // the disk has no room
+	CodeStaleRoster = "stale" // the request's roster is older than the newest that the server has seen
+	CodeWrongDisk   = "other" // the request is for another disk
+	CodeFull        = "full"  // the disk is full or frozen
 )
