--- a/internal/disk/roster/roster.go
+++ b/internal/disk/roster/roster.go
@@ -1,19 +1,18 @@
-// Package roster says which VMs hold the durable records, and decides when
-// another VM takes a place.
+// Package roster is the membership of the replicated durable records: it lists the VMs
+// that store them, and decides when a VM replaces another.
 //
-// A roster has up to 2f+1 places, where f VMs with a disk may be lost at once.
-// Each record is written to all places and acknowledged by f+1 of them, so it
-// outlives f lost disks. Readers ask so many places that they meet every
-// acknowledged write. A disk is told by its life, a random name written when
-// the disk was empty: a VM that comes back with an empty disk has another life
-// and must fill it before its answers count.
+// A roster has up to 2f+1 replicas, where f VMs with a disk may be lost at once. Each
+// record is written to f+1 replicas or more and acknowledged once f+1 have synced it, so
+// that it outlives f lost disks. A read quorum intersects every write quorum. A disk is
+// identified by its disk ID, which is random and written when the disk is empty: a VM
+// that restarts with an empty disk has another disk ID and must copy the records before
+// its answers count.
 //
-// Places change one at a time, by compare-and-swap of one value in the
-// platform's store, and each change has a version. A place that was taken over is
-// joining until the new VM has read all that the others hold. It first tells
-// them the new version, from which on they refuse requests of older ones. So an
-// acknowledgement under an older version either is among what the joining VM
-// reads, or does not come about.
+// Replicas change one at a time, by compare-and-swap of one value in the platform's
+// store, and each change has a version. A new replica is joining until its VM has copied
+// the records of the others. Its first request tells them the new version, and from then
+// on they refuse requests under older ones. A write under an older version is therefore
+// either part of the copy or not acknowledged.
 package roster
 
 import (
@@ -25,74 +24,75 @@
 )
 
 const (
-	// TakeOver is how long a place's VM must be missing from the store's list
-	// before another VM takes the place. Killed processes are back within two
-	// seconds with their records; moving a place costs a copy of all records.
+	// TakeoverDelay is how long a replica's VM must be missing from the store's list
+	// before another VM replaces it. Killed processes restart within two seconds with
+	// their records; a replacement costs a copy of all records.
 	TakeoverDelay = 2500 * time.Millisecond
-	// TakeOverNew is the same for a VM that has just started with an empty disk:
-	// most likely it was put there in place of the one that is missing, and
-	// until it has the records one more loss could not be borne.
+	// TakeoverDelayEmptyDisk is the same for a VM that has just started with an empty
+	// disk: most likely it was started to replace the missing one, and until it has
+	// the records the loss of one more disk could not be tolerated.
 	TakeoverDelayEmptyDisk = 800 * time.Millisecond
-	// Gather is how long the first VMs wait for the others at the first start.
+	// BootstrapWait is how long the first VMs wait for the others at the first start.
 	// All start within 0.3 s of each other, and some are slow to start.
 	BootstrapWait = 2500 * time.Millisecond
 )
 
 type (
-	// Roster is one version of the places. It is immutable.
+	// Roster is one version of the list of replicas. It is immutable.
 	Roster struct {
 		Version     uint64    `json:"version"`
-		MaxFailures int       `json:"losses"` // disks that may be lost at once
+		MaxFailures int       `json:"losses"` // f, the number of disks that may be lost at once
 		Replicas    []Replica `json:"places"`
 	}
 
-	// Place is one holder of records.
+	// Replica is a VM that stores records.
 	Replica struct {
 		Node    string `json:"node"`
 		Address string `json:"address"` // for other daemons
 		Domain  string `json:"domain"`
 		DiskID  string `json:"life"`
-		Joining bool   `json:"joining,omitempty"` // does not hold all records yet
+		Joining bool   `json:"joining,omitempty"` // has not copied all records yet
 	}
 
-	// Member is a VM with a disk that is there, as the store lists it.
+	// Member is a running VM with a disk, as listed in the store.
 	Member struct {
 		Node     string `json:"node"`
 		Address  string `json:"address"`
 		Domain   string `json:"domain"`
 		DiskID   string `json:"life"`
-		Retiring bool   `json:"retiring,omitempty"` // it is to be emptied
+		Retiring bool   `json:"retiring,omitempty"` // its records are to be moved off
 	}
 )
 
-// Decode reads a roster from the store.
+// Decode decodes a roster as it is stored.
 func Decode(data []byte) (r Roster, err error) {
 	err = json.Unmarshal(data, &r)
 	return r, errors.Wrap(err, "decode roster")
 }
 
-// Encode returns the roster as it is stored.
+// Encode returns the roster as JSON.
 func (r Roster) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	return data, errors.Wrap(err, "encode roster")
 }
 
-// Writes returns how many places must have a record before it is acknowledged.
+// WriteQuorum returns how many replicas must have synced a record before it is
+// acknowledged.
 func (r Roster) WriteQuorum() int { return r.MaxFailures + 1 }
 
-// Reads returns how many places must answer before a reader has met every
-// acknowledged write. Places that are joining don't count.
+// ReadQuorum returns how many replicas must answer so that one of them has any given
+// acknowledged write. Joining replicas don't count.
 func (r Roster) ReadQuorum() int { return max(len(r.Replicas)-r.WriteQuorum()+1, 1) }
 
-// Certain returns how many places must say that they lack a record before it
-// certainly does not exist. Places that have been replaced may live on and not
-// know it, and the reader's roster may be as old; f of them must not be enough,
-// also where the roster has so few places that one meets every write.
+// AbsenceQuorum returns how many replicas must answer that they lack a record before the
+// record is known not to exist. Replaced VMs may still run with a stale roster, and the
+// reader's roster may be equally stale; f of them must not be enough, also where the
+// roster has so few replicas that the read quorum is one.
 func (r Roster) AbsenceQuorum() int {
 	return max(r.ReadQuorum(), min(r.WriteQuorum(), len(r.Replicas)))
 }
 
-// Find returns the place with that life.
+// Find returns the replica with that disk ID.
 func (r Roster) Find(diskID string) (Replica, bool) {
 	for _, p := range r.Replicas {
 		if p.DiskID == diskID {
@@ -102,11 +102,11 @@
 	return Replica{}, false
 }
 
-// Full returns the most places that a roster has.
+// MaxReplicas returns the maximum number of replicas of a roster.
 func MaxReplicas(maxFailures int) int { return 2*maxFailures + 1 }
 
-// First returns the first roster, of the members that are there, spread over
-// failure domains. It is false while too few are.
+// Initial returns the first roster, of running members, spread over failure domains. It
+// returns false if there are too few.
 func Initial(members []Member, maxFailures int) (Roster, bool) {
 	if len(members) < maxFailures+1 {
 		return Roster{}, false
@@ -134,7 +134,7 @@
 	return Replica{Node: m.Node, Address: m.Address, Domain: m.Domain, DiskID: m.DiskID}
 }
 
-// with returns the next version, with place i held by the member, which joins.
+// withReplica returns the next version, in which the member is replica i and is joining.
 func (r Roster) withReplica(i int, m Member) Roster {
 	next := r.copy()
 	p := m.replica()
@@ -154,7 +154,7 @@
 	return next
 }
 
-// WithJoined returns the next version, in which the place with that life holds
+// WithJoined returns the next version, in which the replica with that disk ID has copied
 // all records.
 func (r Roster) WithJoined(diskID string) Roster {
 	next := r.copy()
@@ -166,8 +166,8 @@
 	return next
 }
 
-// WithAddress returns the next version, in which the place with that life is
-// reached at another address.
+// WithAddress returns the next version, in which the member's replica has the member's
+// address.
 func (r Roster) WithAddress(m Member) Roster {
 	next := r.copy()
 	for i := range next.Replicas {
@@ -178,11 +178,11 @@
 	return next
 }
 
-// Claim returns the next version, in which self takes a place, if there is one
-// to take: its own with a former life, one that is free, one whose VM is to be
-// emptied, or one whose VM has been missing for that long. Missing tells since when
-// a node has not been listed. While another place is joining, none is taken that
-// holds records: two at once could leave too few that hold them all.
+// Claim returns the next version, in which self becomes a replica, if it can: in place of
+// a former disk of the same node, as an additional replica, or in place of a VM that is
+// retiring or has been missing for minMissing. MissingSince has the time since which a
+// node has not been listed. While another replica is joining, no retiring or missing VM
+// is replaced: two replacements at once could leave too few complete replicas.
 func (r Roster) Claim(now time.Time, self Member, members []Member, missingSince map[string]time.Time, minMissing time.Duration) (Roster, bool) {
 	if _, in := r.Find(self.DiskID); in || self.Retiring {
 		return Roster{}, false
@@ -214,7 +214,7 @@
 	return Roster{}, false
 }
 
-// joining tells whether a place other than i is joining.
+// otherJoining reports whether a replica other than i is joining.
 func (r Roster) otherJoining(i int) bool {
 	for j, p := range r.Replicas {
 		if j != i && p.Joining {
@@ -224,13 +224,13 @@
 	return false
 }
 
-// Next tells whether self is the first of the members without a place, so that
-// one of them claims and the others don't conflict with it.
+// IsNextClaimant reports whether self is the first of the members that are not replicas.
+// Only that one claims, so that their writes to the store don't conflict.
 func (r Roster) IsNextClaimant(self Member, members []Member) bool {
 	return r.ClaimPosition(self, members) == 0
 }
 
-// Line returns how many VMs would take the next free place before this one.
+// ClaimPosition returns how many members have priority over self to become a replica.
 func (r Roster) ClaimPosition(self Member, members []Member) (n int) {
 	for _, m := range members {
 		if _, in := r.Find(m.DiskID); !in && !m.Retiring && m.Node < self.Node {
@@ -240,8 +240,8 @@
 	return n
 }
 
-// Without returns the next version without the place of that life, whose
-// records all others hold.
+// Without returns the next version without the replica of that disk ID. All others must
+// have its records.
 func (r Roster) Without(diskID string) Roster {
 	next := r.copy()
 	next.Replicas = nil
--- a/internal/disk/roster/roster_test.go
+++ b/internal/disk/roster/roster_test.go
@@ -54,13 +54,13 @@
 	}
 }
 
-// A read must meet every acknowledged write, whichever places each of them used.
+// A read quorum must include a replica of every write quorum.
 func TestReadAndWriteQuorumsOverlap(t *testing.T) {
 	for losses := range 4 {
 		for n := losses + 1; n <= MaxReplicas(losses); n++ {
 			is := is.New(t)
 			r := Roster{MaxFailures: losses, Replicas: make([]Replica, n)}
-			is.True(r.ReadQuorum()+r.WriteQuorum() > n) // any two sets share a place
+			is.True(r.ReadQuorum()+r.WriteQuorum() > n) // any two sets share a replica
 			is.True(r.WriteQuorum() > losses)           // one acknowledged copy outlives the lost disks
 		}
 	}
@@ -72,11 +72,11 @@
 	}}
 	joining := base.copy()
 	joining.Replicas[1].Joining = true
-	long := map[string]time.Time{"c": now.Add(-TakeoverDelay)}
+	longMissing := map[string]time.Time{"c": now.Add(-TakeoverDelay)}
 	retiring := member("c", "z", "3")
 	retiring.Retiring = true
-	leaver := member("e", "z", "9")
-	leaver.Retiring = true
+	retiringMember := member("e", "z", "9")
+	retiringMember.Retiring = true
 	cases := map[string]struct {
 		r       Roster
 		self    Member
@@ -84,16 +84,16 @@
 		missing map[string]time.Time
 		want    string
 	}{
-		"has a place":                     {base, member("a", "x", "1"), nil, long, ""},
+		"has a place":                     {base, member("a", "x", "1"), nil, longMissing, ""},
 		"nothing is free":                 {base, member("d", "x", "4"), nil, nil, ""},
 		"one is missing, not yet long":    {base, member("d", "x", "4"), nil, map[string]time.Time{"c": now.Add(-TakeoverDelay + 1)}, ""},
-		"one is missing for long":         {base, member("d", "x", "4"), nil, long, "a/1 b/2 d/4* "},
+		"one is missing for long":         {base, member("d", "x", "4"), nil, longMissing, "a/1 b/2 d/4* "},
 		"own place with an empty disk":    {base, member("b", "x", "7"), nil, nil, "a/1 b/7* c/3 "},
-		"another claims first":            {base, member("e", "x", "5"), []Member{member("d", "x", "4")}, long, ""},
-		"the first one is to be emptied":  {base, member("f", "x", "5"), []Member{leaver}, long, "a/1 b/2 f/5* "},
+		"another claims first":            {base, member("e", "x", "5"), []Member{member("d", "x", "4")}, longMissing, ""},
+		"the first one is to be emptied":  {base, member("f", "x", "5"), []Member{retiringMember}, longMissing, "a/1 b/2 f/5* "},
 		"one is to be emptied":            {base, member("d", "x", "4"), []Member{retiring}, nil, "a/1 b/2 d/4* "},
-		"to be emptied itself":            {base, leaver, nil, long, ""},
-		"another place is joining":        {joining, member("d", "x", "4"), nil, long, ""},
+		"to be emptied itself":            {base, retiringMember, nil, longMissing, ""},
+		"another place is joining":        {joining, member("d", "x", "4"), nil, longMissing, ""},
 		"own disk lost while one joins":   {joining, member("a", "x", "8"), nil, nil, "a/8* b/2* c/3 "},
 		"fewer places than there may be":  {base.Without("3"), member("d", "x", "4"), nil, nil, "a/1 b/2 d/4* "},
 		"the place that is joining again": {joining, member("d", "x", "4"), nil, map[string]time.Time{"b": now.Add(-TakeoverDelay)}, "a/1 d/4* c/3 "},
