--- a/internal/disk/index/index.go
+++ b/internal/disk/index/index.go
@@ -1,8 +1,9 @@
-// Package book is the index over one VM's durable records: what each program
-// has spent, and where each kept turn lies in the log.
+// Package index is the in-memory index over one VM's durable records, and the format of
+// a record. It has the charges on each program's budget and the position of each stored
+// turn in the log.
 //
-// It is a state machine without clock, lock or disk. Expiry is by the time that
-// is passed in.
+// It is a state machine that uses no clock, lock or disk: callers synchronize, and pass
+// the time in.
 package index
 
 import (
@@ -15,13 +16,13 @@
 	// MaxChain bounds the turns of one chain. The longest programs have 320
 	// turns; a chain beyond this is a loop in the records.
 	MaxChain = 4096
-	// Slack is added to the time for which a record is kept: VMs' clocks differ
-	// and may be set by seconds.
+	// ClockSlack is added to the TTL of a record: VMs' clocks differ, and may be
+	// stepped, by seconds.
 	ClockSlack = 20 * time.Second
 )
 
 type (
-	// Book is the index. The zero value is empty.
+	// Index is the index. The zero value is empty.
 	Index struct {
 		programs map[string]*program
 		turns    map[string]*turn
@@ -39,7 +40,7 @@
 	}
 )
 
-// Apply takes a record that lies at pos.
+// Apply indexes a durable record at pos.
 func (ix *Index) Apply(r Record, pos seglog.Pos, now time.Time) {
 	ix.ApplyCharge(r, now)
 	if r.Turn == nil {
@@ -57,7 +58,7 @@
 	ix.extendChain(r.Attempt, r.expires(now))
 }
 
-// extend keeps a turn together with the chain before it.
+// extendChain extends the expiry of a turn and of those before it in its chain.
 func (ix *Index) extendChain(id string, until time.Time) {
 	for range MaxChain {
 		t := ix.turns[id]
@@ -69,8 +70,8 @@
 	}
 }
 
-// Note takes what a record says of a budget. It may come before the record is
-// durable, so that attempts which run at the same time see each other.
+// ApplyCharge applies a record's reservation or settlement. It may be called before the
+// record is durable, so that concurrent attempts see each other's charges.
 func (ix *Index) ApplyCharge(r Record, now time.Time) {
 	if r.Program == "" || !r.Reserved && !r.Settled {
 		return
@@ -96,8 +97,8 @@
 	return Charge{Attempt: r.Attempt, Tokens: r.MaxTokens}
 }
 
-// Join returns what two replicas know together of one attempt: what was spent
-// in the end goes before what it might spend.
+// Merge merges two replicas' charges of one attempt: a settled one has precedence over a
+// reservation; of two alike the one with more tokens wins.
 func Merge(a, b Charge) Charge {
 	switch {
 	case a.Attempt == "":
@@ -114,54 +115,56 @@
 	}
 }
 
-// Fits tells whether a program's budget holds what its attempts take, the one
-// asked for included: what has ended by what it spent, all others by their most.
-func WithinBudget(shares []Charge, budget int) bool {
+// WithinBudget reports whether the sum of a program's charges is within its budget:
+// settled attempts count with the tokens spent, others with the maximum reserved.
+func WithinBudget(charges []Charge, budget int) bool {
 	sum := 0
-	for _, s := range shares {
-		sum += s.Tokens
+	for _, c := range charges {
+		sum += c.Tokens
 	}
 	return sum <= budget
 }
 
-// LastRan returns the upstream that last ran a turn of the session, else one of
-// the whole program: a sub-agent's prompt begins with its parent's.
-func LastUpstream(shares []Charge, session string) (upstream string) {
-	newest, own := int64(-1), false
-	for _, s := range shares {
-		mine := s.Session == session
-		if s.Upstream == "" || own && !mine || own == mine && s.At <= newest {
+// LastUpstream returns the id of the upstream that last ran a turn of the session, or
+// else of the whole program, since a sub-agent's prompt begins with its parent's. It is
+// empty if there is none.
+func LastUpstream(charges []Charge, session string) (upstream string) {
+	newest, ownSession := int64(-1), false
+	for _, c := range charges {
+		sameSession := c.Session == session
+		if c.Upstream == "" || ownSession && !sameSession || ownSession == sameSession && c.At <= newest {
 			continue
 		}
-		upstream, newest, own = s.Upstream, s.At, mine
+		upstream, newest, ownSession = c.Upstream, c.At, sameSession
 	}
 	return upstream
 }
 
-// Begun tells whether any other attempt of the program than this one has run, or
+// OthersStarted reports whether an attempt of the program other than this one has run or
 // may be running.
-func OthersStarted(shares []Charge, attempt string) bool {
-	for _, s := range shares {
-		if s.Attempt != attempt && (s.Tokens > 0 || s.Upstream != "") {
+func OthersStarted(charges []Charge, attempt string) bool {
+	for _, c := range charges {
+		if c.Attempt != attempt && (c.Tokens > 0 || c.Upstream != "") {
 			return true
 		}
 	}
 	return false
 }
 
-// Since returns when the first attempt of a program came, now if none is known.
-func StartTime(shares []Charge, now time.Time) time.Time {
+// StartTime returns the time of the earliest settled attempt of a program, or now if there
+// is none.
+func StartTime(charges []Charge, now time.Time) time.Time {
 	first := now
-	for _, s := range shares {
-		if at := time.UnixMilli(s.At); s.At > 0 && at.Before(first) {
+	for _, c := range charges {
+		if at := time.UnixMilli(c.At); c.At > 0 && at.Before(first) {
 			first = at
 		}
 	}
 	return first
 }
 
-// expires counts from the record's own time: after a restart all records are
-// read again, and none must live longer for it.
+// expires counts from the record's ownSession time: all records are read again after a restart,
+// which must not extend their retention.
 func (r Record) expires(now time.Time) time.Time {
 	at := now
 	if r.At > 0 && r.At < now.UnixMilli() {
@@ -170,22 +173,22 @@
 	return at.Add(time.Duration(r.TTL)*time.Millisecond + ClockSlack)
 }
 
-// Shares returns what the attempts of a program take of its budget.
+// Charges returns the charges on a program's budget, one for each attempt.
 func (ix *Index) Charges(name string) []Charge {
 	p := ix.programs[name]
 	if p == nil {
 		return nil
 	}
 	list := make([]Charge, 0, len(p.charges))
-	for _, s := range p.charges {
-		list = append(list, s)
+	for _, c := range p.charges {
+		list = append(list, c)
 	}
 	return list
 }
 
-// Chain returns where the turn and those before it lie, the newest first, as far
-// as they are known here. Next is the first that isn't, empty if all are: a
-// replica that was away may have a turn but lack one that it continues.
+// Chain returns the positions of the turn and the previous ones, the newest first, as far
+// as they are indexed. Next is the id of the first that is missing, empty if none is: a
+// replica that was down may have a turn but lack the one that it continues.
 func (ix *Index) Chain(id string) (list []seglog.Pos, next string) {
 	for id != "" && len(list) < MaxChain {
 		t := ix.turns[id]
@@ -198,7 +201,7 @@
 	return list, id
 }
 
-// Expire forgets what need not be remembered any more.
+// Expire removes the programs and turns whose retention has ended.
 func (ix *Index) Expire(now time.Time) {
 	for name, p := range ix.programs {
 		if now.After(p.expires) {
@@ -212,7 +215,7 @@
 	}
 }
 
-// Live tells whether a record that lies at pos is still needed.
+// Live reports whether a record at pos must be retained.
 func (ix *Index) Live(r Record, pos seglog.Pos) bool {
 	if r.Turn != nil {
 		if t := ix.turns[r.Attempt]; t != nil && t.pos == pos {
@@ -227,7 +230,8 @@
 	return ok
 }
 
-// Has tells whether the book already knows everything that the record says.
+// Has reports whether applying the record would change nothing in the index but positions
+// and expiry.
 func (ix *Index) Has(r Record) bool {
 	if r.Turn != nil && ix.turns[r.Attempt] == nil {
 		return false
--- a/internal/disk/index/index_test.go
+++ b/internal/disk/index/index_test.go
@@ -14,8 +14,8 @@
 
 var start = time.UnixMilli(1_000_000)
 
-func reserve(program, attempt string, most int) Record {
-	return Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: most, TTL: 60_000}
+func reserve(program, attempt string, maxTokens int) Record {
+	return Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: maxTokens, TTL: 60_000}
 }
 
 func settle(program, attempt string, spent int) Record {
@@ -26,7 +26,7 @@
 	return Record{Attempt: attempt, TTL: 60_000, Turn: &Turn{Previous: previous}}
 }
 
-func at(n int64) seglog.Pos { return seglog.Pos{Segment: 1, Offset: n} }
+func pos(n int64) seglog.Pos { return seglog.Pos{Segment: 1, Offset: n} }
 
 func TestRecordRoundTrip(t *testing.T) {
 	is := is.New(t)
@@ -41,8 +41,8 @@
 	is.True(err != nil)
 }
 
-// Replicas get records in different orders, some twice. If they ended in
-// different states, a program could spend beyond its budget after one was lost.
+// Replicas get records in different orders, some twice. If their states differed, a
+// program could exceed its budget after one replica was lost.
 func TestRecordsCommute(t *testing.T) {
 	records := []Record{
 		reserve("p", "a", 100), settle("p", "a", 30), reserve("p", "b", 100), reserve("p", "c", 50), settle("p", "c", 0), settle("p", "a", 30),
@@ -50,11 +50,11 @@
 	want := "[{a 30 true   0} {b 100 false   0} {c 0 true   0}]"
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		var b Index
+		var ix Index
 		for _, i := range rnd.Perm(len(records)) {
-			b.Apply(records[i], at(1), start)
+			ix.Apply(records[i], pos(1), start)
 		}
-		list := b.Charges("p")
+		list := ix.Charges("p")
 		sort.Slice(list, func(i, j int) bool { return list[i].Attempt < list[j].Attempt })
 		is.New(t).Equal(fmt.Sprint(list), want)
 	}
@@ -62,9 +62,9 @@
 
 func TestWithinBudget(t *testing.T) {
 	cases := map[string]struct {
-		shares []Charge
-		budget int
-		want   bool
+		charges []Charge
+		budget  int
+		want    bool
 	}{
 		"none":         {nil, 0, true},
 		"exactly":      {[]Charge{{Attempt: "a", Tokens: 60, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, true},
@@ -72,60 +72,60 @@
 		"at its most":  {[]Charge{{Attempt: "a", Tokens: 80}, {Attempt: "b", Tokens: 40}}, 100, false},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(WithinBudget(c.shares, c.budget), c.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(WithinBudget(c.charges, c.budget), c.want) })
 	}
 }
 
 func TestChain(t *testing.T) {
 	is := is.New(t)
-	var b Index
-	b.Apply(turnOf("1", ""), at(1), start)
-	b.Apply(turnOf("3", "2"), at(3), start)
-	list, next := b.Chain("3")
-	is.Equal(list, []seglog.Pos{at(3)})
-	is.Equal(next, "2") // lacks it, and doesn't claim that the chain ends there
-	b.Apply(turnOf("2", "1"), at(2), start)
-	list, next = b.Chain("3")
-	is.Equal(list, []seglog.Pos{at(3), at(2), at(1)})
+	var ix Index
+	ix.Apply(turnOf("1", ""), pos(1), start)
+	ix.Apply(turnOf("3", "2"), pos(3), start)
+	list, next := ix.Chain("3")
+	is.Equal(list, []seglog.Pos{pos(3)})
+	is.Equal(next, "2") // reported as missing, not as the end of the chain
+	ix.Apply(turnOf("2", "1"), pos(2), start)
+	list, next = ix.Chain("3")
+	is.Equal(list, []seglog.Pos{pos(3), pos(2), pos(1)})
 	is.Equal(next, "")
-	list, next = b.Chain("4")
+	list, next = ix.Chain("4")
 	is.Equal(len(list), 0)
 	is.Equal(next, "4")
 }
 
-// A program pauses for long between its turns. As long as its last turn is kept,
-// so must be all before it, or the caller is told that the conversation is gone.
+// A program pauses for long between its turns. The previous turns must be retained as
+// long as the last one; otherwise the conversation can't be continued.
 func TestChainExpiresWithItsLastTurn(t *testing.T) {
 	is := is.New(t)
-	var b Index
-	b.Apply(turnOf("1", ""), at(1), start)
+	var ix Index
+	ix.Apply(turnOf("1", ""), pos(1), start)
 	later := start.Add(50 * time.Second)
-	b.Apply(turnOf("2", "1"), at(2), later)
-	b.Expire(start.Add(60*time.Second + ClockSlack + time.Second))
-	_, next := b.Chain("2")
+	ix.Apply(turnOf("2", "1"), pos(2), later)
+	ix.Expire(start.Add(60*time.Second + ClockSlack + time.Second))
+	_, next := ix.Chain("2")
 	is.Equal(next, "")
-	b.Expire(later.Add(60*time.Second + ClockSlack + time.Second))
-	_, turns := b.Len()
+	ix.Expire(later.Add(60*time.Second + ClockSlack + time.Second))
+	_, turns := ix.Len()
 	is.Equal(turns, 0)
 }
 
-// All records are read again after a restart. None may live longer for it, or a
+// All records are read again after a restart. That must not extend their retention, or a
 // VM that restarts often would fill its disk.
 func TestExpiryCountsFromRecordTime(t *testing.T) {
 	is := is.New(t)
-	var b Index
+	var ix Index
 	r := reserve("p", "a", 1)
 	r.At = start.UnixMilli()
-	b.Apply(r, at(1), start.Add(time.Minute))
-	b.Expire(start.Add(time.Minute + ClockSlack + time.Second))
-	programs, _ := b.Len()
+	ix.Apply(r, pos(1), start.Add(time.Minute))
+	ix.Expire(start.Add(time.Minute + ClockSlack + time.Second))
+	programs, _ := ix.Len()
 	is.Equal(programs, 0)
 }
 
 func TestLastUpstream(t *testing.T) {
 	cases := map[string]struct {
-		shares []Charge
-		want   string
+		charges []Charge
+		want    string
 	}{
 		"nothing ran":            {[]Charge{{Attempt: "a", Tokens: 3}}, ""},
 		"the session's newest":   {[]Charge{{Upstream: "u", Session: "s", At: 1}, {Upstream: "v", Session: "s", At: 2}, {Upstream: "w", Session: "t", At: 3}}, "v"},
@@ -133,6 +133,6 @@
 		"own, although older":    {[]Charge{{Upstream: "u", Session: "t", At: 9}, {Upstream: "v", Session: "s", At: 1}}, "v"},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(LastUpstream(c.shares, "s"), c.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(LastUpstream(c.charges, "s"), c.want) })
 	}
 }
--- a/internal/disk/quorum/cluster_test.go
+++ b/internal/disk/quorum/cluster_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-func reserve(program, attempt string, most int) index.Record {
-	return index.Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: most, TTL: 60_000}
+func reserve(program, attempt string, maxTokens int) index.Record {
+	return index.Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: maxTokens, TTL: 60_000}
 }
 
 func turn(attempt, previous string) index.Record {
--- a/internal/disk/quorum/quorum.go
+++ b/internal/disk/quorum/quorum.go
@@ -139,8 +139,8 @@
 			if !got.replica.Joining {
 				answered++
 			}
-			for _, s := range got.write.Charges {
-				charges[s.Attempt] = index.Merge(charges[s.Attempt], s)
+			for _, charge := range got.write.Charges {
+				charges[charge.Attempt] = index.Merge(charges[charge.Attempt], charge)
 			}
 		case <-hedge.C:
 			send()
@@ -150,8 +150,8 @@
 		if written < r.WriteQuorum() || rec.Reserved && answered < r.ReadQuorum() {
 			continue
 		}
-		for _, s := range charges {
-			res.Charges = append(res.Charges, s)
+		for _, charge := range charges {
+			res.Charges = append(res.Charges, charge)
 		}
 		return res, false, nil
 	}
--- a/internal/disk/quorum/quorum_test.go
+++ b/internal/disk/quorum/quorum_test.go
@@ -279,7 +279,7 @@
 		case 4, 5:
 			if res, err := c.Write(ctx, reserve("p", id, step+1)); err == nil {
 				reserved[id] = step + 1
-				checkShares(is, res, reserved)
+				checkCharges(is, res, reserved)
 			}
 		default:
 			previous := acked[rnd.IntN(len(acked))]
@@ -324,12 +324,12 @@
 	is.New(t).NoErr(cl.replace(i, cl.add()))
 }
 
-func checkShares(is *is.I, res Result, reserved map[string]int) {
+func checkCharges(is *is.I, res Result, reserved map[string]int) {
 	known := map[string]int{}
-	for _, s := range res.Charges {
-		known[s.Attempt] = s.Tokens
+	for _, charge := range res.Charges {
+		known[charge.Attempt] = charge.Tokens
 	}
-	for attempt, most := range reserved {
-		is.Equal(known[attempt], most) // every acknowledged reservation is seen
+	for attempt, maxTokens := range reserved {
+		is.Equal(known[attempt], maxTokens) // every acknowledged reservation is seen
 	}
 }
