--- a/internal/disk/seglog/scan.go
+++ b/internal/disk/seglog/scan.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Segments returns the numbers of the segments that are complete, with the time
-// of their last write, in order.
+// Segments returns the numbers of the complete segments in ascending order, and the time
+// of the last write to each. For a segment from before a restart that is the time of Open.
 func (l *Log) Segments() (numbers []uint64, lastWrite []time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,14 +25,14 @@
 	return numbers, lastWrite
 }
 
-// Drop removes a complete segment.
+// Drop removes a complete segment. It fails for the segment that is being written.
 func (l *Log) Drop(n uint64) (err error) {
 	defer func() { err = errors.Wrapf(err, "drop segment %d", n) }()
 	l.mu.Lock()
 	s := l.segments[n]
 	if s == nil || n == l.number {
 		l.mu.Unlock()
-		return errors.New("no complete segment")
+		return errors.New("not a complete segment")
 	}
 	delete(l.segments, n)
 	l.mu.Unlock()
@@ -46,12 +46,12 @@
 	return Pos{Segment: l.number, Offset: l.size}
 }
 
-// Before tells whether p comes before q in the log.
+// Before reports whether p comes before q in the log.
 func (p Pos) Before(q Pos) bool {
 	return p.Segment < q.Segment || p.Segment == q.Segment && p.Offset < q.Offset
 }
 
-// Bytes returns the size of all segments.
+// Bytes returns the total size of all segments.
 func (l *Log) Bytes() (n int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Scan returns records from the position on, about limit bytes of them, and the
-// position after them. It returns no records at the end of what is committed.
+// Scan returns about limit bytes of records from the position on, their positions, and the
+// position after them. It returns no records at the end of the committed ones.
 func (l *Log) Scan(from Pos, limit int) (recs [][]byte, positions []Pos, after Pos, err error) {
 	defer func() { err = errors.Wrapf(err, "scan from %d at %d", from.Segment, from.Offset) }()
 	after = from
@@ -87,12 +87,12 @@
 		}
 		rec := firstRecord(data)
 		if rec == nil {
-			data = make([]byte, s.size-after.Offset) // a record larger than the page
+			data = make([]byte, s.size-after.Offset) // a record larger than the read
 			if _, err = s.file.ReadAt(data, after.Offset); err != nil {
 				return nil, nil, from, err
 			}
 			if rec = firstRecord(data); rec == nil {
-				return nil, nil, from, errors.New("record is spoilt")
+				return nil, nil, from, errors.New("record is corrupt")
 			}
 		}
 		for rec != nil && size < limit {
@@ -107,8 +107,8 @@
 	return recs, positions, after, nil
 }
 
-// segmentAt returns a copy of the first segment from the position on, and
-// whether there are later ones.
+// segmentAt returns a copy of the segment at the position, or the next one if that was
+// dropped, with its number, and whether there are later ones.
 func (l *Log) segmentAt(p Pos) (s *segment, number uint64, more bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/disk/seglog/seglog.go
+++ b/internal/disk/seglog/seglog.go
@@ -1,12 +1,11 @@
 // Package seglog is an append-only log in segment files on one VM's disk.
 //
-// Records that wait while the disk syncs are written and synced together, so
-// that the disk bounds the latency of a record but not their number. Each
-// record carries a checksum. After a loss of power the tail of a file that was
-// not synced may be there, missing or torn; reading stops at the first record
-// that is not whole, which is sound because nothing after it was ever
-// acknowledged. A new segment is begun at each start, so that nothing is ever
-// written behind a torn tail.
+// Records that are appended during a sync are written and synced as one batch (group
+// commit), so that the disk's sync time bounds latency but not throughput. Each record has
+// a checksum. After a power loss the tail of a file that was not synced may be present,
+// missing or torn; reading stops at the first incomplete record, which is safe because no
+// record after it was ever acknowledged. Each start begins a new segment, so that nothing
+// is written after a torn tail.
 package seglog
 
 import (
@@ -27,10 +26,11 @@
 )
 
 const (
-	// DefaultSegment is the size in bytes after which a new segment is begun.
-	// Retention drops whole segments, so it bounds what is kept too long.
+	// DefaultSegmentSize is the size in bytes after which a new segment is begun.
+	// Retention drops whole segments, so it bounds how much is retained too long.
 	DefaultSegmentSize = 8 << 20
-	// MaxRecord bounds a record in bytes: a caller's body is at most a few MB.
+	// MaxRecord is the maximum size of a record in bytes: a caller's body is at most a
+	// few MB.
 	MaxRecord = 16 << 20
 
 	headerSize = 8 // length and checksum
@@ -43,7 +43,7 @@
 	// Log is the log in Dir. Set the fields, then call Open.
 	Log struct {
 		Dir     string
-		Segment int64 // bytes; 0 is DefaultSegment
+		Segment int64 // bytes after which a new segment is begun; 0 is DefaultSegmentSize
 
 		mu       sync.Mutex
 		cond     *sync.Cond
@@ -56,14 +56,15 @@
 		done     chan struct{}
 	}
 
-	// Pos says where a record lies.
+	// Pos is the position of a record in the log.
 	Pos struct {
 		Segment uint64
 		Offset  int64
-		Size    int // of the record itself
+		Size    int // of the record without its header
 	}
 
-	// Done is told where a record lies once it is durable, or why it is not.
+	// Callback is called with the position of a record once it is durable, or with the
+	// error.
 	Callback func(Pos, error)
 
 	entry struct {
@@ -85,7 +86,7 @@
 	crcTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Open reads all records that are whole, in their order, and begins a segment.
+// Open calls visit for all complete records in order, and begins a new segment.
 func (l *Log) Open(visit func(Pos, []byte)) (err error) {
 	defer func() { err = errors.Wrapf(err, "open log %s", l.Dir) }()
 	if l.Segment == 0 {
@@ -155,7 +156,8 @@
 	return nil
 }
 
-// next returns the record that begins data, nil if it is not whole.
+// firstRecord returns the record at the start of data, or nil if it is incomplete or its
+// checksum is wrong.
 func firstRecord(data []byte) []byte {
 	if len(data) < headerSize {
 		return nil
@@ -171,8 +173,8 @@
 	return rec
 }
 
-// begin starts a new segment. Its name becomes durable with its first sync; the
-// folder is synced too, for file systems where it does not.
+// newSegment begins a new segment. On most file systems the first sync of the file makes its
+// name durable; the folder is synced for the others.
 func (l *Log) newSegment() error {
 	l.number++
 	f, err := os.OpenFile(l.name(l.number), os.O_CREATE|os.O_EXCL|os.O_RDWR, fileMode)
@@ -184,7 +186,7 @@
 	return fsync.Dir(l.Dir)
 }
 
-// Append queues a record; done is called from the log's own goroutine.
+// Append queues a record. Done is called from a goroutine of the log.
 func (l *Log) Append(data []byte, done Callback) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,15 +198,15 @@
 	l.cond.Signal()
 }
 
-// refusal tells why a record isn't taken.
+// appendError returns why a record is not accepted.
 func (l *Log) appendError(data []byte) error {
 	if l.closed {
 		return ErrClosed
 	}
-	return errors.Newf("seglog: a record of %d bytes", len(data))
+	return errors.Newf("seglog: invalid record size: %d bytes", len(data))
 }
 
-// run writes what waits, group after group.
+// run commits the pending records, batch after batch.
 func (l *Log) run() {
 	defer close(l.done)
 	for {
@@ -225,8 +227,8 @@
 	}
 }
 
-// commit writes and syncs a group. After a failure nothing is known of the
-// segment's tail, so the next group goes to a new one.
+// commit writes and syncs a batch. After a failure the state of the segment's tail is
+// unknown, so the next batch goes to a new segment.
 func (l *Log) commit(batch []entry) (positions []Pos, err error) {
 	positions = make([]Pos, len(batch))
 	l.mu.Lock()
@@ -256,7 +258,8 @@
 	return positions, errors.Wrap(err, "commit")
 }
 
-// Read returns a record.
+// Read returns the record at p, which must have its size. The error is os.ErrNotExist if the
+// segment was dropped.
 func (l *Log) Read(p Pos) (rec []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "read %d at %d", p.Segment, p.Offset) }()
 	l.mu.Lock()
@@ -270,12 +273,13 @@
 		return nil, err
 	}
 	if rec = firstRecord(data); rec == nil {
-		return nil, errors.New("record is spoilt")
+		return nil, errors.New("record is corrupt")
 	}
 	return rec, nil
 }
 
-// Close ends the log after what waits was written.
+// Close writes the pending records and closes the files. Further appends fail with
+// ErrClosed.
 func (l *Log) Close() (err error) {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/disk/seglog/seglog_test.go
+++ b/internal/disk/seglog/seglog_test.go
@@ -50,8 +50,8 @@
 	is.NoErr(l.Close())
 }
 
-// The VM lost its power in the middle of a write. What was synced before must be
-// read again, and what is torn must not be taken for a record.
+// The VM loses power during a write. Records synced before must be read again, and a torn
+// one must not be taken for a record.
 func TestTornTail(t *testing.T) {
 	cases := map[string]func(data []byte) []byte{
 		"cut in the head":   func(d []byte) []byte { return d[:len(d)-len("two")-3] },
@@ -60,7 +60,7 @@
 		"zeros instead":     func(d []byte) []byte { clear(d[len(d)-len("two")-headerSize:]); return d },
 		"bytes behind":      func(d []byte) []byte { d[len(d)-1] ^= 1; return append(d, 0xff, 1, 2) },
 	}
-	for name, harm := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			dir := t.TempDir()
@@ -71,13 +71,13 @@
 			file := filepath.Join(dir, "1"+suffix)
 			data, err := os.ReadFile(file)
 			is.NoErr(err)
-			is.NoErr(os.WriteFile(file, harm(data), fileMode))
+			is.NoErr(os.WriteFile(file, corrupt(data), fileMode))
 			l, seen := open(t, dir)
 			is.Equal(seen, []string{"one"})
 			add(t, l, "three")
 			is.NoErr(l.Close())
 			l, seen = open(t, dir)
-			is.Equal(seen, []string{"one", "three"}) // nothing is hidden behind the torn tail
+			is.Equal(seen, []string{"one", "three"}) // the torn tail hides no later record
 			is.NoErr(l.Close())
 		})
 	}
@@ -115,6 +115,6 @@
 	is.NoErr(l.Drop(numbers[0]))
 	recs, _, _, err := l.Scan(Pos{}, 1)
 	is.NoErr(err)
-	is.True(string(recs[0]) != want[0]) // goes on after what was dropped
+	is.True(string(recs[0]) != want[0]) // continues after the dropped segment
 	is.NoErr(l.Close())
 }
