--- a/internal/disk/fsync/fsync.go
+++ b/internal/disk/fsync/fsync.go
@@ -1,4 +1,5 @@
-// Package synced makes small files and the names of files survive a loss of power.
+// Package fsync writes small files, and syncs directories, so that they survive a power
+// loss.
 package fsync
 
 import (
@@ -10,11 +11,11 @@
 
 const fileMode = 0o600
 
-// Write replaces what a file holds and returns once the content and the name are
-// durable. It writes in place: a loss of power in between leaves a torn file.
+// Write replaces the content of a file and returns once content and name are durable. It
+// writes in place: a power loss during the write leaves a torn file.
 func Write(name string, data []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "write durable file") }()
-	f, err := os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode) //nolint:gosec // the settings name the folder
+	f, err := os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode) //nolint:gosec // the folder comes from the settings
 	if err != nil {
 		return err
 	}
@@ -26,10 +27,10 @@
 	return Dir(filepath.Dir(name))
 }
 
-// Dir makes the names in a folder durable. Without it a file's bytes survive a
-// loss of power, and its creation, renaming or removal may not.
+// Dir syncs a directory. Without it a file's content survives a power loss, but its
+// creation, renaming or removal may not.
 func Dir(name string) error {
-	d, err := os.Open(name) //nolint:gosec // the settings name the folder
+	d, err := os.Open(name) //nolint:gosec // the folder comes from the settings
 	if err != nil {
 		return err
 	}
--- a/internal/disk/snap/snap.go
+++ b/internal/disk/snap/snap.go
@@ -1,8 +1,8 @@
-// Package memo keeps the newest of a series of small values on one VM's disk.
+// Package snap stores the newest snapshot of the daemons' state on one VM's disk.
 //
-// Daemons that serve callers have no disk. When all of them start anew while the
-// platform's store is away, nothing but the VMs with a disk can tell them the
-// configuration, the upstreams and each other.
+// Daemons that serve callers have no disk. When all of them restart while the platform's
+// store is down, the VMs with a disk are the only source of the configuration, the
+// upstreams and each other's addresses.
 package snap
 
 import (
@@ -22,67 +22,67 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// The methods that a memo offers to other daemons.
+// The methods that a Snapshotter offers to other daemons.
 const (
-	MethodSave = "memo.keep" // a Note; answered once it is durable
-	MethodLoad = "memo.last" // answered with the newest Note
+	MethodSave = "memo.keep" // takes a Snapshot; returns once it is durable
+	MethodLoad = "memo.last" // returns the newest Snapshot
 )
 
 const (
-	// slots is the number of files that are written in turn. The one with the
-	// newest value is never touched, so a write that the power's loss cuts costs
-	// only the value that it was to store.
+	// slots is the number of files that are written alternately. The one with the
+	// newest snapshot is never overwritten, so a power loss during a write loses only
+	// the snapshot being written.
 	slots   = 2
 	dirMode = 0o700
 )
 
 type (
-	// Memo keeps a value. Set Dir before use.
+	// Snapshotter stores the newest snapshot in Dir, which must be set before use.
 	Snapshotter struct {
 		Dir string
-		Now func() time.Time // time.Now if it is nil
+		Now func() time.Time // nil is time.Now
 
 		mu     sync.Mutex
 		opened bool
-		slot   int // that holds the newest value
-		last   fileContent
+		slot   int // of the newest snapshot
+		newest fileContent
 	}
 
-	// Note is a value with what orders it.
+	// Snapshot is an opaque state and the revision that orders it.
 	Snapshot struct {
 		Revision uint64 `cbor:"1,keyasint"`
 		Data     []byte `cbor:"2,keyasint"`
-		Age      int64  `cbor:"3,keyasint,omitempty"` // milliseconds since it was kept
+		Age      int64  `cbor:"3,keyasint,omitempty"` // milliseconds since it was saved; set by Load
 	}
 
-	// saved is what a file holds.
+	// fileContent is the CBOR content of a file.
 	fileContent struct {
 		Revision uint64 `cbor:"1,keyasint"`
-		At       int64  `cbor:"2,keyasint"` // Unix milliseconds
+		SavedAt  int64  `cbor:"2,keyasint"` // Unix milliseconds
 		Data     []byte `cbor:"3,keyasint"`
-		Sum      uint64 `cbor:"4,keyasint"` // tells a torn file
+		Checksum uint64 `cbor:"4,keyasint"` // wrong in a torn file
 	}
 )
 
-// Register offers the memo over the link.
+// Register registers the methods with the link.
 func (s *Snapshotter) Register(l *link.Link) {
-	l.Handle(MethodSave, link.Answer(func(_ context.Context, n Snapshot) (struct{}, error) { return struct{}{}, s.Save(n) }))
+	l.Handle(MethodSave, link.Answer(func(_ context.Context, snap Snapshot) (struct{}, error) { return struct{}{}, s.Save(snap) }))
 	l.Handle(MethodLoad, link.Answer(func(context.Context, struct{}) (Snapshot, error) { return s.Load() }))
 }
 
-// Keep makes the note durable, unless a newer one is kept already.
-func (s *Snapshotter) Save(n Snapshot) (err error) {
-	defer func() { err = errors.Wrap(err, "keep memo") }()
+// Save makes the snapshot durable, unless a newer one is stored already.
+func (s *Snapshotter) Save(snap Snapshot) (err error) {
+	defer func() { err = errors.Wrap(err, "save snapshot") }()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err = s.open(); err != nil {
 		return err
 	}
-	if n.Revision < s.last.Revision {
+	if snap.Revision < s.newest.Revision {
 		return nil
 	}
-	next := fileContent{Revision: n.Revision, At: s.now().UnixMilli(), Data: n.Data}
-	next.Sum = next.sum()
+	next := fileContent{Revision: snap.Revision, SavedAt: s.now().UnixMilli(), Data: snap.Data}
+	next.Checksum = next.checksum()
 	slot := (s.slot + 1) % slots
 	data, err := cbor.Marshal(next)
 	if err != nil {
@@ -91,27 +91,27 @@
 	if err = fsync.Write(s.name(slot), data); err != nil {
 		return err
 	}
-	s.slot, s.last = slot, next
+	s.slot, s.newest = slot, next
 	return nil
 }
 
-// Last returns the newest note, which has no data if none was kept.
-func (s *Snapshotter) Load() (n Snapshot, err error) {
-	defer func() { err = errors.Wrap(err, "read memo") }()
+// Load returns the newest snapshot, which has no data if there is none.
+func (s *Snapshotter) Load() (snap Snapshot, err error) {
+	defer func() { err = errors.Wrap(err, "load snapshot") }()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err = s.open(); err != nil {
-		return n, err
+		return snap, err
 	}
-	if len(s.last.Data) == 0 {
-		return n, nil
+	if len(s.newest.Data) == 0 {
+		return snap, nil
 	}
-	// The clock may have been set back since.
-	age := max(s.now().UnixMilli()-s.last.At, 0)
-	return Snapshot{Revision: s.last.Revision, Data: s.last.Data, Age: age}, nil
+	// The clock may have been set back since it was saved.
+	age := max(s.now().UnixMilli()-s.newest.SavedAt, 0)
+	return Snapshot{Revision: s.newest.Revision, Data: s.newest.Data, Age: age}, nil
 }
 
-// open reads the files at the first use; m.mu is held.
+// open reads the files at the first use. The caller holds s.mu.
 func (s *Snapshotter) open() error {
 	if s.opened {
 		return nil
@@ -128,11 +128,11 @@
 			return err
 		}
 		var c fileContent
-		if cbor.Unmarshal(data, &c) != nil || c.Sum != c.sum() {
-			continue // torn: the other file has the value before it
+		if cbor.Unmarshal(data, &c) != nil || c.Checksum != c.checksum() {
+			continue // torn: the other file has the previous snapshot
 		}
-		if c.Revision >= s.last.Revision {
-			s.slot, s.last = slot, c
+		if c.Revision >= s.newest.Revision {
+			s.slot, s.newest = slot, c
 		}
 	}
 	s.opened = true
@@ -148,9 +148,9 @@
 	return s.Now()
 }
 
-func (c fileContent) sum() uint64 {
+func (c fileContent) checksum() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(strconv.FormatUint(c.Revision, 10) + " " + strconv.FormatInt(c.At, 10) + " ") // never fails
+	_, _ = d.WriteString(strconv.FormatUint(c.Revision, 10) + " " + strconv.FormatInt(c.SavedAt, 10) + " ") // never fails
 	_, _ = d.Write(c.Data)
 	return d.Sum64()
 }
--- a/internal/disk/snap/snap_test.go
+++ b/internal/disk/snap/snap_test.go
@@ -11,54 +11,54 @@
 	"github.com/slaterock/slaterock/internal/disk/snap"
 )
 
-// Power is lost while a value is written, at any byte of it, and the process
-// starts again. The value before it must still be there: without it, daemons that
-// start while the store is away serve nobody.
-func TestTornWriteKeepsTheValueBefore(t *testing.T) {
+// Power is lost during a write, at any byte of it, and the process restarts. The previous
+// snapshot must still be readable: without it, daemons that start while the store is down
+// can't serve callers.
+func TestTornWriteKeepsPreviousSnapshot(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	m := snap.Snapshotter{Dir: dir}
-	is.NoErr(m.Save(snap.Snapshot{Revision: 1, Data: []byte("one")}))
-	is.NoErr(m.Save(snap.Snapshot{Revision: 2, Data: []byte("two")}))
-	is.NoErr(m.Save(snap.Snapshot{Revision: 3, Data: []byte("three")}))
+	s := snap.Snapshotter{Dir: dir}
+	is.NoErr(s.Save(snap.Snapshot{Revision: 1, Data: []byte("one")}))
+	is.NoErr(s.Save(snap.Snapshot{Revision: 2, Data: []byte("two")}))
+	is.NoErr(s.Save(snap.Snapshot{Revision: 3, Data: []byte("three")}))
 	newest := filepath.Join(dir, "memo-1")
-	whole, err := os.ReadFile(newest)
+	content, err := os.ReadFile(newest)
 	is.NoErr(err)
-	for n := range whole {
-		is.NoErr(os.WriteFile(newest, whole[:n], 0o600))
-		again := snap.Snapshotter{Dir: dir}
-		note, err := again.Load()
+	for n := range content {
+		is.NoErr(os.WriteFile(newest, content[:n], 0o600))
+		reopened := snap.Snapshotter{Dir: dir}
+		snapshot, err := reopened.Load()
 		is.NoErr(err)
-		is.Equal(string(note.Data), "two")
+		is.Equal(string(snapshot.Data), "two")
 	}
-	spoilt := append([]byte(nil), whole...)
-	spoilt[len(spoilt)/2] ^= 1
-	is.NoErr(os.WriteFile(newest, spoilt, 0o600))
-	again := snap.Snapshotter{Dir: dir}
-	note, err := again.Load()
+	corrupt := append([]byte(nil), content...)
+	corrupt[len(corrupt)/2] ^= 1
+	is.NoErr(os.WriteFile(newest, corrupt, 0o600))
+	reopened := snap.Snapshotter{Dir: dir}
+	snapshot, err := reopened.Load()
 	is.NoErr(err)
-	is.Equal(string(note.Data), "two")
+	is.Equal(string(snapshot.Data), "two")
 }
 
-// Two daemons write what they know, and the older knowledge arrives last, perhaps
-// after a restart. It must not replace the newer.
-func TestOlderValueIsPassedOver(t *testing.T) {
+// Two daemons save their state, and the older one arrives last, perhaps after a restart.
+// It must not replace the newer one.
+func TestOlderSnapshotIsIgnored(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	now := time.UnixMilli(5000)
-	m := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now }}
-	note, err := m.Load()
+	s := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now }}
+	snapshot, err := s.Load()
 	is.NoErr(err)
-	is.Equal(len(note.Data), 0) // nothing was kept
-	is.NoErr(m.Save(snap.Snapshot{Revision: 7, Data: []byte("new")}))
-	is.NoErr(m.Save(snap.Snapshot{Revision: 6, Data: []byte("old")}))
-	again := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now.Add(time.Second) }}
-	is.NoErr(again.Save(snap.Snapshot{Revision: 5, Data: []byte("older")}))
-	note, err = again.Load()
+	is.Equal(len(snapshot.Data), 0) // nothing was saved
+	is.NoErr(s.Save(snap.Snapshot{Revision: 7, Data: []byte("new")}))
+	is.NoErr(s.Save(snap.Snapshot{Revision: 6, Data: []byte("old")}))
+	reopened := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now.Add(time.Second) }}
+	is.NoErr(reopened.Save(snap.Snapshot{Revision: 5, Data: []byte("older")}))
+	snapshot, err = reopened.Load()
 	is.NoErr(err)
-	is.Equal(note, snap.Snapshot{Revision: 7, Data: []byte("new"), Age: 1000})
-	setBack := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now.Add(-time.Hour) }}
-	note, err = setBack.Load()
+	is.Equal(snapshot, snap.Snapshot{Revision: 7, Data: []byte("new"), Age: 1000})
+	clockSetBack := snap.Snapshotter{Dir: dir, Now: func() time.Time { return now.Add(-time.Hour) }}
+	snapshot, err = clockSetBack.Load()
 	is.NoErr(err)
-	is.Equal(note.Age, int64(0))
+	is.Equal(snapshot.Age, int64(0))
 }
