--- a/internal/obs/logbuf/logbuf.go
+++ b/internal/obs/logbuf/logbuf.go
@@ -1,7 +1,8 @@
-// Package flow writes a process's log without ever holding up what it logs.
+// Package logbuf provides a non-blocking logger: a slow output never delays the code that
+// logs.
 //
-// Lines go to a ring that one goroutine empties. If the output can't keep up,
-// the oldest lines are dropped, and how many were is logged.
+// Lines go to a ring buffer that one goroutine drains. If the output can't keep up, the
+// oldest lines are dropped, and their number is logged.
 package logbuf
 
 import (
@@ -12,12 +13,13 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// ring is how many lines may wait: about a second of the busiest VM.
+// bufferLines is the capacity of the ring buffer in lines: about a second of the busiest
+// VM's log.
 const bufferLines = 4096
 
-// Open returns a logger whose lines name the daemon, and what writes the lines
-// that still wait.
-func Open(w io.Writer, daemon string) (log zerolog.Logger, closing func()) {
+// Open returns a logger whose lines carry the daemon's name, and a function that flushes
+// the buffer and closes it.
+func Open(w io.Writer, daemon string) (log zerolog.Logger, closeLog func()) {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	out := diode.NewWriter(w, bufferLines, 0, func(missed int) {
 		l := zerolog.New(w)
