--- a/internal/obs/label/label.go
+++ b/internal/obs/label/label.go
@@ -1,24 +1,24 @@
-// Package label bounds the values of a metric's label. Each value costs every daemon
-// memory for as long as it runs, and names come from outside.
+// Package label bounds the cardinality of a metric's label. Each value costs every daemon
+// memory until it restarts, and the values come from outside the daemon.
 package label
 
 import "sync"
 
 const (
-	// most is how many values get a label of their own.
+	// maxValues is how many distinct values are kept.
 	maxValues = 100
-	// Others is the label of all other values.
+	// Others replaces all further values.
 	Others = "others"
 )
 
-// Label gives the first values that it is asked for a label of their own. The zero value
-// is ready.
+// Label keeps the first maxValues distinct values that it sees. The zero value is ready to
+// use. It is safe for concurrent use.
 type Label struct {
 	mu    sync.Mutex
 	known map[string]bool
 }
 
-// Of returns the label of a value.
+// Of returns the value itself if it is one of the first maxValues, or else Others.
 func (l *Label) Of(value string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
