--- a/internal/obs/logs/logs.go
+++ b/internal/obs/logs/logs.go
@@ -1,9 +1,9 @@
-// Package logs writes what a daemon does, one JSON object a line, or in a form
-// that is easy to read where the output is a terminal.
+// Package logs writes a daemon's log, one JSON object a line, or in a readable form if the
+// output is a terminal.
 //
-// Each request leaves one line at its end, with what a support engineer
-// searches for. Keys, bodies and answers are never logged: a Request has no
-// field that could hold them. The zero value logs nothing.
+// One line is logged at the end of each request, with the fields that a support engineer
+// searches for. Keys, bodies and answers are never logged: a Request has no field for
+// them.
 package logs
 
 import (
@@ -22,20 +22,20 @@
 const (
 	// JSON writes one object a line.
 	JSON = "json"
-	// Console writes lines for people.
+	// Console writes human-readable lines.
 	Console = "console"
 	// Auto is Console on a terminal and JSON elsewhere.
 	Auto = ""
 )
 
 type (
-	// Logs writes lines.
+	// Logs writes log lines. The zero value logs nothing.
 	Logs struct{ log zerolog.Logger }
 
-	// Request is the end of one request, as it is logged.
+	// Request has the fields of one request's log line.
 	Request struct {
 		ID       string
-		Hop      string // which part of the system tells it
+		Hop      string // part of the system that logs it
 		Account  string
 		Program  string
 		Call     int
@@ -43,8 +43,8 @@
 		Code     result.Code
 		Ran      result.Ran
 		Status   int
-		Upstream string // empty where it is not known
-		Prompt   int    // tokens, as the two below
+		Upstream string // empty if unknown
+		Prompt   int    // tokens, as are the two below
 		Cached   int
 		Output   int
 		Duration time.Duration
@@ -67,16 +67,16 @@
 	return Logs{log: zerolog.New(zerolog.SyncWriter(w)).Level(minLevel).With().Timestamp().Logger()}, nil
 }
 
-// WithDaemon returns Logs whose lines name the daemon.
+// WithDaemon returns Logs whose lines carry the daemon's name.
 func (l Logs) WithDaemon(name string) Logs {
 	return Logs{log: l.log.With().Str("daemon", name).Logger()}
 }
 
-// Logger returns the logger for lines other than those of requests.
+// Logger returns the logger, for lines other than those of requests.
 func (l Logs) Logger() zerolog.Logger { return l.log }
 
-// Request writes the line of one request. What nobody can tell is a warning,
-// because someone may have to look into it.
+// Request logs one request. Its level is warn if it is unknown whether the request ran,
+// since that may have to be looked into, and info otherwise.
 func (l Logs) Request(r Request) {
 	e := l.log.Info()
 	if r.Ran == result.Unknown {
--- a/internal/obs/logs/logs_test.go
+++ b/internal/obs/logs/logs_test.go
@@ -16,7 +16,7 @@
 func TestRequestLine(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	l, err := Open(&out, "", Auto) // a buffer is no terminal
+	l, err := Open(&out, "", Auto) // a buffer is not a terminal
 	is.NoErr(err)
 	l.WithDaemon("vm1").Request(Request{
 		ID: "r-1", Hop: "edge", Account: "mafuta", Program: "round-7", Call: 2, Kind: call.Model,
