--- a/internal/obs/metric/metric.go
+++ b/internal/obs/metric/metric.go
@@ -1,9 +1,9 @@
-// Package metric counts and times what a daemon does.
+// Package metric collects a daemon's metrics.
 //
-// Parts of the daemon take a tally.Scope and write to it; Metric gathers all
-// of it for Prometheus to scrape. Each daemon has its own, so that several can
-// run in one process. Tags must have few values: those of accounts or programs
-// would let callers grow a daemon's memory without bound.
+// Components of the daemon write to a tally.Scope; Metric gathers them for Prometheus to
+// scrape. Each daemon has its own Metric, so that several can run in one process. Tags
+// must have few values: with accounts or programs as values, callers could grow a
+// daemon's memory without bound.
 package metric
 
 import (
@@ -26,11 +26,11 @@
 
 const (
 	prefix = "slaterock"
-	// reportEvery is how old a scraped number may be.
+	// reportInterval is the maximum age of a scraped value.
 	reportInterval = time.Second
 )
 
-// Metric is one daemon's metrics. The zero value counts nothing.
+// Metric is one daemon's metrics. The zero value and nil discard everything.
 type Metric struct {
 	scope       tally.Scope
 	closer      io.Closer
@@ -38,7 +38,7 @@
 	handler     http.Handler
 }
 
-// New returns metrics that are gathered until Close.
+// New returns a Metric that reports until Close.
 func New() *Metric {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -49,8 +49,9 @@
 		Registerer:              registry,
 		DefaultTimerType:        promreporter.HistogramTimerType,
 		DefaultHistogramBuckets: timerBuckets(),
-		// A name used with two sets of tags loses the second set. That must
-		// not end a daemon; the missing series shows on the dashboard.
+		// A name that is registered with two sets of tag keys loses the second
+		// one. That must not stop a daemon; the missing series shows on the
+		// dashboard.
 		OnRegisterError: func(error) {},
 	})
 	handler := promhttp.HandlerFor(prometheus.GathererFunc(func() ([]*dto.MetricFamily, error) {
@@ -69,7 +70,7 @@
 	return m
 }
 
-// Scope returns where to count. It may be kept.
+// Scope returns the root scope, which may be retained.
 func (m *Metric) Scope() tally.Scope {
 	if m == nil || m.scope == nil {
 		return tally.NoopScope
@@ -77,7 +78,7 @@
 	return m.scope
 }
 
-// Serve answers a scrape.
+// Serve answers a scrape. Without New the status is 404.
 func (m *Metric) Serve(ctx *fasthttp.RequestCtx) {
 	if m == nil || m.fastHandler == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -86,10 +87,10 @@
 	m.fastHandler(ctx)
 }
 
-// Handler answers a scrape where the daemon serves with net/http.
+// Handler returns the handler of scrapes for net/http, nil without New.
 func (m *Metric) Handler() http.Handler { return m.handler }
 
-// Close reports what was counted last and stops gathering.
+// Close reports the last values and stops reporting.
 func (m *Metric) Close() error {
 	if m == nil || m.closer == nil {
 		return nil
@@ -97,9 +98,9 @@
 	return m.closer.Close()
 }
 
-// byUse has a daemon's own state first, then what it counted, what it timed, and Go's own.
-// A collector that keeps the beginning of a long answer keeps what only this daemon knows:
-// Go's metrics alone have 10 kB, and come first by name.
+// byPriority orders families: the daemon's gauges first, then its counters, its timers, and
+// Go's metrics. A collector that truncates a long answer then keeps the daemon's own state:
+// Go's metrics alone have 10 kB, and would come first by name.
 func byPriority(a, b *dto.MetricFamily) int { return cmp.Compare(priority(a), priority(b)) }
 
 func priority(f *dto.MetricFamily) int {
@@ -115,8 +116,9 @@
 	}
 }
 
-// seconds are the bounds of timers' buckets: from a hop within a VM to a long
-// model call, with those of the first token (0.45) and between tokens (0.05).
+// timerBuckets returns the bucket bounds of timers, in seconds: from a hop within a VM to a
+// long model call, with bounds of their own for the first token (0.45) and the gap between
+// tokens (0.05).
 func timerBuckets() []float64 {
 	return []float64{0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.45, 1, 2.5, 5, 10, 30, 60, 300}
 }
--- a/internal/obs/metric/metric_test.go
+++ b/internal/obs/metric/metric_test.go
@@ -20,10 +20,10 @@
 func TestScrape(t *testing.T) {
 	is := is.New(t)
 	m := New()
-	other := New() // two daemons of one process
+	other := New() // two daemons in one process
 	m.Scope().Tagged(map[string]string{"upstream": "10.0.0.1:80"}).Counter("requests").Inc(3)
 	m.Scope().Timer("first_token").Record(400 * time.Millisecond)
-	is.NoErr(m.Close()) // reports at once
+	is.NoErr(m.Close()) // reports immediately
 	is.NoErr(other.Close())
 	status, body := scrape(m)
 	is.Equal(status, 200)
@@ -35,8 +35,8 @@
 	is.True(!strings.Contains(body, "slaterock_requests"))
 }
 
-// After an incident only the first 4 kB of each scrape are there. What the daemon believed
-// must be among them.
+// Only the first 4 kB of a scrape may be stored, and they are all that is left after an
+// incident. They must include the daemon's own state.
 func TestOwnStateComesFirst(t *testing.T) {
 	is := is.New(t)
 	m := New()
@@ -56,8 +56,8 @@
 	is.True(order[1] < 4<<10)
 }
 
-// A newcomer counts the same name with other tags. Losing that series is bad
-// enough; it must not take the daemon down.
+// A counter's name is used again with other tag keys. That series is lost, but the daemon
+// must not panic.
 func TestConflictingTags(t *testing.T) {
 	is := is.New(t)
 	m := New()
