--- a/internal/obs/trace/trace.go
+++ b/internal/obs/trace/trace.go
@@ -1,10 +1,9 @@
-// Package trace records one span for each hop of a request, and carries the
-// trace from hop to hop as a W3C traceparent.
+// Package trace records one span for each hop of a request, and propagates the trace from
+// hop to hop as a W3C traceparent.
 //
-// Spans are exported in the background, to a collector by OTLP over HTTP or to
-// a file. A collector that is slow or down costs spans, never a request: a full
-// queue drops them. The zero value records nothing and passes a caller's
-// traceparent on unchanged.
+// Spans are exported in the background, to a collector by OTLP over HTTP or to a file. If
+// the collector is slow or down, spans are dropped once the queue is full; requests are
+// never delayed.
 package trace
 
 import (
@@ -28,9 +27,9 @@
 
 // The hops of a request.
 const (
-	Edge     Hop = "edge"     // at the daemon that met the caller
-	Relay    Hop = "relay"    // from there to the owner and back
-	Owner    Hop = "owner"    // at the owner, waiting included
+	Edge     Hop = "edge"     // at the daemon that accepted the request
+	Relay    Hop = "relay"    // from the edge to the owner and back
+	Owner    Hop = "owner"    // at the owner, including queueing
 	Upstream Hop = "upstream" // one attempt at one upstream
 	Store    Hop = "store"    // one call to the platform's store
 	Records  Hop = "records"  // durable records read and written before a turn runs
@@ -40,30 +39,31 @@
 	service       = "slaterock"
 	header        = "traceparent"
 	exportTimeout = 5 * time.Second
-	queueSize     = 4096 // spans that wait for the exporter
+	queueSize     = 4096 // spans waiting for export
 )
 
 type (
-	// Hop is one leg of a request's way.
+	// Hop is one stage of a request, and the name of its span.
 	Hop string
 
-	// Settings tell where spans go. Without Endpoint and File they go nowhere,
-	// but traces are still carried on.
+	// Settings configures a Trace. Without Endpoint and File no spans are exported, but
+	// trace contexts are still propagated.
 	Settings struct {
 		Daemon      string
-		Endpoint    string      // IP number and port of an OTLP/HTTP collector
+		Endpoint    string      // IP address and port of an OTLP/HTTP collector
 		File        io.Writer   // spans as JSON lines
-		SampleRatio float64     // of traces that begin here; 0 means all
-		OnError     func(error) // told why spans were lost; process-wide
+		SampleRatio float64     // of traces that start here; 0 means all
+		OnError     func(error) // called with export errors; process-wide
 	}
 
-	// Trace records spans.
+	// Trace records spans. The zero value and nil record nothing and propagate the
+	// caller's traceparent unchanged.
 	Trace struct {
 		provider *sdk.TracerProvider
 		tracer   trace.Tracer
 	}
 
-	// Span is one hop under way.
+	// Span is a started hop.
 	Span struct {
 		span   trace.Span
 		parent string
@@ -113,7 +113,7 @@
 	return &Trace{provider: provider, tracer: provider.Tracer(service)}
 }
 
-// sampler follows the caller's choice where it made one.
+// sampler follows the caller's sampling decision if there is one.
 func sampler(s Settings, exporters int) sdk.Sampler {
 	if exporters == 0 {
 		return sdk.NeverSample()
@@ -124,8 +124,9 @@
 	return sdk.ParentBased(sdk.TraceIDRatioBased(s.SampleRatio))
 }
 
-// Start begins a hop. Parent is the traceparent that came with the request; if
-// it is empty or malformed, the span in ctx is the parent, or there is none.
+// Start starts a hop. Parent is the traceparent of the request; if it is empty or
+// malformed, the span in ctx is the parent, or there is none. The returned context has
+// the new span.
 func (t *Trace) Start(ctx context.Context, hop Hop, parent string, attrs ...attribute.KeyValue) (context.Context, Span) {
 	if t == nil || t.tracer == nil {
 		return ctx, Span{parent: parent}
@@ -137,7 +138,7 @@
 	return ctx, Span{span: span}
 }
 
-// Close exports what waits, until ctx ends.
+// Close exports the queued spans, until ctx ends.
 func (t *Trace) Close(ctx context.Context) error {
 	if t == nil || t.provider == nil {
 		return nil
@@ -145,7 +146,7 @@
 	return errors.Wrap(t.provider.Shutdown(ctx), "close trace")
 }
 
-// Parent returns the traceparent for the next hop.
+// Traceparent returns the traceparent to send to the next hop.
 func (s Span) Traceparent() string {
 	if s.span == nil {
 		return s.parent
@@ -153,14 +154,14 @@
 	return Format(s.span.SpanContext())
 }
 
-// Set adds attributes.
+// Set sets attributes of the span.
 func (s Span) Set(attrs ...attribute.KeyValue) {
 	if s.span != nil {
 		s.span.SetAttributes(attrs...)
 	}
 }
 
-// Result ends the hop with an outcome.
+// Result ends the span with the request's result.
 func (s Span) Result(r result.Result) {
 	if s.span == nil {
 		return
@@ -172,7 +173,7 @@
 	s.span.End()
 }
 
-// End ends the hop; err may be nil.
+// End ends the span; err may be nil.
 func (s Span) End(err error) {
 	if s.span == nil {
 		return
@@ -183,13 +184,13 @@
 	s.span.End()
 }
 
-// Parse reads a traceparent. It is not valid if the text is malformed.
+// Parse parses a traceparent. The result is not valid if the text is malformed.
 func Parse(parent string) trace.SpanContext {
 	ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.MapCarrier{header: parent})
 	return trace.SpanContextFromContext(ctx)
 }
 
-// Format writes a traceparent, empty if sc is not valid.
+// Format returns sc as a traceparent, empty if sc is not valid.
 func Format(sc trace.SpanContext) string {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(trace.ContextWithSpanContext(context.Background(), sc), carrier)
--- a/internal/obs/trace/trace_test.go
+++ b/internal/obs/trace/trace_test.go
@@ -18,7 +18,7 @@
 	parent  = "00-" + traceID + "-00f067aa0ba902b7-01"
 )
 
-// stuck is an exporter whose collector never answers.
+// stuck is an exporter that blocks, as with a collector that never answers.
 type stuck struct{ release chan struct{} }
 
 func (s stuck) ExportSpans(context.Context, []sdk.ReadOnlySpan) error {
@@ -50,8 +50,8 @@
 	is.True(edge.Traceparent() != parent) // a child, not the caller's span
 }
 
-// The collector hangs. If that reached the requests, the part that is there to
-// explain slowness would cause it.
+// The collector hangs. Requests must not be delayed: tracing must not cause the latency
+// that it is meant to explain.
 func TestStuckCollector(t *testing.T) {
 	is := is.New(t)
 	s := stuck{release: make(chan struct{})}
@@ -62,7 +62,7 @@
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(tr.Close(ended) != nil) // gives up with its context
+	is.True(tr.Close(ended) != nil) // ends with its context
 	close(s.release)
 }
 
@@ -70,7 +70,7 @@
 	tests := map[string]struct {
 		trace  *Trace
 		parent string
-		same   bool // passed on as it came
+		same   bool // propagated unchanged
 		valid  bool
 	}{
 		"zero value":         {&Trace{}, parent, true, true},
