--- a/internal/disk/quorum/quorum.go
+++ b/internal/disk/quorum/quorum.go
@@ -62,7 +62,7 @@
 
 	// Result is the outcome of a write.
 	Result struct {
-		Charges []index.Charge // of the program, merged from all replicas that answered
+		Charges []index.Charge // of the program, merged from the replicas that had answered
 	}
 
 	reply struct {
@@ -119,7 +119,7 @@
 	hedge := time.NewTicker(c.writeLatency.hedge(replicas, minWriteHedge))
 	defer hedge.Stop()
 	charges := map[string]index.Charge{}
-	written, answered := 0, 0
+	written, complete := 0, 0
 	for received := 0; received < len(replicas); {
 		select {
 		case got := <-replies:
@@ -137,7 +137,7 @@
 			}
 			written++
 			if !got.replica.Joining {
-				answered++
+				complete++
 			}
 			for _, charge := range got.write.Charges {
 				charges[charge.Attempt] = index.Merge(charges[charge.Attempt], charge)
@@ -147,7 +147,7 @@
 		case <-ctx.Done():
 			return res, stale, errors.CombineErrors(ErrNoQuorum, ctx.Err())
 		}
-		if written < r.WriteQuorum() || rec.Reserved && answered < r.ReadQuorum() {
+		if written < r.WriteQuorum() || rec.Reserved && complete < r.ReadQuorum() {
 			continue
 		}
 		for _, charge := range charges {
--- a/internal/disk/quorum/quorum_test.go
+++ b/internal/disk/quorum/quorum_test.go
@@ -297,8 +297,8 @@
 	}
 }
 
-// injectFaults takes that many replicas down or drops their replies, in place of the
-// faults before.
+// injectFaults takes that many replicas down or drops their replies, and clears previous
+// faults.
 func injectFaults(cl *cluster, rnd *rand.Rand, losses int) {
 	clearFaults(cl)
 	for _, i := range rnd.Perm(len(cl.current().Replicas))[:losses] {
