--- a/internal/disk/index/index.go
+++ b/internal/disk/index/index.go
@@ -22,7 +22,8 @@
 )
 
 type (
-	// Index is the index. The zero value is empty.
+	// Index has the charges of programs and the positions of turns. The zero value is
+	// empty.
 	Index struct {
 		programs map[string]*program
 		turns    map[string]*turn
@@ -97,8 +98,9 @@
 	return Charge{Attempt: r.Attempt, Tokens: r.MaxTokens}
 }
 
-// Merge merges two replicas' charges of one attempt: a settled one has precedence over a
-// reservation; of two alike the one with more tokens wins.
+// Merge merges two charges of one attempt, as from two replicas: a settled one has
+// precedence over a reservation; if both or neither are settled, the one with more tokens
+// has.
 func Merge(a, b Charge) Charge {
 	switch {
 	case a.Attempt == "":
@@ -163,8 +165,9 @@
 	return first
 }
 
-// expires counts from the record's ownSession time: all records are read again after a restart,
-// which must not extend their retention.
+// expires returns when the record's retention ends. It counts from the time in the record,
+// not from now: all records are read again after a restart, which must not extend their
+// retention.
 func (r Record) expires(now time.Time) time.Time {
 	at := now
 	if r.At > 0 && r.At < now.UnixMilli() {
@@ -187,8 +190,9 @@
 }
 
 // Chain returns the positions of the turn and the previous ones, the newest first, as far
-// as they are indexed. Next is the id of the first that is missing, empty if none is: a
-// replica that was down may have a turn but lack the one that it continues.
+// as they are indexed. Next is the id of the first that is missing or beyond MaxChain,
+// empty if none is: a replica that was down may have a turn but lack the one that it
+// continues.
 func (ix *Index) Chain(id string) (list []seglog.Pos, next string) {
 	for id != "" && len(list) < MaxChain {
 		t := ix.turns[id]
--- a/internal/disk/index/record.go
+++ b/internal/disk/index/record.go
@@ -6,9 +6,9 @@
 )
 
 type (
-	// Record is one durable fact about an attempt of a turn. Records are idempotent
-	// and commute: applying them twice or in another order gives the same state, so
-	// replicas need no agreed order.
+	// Record is one durable fact about an attempt of a turn, or, with Fence, about the
+	// roster. Records are idempotent and commute: applying them twice or in another
+	// order gives the same state, so replicas need no agreed order.
 	Record struct {
 		Program   string `cbor:"1,keyasint,omitempty"`
 		Attempt   string `cbor:"2,keyasint,omitempty"`
@@ -17,10 +17,10 @@
 		Settled   bool   `cbor:"5,keyasint,omitempty"`
 		Spent     int    `cbor:"6,keyasint,omitempty"`  // tokens delivered to its caller
 		Turn      *Turn  `cbor:"7,keyasint,omitempty"`  // input and output, if they are stored
-		At        int64  `cbor:"8,keyasint,omitempty"`  // Unix milliseconds
+		At        int64  `cbor:"8,keyasint,omitempty"`  // start of the attempt, in Unix milliseconds
 		TTL       int64  `cbor:"9,keyasint,omitempty"`  // milliseconds for which it must be retained
-		Fence     uint64 `cbor:"10,keyasint,omitempty"` // version below which requests are refused once this is logged
-		Upstream  string `cbor:"11,keyasint,omitempty"` // that ran the attempt; set with Settled
+		Fence     uint64 `cbor:"10,keyasint,omitempty"` // requests under rosters older than this version are refused
+		Upstream  string `cbor:"11,keyasint,omitempty"` // id of the upstream that ran the attempt; set with Settled
 		Session   string `cbor:"12,keyasint,omitempty"` // session that the turn belongs to
 	}
 
@@ -41,7 +41,7 @@
 		Settled  bool   `cbor:"3,keyasint,omitempty"`
 		Upstream string `cbor:"4,keyasint,omitempty"`
 		Session  string `cbor:"5,keyasint,omitempty"`
-		At       int64  `cbor:"6,keyasint,omitempty"` // Unix milliseconds
+		At       int64  `cbor:"6,keyasint,omitempty"` // start of the attempt, in Unix milliseconds; 0 until it is settled
 	}
 )
 
@@ -60,8 +60,8 @@
 	return r.Attempt
 }
 
-// WithoutText returns the record without the input and output of its turn.
-func (r Record) WithoutText() Record {
+// WithoutContent returns the record without the input and output of its turn.
+func (r Record) WithoutContent() Record {
 	if r.Turn != nil {
 		t := *r.Turn
 		t.Input, t.Output = nil, nil
--- a/internal/disk/quorum/cluster_test.go
+++ b/internal/disk/quorum/cluster_test.go
@@ -48,14 +48,14 @@
 func (cl *cluster) add() roster.Member {
 	cl.next++
 	name := fmt.Sprintf("n%d", cl.next)
-	h := &recsrv.Server{Dir: cl.t.TempDir()}
-	_, err := h.Open()
+	srv := &recsrv.Server{Dir: cl.t.TempDir()}
+	_, err := srv.Open()
 	is.New(cl.t).NoErr(err)
-	cl.t.Cleanup(func() { _ = h.Close() })
+	cl.t.Cleanup(func() { _ = srv.Close() })
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.servers[name] = h
-	return roster.Member{Node: name, Address: name, Domain: name, DiskID: h.DiskID()}
+	cl.servers[name] = srv
+	return roster.Member{Node: name, Address: name, Domain: name, DiskID: srv.DiskID()}
 }
 
 // restart restarts a server's process, on the same disk.
@@ -65,13 +65,13 @@
 	cl.mu.Unlock()
 	is := is.New(cl.t)
 	is.NoErr(old.Close())
-	h := &recsrv.Server{Dir: old.Dir}
-	_, err := h.Open()
+	srv := &recsrv.Server{Dir: old.Dir}
+	_, err := srv.Open()
 	is.NoErr(err)
-	cl.t.Cleanup(func() { _ = h.Close() })
+	cl.t.Cleanup(func() { _ = srv.Close() })
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.servers[name] = h
+	cl.servers[name] = srv
 }
 
 func (cl *cluster) set(m map[string]bool, name string, on bool) {
@@ -86,7 +86,8 @@
 	return cl.roster
 }
 
-// replace makes the member replica i and copies the records to it, as the keeper does.
+// replace makes the member replica i and copies the records to it, as a daemon
+// with a disk does.
 func (cl *cluster) replace(i int, m roster.Member) error {
 	r := cl.current()
 	r.Version++
@@ -94,9 +95,9 @@
 	r.Replicas[i] = roster.Replica{Node: m.Node, Address: m.Address, Domain: m.Domain, DiskID: m.DiskID, Joining: true}
 	cl.mu.Lock()
 	cl.roster = r
-	h := cl.servers[m.Address]
+	srv := cl.servers[m.Address]
 	cl.mu.Unlock()
-	if err := h.CatchUp(context.Background(), r, func(a string) link.Invoker { return conn{cl, a} }); err != nil {
+	if err := srv.CatchUp(context.Background(), r, func(a string) link.Invoker { return conn{cl, a} }); err != nil {
 		return err
 	}
 	cl.mu.Lock()
@@ -115,16 +116,16 @@
 
 func (c conn) Invoke(ctx context.Context, method string, params, out any) error {
 	c.cl.mu.Lock()
-	h, down, dropReplies, hangs := c.cl.servers[c.address], c.cl.down[c.address], c.cl.dropReplies[c.address], c.cl.hangs[c.address]
+	srv, down, dropReplies, hangs := c.cl.servers[c.address], c.cl.down[c.address], c.cl.dropReplies[c.address], c.cl.hangs[c.address]
 	c.cl.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if h == nil || down {
+	if srv == nil || down {
 		return errDown
 	}
-	reply, err := h.Serve(ctx, method, json.RawMessage(params.(link.Raw)))
+	reply, err := srv.Serve(ctx, method, json.RawMessage(params.(link.Raw)))
 	if err != nil || dropReplies {
 		return errors.Join(err, errDown)
 	}
--- a/internal/disk/quorum/latency.go
+++ b/internal/disk/quorum/latency.go
@@ -26,9 +26,9 @@
 // delay follows.
 //
 // Hedging helps against a replica that is slower than the others. Where all are slow
-// because they are overloaded, it adds load: with a fixed delay of 20 ms, each write
-// went to all five replicas instead of three, and the record servers could not work
-// off their queues after a burst.
+// because they are overloaded, it adds load and keeps them overloaded, so the delay grows
+// with the latency: a fixed delay of 20 ms sends each write to all five replicas instead
+// of three, and the record servers can't work off their queues after a burst.
 type latencies struct {
 	mu       sync.Mutex
 	averages map[string]time.Duration // by disk ID
--- a/internal/disk/quorum/latency_test.go
+++ b/internal/disk/quorum/latency_test.go
@@ -97,7 +97,8 @@
 func TestRecoversAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		// 200 a second at each replica are 333 writes a second to three of five.
+		// Each of five replicas serves 200 requests a second; with three requests a write
+		// that is a capacity of 333 writes a second.
 		s := &serialReplicas{serviceTime: 5 * time.Millisecond, busyUntil: map[string]time.Time{}}
 		c := s.client()
 		s.send(c, 200, time.Second)
--- a/internal/disk/quorum/quorum.go
+++ b/internal/disk/quorum/quorum.go
@@ -2,10 +2,11 @@
 // writes them at the record servers, for a daemon that serves callers.
 //
 // A write goes to f+1 replicas of the roster, and is hedged to others as soon as one
-// fails or is slower than most, so that a slow disk adds little latency; it is
-// acknowledged once f+1 have synced it. A read asks the nearest of these replicas
-// first. A turn is reported as missing only after so many replicas have answered that
-// they lack it that one of them would have every acknowledged write.
+// fails or is slower than most, so that a slow disk adds little latency. It is
+// acknowledged once f+1 have synced it; a reservation also waits for a read quorum, so
+// that it sees the earlier ones. A read asks the nearest of these replicas first. A turn
+// is reported as missing only after an absence quorum (roster.AbsenceQuorum) has answered
+// that they lack it: if it had been acknowledged, one of them would have it.
 package quorum
 
 import (
@@ -25,12 +26,12 @@
 )
 
 const (
-	// replicaTimeout bounds one request to one replica. Slow disks take 150 ms, and
-	// hang for seconds; a late write still adds a copy.
+	// replicaTimeout bounds one request to one replica. A faulty disk takes 150 ms, or
+	// hangs for seconds; a late write still adds a copy.
 	replicaTimeout = 2500 * time.Millisecond
 	// minWriteHedge is the minimum delay before a write that is not yet durable also
-	// goes to the next replica: on the slowest disks a sync takes 5 ms and may wait
-	// for another.
+	// goes to the next replica: on the slowest disks without a fault a sync takes 5 ms,
+	// and may wait for the one before.
 	minWriteHedge = 20 * time.Millisecond
 	// minReadHedge is the same for reads: a healthy replica answers in 2 ms.
 	minReadHedge = 25 * time.Millisecond
@@ -125,10 +126,10 @@
 		case got := <-replies:
 			received++
 			if !c.accepted(got.err, got.write.Refusal, &stale) {
-				// A newer roster has other replicas, so waiting for the rest of
-				// this one, which may be gone, is useless. A replica that
-				// refuses for a reason of its own (its disk was replaced, or is
-				// full) is skipped.
+				// If r is stale, its other replicas may be gone: don't wait for
+				// them, but retry with the newer roster. A refusal for another
+				// reason (the replica's disk was replaced, is full or is
+				// frozen) only skips this replica.
 				if got.write.Refusal.Version > r.Version {
 					return res, stale, ErrNoQuorum
 				}
@@ -147,6 +148,8 @@
 		case <-ctx.Done():
 			return res, stale, errors.CombineErrors(ErrNoQuorum, ctx.Err())
 		}
+		// A reservation also needs a read quorum of complete replicas, so that its result
+		// has every reservation acknowledged before.
 		if written < r.WriteQuorum() || rec.Reserved && complete < r.ReadQuorum() {
 			continue
 		}
@@ -173,8 +176,8 @@
 
 // preferenceOrder returns the replicas in the order in which a program's records are
 // written to them, by rendezvous hashing; joining ones come last. Writing to f+1 of the
-// 2f+1 replicas saves a third to two fifths of the record servers' work and of the
-// bytes between failure domains. All daemons use the same order, which keeps a
+// 2f+1 replicas saves a third (f = 1) to two fifths (f = 2) of the record servers' work and
+// of the bytes between failure domains. All daemons use the same order, which keeps a
 // program's turns together, so that the first replica asked has the whole chain.
 func preferenceOrder(r roster.Roster, key string) []roster.Replica {
 	list := slices.Clone(r.Replicas)
@@ -219,6 +222,9 @@
 		part, next, err = c.readPart(ctx, program, next)
 		switch {
 		case errors.Is(err, ErrNoTurn) && len(chain) > 0:
+			// An absence quorum lacks a previous turn although a later one is stored.
+			// That is not ErrNoTurn, which would mean that the requested turn does not
+			// exist.
 			return nil, errors.Wrapf(ErrNoQuorum, "a previous turn is missing: %s", next)
 		case err != nil:
 			return nil, err
@@ -265,7 +271,7 @@
 			send()
 			if !c.accepted(got.err, got.read.Refusal, &stale) {
 				if got.read.Refusal.Version > r.Version {
-					return nil, turn, stale, ErrNoQuorum // as in write
+					return nil, turn, stale, ErrNoQuorum // r is stale: retry with the newer roster
 				}
 				continue
 			}
--- a/internal/disk/quorum/quorum_test.go
+++ b/internal/disk/quorum/quorum_test.go
@@ -297,11 +297,11 @@
 	}
 }
 
-// injectFaults takes that many replicas down or drops their replies, and clears previous
-// faults.
-func injectFaults(cl *cluster, rnd *rand.Rand, losses int) {
+// injectFaults clears all faults, then takes count random replicas down or drops their
+// replies.
+func injectFaults(cl *cluster, rnd *rand.Rand, count int) {
 	clearFaults(cl)
-	for _, i := range rnd.Perm(len(cl.current().Replicas))[:losses] {
+	for _, i := range rnd.Perm(len(cl.current().Replicas))[:count] {
 		a := cl.current().Replicas[i].Address
 		if rnd.IntN(2) == 0 {
 			cl.set(cl.down, a, true)
--- a/internal/disk/quorum/retire_test.go
+++ b/internal/disk/quorum/retire_test.go
@@ -16,22 +16,22 @@
 	"github.com/slaterock/slaterock/internal/peer/link"
 )
 
-// retire removes replica i without a successor, as the keeper does.
+// retire removes replica i without a successor, as a daemon with a disk does.
 func (cl *cluster) retire(i int) error {
 	r := cl.current()
 	p := r.Replicas[i]
 	cl.mu.Lock()
-	h := cl.servers[p.Address]
+	srv := cl.servers[p.Address]
 	cl.mu.Unlock()
-	h.Freeze(true)
-	if err := h.CopyToOthers(context.Background(), r, func(a string) link.Invoker { return conn{cl, a} }); err != nil {
-		h.Freeze(false)
+	srv.Freeze(true)
+	if err := srv.CopyToOthers(context.Background(), r, func(a string) link.Invoker { return conn{cl, a} }); err != nil {
+		srv.Freeze(false)
 		return err
 	}
 	cl.mu.Lock()
 	cl.roster = cl.roster.Without(p.DiskID)
 	cl.mu.Unlock()
-	h.Learn(cl.current())
+	srv.Learn(cl.current())
 	return nil
 }
 
@@ -39,9 +39,9 @@
 func (cl *cluster) missing(turns []string) string {
 	r := cl.current()
 	for _, p := range r.Replicas {
-		h := cl.servers[p.Address]
+		srv := cl.servers[p.Address]
 		for _, id := range turns {
-			reply, err := h.Read(context.Background(), recsrv.ReadRequest{Target: recsrv.Target{Version: r.Version}, Turn: id})
+			reply, err := srv.Read(context.Background(), recsrv.ReadRequest{Target: recsrv.Target{Version: r.Version}, Turn: id})
 			if err != nil || len(reply.Chain) == 0 {
 				return fmt.Sprintf("%s lacks %s (%v)", p.Address, id, err)
 			}
@@ -113,7 +113,7 @@
 func testWriteDuringStartOfCopy(t *testing.T) {
 	is := is.New(t)
 	cl := newCluster(t, 3, 1)
-	h := cl.servers["n1"]
+	srv := cl.servers["n1"]
 	old := cl.current()
 	next := old
 	next.Replicas = append([]roster.Replica(nil), old.Replicas...)
@@ -124,7 +124,7 @@
 	for i := range 200 {
 		work.Go(func() {
 			id := fmt.Sprint(i)
-			reply, err := h.Write(t.Context(), recsrv.WriteRequest{Target: recsrv.Target{Version: old.Version, DiskID: h.DiskID()}, Record: turn(id, "")})
+			reply, err := srv.Write(t.Context(), recsrv.WriteRequest{Target: recsrv.Target{Version: old.Version, DiskID: srv.DiskID()}, Record: turn(id, "")})
 			if err == nil && reply.Refusal.Code == "" {
 				mu.Lock()
 				defer mu.Unlock()
@@ -132,7 +132,7 @@
 			}
 		})
 	}
-	first, err := h.Pull(t.Context(), recsrv.PullRequest{Target: recsrv.Target{Version: next.Version}, First: true})
+	first, err := srv.Pull(t.Context(), recsrv.PullRequest{Target: recsrv.Target{Version: next.Version}, First: true})
 	is.NoErr(err)
 	work.Wait()
 	copied := map[string]bool{}
@@ -172,7 +172,7 @@
 }
 
 // One replica of three refuses for a reason of its own: its VM restarted with an empty
-// disk and has not claimed its place yet, or its disk is full or frozen. The other two
+// disk and has not rejoined the roster yet, or its disk is full or frozen. The other two
 // are enough. If a daemon gave up at the refusal, the programs that prefer that replica
 // would fail until the roster changes.
 func TestRefusingReplicaIsSkipped(t *testing.T) { synctest.Test(t, testRefusingReplicaIsSkipped) }
--- a/internal/disk/recsrv/copy.go
+++ b/internal/disk/recsrv/copy.go
@@ -31,8 +31,9 @@
 // acknowledged record is among them. It is used when this replica is joining the roster,
 // and after a restart, in which it has missed records.
 //
-// The replicas have nearly the same records. Each is therefore first scanned without
-// texts, which is a fiftieth of the bytes, and only missing records are fetched.
+// The replicas have nearly the same records. Each is therefore first asked for its records
+// without the turns' input and output, which is a fiftieth of the bytes, and only missing
+// records are fetched in full.
 func (s *Server) CatchUp(ctx context.Context, r roster.Roster, peers Peers) (err error) {
 	defer func() { err = errors.Wrap(err, "catch up") }()
 	copied := 0
@@ -55,7 +56,7 @@
 		// are only additional copies, so the ones available are enough.
 		return nil
 	}
-	return errors.Wrapf(ErrTooFewSources, "%d of %d (%v)", copied, r.ReadQuorum(), err)
+	return errors.Wrapf(ErrTooFewSources, "copied from %d replicas, need %d (%v)", copied, r.ReadQuorum(), err)
 }
 
 func (s *Server) copyFrom(ctx context.Context, version uint64, p roster.Replica, peer link.Invoker) (err error) {
--- a/internal/disk/recsrv/diskid.go
+++ b/internal/disk/recsrv/diskid.go
@@ -19,8 +19,9 @@
 )
 
 // loadDiskID returns the disk's random ID, and whether the disk was empty and the ID is
-// new. The ID is durable before any record is written: a disk that lost its records but
-// kept its ID would count as one that has them.
+// new. A disk that lost its records must not keep its ID, or it would count as one that
+// has them. The ID is durable before any record is written, so that a disk with
+// acknowledged records can't get a new ID after a power loss and count as empty.
 func loadDiskID(dir string) (id string, empty bool, err error) {
 	defer func() { err = errors.Wrap(err, "load disk ID") }()
 	if err = os.MkdirAll(dir, dirMode); err != nil {
--- a/internal/disk/recsrv/recsrv.go
+++ b/internal/disk/recsrv/recsrv.go
@@ -22,14 +22,16 @@
 )
 
 const (
-	// pageSize bounds one answer of a pull, in bytes. It takes 20 ms on the
-	// slowest link, so requests that share it are hardly delayed.
+	// pageSize is about how many bytes of full records one request or answer of a copy
+	// has. They take 20 ms on the slowest link, so that other requests on it are
+	// hardly delayed.
 	pageSize = 256 << 10
-	// scanPage is how much of the log is scanned for one answer of a pull without
-	// texts, in bytes; the answer is a fiftieth of that.
+	// scanPage is how many bytes of the log are scanned for one answer of a pull
+	// without the turns' input and output; the answer is a fiftieth of that.
 	scanPage = 1 << 20
-	// forceDropAfter is how long after the retention of its records a segment is
-	// dropped even if some are live; those are copied to the end of the log.
+	// forceDropAfter bounds how long a segment is retained for its live records. Once
+	// its last write is older than the longest retention by this and ClockSlack, they
+	// are copied to the end of the log and the segment is dropped.
 	forceDropAfter = 10 * time.Second
 	// maxFill is the part of the disk that records may fill.
 	maxFill = 0.85
@@ -117,8 +119,9 @@
 	s.fence(r.Version)
 }
 
-// fence has requests under older rosters refused from now on. The version is logged, so
-// that this also holds after a restart.
+// fence makes the server refuse requests under rosters older than version. It appends the
+// version to the record log, so that this also holds after a restart. The caller holds
+// s.mu.
 func (s *Server) fence(version uint64) {
 	if version <= s.minVersion {
 		return
@@ -130,7 +133,8 @@
 	}
 }
 
-// checkTarget checks that a request is for this disk and its roster is not stale.
+// checkTarget refuses a request that is for another disk or under a stale roster. An
+// accepted one fences rosters older than its own.
 func (s *Server) checkTarget(t Target) Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,9 +180,9 @@
 }
 
 // appendIfAllowed appends a record unless it must be refused. The checks and the append
-// are atomic: a record that passed the checks just before a copy of this disk began, or
-// before the disk was frozen to be retired, and that was appended after that, would be
-// acknowledged here and be on no other disk of the new roster.
+// are atomic. Otherwise the start of a copy of this disk, or Freeze, could come between
+// them: the record would be acknowledged here but missing from the copy, and so be on no
+// other disk of the new roster.
 func (s *Server) appendIfAllowed(req WriteRequest, data []byte, done chan<- error) Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,9 +271,10 @@
 	return ReadReply{Chain: chain, Next: next}, nil
 }
 
-// Pull returns the records from a position on without their texts, or picked records in
-// full. The first request of a copy waits until all records accepted under older rosters
-// are committed: such a record may still be acknowledged, so the copy must include it.
+// Pull returns the records from a position on without their turns' input and output, or
+// picked records in full. The first request of a copy waits until all records accepted
+// under older rosters are committed: such a record may still be acknowledged, so the copy
+// must include it.
 func (s *Server) Pull(ctx context.Context, req PullRequest) (reply PullReply, err error) {
 	if r := s.checkTarget(req.Target); r.Code != "" {
 		return PullReply{Refusal: r}, nil
@@ -294,11 +299,11 @@
 		if err != nil {
 			return PullReply{}, err
 		}
-		light, err := r.WithoutText().Encode()
+		stripped, err := r.WithoutContent().Encode()
 		if err != nil {
 			return PullReply{}, err
 		}
-		reply.Records = append(reply.Records, light)
+		reply.Records = append(reply.Records, stripped)
 	}
 	return reply, nil
 }
@@ -327,7 +332,8 @@
 	return ImportReply{}, s.Import(ctx, req.Records)
 }
 
-// Import makes records that were copied from another record server durable.
+// Import appends the records that the index lacks and waits until these are durable.
+// Records that are indexed already may still be waiting for their sync.
 func (s *Server) Import(ctx context.Context, records [][]byte) error {
 	var last error
 	wait := make(chan error, len(records))
--- a/internal/disk/recsrv/trim.go
+++ b/internal/disk/recsrv/trim.go
@@ -32,8 +32,9 @@
 	return nil
 }
 
-// dropSegment removes a segment without live records. With force it first copies live
-// ones to the end of the log: a turn is kept as long as the turns that continue it.
+// dropSegment removes a segment if it has no live records, or if force is set. Force first
+// copies the live ones to the end of the log. An old record can be live because a turn is
+// retained as long as the turns that continue it.
 func (s *Server) dropSegment(ctx context.Context, n uint64, force bool) error {
 	live, err := s.live(n)
 	if err != nil {
@@ -42,6 +43,7 @@
 	if len(live) > 0 && !force {
 		return nil
 	}
+	// The segment may have the only record of the fence.
 	s.mu.Lock()
 	minVersion := s.minVersion
 	s.mu.Unlock()
--- a/internal/disk/recsrv/wire.go
+++ b/internal/disk/recsrv/wire.go
@@ -48,9 +48,10 @@
 		Next    string       `cbor:"4,keyasint,omitempty"`
 	}
 
-	// PullRequest asks for the records from a position on, without their texts. With
-	// Pick it asks for the records at these positions in full instead. Any request
-	// fences older rosters; the first of a copy also waits for the fence to be durable.
+	// PullRequest asks for the records from a position on, without their turns' input
+	// and output. With Pick it asks for the records at these positions in full instead.
+	// Any request fences older rosters; the first of a copy also waits for the fence to
+	// be durable.
 	PullRequest struct {
 		Target Target       `cbor:"1,keyasint"`
 		From   seglog.Pos   `cbor:"2,keyasint"`
@@ -58,10 +59,10 @@
 		Pick   []seglog.Pos `cbor:"4,keyasint,omitempty"`
 	}
 
-	// PullReply has records with their positions, none at the end of the log, and the
-	// position to continue from. End is set in the first reply of a copy and is the
-	// end of the log then; later records are written under the new roster and need not
-	// be copied.
+	// PullReply has the requested records, none at the end of the log. Unless they were
+	// picked, it also has their positions and the position to continue from. End is the
+	// end of the log and set in the first reply of a copy: records after it were not
+	// written under an older roster and need not be copied.
 	PullReply struct {
 		Refusal   Refusal      `cbor:"1,keyasint"`
 		Records   [][]byte     `cbor:"2,keyasint,omitempty"`
@@ -76,7 +77,7 @@
 		Records [][]byte `cbor:"2,keyasint"`
 	}
 
-	// ImportReply confirms that they are durable.
+	// ImportReply confirms that the records are durable, or were indexed already.
 	ImportReply struct {
 		Refusal Refusal `cbor:"1,keyasint"`
 	}
@@ -85,8 +86,8 @@
 	// that it was executed.
 	Refusal struct {
 		Code    string `cbor:"1,keyasint,omitempty"`
-		Version uint64 `cbor:"2,keyasint,omitempty"` // of the newest roster that the server has seen
-		Roster  []byte `cbor:"3,keyasint,omitempty"` // newest roster that the server has, encoded; empty if it has none
+		Version uint64 `cbor:"2,keyasint,omitempty"` // of the newest roster that the server has seen; 0 with CodeFull
+		Roster  []byte `cbor:"3,keyasint,omitempty"` // newest roster that the server has, encoded; empty if it has none, and with CodeFull
 	}
 )
 
--- a/internal/disk/roster/roster.go
+++ b/internal/disk/roster/roster.go
@@ -33,7 +33,7 @@
 	// the records the loss of one more disk could not be tolerated.
 	TakeoverDelayEmptyDisk = 800 * time.Millisecond
 	// BootstrapWait is how long the first VMs wait for the others at the first start.
-	// All start within 0.3 s of each other, and some are slow to start.
+	// They are started within 0.3 s of each other, but some take longer to start.
 	BootstrapWait = 2500 * time.Millisecond
 )
 
@@ -81,13 +81,13 @@
 func (r Roster) WriteQuorum() int { return r.MaxFailures + 1 }
 
 // ReadQuorum returns how many replicas must answer so that one of them has any given
-// acknowledged write. Joining replicas don't count.
+// acknowledged write. Answers of joining replicas don't count.
 func (r Roster) ReadQuorum() int { return max(len(r.Replicas)-r.WriteQuorum()+1, 1) }
 
 // AbsenceQuorum returns how many replicas must answer that they lack a record before the
-// record is known not to exist. Replaced VMs may still run with a stale roster, and the
-// reader's roster may be equally stale; f of them must not be enough, also where the
-// roster has so few replicas that the read quorum is one.
+// record is known not to exist. It is at least f+1, or all replicas, also if the roster has
+// so few that the read quorum is one: with a stale roster, up to f of the VMs that answer
+// may have been replaced without knowing it, and lack newer records.
 func (r Roster) AbsenceQuorum() int {
 	return max(r.ReadQuorum(), min(r.WriteQuorum(), len(r.Replicas)))
 }
@@ -147,6 +147,7 @@
 	return next
 }
 
+// copy returns a copy with the next version number.
 func (r Roster) copy() Roster {
 	next := r
 	next.Version++
@@ -179,10 +180,11 @@
 }
 
 // Claim returns the next version, in which self becomes a replica, if it can: in place of
-// a former disk of the same node, as an additional replica, or in place of a VM that is
-// retiring or has been missing for minMissing. MissingSince has the time since which a
-// node has not been listed. While another replica is joining, no retiring or missing VM
-// is replaced: two replacements at once could leave too few complete replicas.
+// a former disk of the same node, as an additional replica, or, if self is the next
+// claimant, in place of a VM that is retiring or has been missing for minMissing.
+// MissingSince has the time since which a node has not been listed. While another replica
+// is joining, no retiring or missing VM is replaced: two replacements at once could leave
+// too few complete replicas.
 func (r Roster) Claim(now time.Time, self Member, members []Member, missingSince map[string]time.Time, minMissing time.Duration) (Roster, bool) {
 	if _, in := r.Find(self.DiskID); in || self.Retiring {
 		return Roster{}, false
@@ -225,7 +227,8 @@
 }
 
 // IsNextClaimant reports whether self is the first of the members that are not replicas.
-// Only that one claims, so that their writes to the store don't conflict.
+// Only that one replaces a retiring or missing VM, so that their writes to the store don't
+// conflict.
 func (r Roster) IsNextClaimant(self Member, members []Member) bool {
 	return r.ClaimPosition(self, members) == 0
 }
--- a/internal/disk/seglog/scan.go
+++ b/internal/disk/seglog/scan.go
@@ -39,7 +39,7 @@
 	return errors.CombineErrors(s.file.Close(), os.Remove(l.name(n)))
 }
 
-// End returns the position after the last committed record.
+// End returns the position after the last batch written. A batch that failed counts too.
 func (l *Log) End() Pos {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,9 +62,9 @@
 }
 
 // Scan returns about limit bytes of records from the position on, their positions, and the
-// position after them. It returns no records at the end of the committed ones.
+// position after them. It returns no records at the end of the log.
 func (l *Log) Scan(from Pos, limit int) (recs [][]byte, positions []Pos, after Pos, err error) {
-	defer func() { err = errors.Wrapf(err, "scan from %d at %d", from.Segment, from.Offset) }()
+	defer func() { err = errors.Wrapf(err, "scan from segment %d, offset %d", from.Segment, from.Offset) }()
 	after = from
 	for size := 0; size < limit; {
 		s, n, more := l.segmentAt(after)
--- a/internal/disk/seglog/seglog.go
+++ b/internal/disk/seglog/seglog.go
@@ -48,7 +48,7 @@
 		mu       sync.Mutex
 		cond     *sync.Cond
 		pending  []entry
-		file     *os.File
+		file     *os.File // the segment that is being written, with its number and size
 		number   uint64
 		size     int64
 		segments map[uint64]*segment
@@ -75,7 +75,7 @@
 	segment struct {
 		file      *os.File
 		size      int64
-		lastWrite time.Time // of the last write
+		lastWrite time.Time
 	}
 )
 
@@ -228,7 +228,8 @@
 }
 
 // commit writes and syncs a batch. After a failure the state of the segment's tail is
-// unknown, so the next batch goes to a new segment.
+// unknown, so the next batch goes to a new segment. The old segment's size then includes
+// the failed batch.
 func (l *Log) commit(batch []entry) (positions []Pos, err error) {
 	positions = make([]Pos, len(batch))
 	l.mu.Lock()
@@ -261,7 +262,7 @@
 // Read returns the record at p, which must have its size. The error is os.ErrNotExist if the
 // segment was dropped.
 func (l *Log) Read(p Pos) (rec []byte, err error) {
-	defer func() { err = errors.Wrapf(err, "read %d at %d", p.Segment, p.Offset) }()
+	defer func() { err = errors.Wrapf(err, "read segment %d at offset %d", p.Segment, p.Offset) }()
 	l.mu.Lock()
 	s := l.segments[p.Segment]
 	l.mu.Unlock()
--- a/internal/disk/seglog/seglog_test.go
+++ b/internal/disk/seglog/seglog_test.go
@@ -96,14 +96,14 @@
 	var got []string
 	var from Pos
 	for {
-		recs, places, after, err := l.Scan(from, 50)
+		recs, positions, after, err := l.Scan(from, 50)
 		is.NoErr(err)
 		if len(recs) == 0 {
 			break
 		}
 		for i, rec := range recs {
 			got = append(got, string(rec))
-			read, err := l.Read(places[i])
+			read, err := l.Read(positions[i])
 			is.NoErr(err)
 			is.Equal(read, rec)
 		}
--- a/internal/obs/logbuf/logbuf.go
+++ b/internal/obs/logbuf/logbuf.go
@@ -18,7 +18,8 @@
 const bufferLines = 4096
 
 // Open returns a logger whose lines carry the daemon's name, and a function that flushes
-// the buffer and closes it.
+// the buffer and closes it, and w too if it is an io.Closer. It sets the time format of
+// all zerolog loggers of the process.
 func Open(w io.Writer, daemon string) (log zerolog.Logger, closeLog func()) {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	out := diode.NewWriter(w, bufferLines, 0, func(missed int) {
--- a/internal/obs/metric/metric.go
+++ b/internal/obs/metric/metric.go
@@ -78,7 +78,7 @@
 	return m.scope
 }
 
-// Serve answers a scrape. Without New the status is 404.
+// Serve answers a scrape. For nil and the zero value the status is 404.
 func (m *Metric) Serve(ctx *fasthttp.RequestCtx) {
 	if m == nil || m.fastHandler == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -87,7 +87,8 @@
 	m.fastHandler(ctx)
 }
 
-// Handler returns the handler of scrapes for net/http, nil without New.
+// Handler returns the handler of scrapes for net/http, nil for the zero value. It panics on a
+// nil Metric.
 func (m *Metric) Handler() http.Handler { return m.handler }
 
 // Close reports the last values and stops reporting.
--- a/internal/obs/trace/trace.go
+++ b/internal/obs/trace/trace.go
@@ -46,8 +46,8 @@
 	// Hop is one stage of a request, and the name of its span.
 	Hop string
 
-	// Settings configures a Trace. Without Endpoint and File no spans are exported, but
-	// trace contexts are still propagated.
+	// Settings configures a Trace. Without Endpoint and File no spans are exported, and
+	// trace IDs are still propagated, but as not sampled.
 	Settings struct {
 		Daemon      string
 		Endpoint    string      // IP address and port of an OTLP/HTTP collector
@@ -113,7 +113,8 @@
 	return &Trace{provider: provider, tracer: provider.Tracer(service)}
 }
 
-// sampler follows the caller's sampling decision if there is one.
+// sampler returns a sampler that follows the caller's decision if there is one, and
+// SampleRatio otherwise. Without exporters it never samples.
 func sampler(s Settings, exporters int) sdk.Sampler {
 	if exporters == 0 {
 		return sdk.NeverSample()
