--- /dev/null
+++ b/internal/disk/index/index.go
@@ -0,0 +1,255 @@
+// Package index is the in-memory index over one VM's durable records, and the format of
+// a record. It has the charges on each program's budget and the position of each stored
+// turn in the log.
+//
+// It is a state machine that uses no clock, lock or disk: callers synchronize, and pass
+// the time in.
+package index
+
+import (
+	"time"
+
+	"github.com/slaterock/slaterock/internal/disk/seglog"
+)
+
+const (
+	// MaxChain bounds the turns of one chain. The longest programs have 320
+	// turns; a chain beyond this is a loop in the records.
+	MaxChain = 4096
+	// ClockSlack is added to the TTL of a record: VMs' clocks differ, and may be
+	// stepped, by seconds.
+	ClockSlack = 20 * time.Second
+)
+
+type (
+	// Index has the charges of programs and the positions of turns. The zero value is
+	// empty.
+	Index struct {
+		programs map[string]*program
+		turns    map[string]*turn
+	}
+
+	program struct {
+		charges map[string]Charge
+		expires time.Time
+	}
+
+	turn struct {
+		previous string
+		pos      seglog.Pos
+		expires  time.Time
+	}
+)
+
+// Apply indexes a durable record at pos.
+func (ix *Index) Apply(r Record, pos seglog.Pos, now time.Time) {
+	ix.ApplyCharge(r, now)
+	if r.Turn == nil {
+		return
+	}
+	if ix.turns == nil {
+		ix.turns = map[string]*turn{}
+	}
+	t := ix.turns[r.Attempt]
+	if t == nil {
+		t = &turn{previous: r.Turn.Previous}
+		ix.turns[r.Attempt] = t
+	}
+	t.pos = pos
+	ix.extendChain(r.Attempt, r.expires(now))
+}
+
+// extendChain extends the expiry of a turn and of those before it in its chain.
+func (ix *Index) extendChain(id string, until time.Time) {
+	for range MaxChain {
+		t := ix.turns[id]
+		if t == nil || !t.expires.Before(until) {
+			return
+		}
+		t.expires = until
+		id = t.previous
+	}
+}
+
+// ApplyCharge applies a record's reservation or settlement. It may be called before the
+// record is durable, so that concurrent attempts see each other's charges.
+func (ix *Index) ApplyCharge(r Record, now time.Time) {
+	if r.Program == "" || !r.Reserved && !r.Settled {
+		return
+	}
+	if ix.programs == nil {
+		ix.programs = map[string]*program{}
+	}
+	p := ix.programs[r.Program]
+	if p == nil {
+		p = &program{charges: map[string]Charge{}}
+		ix.programs[r.Program] = p
+	}
+	if until := r.expires(now); until.After(p.expires) {
+		p.expires = until
+	}
+	p.charges[r.Attempt] = Merge(p.charges[r.Attempt], r.charge())
+}
+
+func (r Record) charge() Charge {
+	if r.Settled {
+		return Charge{Attempt: r.Attempt, Tokens: r.Spent, Settled: true, Upstream: r.Upstream, Session: r.Session, At: r.At}
+	}
+	return Charge{Attempt: r.Attempt, Tokens: r.MaxTokens}
+}
+
+// Merge merges two charges of one attempt, as from two replicas: a settled one has
+// precedence over a reservation; if both or neither are settled, the one with more tokens
+// has.
+func Merge(a, b Charge) Charge {
+	switch {
+	case a.Attempt == "":
+		return b
+	case a.Settled != b.Settled:
+		if a.Settled {
+			return a
+		}
+		return b
+	case a.Tokens > b.Tokens:
+		return a
+	default:
+		return b
+	}
+}
+
+// WithinBudget reports whether the sum of a program's charges is within its budget:
+// settled attempts count with the tokens spent, others with the maximum reserved.
+func WithinBudget(charges []Charge, budget int) bool {
+	sum := 0
+	for _, c := range charges {
+		sum += c.Tokens
+	}
+	return sum <= budget
+}
+
+// LastUpstream returns the id of the upstream that last ran a turn of the session, or
+// else of the whole program, since a sub-agent's prompt begins with its parent's. It is
+// empty if there is none.
+func LastUpstream(charges []Charge, session string) (upstream string) {
+	newest, ownSession := int64(-1), false
+	for _, c := range charges {
+		sameSession := c.Session == session
+		if c.Upstream == "" || ownSession && !sameSession || ownSession == sameSession && c.At <= newest {
+			continue
+		}
+		upstream, newest, ownSession = c.Upstream, c.At, sameSession
+	}
+	return upstream
+}
+
+// OthersStarted reports whether an attempt of the program other than this one has run or
+// may be running.
+func OthersStarted(charges []Charge, attempt string) bool {
+	for _, c := range charges {
+		if c.Attempt != attempt && (c.Tokens > 0 || c.Upstream != "") {
+			return true
+		}
+	}
+	return false
+}
+
+// StartTime returns the time of the earliest settled attempt of a program, or now if there
+// is none.
+func StartTime(charges []Charge, now time.Time) time.Time {
+	first := now
+	for _, c := range charges {
+		if at := time.UnixMilli(c.At); c.At > 0 && at.Before(first) {
+			first = at
+		}
+	}
+	return first
+}
+
+// expires returns when the record's retention ends. It counts from the time in the record,
+// not from now: all records are read again after a restart, which must not extend their
+// retention.
+func (r Record) expires(now time.Time) time.Time {
+	at := now
+	if r.At > 0 && r.At < now.UnixMilli() {
+		at = time.UnixMilli(r.At)
+	}
+	return at.Add(time.Duration(r.TTL)*time.Millisecond + ClockSlack)
+}
+
+// Charges returns the charges on a program's budget, one for each attempt.
+func (ix *Index) Charges(name string) []Charge {
+	p := ix.programs[name]
+	if p == nil {
+		return nil
+	}
+	list := make([]Charge, 0, len(p.charges))
+	for _, c := range p.charges {
+		list = append(list, c)
+	}
+	return list
+}
+
+// Chain returns the positions of the turn and the previous ones, the newest first, as far
+// as they are indexed. Next is the id of the first that is missing or beyond MaxChain,
+// empty if none is: a replica that was down may have a turn but lack the one that it
+// continues.
+func (ix *Index) Chain(id string) (list []seglog.Pos, next string) {
+	for id != "" && len(list) < MaxChain {
+		t := ix.turns[id]
+		if t == nil {
+			return list, id
+		}
+		list = append(list, t.pos)
+		id = t.previous
+	}
+	return list, id
+}
+
+// Expire removes the programs and turns whose retention has ended.
+func (ix *Index) Expire(now time.Time) {
+	for name, p := range ix.programs {
+		if now.After(p.expires) {
+			delete(ix.programs, name)
+		}
+	}
+	for id, t := range ix.turns {
+		if now.After(t.expires) {
+			delete(ix.turns, id)
+		}
+	}
+}
+
+// Live reports whether a record at pos must be retained.
+func (ix *Index) Live(r Record, pos seglog.Pos) bool {
+	if r.Turn != nil {
+		if t := ix.turns[r.Attempt]; t != nil && t.pos == pos {
+			return true
+		}
+	}
+	p := ix.programs[r.Program]
+	if p == nil {
+		return false
+	}
+	_, ok := p.charges[r.Attempt]
+	return ok
+}
+
+// Has reports whether applying the record would change nothing in the index but positions
+// and expiry.
+func (ix *Index) Has(r Record) bool {
+	if r.Turn != nil && ix.turns[r.Attempt] == nil {
+		return false
+	}
+	if r.Program == "" || !r.Reserved && !r.Settled {
+		return true
+	}
+	p := ix.programs[r.Program]
+	if p == nil {
+		return false
+	}
+	old, known := p.charges[r.Attempt]
+	return known && Merge(old, r.charge()) == old
+}
+
+// Len returns the number of programs and turns.
+func (ix *Index) Len() (programs, turns int) { return len(ix.programs), len(ix.turns) }
--- /dev/null
+++ b/internal/disk/index/index_test.go
@@ -0,0 +1,138 @@
+package index
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sort"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/slaterock/slaterock/internal/disk/seglog"
+)
+
+var start = time.UnixMilli(1_000_000)
+
+func reserve(program, attempt string, maxTokens int) Record {
+	return Record{Program: program, Attempt: attempt, Reserved: true, MaxTokens: maxTokens, TTL: 60_000}
+}
+
+func settle(program, attempt string, spent int) Record {
+	return Record{Program: program, Attempt: attempt, Settled: true, Spent: spent, TTL: 60_000}
+}
+
+func turnOf(attempt, previous string) Record {
+	return Record{Attempt: attempt, TTL: 60_000, Turn: &Turn{Previous: previous}}
+}
+
+func pos(n int64) seglog.Pos { return seglog.Pos{Segment: 1, Offset: n} }
+
+func TestRecordRoundTrip(t *testing.T) {
+	is := is.New(t)
+	r := settle("p", "a", 30)
+	r.Turn = &Turn{Previous: "b", Input: []byte{0, 255}, Output: []byte("x\n"), Upstream: "i", Tokens: 30}
+	data, err := r.Encode()
+	is.NoErr(err)
+	back, err := Decode(data)
+	is.NoErr(err)
+	is.Equal(back, r)
+	_, err = Decode([]byte("spoilt"))
+	is.True(err != nil)
+}
+
+// Replicas get records in different orders, some twice. If their states differed, a
+// program could exceed its budget after one replica was lost.
+func TestRecordsCommute(t *testing.T) {
+	records := []Record{
+		reserve("p", "a", 100), settle("p", "a", 30), reserve("p", "b", 100), reserve("p", "c", 50), settle("p", "c", 0), settle("p", "a", 30),
+	}
+	want := "[{a 30 true   0} {b 100 false   0} {c 0 true   0}]"
+	rnd := rand.New(rand.NewPCG(1, 1))
+	for range 200 {
+		var ix Index
+		for _, i := range rnd.Perm(len(records)) {
+			ix.Apply(records[i], pos(1), start)
+		}
+		list := ix.Charges("p")
+		sort.Slice(list, func(i, j int) bool { return list[i].Attempt < list[j].Attempt })
+		is.New(t).Equal(fmt.Sprint(list), want)
+	}
+}
+
+func TestWithinBudget(t *testing.T) {
+	cases := map[string]struct {
+		charges []Charge
+		budget  int
+		want    bool
+	}{
+		"none":         {nil, 0, true},
+		"exactly":      {[]Charge{{Attempt: "a", Tokens: 60, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, true},
+		"one too many": {[]Charge{{Attempt: "a", Tokens: 61, Settled: true}, {Attempt: "b", Tokens: 40}}, 100, false},
+		"at its most":  {[]Charge{{Attempt: "a", Tokens: 80}, {Attempt: "b", Tokens: 40}}, 100, false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(WithinBudget(c.charges, c.budget), c.want) })
+	}
+}
+
+func TestChain(t *testing.T) {
+	is := is.New(t)
+	var ix Index
+	ix.Apply(turnOf("1", ""), pos(1), start)
+	ix.Apply(turnOf("3", "2"), pos(3), start)
+	list, next := ix.Chain("3")
+	is.Equal(list, []seglog.Pos{pos(3)})
+	is.Equal(next, "2") // reported as missing, not as the end of the chain
+	ix.Apply(turnOf("2", "1"), pos(2), start)
+	list, next = ix.Chain("3")
+	is.Equal(list, []seglog.Pos{pos(3), pos(2), pos(1)})
+	is.Equal(next, "")
+	list, next = ix.Chain("4")
+	is.Equal(len(list), 0)
+	is.Equal(next, "4")
+}
+
+// A program pauses for long between its turns. The previous turns must be retained as
+// long as the last one; otherwise the conversation can't be continued.
+func TestChainExpiresWithItsLastTurn(t *testing.T) {
+	is := is.New(t)
+	var ix Index
+	ix.Apply(turnOf("1", ""), pos(1), start)
+	later := start.Add(50 * time.Second)
+	ix.Apply(turnOf("2", "1"), pos(2), later)
+	ix.Expire(start.Add(60*time.Second + ClockSlack + time.Second))
+	_, next := ix.Chain("2")
+	is.Equal(next, "")
+	ix.Expire(later.Add(60*time.Second + ClockSlack + time.Second))
+	_, turns := ix.Len()
+	is.Equal(turns, 0)
+}
+
+// All records are read again after a restart. That must not extend their retention, or a
+// VM that restarts often would fill its disk.
+func TestExpiryCountsFromRecordTime(t *testing.T) {
+	is := is.New(t)
+	var ix Index
+	r := reserve("p", "a", 1)
+	r.At = start.UnixMilli()
+	ix.Apply(r, pos(1), start.Add(time.Minute))
+	ix.Expire(start.Add(time.Minute + ClockSlack + time.Second))
+	programs, _ := ix.Len()
+	is.Equal(programs, 0)
+}
+
+func TestLastUpstream(t *testing.T) {
+	cases := map[string]struct {
+		charges []Charge
+		want    string
+	}{
+		"nothing ran":            {[]Charge{{Attempt: "a", Tokens: 3}}, ""},
+		"the session's newest":   {[]Charge{{Upstream: "u", Session: "s", At: 1}, {Upstream: "v", Session: "s", At: 2}, {Upstream: "w", Session: "t", At: 3}}, "v"},
+		"its parent's otherwise": {[]Charge{{Upstream: "u", Session: "t", At: 2}, {Upstream: "v", Session: "r", At: 1}}, "u"},
+		"own, although older":    {[]Charge{{Upstream: "u", Session: "t", At: 9}, {Upstream: "v", Session: "s", At: 1}}, "v"},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(LastUpstream(c.charges, "s"), c.want) })
+	}
+}
--- a/internal/disk/quorum/quorum.go
+++ b/internal/disk/quorum/quorum.go
@@ -1,11 +1,12 @@
-// Package quorum reads and writes durable records at the holders, for a daemon
-// that serves callers.
+// Package quorum is the client side of the replicated durable records: it reads and
+// writes them at the record servers, for a daemon that serves callers.
 //
-// A write goes to f+1 places of the roster, and to others as soon as one fails or
-// is slower than most, so that a slow disk delays nobody for long; it is
-// acknowledged once f+1 have synced it. A read asks the nearest of these places
-// first. That a turn does not exist is certain only after so many places have said
-// so that they would include one with every acknowledged write.
+// A write goes to f+1 replicas of the roster, and is hedged to others as soon as one
+// fails or is slower than most, so that a slow disk adds little latency. It is
+// acknowledged once f+1 have synced it; a reservation also waits for a read quorum, so
+// that it sees the earlier ones. A read asks the nearest of these replicas first. A turn
+// is reported as missing only after an absence quorum (roster.AbsenceQuorum) has answered
+// that they lack it: if it had been acknowledged, one of them would have it.
 package quorum
 
 import (
@@ -17,165 +18,170 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
-	"github.com/slaterock/slaterock/internal/disk/holder"
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
 const (
-	// placeTime bounds one request to one place. Slow disks take 150 ms, and
-	// hang for seconds; a write that comes late is still of use.
-	placeTime = 2500 * time.Millisecond
-	// hedgeWrite is the least time after which a write that is not durable also
-	// goes to the next place: on the slowest disks a sync takes 5 ms and may wait
-	// for another.
-	hedgeWrite = 20 * time.Millisecond
-	// hedgeRead is the same of a read: a healthy place answers in 2 ms.
-	hedgeRead = 25 * time.Millisecond
-	// tryPause is kept between tries, so that a roster that just changed is learnt.
-	tryPause = 40 * time.Millisecond
+	// replicaTimeout bounds one request to one replica. A faulty disk takes 150 ms, or
+	// hangs for seconds; a late write still adds a copy.
+	replicaTimeout = 2500 * time.Millisecond
+	// minWriteHedge is the minimum delay before a write that is not yet durable also
+	// goes to the next replica: on the slowest disks without a fault a sync takes 5 ms,
+	// and may wait for the one before.
+	minWriteHedge = 20 * time.Millisecond
+	// minReadHedge is the same for reads: a healthy replica answers in 2 ms.
+	minReadHedge = 25 * time.Millisecond
+	// retryPause is the pause between attempts, in which a roster that has just
+	// changed reaches this daemon.
+	retryPause = 40 * time.Millisecond
 )
 
 var (
-	// ErrNoTurn reports a turn that certainly does not exist.
+	// ErrNoTurn reports a turn that does not exist, as an absence quorum of replicas
+	// has confirmed.
 	ErrNoTurn = errors.New("no such turn")
-	// ErrUnsure reports that too few places answered.
-	ErrUnsure = errors.New("too few holders of records answer")
+	// ErrNoQuorum reports that too few replicas answered.
+	ErrNoQuorum = errors.New("no quorum: too few record servers answered")
 )
 
 type (
-	// Client is the daemon's access to the records.
+	// Client reads and writes records. Set the fields before use.
 	Client struct {
 		Peer    func(address string) link.Invoker
 		Roster  func() roster.Roster
-		Learn   func(data []byte)         // takes a roster that a holder told
-		Refresh func(ctx context.Context) // reads the roster from the store, at most now and then
+		Learn   func(data []byte)         // called with a newer roster, encoded, from a record server's refusal
+		Refresh func(ctx context.Context) // reads the roster from the store; limits its own rate
 		Domain  string                    // own failure domain
 
-		writes paces
-		reads  paces
+		writeLatency latencies
+		readLatency  latencies
 	}
 
-	// Result is what a write has learnt.
+	// Result is the outcome of a write.
 	Result struct {
-		Shares []book.Share // of the program, what any place knows
+		Charges []index.Charge // of the program, merged from the replicas that had answered
 	}
 
 	reply struct {
-		place roster.Place
-		write holder.WriteReply
-		read  holder.ReadReply
-		err   error
+		replica roster.Replica
+		write   recsrv.WriteReply
+		read    recsrv.ReadReply
+		err     error
 	}
 )
 
-// Write makes a record durable. After an error it may be durable or not. The
-// result of a reservation has what every acknowledged reservation of the program
-// before it takes; that of other records may lack some.
-func (c *Client) Write(ctx context.Context, rec book.Record) (res Result, err error) {
+// Write makes a record durable. It retries until ctx ends; after an error the record
+// may be durable or not. The result of a reservation has the charge of every
+// reservation of the program that was acknowledged before; that of other records may
+// lack some.
+func (c *Client) Write(ctx context.Context, rec index.Record) (res Result, err error) {
 	defer func() { err = errors.Wrapf(err, "write record of %s", rec.Attempt) }()
 	for {
 		var stale bool
 		if res, stale, err = c.write(ctx, rec); err == nil || ctx.Err() != nil {
 			return res, err
 		}
-		if !c.again(ctx, stale) {
+		if !c.waitRetry(ctx, stale) {
 			return res, err
 		}
 	}
 }
 
-// again waits before the next try, and has a roster that may be old read anew. It
-// is false if ctx has ended.
-func (c *Client) again(ctx context.Context, stale bool) bool {
+// waitRetry waits before the next attempt, and first refreshes the roster if it may
+// be stale. It returns false if ctx has ended.
+func (c *Client) waitRetry(ctx context.Context, stale bool) bool {
 	if stale {
 		c.Refresh(ctx)
 	}
-	return pause.For(ctx, tryPause)
+	return pause.For(ctx, retryPause)
 }
 
-func (c *Client) write(ctx context.Context, rec book.Record) (res Result, stale bool, err error) {
+func (c *Client) write(ctx context.Context, rec index.Record) (res Result, stale bool, err error) {
 	r := c.Roster()
-	if len(r.Places) < r.Writes() || len(r.Places) == 0 {
-		return res, true, ErrUnsure
+	if len(r.Replicas) < r.WriteQuorum() || len(r.Replicas) == 0 {
+		return res, true, ErrNoQuorum
 	}
-	places := preferred(r, rec.Key())
-	replies := make(chan reply, len(places))
+	replicas := preferenceOrder(r, rec.Key())
+	replies := make(chan reply, len(replicas))
 	next := 0
-	ask := func() {
-		if next < len(places) {
-			go c.writeTo(ctx, r.Version, places[next], rec, replies)
+	send := func() {
+		if next < len(replicas) {
+			go c.writeTo(ctx, r.Version, replicas[next], rec, replies)
 			next++
 		}
 	}
-	for range r.Writes() {
-		ask()
+	for range r.WriteQuorum() {
+		send()
 	}
-	hedge := time.NewTicker(c.writes.hedge(places, hedgeWrite))
+	hedge := time.NewTicker(c.writeLatency.hedge(replicas, minWriteHedge))
 	defer hedge.Stop()
-	shares := map[string]book.Share{}
-	durable, answered := 0, 0
-	for heard := 0; heard < len(places); {
+	charges := map[string]index.Charge{}
+	written, complete := 0, 0
+	for received := 0; received < len(replicas); {
 		select {
 		case got := <-replies:
-			heard++
+			received++
 			if !c.accepted(got.err, got.write.Refusal, &stale) {
-				// Under a newer roster other places count, so nothing is gained
-				// by waiting for those of this one, which may be gone. A place
-				// that refuses for a reason of its own (another disk is there
-				// now, or it is full) is passed by.
+				// If r is stale, its other replicas may be gone: don't wait for
+				// them, but retry with the newer roster. A refusal for another
+				// reason (the replica's disk was replaced, is full or is
+				// frozen) only skips this replica.
 				if got.write.Refusal.Version > r.Version {
-					return res, stale, ErrUnsure
+					return res, stale, ErrNoQuorum
 				}
-				ask()
+				send()
 				continue
 			}
-			durable++
-			if !got.place.Joining {
-				answered++
+			written++
+			if !got.replica.Joining {
+				complete++
 			}
-			for _, s := range got.write.Shares {
-				shares[s.Attempt] = book.Join(shares[s.Attempt], s)
+			for _, charge := range got.write.Charges {
+				charges[charge.Attempt] = index.Merge(charges[charge.Attempt], charge)
 			}
 		case <-hedge.C:
-			ask()
+			send()
 		case <-ctx.Done():
-			return res, stale, errors.CombineErrors(ErrUnsure, ctx.Err())
+			return res, stale, errors.CombineErrors(ErrNoQuorum, ctx.Err())
 		}
-		if durable < r.Writes() || rec.Reserved && answered < r.Reads() {
+		// A reservation also needs a read quorum of complete replicas, so that its result
+		// has every reservation acknowledged before.
+		if written < r.WriteQuorum() || rec.Reserved && complete < r.ReadQuorum() {
 			continue
 		}
-		for _, s := range shares {
-			res.Shares = append(res.Shares, s)
+		for _, charge := range charges {
+			res.Charges = append(res.Charges, charge)
 		}
 		return res, false, nil
 	}
-	return res, stale, ErrUnsure
+	return res, stale, ErrNoQuorum
 }
 
-// writeTo writes to one place. It goes on after the caller has what it needs: a
-// place that has the record is one more disk that may outlive the others.
-func (c *Client) writeTo(ctx context.Context, version uint64, p roster.Place, rec book.Record, replies chan<- reply) {
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), placeTime)
+// writeTo writes to one replica. It goes on after the write quorum is reached, and
+// after ctx is cancelled: each further copy may outlive the others.
+func (c *Client) writeTo(ctx context.Context, version uint64, p roster.Replica, rec index.Record, replies chan<- reply) {
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), replicaTimeout)
 	defer stop()
-	a := holder.WriteAsk{Stamp: holder.Stamp{Version: version, Life: p.Life}, Record: rec}
-	out := reply{place: p}
+	req := recsrv.WriteRequest{Target: recsrv.Target{Version: version, DiskID: p.DiskID}, Record: rec}
+	out := reply{replica: p}
 	began := time.Now()
-	out.err = link.Ask(ctx, c.Peer(p.Address), holder.MethodWrite, a, &out.write)
-	c.writes.note(p, time.Since(began), out.err)
+	out.err = link.Ask(ctx, c.Peer(p.Address), recsrv.MethodWrite, req, &out.write)
+	c.writeLatency.observe(p, time.Since(began), out.err)
 	replies <- out
 }
 
-// preferred returns the places in the order in which a program's records go to
-// them. Writing to f+1 of the 2f+1 places takes a third to two fifths off the
-// holders' work and off the bytes between failure domains; that all daemons
-// prefer the same ones keeps a program's turns together, so that the first place
-// that is asked has the whole chain.
-func preferred(r roster.Roster, key string) []roster.Place {
-	list := slices.Clone(r.Places)
-	slices.SortStableFunc(list, func(a, b roster.Place) int {
+// preferenceOrder returns the replicas in the order in which a program's records are
+// written to them, by rendezvous hashing; joining ones come last. Writing to f+1 of the
+// 2f+1 replicas saves a third (f = 1) to two fifths (f = 2) of the record servers' work and
+// of the bytes between failure domains. All daemons use the same order, which keeps a
+// program's turns together, so that the first replica asked has the whole chain.
+func preferenceOrder(r roster.Roster, key string) []roster.Replica {
+	list := slices.Clone(r.Replicas)
+	slices.SortStableFunc(list, func(a, b roster.Replica) int {
 		if a.Joining != b.Joining {
 			if a.Joining {
 				return 1
@@ -187,8 +193,9 @@
 	return list
 }
 
-// accepted tells whether a place did what it was asked.
-func (c *Client) accepted(err error, refusal holder.Refusal, stale *bool) bool {
+// accepted reports whether a replica executed the request. After a refusal it sets
+// stale, and passes on the roster that came with it.
+func (c *Client) accepted(err error, refusal recsrv.Refusal, stale *bool) bool {
 	if err != nil {
 		return false
 	}
@@ -202,20 +209,23 @@
 	return false
 }
 
-// Read returns a turn with its chain, the oldest first. The error is ErrNoTurn
-// only if it is certain that the turn does not exist.
+// Read returns a turn with its chain, the oldest first. It retries until ctx ends. The
+// error is ErrNoTurn only if an absence quorum lacks the turn.
 //
-// A place may hold a turn and lack one before it that was written while the place
-// was away. So what a place lacks is asked of the others, turn by turn; only the
-// places' answers about one and the same turn can add up to a certain no.
-func (c *Client) Read(ctx context.Context, program, turn string) (chain []book.Turn, err error) {
+// A replica may have a turn and lack a previous one that was written while the replica
+// was down. The turns that one replica lacks are therefore read from the others, one
+// by one; an absence quorum is counted for each turn separately.
+func (c *Client) Read(ctx context.Context, program, turn string) (chain []index.Turn, err error) {
 	defer func() { err = errors.Wrapf(err, "read turn %s", turn) }()
 	for next := turn; next != ""; {
-		var part []book.Turn
+		var part []index.Turn
 		part, next, err = c.readPart(ctx, program, next)
 		switch {
 		case errors.Is(err, ErrNoTurn) && len(chain) > 0:
-			return nil, errors.Wrapf(ErrUnsure, "a turn before it is missing: %s", next)
+			// An absence quorum lacks a previous turn although a later one is stored.
+			// That is not ErrNoTurn, which would mean that the requested turn does not
+			// exist.
+			return nil, errors.Wrapf(ErrNoQuorum, "a previous turn is missing: %s", next)
 		case err != nil:
 			return nil, err
 		}
@@ -225,99 +235,99 @@
 	return chain, nil
 }
 
-// readPart returns the turn and those before it, the newest first, as far as one
-// place has them, and the first that it lacks.
-func (c *Client) readPart(ctx context.Context, program, turn string) (part []book.Turn, next string, err error) {
+// readPart returns the turn and the previous ones, the newest first, as far as one
+// replica has them, and the id of the first that it lacks.
+func (c *Client) readPart(ctx context.Context, program, turn string) (part []index.Turn, next string, err error) {
 	for {
 		var stale bool
 		part, next, stale, err = c.tryRead(ctx, program, turn)
 		if err == nil || errors.Is(err, ErrNoTurn) || ctx.Err() != nil {
 			return part, next, err
 		}
-		if !c.again(ctx, stale) {
+		if !c.waitRetry(ctx, stale) {
 			return nil, turn, err
 		}
 	}
 }
 
-func (c *Client) tryRead(ctx context.Context, program, turn string) (part []book.Turn, next string, stale bool, err error) {
+func (c *Client) tryRead(ctx context.Context, program, turn string) (part []index.Turn, next string, stale bool, err error) {
 	r := c.Roster()
-	places := c.nearest(r, program)
-	if len(places) == 0 {
-		return nil, turn, true, ErrUnsure
+	replicas := c.readOrder(r, program)
+	if len(replicas) == 0 {
+		return nil, turn, true, ErrNoQuorum
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	replies := make(chan reply, len(places))
-	ask := c.asker(ctx, r.Version, turn, places, replies)
-	ask()
-	hedge := time.NewTicker(c.reads.hedge(places, hedgeRead))
+	replies := make(chan reply, len(replicas))
+	send := c.sendNext(ctx, r.Version, turn, replicas, replies)
+	send()
+	hedge := time.NewTicker(c.readLatency.hedge(replicas, minReadHedge))
 	defer hedge.Stop()
-	without := 0
-	for heard := 0; heard < len(places); {
+	absent := 0
+	for received := 0; received < len(replicas); {
 		select {
 		case got := <-replies:
-			heard++
-			ask()
+			received++
+			send()
 			if !c.accepted(got.err, got.read.Refusal, &stale) {
 				if got.read.Refusal.Version > r.Version {
-					return nil, turn, stale, ErrUnsure // as for writes
+					return nil, turn, stale, ErrNoQuorum // r is stale: retry with the newer roster
 				}
 				continue
 			}
 			if len(got.read.Chain) > 0 {
 				return got.read.Chain, got.read.Next, false, nil
 			}
-			if !got.place.Joining {
-				without++
+			if !got.replica.Joining {
+				absent++
 			}
-			if without >= r.Certain() {
+			if absent >= r.AbsenceQuorum() {
 				return nil, turn, false, ErrNoTurn
 			}
 		case <-hedge.C:
-			ask()
+			send()
 		case <-ctx.Done():
-			return nil, turn, stale, errors.CombineErrors(ErrUnsure, ctx.Err())
+			return nil, turn, stale, errors.CombineErrors(ErrNoQuorum, ctx.Err())
 		}
 	}
-	return nil, turn, stale, ErrUnsure
+	return nil, turn, stale, ErrNoQuorum
 }
 
-// asker returns a function that asks the next place.
-func (c *Client) asker(ctx context.Context, version uint64, turn string, places []roster.Place, replies chan<- reply) func() {
+// sendNext returns a function that sends the read to the next replica.
+func (c *Client) sendNext(ctx context.Context, version uint64, turn string, replicas []roster.Replica, replies chan<- reply) func() {
 	next := 0
 	return func() {
-		if next == len(places) {
+		if next == len(replicas) {
 			return
 		}
-		p := places[next]
+		p := replicas[next]
 		next++
 		go func() {
-			limited, stop := context.WithTimeout(ctx, placeTime)
+			limited, stop := context.WithTimeout(ctx, replicaTimeout)
 			defer stop()
-			out := reply{place: p}
-			a := holder.ReadAsk{Stamp: holder.Stamp{Version: version, Life: p.Life}, Turn: turn}
+			out := reply{replica: p}
+			req := recsrv.ReadRequest{Target: recsrv.Target{Version: version, DiskID: p.DiskID}, Turn: turn}
 			began := time.Now()
-			out.err = link.Ask(limited, c.Peer(p.Address), holder.MethodRead, a, &out.read)
-			c.reads.note(p, time.Since(began), out.err)
+			out.err = link.Ask(limited, c.Peer(p.Address), recsrv.MethodRead, req, &out.read)
+			c.readLatency.observe(p, time.Since(began), out.err)
 			replies <- out
 		}()
 	}
 }
 
-// nearest returns the places in the order in which a read asks them: those that
-// the program's records go to first, and of these the one in the own failure
-// domain first.
-func (c *Client) nearest(r roster.Roster, key string) []roster.Place {
-	list := preferred(r, key)
-	first := list[:min(r.Writes(), len(list))]
-	slices.SortStableFunc(first, func(a, b roster.Place) int {
+// readOrder returns the replicas in the order in which a read asks them: those that
+// the program's records are written to first, and of these the ones in this daemon's
+// failure domain first.
+func (c *Client) readOrder(r roster.Roster, key string) []roster.Replica {
+	list := preferenceOrder(r, key)
+	preferred := list[:min(r.WriteQuorum(), len(list))]
+	slices.SortStableFunc(preferred, func(a, b roster.Replica) int {
 		return cmp.Compare(c.distance(a), c.distance(b))
 	})
 	return list
 }
 
-func (c *Client) distance(p roster.Place) int {
+func (c *Client) distance(p roster.Replica) int {
 	switch {
 	case p.Joining:
 		return 2
--- /dev/null
+++ b/internal/disk/recsrv/copy.go
@@ -0,0 +1,177 @@
+package recsrv
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/seglog"
+	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/pause"
+)
+
+const (
+	// pageTimeout bounds one page of a copy, which normally takes some 20 ms;
+	// pageAttempts and pageRetryPause bridge a restart of the other process.
+	pageTimeout    = 2 * time.Second
+	pageAttempts   = 3
+	pageRetryPause = 100 * time.Millisecond
+)
+
+// Peers returns the connection to the daemon at an address.
+type Peers func(address string) link.Invoker
+
+// ErrTooFewSources reports that too few other replicas could be copied from.
+var ErrTooFewSources = errors.New("too few replicas to copy from")
+
+// CatchUp copies the records of a read quorum of other replicas, so that every
+// acknowledged record is among them. It is used when this replica is joining the roster,
+// and after a restart, in which it has missed records.
+//
+// The replicas have nearly the same records. Each is therefore first asked for its records
+// without the turns' input and output, which is a fiftieth of the bytes, and only missing
+// records are fetched in full.
+func (s *Server) CatchUp(ctx context.Context, r roster.Roster, peers Peers) (err error) {
+	defer func() { err = errors.Wrap(err, "catch up") }()
+	copied := 0
+	for _, p := range r.Replicas {
+		if p.DiskID == s.diskID || p.Joining {
+			continue
+		}
+		copyErr := s.copyFrom(ctx, r.Version, p, peers(p.Address))
+		if copyErr == nil {
+			copied++
+		}
+		err = errors.CombineErrors(err, copyErr)
+		if copied >= r.ReadQuorum() {
+			// Records that were indexed already may not have been synced yet.
+			return s.barrier(ctx, r.Version)
+		}
+	}
+	if self, _ := r.Find(s.diskID); !self.Joining {
+		// This replica has all records that it acknowledged. Those that it missed
+		// are only additional copies, so the ones available are enough.
+		return nil
+	}
+	return errors.Wrapf(ErrTooFewSources, "copied from %d replicas, need %d (%v)", copied, r.ReadQuorum(), err)
+}
+
+func (s *Server) copyFrom(ctx context.Context, version uint64, p roster.Replica, peer link.Invoker) (err error) {
+	defer func() { err = errors.Wrapf(err, "copy from %s", p.Node) }()
+	req := PullRequest{Target: Target{Version: version, DiskID: p.DiskID}, First: true}
+	var end seglog.Pos
+	for {
+		reply, err := pull(ctx, peer, req)
+		if err != nil {
+			return err
+		}
+		if req.First {
+			end = reply.End
+		}
+		missing, err := s.missing(reply)
+		if err != nil {
+			return err
+		}
+		if err = s.fetch(ctx, req.Target, missing, peer); err != nil {
+			return err
+		}
+		if len(reply.Records) == 0 || !reply.After.Before(end) {
+			return nil
+		}
+		req.From, req.First = reply.After, false
+	}
+}
+
+// missing returns the positions of the records that this replica lacks.
+func (s *Server) missing(reply PullReply) (list []seglog.Pos, err error) {
+	for i, data := range reply.Records {
+		r, err := index.Decode(data)
+		if err != nil {
+			return nil, err
+		}
+		s.mu.Lock()
+		if !s.index.Has(r) {
+			list = append(list, reply.Positions[i])
+		}
+		s.mu.Unlock()
+	}
+	return list, nil
+}
+
+// fetch copies the records at these positions in full, about pageSize bytes at a time.
+func (s *Server) fetch(ctx context.Context, t Target, list []seglog.Pos, peer link.Invoker) error {
+	for len(list) > 0 {
+		n, size := 0, 0
+		for n < len(list) && (n == 0 || size+list[n].Size <= pageSize) {
+			size += list[n].Size
+			n++
+		}
+		reply, err := pull(ctx, peer, PullRequest{Target: t, Pick: list[:n]})
+		if err != nil {
+			return err
+		}
+		if err = s.Import(ctx, reply.Records); err != nil {
+			return err
+		}
+		list = list[n:]
+	}
+	return nil
+}
+
+// pull makes one request and retries it after an error: it is idempotent, and a copy
+// that starts over takes seconds in which the loss of another disk could lose records.
+func pull(ctx context.Context, peer link.Invoker, req PullRequest) (reply PullReply, err error) {
+	for range pageAttempts {
+		reply = PullReply{}
+		if err = call(ctx, peer, MethodPull, req, &reply); err == nil {
+			break
+		}
+		if !pause.For(ctx, pageRetryPause) {
+			return reply, errors.CombineErrors(ctx.Err(), err)
+		}
+	}
+	if err == nil && reply.Refusal.Code != "" {
+		err = errors.Newf("pull refused: %s", reply.Refusal.Code)
+	}
+	return reply, err
+}
+
+func call(ctx context.Context, p link.Invoker, method string, in, out any) error {
+	ctx, stop := context.WithTimeout(ctx, pageTimeout)
+	defer stop()
+	return link.Ask(ctx, p, method, in, out)
+}
+
+// CopyToOthers copies all records to every other replica. It is used to retire this
+// VM where no other can replace it: afterwards each of the others has all records. The
+// server must be frozen.
+func (s *Server) CopyToOthers(ctx context.Context, r roster.Roster, peers Peers) (err error) {
+	defer func() { err = errors.Wrap(err, "copy to others") }()
+	if err = s.barrier(ctx, r.Version); err != nil {
+		return err
+	}
+	var from seglog.Pos
+	for {
+		recs, _, after, err := s.log.Scan(from, pageSize)
+		if err != nil || len(recs) == 0 {
+			return err
+		}
+		for _, p := range r.Replicas {
+			if p.DiskID == s.diskID {
+				continue
+			}
+			var reply ImportReply
+			req := ImportRequest{Target: Target{Version: r.Version, DiskID: p.DiskID}, Records: recs}
+			if err := call(ctx, peers(p.Address), MethodImport, req, &reply); err != nil {
+				return err
+			}
+			if reply.Refusal.Code != "" {
+				return errors.Newf("%s refused the copy: %s", p.Node, reply.Refusal.Code)
+			}
+		}
+		from = after
+	}
+}
--- /dev/null
+++ b/internal/disk/recsrv/recsrv.go
@@ -0,0 +1,366 @@
+// Package recsrv is the record server: it stores durable records on one VM's disk for
+// the daemons that serve callers. It appends the records they write, answers their
+// reads, and lets other record servers copy its log.
+//
+// A record server decides nothing about budgets or turns. It acknowledges a record once
+// it is synced. It refuses requests made under a roster older than the newest it has
+// seen: they may come from a daemon that doesn't know that a disk has been replaced.
+package recsrv
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/seglog"
+	"github.com/slaterock/slaterock/internal/peer/link"
+)
+
+const (
+	// pageSize is about how many bytes of full records one request or answer of a copy
+	// has. They take 20 ms on the slowest link, so that other requests on it are
+	// hardly delayed.
+	pageSize = 256 << 10
+	// scanPage is how many bytes of the log are scanned for one answer of a pull
+	// without the turns' input and output; the answer is a fiftieth of that.
+	scanPage = 1 << 20
+	// forceDropAfter bounds how long a segment is retained for its live records. Once
+	// its last write is older than the longest retention by this and ClockSlack, they
+	// are copied to the end of the log and the segment is dropped.
+	forceDropAfter = 10 * time.Second
+	// maxFill is the part of the disk that records may fill.
+	maxFill = 0.85
+)
+
+// Server stores records in Dir. Set the exported fields, then call Open.
+type Server struct {
+	Dir      string
+	Capacity int64 // bytes of the disk; 0 is unbounded
+	Now      func() time.Time
+
+	log    seglog.Log
+	diskID string
+
+	mu         sync.Mutex
+	index      index.Index
+	minVersion uint64 // of the newest roster seen; requests under older ones are refused
+	roster     roster.Roster
+	maxTTL     time.Duration // longest retention of any record
+	frozen     bool          // no new records are accepted, because this VM is being retired
+}
+
+// Open reads the log. Empty reports that the disk was empty and has got a new ID.
+func (s *Server) Open() (empty bool, err error) {
+	defer func() { err = errors.Wrap(err, "open record server") }()
+	if s.Now == nil {
+		s.Now = time.Now
+	}
+	if s.diskID, empty, err = loadDiskID(s.Dir); err != nil {
+		return false, err
+	}
+	s.log.Dir = s.Dir
+	now := s.Now()
+	var decodeErr error
+	err = s.log.Open(func(pos seglog.Pos, data []byte) {
+		r, err := index.Decode(data)
+		if err != nil {
+			decodeErr = errors.CombineErrors(decodeErr, err)
+			return
+		}
+		s.apply(r, pos, now)
+	})
+	return empty, errors.CombineErrors(err, decodeErr)
+}
+
+// DiskID returns the random ID of the disk, in hex.
+func (s *Server) DiskID() string { return s.diskID }
+
+// Close writes the pending records and closes the log.
+func (s *Server) Close() error { return s.log.Close() }
+
+// Register registers the server's methods with the link.
+func (s *Server) Register(l *link.Link) {
+	for name, do := range s.methods() {
+		l.Handle(name, do)
+	}
+}
+
+// Serve executes one call without a link.
+func (s *Server) Serve(ctx context.Context, method string, params json.RawMessage) (any, error) {
+	do := s.methods()[method]
+	if do == nil {
+		return nil, errors.Newf("unknown method %s", method)
+	}
+	return do(ctx, params)
+}
+
+func (s *Server) methods() map[string]link.Handler {
+	return map[string]link.Handler{
+		MethodWrite:  link.Answer(s.Write),
+		MethodRead:   link.Answer(s.Read),
+		MethodPull:   link.Answer(s.Pull),
+		MethodImport: link.Answer(s.handleImport),
+		MethodDiskID: link.Answer(func(context.Context, struct{}) (string, error) { return s.diskID, nil }),
+	}
+}
+
+// Learn updates the roster, if r is newer, and refuses requests under older ones.
+func (s *Server) Learn(r roster.Roster) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r.Version > s.roster.Version {
+		s.roster = r
+	}
+	s.fence(r.Version)
+}
+
+// fence makes the server refuse requests under rosters older than version. It appends the
+// version to the record log, so that this also holds after a restart. The caller holds
+// s.mu.
+func (s *Server) fence(version uint64) {
+	if version <= s.minVersion {
+		return
+	}
+	s.minVersion = version
+	data, err := index.Record{Fence: version}.Encode()
+	if err == nil {
+		s.log.Append(data, func(seglog.Pos, error) {})
+	}
+}
+
+// checkTarget refuses a request that is for another disk or under a stale roster. An
+// accepted one fences rosters older than its own.
+func (s *Server) checkTarget(t Target) Refusal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.checkTargetLocked(t)
+}
+
+func (s *Server) checkTargetLocked(t Target) Refusal {
+	if t.DiskID != "" && t.DiskID != s.diskID {
+		return s.refusal(CodeWrongDisk)
+	}
+	if t.Version < s.minVersion {
+		return s.refusal(CodeStaleRoster)
+	}
+	s.fence(t.Version)
+	return Refusal{}
+}
+
+func (s *Server) refusal(code string) Refusal {
+	r := Refusal{Code: code, Version: s.minVersion}
+	if s.roster.Version > 0 {
+		r.Roster, _ = s.roster.Encode() // never fails: strings and numbers only
+	}
+	return r
+}
+
+// Write makes a record durable and returns the charges of its program.
+func (s *Server) Write(ctx context.Context, req WriteRequest) (reply WriteReply, err error) {
+	data, err := req.Record.Encode()
+	if err != nil {
+		return WriteReply{}, err
+	}
+	done := make(chan error, 1)
+	if reply.Refusal = s.appendIfAllowed(req, data, done); reply.Refusal.Code != "" {
+		return reply, nil
+	}
+	if err = await(ctx, done); err != nil {
+		return WriteReply{}, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	reply.Charges = s.index.Charges(req.Record.Program)
+	return reply, nil
+}
+
+// appendIfAllowed appends a record unless it must be refused. The checks and the append
+// are atomic. Otherwise the start of a copy of this disk, or Freeze, could come between
+// them: the record would be acknowledged here but missing from the copy, and so be on no
+// other disk of the new roster.
+func (s *Server) appendIfAllowed(req WriteRequest, data []byte, done chan<- error) Refusal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r := s.checkTargetLocked(req.Target); r.Code != "" {
+		return r
+	}
+	full := s.Capacity > 0 && float64(s.log.Bytes()) > maxFill*float64(s.Capacity)
+	if s.frozen || full {
+		return Refusal{Code: CodeFull}
+	}
+	s.index.ApplyCharge(req.Record, s.Now())
+	s.append(req.Record, data, done)
+	return Refusal{}
+}
+
+// Freeze sets whether new records are refused. While they are, only the other record
+// servers acknowledge records.
+func (s *Server) Freeze(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.frozen = on
+}
+
+// appendAndWait appends a record and waits until it is durable.
+func (s *Server) appendAndWait(ctx context.Context, r index.Record) error {
+	data, err := r.Encode()
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.index.ApplyCharge(r, s.Now())
+	s.mu.Unlock()
+	done := make(chan error, 1)
+	s.append(r, data, done)
+	return await(ctx, done)
+}
+
+// append appends a record, and sends to done once it is durable and indexed.
+func (s *Server) append(r index.Record, data []byte, done chan<- error) {
+	s.log.Append(data, func(pos seglog.Pos, err error) {
+		if err == nil {
+			s.mu.Lock()
+			s.apply(r, pos, s.Now())
+			s.mu.Unlock()
+		}
+		done <- err
+	})
+}
+
+func await(ctx context.Context, done <-chan error) error {
+	select {
+	case err := <-done:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// apply indexes a durable record. The caller holds s.mu, or is Open.
+func (s *Server) apply(r index.Record, pos seglog.Pos, now time.Time) {
+	s.minVersion = max(s.minVersion, r.Fence)
+	s.maxTTL = max(s.maxTTL, time.Duration(r.TTL)*time.Millisecond)
+	s.index.Apply(r, pos, now)
+}
+
+// Read returns a turn and the previous ones, as far as they are on this disk.
+func (s *Server) Read(_ context.Context, req ReadRequest) (ReadReply, error) {
+	if r := s.checkTarget(req.Target); r.Code != "" {
+		return ReadReply{Refusal: r}, nil
+	}
+	s.mu.Lock()
+	positions, next := s.index.Chain(req.Turn)
+	s.mu.Unlock()
+	chain := make([]index.Turn, 0, len(positions))
+	for _, pos := range positions {
+		data, err := s.log.Read(pos)
+		if err != nil {
+			return ReadReply{}, err
+		}
+		r, err := index.Decode(data)
+		if err != nil || r.Turn == nil {
+			return ReadReply{}, errors.CombineErrors(errors.New("record has no turn"), err)
+		}
+		chain = append(chain, *r.Turn)
+	}
+	return ReadReply{Chain: chain, Next: next}, nil
+}
+
+// Pull returns the records from a position on without their turns' input and output, or
+// picked records in full. The first request of a copy waits until all records accepted
+// under older rosters are committed: such a record may still be acknowledged, so the copy
+// must include it.
+func (s *Server) Pull(ctx context.Context, req PullRequest) (reply PullReply, err error) {
+	if r := s.checkTarget(req.Target); r.Code != "" {
+		return PullReply{Refusal: r}, nil
+	}
+	if len(req.Pick) > 0 {
+		reply.Records, err = s.readAt(req.Pick)
+		return reply, err
+	}
+	if req.First {
+		if err = s.barrier(ctx, req.Target.Version); err != nil {
+			return PullReply{}, err
+		}
+		reply.End = s.log.End()
+	}
+	var recs [][]byte
+	recs, reply.Positions, reply.After, err = s.log.Scan(req.From, scanPage)
+	if err != nil {
+		return PullReply{}, err
+	}
+	for _, data := range recs {
+		r, err := index.Decode(data)
+		if err != nil {
+			return PullReply{}, err
+		}
+		stripped, err := r.WithoutContent().Encode()
+		if err != nil {
+			return PullReply{}, err
+		}
+		reply.Records = append(reply.Records, stripped)
+	}
+	return reply, nil
+}
+
+func (s *Server) readAt(positions []seglog.Pos) (recs [][]byte, err error) {
+	for _, pos := range positions {
+		rec, err := s.log.Read(pos)
+		if err != nil {
+			return nil, err
+		}
+		recs = append(recs, rec)
+	}
+	return recs, nil
+}
+
+// barrier appends a fence for the version and returns once it and all records appended
+// before are committed.
+func (s *Server) barrier(ctx context.Context, version uint64) error {
+	return s.appendAndWait(ctx, index.Record{Fence: version})
+}
+
+func (s *Server) handleImport(ctx context.Context, req ImportRequest) (ImportReply, error) {
+	if r := s.checkTarget(req.Target); r.Code != "" {
+		return ImportReply{Refusal: r}, nil
+	}
+	return ImportReply{}, s.Import(ctx, req.Records)
+}
+
+// Import appends the records that the index lacks and waits until these are durable.
+// Records that are indexed already may still be waiting for their sync.
+func (s *Server) Import(ctx context.Context, records [][]byte) error {
+	var last error
+	wait := make(chan error, len(records))
+	for _, data := range records {
+		r, err := index.Decode(data)
+		if err != nil {
+			return err
+		}
+		s.mu.Lock()
+		has := s.index.Has(r) // also true of a record that has only a fence, which need not be copied
+		s.mu.Unlock()
+		if has {
+			wait <- nil
+			continue
+		}
+		s.append(r, data, wait)
+	}
+	for range records {
+		last = errors.CombineErrors(last, await(ctx, wait))
+	}
+	return last
+}
+
+// Stats returns the number of programs and turns, and the bytes on disk.
+func (s *Server) Stats() (programs, turns int, bytes int64) {
+	s.mu.Lock()
+	programs, turns = s.index.Len()
+	s.mu.Unlock()
+	return programs, turns, s.log.Bytes()
+}
--- /dev/null
+++ b/internal/disk/recsrv/wire.go
@@ -0,0 +1,99 @@
+package recsrv
+
+import (
+	"github.com/slaterock/slaterock/internal/disk/index"
+	"github.com/slaterock/slaterock/internal/disk/seglog"
+)
+
+// The methods that a record server offers to other daemons.
+const (
+	MethodWrite  = "disk.write"
+	MethodRead   = "disk.read"
+	MethodPull   = "disk.pull"
+	MethodImport = "disk.fill"
+	MethodDiskID = "disk.life" // takes no parameters; returns the disk ID as a string
+)
+
+type (
+	// Target is the roster and the disk that a request assumes. The server refuses
+	// requests for a stale roster or another disk.
+	Target struct {
+		Version uint64 `cbor:"1,keyasint,omitempty"` // of the roster
+		DiskID  string `cbor:"2,keyasint,omitempty"` // empty for any disk
+	}
+
+	// WriteRequest asks for a record to be made durable.
+	WriteRequest struct {
+		Target Target       `cbor:"1,keyasint"`
+		Record index.Record `cbor:"2,keyasint"`
+	}
+
+	// WriteReply has the charges of the program's attempts, this record's included.
+	WriteReply struct {
+		Refusal Refusal        `cbor:"1,keyasint"`
+		Charges []index.Charge `cbor:"2,keyasint,omitempty"`
+	}
+
+	// ReadRequest asks for a turn and the previous ones.
+	ReadRequest struct {
+		Target Target `cbor:"1,keyasint"`
+		Turn   string `cbor:"2,keyasint"`
+	}
+
+	// ReadReply has the turn and the previous ones, the newest first, as far as the
+	// replica has them. Next is the id of the first that it lacks, empty if it has all.
+	ReadReply struct {
+		Refusal Refusal      `cbor:"1,keyasint"`
+		Chain   []index.Turn `cbor:"3,keyasint,omitempty"`
+		Next    string       `cbor:"4,keyasint,omitempty"`
+	}
+
+	// PullRequest asks for the records from a position on, without their turns' input
+	// and output. With Pick it asks for the records at these positions in full instead.
+	// Any request fences older rosters; the first of a copy also waits for the fence to
+	// be durable.
+	PullRequest struct {
+		Target Target       `cbor:"1,keyasint"`
+		From   seglog.Pos   `cbor:"2,keyasint"`
+		First  bool         `cbor:"3,keyasint,omitempty"`
+		Pick   []seglog.Pos `cbor:"4,keyasint,omitempty"`
+	}
+
+	// PullReply has the requested records, none at the end of the log. Unless they were
+	// picked, it also has their positions and the position to continue from. End is the
+	// end of the log and set in the first reply of a copy: records after it were not
+	// written under an older roster and need not be copied.
+	PullReply struct {
+		Refusal   Refusal      `cbor:"1,keyasint"`
+		Records   [][]byte     `cbor:"2,keyasint,omitempty"`
+		Positions []seglog.Pos `cbor:"3,keyasint,omitempty"`
+		After     seglog.Pos   `cbor:"4,keyasint"`
+		End       seglog.Pos   `cbor:"5,keyasint"`
+	}
+
+	// ImportRequest has records of a replica that is being retired.
+	ImportRequest struct {
+		Target  Target   `cbor:"1,keyasint"`
+		Records [][]byte `cbor:"2,keyasint"`
+	}
+
+	// ImportReply confirms that the records are durable, or were indexed already.
+	ImportReply struct {
+		Refusal Refusal `cbor:"1,keyasint"`
+	}
+
+	// Refusal reports that the request was not executed, and why. The zero value means
+	// that it was executed.
+	Refusal struct {
+		Code    string `cbor:"1,keyasint,omitempty"`
+		Version uint64 `cbor:"2,keyasint,omitempty"` // of the newest roster that the server has seen; 0 with CodeFull
+		Roster  []byte `cbor:"3,keyasint,omitempty"` // newest roster that the server has, encoded; empty if it has none, and with CodeFull
+	}
+)
+
+// The codes of refusals.
+const (
+	CodeStaleRoster = "stale" // the request's roster is older than the newest that the server has seen
+	CodeWrongDisk   = "other" // the request is for another disk
+	CodeFull        = "full"  // the disk is full or frozen
+)
--- a/internal/front/proxy/account_test.go
+++ b/internal/front/proxy/account_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/accnt"
 	"github.com/slaterock/slaterock/internal/conf/route"
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/front/fleet"
 	"github.com/slaterock/slaterock/internal/front/ration"
 )
@@ -150,7 +150,7 @@
 		is := is.New(t)
 		env := newTestEnv([]string{completeStream})
 		defer env.close()
-		env.rec.turns["r0"] = book.Turn{Input: []byte("old")}
+		env.rec.turns["r0"] = index.Turn{Input: []byte("old")}
 		env.startWithAccounts()
 		rec, _ := env.do(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Previous": "r0"}, "in")
 		is.Equal(rec.Code, 200)
--- a/internal/front/proxy/admission_test.go
+++ b/internal/front/proxy/admission_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 )
 
 // More programs arrive than the engines can finish in time; if all were admitted, all
@@ -38,9 +38,9 @@
 				is := is.New(t)
 				env := newTestEnv([]string{completeStream})
 				defer env.close()
-				env.rec.turns["t0"] = book.Turn{}
+				env.rec.turns["t0"] = index.Turn{}
 				if c.began > 0 {
-					env.rec.shares["r0"] = book.Share{Attempt: "r0", Settled: true, Tokens: c.tokens, At: time.Now().Add(-c.began).UnixMilli()}
+					env.rec.shares["r0"] = index.Charge{Attempt: "r0", Settled: true, Tokens: c.tokens, At: time.Now().Add(-c.began).UnixMilli()}
 				}
 				env.setLoad("up1", 3)
 				if c.roomAfter > 0 {
--- a/internal/front/proxy/env_test.go
+++ b/internal/front/proxy/env_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/accnt"
 	"github.com/slaterock/slaterock/internal/conf/route"
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/fleet"
 	"github.com/slaterock/slaterock/internal/front/limits"
@@ -52,8 +52,8 @@
 	fakeRecords struct {
 		mu     sync.Mutex
 		down   bool
-		shares map[string]book.Share
-		turns  map[string]book.Turn
+		shares map[string]index.Charge
+		turns  map[string]index.Turn
 	}
 
 	testEnv struct {
@@ -115,38 +115,38 @@
 
 func (fakeDialect) RetryAfter(h http.Header, d time.Duration) { h.Set("Again", d.String()) }
 
-func (r *fakeRecords) Write(_ context.Context, rec book.Record) (res quorum.Result, err error) {
+func (r *fakeRecords) Write(_ context.Context, rec index.Record) (res quorum.Result, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return res, quorum.ErrUnsure
+		return res, quorum.ErrNoQuorum
 	}
-	var b book.Book
-	b.Note(rec, time.Now())
-	for _, s := range b.Shares(rec.Program) {
-		r.shares[s.Attempt] = book.Join(r.shares[s.Attempt], s)
+	var b index.Index
+	b.ApplyCharge(rec, time.Now())
+	for _, s := range b.Charges(rec.Program) {
+		r.shares[s.Attempt] = index.Merge(r.shares[s.Attempt], s)
 	}
 	if rec.Turn != nil {
 		r.turns[rec.Attempt] = *rec.Turn
 	}
 	for _, s := range r.shares {
-		res.Shares = append(res.Shares, s)
+		res.Charges = append(res.Charges, s)
 	}
 	return res, nil
 }
 
-func (r *fakeRecords) Read(_ context.Context, _, id string) (chain []book.Turn, err error) {
+func (r *fakeRecords) Read(_ context.Context, _, id string) (chain []index.Turn, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
-		return nil, quorum.ErrUnsure
+		return nil, quorum.ErrNoQuorum
 	}
 	for id != "" {
 		t, ok := r.turns[id]
 		if !ok {
 			return nil, quorum.ErrNoTurn
 		}
-		chain = append([]book.Turn{t}, chain...)
+		chain = append([]index.Turn{t}, chain...)
 		id = t.Previous
 	}
 	return chain, nil
@@ -187,7 +187,7 @@
 }
 
 func newTestEnv(responses ...[]string) *testEnv {
-	env := &testEnv{rec: &fakeRecords{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, upstreams: map[string]*fakeUpstream{}}
+	env := &testEnv{rec: &fakeRecords{shares: map[string]index.Charge{}, turns: map[string]index.Turn{}}, upstreams: map[string]*fakeUpstream{}}
 	var f fleet.Fleet
 	reading := fleet.Reading{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
 	for i, list := range responses {
--- a/internal/front/proxy/stream.go
+++ b/internal/front/proxy/stream.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/disk/index"
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/event"
 	"github.com/slaterock/slaterock/internal/front/meta"
@@ -133,9 +133,9 @@
 	return (t.MaxOutputTokens + n - 1) / n * n
 }
 
-func (t *turn) newRecord() book.Record {
-	return book.Record{
-		Program: t.scopedID(t.Program), Attempt: t.scopedID(t.ID), At: t.began.UnixMilli(), Keep: t.route.KeepFor.Milliseconds(),
+func (t *turn) newRecord() index.Record {
+	return index.Record{
+		Program: t.scopedID(t.Program), Attempt: t.scopedID(t.ID), At: t.began.UnixMilli(), TTL: t.route.KeepFor.Milliseconds(),
 	}
 }
 
@@ -147,7 +147,7 @@
 		return true
 	}
 	rec := t.newRecord()
-	rec.Reserved, rec.Most = true, t.maxTokens()
+	rec.Reserved, rec.MaxTokens = true, t.maxTokens()
 	res, err := t.e.Records.Write(ctx, rec)
 	t.reserved = true
 	if err != nil {
@@ -159,10 +159,10 @@
 		t.replyUnavailable("records_away", retryNoQuorum, err)
 		return false
 	}
-	t.programBegun = t.Previous != "" || book.Begun(res.Shares, rec.Attempt)
-	t.programStart = book.Since(res.Shares, t.began)
-	t.lastUpstream = book.LastRan(res.Shares, t.Session)
-	if !book.Fits(res.Shares, t.TokenBudget) {
+	t.programBegun = t.Previous != "" || index.OthersStarted(res.Charges, rec.Attempt)
+	t.programStart = index.StartTime(res.Charges, t.began)
+	t.lastUpstream = index.LastUpstream(res.Charges, t.Session)
+	if !index.WithinBudget(res.Charges, t.TokenBudget) {
 		t.settle()
 		t.replyError(http.StatusPaymentRequired, "budget_spent", nil)
 		return false
@@ -347,7 +347,7 @@
 	rec := t.newRecord()
 	rec.Settled, rec.Spent = t.reserved, t.summary.tokens
 	rec.Upstream, rec.Session = s.up.ID, t.Session
-	rec.Turn = &book.Turn{Previous: t.previousID, Input: t.body, Output: t.output, Upstream: s.up.ID, Tokens: t.summary.tokens}
+	rec.Turn = &index.Turn{Previous: t.previousID, Input: t.body, Output: t.output, Upstream: s.up.ID, Tokens: t.summary.tokens}
 	if _, err := t.e.Records.Write(ctx, rec); err != nil {
 		return errors.Wrap(err, "the turn was not recorded")
 	}
--- a/internal/node/diskd/claim.go
+++ b/internal/node/diskd/claim.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/disk/holder"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
 	"github.com/slaterock/slaterock/internal/node/discov"
 	"github.com/slaterock/slaterock/internal/peer/link"
@@ -29,7 +29,7 @@
 		listed[m.Node] = true
 	}
 	next := map[string]time.Time{}
-	for _, p := range s.Roster.Places {
+	for _, p := range s.Roster.Replicas {
 		if listed[p.Node] {
 			continue
 		}
@@ -44,9 +44,9 @@
 // takeOverDelay is how long a VM must be missing before this one takes its place.
 func (d *Daemon) takeOverDelay() time.Duration {
 	if d.isNew() {
-		return roster.TakeOverNew
+		return roster.TakeoverDelayEmptyDisk
 	}
-	return roster.TakeOver
+	return roster.TakeoverDelay
 }
 
 // isNew reports whether this VM started with an empty disk less than newVMTime ago.
@@ -73,15 +73,15 @@
 // outage before this VM started. Its place would be taken while it serves, and all records
 // copied needlessly.
 func (d *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
-	alive := make([]bool, len(r.Places))
+	alive := make([]bool, len(r.Replicas))
 	var work sync.WaitGroup
-	for i, p := range r.Places {
+	for i, p := range r.Replicas {
 		if _, missing := d.missing[p.Node]; missing {
 			work.Go(func() { alive[i] = d.isAlive(ctx, p) })
 		}
 	}
 	work.Wait()
-	for i, p := range r.Places {
+	for i, p := range r.Replicas {
 		if alive[i] {
 			d.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(d.missing[p.Node])).Msg("place not claimed: its VM is not listed in the store but answers")
 			delete(d.missing, p.Node)
@@ -90,10 +90,10 @@
 }
 
 // isAlive reports whether the VM of a place answers and still has the disk of that place.
-func (d *Daemon) isAlive(ctx context.Context, p roster.Place) bool {
+func (d *Daemon) isAlive(ctx context.Context, p roster.Replica) bool {
 	ctx, stop := context.WithTimeout(ctx, aliveTimeout)
 	defer stop()
 	var life string
-	err := link.Ask(ctx, d.peers()(p.Address), holder.MethodLife, struct{}{}, &life)
-	return err == nil && life == p.Life
+	err := link.Ask(ctx, d.peers()(p.Address), recsrv.MethodDiskID, struct{}{}, &life)
+	return err == nil && life == p.DiskID
 }
--- a/internal/node/diskd/diskd.go
+++ b/internal/node/diskd/diskd.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"github.com/slaterock/slaterock/internal/disk/holder"
-	"github.com/slaterock/slaterock/internal/disk/memo"
+	"github.com/slaterock/slaterock/internal/disk/recsrv"
 	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/snap"
 	"github.com/slaterock/slaterock/internal/node/discov"
 	"github.com/slaterock/slaterock/internal/node/leased"
 	"github.com/slaterock/slaterock/internal/peer/link"
@@ -82,8 +82,8 @@
 		Log      zerolog.Logger
 		Scope    tally.Scope
 
-		holder         holder.Holder
-		memo           memo.Memo
+		recsrv         recsrv.Server
+		snap           snap.Snapshotter
 		link           link.Link
 		discov         discov.Reader
 		leased         leased.Registration
@@ -97,7 +97,7 @@
 		joining        bool                 // a join is in progress
 		caughtUp       bool                 // the disk has what was written while this process did not run
 		joinResult     chan error
-		peerFunc       holder.Peers // connects to other VMs with a disk; nil to use the link
+		peerFunc       recsrv.Peers // connects to other VMs with a disk; nil to use the link
 		retiring       atomic.Bool
 		retiringSince  time.Time // when retiring changed last
 		reported       string    // the state reported to the operator last
@@ -109,14 +109,14 @@
 	defer func() { err = errors.Wrap(err, "run disk daemon") }()
 	d.started = time.Now()
 	d.joinResult = make(chan error, 1)
-	d.holder.Dir, d.holder.Capacity = d.Settings.Dir, d.Settings.Capacity
-	emptyDisk, err := d.holder.Open()
+	d.recsrv.Dir, d.recsrv.Capacity = d.Settings.Dir, d.Settings.Capacity
+	emptyDisk, err := d.recsrv.Open()
 	if err != nil {
 		return err
 	}
 	d.emptyDisk, d.caughtUp = emptyDisk, emptyDisk // an empty disk has nothing to catch up on until it joins
-	programs, turns, bytes := d.holder.Stats()
-	d.Log.Info().Str("life", d.holder.Life()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
+	programs, turns, bytes := d.recsrv.Stats()
+	d.Log.Info().Str("life", d.recsrv.DiskID()).Bool("blank", emptyDisk).Int("programs", programs).Int("turns", turns).
 		Int64("bytes", bytes).Dur("took_ms", time.Since(d.started)).Msg("records opened")
 	var lc net.ListenConfig
 	ln, err := lc.Listen(ctx, "tcp", d.Settings.Address)
@@ -124,9 +124,9 @@
 		return err
 	}
 	d.link.Address, d.link.Scope = d.Settings.Address, d.Scope
-	d.holder.Register(&d.link)
-	d.memo.Dir = d.Settings.Dir
-	d.memo.Register(&d.link)
+	d.recsrv.Register(&d.link)
+	d.snap.Dir = d.Settings.Dir
+	d.snap.Register(&d.link)
 	d.discov.Store = d.Store
 	d.leased = leased.Registration{Store: d.Store, Key: discov.DiskPrefix + d.Settings.Node, Data: d.value, OnStatus: d.logRegistration}
 	d.leased.Init()
@@ -140,7 +140,7 @@
 	go d.serveControl(ctx)
 	err = d.link.Serve(ctx, ln)
 	<-registrationEnded
-	return errors.CombineErrors(err, d.holder.Close())
+	return errors.CombineErrors(err, d.recsrv.Close())
 }
 
 // serveControl serves daemons at the second address, which they know from their settings
@@ -163,7 +163,7 @@
 // disk that is empty at the start gets a new one.
 func (d *Daemon) self() roster.Member {
 	return roster.Member{
-		Node: d.Settings.Node, Address: d.Settings.Address, Domain: d.Settings.Domain, Life: d.holder.Life(), Retiring: d.retiring.Load(),
+		Node: d.Settings.Node, Address: d.Settings.Address, Domain: d.Settings.Domain, DiskID: d.recsrv.DiskID(), Retiring: d.retiring.Load(),
 	}
 }
 
@@ -181,11 +181,11 @@
 }
 
 func (d *Daemon) trim(ctx context.Context) {
-	for pause.For(ctx, holder.TrimEvery) {
-		if err := d.holder.Trim(ctx); err != nil && ctx.Err() == nil {
+	for pause.For(ctx, recsrv.TrimInterval) {
+		if err := d.recsrv.Trim(ctx); err != nil && ctx.Err() == nil {
 			d.Log.Warn().Err(err).Msg("expired records not removed")
 		}
-		programs, turns, bytes := d.holder.Stats()
+		programs, turns, bytes := d.recsrv.Stats()
 		d.Scope.Gauge("records_programs").Update(float64(programs))
 		d.Scope.Gauge("records_turns").Update(float64(turns))
 		d.Scope.Gauge("records_bytes").Update(float64(bytes))
@@ -206,8 +206,8 @@
 // soon, or does not know the roster yet.
 func (d *Daemon) nextInterval() time.Duration {
 	s := d.discov.State()
-	_, placed := s.Roster.Find(d.holder.Life())
-	if placed || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.Line(d.self(), s.Members) < activeStandbys {
+	_, placed := s.Roster.Find(d.recsrv.DiskID())
+	if placed || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.ClaimPosition(d.self(), s.Members) < activeStandbys {
 		return rosterInterval
 	}
 	return idleInterval
@@ -217,8 +217,8 @@
 	// A stale read may be seconds old, which matters only to the VM that is first in line
 	// for a place.
 	known := d.discov.State()
-	_, placed := known.Roster.Find(d.holder.Life())
-	stale := placed || !d.isNew() && time.Since(d.freshReadAt) < freshInterval || !known.Roster.Next(d.self(), known.Members)
+	_, placed := known.Roster.Find(d.recsrv.DiskID())
+	stale := placed || !d.isNew() && time.Since(d.freshReadAt) < freshInterval || !known.Roster.IsNextClaimant(d.self(), known.Members)
 	if !stale {
 		d.freshReadAt = time.Now()
 	}
@@ -237,7 +237,7 @@
 	s := d.discov.State()
 	d.trackMissing(s)
 	if s.Roster.Version > 0 {
-		d.holder.Learn(s.Roster)
+		d.recsrv.Learn(s.Roster)
 	}
 	d.checkRetirement(ctx, s)
 	select {
@@ -247,7 +247,7 @@
 		s = d.discov.State()
 	default:
 	}
-	place, in := s.Roster.Find(d.holder.Life())
+	place, in := s.Roster.Find(d.recsrv.DiskID())
 	switch {
 	case s.Roster.Version == 0:
 		d.createRoster(ctx)
@@ -266,15 +266,15 @@
 // this VM has waited for roster.Gather.
 func (d *Daemon) createRoster(ctx context.Context) {
 	s := d.discov.State()
-	waited := time.Since(d.started) >= roster.Gather
-	if len(s.Members) < roster.Full(d.Settings.Losses) && !waited {
+	waited := time.Since(d.started) >= roster.BootstrapWait
+	if len(s.Members) < roster.MaxReplicas(d.Settings.Losses) && !waited {
 		return
 	}
 	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		if s.Roster.Version != 0 {
 			return roster.Roster{}, false
 		}
-		return roster.First(s.Members, d.Settings.Losses)
+		return roster.Initial(s.Members, d.Settings.Losses)
 	}, "founded")
 }
 
@@ -299,7 +299,7 @@
 	d.Log.Info().Err(err).Uint64("from", s.Roster.Version).Uint64("to", r.Version).RawJSON("roster", data).Msg("roster write: " + what)
 	if err == nil {
 		d.discov.Learn(data)
-		d.holder.Learn(r)
+		d.recsrv.Learn(r)
 	}
 	return err == nil
 }
@@ -310,10 +310,10 @@
 	}
 	d.joining = true
 	d.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other places")
-	go func() { d.joinResult <- d.holder.Join(ctx, r, d.peers()) }()
+	go func() { d.joinResult <- d.recsrv.CatchUp(ctx, r, d.peers()) }()
 }
 
-func (d *Daemon) peers() holder.Peers {
+func (d *Daemon) peers() recsrv.Peers {
 	if d.peerFunc != nil {
 		return d.peerFunc
 	}
@@ -321,13 +321,13 @@
 }
 
 func (d *Daemon) endJoin(ctx context.Context, err error) {
-	programs, turns, bytes := d.holder.Stats()
+	programs, turns, bytes := d.recsrv.Stats()
 	d.Log.Info().Err(err).Int("programs", programs).Int("turns", turns).Int64("bytes", bytes).Msg("copying of records ended")
 	if err != nil {
 		return
 	}
 	d.caughtUp = true
-	life := d.holder.Life()
+	life := d.recsrv.DiskID()
 	if p, in := d.discov.Roster().Find(life); !in || !p.Joining {
 		return
 	}
--- a/internal/node/diskd/diskd_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -117,23 +117,23 @@
 	}
 	f.daemon.started = time.Now()
 	f.daemon.joinResult = make(chan error, 1)
-	f.daemon.holder.Dir = t.TempDir()
-	_, err := f.daemon.holder.Open()
+	f.daemon.recsrv.Dir = t.TempDir()
+	_, err := f.daemon.recsrv.Open()
 	is.New(t).NoErr(err)
 	f.daemon.caughtUp = true
 	f.daemon.discov.Store = f.s
 	f.daemon.peerFunc = func(address string) link.Invoker { return f.alive[address] }
 	f.daemon.leased.Init()
 	is.New(t).NoErr(f.daemon.link.Start(t.Context()))
-	t.Cleanup(func() { _ = f.daemon.holder.Close() })
+	t.Cleanup(func() { _ = f.daemon.recsrv.Close() })
 	return f
 }
 
 func others() []roster.Member {
 	return []roster.Member{
-		{Node: "a", Address: "a:1", Domain: "x", Life: "1"},
-		{Node: "b", Address: "b:1", Domain: "y", Life: "2"},
-		{Node: "c", Address: "c:1", Domain: "z", Life: "3"},
+		{Node: "a", Address: "a:1", Domain: "x", DiskID: "1"},
+		{Node: "b", Address: "b:1", Domain: "y", DiskID: "2"},
+		{Node: "c", Address: "c:1", Domain: "z", DiskID: "3"},
 	}
 }
 
@@ -163,7 +163,7 @@
 	}
 	r, err := roster.Decode(data)
 	is.New(f.t).NoErr(err)
-	for _, p := range r.Places {
+	for _, p := range r.Replicas {
 		s += p.Node
 	}
 	return s
@@ -174,7 +174,7 @@
 	for _, m := range others() {
 		f.s.setListed(m, true)
 	}
-	r, _ := roster.First(others(), 1)
+	r, _ := roster.Initial(others(), 1)
 	data, _ := r.Encode()
 	f.s.put(discov.RosterKey, data)
 	f.s.setListed(f.daemon.self(), true)
@@ -191,12 +191,12 @@
 		f := newFixture(t)
 		f.started()
 		is.Equal(f.daemon.nextInterval(), rosterInterval) // first in line
-		before := roster.Member{Node: "bb", Domain: "z", Life: "4"}
+		before := roster.Member{Node: "bb", Domain: "z", DiskID: "4"}
 		f.s.setListed(before, true)
 		f.runFixed(rosterInterval)
 		is.Equal(f.daemon.nextInterval(), rosterInterval) // the first in line may be lost at any time
-		f.s.setListed(roster.Member{Node: "bc", Domain: "z", Life: "5"}, true)
-		f.s.setListed(roster.Member{Node: "bd", Domain: "z", Life: "6"}, true)
+		f.s.setListed(roster.Member{Node: "bc", Domain: "z", DiskID: "5"}, true)
+		f.s.setListed(roster.Member{Node: "bd", Domain: "z", DiskID: "6"}, true)
 		f.runFixed(rosterInterval)
 		is.Equal(f.daemon.nextInterval(), idleInterval)
 		f.s.down = true
@@ -222,12 +222,12 @@
 		is := is.New(t)
 		f := newFixture(t)
 		f.started()
-		next := roster.Member{Node: "bb", Domain: "z", Life: "4"}
+		next := roster.Member{Node: "bb", Domain: "z", DiskID: "4"}
 		f.s.setListed(next, true)
-		f.s.setListed(roster.Member{Node: "e", Domain: "z", Life: "5"}, true)
+		f.s.setListed(roster.Member{Node: "e", Domain: "z", DiskID: "5"}, true)
 		f.runPaced(5 * time.Second)
 		f.s.setListed(others()[1], false)
-		f.runPaced(roster.TakeOver + rosterInterval)
+		f.runPaced(roster.TakeoverDelay + rosterInterval)
 		is.Equal(f.nodes(), "abc")
 		f.s.setListed(next, false)
 		f.runPaced(2 * rosterInterval)
@@ -243,7 +243,7 @@
 		f.s.setListed(others()[0], true)
 		f.runFixed(time.Second)
 		is.Equal(f.nodes(), "") // waits for one more
-		f.runFixed(roster.Gather)
+		f.runFixed(roster.BootstrapWait)
 		is.Equal(f.nodes(), "ad") // waited long enough
 	})
 }
@@ -256,7 +256,7 @@
 		f := newFixture(t)
 		f.started()
 		f.s.setListed(others()[1], false)
-		f.runFixed(roster.TakeOver)
+		f.runFixed(roster.TakeoverDelay)
 		is.Equal(f.nodes(), "abc")
 		f.runFixed(2 * rosterInterval)
 		is.Equal(f.nodes(), "adc")
@@ -272,7 +272,7 @@
 		f.started()
 		f.daemon.emptyDisk, f.daemon.started = true, time.Now()
 		f.s.setListed(others()[1], false)
-		f.runFixed(roster.TakeOverNew - rosterInterval)
+		f.runFixed(roster.TakeoverDelayEmptyDisk - rosterInterval)
 		is.Equal(f.nodes(), "abc")
 		f.runFixed(2 * rosterInterval)
 		is.Equal(f.nodes(), "adc")
@@ -286,7 +286,7 @@
 		f := newFixture(t)
 		f.started()
 		f.s.setListed(others()[1], false)
-		f.runFixed(roster.TakeOver - rosterInterval)
+		f.runFixed(roster.TakeoverDelay - rosterInterval)
 		f.s.setListed(others()[1], true)
 		f.runFixed(5 * time.Second)
 		is.New(t).Equal(f.nodes(), "abc")
@@ -352,9 +352,9 @@
 		is := is.New(t)
 		f := newFixture(t)
 		f.started()
-		r, _ := roster.First(others(), 1)
+		r, _ := roster.Initial(others(), 1)
 		r.Version = 5
-		r.Places[2] = roster.Place{Node: "d", Address: "d:1", Domain: "w", Life: f.daemon.holder.Life()}
+		r.Replicas[2] = roster.Replica{Node: "d", Address: "d:1", Domain: "w", DiskID: f.daemon.recsrv.DiskID()}
 		set := func() {
 			data, _ := r.Encode()
 			f.s.put(discov.RosterKey, data)
@@ -366,7 +366,7 @@
 		f.runFixed(3 * time.Second)
 		is.Equal(f.op.reports, []bool{false}) // c can take the place
 		r = r.WithJoined("")
-		r.Places[2] = roster.Place{Node: "c", Life: "3", Joining: true}
+		r.Replicas[2] = roster.Replica{Node: "c", DiskID: "3", Joining: true}
 		set()
 		f.runFixed(3 * time.Second)
 		is.Equal(f.op.reports, []bool{false})
--- a/internal/node/diskd/retire.go
+++ b/internal/node/diskd/retire.go
@@ -22,14 +22,14 @@
 	if requested := nodes[d.Settings.Node]; requested != d.retiring.Load() {
 		d.retiring.Store(requested)
 		d.retiringSince = time.Now()
-		d.holder.Freeze(false)
+		d.recsrv.Freeze(false)
 		d.Log.Info().Bool("retiring", d.retiring.Load()).Msg("operator's request to empty this VM changed")
 		d.leased.Wake()
 	}
 	if !d.retiring.Load() {
 		return
 	}
-	_, in := s.Roster.Find(d.holder.Life())
+	_, in := s.Roster.Find(d.recsrv.DiskID())
 	if in && time.Since(d.retiringSince) > handOverDelay && !hasSpare(s) {
 		d.giveUpPlace(ctx)
 	}
@@ -48,7 +48,7 @@
 // hasSpare reports whether a VM without a place could take this one's, or is joining already.
 func hasSpare(s discov.State) bool {
 	for _, m := range s.Members {
-		if _, in := s.Roster.Find(m.Life); !in && !m.Retiring {
+		if _, in := s.Roster.Find(m.DiskID); !in && !m.Retiring {
 			return true
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 func joining(r roster.Roster) bool {
-	for _, p := range r.Places {
+	for _, p := range r.Replicas {
 		if p.Joining {
 			return true
 		}
@@ -69,16 +69,16 @@
 // With only as many places as a write needs it does nothing.
 func (d *Daemon) giveUpPlace(ctx context.Context) {
 	r := d.discov.Roster()
-	if len(r.Places) <= r.Writes() {
+	if len(r.Replicas) <= r.WriteQuorum() {
 		return // with fewer places a loss could not be tolerated
 	}
-	d.holder.Freeze(true)
-	if err := d.holder.HandOver(ctx, r, d.peers()); err != nil {
-		d.holder.Freeze(false)
+	d.recsrv.Freeze(true)
+	if err := d.recsrv.CopyToOthers(ctx, r, d.peers()); err != nil {
+		d.recsrv.Freeze(false)
 		d.Log.Warn().Err(err).Msg("records not handed over")
 		return
 	}
-	life := d.holder.Life()
+	life := d.recsrv.DiskID()
 	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		_, in := s.Roster.Find(life)
 		return s.Roster.Without(life), in && s.Roster.Version == r.Version
--- a/internal/node/frontd/backup.go
+++ b/internal/node/frontd/backup.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/slaterock/slaterock/internal/disk/memo"
 	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/disk/snap"
 	"github.com/slaterock/slaterock/internal/peer/link"
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
@@ -52,7 +52,7 @@
 func (d *Daemon) backUp(ctx context.Context) {
 	r := d.discov.Roster()
 	next := stamp{hash: d.fleet.View().Hash, roster: r.Version, at: time.Now()}
-	stale := d.backups.begin(r.Places, next)
+	stale := d.backups.begin(r.Replicas, next)
 	if len(stale) == 0 {
 		return
 	}
@@ -63,7 +63,7 @@
 
 // begin returns the addresses of the places that the next state is to be sent to. If there
 // are any, end must be called afterwards.
-func (b *backups) begin(places []roster.Place, next stamp) (stale []string) {
+func (b *backups) begin(places []roster.Replica, next stamp) (stale []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sending {
@@ -104,7 +104,7 @@
 	var work sync.WaitGroup
 	for _, address := range addresses {
 		work.Go(func() {
-			err := link.Ask(ctx, d.link.Peer(address), memo.MethodKeep, memo.Note{Revision: s.Revision, Data: data}, nil)
+			err := link.Ask(ctx, d.link.Peer(address), snap.MethodSave, snap.Snapshot{Revision: s.Revision, Data: data}, nil)
 			d.backups.record(address, next, err == nil)
 			if err != nil && ctx.Err() == nil {
 				d.Log.Warn().Err(err).Str("peer", address).Msg("state not backed up on a disk")
@@ -157,8 +157,8 @@
 func (d *Daemon) restoreFrom(ctx context.Context, address string) (err error) {
 	ctx, stop := context.WithTimeout(ctx, peerTimeout)
 	defer stop()
-	var n memo.Note
-	if err = link.Ask(ctx, d.link.Peer(address), memo.MethodLast, struct{}{}, &n); err != nil {
+	var n snap.Snapshot
+	if err = link.Ask(ctx, d.link.Peer(address), snap.MethodLoad, struct{}{}, &n); err != nil {
 		return err
 	}
 	if len(n.Data) == 0 {
--- a/internal/node/frontd/backup_test.go
+++ b/internal/node/frontd/backup_test.go
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := backups{last: c.before}
-			places := []roster.Place{{Address: "a"}, {Address: "b"}}
+			places := []roster.Replica{{Address: "a"}, {Address: "b"}}
 			is.Equal(b.begin(places, c.next), c.want)
 			is.Equal(len(b.begin(places, c.next)), 0) // being sent already, or nothing to send
 		})
