--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
-	"github.com/slaterock/slaterock/internal/front/ration"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 	"github.com/slaterock/slaterock/internal/node/frontd"
 	"github.com/slaterock/slaterock/internal/node/keeper"
 	"github.com/slaterock/slaterock/internal/obs/flow"
@@ -134,7 +134,7 @@
 	d := &frontd.Daemon{
 		Settings: frontd.Settings{
 			Node: s.Node, Domain: s.Domain, Cores: s.Cores, Callers: s.Callers, Ready: s.Ready, Directory: s.Directory,
-			Peer: p.peerAddress(), Seeds: s.Seeds, Grace: s.Grace, AnswerTTL: s.AnswerTTL, Tolerance: ration.Tolerance(s.Limits),
+			Peer: p.peerAddress(), Seeds: s.Seeds, Grace: s.Grace, AnswerTTL: s.AnswerTTL, Tolerance: bucket.Tolerance(s.Limits),
 		},
 		Store: p.store, Source: &platform.Source{Store: p.store}, Dialect: platform.Dialect{}, Names: platform.Names{},
 		Log: p.log, Scope: p.metric.Scope(), Trace: t,
--- a/internal/front/spell/spell_test.go
+++ b/internal/front/avail/avail_test.go
@@ -1,4 +1,4 @@
-package spell
+package avail
 
 import (
 	"testing"
@@ -9,16 +9,16 @@
 
 func at(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 
-func span(from, to float64) Spell { return Spell{From: at(from), To: at(to)} }
+func span(from, to float64) Interval { return Interval{From: at(from), To: at(to)} }
 
 // A daemon that takes its own deafness for an outage keeps upstreams that left; one that
 // takes an outage for its own deafness drops upstreams that live.
-func TestWith(t *testing.T) {
+func TestMerge(t *testing.T) {
 	cases := map[string]struct {
-		own, told, want Spell
+		own, told, want Interval
 		away            time.Duration
 	}{
-		"the first news":                       {Spell{}, span(5, 5), span(5, 5), 0},
+		"the first news":                       {Interval{}, span(5, 5), span(5, 5), 0},
 		"news in time":                         {span(0, 5), span(5.5, 5.5), span(0, 5.5), 0},
 		"just in time":                         {span(0, 5), span(7, 7), span(0, 7), 0},
 		"after an outage":                      {span(0, 5), span(15, 15), span(15, 15), 10 * time.Second},
@@ -32,11 +32,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			joined, away := c.own.With(c.told)
-			is.Equal(joined, c.want)
+			merged, away := c.own.Merge(c.told)
+			is.Equal(merged, c.want)
 			is.Equal(away, c.away)
 		})
 	}
-	is.New(t).Equal(Spell{}.Earlier(time.Second), Spell{})
-	is.New(t).Equal(span(3, 9).Earlier(2*time.Second), span(1, 7))
+	is.New(t).Equal(Interval{}.ShiftBack(time.Second), Interval{})
+	is.New(t).Equal(span(3, 9).ShiftBack(2*time.Second), span(1, 7))
 }
--- a/internal/front/ration/window.go
+++ b/internal/front/bucket/window.go
@@ -1,4 +1,4 @@
-package ration
+package bucket
 
 import "time"
 
@@ -16,12 +16,12 @@
 }
 
 func (w *window) add(now time.Time, n int) {
-	w.turn(now)
+	w.advance(now)
 	w.counts[w.slot%slots] += n
 }
 
 func (w *window) sum(now time.Time) (sum int) {
-	w.turn(now)
+	w.advance(now)
 	for _, n := range w.counts {
 		sum += n
 	}
@@ -29,7 +29,7 @@
 }
 
 // turn empties the slots that lie a Period back.
-func (w *window) turn(now time.Time) {
+func (w *window) advance(now time.Time) {
 	if w.start.IsZero() {
 		w.start = now
 	}
--- a/internal/front/entry/account.go
+++ b/internal/front/entry/account.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/slaterock/slaterock/internal/conf/route"
-	"github.com/slaterock/slaterock/internal/front/ration"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 )
 
 // errNoAccount is a request whose key belongs to no account, or to another one since it
@@ -69,7 +69,7 @@
 	if q.account.Name == "" {
 		return false
 	}
-	v := q.e.Allow.Look(time.Now(), q.account.Name)
+	v := q.e.Allow.Peek(time.Now(), q.account.Name)
 	return !v.OK && !q.within(v)
 }
 
@@ -84,13 +84,13 @@
 }
 
 // within answers a request that is beyond its account's limit.
-func (q *request) within(v ration.Verdict) bool {
+func (q *request) within(v bucket.Decision) bool {
 	switch {
 	case v.OK:
-	case v.Unknown:
-		q.unavailable("limits_unknown", v.After, nil)
+	case v.NoShare:
+		q.unavailable("limits_unknown", v.RetryAfter, nil)
 	default:
-		q.overLimit(v.After)
+		q.overLimit(v.RetryAfter)
 	}
 	return v.OK
 }
@@ -113,7 +113,7 @@
 // giveBack returns what was taken and not sent.
 func (q *request) giveBack() {
 	if q.taken {
-		q.e.Allow.GiveBack(time.Now(), q.account.Name)
+		q.e.Allow.Refund(time.Now(), q.account.Name)
 		q.taken = false
 	}
 }
--- a/internal/front/entry/account_test.go
+++ b/internal/front/entry/account_test.go
@@ -12,8 +12,8 @@
 	"github.com/slaterock/slaterock/internal/conf/accnt"
 	"github.com/slaterock/slaterock/internal/conf/route"
 	"github.com/slaterock/slaterock/internal/disk/book"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 	"github.com/slaterock/slaterock/internal/front/fleet"
-	"github.com/slaterock/slaterock/internal/front/ration"
 )
 
 func accounts(cafe ...string) *accnt.Accounts {
@@ -33,7 +33,7 @@
 	v := w.e.Fleet.View()
 	t := route.New(version, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})
 	t.Accounts = a
-	w.e.Fleet.Take(time.Now(), fleet.Reading{Revision: uint64(version), Table: t, Upstreams: v.Upstreams})
+	w.e.Fleet.Update(time.Now(), fleet.Snapshot{Revision: uint64(version), Table: t, Upstreams: v.Upstreams})
 }
 
 // begin has accounts and a front that has run long enough to have all of their limits.
@@ -45,7 +45,7 @@
 // hear has the front hear of the others, of which there are none, for so many half seconds.
 func (w *world) hear(n int) {
 	for range n {
-		w.e.Allow.Hear(time.Now(), w.e.Fleet.View().Table.Accounts, ration.Heard{Fronts: 1, All: 1})
+		w.e.Allow.Update(time.Now(), w.e.Fleet.View().Table.Accounts, bucket.PeerUsage{Fronts: 1, Total: 1})
 		time.Sleep(500 * time.Millisecond)
 	}
 }
@@ -101,7 +101,7 @@
 		timer := time.AfterFunc(100*time.Millisecond, func() {
 			w.configure(4, accounts("another"))
 			w.occupy("up1", 0)
-			w.e.Heard()
+			w.e.PeersUpdated()
 		})
 		defer timer.Stop()
 		rec, _ := w.ask(t.Context(), "/keep/", map[string]string{"Key": "secret-a", "Program": "p", "Budget": "100", "Finish": "1s"}, "in")
--- a/internal/front/entry/entry.go
+++ b/internal/front/entry/entry.go
@@ -58,17 +58,17 @@
 
 	// Entry serves callers. Set the exported fields before use.
 	Entry struct {
-		Dialect Dialect
-		Records Records
-		Fleet   *fleet.Fleet
-		Pool    *upconn.Pool
-		Picker  *pick.Picker
-		Usual   pick.Usual
-		Queue   admit.Queue
-		Allow   *allow.Allow
-		Log     zerolog.Logger
-		Scope   tally.Scope
-		Trace   *trace.Trace
+		Dialect  Dialect
+		Records  Records
+		Fleet    *fleet.Fleet
+		Pool     *upconn.Pool
+		Picker   *pick.Picker
+		Baseline pick.Baseline
+		Queue    admit.Queue
+		Allow    *allow.Allow
+		Log      zerolog.Logger
+		Scope    tally.Scope
+		Trace    *trace.Trace
 		// Refresh reads the configuration as it is now, at most now and then.
 		Refresh func(context.Context)
 		// Stop ends work that outlives its request.
--- a/internal/front/entry/entry_test.go
+++ b/internal/front/entry/entry_test.go
@@ -118,7 +118,7 @@
 
 // occupy makes an upstream look busier.
 func (w *world) occupy(id string, n int) {
-	w.e.Picker.Heard(map[string]int{id: n * 4}, 1)
+	w.e.Picker.PeersUpdated(map[string]int{id: n * 4}, 1)
 }
 
 func TestUnreachable(t *testing.T) {
--- a/internal/front/entry/plain.go
+++ b/internal/front/entry/plain.go
@@ -30,7 +30,7 @@
 	}
 	exclude := map[string]bool{}
 	for {
-		s, err := q.dispatch(ctx, pick.Case{Exclude: exclude}, q.body, asked.Order{})
+		s, err := q.dispatch(ctx, pick.Request{Exclude: exclude}, q.body, asked.Order{})
 		if err == nil {
 			if err = q.finish(ctx, s); err == nil {
 				return
@@ -65,8 +65,8 @@
 	}
 	s.keep(q.e.Pool)
 	q.story.first = time.Since(q.began)
-	pace := q.e.Usual.Pace(q.route.Name, time.Since(s.began).Seconds())
-	q.e.Picker.Took(time.Now(), s.up.ID, pace, s.resp.StatusCode >= http.StatusInternalServerError)
+	pace := q.e.Baseline.Slowdown(q.route.Name, time.Since(s.began).Seconds())
+	q.e.Picker.RecordOutcome(time.Now(), s.up.ID, pace, s.resp.StatusCode >= http.StatusInternalServerError)
 	q.give(s, body)
 	return nil
 }
--- a/internal/front/entry/send.go
+++ b/internal/front/entry/send.go
@@ -67,7 +67,7 @@
 
 // dispatch sends the request to upstreams until one takes it. After *refused or
 // errNoUpstream the request has not run; after *lost it may have.
-func (q *request) dispatch(ctx context.Context, c pick.Case, body []byte, o asked.Order) (*sent, error) {
+func (q *request) dispatch(ctx context.Context, c pick.Request, body []byte, o asked.Order) (*sent, error) {
 	last := errNoUpstream
 	for range maxRefusals {
 		// The caller's own context is asked too: some runs go on when their
@@ -79,7 +79,7 @@
 			return nil, err
 		}
 		known := q.e.Fleet.View()
-		c.List = known.Services[q.service.Name]
+		c.Candidates = known.Services[q.service.Name]
 		up, ok := q.e.Picker.Choose(time.Now(), c)
 		if !ok {
 			return nil, last
@@ -118,7 +118,7 @@
 	conn, err := q.e.Pool.Take(ctx, up.ID, up.Address)
 	if err != nil {
 		if ctx.Err() == nil {
-			q.e.Picker.Failed(time.Now(), up.ID)
+			q.e.Picker.RecordFailure(time.Now(), up.ID)
 		}
 		return nil, &refused{up: up, cause: "unreachable", err: err}
 	}
@@ -168,7 +168,7 @@
 	if !time.Now().Before(q.deadline) {
 		return errors.CombineErrors(context.DeadlineExceeded, err) // the connection's own deadline came first
 	}
-	q.e.Picker.Failed(time.Now(), s.up.ID)
+	q.e.Picker.RecordFailure(time.Now(), s.up.ID)
 	return &lost{up: s.up, reused: s.conn.Reused, err: err}
 }
 
@@ -177,9 +177,9 @@
 	cause := causeFull
 	if s.resp.StatusCode == http.StatusMisdirectedRequest {
 		cause = "other_instance"
-		q.e.Picker.Failed(time.Now(), s.up.ID)
+		q.e.Picker.RecordFailure(time.Now(), s.up.ID)
 	} else {
-		q.e.Picker.Full(time.Now(), s.up.ID)
+		q.e.Picker.RecordFull(time.Now(), s.up.ID)
 	}
 	if _, err := upconn.ReadAll(s.resp.Body, maxAnswer); err != nil {
 		s.drop()
--- a/internal/front/entry/stream.go
+++ b/internal/front/entry/stream.go
@@ -200,7 +200,7 @@
 	if len(t.chain) > 0 {
 		body = slices.Concat(t.chain, t.body)
 	}
-	c := pick.Case{Key: t.key(), Prefer: cmp.Or(t.prefer, t.ranAt), Tokens: t.Prompt, Exclude: map[string]bool{}}
+	c := pick.Request{Key: t.key(), Prefer: cmp.Or(t.prefer, t.ranAt), Tokens: t.Prompt, Exclude: map[string]bool{}}
 	o := asked.Order{Priority: min(t.priority(), 9), Ranked: true, LastEvent: t.last}
 	for range maxResumes {
 		s, err := t.dispatch(ctx, c, body, o)
@@ -255,7 +255,7 @@
 		}
 		s.keep(t.e.Pool)
 		if s.resp.StatusCode >= http.StatusInternalServerError {
-			t.e.Picker.Failed(time.Now(), s.up.ID) // or else it looks idle, and gets all turns
+			t.e.Picker.RecordFailure(time.Now(), s.up.ID) // or else it looks idle, and gets all turns
 		}
 		t.settle()
 		t.give(s, body)
@@ -265,12 +265,12 @@
 	if !t.started {
 		t.head(s.resp)
 	}
-	under := t.e.Picker.Under(s.up.ID)
+	under := t.e.Picker.InFlight(s.up.ID)
 	r := event.Reader{R: bufio.NewReaderSize(s.resp.Body, streamRead)}
 	for {
 		e, err := r.Next()
 		if errors.Is(err, io.EOF) {
-			t.learn(s, float64(under+t.e.Picker.Under(s.up.ID))/2)
+			t.learn(s, float64(under+t.e.Picker.InFlight(s.up.ID))/2)
 			return t.end(ctx, s)
 		}
 		if err == nil {
@@ -279,7 +279,7 @@
 		if err != nil {
 			s.drop()
 			if ctx.Err() == nil {
-				t.e.Picker.Failed(time.Now(), s.up.ID)
+				t.e.Picker.RecordFailure(time.Now(), s.up.ID)
 			}
 			return errors.CombineErrors(err, ctx.Err())
 		}
@@ -320,10 +320,10 @@
 	pace := 0.0
 	if n := t.story.events - 1; n > 2 {
 		each := (time.Since(t.began) - t.story.first) / time.Duration(n)
-		pace = t.e.Usual.Pace(t.route.Name, each.Seconds())
+		pace = t.e.Baseline.Slowdown(t.route.Name, each.Seconds())
 		t.e.Queue.Observe(t.service.Name, turns, each)
 	}
-	t.e.Picker.Took(time.Now(), s.up.ID, pace, false)
+	t.e.Picker.RecordOutcome(time.Now(), s.up.ID, pace, false)
 }
 
 // end records a whole stream. A turn that is kept must be durable before its
--- a/internal/front/entry/wait.go
+++ b/internal/front/entry/wait.go
@@ -73,8 +73,8 @@
 // done ends a request at an upstream, which may make room for one that waits.
 func (e *Entry) done(id string) {
 	e.Picker.Done(id)
-	e.Heard()
+	e.PeersUpdated()
 }
 
 // Heard tells that what is under way has changed, here or at other daemons.
-func (e *Entry) Heard() { e.Queue.Change(e.load) }
+func (e *Entry) PeersUpdated() { e.Queue.Change(e.load) }
--- a/internal/front/entry/wait_test.go
+++ b/internal/front/entry/wait_test.go
@@ -46,7 +46,7 @@
 				if c.frees > 0 {
 					timer := time.AfterFunc(c.frees, func() {
 						w.occupy("up1", 0)
-						w.e.Heard()
+						w.e.PeersUpdated()
 					})
 					defer timer.Stop()
 				}
--- a/internal/front/entry/world_test.go
+++ b/internal/front/entry/world_test.go
@@ -188,13 +188,13 @@
 func newWorld(answers ...[]string) *world {
 	w := &world{rec: &records{shares: map[string]book.Share{}, turns: map[string]book.Turn{}}, ups: map[string]*upstream{}}
 	var f fleet.Fleet
-	reading := fleet.Reading{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
+	reading := fleet.Snapshot{Revision: 1, Table: route.New(1, routes, []route.Service{{Name: "s", EventTokens: 3}}, route.Limits{BodyBytes: 100})}
 	for i, list := range answers {
 		address := fmt.Sprintf("up%d", i+1)
 		w.ups[address] = &upstream{answers: list}
 		reading.Upstreams = append(reading.Upstreams, fleet.Upstream{ID: address, Service: "s", Address: address, Batch: 4 * (len(answers) - i)})
 	}
-	f.Take(time.Now(), reading)
+	f.Update(time.Now(), reading)
 	pool := &upconn.Pool{Dial: func(_ context.Context, address string) (net.Conn, error) {
 		u := w.ups[address]
 		if u.refuse {
--- a/internal/front/fleet/delta.go
+++ b/internal/front/fleet/delta.go
@@ -8,7 +8,7 @@
 // recent is how many former states are kept to tell differences from. All daemons
 // go through the same states, half a second apart at the least, so one that asks
 // is a few states behind. A thousand upstreams take 0.2 MB a state.
-const recent = 12
+const historySize = 12
 
 // Delta is what differs between two states of knowledge. Hashes name the states.
 type Delta struct {
@@ -22,12 +22,12 @@
 
 // Since returns what has changed since the state with that hash, and false if
 // that state is not known here.
-func (f *Fleet) Since(hash uint64) (d Delta, ok bool) {
+func (f *Fleet) DeltaSince(hash uint64) (d Delta, ok bool) {
 	f.mu.Lock()
-	i := slices.IndexFunc(f.past, func(v *View) bool { return v.Hash == hash })
+	i := slices.IndexFunc(f.history, func(v *View) bool { return v.Hash == hash })
 	var old *View
 	if i >= 0 {
-		old = f.past[i]
+		old = f.history[i]
 	}
 	f.mu.Unlock()
 	if old == nil {
@@ -35,14 +35,14 @@
 	}
 	v := f.View()
 	d.Base, d.Hash = hash, v.Hash
-	d.Upstreams, d.Gone = differ(old.Upstreams, v.Upstreams, func(u Upstream) string { return u.ID }, sameUpstream)
-	d.Entries, d.GoneEntries = differ(old.Entries, v.Entries, func(e Entry) string { return e.Node }, func(a, b Entry) bool { return a == b })
+	d.Upstreams, d.Gone = diff(old.Upstreams, v.Upstreams, func(u Upstream) string { return u.ID }, sameUpstream)
+	d.Entries, d.GoneEntries = diff(old.Entries, v.Entries, func(e Entry) string { return e.Node }, func(a, b Entry) bool { return a == b })
 	return d, true
 }
 
 // Apply returns the reading that the delta leads to, and false if it starts from
 // another state than v.
-func (v *View) Apply(d Delta) (r Reading, ok bool) {
+func (v *View) Apply(d Delta) (r Snapshot, ok bool) {
 	if d.Base != v.Hash {
 		return r, false
 	}
@@ -53,14 +53,14 @@
 }
 
 // keep remembers a state that has become old; f.mu is held.
-func (f *Fleet) keep(v *View) {
+func (f *Fleet) addHistory(v *View) {
 	if v.Hash == 0 {
 		return
 	}
-	f.past = slices.DeleteFunc(f.past, func(old *View) bool { return old.Hash == v.Hash })
-	f.past = append(f.past, v)
-	if len(f.past) > recent {
-		f.past = slices.Delete(f.past, 0, 1)
+	f.history = slices.DeleteFunc(f.history, func(old *View) bool { return old.Hash == v.Hash })
+	f.history = append(f.history, v)
+	if len(f.history) > historySize {
+		f.history = slices.Delete(f.history, 0, 1)
 	}
 }
 
@@ -71,7 +71,7 @@
 }
 
 // differ compares two lists in the order of their keys.
-func differ[T any](old, now []T, key func(T) string, same func(a, b T) bool) (changed []T, gone []string) {
+func diff[T any](old, now []T, key func(T) string, same func(a, b T) bool) (changed []T, gone []string) {
 	i := 0
 	for _, n := range now {
 		for i < len(old) && key(old[i]) < key(n) {
--- a/internal/front/fleet/delta_test.go
+++ b/internal/front/fleet/delta_test.go
@@ -10,7 +10,7 @@
 )
 
 // drawn returns upstreams and entries of which some come, go and change.
-func drawn(rnd *rand.Rand, revision uint64) (r Reading) {
+func randomSnapshot(rnd *rand.Rand, revision uint64) (r Snapshot) {
 	r.Revision = revision
 	for i := range 12 {
 		if rnd.IntN(4) > 0 {
@@ -30,29 +30,29 @@
 	for seed := range uint64(50) {
 		is := is.New(t)
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		var teller, asker Fleet
-		whole := 0
+		var source, replica Fleet
+		full := 0
 		for revision := range uint64(60) {
-			teller.Take(time.Now(), drawn(rnd, revision+1))
+			source.Update(time.Now(), randomSnapshot(rnd, revision+1))
 			if rnd.IntN(3) > 0 {
 				continue // the asker hears of this state later, or never
 			}
-			v := teller.View()
-			d, ok := teller.Since(asker.View().Hash)
-			r := Reading{Upstreams: v.Upstreams, Entries: v.Entries}
+			v := source.View()
+			d, ok := source.DeltaSince(replica.View().Hash)
+			r := Snapshot{Upstreams: v.Upstreams, Entries: v.Entries}
 			if ok {
-				r, ok = asker.View().Apply(d)
+				r, ok = replica.View().Apply(d)
 				is.True(ok)
 			} else {
-				whole++
+				full++
 			}
 			r.Revision = v.Revision
-			asker.Take(time.Now(), Told{Reading: r})
-			is.Equal(asker.View().Hash, v.Hash)
-			is.Equal(len(asker.View().Upstreams), len(v.Upstreams))
-			is.Equal(len(asker.View().Entries), len(v.Entries))
+			replica.Update(time.Now(), PeerSnapshot{Snapshot: r})
+			is.Equal(replica.View().Hash, v.Hash)
+			is.Equal(len(replica.View().Upstreams), len(v.Upstreams))
+			is.Equal(len(replica.View().Entries), len(v.Entries))
 		}
-		is.True(whole <= 2) // the first, and one after a long silence
+		is.True(full <= 2) // the first, and one after a long silence
 	}
 }
 
@@ -61,16 +61,16 @@
 func TestDeltaOfAnotherState(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	var teller, asker Fleet
-	first := drawn(rnd, 1)
-	teller.Take(time.Now(), first)
-	asker.Take(time.Now(), first)
-	teller.Take(time.Now(), drawn(rnd, 2))
-	d, ok := teller.Since(asker.View().Hash)
+	var source, replica Fleet
+	first := randomSnapshot(rnd, 1)
+	source.Update(time.Now(), first)
+	replica.Update(time.Now(), first)
+	source.Update(time.Now(), randomSnapshot(rnd, 2))
+	d, ok := source.DeltaSince(replica.View().Hash)
 	is.True(ok)
-	asker.Take(time.Now(), drawn(rnd, 3))
-	_, ok = asker.View().Apply(d)
+	replica.Update(time.Now(), randomSnapshot(rnd, 3))
+	_, ok = replica.View().Apply(d)
 	is.True(!ok)
-	_, ok = teller.Since(12345)
+	_, ok = source.DeltaSince(12345)
 	is.True(!ok)
 }
--- a/internal/front/fleet/fleet.go
+++ b/internal/front/fleet/fleet.go
@@ -12,29 +12,29 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/front/spell"
+	"github.com/slaterock/slaterock/internal/front/avail"
 )
 
 // ReturnGrace is how long an upstream whose entry is missing is kept after the
 // store has come back. Entries that lapsed in an outage are written again within
 // about two seconds by upstreams that live; dropping all of them at once would
 // leave callers without any upstream after each outage.
-const ReturnGrace = 2300 * time.Millisecond
+const RecoveryGrace = 2300 * time.Millisecond
 
 type (
 	// Fleet gathers news. The zero value knows nothing.
 	Fleet struct {
-		mu       sync.Mutex
-		view     atomic.Pointer[View]
-		past     []*View     // former states, the newest last
-		down     bool        // the store does not answer this daemon
-		spell    spell.Spell // in which somebody had news
-		returned bool        // the store was away before that
+		mu          sync.Mutex
+		view        atomic.Pointer[View]
+		history     []*View        // former states, the newest last
+		unreachable bool           // the store does not answer this daemon
+		avail       avail.Interval // in which somebody had news
+		recovered   bool           // the store was away before that
 	}
 
 	// Change is what news changed, for the log.
 	Change struct {
-		What string // config, upstream, outage, regained, return
+		Kind string // config, upstream, outage, regained, return
 		ID   string
 		From string // its former state; of a return, for how long there was no news
 		To   string
@@ -50,46 +50,46 @@
 }
 
 // Take learns the news and returns what it changed.
-func (f *Fleet) Take(now time.Time, n News) (changes []Change) {
+func (f *Fleet) Update(now time.Time, n Event) (changes []Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := *f.View()
 	switch n := n.(type) {
 	case Outage:
-		if !f.down {
-			f.down = true
-			changes = append(changes, Change{What: "outage"})
+		if !f.unreachable {
+			f.unreachable = true
+			changes = append(changes, Change{Kind: "outage"})
 		}
 		return changes
-	case Slept:
+	case Suspended:
 		v.Confirmed = v.Confirmed.Add(-n.For)
-		f.spell = f.spell.Earlier(n.For)
-	case Heard:
+		f.avail = f.avail.ShiftBack(n.For)
+	case PeerAvailability:
 		to := now.Add(-n.Age)
-		changes = f.mind(spell.Spell{From: to.Add(-n.Steady), To: to})
+		changes = f.extendAvailability(avail.Interval{From: to.Add(-n.AvailableFor), To: to})
 	case Confirmed:
 		if n.Revision < v.Revision {
 			return nil
 		}
 		changes = f.confirm(&v, n.Revision, now.Add(-n.Age))
-	case Told:
+	case PeerSnapshot:
 		if n.Revision < v.Revision {
 			return nil
 		}
 		changes = f.confirm(&v, n.Revision, now.Add(-n.Age))
-		changes = append(changes, v.take(n.Reading, f.returning(now))...)
-	case Reading:
-		changes = f.regain()
+		changes = append(changes, v.replace(n.Snapshot, f.inGrace(now))...)
+	case Snapshot:
+		changes = f.noteReachable()
 		if n.Revision < v.Revision {
 			return changes
 		}
 		changes = append(changes, f.confirm(&v, n.Revision, now)...)
-		changes = append(changes, v.take(n, f.returning(now))...)
+		changes = append(changes, v.replace(n, f.inGrace(now))...)
 	}
-	changes = append(changes, f.expire(&v, now)...)
-	v.Since = f.spell.From
+	changes = append(changes, f.dropExpired(&v, now)...)
+	v.AvailableSince = f.avail.From
 	if old := f.View(); old.Hash != v.Hash {
-		f.keep(old)
+		f.addHistory(old)
 	}
 	f.view.Store(&v)
 	return changes
@@ -101,40 +101,40 @@
 	if at.After(v.Confirmed) {
 		v.Confirmed = at
 	}
-	return f.mind(spell.At(at))
+	return f.extendAvailability(avail.At(at))
 }
 
 // mind notes when somebody had news of the store, and the end of an outage. Of hundreds
 // only the first few ask the store while it is away; one further back that reads when it
 // is there again would take the first short list for the truth.
-func (f *Fleet) mind(s spell.Spell) []Change {
-	var away time.Duration
-	if f.spell, away = f.spell.With(s); away == 0 {
+func (f *Fleet) extendAvailability(s avail.Interval) []Change {
+	var outage time.Duration
+	if f.avail, outage = f.avail.Merge(s); outage == 0 {
 		return nil
 	}
-	f.returned = true
-	return []Change{{What: "return", From: away.String()}}
+	f.recovered = true
+	return []Change{{Kind: "return", From: outage.String()}}
 }
 
 // regain notes that this daemon reaches the store again. Whether the store was away for
 // others, too, mind tells: it may have turned this one away and served the rest.
-func (f *Fleet) regain() []Change {
-	if !f.down {
+func (f *Fleet) noteReachable() []Change {
+	if !f.unreachable {
 		return nil
 	}
-	f.down = false
-	return []Change{{What: "regained"}}
+	f.unreachable = false
+	return []Change{{Kind: "regained"}}
 }
 
 // returning tells whether entries that lapsed in an outage may still be missing.
-func (f *Fleet) returning(now time.Time) bool {
-	return f.returned && now.Sub(f.spell.From) < ReturnGrace
+func (f *Fleet) inGrace(now time.Time) bool {
+	return f.recovered && now.Sub(f.avail.From) < RecoveryGrace
 }
 
 // expire drops the upstreams whose entries have had their time to come back.
-func (f *Fleet) expire(v *View, now time.Time) []Change {
-	if len(v.Lapsed) == 0 || f.returning(now) {
+func (f *Fleet) dropExpired(v *View, now time.Time) []Change {
+	if len(v.Retained) == 0 || f.inGrace(now) {
 		return nil
 	}
-	return v.list(v.Upstreams, false)
+	return v.setUpstreams(v.Upstreams, false)
 }
--- a/internal/front/fleet/crowd_test.go
+++ b/internal/front/fleet/partition_test.go
@@ -8,34 +8,34 @@
 )
 
 // beat is the pause between readings of the daemon that reads for all.
-const beat = 500 * time.Millisecond
+const readInterval = 500 * time.Millisecond
 
 // tell has one daemon tell another what it knows, as daemons do: one that knows the same
 // has it confirmed, one that knows less gets everything, one that knows more doesn't listen.
-func tell(now time.Time, from, to *Fleet) {
+func exchange(now time.Time, from, to *Fleet) {
 	v, w := from.View(), to.View()
 	age := now.Sub(v.Confirmed)
-	to.Take(now, Heard{Age: age, Steady: v.Steady()})
+	to.Update(now, PeerAvailability{Age: age, AvailableFor: v.AvailableFor()})
 	switch {
 	case v.Revision < w.Revision, v.Revision == w.Revision && v.Hash != w.Hash:
 	case v.Hash == w.Hash:
-		to.Take(now, Confirmed{Revision: v.Revision, Age: age})
+		to.Update(now, Confirmed{Revision: v.Revision, Age: age})
 	default:
-		to.Take(now, Told{Reading: Reading{Revision: v.Revision, Upstreams: v.Upstreams, Entries: v.Entries}, Age: age})
+		to.Update(now, PeerSnapshot{Snapshot: Snapshot{Revision: v.Revision, Upstreams: v.Upstreams, Entries: v.Entries}, Age: age})
 	}
 }
 
 // severed plays five seconds in which one daemon is cut off and the other reads on, last
 // what the first is then told. It returns a moment later.
-func severed(cutOff, other *Fleet, last Reading) time.Time {
-	cutOff.Take(start, reading(1, 1, "a", "b"))
-	other.Take(start, reading(1, 1, "a", "b"))
+func partitioned(cutOff, other *Fleet, last Snapshot) time.Time {
+	cutOff.Update(start, snapshot(1, 1, "a", "b"))
+	other.Update(start, snapshot(1, 1, "a", "b"))
 	back := start.Add(5 * time.Second)
-	for at := start; at.Before(back); at = at.Add(beat) {
-		other.Take(at, reading(1, 1, "a", "b"))
+	for at := start; at.Before(back); at = at.Add(readInterval) {
+		other.Update(at, snapshot(1, 1, "a", "b"))
 	}
-	other.Take(back, last)
-	tell(back, other, cutOff)
+	other.Update(back, last)
+	exchange(back, other, cutOff)
 	return back.Add(100 * time.Millisecond)
 }
 
@@ -48,12 +48,12 @@
 // Evidence: in a recorded day the daemon that had been cut off logged the upstream as
 // gone 2.3 s after it was back, as long as missing entries are kept, and the five others
 // only after that; no other daemon had lost the store.
-func TestDaemonThatWasCutOffMisleadsNobody(t *testing.T) {
+func TestPartitionedDaemonDoesNotMisleadPeers(t *testing.T) {
 	is := is.New(t)
 	var cutOff, other Fleet
-	gone := severed(&cutOff, &other, reading(1, 1, "a", "b"))
-	cutOff.Take(gone.Add(beat), reading(2, 1, "a"))
-	tell(gone.Add(beat), &cutOff, &other)
+	gone := partitioned(&cutOff, &other, snapshot(1, 1, "a", "b"))
+	cutOff.Update(gone.Add(readInterval), snapshot(2, 1, "a"))
+	exchange(gone.Add(readInterval), &cutOff, &other)
 	is.Equal(ids(other.View()), "a")
 }
 
@@ -64,16 +64,16 @@
 //
 // Evidence: in a recorded day the daemon logged no outage of its own before, and the other
 // five were confirmed every half second; the test gave the same upstream before.
-func TestDaemonThatWasCutOffBelievesOthers(t *testing.T) {
-	cases := map[string]struct{ told, read Reading }{
-		"an upstream left as it was back":       {reading(1, 1, "a", "b"), reading(2, 1, "a")},
-		"an upstream left while it was cut off": {reading(2, 1, "a"), reading(2, 1, "a")},
+func TestPartitionedDaemonTrustsPeers(t *testing.T) {
+	cases := map[string]struct{ told, read Snapshot }{
+		"an upstream left as it was back":       {snapshot(1, 1, "a", "b"), snapshot(2, 1, "a")},
+		"an upstream left while it was cut off": {snapshot(2, 1, "a"), snapshot(2, 1, "a")},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var cutOff, other Fleet
-			gone := severed(&cutOff, &other, c.told)
-			cutOff.Take(gone.Add(beat), c.read)
+			gone := partitioned(&cutOff, &other, c.told)
+			cutOff.Update(gone.Add(readInterval), c.read)
 			is.New(t).Equal(ids(cutOff.View()), "a")
 		})
 	}
@@ -90,31 +90,31 @@
 func TestMissingUpstreamIsDroppedByAll(t *testing.T) {
 	is := is.New(t)
 	var reader, other Fleet
-	reader.Take(start, reading(1, 1, "a", "b"))
-	other.Take(start, reading(1, 1, "a", "b"))
+	reader.Update(start, snapshot(1, 1, "a", "b"))
+	other.Update(start, snapshot(1, 1, "a", "b"))
 	back := start.Add(10 * time.Second)
-	for at := back; at.Before(back.Add(ReturnGrace + beat)); at = at.Add(beat) {
-		reader.Take(at, reading(2, 1, "a"))
-		tell(at, &reader, &other)
-		is.Equal(ids(other.View()) == "ab", at.Before(back.Add(ReturnGrace))) // kept in vain no longer than by the reader
+	for at := back; at.Before(back.Add(RecoveryGrace + readInterval)); at = at.Add(readInterval) {
+		reader.Update(at, snapshot(2, 1, "a"))
+		exchange(at, &reader, &other)
+		is.Equal(ids(other.View()) == "ab", at.Before(back.Add(RecoveryGrace))) // kept in vain no longer than by the reader
 	}
 	is.Equal(ids(reader.View()), "a")
 }
 
 // The daemon that was cut off reads the store before it hears from the others. It can't
 // know, and keeps what is missing until one of them tells.
-func TestDaemonThatWasCutOffReadsFirst(t *testing.T) {
+func TestPartitionedDaemonReadsBeforePeerContact(t *testing.T) {
 	is := is.New(t)
 	var cutOff, other Fleet
-	cutOff.Take(start, reading(1, 1, "a", "b"))
+	cutOff.Update(start, snapshot(1, 1, "a", "b"))
 	back := start.Add(5 * time.Second)
-	for at := start; at.Before(back); at = at.Add(beat) {
-		other.Take(at, reading(2, 1, "a"))
+	for at := start; at.Before(back); at = at.Add(readInterval) {
+		other.Update(at, snapshot(2, 1, "a"))
 	}
-	cutOff.Take(back, reading(3, 1, "a"))
+	cutOff.Update(back, snapshot(3, 1, "a"))
 	is.Equal(ids(cutOff.View()), "ab")
-	tell(back, &other, &cutOff) // of a lower revision
+	exchange(back, &other, &cutOff) // of a lower revision
 	is.Equal(ids(cutOff.View()), "a")
-	tell(back, &cutOff, &other)
+	exchange(back, &cutOff, &other)
 	is.Equal(ids(other.View()), "a")
 }
--- a/internal/front/fleet/types.go
+++ b/internal/front/fleet/types.go
@@ -32,10 +32,10 @@
 	}
 
 	// News is something that a daemon learns of the system.
-	News interface{ news() }
+	Event interface{ event() }
 
 	// Reading is what the store holds at a revision, read as it is now.
-	Reading struct {
+	Snapshot struct {
 		Revision  uint64
 		Table     *route.Table // nil if there is none yet, or none that can be read
 		Upstreams []Upstream
@@ -43,8 +43,8 @@
 	}
 
 	// Told is what another daemon read in the store, or was told of it.
-	Told struct {
-		Reading
+	PeerSnapshot struct {
+		Snapshot
 		Age time.Duration // since the other daemon's knowledge was confirmed
 	}
 
@@ -56,19 +56,19 @@
 
 	// Heard tells that another daemon had news of the store without a gap for so long, up
 	// to that long ago. Whether it knows the same doesn't matter.
-	Heard struct{ Age, Steady time.Duration }
+	PeerAvailability struct{ Age, AvailableFor time.Duration }
 
 	// Slept tells that this daemon did not run for a while. What is known is older than
 	// it seems by as much as its steady clock stood still.
-	Slept struct{ For time.Duration }
+	Suspended struct{ For time.Duration }
 
 	// Outage tells that the store did not answer or turned this daemon away.
 	Outage struct{}
 )
 
-func (Reading) news()   {}
-func (Told) news()      {}
-func (Confirmed) news() {}
-func (Heard) news()     {}
-func (Slept) news()     {}
-func (Outage) news()    {}
+func (Snapshot) event()         {}
+func (PeerSnapshot) event()     {}
+func (Confirmed) event()        {}
+func (PeerAvailability) event() {}
+func (Suspended) event()        {}
+func (Outage) event()           {}
--- a/internal/front/fleet/view.go
+++ b/internal/front/fleet/view.go
@@ -27,33 +27,33 @@
 // knowledge would send requests to an upstream that left. So only what was listed is told
 // to them, and hashed: daemons that know the same revision are in the same state.
 type View struct {
-	Revision  uint64       // of the store, at the last reading
-	Confirmed time.Time    // when that reading was made, as far as is known
-	Since     time.Time    // somebody has had news of the store without a gap since then
-	Table     *route.Table // nil while none is known
-	Services  map[string][]Upstream
-	Upstreams []Upstream // by id, as the store listed them
-	Lapsed    []Upstream // by id: kept although the store does not list them
-	Entries   []Entry    // by node
-	Hash      uint64     // of what matters of all that was listed
+	Revision       uint64       // of the store, at the last reading
+	Confirmed      time.Time    // when that reading was made, as far as is known
+	AvailableSince time.Time    // somebody has had news of the store without a gap since then
+	Table          *route.Table // nil while none is known
+	Services       map[string][]Upstream
+	Upstreams      []Upstream // by id, as the store listed them
+	Retained       []Upstream // by id: kept although the store does not list them
+	Entries        []Entry    // by node
+	Hash           uint64     // of what matters of all that was listed
 }
 
 // Steady is for how long there was news without a gap, up to when this was confirmed.
-func (v *View) Steady() time.Duration { return max(v.Confirmed.Sub(v.Since), 0) }
+func (v *View) AvailableFor() time.Duration { return max(v.Confirmed.Sub(v.AvailableSince), 0) }
 
 // Missing tells whether an upstream is kept although the store doesn't list it.
 func (v *View) Missing(id string) bool {
-	_, missing := find(v.Lapsed, id)
+	_, missing := find(v.Retained, id)
 	return missing
 }
 
 // take replaces what is known. Keep has upstreams stay that are not listed.
-func (v *View) take(n Reading, keep bool) (changes []Change) {
+func (v *View) replace(n Snapshot, retain bool) (changes []Change) {
 	if n.Table != nil && (v.Table == nil || n.Table.Version > v.Table.Version) {
 		v.Table = n.Table
-		changes = append(changes, Change{What: "config"})
+		changes = append(changes, Change{Kind: "config"})
 	}
-	changes = append(changes, v.list(n.Upstreams, keep)...)
+	changes = append(changes, v.setUpstreams(n.Upstreams, retain)...)
 	v.Entries = slices.Clone(n.Entries)
 	slices.SortFunc(v.Entries, func(a, b Entry) int { return cmp.Compare(a.Node, b.Node) })
 	v.Hash = v.hash()
@@ -62,31 +62,31 @@
 
 // list replaces the upstreams by those that the store lists. Keep has others stay, but
 // for those that had said that they leave.
-func (v *View) list(listed []Upstream, keep bool) []Change {
-	was := *v
-	v.Upstreams, v.Lapsed = sorted(listed), nil
-	for _, u := range was.All() {
-		if _, is := find(v.Upstreams, u.ID); !is && keep && !u.Leaving {
-			v.Lapsed = append(v.Lapsed, u)
+func (v *View) setUpstreams(listed []Upstream, retain bool) []Change {
+	old := *v
+	v.Upstreams, v.Retained = sorted(listed), nil
+	for _, u := range old.All() {
+		if _, found := find(v.Upstreams, u.ID); !found && retain && !u.Leaving {
+			v.Retained = append(v.Retained, u)
 		}
 	}
 	v.Services = map[string][]Upstream{}
 	for _, u := range v.All() {
 		v.Services[u.Service] = append(v.Services[u.Service], u)
 	}
-	return was.differences(v)
+	return old.differences(v)
 }
 
 // All returns the upstreams that requests may be sent to, by id.
-func (v *View) All() []Upstream { return sorted(slices.Concat(v.Upstreams, v.Lapsed)) }
+func (v *View) All() []Upstream { return sorted(slices.Concat(v.Upstreams, v.Retained)) }
 
 // differences returns what became of the upstreams between two views.
 func (v *View) differences(next *View) (changes []Change) {
 	for _, u := range next.Upstreams {
 		old, listed := find(v.Upstreams, u.ID)
-		again := listed && (old.Born != u.Born || old.Address != u.Address)
-		if from := v.state(u.ID); again || from != u.state() {
-			changes = append(changes, Change{What: "upstream", ID: u.ID, From: from, To: u.state()})
+		restarted := listed && (old.Born != u.Born || old.Address != u.Address)
+		if from := v.state(u.ID); restarted || from != u.state() {
+			changes = append(changes, Change{Kind: "upstream", ID: u.ID, From: from, To: u.state()})
 		}
 	}
 	for _, u := range v.All() {
@@ -95,7 +95,7 @@
 			to = stateGone
 		}
 		if _, listed := find(next.Upstreams, u.ID); !listed && from != to {
-			changes = append(changes, Change{What: "upstream", ID: u.ID, From: from, To: to})
+			changes = append(changes, Change{Kind: "upstream", ID: u.ID, From: from, To: to})
 		}
 	}
 	return changes
--- a/internal/front/mesh/mesh.go
+++ b/internal/front/mesh/mesh.go
@@ -28,60 +28,60 @@
 const (
 	// Together is the largest number of fronts that all tell each other: at 7 ms
 	// for each their words are then 0.17 s old at most, as old as through hubs.
-	Together = 24
+	FullMeshMax = 24
 	// groupMost is how many fronts share a hub. A hub takes 160 reports a second
 	// from them, fewer datagrams than from the other hubs.
-	groupMost = 16
+	maxGroup = 16
 	// hubsLeast is the least number of hubs in a failure domain, so that the
 	// others have one nearby when one dies.
-	hubsLeast = 2
+	minHubs = 2
 	// base is the pause between datagrams to the same front: half of the time of
 	// a short plain call.
-	base = 60 * time.Millisecond
+	minInterval = 60 * time.Millisecond
 	// perPeer stretches the pause with the number of fronts that are told, which
 	// bounds the datagrams that each sends and takes to about 140 a second.
 	// perHub is the same between hubs, 250 a second: hubs are few, and the VMs with
 	// the most processor.
-	perPeer = 7 * time.Millisecond
-	perHub  = 4 * time.Millisecond
+	intervalPerPeer = 7 * time.Millisecond
+	intervalPerHub  = 4 * time.Millisecond
 	// reportPause is the pause between reports to a hub. Two reports and the hubs'
 	// pause in between are the age of what is known through hubs: 0.3 s at most
 	// with 24 hubs, half of it on the average.
-	reportPause = 100 * time.Millisecond
+	reportInterval = 100 * time.Millisecond
 	// Silent is the least time for which a front may say nothing before it counts
 	// as gone, and silentPauses the same in pauses: so many datagrams in a row are
 	// hardly ever lost. Through hubs it is silentHub, in which the fronts of a hub
 	// that died have found another one.
-	Silent       = 900 * time.Millisecond
-	silentPauses = 3
-	silentHub    = 800 * time.Millisecond
+	SilenceTimeout    = 900 * time.Millisecond
+	silenceIntervals  = 3
+	hubSilenceTimeout = 800 * time.Millisecond
 	// digestAge is for how long a digest counts: five answers are hardly ever lost.
-	digestAge = 500 * time.Millisecond
+	digestTTL = 500 * time.Millisecond
 	// followAge is for how long a report counts: five are hardly ever lost.
-	followAge = 500 * time.Millisecond
+	reportTTL = 500 * time.Millisecond
 	// patience is how long a hub may leave reports without an answer, and
 	// avoidFor how long it is left alone then.
-	patience = 500 * time.Millisecond
-	avoidFor = 10 * time.Second
+	answerTimeout = 500 * time.Millisecond
+	avoidFor      = 10 * time.Second
 	// seekMost is how many hubs are tried at a time while none answers: of three
 	// one is there though half of all are frozen, seven times out of eight. seekAfter
 	// is three reports without an answer.
-	seekMost  = 3
-	seekAfter = 3 * reportPause
+	maxProbes  = 3
+	probeAfter = 3 * reportInterval
 	// settle is how long a front that has just become known may say nothing
 	// before another one takes its part as a hub.
-	settle = time.Second
+	settleTime = time.Second
 	// stall is the time between two ticks after which this front counts as frozen:
 	// several times the longest pause.
-	stall = time.Second
+	stallTime = time.Second
 	// fewest is the part of all fronts, a quarter, of which a hub must hear for its
 	// digest to count. Half are not heard of when the hubs of half of the failure
 	// domains freeze together, and others must stand in for them.
-	fewest = 4
+	minKnownFraction = 4
 	// greetPause is the pause between digests to a front of which nothing is heard.
 	// One that knows of no other yet learns by them whom to ask, so hundreds that
 	// start together need not read the store until each has found all others.
-	greetPause = 500 * time.Millisecond
+	announceInterval = 500 * time.Millisecond
 	// maxLoads bounds the upstreams in one datagram, so that it stays below its
 	// largest size: those with the most under way. So it does for accounts.
 	maxLoads = 500
@@ -108,10 +108,10 @@
 	Event interface{ event() }
 
 	// Listed tells which other fronts there are.
-	Listed struct{ Peers []Peer }
+	PeerList struct{ Peers []Peer }
 
 	// Heard is a datagram that came. A damaged one is not an event.
-	Heard struct{ Message Message }
+	Received struct{ Message Message }
 
 	// Tick is due every Pause. It may also come earlier, to tell something now.
 	Tick struct {
@@ -130,27 +130,27 @@
 	Mesh struct {
 		Self Peer
 
-		own     Tick
-		listed  []Peer
-		peers   map[ID]peer
-		order   []peer        // all fronts, this one too, in the order in which they become hubs
-		reports map[ID]report // of the fronts that follow this one
-		shares  map[ID]share  // of other hubs
-		digest  digest
-		avoid   map[ID]avoided   // hubs that gave no answer
-		asked   map[ID]time.Time // hubs that have not answered since
-		greeted time.Time        // when silent fronts were told last
-		ticked  time.Time
-		woke    time.Time // from a freeze
-		hub     bool
-		hubs    []peer // of all failure domains, in the order of their IDs; those that act
-		targets []peer // that are told as a hub
+		own          Tick
+		listed       []Peer
+		peers        map[ID]peer
+		order        []peer        // all fronts, this one too, in the order in which they become hubs
+		reports      map[ID]report // of the fronts that follow this one
+		shares       map[ID]share  // of other hubs
+		digest       digest
+		avoid        map[ID]avoided   // hubs that gave no answer
+		awaiting     map[ID]time.Time // hubs that have not answered since
+		lastAnnounce time.Time        // when silent fronts were told last
+		lastTick     time.Time
+		resumed      time.Time // from a freeze
+		isHub        bool
+		hubs         []peer // of all failure domains, in the order of their IDs; those that act
+		targets      []peer // that are told as a hub
 	}
 
 	peer struct {
 		Peer
-		id    ID
-		since time.Time // known since then
+		id         ID
+		knownSince time.Time // known since then
 	}
 
 	report struct {
@@ -159,8 +159,8 @@
 	}
 
 	avoided struct {
-		until time.Time
-		gone  bool // others have missed it since, too
+		until         time.Time
+		confirmedDown bool // others have missed it since, too
 	}
 
 	share struct {
@@ -175,26 +175,26 @@
 	}
 )
 
-func (Listed) event() {}
-func (Heard) event()  {}
-func (Tick) event()   {}
+func (PeerList) event() {}
+func (Received) event() {}
+func (Tick) event()     {}
 
 // Step takes an event and returns what is to be sent.
 func (m *Mesh) Step(now time.Time, e Event) []Send {
 	m.init()
 	switch e := e.(type) {
-	case Listed:
-		m.list(now, e.Peers)
+	case PeerList:
+		m.setPeers(now, e.Peers)
 	case Tick:
 		m.own = e
-		m.wake(now)
+		m.resetIfStalled(now)
 		m.elect(now)
-		if m.hub {
-			return append(m.tellHubs(now), m.greet(now)...)
+		if m.isHub {
+			return append(m.shareWithHubs(now), m.announce(now)...)
 		}
-		return m.tellHub(now)
-	case Heard:
-		return m.hear(now, e.Message)
+		return m.reportToHub(now)
+	case Received:
+		return m.receive(now, e.Message)
 	}
 	return nil
 }
@@ -207,29 +207,29 @@
 	m.reports = map[ID]report{}
 	m.shares = map[ID]share{}
 	m.avoid = map[ID]avoided{}
-	m.asked = map[ID]time.Time{}
-	m.hub = true // until there are others to choose from
-	m.list(time.Time{}, nil)
+	m.awaiting = map[ID]time.Time{}
+	m.isHub = true // until there are others to choose from
+	m.setPeers(time.Time{}, nil)
 }
 
 // wake forgets what others said if this front has been frozen. Datagrams that waited
 // for it come as if they were new: it would count what others had under way seconds
 // ago, and take hubs for dead that were only frozen with it.
-func (m *Mesh) wake(now time.Time) {
-	last := m.ticked
-	m.ticked = now
-	if last.IsZero() || now.Sub(last) <= stall {
+func (m *Mesh) resetIfStalled(now time.Time) {
+	last := m.lastTick
+	m.lastTick = now
+	if last.IsZero() || now.Sub(last) <= stallTime {
 		return
 	}
 	clear(m.reports)
 	clear(m.shares)
 	clear(m.avoid)
-	clear(m.asked)
+	clear(m.awaiting)
 	m.digest = digest{}
-	m.woke = now
+	m.resumed = now
 }
 
-func (m *Mesh) list(now time.Time, peers []Peer) {
+func (m *Mesh) setPeers(now time.Time, peers []Peer) {
 	if m.order != nil && slices.Equal(m.listed, peers) {
 		return
 	}
@@ -240,18 +240,18 @@
 			continue
 		}
 		id := IDOf(p.Node)
-		since := now
+		knownSince := now
 		if old, known := m.peers[id]; known && old.Address == p.Address {
-			since = old.since
+			knownSince = old.knownSince
 		}
-		next[id] = peer{Peer: p, id: id, since: since}
+		next[id] = peer{Peer: p, id: id, knownSince: knownSince}
 	}
 	m.peers = next
 	m.order = append(slices.Collect(maps.Values(next)), peer{Peer: m.Self, id: IDOf(m.Self.Node)})
-	slices.SortFunc(m.order, inOrder)
+	slices.SortFunc(m.order, byRank)
 }
 
-func (m *Mesh) hear(now time.Time, msg Message) []Send {
+func (m *Mesh) receive(now time.Time, msg Message) []Send {
 	id := IDOf(msg.state().Node)
 	if msg.state().Node == m.Self.Node {
 		return nil
@@ -264,8 +264,8 @@
 		}
 		m.reports[id] = report{Report: msg, at: now}
 		sends := []Send{{To: msg.State.Peer, Message: m.digestFor(now, id)}}
-		if !known || mark(old.State) != mark(msg.State) {
-			sends = append(sends, m.tellHubs(now)...) // callers are sent elsewhere at once
+		if !known || status(old.State) != status(msg.State) {
+			sends = append(sends, m.shareWithHubs(now)...) // callers are sent elsewhere at once
 		}
 		return sends
 	case Share:
@@ -274,8 +274,8 @@
 		}
 		m.shares[id] = share{Share: msg, at: now}
 	case Digest:
-		delete(m.asked, id)
-		if fewest*msg.Fronts <= len(m.order) {
+		delete(m.awaiting, id)
+		if minKnownFraction*msg.Fronts <= len(m.order) {
 			if msg.State.Node == m.digest.State.Node {
 				m.digest = digest{} // others are tried
 			}
@@ -295,37 +295,37 @@
 // stale tells whether a front said this before what it has said already. One that
 // started again may have a clock that was set back.
 func stale(now time.Time, s, old State, at time.Time) bool {
-	return s.Sent <= old.Sent && now.Sub(at) < Silent
+	return s.Sent <= old.Sent && now.Sub(at) < SilenceTimeout
 }
 
 // Pause is the time between ticks.
-func (m *Mesh) Pause() time.Duration {
-	if !m.hub {
-		return reportPause
+func (m *Mesh) Interval() time.Duration {
+	if !m.isHub {
+		return reportInterval
 	}
-	return m.hubPause()
+	return m.hubInterval()
 }
 
-func (m *Mesh) hubPause() time.Duration {
-	each := perHub
-	if m.together() {
-		each = perPeer
+func (m *Mesh) hubInterval() time.Duration {
+	each := intervalPerHub
+	if m.fullMesh() {
+		each = intervalPerPeer
 	}
-	return max(base, time.Duration(len(m.targets))*each)
+	return max(minInterval, time.Duration(len(m.targets))*each)
 }
 
 // Age is how old what is known of other fronts may be.
 func (m *Mesh) Age() time.Duration {
-	if m.together() {
-		return m.Pause()
+	if m.fullMesh() {
+		return m.Interval()
 	}
-	return 2*reportPause + m.hubPause()
+	return 2*reportInterval + m.hubInterval()
 }
 
-func (m *Mesh) silent() time.Duration {
-	least := Silent
-	if !m.together() {
-		least = silentHub
+func (m *Mesh) silenceTimeout() time.Duration {
+	least := SilenceTimeout
+	if !m.fullMesh() {
+		least = hubSilenceTimeout
 	}
-	return max(least, silentPauses*m.Pause())
+	return max(least, silenceIntervals*m.Interval())
 }
--- a/internal/front/mesh/mesh_test.go
+++ b/internal/front/mesh/mesh_test.go
@@ -17,7 +17,7 @@
 // Datagrams overtake each other, and a daemon starts again with a clock that was set
 // back. What is old must not undo what is newer, but the restarted daemon must be
 // heard.
-func TestOldNews(t *testing.T) {
+func TestReorderedDatagrams(t *testing.T) {
 	up := IDOf("upstream")
 	cases := map[string]struct {
 		sent  int64
@@ -27,33 +27,33 @@
 		"newer":                      {101, time.Millisecond, 2},
 		"older":                      {99, time.Millisecond, 1},
 		"the same again":             {100, time.Millisecond, 1},
-		"a clock that was set back":  {5, Silent, 2},
-		"an older one, much delayed": {99, Silent - 1, 1},
+		"a clock that was set back":  {5, SilenceTimeout, 2},
+		"an older one, much delayed": {99, SilenceTimeout - 1, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			m := Mesh{Self: Peer{Node: "self"}}
-			m.Step(start, Heard{Message: Share{State: state("a", 100), Load: map[ID]int{up: 1}}})
-			m.Step(start.Add(c.after), Heard{Message: Share{State: state("a", c.sent), Load: map[ID]int{up: 2}}})
-			is.Equal(m.Picture(start.Add(c.after)).Load[up], c.want)
+			m.Step(start, Received{Message: Share{State: state("a", 100), Load: map[ID]int{up: 1}}})
+			m.Step(start.Add(c.after), Received{Message: Share{State: state("a", c.sent), Load: map[ID]int{up: 2}}})
+			is.Equal(m.Summary(start.Add(c.after)).Load[up], c.want)
 		})
 	}
 }
 
-func TestPicture(t *testing.T) {
+func TestSummary(t *testing.T) {
 	is := is.New(t)
 	m := Mesh{Self: Peer{Node: "self"}}
-	m.Step(start, Listed{Peers: []Peer{{Node: "a"}, {Node: "b"}, {Node: "c"}, {Node: "self"}}})
-	m.Step(start, Heard{Message: Share{State: State{Node: "b", Sent: 1, Leaving: true}}})
-	m.Step(start.Add(time.Millisecond), Heard{Message: Share{State: State{Node: "a", Sent: 1}, Group: map[ID]Mark{IDOf("c"): Unwell}}})
-	m.Step(start, Heard{Message: Share{State: state("unlisted", 1)}})
-	p := m.Picture(start.Add(Silent))
+	m.Step(start, PeerList{Peers: []Peer{{Node: "a"}, {Node: "b"}, {Node: "c"}, {Node: "self"}}})
+	m.Step(start, Received{Message: Share{State: State{Node: "b", Sent: 1, Leaving: true}}})
+	m.Step(start.Add(time.Millisecond), Received{Message: Share{State: State{Node: "a", Sent: 1}, Group: map[ID]Status{IDOf("c"): Unhealthy}}})
+	m.Step(start, Received{Message: Share{State: state("unlisted", 1)}})
+	p := m.Summary(start.Add(SilenceTimeout))
 	is.Equal(p.Fronts, 5)
 	is.Equal(p.Alive[IDOf("b")], Leaving)
-	is.Equal(p.Alive[IDOf("c")], Unwell)
+	is.Equal(p.Alive[IDOf("c")], Unhealthy)
 	is.Equal(p.Unlisted, []State{state("unlisted", 1)})
-	p = m.Picture(start.Add(Silent + time.Millisecond))
+	p = m.Summary(start.Add(SilenceTimeout + time.Millisecond))
 	is.Equal(p.Fronts, 3) // a, and c through it
 	is.Equal(len(p.Unlisted), 0)
 }
@@ -71,25 +71,25 @@
 // others must not be the only one that knows for long: each that reads by itself
 // costs a call to the store, and until it knows the others it sees engines idle that
 // are not.
-func TestSilentFrontsAreTold(t *testing.T) {
+func TestSilentFrontsGetDigests(t *testing.T) {
 	is := is.New(t)
 	peers := many(171)
 	digests, shares := map[string]int{}, map[string]int{}
 	for _, p := range peers {
 		m := Mesh{Self: p}
-		m.Step(start, Listed{Peers: peers})
+		m.Step(start, PeerList{Peers: peers})
 		sends := m.Step(start, Tick{State: state(p.Node, 1)})
-		sends = append(sends, m.Step(start.Add(greetPause-1), Tick{State: state(p.Node, 2)})...) // not again so soon
+		sends = append(sends, m.Step(start.Add(announceInterval-1), Tick{State: state(p.Node, 2)})...) // not again so soon
 		for _, s := range sends {
 			switch s.Message.(type) {
 			case Digest:
 				digests[s.To]++
-				m.Step(start, Heard{Message: Report{State: state(s.To, 1)}})
+				m.Step(start, Received{Message: Report{State: state(s.To, 1)}})
 			case Share:
 				shares[s.To]++
 			}
 		}
-		for _, s := range m.Step(start.Add(greetPause), Tick{State: state(p.Node, 3)}) {
+		for _, s := range m.Step(start.Add(announceInterval), Tick{State: state(p.Node, 3)}) {
 			if _, is := s.Message.(Digest); is && len(m.reports) > 0 {
 				t.Errorf("%s is told although it reports", s.To)
 			}
@@ -127,7 +127,7 @@
 func FuzzDecode(f *testing.F) {
 	for _, msg := range []Message{
 		Report{State: state("a", 1), Load: map[ID]int{1: 2}},
-		Share{State: state("a", 1), Group: map[ID]Mark{3: Leaving}, Hubs: []ID{4}},
+		Share{State: state("a", 1), Group: map[ID]Status{3: Leaving}, Hubs: []ID{4}},
 		Digest{State: state("a", 1), Missing: []ID{5}},
 	} {
 		data, err := Encode(msg)
@@ -143,21 +143,21 @@
 			return
 		}
 		m := Mesh{Self: Peer{Node: "self"}}
-		m.Step(start, Heard{Message: msg})
-		m.Picture(start)
+		m.Step(start, Received{Message: msg})
+		m.Summary(start)
 	})
 }
 
 // A front froze and wakes, with datagrams that waited for it. What they tell is seconds
 // old, so engines that were idle then get its requests.
-func TestWokenFrontForgets(t *testing.T) {
+func TestResumedFrontResets(t *testing.T) {
 	up := IDOf("upstream")
 	cases := map[string]struct {
 		frozen time.Duration
 		want   int
 	}{
-		"a late tick": {stall, 3},
-		"a freeze":    {stall + time.Millisecond, 0},
+		"a late tick": {stallTime, 3},
+		"a freeze":    {stallTime + time.Millisecond, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -165,9 +165,9 @@
 			m := Mesh{Self: Peer{Node: "self"}}
 			m.Step(start, Tick{State: state("self", 1)})
 			now := start.Add(c.frozen)
-			m.Step(now, Heard{Message: Share{State: state("a", 1), Load: map[ID]int{up: 3}}})
+			m.Step(now, Received{Message: Share{State: state("a", 1), Load: map[ID]int{up: 3}}})
 			m.Step(now, Tick{State: state("self", 2)})
-			is.Equal(m.Picture(now).Load[up], c.want)
+			is.Equal(m.Summary(now).Load[up], c.want)
 		})
 	}
 }
@@ -179,10 +179,10 @@
 	up := IDOf("upstream")
 	m := Mesh{Self: Peer{Node: "hub"}}
 	m.Step(start, Tick{State: state("hub", 1), Load: map[ID]int{up: 1}})
-	m.Step(start, Heard{Message: Share{State: state("other", 1), Load: map[ID]int{up: 10}}})
-	m.Step(start, Heard{Message: Report{State: state("a", 1), Load: map[ID]int{up: 100}}})
-	sends := m.Step(start, Heard{Message: Report{State: state("b", 1), Load: map[ID]int{up: 1000}}})
+	m.Step(start, Received{Message: Share{State: state("other", 1), Load: map[ID]int{up: 10}}})
+	m.Step(start, Received{Message: Report{State: state("a", 1), Load: map[ID]int{up: 100}}})
+	sends := m.Step(start, Received{Message: Report{State: state("b", 1), Load: map[ID]int{up: 1000}}})
 	is.Equal(sends[0].To, "b:peer")
 	is.Equal(sends[0].Message.(Digest).Load[up], 111) //nolint:forcetypeassert // a report is answered by it
-	is.Equal(m.Picture(start).Load[up], 1110)
+	is.Equal(m.Summary(start).Load[up], 1110)
 }
--- a/internal/front/mesh/message.go
+++ b/internal/front/mesh/message.go
@@ -17,16 +17,16 @@
 
 	// State is what a front tells of itself.
 	State struct {
-		Node     string `cbor:"1,keyasint"`
-		Sent     int64  `cbor:"2,keyasint"` // Unix nanoseconds of the sender; orders what it says
-		Peer     string `cbor:"3,keyasint"` // its address for other daemons
-		Callers  string `cbor:"4,keyasint"` // and for callers
-		Leaving  bool   `cbor:"5,keyasint,omitempty"`
-		Unwell   bool   `cbor:"6,keyasint,omitempty"` // it can't reach what it needs to serve
-		Revision uint64 `cbor:"7,keyasint"`           // of the store, as it knows it
-		Hash     uint64 `cbor:"8,keyasint"`           // of its knowledge
-		Age      int64  `cbor:"9,keyasint"`           // milliseconds since that was confirmed
-		Steady   int64  `cbor:"10,keyasint"`          // milliseconds without a gap in the store's news before that
+		Node         string `cbor:"1,keyasint"`
+		Sent         int64  `cbor:"2,keyasint"` // Unix nanoseconds of the sender; orders what it says
+		Peer         string `cbor:"3,keyasint"` // its address for other daemons
+		Callers      string `cbor:"4,keyasint"` // and for callers
+		Leaving      bool   `cbor:"5,keyasint,omitempty"`
+		Unhealthy    bool   `cbor:"6,keyasint,omitempty"` // it can't reach what it needs to serve
+		Revision     uint64 `cbor:"7,keyasint"`           // of the store, as it knows it
+		Hash         uint64 `cbor:"8,keyasint"`           // of its knowledge
+		Age          int64  `cbor:"9,keyasint"`           // milliseconds since that was confirmed
+		AvailableFor int64  `cbor:"10,keyasint"`          // milliseconds without a gap in the store's news before that
 	}
 
 	// Report is what a front tells its hub.
@@ -38,26 +38,26 @@
 
 	// Share is what a hub tells the others.
 	Share struct {
-		State State       `cbor:"1,keyasint"`
-		Load  map[ID]int  `cbor:"2,keyasint,omitempty"` // its own and its group's
-		Group map[ID]Mark `cbor:"3,keyasint,omitempty"` // the fronts that report to it
-		Hubs  []ID        `cbor:"4,keyasint,omitempty"` // that stand in for others, as far as it hears of them
-		Used  map[ID]int  `cbor:"5,keyasint,omitempty"`
+		State State         `cbor:"1,keyasint"`
+		Load  map[ID]int    `cbor:"2,keyasint,omitempty"` // its own and its group's
+		Group map[ID]Status `cbor:"3,keyasint,omitempty"` // the fronts that report to it
+		Hubs  []ID          `cbor:"4,keyasint,omitempty"` // that stand in for others, as far as it hears of them
+		Used  map[ID]int    `cbor:"5,keyasint,omitempty"`
 	}
 
 	// Digest is what a hub answers to a report.
 	Digest struct {
-		State   State      `cbor:"1,keyasint"`
-		Load    map[ID]int `cbor:"2,keyasint,omitempty"` // of all fronts but the one that is told
-		Fronts  int        `cbor:"3,keyasint"`           // that are alive, the one that is told included
-		Missing []ID       `cbor:"4,keyasint,omitempty"` // listed, but nothing is heard of them
-		Leaving []ID       `cbor:"5,keyasint,omitempty"`
-		Unwell  []ID       `cbor:"6,keyasint,omitempty"`
-		Used    map[ID]int `cbor:"7,keyasint,omitempty"` // as Load
+		State     State      `cbor:"1,keyasint"`
+		Load      map[ID]int `cbor:"2,keyasint,omitempty"` // of all fronts but the one that is told
+		Fronts    int        `cbor:"3,keyasint"`           // that are alive, the one that is told included
+		Missing   []ID       `cbor:"4,keyasint,omitempty"` // listed, but nothing is heard of them
+		Leaving   []ID       `cbor:"5,keyasint,omitempty"`
+		Unhealthy []ID       `cbor:"6,keyasint,omitempty"`
+		Used      map[ID]int `cbor:"7,keyasint,omitempty"` // as Load
 	}
 
 	// Mark is what matters to callers of a front that is alive.
-	Mark uint8
+	Status uint8
 
 	// packet is a datagram: one of its fields is set.
 	packet struct {
@@ -69,20 +69,20 @@
 
 // The marks of a front. One that is neither leaving nor unwell has none.
 const (
-	Leaving Mark = 1 << iota
-	Unwell
+	Leaving Status = 1 << iota
+	Unhealthy
 )
 
 func (r Report) state() State { return r.State }
 func (s Share) state() State  { return s.State }
 func (d Digest) state() State { return d.State }
 
-func mark(s State) (m Mark) {
+func status(s State) (m Status) {
 	if s.Leaving {
 		m |= Leaving
 	}
-	if s.Unwell {
-		m |= Unwell
+	if s.Unhealthy {
+		m |= Unhealthy
 	}
 	return m
 }
--- a/internal/front/mesh/sim_test.go
+++ b/internal/front/mesh/sim_test.go
@@ -20,17 +20,17 @@
 
 type (
 	// world plays fronts on a virtual clock.
-	world struct {
-		now    time.Time
-		fronts []*front
-		at     map[string]int // fronts by address
-		queue  events
-		rng    *rand.Rand
-		taken  map[int]int // datagrams that came, by front
-		bytes  map[int]int
-		worst  int  // bytes of the largest datagram
-		weigh  bool // datagrams
-		cut    bool // the first half hears nothing of the second, nor the other way round
+	simulation struct {
+		now         time.Time
+		fronts      []*front
+		at          map[string]int // fronts by address
+		queue       events
+		rng         *rand.Rand
+		received    map[int]int // datagrams that came, by front
+		bytes       map[int]int
+		largest     int  // bytes of the largest datagram
+		measure     bool // datagrams
+		partitioned bool // the first half hears nothing of the second, nor the other way round
 	}
 
 	front struct {
@@ -39,19 +39,19 @@
 		held   []Message // that came while it was frozen
 	}
 
-	event2 struct {
+	delivery struct {
 		at  time.Time
 		to  int
 		msg Message // nil for a tick
 	}
 
-	events []event2
+	events []delivery
 )
 
 func (q events) Len() int           { return len(q) }
 func (q events) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
 func (q events) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)        { *q = append(*q, x.(event2)) } //nolint:forcetypeassert // heap.Push is given nothing else
+func (q *events) Push(x any)        { *q = append(*q, x.(delivery)) } //nolint:forcetypeassert // heap.Push is given nothing else
 func (q *events) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -61,10 +61,10 @@
 
 // newWorld has fronts in six failure domains, a tenth of them with four times the
 // processor of the others. All start within 0.3 s.
-func newWorld(n int, seed uint64) *world {
-	w := &world{
+func newSimulation(n int, seed uint64) *simulation {
+	w := &simulation{
 		now: time.Unix(1000, 0), at: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 1)),
-		taken: map[int]int{}, bytes: map[int]int{},
+		received: map[int]int{}, bytes: map[int]int{},
 	}
 	var peers []Peer
 	for i := range n {
@@ -77,17 +77,17 @@
 	}
 	for i, p := range peers {
 		f := &front{Mesh: Mesh{Self: p}}
-		f.Step(w.now, Listed{Peers: peers})
+		f.Step(w.now, PeerList{Peers: peers})
 		w.fronts = append(w.fronts, f)
-		heap.Push(&w.queue, event2{at: w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond), to: i})
+		heap.Push(&w.queue, delivery{at: w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond), to: i})
 	}
 	return w
 }
 
 // load tells the time in place of a count, so that others' knowledge has an age.
-func (w *world) load() int { return int(w.now.UnixMilli()) }
+func (w *simulation) load() int { return int(w.now.UnixMilli()) }
 
-func (w *world) tick(i int) []Send {
+func (w *simulation) tick(i int) []Send {
 	p := w.fronts[i].Self
 	return w.fronts[i].Step(w.now, Tick{
 		State: State{Node: p.Node, Peer: p.Address, Callers: p.Address},
@@ -96,13 +96,13 @@
 }
 
 // run plays until then, and looks every step.
-func (w *world) run(until time.Time, look func()) {
+func (w *simulation) run(until time.Time, observe func()) {
 	next := w.now
 	for {
 		e := w.queue[0]
-		if look != nil && !next.After(e.at) && !next.After(until) {
+		if observe != nil && !next.After(e.at) && !next.After(until) {
 			w.now = next
-			look()
+			observe()
 			next = next.Add(step)
 			continue
 		}
@@ -112,56 +112,56 @@
 		}
 		heap.Pop(&w.queue)
 		w.now = e.at
-		w.take(e)
+		w.deliver(e)
 	}
 }
 
-func (w *world) take(e event2) {
+func (w *simulation) deliver(e delivery) {
 	f := w.fronts[e.to]
 	if f.frozen {
 		if e.msg != nil {
 			f.held = append(f.held, e.msg)
 			return
 		}
-		heap.Push(&w.queue, event2{at: w.now.Add(step), to: e.to}) // its timer fires when it wakes
+		heap.Push(&w.queue, delivery{at: w.now.Add(step), to: e.to}) // its timer fires when it wakes
 		return
 	}
 	if e.msg == nil {
 		w.send(w.tick(e.to))
-		heap.Push(&w.queue, event2{at: w.now.Add(f.Pause()), to: e.to})
+		heap.Push(&w.queue, delivery{at: w.now.Add(f.Interval()), to: e.to})
 		return
 	}
 	for _, msg := range append(f.held, e.msg) {
-		w.send(f.Step(w.now, Heard{Message: msg}))
+		w.send(f.Step(w.now, Received{Message: msg}))
 	}
 	f.held = nil
 }
 
-func (w *world) send(sends []Send) {
+func (w *simulation) send(sends []Send) {
 	for _, s := range sends {
 		to := w.at[s.To]
 		from := w.at[StateOf(s.Message).Peer]
-		if w.cut && (2*from < len(w.fronts)) != (2*to < len(w.fronts)) {
+		if w.partitioned && (2*from < len(w.fronts)) != (2*to < len(w.fronts)) {
 			continue
 		}
-		if w.weigh {
+		if w.measure {
 			data, err := Encode(s.Message)
 			if err != nil {
 				panic(err)
 			}
-			w.taken[to]++
+			w.received[to]++
 			w.bytes[to] += len(data)
-			w.worst = max(w.worst, len(data))
+			w.largest = max(w.largest, len(data))
 		}
 		if w.rng.Float64() < loss {
 			continue
 		}
-		heap.Push(&w.queue, event2{at: w.now.Add(delay), to: to, msg: s.Message})
+		heap.Push(&w.queue, delivery{at: w.now.Add(delay), to: to, msg: s.Message})
 	}
 }
 
 // freeze stops or wakes a tenth of the fronts, all with much processor.
-func (w *world) freeze(on bool) (list []int) {
+func (w *simulation) freeze(on bool) (list []int) {
 	for i := 0; i < len(w.fronts); i += 10 {
 		w.fronts[i].frozen = on
 		list = append(list, i)
@@ -170,18 +170,18 @@
 }
 
 // looker keeps since when fronts know better of others than they should.
-type looker struct {
+type observer struct {
 	since   map[[2]int]time.Time // by viewer and viewed
 	longest time.Duration        // that some front was wrong of another
 }
 
 // look has a dozen fronts checked for whether the listed are alive.
-func (l *looker) look(w *world, list []int, alive bool) {
+func (l *observer) observe(w *simulation, list []int, alive bool) {
 	for i := 0; i < len(w.fronts); i += 1 + len(w.fronts)/12 {
 		if w.fronts[i].frozen {
 			continue
 		}
-		p := w.fronts[i].Picture(w.now)
+		p := w.fronts[i].Summary(w.now)
 		for _, other := range list {
 			key := [2]int{i, other}
 			id := IDOf(w.fronts[other].Self.Node)
@@ -205,14 +205,14 @@
 // failure domains among them, and wake some seconds later. Callers that are sent to a
 // frozen VM wait for nothing; callers that are not sent to one that is well make the
 // others work harder.
-func freezeAndWake(t *testing.T, n int, seed uint64) {
+func freezeAndResume(t *testing.T, n int, seed uint64) {
 	t.Helper()
 	is := is.New(t)
-	w := newWorld(n, seed)
+	w := newSimulation(n, seed)
 	w.run(w.now.Add(2*time.Second), nil)
 	check := func(list []int, alive bool, played time.Duration) time.Duration {
-		l := looker{since: map[[2]int]time.Time{}}
-		w.run(w.now.Add(played), func() { l.look(w, list, alive) })
+		l := observer{since: map[[2]int]time.Time{}}
+		w.run(w.now.Add(played), func() { l.observe(w, list, alive) })
 		return l.longest
 	}
 	var all []int
@@ -237,10 +237,10 @@
 // and back within a second; all others stay.
 func TestFrozenFrontsAreLeftOut(t *testing.T) {
 	for name, n := range sizes {
-		t.Run(name, func(t *testing.T) { freezeAndWake(t, n, 7) })
+		t.Run(name, func(t *testing.T) { freezeAndResume(t, n, 7) })
 	}
 	for seed := range uint64(3) {
-		t.Run(fmt.Sprint("171 fronts, seed ", seed), func(t *testing.T) { freezeAndWake(t, 171, seed) })
+		t.Run(fmt.Sprint("171 fronts, seed ", seed), func(t *testing.T) { freezeAndResume(t, 171, seed) })
 	}
 }
 
@@ -248,7 +248,7 @@
 // were found at different moments have to learn of each other first.
 func TestFrozenFrontsAtTheTarget(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5} {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { freezeAndWake(t, 320, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { freezeAndResume(t, 320, seed) })
 	}
 }
 
@@ -258,15 +258,15 @@
 	for name, n := range sizes {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(n, 11)
+			w := newSimulation(n, 11)
 			w.run(w.now.Add(2*time.Second), nil)
-			w.weigh = true
+			w.measure = true
 			var ages []int
 			unknown := 0
 			const played = 2
 			w.run(w.now.Add(played*time.Second), func() {
 				for i := 0; i < n; i += 1 + n/12 {
-					load := w.fronts[i].Picture(w.now).Load
+					load := w.fronts[i].Summary(w.now).Load
 					for j, other := range w.fronts {
 						told := load[IDOf(other.Self.Node)]
 						switch {
@@ -282,13 +282,13 @@
 			slices.Sort(ages)
 			most, mean, bytes := 0, 0, 0
 			for i := range w.fronts {
-				most = max(most, w.taken[i]/played)
-				mean += w.taken[i] / played
+				most = max(most, w.received[i]/played)
+				mean += w.received[i] / played
 				bytes += w.bytes[i] / played
 			}
 			mean, bytes = mean/n, bytes/n
 			p95 := time.Duration(ages[len(ages)*95/100]) * time.Millisecond
-			t.Logf("age: half %d ms, p95 %v; a front takes %d datagrams/s, a hub %d, %d bytes/s, the largest has %d", ages[len(ages)/2], p95, mean, most, bytes, w.worst)
+			t.Logf("age: half %d ms, p95 %v; a front takes %d datagrams/s, a hub %d, %d bytes/s, the largest has %d", ages[len(ages)/2], p95, mean, most, bytes, w.largest)
 			is.True(p95 <= 300*time.Millisecond)
 			is.True(float64(unknown) <= 0.001*float64(len(ages)))
 		})
@@ -303,12 +303,12 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(n, seed)
+			w := newSimulation(n, seed)
 			most := 0
 			count := func() {
 				hubs := 0
 				for _, f := range w.fronts {
-					if f.hub {
+					if f.isHub {
 						hubs++
 					}
 				}
@@ -320,14 +320,14 @@
 			w.run(w.now.Add(2500*time.Millisecond), count)
 			w.freeze(false)
 			w.run(w.now.Add(1500*time.Millisecond), count)
-			w.cut = true
+			w.partitioned = true
 			w.run(w.now.Add(3*time.Second), count)
-			w.cut = false
+			w.partitioned = false
 			w.run(w.now.Add(time.Second), count)
 			t.Logf("%d hubs at most, of %d fronts", most, n)
 			is.True(most <= n/3)
-			l := looker{since: map[[2]int]time.Time{}}
-			w.run(w.now.Add(time.Second), func() { l.look(w, []int{1, n - 1}, true) })
+			l := observer{since: map[[2]int]time.Time{}}
+			w.run(w.now.Add(time.Second), func() { l.observe(w, []int{1, n - 1}, true) })
 			is.True(l.longest <= round) // the halves know each other again
 		})
 	}
--- a/internal/front/rumor/rumor.go
+++ b/internal/front/meshio/meshio.go
@@ -4,7 +4,7 @@
 // Upstreams report their load late and each report is a call to them. A datagram
 // of a few hundred bytes costs less and is newer. Datagrams may be lost or overtake
 // each other; each carries the whole state, so the next one makes up for it.
-package rumor
+package meshio
 
 import (
 	"context"
@@ -20,33 +20,33 @@
 
 // pictureAge is for how long a picture is used again: each answer of the directory
 // needs one, and it changes a few times a second.
-const pictureAge = 20 * time.Millisecond
+const summaryTTL = 20 * time.Millisecond
 
 type (
 	// Rumor sends and takes datagrams. Set the exported fields, then call Run.
-	Rumor struct {
+	Transport struct {
 		Conn  net.PacketConn
 		Self  mesh.Peer
-		Own   func() mesh.Tick   // what is told
+		Local func() mesh.Tick   // what is told
 		Peers func() []mesh.Peer // the others, as the store lists them
 		// Heard takes what another daemon tells of itself, and Changed is called
 		// after each datagram and each turn with what is known of all others.
-		Heard   func(now time.Time, s mesh.State)
-		Changed func(mesh.Picture)
+		Received func(now time.Time, s mesh.State)
+		Changed  func(mesh.Summary)
 
-		mu      sync.Mutex
-		mesh    mesh.Mesh
-		picture mesh.Picture
-		at      time.Time // of the picture
+		mu          sync.Mutex
+		mesh        mesh.Mesh
+		summary     mesh.Summary
+		summaryTime time.Time // of the picture
 	}
 )
 
 // Run sends and takes until ctx ends, and closes the socket.
-func (l *Rumor) Run(ctx context.Context) (err error) {
+func (l *Transport) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "exchange rumors") }()
 	stop := context.AfterFunc(ctx, func() { _ = l.Conn.Close() })
 	defer stop()
-	go l.tick(ctx)
+	go l.broadcastLoop(ctx)
 	var buf [mesh.MaxPacket]byte
 	for {
 		n, _, err := l.Conn.ReadFrom(buf[:])
@@ -60,71 +60,71 @@
 		if err != nil {
 			continue // not one of ours, or spoilt: the next one makes up for it
 		}
-		l.Take(time.Now(), msg)
+		l.Receive(time.Now(), msg)
 	}
 }
 
 // Take learns from a message and answers it.
-func (l *Rumor) Take(now time.Time, msg mesh.Message) {
-	l.step(now, mesh.Heard{Message: msg})
-	if l.Heard != nil {
-		l.Heard(now, mesh.StateOf(msg))
+func (l *Transport) Receive(now time.Time, msg mesh.Message) {
+	l.step(now, mesh.Received{Message: msg})
+	if l.Received != nil {
+		l.Received(now, mesh.StateOf(msg))
 	}
-	l.change(now)
+	l.notifyChanged(now)
 }
 
 // Picture returns what is known of the others.
-func (l *Rumor) Picture(now time.Time) mesh.Picture {
+func (l *Transport) Summary(now time.Time) mesh.Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if age := now.Sub(l.at); age < 0 || age > pictureAge {
-		l.picture, l.at = l.mesh.Picture(now), now
+	if age := now.Sub(l.summaryTime); age < 0 || age > summaryTTL {
+		l.summary, l.summaryTime = l.mesh.Summary(now), now
 	}
-	return l.picture
+	return l.summary
 }
 
 // Rank is how many live daemons look at the store before this one.
-func (l *Rumor) Rank(now time.Time) int {
+func (l *Transport) Rank(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mesh.Rank(now)
 }
 
 // Age is how old what is known of others may be.
-func (l *Rumor) Age() time.Duration {
+func (l *Transport) Age() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mesh.Age()
 }
 
 // Tell says everything now, without waiting for the next turn.
-func (l *Rumor) Tell() {
+func (l *Transport) Broadcast() {
 	now := time.Now()
-	own := l.Own()
-	l.step(now, mesh.Listed{Peers: l.Peers()})
+	own := l.Local()
+	l.step(now, mesh.PeerList{Peers: l.Peers()})
 	l.step(now, own)
-	l.change(now)
+	l.notifyChanged(now)
 }
 
-func (l *Rumor) tick(ctx context.Context) {
+func (l *Transport) broadcastLoop(ctx context.Context) {
 	for {
 		l.mu.Lock()
-		wait := l.mesh.Pause()
+		wait := l.mesh.Interval()
 		l.mu.Unlock()
 		if !pause.For(ctx, wait) {
 			return
 		}
-		l.Tell()
+		l.Broadcast()
 	}
 }
 
-func (l *Rumor) change(now time.Time) {
+func (l *Transport) notifyChanged(now time.Time) {
 	if l.Changed != nil {
-		l.Changed(l.Picture(now))
+		l.Changed(l.Summary(now))
 	}
 }
 
-func (l *Rumor) step(now time.Time, e mesh.Event) {
+func (l *Transport) step(now time.Time, e mesh.Event) {
 	l.mu.Lock()
 	l.mesh.Self = l.Self
 	sends := l.mesh.Step(now, e)
@@ -136,7 +136,7 @@
 		if err != nil {
 			continue // a damaged entry; others tell of this daemon
 		}
-		if i == 0 || !same(last, s.Message) {
+		if i == 0 || !sameShare(last, s.Message) {
 			if data, err = mesh.Encode(s.Message); err != nil {
 				return
 			}
@@ -148,7 +148,7 @@
 
 // same tells whether two messages of one step are the same share, which is encoded
 // once for all hubs.
-func same(a, b mesh.Message) bool {
+func sameShare(a, b mesh.Message) bool {
 	s, is := a.(mesh.Share)
 	o, too := b.(mesh.Share)
 	return is && too && s.State.Sent == o.State.Sent
--- a/internal/front/rumor/rumor_test.go
+++ b/internal/front/meshio/meshio_test.go
@@ -1,4 +1,4 @@
-package rumor
+package meshio
 
 import (
 	"context"
@@ -38,14 +38,14 @@
 
 func (p *pipe) Close() error { return nil }
 
-func newRumor(name string, conn net.PacketConn, heard *atomic.Int64, others ...mesh.Peer) *Rumor {
-	return &Rumor{
+func newTransport(name string, conn net.PacketConn, heard *atomic.Int64, others ...mesh.Peer) *Transport {
+	return &Transport{
 		Conn: conn, Self: mesh.Peer{Node: name, Address: "127.0.0.1:1"},
-		Own: func() mesh.Tick {
+		Local: func() mesh.Tick {
 			return mesh.Tick{State: mesh.State{Node: name, Peer: "127.0.0.1:1"}, Load: map[mesh.ID]int{mesh.IDOf("upstream"): 3}}
 		},
-		Peers: func() []mesh.Peer { return others },
-		Heard: func(time.Time, mesh.State) { heard.Add(1) },
+		Peers:    func() []mesh.Peer { return others },
+		Received: func(time.Time, mesh.State) { heard.Add(1) },
 	}
 }
 
@@ -56,22 +56,22 @@
 	ab, ba := make(chan []byte, 100), make(chan []byte, 100)
 	ctx := t.Context()
 	var heard atomic.Int64
-	a := newRumor("a", &pipe{in: ba, out: ab, done: ctx}, &heard, mesh.Peer{Node: "b", Address: "127.0.0.1:2"})
-	b := newRumor("b", &pipe{in: ab, out: ba, done: ctx}, &heard, mesh.Peer{Node: "a", Address: "127.0.0.1:1"})
+	a := newTransport("a", &pipe{in: ba, out: ab, done: ctx}, &heard, mesh.Peer{Node: "b", Address: "127.0.0.1:2"})
+	b := newTransport("b", &pipe{in: ab, out: ba, done: ctx}, &heard, mesh.Peer{Node: "a", Address: "127.0.0.1:1"})
 	ab <- []byte("nothing that a daemon says")
 	ba <- nil
-	a.Tell()
-	b.Tell()
-	for _, r := range []*Rumor{a, b} {
+	a.Broadcast()
+	b.Broadcast()
+	for _, r := range []*Transport{a, b} {
 		for _, data := range drain(r.Conn.(*pipe).in) { //nolint:forcetypeassert // the test's own
 			if msg, err := mesh.Decode(data); err == nil {
-				r.Take(time.Now(), msg)
+				r.Receive(time.Now(), msg)
 			}
 		}
 	}
-	now := time.Now().Add(pictureAge * 2)
-	is.Equal(a.Picture(now).Load[mesh.IDOf("upstream")], 3)
-	is.Equal(b.Picture(now).Fronts, 2)
+	now := time.Now().Add(summaryTTL * 2)
+	is.Equal(a.Summary(now).Load[mesh.IDOf("upstream")], 3)
+	is.Equal(b.Summary(now).Fronts, 2)
 	is.Equal(heard.Load(), int64(2))
 }
 
--- a/internal/front/pick/usual.go
+++ b/internal/front/pick/baseline.go
@@ -4,17 +4,17 @@
 
 // Usual learns how long requests of each kind usually take, so that an
 // upstream's own time can be told from that of the work. The zero value is ready.
-type Usual struct {
+type Baseline struct {
 	mu   sync.Mutex
 	mean map[string]float64
 }
 
 // usualWeight is the weight of one request in the mean of its kind.
-const usualWeight = 0.03
+const baselineWeight = 0.03
 
 // Pace returns how many times as long as usual a request took, and learns it.
 // The first of a kind is usual by definition.
-func (u *Usual) Pace(kind string, took float64) float64 {
+func (u *Baseline) Slowdown(kind string, took float64) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.mean == nil {
@@ -25,7 +25,7 @@
 		u.mean[kind] = took
 		return 1
 	}
-	pace := took / mean
-	u.mean[kind] = mean + usualWeight*(min(took, 4*mean)-mean)
-	return pace
+	slowdown := took / mean
+	u.mean[kind] = mean + baselineWeight*(min(took, 4*mean)-mean)
+	return slowdown
 }
--- a/internal/front/pick/bench_test.go
+++ b/internal/front/pick/bench_test.go
@@ -11,7 +11,7 @@
 		load[list[i].ID] = 1 + i%8
 	}
 	p := &Picker{Domain: "x"}
-	p.Heard(load, 1)
+	p.PeersUpdated(load, 1)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Load(list, func(int) float64 { return 1 })
--- a/internal/front/pick/pick_test.go
+++ b/internal/front/pick/pick_test.go
@@ -25,7 +25,7 @@
 	t.Cleanup(func() { jitter = old })
 }
 
-func choose(p *Picker, c Case) string {
+func choose(p *Picker, c Request) string {
 	u, _ := p.Choose(now, c)
 	return u.ID
 }
@@ -38,14 +38,14 @@
 	list[2].Batch = 8
 	count := map[string]int{}
 	for range 16 {
-		count[choose(p, Case{List: list})]++
+		count[choose(p, Request{Candidates: list})]++
 	}
 	is.Equal(count, map[string]int{"u0": 4, "u1": 4, "u2": 8}) // by their batches
 	p.Done("u1")
-	is.Equal(choose(p, Case{List: list}), "u1")
+	is.Equal(choose(p, Request{Candidates: list}), "u1")
 }
 
-func TestWhoIsPassedOver(t *testing.T) {
+func TestAvoidedUpstreams(t *testing.T) {
 	cases := map[string]struct {
 		prepare func(*Picker, []fleet.Upstream)
 		exclude string
@@ -54,20 +54,20 @@
 		"nobody":                       {func(*Picker, []fleet.Upstream) {}, "", "u0"},
 		"one that is leaving":          {func(_ *Picker, l []fleet.Upstream) { l[0].Leaving = true }, "", "u1"},
 		"one that refused":             {func(*Picker, []fleet.Upstream) {}, "u0", "u1"},
-		"one that was full":            {func(p *Picker, _ []fleet.Upstream) { p.Full(now, "u0") }, "", "u1"},
-		"one that was full before":     {func(p *Picker, _ []fleet.Upstream) { p.Full(now.Add(-fullFor), "u0") }, "", "u0"},
-		"one that failed":              {func(p *Picker, _ []fleet.Upstream) { p.Failed(now, "u0") }, "", "u1"},
-		"one that failed a while ago":  {func(p *Picker, _ []fleet.Upstream) { p.Failed(now.Add(-time.Second), "u0") }, "", "u1"},
-		"one that failed long ago":     {func(p *Picker, l []fleet.Upstream) { p.Failed(now.Add(-time.Minute), "u0"); l[1].Domain = "y" }, "", "u0"},
-		"one that is slow":             {func(p *Picker, _ []fleet.Upstream) { repeat(6, func() { p.Took(now, "u0", 5, false) }) }, "", "u1"},
-		"one that had a long call":     {func(p *Picker, l []fleet.Upstream) { p.Took(now, "u0", 3, false); l[1].Domain = "y" }, "", "u0"},
+		"one that was full":            {func(p *Picker, _ []fleet.Upstream) { p.RecordFull(now, "u0") }, "", "u1"},
+		"one that was full before":     {func(p *Picker, _ []fleet.Upstream) { p.RecordFull(now.Add(-fullBackoff), "u0") }, "", "u0"},
+		"one that failed":              {func(p *Picker, _ []fleet.Upstream) { p.RecordFailure(now, "u0") }, "", "u1"},
+		"one that failed a while ago":  {func(p *Picker, _ []fleet.Upstream) { p.RecordFailure(now.Add(-time.Second), "u0") }, "", "u1"},
+		"one that failed long ago":     {func(p *Picker, l []fleet.Upstream) { p.RecordFailure(now.Add(-time.Minute), "u0"); l[1].Domain = "y" }, "", "u0"},
+		"one that is slow":             {func(p *Picker, _ []fleet.Upstream) { repeat(6, func() { p.RecordOutcome(now, "u0", 5, false) }) }, "", "u1"},
+		"one that had a long call":     {func(p *Picker, l []fleet.Upstream) { p.RecordOutcome(now, "u0", 3, false); l[1].Domain = "y" }, "", "u0"},
 		"one that is far":              {func(_ *Picker, l []fleet.Upstream) { l[0].Domain = "y" }, "", "u1"},
-		"one that is far, others busy": {func(p *Picker, l []fleet.Upstream) { l[0].Domain = "y"; p.Heard(map[string]int{"u1": 3}, 1) }, "", "u0"},
+		"one that is far, others busy": {func(p *Picker, l []fleet.Upstream) { l[0].Domain = "y"; p.PeersUpdated(map[string]int{"u1": 3}, 1) }, "", "u0"},
 		"one with no open connection":  {func(p *Picker, _ []fleet.Upstream) { p.Idle = func(a string) bool { return a == "u1" } }, "", "u1"},
-		"both failed: still one":       {func(p *Picker, _ []fleet.Upstream) { p.Failed(now, "u0"); p.Failed(now, "u1") }, "", "u0"},
+		"both failed: still one":       {func(p *Picker, _ []fleet.Upstream) { p.RecordFailure(now, "u0"); p.RecordFailure(now, "u1") }, "", "u0"},
 		"what daemons had before": {func(p *Picker, _ []fleet.Upstream) {
-			p.Heard(map[string]int{"u0": 3}, 1)
-			p.Heard(nil, 1)
+			p.PeersUpdated(map[string]int{"u0": 3}, 1)
+			p.PeersUpdated(nil, 1)
 		}, "", "u0"},
 	}
 	for name, c := range cases {
@@ -76,10 +76,10 @@
 			list := ups(2)
 			p := &Picker{Domain: "x"}
 			c.prepare(p, list)
-			is.New(t).Equal(choose(p, Case{List: list, Exclude: map[string]bool{c.exclude: true}}), c.want)
+			is.New(t).Equal(choose(p, Request{Candidates: list, Exclude: map[string]bool{c.exclude: true}}), c.want)
 		})
 	}
-	_, ok := (&Picker{}).Choose(now, Case{})
+	_, ok := (&Picker{}).Choose(now, Request{})
 	is.New(t).True(!ok)
 }
 
@@ -96,18 +96,18 @@
 	is := is.New(t)
 	list := ups(9)
 	p := &Picker{Domain: "y"}
-	c := Case{List: list, Key: "k", Prefer: "u3", Tokens: 4000}
+	c := Request{Candidates: list, Key: "k", Prefer: "u3", Tokens: 4000}
 	for range list[0].Batch {
 		is.Equal(choose(p, c), "u3")
 	}
 	repeat(list[0].Batch, func() { choose(p, c) })
-	is.True(p.Own()["u3"] < 2*list[0].Batch) // reading it again elsewhere is sooner than to wait
+	is.True(p.OwnInFlight()["u3"] < 2*list[0].Batch) // reading it again elsewhere is sooner than to wait
 	c.Tokens = 0
 	p = &Picker{}
-	p.Heard(map[string]int{"u3": 3}, 1)
+	p.PeersUpdated(map[string]int{"u3": 3}, 1)
 	is.True(choose(p, c) != "u3") // nothing to lose elsewhere
-	is.Equal(choose(&Picker{}, Case{List: list, Only: "u5"}), "u5")
-	is.Equal(choose(&Picker{}, Case{List: list, Only: "gone"}), "")
+	is.Equal(choose(&Picker{}, Request{Candidates: list, Only: "u5"}), "u5")
+	is.Equal(choose(&Picker{}, Request{Candidates: list, Only: "gone"}), "")
 }
 
 // The engine that has a program's prompt is busier than others. A turn that moves has
@@ -128,8 +128,8 @@
 			p := &Picker{Domain: "x"}
 			list := ups(2)
 			list[0].Batch, list[1].Batch = 16, 16
-			p.Heard(map[string]int{"u0": c.there, "u1": c.here}, 1)
-			is.New(t).Equal(choose(p, Case{List: list, Key: "k", Prefer: "u0", Tokens: 1200}), c.want)
+			p.PeersUpdated(map[string]int{"u0": c.there, "u1": c.here}, 1)
+			is.New(t).Equal(choose(p, Request{Candidates: list, Key: "k", Prefer: "u0", Tokens: 1200}), c.want)
 		})
 	}
 }
@@ -141,7 +141,7 @@
 	list := ups(4)
 	count := map[string]int{}
 	for i := range 16 {
-		count[choose(p, Case{List: list, Key: fmt.Sprint(i)})]++
+		count[choose(p, Request{Candidates: list, Key: fmt.Sprint(i)})]++
 	}
 	is.Equal(count, map[string]int{"u0": 4, "u1": 4, "u2": 4, "u3": 4})
 }
@@ -149,7 +149,7 @@
 // Many daemons tell their loads rarely. If each went by what it heard last, all of
 // them would send to the upstream that was idle then, and callers would queue
 // there. They must spread by themselves.
-func TestManyDaemonsDoNotMeet(t *testing.T) {
+func TestManyDaemonsDoNotConverge(t *testing.T) {
 	is := is.New(t)
 	list := ups(20)
 	count := map[string]int{}
@@ -159,8 +159,8 @@
 		for _, u := range list[1:] {
 			busy[u.ID] = 3 // all but one looked busy a moment ago
 		}
-		p.Heard(busy, 1)
-		count[choose(p, Case{List: list})]++
+		p.PeersUpdated(busy, 1)
+		count[choose(p, Request{Candidates: list})]++
 	}
 	for id, n := range count {
 		if n > 12 {
@@ -174,26 +174,26 @@
 	is := is.New(t)
 	p := &Picker{}
 	none := func(string) bool { return false }
-	choose(p, Case{List: ups(1)})
-	p.Full(now, "gone")
+	choose(p, Request{Candidates: ups(1)})
+	p.RecordFull(now, "gone")
 	p.Forget(none)
-	is.Equal(len(p.known), 1) // the one with a request under way
-	is.Equal(p.Own(), map[string]int{"u0": 1})
+	is.Equal(len(p.upstreams), 1) // the one with a request under way
+	is.Equal(p.OwnInFlight(), map[string]int{"u0": 1})
 	p.Done("u0")
 	p.Forget(none)
-	is.Equal(len(p.known), 0)
+	is.Equal(len(p.upstreams), 0)
 }
 
-func TestUsual(t *testing.T) {
+func TestBaseline(t *testing.T) {
 	is := is.New(t)
-	var u Usual
-	is.Equal(u.Pace("a", 2), 1.0)
-	is.Equal(u.Pace("a", 6), 3.0)
-	is.Equal(u.Pace("b", 7), 1.0)
+	var u Baseline
+	is.Equal(u.Slowdown("a", 2), 1.0)
+	is.Equal(u.Slowdown("a", 6), 3.0)
+	is.Equal(u.Slowdown("b", 7), 1.0)
 	for range 300 {
-		u.Pace("a", 6)
+		u.Slowdown("a", 6)
 	}
-	is.True(u.Pace("a", 6) < 1.1) // what has become usual
+	is.True(u.Slowdown("a", 6) < 1.1) // what has become usual
 }
 
 // BenchmarkChoose is for 1,100 upstreams with 5,000 programs under way.
@@ -201,11 +201,11 @@
 	p := &Picker{}
 	list := ups(1100)
 	for i := range 5000 {
-		choose(p, Case{List: list, Key: fmt.Sprint(i)})
+		choose(p, Request{Candidates: list, Key: fmt.Sprint(i)})
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		u, _ := p.Choose(now, Case{List: list, Key: "program", Prefer: "u700"})
+		u, _ := p.Choose(now, Request{Candidates: list, Key: "program", Prefer: "u700"})
 		p.Done(u.ID)
 	}
 }
--- a/internal/front/pulse/pulse_test.go
+++ b/internal/front/reach/reach_test.go
@@ -1,4 +1,4 @@
-package pulse
+package reach
 
 import (
 	"context"
@@ -14,20 +14,20 @@
 )
 
 // away is records that hang while they are down.
-type away struct {
+type stubRecords struct {
 	down  bool
 	calls int
 }
 
-func (a *away) Write(ctx context.Context, _ book.Record) (quorum.Result, error) {
+func (a *stubRecords) Write(ctx context.Context, _ book.Record) (quorum.Result, error) {
 	return quorum.Result{}, a.call(ctx)
 }
 
-func (a *away) Read(ctx context.Context, _, _ string) ([]book.Turn, error) {
+func (a *stubRecords) Read(ctx context.Context, _, _ string) ([]book.Turn, error) {
 	return nil, errors.CombineErrors(a.call(ctx), quorum.ErrNoTurn)
 }
 
-func (a *away) call(ctx context.Context) error {
+func (a *stubRecords) call(ctx context.Context) error {
 	a.calls++
 	if !a.down {
 		return nil
@@ -42,8 +42,8 @@
 func TestCutOffFromRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a := &away{}
-		p := &Pulse{Records: a}
+		a := &stubRecords{}
+		p := &Breaker{Records: a}
 		reserve := book.Record{Reserved: true}
 		try := func() (took time.Duration, err error) {
 			began := time.Now()
@@ -55,7 +55,7 @@
 		a.down = true
 		took, err := try()
 		is.True(err != nil)
-		is.Equal(took, Patience)
+		is.Equal(took, CallTimeout)
 		is.True(!p.Down(time.Now())) // one alone may be slow
 		_, _ = try()
 		is.True(p.Down(time.Now()))
@@ -64,7 +64,7 @@
 		before := a.calls
 		took, err = try()
 		is.True(errors.Is(err, quorum.ErrUnsure))
-		is.True(took <= Patience)
+		is.True(took <= CallTimeout)
 		for range 5 {
 			took, err = try()
 			if a.calls == before {
@@ -73,7 +73,7 @@
 			is.True(err != nil)
 		}
 		a.down = false
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		p.Probe(t.Context())
 		is.True(!p.Down(time.Now()))
 		_, err = try()
@@ -82,10 +82,10 @@
 }
 
 // Callers leave while their turns wait. That says nothing of the holders.
-func TestCallersWhoLeave(t *testing.T) {
+func TestCancelledCallsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := &Pulse{Records: &away{down: true}}
+		p := &Breaker{Records: &stubRecords{down: true}}
 		for range 5 {
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
--- a/internal/node/frontd/absent.go
+++ b/internal/node/frontd/absent.go
@@ -30,12 +30,12 @@
 }
 
 // note returns a daemon that has been silent for long, if there is one.
-func (a *absent) note(now time.Time, others []fleet.Entry, p mesh.Picture) (node string, found bool) {
+func (a *absent) note(now time.Time, others []fleet.Entry, p mesh.Summary) (node string, found bool) {
 	if now.Sub(a.looked) > looksApart {
 		a.since = nil
 	}
 	a.looked = now
-	if !p.Trusted(len(others)) {
+	if !p.ReachesHalf(len(others)) {
 		a.since = nil
 		return "", false
 	}
@@ -59,7 +59,7 @@
 // removeGone removes the key of a daemon that has been silent for long.
 func (d *Daemon) removeGone(ctx context.Context) {
 	now := time.Now()
-	node, found := d.absent.note(now, d.others(mesh.Picture{}), d.rumor.Picture(now))
+	node, found := d.absent.note(now, d.others(mesh.Summary{}), d.meshio.Summary(now))
 	if !found {
 		return
 	}
--- a/internal/node/frontd/absent_test.go
+++ b/internal/node/frontd/absent_test.go
@@ -33,7 +33,7 @@
 			gone := ""
 			now := time.Unix(1000, 0)
 			for i := range 64 {
-				p := mesh.Picture{Alive: map[mesh.ID]mesh.Mark{}, Fronts: 1}
+				p := mesh.Summary{Alive: map[mesh.ID]mesh.Status{}, Fronts: 1}
 				for _, node := range c.heard[i/32] {
 					p.Alive[mesh.IDOf(node)] = 0
 					p.Fronts++
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			var a absent
 			listed := []fleet.Entry{{Node: "a"}, {Node: "b"}}
-			p := mesh.Picture{Alive: map[mesh.ID]mesh.Mark{mesh.IDOf("a"): 0}, Fronts: 2}
+			p := mesh.Summary{Alive: map[mesh.ID]mesh.Status{mesh.IDOf("a"): 0}, Fronts: 2}
 			now := time.Unix(1000, 0)
 			found := false
 			for at := time.Duration(0); at <= goneFor; at += c.between {
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -76,14 +76,14 @@
 // and can serve, or all that are not leaving if none can.
 func (d *Daemon) named() (well []fleet.Entry) {
 	now := time.Now()
-	p := d.rumor.Picture(now)
+	p := d.meshio.Summary(now)
 	self := d.self()
 	var all []fleet.Entry
 	if d.ready() {
 		all = append(all, self)
 	}
 	others := d.others(p)
-	trusted := p.Trusted(len(others))
+	trusted := p.ReachesHalf(len(others))
 	for _, e := range others {
 		_, alive := p.Alive[mesh.IDOf(e.Node)]
 		if !e.Leaving && (alive || !trusted) {
@@ -91,9 +91,9 @@
 		}
 	}
 	for _, e := range all {
-		unwell := p.Alive[mesh.IDOf(e.Node)]&mesh.Unwell != 0
+		unwell := p.Alive[mesh.IDOf(e.Node)]&mesh.Unhealthy != 0
 		if e.Node == self.Node {
-			unwell = d.pulse.Down(now)
+			unwell = d.reach.Down(now)
 		}
 		if !unwell {
 			well = append(well, e)
@@ -102,11 +102,11 @@
 	if len(well) == 0 {
 		well = all
 	}
-	return foremost(well, d.breadth.wide(now, underWay(p, d.picker.Own())))
+	return foremost(well, d.breadth.wide(now, underWay(p, d.picker.OwnInFlight())))
 }
 
 // underWay is how many requests all daemons have under way.
-func underWay(p mesh.Picture, own map[string]int) (n int) {
+func underWay(p mesh.Summary, own map[string]int) (n int) {
 	for _, load := range p.Load {
 		n += load
 	}
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -16,13 +16,13 @@
 
 	"github.com/slaterock/slaterock/internal/disk/quorum"
 	"github.com/slaterock/slaterock/internal/front/allow"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 	"github.com/slaterock/slaterock/internal/front/entry"
 	"github.com/slaterock/slaterock/internal/front/fleet"
 	"github.com/slaterock/slaterock/internal/front/mesh"
+	"github.com/slaterock/slaterock/internal/front/meshio"
 	"github.com/slaterock/slaterock/internal/front/pick"
-	"github.com/slaterock/slaterock/internal/front/pulse"
-	"github.com/slaterock/slaterock/internal/front/ration"
-	"github.com/slaterock/slaterock/internal/front/rumor"
+	"github.com/slaterock/slaterock/internal/front/reach"
 	"github.com/slaterock/slaterock/internal/front/upconn"
 	"github.com/slaterock/slaterock/internal/node/posted"
 	"github.com/slaterock/slaterock/internal/node/scout"
@@ -65,7 +65,7 @@
 		Seeds     []string // addresses of VMs with a disk; some may be down or gone
 		Grace     time.Duration
 		AnswerTTL time.Duration    // longest that callers keep a directory's answer
-		Tolerance ration.Tolerance // of the limits of accounts
+		Tolerance bucket.Tolerance // of the limits of accounts
 	}
 
 	// Names are the wire's names for the directory and the readiness check.
@@ -91,8 +91,8 @@
 		pool    upconn.Pool
 		link    link.Link
 		scout   scout.Scout
-		rumor   rumor.Rumor
-		pulse   pulse.Pulse
+		meshio  meshio.Transport
+		reach   reach.Breaker
 		posted  posted.Posted
 		entry   entry.Entry
 		leaving atomic.Bool
@@ -142,7 +142,7 @@
 	d.scout.Store = d.Store
 	d.picker.Name, d.picker.Domain = d.Settings.Node, d.Settings.Domain
 	d.allow.Tolerance = d.Settings.Tolerance
-	d.picker.Idle, d.picker.Age = d.pool.Idle, d.rumor.Age
+	d.picker.Idle, d.picker.Age = d.pool.Idle, d.meshio.Age
 	d.link.Address, d.link.Scope = d.Settings.Peer, d.Scope
 	d.link.DialTime, d.link.BackOff = dialTime, dialPause
 	d.link.Handle(methodKnown, link.Answer(d.tellKnown))
@@ -156,9 +156,9 @@
 	d.entry = entry.Entry{
 		Dialect: d.Dialect, Fleet: &d.fleet, Pool: &d.pool, Picker: &d.picker, Log: d.Log, Scope: d.Scope, Trace: d.Trace,
 		Refresh: d.refreshConfig, Stop: ctx, Allow: &d.allow,
-		Records: &d.pulse,
+		Records: &d.reach,
 	}
-	d.pulse.Records = &quorum.Client{
+	d.reach.Records = &quorum.Client{
 		Peer:   func(address string) link.Invoker { return d.link.Peer(address) },
 		Roster: d.scout.Roster, Learn: d.scout.Learn, Refresh: d.scout.Fresh, Domain: d.Settings.Domain,
 	}
@@ -167,11 +167,11 @@
 	if err != nil {
 		return err
 	}
-	d.rumor.Conn, d.rumor.Own, d.rumor.Peers = conn, d.told, d.peers
-	d.rumor.Self = mesh.Peer{Node: d.Settings.Node, Address: d.Settings.Peer, Domain: d.Settings.Domain, Cores: d.Settings.Cores}
-	d.rumor.Heard, d.rumor.Changed = d.heard, d.changed
+	d.meshio.Conn, d.meshio.Local, d.meshio.Peers = conn, d.told, d.peers
+	d.meshio.Self = mesh.Peer{Node: d.Settings.Node, Address: d.Settings.Peer, Domain: d.Settings.Domain, Cores: d.Settings.Cores}
+	d.meshio.Received, d.meshio.Changed = d.heard, d.changed
 	go func() {
-		if err := d.rumor.Run(ctx); err != nil {
+		if err := d.meshio.Run(ctx); err != nil {
 			d.Log.Error().Err(err).Msg("nothing is heard of other daemons any more")
 		}
 	}()
@@ -204,7 +204,7 @@
 
 // others returns the other daemons that serve callers: those listed in the store,
 // and those heard of. A daemon that the store turns away may have no key there.
-func (d *Daemon) others(p mesh.Picture) []fleet.Entry {
+func (d *Daemon) others(p mesh.Summary) []fleet.Entry {
 	list := slices.Clone(d.fleet.View().Entries)
 	for i := range list {
 		list[i].Leaving = list[i].Leaving || p.Alive[mesh.IDOf(list[i].Node)]&mesh.Leaving != 0
@@ -231,7 +231,7 @@
 func (d *Daemon) drain(ctx context.Context, callers *http.Server) {
 	d.leaving.Store(true)
 	d.entry.Leave()
-	d.rumor.Tell()
+	d.meshio.Broadcast()
 	go d.unpost(ctx)
 	d.Log.Info().Int64("active", d.entry.Active()).Msg("draining")
 	pause.For(ctx, keepServing)
@@ -246,8 +246,8 @@
 func (d *Daemon) probe(ctx context.Context) {
 	down := false
 	for pause.For(ctx, probeEach) {
-		d.pulse.Probe(ctx)
-		if now := d.pulse.Down(time.Now()); now != down {
+		d.reach.Probe(ctx)
+		if now := d.reach.Down(time.Now()); now != down {
 			down = now
 			d.Log.Warn().Str("dependency", "records").Uint64("roster", d.scout.Roster().Version).Msg(map[bool]string{true: "lost", false: "regained"}[down])
 		}
--- a/internal/node/frontd/frontd_test.go
+++ b/internal/node/frontd/frontd_test.go
@@ -50,21 +50,21 @@
 // newDaemonAt returns a daemon that read the store at the time.
 func newDaemonAt(at time.Time, listed ...string) *Daemon {
 	d := &Daemon{Settings: Settings{Node: "self", Callers: "self"}, Names: names{}, Log: zerolog.Nop(), Scope: tally.NoopScope}
-	r := fleet.Reading{Revision: 7, Table: route.New(1, nil, nil, route.Limits{})}
+	r := fleet.Snapshot{Revision: 7, Table: route.New(1, nil, nil, route.Limits{})}
 	for _, name := range append(listed, "self") {
 		r.Entries = append(r.Entries, fleet.Entry{Node: name, Address: name, Peer: addresses[name]})
 	}
-	d.fleet.Take(at, r)
-	d.rumor.Self = mesh.Peer{Node: "self"}
-	d.rumor.Own, d.rumor.Peers = d.told, d.peers
-	d.rumor.Conn = &outbox{}
-	d.rumor.Tell()
+	d.fleet.Update(at, r)
+	d.meshio.Self = mesh.Peer{Node: "self"}
+	d.meshio.Local, d.meshio.Peers = d.told, d.peers
+	d.meshio.Conn = &outbox{}
+	d.meshio.Broadcast()
 	return d
 }
 
 func hear(d *Daemon, node string, leaving bool) {
-	d.rumor.Take(time.Now(), mesh.Share{State: mesh.State{
-		Node: node, Sent: time.Now().UnixNano(), Peer: addresses[node], Callers: node, Leaving: leaving, Unwell: node == "unwell",
+	d.meshio.Receive(time.Now(), mesh.Share{State: mesh.State{
+		Node: node, Sent: time.Now().UnixNano(), Peer: addresses[node], Callers: node, Leaving: leaving, Unhealthy: node == "unwell",
 	}})
 }
 
@@ -76,8 +76,8 @@
 	d := newDaemon("a")
 	hear(d, "b", false)
 	sent := &outbox{}
-	d.rumor.Conn = sent
-	d.rumor.Tell()
+	d.meshio.Conn = sent
+	d.meshio.Broadcast()
 	is.Equal(sent.to, []string{addresses["a"], addresses["b"]})
 }
 
@@ -127,8 +127,8 @@
 	state := other.told().State
 	d.heard(time.Now(), state)
 	is.True(d.fleet.View().Confirmed.IsZero())
-	d.learn(fleet.Reading{Revision: 1, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}}, nil)
-	d.learn(fleet.Reading{Revision: 2}, nil)
+	d.learn(fleet.Snapshot{Revision: 1, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}}, nil)
+	d.learn(fleet.Snapshot{Revision: 2}, nil)
 	is.Equal(len(d.fleet.View().Services["s"]), 0)
 }
 
@@ -143,17 +143,17 @@
 			now := time.Now()
 			other := newDaemonAt(now.Add(-5 * time.Second))
 			for age := 4 * time.Second; age > 0; age -= time.Second {
-				other.fleet.Take(now, fleet.Confirmed{Revision: 7, Age: age})
+				other.fleet.Update(now, fleet.Confirmed{Revision: 7, Age: age})
 			}
 			d := newDaemonAt(now.Add(-5 * time.Second))
-			d.fleet.Take(now.Add(-5*time.Second), fleet.Reading{Revision: revision, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}})
+			d.fleet.Update(now.Add(-5*time.Second), fleet.Snapshot{Revision: revision, Upstreams: []fleet.Upstream{{ID: "u", Service: "s"}}})
 			state := other.told().State
 			data, err := mesh.Encode(mesh.Share{State: state})
 			is.NoErr(err)
 			msg, err := mesh.Decode(data)
 			is.NoErr(err)
 			d.heard(now, mesh.StateOf(msg))
-			d.fleet.Take(now, fleet.Reading{Revision: revision + 1})
+			d.fleet.Update(now, fleet.Snapshot{Revision: revision + 1})
 			is.Equal(len(d.fleet.View().Services["s"]), 0)
 		})
 	}
--- a/internal/node/frontd/known.go
+++ b/internal/node/frontd/known.go
@@ -58,10 +58,10 @@
 // told is what this daemon tells the others.
 func (d *Daemon) told() mesh.Tick {
 	v := d.fleet.View()
-	return mesh.Tick{Load: short(d.picker.Own()), Used: short(d.allow.Used(time.Now())), State: mesh.State{
+	return mesh.Tick{Load: short(d.picker.OwnInFlight()), Used: short(d.allow.Used(time.Now())), State: mesh.State{
 		Node: d.Settings.Node, Peer: d.Settings.Peer, Callers: d.Settings.Callers,
-		Leaving: !d.ready(), Unwell: d.pulse.Down(time.Now()),
-		Revision: v.Revision, Hash: v.Hash, Age: time.Since(v.Confirmed).Milliseconds(), Steady: v.Steady().Milliseconds(),
+		Leaving: !d.ready(), Unhealthy: d.reach.Down(time.Now()),
+		Revision: v.Revision, Hash: v.Hash, Age: time.Since(v.Confirmed).Milliseconds(), AvailableFor: v.AvailableFor().Milliseconds(),
 	}}
 }
 
@@ -87,19 +87,19 @@
 }
 
 // changed takes what all other daemons have under way and let in.
-func (d *Daemon) changed(p mesh.Picture) {
+func (d *Daemon) changed(p mesh.Summary) {
 	d.hearUse(p)
-	d.picker.Heard(named(p.Load, d.upstreamNames().of), p.Fronts-1)
-	d.entry.Heard()
+	d.picker.PeersUpdated(named(p.Load, d.upstreamNames().of), p.Fronts-1)
+	d.entry.PeersUpdated()
 }
 
 // upstreamNames returns the ids of the upstreams that are known now.
 func (d *Daemon) upstreamNames() *upstreamNames {
 	v := d.fleet.View()
-	if n := d.names.Load(); n != nil && n.hash == v.Hash && n.lapsed == len(v.Lapsed) {
+	if n := d.names.Load(); n != nil && n.hash == v.Hash && n.lapsed == len(v.Retained) {
 		return n
 	}
-	n := &upstreamNames{hash: v.Hash, lapsed: len(v.Lapsed), of: make(map[mesh.ID]string, len(v.Upstreams))}
+	n := &upstreamNames{hash: v.Hash, lapsed: len(v.Retained), of: make(map[mesh.ID]string, len(v.Upstreams))}
 	for _, u := range v.All() {
 		n.of[mesh.IDOf(u.ID)] = u.ID
 	}
@@ -122,7 +122,7 @@
 	}
 	v := d.fleet.View()
 	age := time.Duration(s.Age) * time.Millisecond
-	d.learn(fleet.Heard{Age: age, Steady: time.Duration(s.Steady) * time.Millisecond}, nil)
+	d.learn(fleet.PeerAvailability{Age: age, AvailableFor: time.Duration(s.AvailableFor) * time.Millisecond}, nil)
 	if s.Revision < v.Revision || s.Revision == v.Revision && s.Hash != v.Hash {
 		return
 	}
@@ -171,10 +171,10 @@
 
 // takeKnown learns what another daemon knew, some time ago.
 func (d *Daemon) takeKnown(k known, ago time.Duration) error {
-	t := fleet.Told{Age: time.Duration(k.Age)*time.Millisecond + ago}
+	t := fleet.PeerSnapshot{Age: time.Duration(k.Age)*time.Millisecond + ago}
 	if k.Delta != nil {
 		var ok bool
-		if t.Reading, ok = d.fleet.View().Apply(*k.Delta); !ok {
+		if t.Snapshot, ok = d.fleet.View().Apply(*k.Delta); !ok {
 			return nil // something else was learnt meanwhile; the next word tells
 		}
 	} else {
@@ -208,7 +208,7 @@
 // It tells differences where it can: with a thousand upstreams the whole is 0.2 MB,
 // and a hundred daemons that ask for it at every change fill the links.
 func (d *Daemon) tellKnown(_ context.Context, h have) (k known, err error) {
-	delta, ok := d.fleet.Since(h.Hash)
+	delta, ok := d.fleet.DeltaSince(h.Hash)
 	v := d.fleet.View()
 	k.Revision, k.Age = v.Revision, time.Since(v.Confirmed).Milliseconds()
 	if ok && delta.Hash == v.Hash {
--- a/internal/node/frontd/limits.go
+++ b/internal/node/frontd/limits.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/slaterock/slaterock/internal/conf/accnt"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 	"github.com/slaterock/slaterock/internal/front/mesh"
-	"github.com/slaterock/slaterock/internal/front/ration"
 	"github.com/slaterock/slaterock/internal/obs/label"
 )
 
@@ -33,7 +33,7 @@
 }
 
 // hearUse takes what the other daemons have let in.
-func (d *Daemon) hearUse(p mesh.Picture) {
+func (d *Daemon) hearUse(p mesh.Summary) {
 	now := time.Now()
 	v := d.fleet.View()
 	if v.Table == nil || v.Table.Accounts == nil || !d.present.due(now) {
@@ -45,7 +45,7 @@
 	}
 	h := d.present.look(now, nodes, p.Fronts)
 	h.Used = d.present.byName(v.Table.Accounts, p.Used)
-	d.allow.Hear(now, v.Table.Accounts, h)
+	d.allow.Update(now, v.Table.Accounts, h)
 }
 
 // due tells whether it is time to reckon again.
@@ -61,7 +61,7 @@
 
 // look counts the daemons that share the limits. One that has heard of less than half of
 // them for long has no part.
-func (p *present) look(now time.Time, nodes []string, heard int) ration.Heard {
+func (p *present) look(now time.Time, nodes []string, heard int) bucket.PeerUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.seen == nil {
@@ -76,8 +76,8 @@
 			delete(p.seen, node)
 		}
 	}
-	h := ration.Heard{Fronts: heard, All: len(p.seen)}
-	if 2*heard >= h.All {
+	h := bucket.PeerUsage{Fronts: heard, Total: len(p.seen)}
+	if 2*heard >= h.Total {
 		p.together = now
 	}
 	if now.Sub(p.together) > holdFor {
@@ -88,7 +88,7 @@
 
 // gaugeLimits shows how much each account has left of its limit.
 func (d *Daemon) gaugeLimits(now time.Time) {
-	for name, left := range d.allow.Left(now) {
+	for name, left := range d.allow.Remaining(now) {
 		if l := d.allow.Label.Of(name); l != label.Others {
 			d.Scope.Tagged(map[string]string{"account": l}).Gauge("account_limit_left").Update(left)
 		}
--- a/internal/node/frontd/limits_test.go
+++ b/internal/node/frontd/limits_test.go
@@ -40,7 +40,7 @@
 				p.look(now, c.nodes, c.heard)
 			}
 			h := p.look(now, c.nodes, c.heard)
-			is.Equal([]int{h.Fronts, h.All}, []int{c.fronts, c.all})
+			is.Equal([]int{h.Fronts, h.Total}, []int{c.fronts, c.all})
 		})
 	}
 	is.New(t).True(holdFor < countFor)
--- a/internal/node/frontd/read.go
+++ b/internal/node/frontd/read.go
@@ -53,7 +53,7 @@
 	Source interface {
 		// Read also returns keys that are the system's own, and an error for
 		// each entry that can't be used.
-		Read(ctx context.Context) (fleet.Reading, []store.Entry, []error, error)
+		Read(ctx context.Context) (fleet.Snapshot, []store.Entry, []error, error)
 		// Decode reads a configuration that another daemon has passed on.
 		Decode(text []byte, revision uint64) (*route.Table, error)
 	}
@@ -88,8 +88,8 @@
 		}
 		if away, stood := ran.Look(time.Now(), due); away > 0 {
 			d.Log.Warn().Dur("away_ms", away).Dur("clock_stood_ms", stood).Msg("this process did not run for a while")
-			d.learn(fleet.Slept{For: stood}, nil)
-			d.allow.Forget(time.Now())
+			d.learn(fleet.Suspended{For: stood}, nil)
+			d.allow.Drain(time.Now())
 			listen = time.Now().Add(hearFirst)
 		}
 	}
@@ -97,10 +97,10 @@
 
 // readAge is the age at which this daemon reads what it knows anew.
 func (d *Daemon) readAge(v *fleet.View, lived, lone time.Duration) time.Duration {
-	if lived < startTime && len(d.others(mesh.Picture{})) == 0 && v.Table == nil {
+	if lived < startTime && len(d.others(mesh.Summary{})) == 0 && v.Table == nil {
 		return readEvery + lone
 	}
-	return readEvery + time.Duration(d.rumor.Rank(time.Now()))*readRank
+	return readEvery + time.Duration(d.meshio.Rank(time.Now()))*readRank
 }
 
 func (d *Daemon) readStore(ctx context.Context) error {
@@ -121,7 +121,7 @@
 	}
 	n.Entries = d.scout.State().Entries
 	d.learnAt(asked, n, nil)
-	d.rumor.Tell() // at once, so that the next in rank need not read
+	d.meshio.Broadcast() // at once, so that the next in rank need not read
 	d.keep(ctx)
 	d.removeGone(ctx)
 	return nil
@@ -158,12 +158,12 @@
 }
 
 // learn takes news and logs what changed.
-func (d *Daemon) learn(n fleet.News, cause error) { d.learnAt(time.Now(), n, cause) }
+func (d *Daemon) learn(n fleet.Event, cause error) { d.learnAt(time.Now(), n, cause) }
 
-func (d *Daemon) learnAt(now time.Time, n fleet.News, cause error) {
-	for _, c := range d.fleet.Take(now, n) {
+func (d *Daemon) learnAt(now time.Time, n fleet.Event, cause error) {
+	for _, c := range d.fleet.Update(now, n) {
 		line := d.Log.Info()
-		switch c.What {
+		switch c.Kind {
 		case "outage":
 			line = d.Log.Warn().Err(cause).Str("dependency", "store")
 		case "regained":
@@ -177,15 +177,15 @@
 		default:
 			line = line.Str("upstream", c.ID).Str("from", c.From).Str("to", c.To)
 		}
-		line.Str("by", source(n)).Uint64("revision", d.fleet.View().Revision).Msg("learnt: " + c.What)
+		line.Str("by", source(n)).Uint64("revision", d.fleet.View().Revision).Msg("learnt: " + c.Kind)
 	}
 }
 
-func source(n fleet.News) string {
+func source(n fleet.Event) string {
 	switch n.(type) {
-	case fleet.Reading:
+	case fleet.Snapshot:
 		return "store"
-	case fleet.Told, fleet.Confirmed, fleet.Heard:
+	case fleet.PeerSnapshot, fleet.Confirmed, fleet.PeerAvailability:
 		return "peer"
 	default:
 		return ""
@@ -215,5 +215,5 @@
 	if v.Table != nil {
 		d.Scope.Gauge("config_version").Update(float64(v.Table.Version))
 	}
-	d.Scope.Gauge("upstreams_missing").Update(float64(len(v.Lapsed)))
+	d.Scope.Gauge("upstreams_missing").Update(float64(len(v.Retained)))
 }
--- a/internal/node/frontd/read_test.go
+++ b/internal/node/frontd/read_test.go
@@ -14,7 +14,7 @@
 // slow is a store that answers when its caller gives up.
 type slow struct{ Source }
 
-func (slow) Read(ctx context.Context) (r fleet.Reading, others []store.Entry, bad []error, err error) {
+func (slow) Read(ctx context.Context) (r fleet.Snapshot, others []store.Entry, bad []error, err error) {
 	<-ctx.Done()
 	return r, nil, nil, ctx.Err()
 }
@@ -28,5 +28,5 @@
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	d.refreshConfig(ctx)
-	is.Equal(d.fleet.Take(time.Now(), fleet.Outage{})[0].What, "outage") // not known before
+	is.Equal(d.fleet.Update(time.Now(), fleet.Outage{})[0].Kind, "outage") // not known before
 }
--- a/internal/play/flood/flood.go
+++ b/internal/play/flood/flood.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/front/ration"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 )
 
 const (
@@ -23,7 +23,7 @@
 )
 
 // Tolerance is how far above a limit all fronts together may be.
-var Tolerance = ration.Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
+var Tolerance = bucket.Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
 type (
 	// World plays fronts that let programs of accounts in.
@@ -33,17 +33,17 @@
 		now    time.Time
 		rng    *rand.Rand
 		fronts []*front
-		limits map[string]ration.Limit
+		limits map[string]bucket.Limit
 		queue  events
 		sent   map[string][]time.Time // requests let in, by account
 		told   map[string]*Score
-		asks   map[string]float64   // programs a second, by account
-		sums   map[int]ration.Heard // by side
+		asks   map[string]float64       // programs a second, by account
+		sums   map[int]bucket.PeerUsage // by side
 		summed time.Time
 	}
 
 	front struct {
-		ration.Ration
+		bucket.Limiter
 		up       bool
 		side     int // fronts of another side are not heard
 		reported []said
@@ -84,7 +84,7 @@
 
 // New returns a world of fronts that have just started, and accounts that ask for nothing
 // yet.
-func New(seed uint64, fronts int, limits map[string]ration.Limit) *World {
+func New(seed uint64, fronts int, limits map[string]bucket.Limit) *World {
 	w := &World{
 		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 7)), limits: limits,
 		sent: map[string][]time.Time{}, told: map[string]*Score{}, asks: map[string]float64{},
@@ -116,7 +116,7 @@
 // start begins a front's life: it knows nothing.
 func (w *World) start(i int) {
 	f := &front{up: true}
-	f.Tolerance, f.Draw = Tolerance, w.rng.Float64
+	f.Tolerance, f.Rand = Tolerance, w.rng.Float64
 	f.Limit(w.now, w.limits)
 	w.fronts[i] = f
 }
@@ -149,14 +149,14 @@
 		f.reported = append(f.reported, said{w.now, f.Used(w.now)})
 	}
 	if w.rng.Float64() >= lost {
-		f.Hear(w.now, w.heard(f))
+		f.Update(w.now, w.heard(f))
 	}
 }
 
 // heard is what the hubs tell a front: what those of its side have reported to them.
-func (w *World) heard(f *front) ration.Heard {
+func (w *World) heard(f *front) bucket.PeerUsage {
 	all := w.sum(f.side)
-	h := ration.Heard{Used: map[string]int{}, All: len(w.fronts), Fronts: all.Fronts}
+	h := bucket.PeerUsage{Used: map[string]int{}, Total: len(w.fronts), Fronts: all.Fronts}
 	own := f.said(w.now)
 	for name, n := range all.Used {
 		h.Used[name] = max(n-own[name], 0)
@@ -165,14 +165,14 @@
 }
 
 // sum adds up what the fronts of a side have reported, a few times a second.
-func (w *World) sum(side int) ration.Heard {
+func (w *World) sum(side int) bucket.PeerUsage {
 	if w.now.Sub(w.summed) > hubTime/3 {
-		w.sums, w.summed = map[int]ration.Heard{}, w.now
+		w.sums, w.summed = map[int]bucket.PeerUsage{}, w.now
 	}
 	if h, done := w.sums[side]; done {
 		return h
 	}
-	h := ration.Heard{Used: map[string]int{}}
+	h := bucket.PeerUsage{Used: map[string]int{}}
 	for _, f := range w.fronts {
 		if !f.up || f.side != side {
 			continue
@@ -228,7 +228,7 @@
 		w.after(pause/2+w.jitter(pause), func() { w.ask(name, number+1, 0) })
 	case try+1 < tries:
 		s.Turned++
-		w.after(v.After, func() { w.ask(name, number, try+1) })
+		w.after(v.RetryAfter, func() { w.ask(name, number, try+1) })
 	case number == 0:
 		s.Refused++
 	default:
--- a/internal/play/flood/flood_test.go
+++ b/internal/play/flood/flood_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/front/ration"
+	"github.com/slaterock/slaterock/internal/front/bucket"
 )
 
 const (
@@ -18,10 +18,10 @@
 	after   = 4 * time.Second
 )
 
-var limits = map[string]ration.Limit{"small": limit(10), "middle": limit(60), "large": limit(400), "none": {}}
+var limits = map[string]bucket.Limit{"small": limit(10), "middle": limit(60), "large": limit(400), "none": {}}
 
 // limit is that of an account with a burst of one second.
-func limit(rate float64) ration.Limit { return ration.Limit{Rate: rate, Burst: rate} }
+func limit(rate float64) bucket.Limit { return bucket.Limit{Rate: rate, Burst: rate} }
 
 // demand has all accounts ask for so many times their limit.
 func (w *World) demand(x float64) {
@@ -60,7 +60,7 @@
 		}
 	},
 	"the limit falls": func(w *World) {
-		next := map[string]ration.Limit{"small": limit(5), "middle": limit(20), "large": limit(100), "none": {}}
+		next := map[string]bucket.Limit{"small": limit(5), "middle": limit(20), "large": limit(100), "none": {}}
 		for i := range w.fronts {
 			w.after(w.jitter(time.Second), func() { w.fronts[i].Limit(w.now, next) })
 		}
