--- a/internal/front/fleet/delta.go
+++ b/internal/front/fleet/delta.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// recent is how many former states are kept to tell differences from. All daemons
-// go through the same states, half a second apart at the least, so one that asks
-// is a few states behind. A thousand upstreams take 0.2 MB a state.
+// historySize is how many previous views are kept as bases for deltas. All daemons
+// go through the same views, at least half a second apart, so a peer that requests a
+// delta is a few views behind. A view of a thousand upstreams takes 0.2 MB.
 const historySize = 12
 
-// Delta is what differs between two states of knowledge. Hashes name the states.
+// Delta is the difference between two views, which are identified by their hashes.
 type Delta struct {
-	Base        uint64 // the state that it starts from
-	Hash        uint64 // the state that it leads to
-	Upstreams   []Upstream
-	Gone        []string // ids of upstreams
-	Entries     []Entry
-	GoneEntries []string // nodes
+	Base        uint64     // hash of the view that the delta applies to
+	Hash        uint64     // hash of the resulting view
+	Upstreams   []Upstream // added or changed
+	Gone        []string   // ids of removed upstreams
+	Entries     []Entry    // added or changed
+	GoneEntries []string   // nodes of removed entries
 }
 
-// Since returns what has changed since the state with that hash, and false if
-// that state is not known here.
+// DeltaSince returns the delta from the view with that hash to the current one, and
+// false if that view is not in the history.
 func (f *Fleet) DeltaSince(hash uint64) (d Delta, ok bool) {
 	f.mu.Lock()
 	i := slices.IndexFunc(f.history, func(v *View) bool { return v.Hash == hash })
@@ -40,8 +40,8 @@
 	return d, true
 }
 
-// Apply returns the reading that the delta leads to, and false if it starts from
-// another state than v.
+// Apply returns the snapshot that results from applying the delta to v, without its
+// revision, and false if the base of the delta is not v.
 func (v *View) Apply(d Delta) (r Snapshot, ok bool) {
 	if d.Base != v.Hash {
 		return r, false
@@ -52,7 +52,7 @@
 	return r, true
 }
 
-// keep remembers a state that has become old; f.mu is held.
+// addHistory appends a view that has been replaced; f.mu is held.
 func (f *Fleet) addHistory(v *View) {
 	if v.Hash == 0 {
 		return
@@ -64,13 +64,14 @@
 	}
 }
 
-// sameUpstream leaves out what changes with every report and decides nothing.
+// sameUpstream compares upstreams without the fields that change with every report
+// and don't affect decisions.
 func sameUpstream(a, b Upstream) bool {
 	a.Serial, a.Cold = b.Serial, b.Cold
 	return a == b
 }
 
-// differ compares two lists in the order of their keys.
+// diff compares two lists that are sorted by key.
 func diff[T any](old, now []T, key func(T) string, same func(a, b T) bool) (changed []T, gone []string) {
 	i := 0
 	for _, n := range now {
--- a/internal/front/fleet/delta_test.go
+++ b/internal/front/fleet/delta_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// drawn returns upstreams and entries of which some come, go and change.
+// randomSnapshot returns a random subset of a fixed set of upstreams and entries, with
+// random contents.
 func randomSnapshot(rnd *rand.Rand, revision uint64) (r Snapshot) {
 	r.Revision = revision
 	for i := range 12 {
@@ -23,9 +24,9 @@
 	return r
 }
 
-// Upstreams come and go all the time, and each daemon hears of it from whichever
-// has read the store, some states later. What it makes of the differences must be
-// what the other knows; otherwise it sends requests to upstreams that are gone.
+// A daemon receives deltas from whichever peer has read the store, several views apart.
+// Applying a delta must yield the peer's view; otherwise requests are sent to upstreams
+// that are gone.
 func TestDeltas(t *testing.T) {
 	for seed := range uint64(50) {
 		is := is.New(t)
@@ -35,7 +36,7 @@
 		for revision := range uint64(60) {
 			source.Update(time.Now(), randomSnapshot(rnd, revision+1))
 			if rnd.IntN(3) > 0 {
-				continue // the asker hears of this state later, or never
+				continue // the replica skips this view
 			}
 			v := source.View()
 			d, ok := source.DeltaSince(replica.View().Hash)
@@ -52,12 +53,12 @@
 			is.Equal(len(replica.View().Upstreams), len(v.Upstreams))
 			is.Equal(len(replica.View().Entries), len(v.Entries))
 		}
-		is.True(full <= 2) // the first, and one after a long silence
+		is.True(full <= 2) // the first, and one whose base is no longer in the history
 	}
 }
 
-// The asker learnt something else while the answer was under way. The differences
-// don't fit its state any more and must not be applied to it.
+// The view of the replica changes while the answer is in transit. The delta has another
+// base then and must not be applied.
 func TestDeltaOfAnotherState(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
--- a/internal/front/fleet/fleet.go
+++ b/internal/front/fleet/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet is what one daemon knows of the system: the configuration in
-// force, the upstreams, and the daemons that take callers.
+// Package fleet holds one daemon's view of the system: the configuration in
+// force, the upstreams, and the daemons that serve callers.
 //
-// Knowledge is read from the store by whichever daemon's is the oldest, and told
-// to the others. It may arrive twice or out of order, so nothing is taken from a
-// revision older than the one known: what has been seen never reverts. While the
-// store is away the last knowledge stays in force.
+// The daemon with the oldest view reads the store and passes the result to its
+// peers. Updates may arrive twice or out of order, so any update with a revision
+// lower than the current one is ignored and the view never reverts. While the
+// store is unavailable the last view stays in force.
 package fleet
 
 import (
@@ -15,33 +15,33 @@
 	"github.com/slaterock/slaterock/internal/front/avail"
 )
 
-// ReturnGrace is how long an upstream whose entry is missing is kept after the
-// store has come back. Entries that lapsed in an outage are written again within
-// about two seconds by upstreams that live; dropping all of them at once would
-// leave callers without any upstream after each outage.
+// RecoveryGrace is how long an upstream without an entry is retained after the
+// store has recovered. Live upstreams rewrite entries that expired during an
+// outage within about two seconds; dropping all of them at once would leave
+// callers without any upstream after each outage.
 const RecoveryGrace = 2300 * time.Millisecond
 
 type (
-	// Fleet gathers news. The zero value knows nothing.
+	// Fleet applies events to the current view. The zero value has an empty view.
 	Fleet struct {
 		mu          sync.Mutex
 		view        atomic.Pointer[View]
-		history     []*View        // former states, the newest last
+		history     []*View        // previous views, the newest last
 		unreachable bool           // the store does not answer this daemon
-		avail       avail.Interval // in which somebody had news
-		recovered   bool           // the store was away before that
+		avail       avail.Interval // latest interval in which some daemon reached the store
+		recovered   bool           // avail was preceded by an outage
 	}
 
-	// Change is what news changed, for the log.
+	// Change is one effect of an event, for the log.
 	Change struct {
 		Kind string // config, upstream, outage, regained, return
 		ID   string
-		From string // its former state; of a return, for how long there was no news
-		To   string
+		From string // previous state; for a return, the duration of the outage
+		To   string // new state
 	}
 )
 
-// View returns what is known now.
+// View returns the current view. It is never nil.
 func (f *Fleet) View() *View {
 	if v := f.view.Load(); v != nil {
 		return v
@@ -49,7 +49,7 @@
 	return &View{}
 }
 
-// Take learns the news and returns what it changed.
+// Update applies an event and returns the resulting changes.
 func (f *Fleet) Update(now time.Time, n Event) (changes []Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,7 +95,7 @@
 	return changes
 }
 
-// confirm takes a state for the store's, as it was then.
+// confirm records that the store was at that revision at the given time.
 func (f *Fleet) confirm(v *View, revision uint64, at time.Time) []Change {
 	v.Revision = revision
 	if at.After(v.Confirmed) {
@@ -104,9 +104,10 @@
 	return f.extendAvailability(avail.At(at))
 }
 
-// mind notes when somebody had news of the store, and the end of an outage. Of hundreds
-// only the first few ask the store while it is away; one further back that reads when it
-// is there again would take the first short list for the truth.
+// extendAvailability merges an interval in which some daemon reached the store, and
+// detects the end of an outage. Of hundreds of daemons only the first in rank query the
+// store during an outage; one of a lower rank that first reads after the recovery would
+// otherwise take the incomplete list for the full one.
 func (f *Fleet) extendAvailability(s avail.Interval) []Change {
 	var outage time.Duration
 	if f.avail, outage = f.avail.Merge(s); outage == 0 {
@@ -116,8 +117,9 @@
 	return []Change{{Kind: "return", From: outage.String()}}
 }
 
-// regain notes that this daemon reaches the store again. Whether the store was away for
-// others, too, mind tells: it may have turned this one away and served the rest.
+// noteReachable records that this daemon reaches the store again. Whether the store was
+// unavailable to the others, too, is decided in extendAvailability: it may have refused
+// this daemon only.
 func (f *Fleet) noteReachable() []Change {
 	if !f.unreachable {
 		return nil
@@ -126,12 +128,12 @@
 	return []Change{{Kind: "regained"}}
 }
 
-// returning tells whether entries that lapsed in an outage may still be missing.
+// inGrace reports whether entries that expired in an outage may still be missing.
 func (f *Fleet) inGrace(now time.Time) bool {
 	return f.recovered && now.Sub(f.avail.From) < RecoveryGrace
 }
 
-// expire drops the upstreams whose entries have had their time to come back.
+// dropExpired drops the retained upstreams once the grace period is over.
 func (f *Fleet) dropExpired(v *View, now time.Time) []Change {
 	if len(v.Retained) == 0 || f.inGrace(now) {
 		return nil
--- a/internal/front/fleet/fleet_test.go
+++ b/internal/front/fleet/fleet_test.go
@@ -35,8 +35,8 @@
 	return s
 }
 
-// News overtakes news: a slow answer of the store, or a daemon that was cut off,
-// tells what was true before. What callers have seen in force must not revert.
+// Updates may arrive out of order: a slow answer of the store, or a daemon that was
+// partitioned, delivers an older state. A configuration that is in force must not revert.
 func TestNothingReverts(t *testing.T) {
 	cases := map[string]Event{
 		"an older reading":               snapshot(5, 3, "a", "b"),
@@ -60,33 +60,33 @@
 	}
 }
 
-// The store was away and all entries lapsed. For about two seconds it lists few
-// upstreams although all of them live. Callers must not be told that there are
-// none; but one that left before, or stays missing, must go.
+// The store was unavailable and all entries expired. For about two seconds it lists few
+// upstreams although all are alive. Requests must still find an upstream; but one that
+// was leaving before, or is still missing after the grace period, must be dropped.
 func TestEntriesExpiredInAnOutage(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
 	f.Update(start, snapshot(1, 1, "a", "b", "c!"))
 	f.Update(start, Outage{})
-	back := start.Add(10 * time.Second)
-	is.Equal(f.Update(back, snapshot(2, 1, "a"))[0].Kind, "regained")
+	recovery := start.Add(10 * time.Second)
+	is.Equal(f.Update(recovery, snapshot(2, 1, "a"))[0].Kind, "regained")
 	is.Equal(ids(f.View()), "ab") // c was leaving
-	f.Update(back.Add(time.Second), snapshot(3, 1, "a"))
-	f.Update(back.Add(RecoveryGrace-1), snapshot(3, 1, "a"))
+	f.Update(recovery.Add(time.Second), snapshot(3, 1, "a"))
+	f.Update(recovery.Add(RecoveryGrace-1), snapshot(3, 1, "a"))
 	is.Equal(ids(f.View()), "ab")
-	f.Update(back.Add(RecoveryGrace), snapshot(4, 1, "a"))
+	f.Update(recovery.Add(RecoveryGrace), snapshot(4, 1, "a"))
 	is.Equal(ids(f.View()), "a")
-	f.Update(back.Add(time.Minute), snapshot(5, 1, "a"))
-	f.Update(back.Add(time.Minute+time.Second), snapshot(6, 1, "a"))
-	f.Update(back.Add(time.Minute+2*time.Second), snapshot(6, 1, "a"))
-	f.Update(back.Add(time.Minute+3*time.Second), snapshot(7, 1)) // in calm times at once
+	f.Update(recovery.Add(time.Minute), snapshot(5, 1, "a"))
+	f.Update(recovery.Add(time.Minute+time.Second), snapshot(6, 1, "a"))
+	f.Update(recovery.Add(time.Minute+2*time.Second), snapshot(6, 1, "a"))
+	f.Update(recovery.Add(time.Minute+3*time.Second), snapshot(7, 1)) // dropped at once without a preceding outage
 	is.Equal(ids(f.View()), "")
 }
 
-// The store was away, but this daemon is one of hundreds and its turn to read did
-// not come before the store was back. The list that it reads then is short, since
-// upstreams have not written their entries yet. Took it for the truth, it would
-// tell all others, and callers would find no upstream.
+// The store was unavailable, but this daemon is one of hundreds and did not read until
+// the store had recovered. The list that it then reads is incomplete, since upstreams
+// have not rewritten their entries yet. If the daemon took it for complete and passed it
+// to its peers, requests would find no upstream.
 func TestOutageSeenByNoDaemon(t *testing.T) {
 	cases := map[string]struct {
 		last Event // before the list is read, if any
@@ -120,8 +120,8 @@
 	}
 }
 
-// A VM is suspended for four seconds and its clock stands still. The daemon would take
-// what it knows for new, and add to no other's knowledge.
+// A VM is suspended for four seconds and its monotonic clock stands still. Without the
+// correction the daemon would consider its view four seconds newer than it is.
 func TestSuspended(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
@@ -132,18 +132,18 @@
 	is.Equal(f.View().Confirmed, start.Add(-time.Second))
 }
 
-// A VM freezes, and an upstream leaves meanwhile. The daemon wakes, hears from others and
-// is the next to read: it must not keep the upstream as one whose entry lapsed, and tell
-// the others that it is there. One that hears from nobody can't know.
+// A VM freezes, and an upstream leaves meanwhile. The daemon resumes, receives messages
+// from peers and is the next to read: it must not retain the upstream as one whose entry
+// expired in an outage. Without messages from peers it can't tell the difference.
 func TestResumedDaemonReads(t *testing.T) {
-	heard := PeerAvailability{AvailableFor: 4 * time.Second}
+	peer := PeerAvailability{AvailableFor: 4 * time.Second}
 	cases := map[string]struct {
-		first []Event // after it woke
+		first []Event // after it resumed
 		want  string
 	}{
-		"told of the same":              {[]Event{heard, Confirmed{Revision: 1}}, "a"},
-		"told of more":                  {[]Event{heard, PeerSnapshot{Snapshot: snapshot(2, 1, "a", "b")}}, "a"},
-		"told by one that is behind":    {[]Event{heard}, "a"},
+		"told of the same":              {[]Event{peer, Confirmed{Revision: 1}}, "a"},
+		"told of more":                  {[]Event{peer, PeerSnapshot{Snapshot: snapshot(2, 1, "a", "b")}}, "a"},
+		"told by one that is behind":    {[]Event{peer}, "a"},
 		"nobody tells of news":          {nil, "ab"},
 		"others were without news, too": {[]Event{PeerAvailability{}, Confirmed{Revision: 1}}, "ab"},
 	}
@@ -162,10 +162,10 @@
 	}
 }
 
-// The store turns this daemon away for a while and serves the others, who tell it that
-// nothing has changed. An upstream leaves, and its entry is removed. The daemon then
-// reads again: it must not take the missing entry for one that lapsed in an outage, or
-// all daemons send requests to an upstream that is gone.
+// The store refuses this daemon for a while and serves its peers, which confirm that
+// nothing has changed. An upstream leaves, and its entry is removed. When the daemon reads
+// again it must not take the missing entry for one that expired in an outage, or requests
+// are sent to an upstream that is gone.
 func TestStoreRefusesOneDaemon(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
@@ -178,14 +178,14 @@
 	is.Equal(ids(f.View()), "a")
 }
 
-// A daemon that the store turns away hears from others that nothing has changed.
-// Its knowledge is as new as theirs.
+// A daemon that the store refuses receives confirmations from its peers. Its view is then
+// as recent as theirs.
 func TestConfirmed(t *testing.T) {
 	is := is.New(t)
 	var f, g Fleet
 	f.Update(start, snapshot(1, 1, "a", "b"))
 	g.Update(start, snapshot(1, 1, "b", "a"))
-	is.Equal(f.View().Hash, g.View().Hash) // whatever the order
+	is.Equal(f.View().Hash, g.View().Hash) // independent of the order
 	f.Update(start.Add(5*time.Second), Confirmed{Revision: 7, Age: time.Second})
 	is.Equal(f.View().Confirmed, start.Add(4*time.Second))
 	is.Equal(f.View().Revision, uint64(7))
@@ -202,49 +202,49 @@
 	again.Upstreams[1].Born = 5
 	is.Equal(fmt.Sprint(f.Update(start, again)), "[{config   } {upstream a ready leaving} {upstream b  ready}]")
 	again = snapshot(4, 2, "b")
-	again.Upstreams[0].Born = 9 // started again under its id
+	again.Upstreams[0].Born = 9 // restarted under the same id
 	is.Equal(fmt.Sprint(f.Update(start, again)), "[{upstream b ready ready} {upstream a leaving gone}]")
 	is.Equal(len(f.Update(start, Outage{})), 1)
-	is.Equal(len(f.Update(start, Outage{})), 0) // told once
+	is.Equal(len(f.Update(start, Outage{})), 0) // reported once
 }
 
-// An upstream had said that it leaves, and got new requests for 2.3 s more, 0.3 s longer
-// than agreed. The store had been away until three seconds before. One daemon's last try
-// hung until then; the others had told it everything meanwhile. When its turn to read
-// came it counted the return from its own first reading, took the entry that was missing
-// for one that had lapsed, and told all others that the upstream is there.
+// A leaving upstream got new requests for 2.3 s, 0.3 s longer than allowed. The store had
+// been unavailable until three seconds before. One daemon's last read attempt hung until
+// then, while its peers kept it up to date. When it read, it started the grace period at
+// its own first successful read, took the missing entry for one that had expired in the
+// outage, and told its peers that the upstream was alive.
 //
-// Evidence: this order of events fails on the code that the report is of, and every other
-// reader drops the upstream at its next reading; the last request came 2.313 s after the
-// entry went, as long as entries that are missing are kept.
+// This sequence of events failed on the code of that time; with any other reader the
+// upstream was dropped at the next read. The last request came 2.313 s after the entry was
+// removed, which is the grace period.
 func TestLastReaderAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
 	f.Update(start, snapshot(1, 1, "a", "b"))
 	f.Update(start.Add(time.Second), Outage{})
-	back := start.Add(10 * time.Second)
-	f.Update(back, PeerSnapshot{Snapshot: snapshot(2, 1, "a", "b")})
+	recovery := start.Add(10 * time.Second)
+	f.Update(recovery, PeerSnapshot{Snapshot: snapshot(2, 1, "a", "b")})
 	for i := range 5 {
-		f.Update(back.Add(time.Duration(i)*500*time.Millisecond), Confirmed{Revision: uint64(3 + i)})
+		f.Update(recovery.Add(time.Duration(i)*500*time.Millisecond), Confirmed{Revision: uint64(3 + i)})
 	}
-	f.Update(back.Add(2800*time.Millisecond), snapshot(9, 1, "a", "b"))
-	f.Update(back.Add(3300*time.Millisecond), snapshot(10, 1, "a")) // b left 0.2 s ago
+	f.Update(recovery.Add(2800*time.Millisecond), snapshot(9, 1, "a", "b"))
+	f.Update(recovery.Add(3300*time.Millisecond), snapshot(10, 1, "a")) // b left 0.2 s before
 	is.Equal(ids(f.View()), "a")
 }
 
-// A support engineer asks why a request went to an upstream that the store did not list.
-// The log must tell when the daemon took the store for returned, after how long, and
-// which upstreams it kept without an entry.
+// To explain why a request went to an upstream that the store did not list, the log must
+// show when the daemon considered the store recovered, the duration of the outage, and
+// which upstreams it retained without an entry.
 func TestRetainedUpstreamsAreLogged(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
 	f.Update(start, snapshot(1, 1, "a", "b", "c"))
 	f.Update(start, Outage{})
-	back := start.Add(10 * time.Second)
-	is.Equal(fmt.Sprint(f.Update(back, snapshot(2, 1, "a"))), "[{regained   } {return  10s } {upstream b ready missing} {upstream c ready missing}]")
+	recovery := start.Add(10 * time.Second)
+	is.Equal(fmt.Sprint(f.Update(recovery, snapshot(2, 1, "a"))), "[{regained   } {return  10s } {upstream b ready missing} {upstream c ready missing}]")
 	is.True(f.View().Missing("b") && !f.View().Missing("a"))
-	is.Equal(len(f.Update(back.Add(time.Second), snapshot(2, 1, "a"))), 0)
-	is.Equal(fmt.Sprint(f.Update(back.Add(time.Second), snapshot(3, 1, "a", "b"))), "[{upstream b missing ready}]")
-	is.Equal(fmt.Sprint(f.Update(back.Add(RecoveryGrace), snapshot(3, 1, "a", "b"))), "[{upstream c missing gone}]")
+	is.Equal(len(f.Update(recovery.Add(time.Second), snapshot(2, 1, "a"))), 0)
+	is.Equal(fmt.Sprint(f.Update(recovery.Add(time.Second), snapshot(3, 1, "a", "b"))), "[{upstream b missing ready}]")
+	is.Equal(fmt.Sprint(f.Update(recovery.Add(RecoveryGrace), snapshot(3, 1, "a", "b"))), "[{upstream c missing gone}]")
 	is.Equal(len(f.View().Retained), 0)
 }
--- a/internal/front/fleet/types.go
+++ b/internal/front/fleet/types.go
@@ -7,62 +7,64 @@
 )
 
 type (
-	// Upstream is one process of a service, as its last entry describes it.
+	// Upstream is one process of a service, as its latest entry in the store describes it.
 	Upstream struct {
 		ID      string
 		Service string
 		Address string
-		Domain  string // failure domain
-		Version string // of its software
-		Batch   int    // requests that it runs at a time
-		Leaving bool   // it takes no new work
-		Cold    time.Duration
-		Serial  uint64
-		Born    int64 // Unix milliseconds of its start; tells a restart under the same id
+		Domain  string        // failure domain
+		Version string        // of its software
+		Batch   int           // requests that it runs concurrently
+		Leaving bool          // accepts no new work
+		Cold    time.Duration // reported remaining time of its cold start
+		Serial  uint64        // sequence number of the report
+		Born    int64         // start time in Unix milliseconds; changes if it restarts under the same id
 	}
 
-	// Entry is a daemon that takes callers.
+	// Entry is a daemon that serves callers.
 	Entry struct {
 		Node    string
 		Address string // for callers
 		Peer    string // for other daemons
 		Domain  string
-		Cores   float64 // of its processor
+		Cores   float64 // processor cores
 		Leaving bool
 	}
 
-	// News is something that a daemon learns of the system.
+	// Event is an input of Fleet.Update.
 	Event interface{ event() }
 
-	// Reading is what the store holds at a revision, read as it is now.
+	// Snapshot is the content of the store at a revision, as this daemon has just read it.
 	Snapshot struct {
 		Revision  uint64
-		Table     *route.Table // nil if there is none yet, or none that can be read
+		Table     *route.Table // nil if there is no valid configuration
 		Upstreams []Upstream
 		Entries   []Entry
 	}
 
-	// Told is what another daemon read in the store, or was told of it.
+	// PeerSnapshot is a snapshot received from another daemon, which may itself have
+	// received it from a peer.
 	PeerSnapshot struct {
 		Snapshot
-		Age time.Duration // since the other daemon's knowledge was confirmed
+		Age time.Duration // since the other daemon's view was confirmed
 	}
 
-	// Confirmed tells that another daemon knows the same, by a newer reading.
+	// Confirmed reports that another daemon has the same view at the given revision,
+	// confirmed Age ago.
 	Confirmed struct {
 		Revision uint64
 		Age      time.Duration
 	}
 
-	// Heard tells that another daemon had news of the store without a gap for so long, up
-	// to that long ago. Whether it knows the same doesn't matter.
+	// PeerAvailability reports that the store was available to another daemon for
+	// AvailableFor without a gap, up to Age ago. Its view may differ from this one.
 	PeerAvailability struct{ Age, AvailableFor time.Duration }
 
-	// Slept tells that this daemon did not run for a while. What is known is older than
-	// it seems by as much as its steady clock stood still.
+	// Suspended reports that this daemon did not run for a while. The view is older than
+	// it seems by For, the time for which the monotonic clock stood still.
 	Suspended struct{ For time.Duration }
 
-	// Outage tells that the store did not answer or turned this daemon away.
+	// Outage reports that the store did not answer this daemon or refused it.
 	Outage struct{}
 )
 
--- a/internal/front/fleet/view.go
+++ b/internal/front/fleet/view.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/conf/route"
 )
 
-// The states of an upstream in a Change. One that is missing has no entry in the store,
-// but may have lost it while the store was away.
+// The states of an upstream in a Change. A missing upstream has no entry in the store,
+// but the entry may have expired during an outage of the store.
 const (
 	stateReady   = "ready"
 	stateLeaving = "leaving"
@@ -20,34 +20,36 @@
 	stateGone    = "gone"
 )
 
-// View is what is known at one moment. It is immutable.
+// View is the state of the system as known at one moment. It is immutable.
 //
-// What the store listed and what this daemon makes of it are kept apart. That an upstream
-// lives although its entry is missing is the guess of one daemon; others that took it for
-// knowledge would send requests to an upstream that left. So only what was listed is told
-// to them, and hashed: daemons that know the same revision are in the same state.
+// The upstreams that the store listed and those retained by this daemon are kept apart.
+// That an upstream is alive although its entry is missing is an assumption of one daemon;
+// if it were passed on, others would send requests to an upstream that left. So only
+// listed upstreams are sent to peers and hashed: daemons at the same revision have the
+// same hash.
 type View struct {
-	Revision       uint64       // of the store, at the last reading
-	Confirmed      time.Time    // when that reading was made, as far as is known
-	AvailableSince time.Time    // somebody has had news of the store without a gap since then
-	Table          *route.Table // nil while none is known
-	Services       map[string][]Upstream
-	Upstreams      []Upstream // by id, as the store listed them
-	Retained       []Upstream // by id: kept although the store does not list them
-	Entries        []Entry    // by node
-	Hash           uint64     // of what matters of all that was listed
+	Revision       uint64                // latest known revision of the store
+	Confirmed      time.Time             // latest time at which the store is known to have held this state
+	AvailableSince time.Time             // start of the interval without a gap in which some daemon reached the store
+	Table          *route.Table          // nil while there is none
+	Services       map[string][]Upstream // listed and retained upstreams, by service
+	Upstreams      []Upstream            // as listed in the store, sorted by id
+	Retained       []Upstream            // kept although the store does not list them, sorted by id
+	Entries        []Entry               // sorted by node
+	Hash           uint64                // of the listed content
 }
 
-// Steady is for how long there was news without a gap, up to when this was confirmed.
+// AvailableFor is how long the store was available without a gap, up to Confirmed.
 func (v *View) AvailableFor() time.Duration { return max(v.Confirmed.Sub(v.AvailableSince), 0) }
 
-// Missing tells whether an upstream is kept although the store doesn't list it.
+// Missing reports whether an upstream is retained although the store doesn't list it.
 func (v *View) Missing(id string) bool {
 	_, missing := find(v.Retained, id)
 	return missing
 }
 
-// take replaces what is known. Keep has upstreams stay that are not listed.
+// replace sets the content of the view. With retain, upstreams that are no longer listed
+// are kept as by setUpstreams.
 func (v *View) replace(n Snapshot, retain bool) (changes []Change) {
 	if n.Table != nil && (v.Table == nil || n.Table.Version > v.Table.Version) {
 		v.Table = n.Table
@@ -60,8 +62,8 @@
 	return changes
 }
 
-// list replaces the upstreams by those that the store lists. Keep has others stay, but
-// for those that had said that they leave.
+// setUpstreams replaces the listed upstreams. With retain, upstreams that are no longer
+// listed are kept, except those that were leaving.
 func (v *View) setUpstreams(listed []Upstream, retain bool) []Change {
 	old := *v
 	v.Upstreams, v.Retained = sorted(listed), nil
@@ -77,10 +79,10 @@
 	return old.differences(v)
 }
 
-// All returns the upstreams that requests may be sent to, by id.
+// All returns the listed and the retained upstreams, sorted by id.
 func (v *View) All() []Upstream { return sorted(slices.Concat(v.Upstreams, v.Retained)) }
 
-// differences returns what became of the upstreams between two views.
+// differences returns the changes of upstreams between two views.
 func (v *View) differences(next *View) (changes []Change) {
 	for _, u := range next.Upstreams {
 		old, listed := find(v.Upstreams, u.ID)
@@ -101,7 +103,7 @@
 	return changes
 }
 
-// state returns an upstream's state, empty for one that is not known.
+// state returns an upstream's state, empty for an unknown one.
 func (v *View) state(id string) string {
 	if u, listed := find(v.Upstreams, id); listed {
 		return u.state()
@@ -119,8 +121,8 @@
 	return stateReady
 }
 
-// hash tells whether two daemons know the same. What changes with every report of
-// an upstream and decides nothing is left out.
+// hash returns a hash that is equal for daemons with the same listed content. Fields
+// that change with every report of an upstream and don't affect decisions are left out.
 func (v *View) hash() uint64 {
 	type known struct {
 		Version   int64
@@ -136,19 +138,19 @@
 	}
 	data, err := cbor.Marshal(k)
 	if err != nil {
-		return 0 // never equals another's, so that the whole is asked for
+		return 0 // never kept as the base of a delta, so peers get the full state
 	}
 	return xxhash.Sum64(data)
 }
 
-// sorted returns the upstreams by id.
+// sorted returns a copy of the upstreams, sorted by id.
 func sorted(list []Upstream) []Upstream {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-// find looks an upstream up in a list by id.
+// find looks up an upstream by id in a list that is sorted by id.
 func find(list []Upstream, id string) (Upstream, bool) {
 	i, found := slices.BinarySearchFunc(list, id, func(u Upstream, id string) int { return cmp.Compare(u.ID, id) })
 	if !found {
