--- a/internal/front/pick/bench_test.go
+++ b/internal/front/pick/bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkLoad is what is under way at 1,100 upstreams, as a new program asks for it:
-// 19 us and no allocation, beside other load.
+// BenchmarkLoad sums the load of 1,100 upstreams, as is done for each new program: 19 us
+// and no allocation, measured under other load.
 func BenchmarkLoad(b *testing.B) {
 	list := ups(1100)
 	load := map[string]int{}
--- a/internal/front/pick/pick.go
+++ b/internal/front/pick/pick.go
@@ -1,15 +1,16 @@
-// Package pick chooses the upstream of a request.
+// Package pick selects the upstream of a request.
 //
-// It knows what this daemon has under way at each upstream, what other daemons
-// say they have, and how upstreams have done lately. Choosing is a pure function
-// of that and of the request; nothing is asked for on the way.
+// It tracks the requests in flight of this daemon at each upstream, those that other
+// daemons report, and the outcomes of recent requests. Selection uses only this state,
+// the request and a random jitter; it makes no calls.
 //
-// Each upstream has a cost in milliseconds of the caller's time: waiting for a
-// place, reading again what another upstream has cached, what slowness and
-// failures of late let expect; a little is added for what costs the operator
-// (a new connection, bytes between failure domains). The lowest cost wins. So a
-// program stays where its prompt is cached until that upstream is nearly full,
-// and calls keep to connections that are open until others are clearly idler.
+// Each upstream has a cost in milliseconds of the caller's time: queueing,
+// repeating the prefill of a prompt that is cached at another upstream, and the delay
+// expected from recent slowness and failures; a little is added for what costs the
+// operator (a new connection, bytes between failure domains). The upstream with the
+// lowest cost is selected. So a program stays where its prompt is cached until that
+// upstream is nearly full, and calls reuse open connections until another upstream is
+// clearly less loaded.
 package pick
 
 import (
@@ -25,70 +26,69 @@
 )
 
 const (
-	// fullFor is how long an upstream that shed a request is passed over, if
-	// another one can be had: about the time in which one of its places frees.
+	// fullBackoff is how long an upstream that shed a request is avoided if another one
+	// is available: about the time in which one of its batch slots frees up.
 	fullBackoff = 80 * time.Millisecond
-	// failedFor is the same for one that could not be reached or broke off.
+	// failureBackoff is the same for one that was unreachable or broke off a response.
 	failureBackoff = 600 * time.Millisecond
 
-	// The costs, in milliseconds. They answer bursts of twice the usual load on
-	// engines of 12 to 64 places and services of 6; a turn takes 100 to 400 ms,
-	// a call 40 to 160 ms.
+	// The costs, in milliseconds. They are set for bursts of twice the usual load on
+	// engines with batches of 12 to 64 and services with batches of 6; a turn takes 100
+	// to 400 ms, a call 40 to 160 ms.
 
-	// crowd is what a full batch adds at a plain service, rising with the square
-	// of the load: what is known of others' calls is up to 0.1 s old, and a call
-	// that finds no place waits.
+	// loadCost is what a full batch adds at a plain service. It grows with the square
+	// of the load: peers' counts are up to 0.1 s old, and a call that finds the batch
+	// full waits.
 	loadCost = 30.0
-	// beside is what each request under way at an engine adds, whatever its
-	// batch: prompts are read between the steps of all others, 25 to 80 ms for
-	// each turn, and a turn meets several.
+	// contentionCost is what each request in flight at an engine adds, whatever the
+	// batch size: prefills run between the decode steps of all other turns, 25 to 80 ms
+	// for each turn, and a turn overlaps with several.
 	contentionCost = 10.0
-	// queued is the wait for each batch that is before a request.
+	// queueCost is the wait for each full batch queued ahead of a request.
 	queueCost = 200.0
-	// prefill is how many tokens of a prompt are read in a millisecond, the
-	// least of the engines in use. What is read delays every other turn at that
-	// engine as long, so it is counted for each of them too: bursts on eight engines of
-	// 16 places gained 0.063 ±0.016 of a day's worth by it (eight paired plays).
+	// prefillPerMs is the prefill rate in tokens per millisecond, the lowest of the
+	// engines in use. A prefill delays every other turn at that engine by its duration,
+	// so it is counted for each of them too: with bursts on eight engines with batches
+	// of 16 this gained 0.063 ±0.016 of a day's score (eight paired runs).
 	prefillPerMs = 42.0
-	// otherDomain stands for bytes between failure domains: 10 KB of a turn cost
-	// about as much as a hundredth of a program's benefit.
+	// crossDomainCost accounts for bytes between failure domains: the 10 KB of a turn
+	// cost about as much as a hundredth of a program's value.
 	crossDomainCost = 4.0
-	// newConn stands for a new connection and the millisecond that it takes. At
-	// 15 callers of eight busy engines lost 0.020 of a day's worth (six paired
-	// plays): turns kept to connections that were open, beside others.
+	// newConnCost accounts for a new connection and the millisecond that it takes. A
+	// value of 15 lost 0.020 of a day's score with eight busy engines (six paired runs):
+	// turns shared an engine with others because it had an open connection.
 	newConnCost = 5.0
-	// noise keeps daemons that know the same from all choosing the same, and
-	// apart is the most that a daemon or a program adds to an upstream of its
-	// own accord where little is known of the others. What they said last is up to
-	// a pause old; beyond fresh, more calls have come and gone since than are
-	// under way, and those who went by it would all meet at one upstream.
+	// noiseCost keeps daemons with the same state from all selecting the same upstream.
+	// spreadCost is the most that a hash of the daemon or the program adds to an upstream
+	// where peers' loads are out of date. They are up to one report interval old; beyond
+	// freshAge, more calls have started and ended since then than are in flight, and
+	// daemons that relied on the counts would all converge on one upstream.
 	noiseCost  = 3.0
 	spreadCost = 40.0
 	freshAge   = 80 * time.Millisecond
-	// failing is what an upstream costs that fails every request.
+	// failureCost is the cost of an upstream that fails every request.
 	failureCost = 600.0
-	// slowFrom is from which multiple of the usual time an upstream counts as
-	// slow, and slow what each multiple beyond costs. Work differs by a factor of
-	// three from call to call, so less says nothing.
+	// slowThreshold is the multiple of the usual time above which an upstream counts as
+	// slow, and slowCost the cost of each further multiple. Work differs by a factor of
+	// three from call to call, so a lower multiple is not significant.
 	slowThreshold = 1.8
 	slowCost      = 60.0
-	// weigh is the weight of one outcome in the average of the last, and
-	// forget the time after which half of the average counts no more, so that
-	// an upstream that has recovered is tried again.
+	// outcomeWeight is the weight of one outcome in the moving average, and
+	// outcomeHalfLife the time in which the average decays by half, so that an upstream
+	// that has recovered is tried again.
 	outcomeWeight   = 0.25
 	outcomeHalfLife = 3 * time.Second
 )
 
 type (
-	// Picker keeps what is under way. The zero value is ready.
+	// Picker tracks requests in flight and selects upstreams. The zero value is ready.
 	Picker struct {
 		Name   string // of this daemon
 		Domain string // own failure domain
-		// Age is how old what other daemons tell of their loads may be; nil for
-		// no time.
+		// Age returns the largest age of other daemons' load reports; nil means 0.
 		Age func() time.Duration
-		// Idle tells whether a connection to the address is open and unused;
-		// nil for no.
+		// Idle reports whether a connection to the address is open and unused; nil means
+		// that none is.
 		Idle func(address string) bool
 
 		mu        sync.Mutex
@@ -97,53 +97,54 @@
 	}
 
 	state struct {
-		ownInFlight   int       // requests of this daemon under way there
-		peersInFlight int       // of other daemons, as they said
-		avoidUntil    time.Time // not before, if there is another
-		failureRate   float64   // share of the last requests that failed
-		slowdown      float64   // how many times as long as usual the last took; 0 is unknown
-		lastOutcome   time.Time // of the last outcome
+		ownInFlight   int       // requests of this daemon
+		peersInFlight int       // requests of other daemons, as they reported
+		avoidUntil    time.Time // not selected before then if there is another candidate
+		failureRate   float64   // moving average of failures, 0 to 1
+		slowdown      float64   // moving average of the time taken, in multiples of the usual; 0 is unknown
+		lastOutcome   time.Time // when an outcome was last recorded
 	}
 
-	// Case is one request.
+	// Request describes a request for which an upstream is selected.
 	Request struct {
-		Candidates []fleet.Upstream // of the service
-		Key        string           // what should stay together; empty for plain calls
-		Prefer     string           // id of the upstream that has the prompt cached
-		Tokens     int              // of the prompt, which others would have to read
-		Only       string           // id of the one that may run it; empty for any
+		Candidates []fleet.Upstream // upstreams of the service
+		Key        string           // of the program whose turn it is; empty for plain calls
+		Prefer     string           // id of the upstream that has the prompt cached; may be empty
+		Tokens     int              // length of the prompt, which other upstreams would have to prefill
+		Only       string           // id of the only upstream that may run it; empty for any
 		Exclude    map[string]bool  // ids that have refused or failed this attempt
 	}
 )
 
-// Choose returns an upstream and counts the request there. It is false if there
-// is none. The caller says Done when the request has ended.
-func (p *Picker) Choose(now time.Time, c Request) (fleet.Upstream, bool) {
+// Choose selects the candidate with the lowest cost and counts the request as in flight
+// there. It returns false if there is no eligible candidate. The caller must call Done
+// when the request has ended.
+func (p *Picker) Choose(now time.Time, r Request) (fleet.Upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	confidence := p.confidence()
 	best, lowest := -1, math.Inf(1)
-	for i := range c.Candidates {
-		u := &c.Candidates[i]
-		if c.Only != "" && u.ID != c.Only || c.Only == "" && (u.Leaving || c.Exclude[u.ID]) {
+	for i := range r.Candidates {
+		u := &r.Candidates[i]
+		if r.Only != "" && u.ID != r.Only || r.Only == "" && (u.Leaving || r.Exclude[u.ID]) {
 			continue
 		}
-		if cost := p.cost(now, u, c, confidence); cost < lowest {
+		if cost := p.cost(now, u, r, confidence); cost < lowest {
 			best, lowest = i, cost
 		}
 	}
 	if best < 0 {
 		return fleet.Upstream{}, false
 	}
-	p.state(c.Candidates[best].ID).ownInFlight++
-	return c.Candidates[best], true
+	p.state(r.Candidates[best].ID).ownInFlight++
+	return r.Candidates[best], true
 }
 
-// avoided is added for an upstream that is to be passed over while there are
-// others: more than all other costs together.
+// avoidCost is added for an upstream that is selected only if there is no other: it
+// exceeds the sum of all other costs.
 const avoidCost = 1e6
 
-// trust is how much of what others have said counts, from 0 to 1.
+// confidence is the weight of peers' load reports, from 0 to 1, by their age.
 func (p *Picker) confidence() float64 {
 	if p.Age == nil {
 		return 1
@@ -151,7 +152,7 @@
 	return min(1, float64(freshAge)/float64(max(p.Age(), 1)))
 }
 
-func (p *Picker) cost(now time.Time, u *fleet.Upstream, c Request, confidence float64) float64 {
+func (p *Picker) cost(now time.Time, u *fleet.Upstream, r Request, confidence float64) float64 {
 	cost := noiseCost / 2 * jitter()
 	if u.Domain != p.Domain {
 		cost += crossDomainCost
@@ -160,12 +161,12 @@
 		cost += newConnCost
 	}
 	prefillCost := 0.0
-	if c.Prefer != "" && u.ID != c.Prefer {
-		prefillCost = float64(c.Tokens) / prefillPerMs
+	if r.Prefer != "" && u.ID != r.Prefer {
+		prefillCost = float64(r.Tokens) / prefillPerMs
 	}
 	cost += prefillCost
-	if c.Prefer == "" {
-		cost += (noiseCost + spreadCost*(1-confidence)) * weight(cmp.Or(c.Key, p.Name), u.ID)
+	if r.Prefer == "" {
+		cost += (noiseCost + spreadCost*(1-confidence)) * weight(cmp.Or(r.Key, p.Name), u.ID)
 	}
 	s := p.upstreams[u.ID]
 	if s == nil {
@@ -174,7 +175,7 @@
 	cost += prefillCost * float64(s.ownInFlight+s.peersInFlight)
 	batch := float64(max(u.Batch, 1))
 	inFlight := float64(s.ownInFlight) + confidence*float64(s.peersInFlight)
-	if c.Key != "" {
+	if r.Key != "" {
 		cost += contentionCost * inFlight
 	} else {
 		share := min(inFlight/batch, 1)
@@ -188,7 +189,7 @@
 	return cost
 }
 
-// outcomes is what the last outcomes let expect. They fade with time.
+// outcomes returns the cost expected from recent outcomes, which decays with time.
 func (s *state) outcomes(now time.Time) float64 {
 	if s.lastOutcome.IsZero() {
 		return 0
@@ -197,8 +198,9 @@
 	return fade * (failureCost*s.failureRate + slowCost*max(s.slowdown-slowThreshold, 0))
 }
 
-// weight orders upstreams by a key, differently for each key, and so that one
-// that comes or goes moves only its own keys.
+// weight is the rendezvous hash of a key and an upstream, from 0 to 1: the order of the
+// upstreams differs by key, and an upstream that is added or removed moves only the keys
+// for which it comes first.
 func weight(key, id string) float64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -220,7 +222,7 @@
 	return s
 }
 
-// Under returns how many requests are under way at an upstream.
+// InFlight returns the number of requests of all daemons in flight at an upstream.
 func (p *Picker) InFlight(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,10 +232,10 @@
 	return 0
 }
 
-// Load returns what is under way at the upstreams that take work, how many turns
-// they should run when each is filled to a share of its places, which share tells,
-// and how many daemons share them.
-func (p *Picker) Load(list []fleet.Upstream, share func(places int) float64) (l gate.Load) {
+// Load returns the number of requests in flight at the upstreams, leaving ones excepted,
+// the number of turns that they should run, and the number of daemons that share them.
+// Share returns the part of a batch size that an upstream should run.
+func (p *Picker) Load(list []fleet.Upstream, share func(batch int) float64) (l gate.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.Fronts = 1 + p.fronts
@@ -254,7 +256,7 @@
 	return l
 }
 
-// Done ends a request.
+// Done removes a request of this daemon from those in flight.
 func (p *Picker) Done(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,17 +265,17 @@
 	}
 }
 
-// Full notes that an upstream shed a request.
+// RecordFull records that an upstream shed a request.
 func (p *Picker) RecordFull(now time.Time, id string) { p.avoidUntil(now.Add(fullBackoff), id) }
 
-// Failed notes that an upstream could not be reached or broke off.
+// RecordFailure records that an upstream was unreachable or broke off a response.
 func (p *Picker) RecordFailure(now time.Time, id string) {
 	p.avoidUntil(now.Add(failureBackoff), id)
 	p.RecordOutcome(now, id, 0, true)
 }
 
-// Took notes an outcome: how many times as long as usual the upstream took, 0 if
-// that says nothing, and whether it failed.
+// RecordOutcome records the outcome of a request: the time taken as a multiple of the
+// usual, 0 if unknown, and whether it failed.
 func (p *Picker) RecordOutcome(now time.Time, id string, slowdown float64, failed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,7 +307,7 @@
 	}
 }
 
-// Own returns what this daemon has under way at each upstream.
+// OwnInFlight returns the number of requests of this daemon in flight, by upstream id.
 func (p *Picker) OwnInFlight() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -318,8 +320,8 @@
 	return out
 }
 
-// Heard takes what all other daemons together have under way, in place of what they
-// had, and how many they are.
+// PeersUpdated replaces the numbers of requests that all other daemons together have in
+// flight, by upstream id, and the number of these daemons.
 func (p *Picker) PeersUpdated(load map[string]int, fronts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -332,8 +334,8 @@
 	}
 }
 
-// Forget drops what is known of upstreams that are not listed any more and have
-// nothing under way.
+// Forget drops the state of upstreams that are no longer listed and have no requests in
+// flight.
 func (p *Picker) Forget(listed func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/pick/pick_test.go
+++ b/internal/front/pick/pick_test.go
@@ -25,8 +25,8 @@
 	t.Cleanup(func() { jitter = old })
 }
 
-func choose(p *Picker, c Request) string {
-	u, _ := p.Choose(now, c)
+func choose(p *Picker, r Request) string {
+	u, _ := p.Choose(now, r)
 	return u.ID
 }
 
@@ -40,7 +40,7 @@
 	for range 16 {
 		count[choose(p, Request{Candidates: list})]++
 	}
-	is.Equal(count, map[string]int{"u0": 4, "u1": 4, "u2": 8}) // by their batches
+	is.Equal(count, map[string]int{"u0": 4, "u1": 4, "u2": 8}) // in proportion to their batch sizes
 	p.Done("u1")
 	is.Equal(choose(p, Request{Candidates: list}), "u1")
 }
@@ -89,34 +89,34 @@
 	}
 }
 
-// A program's prompt is cached where it ran before. It must go on there, also
-// through another daemon, or the prompt is read again at each turn; but not wait
-// there in a queue.
+// A program's prompt is cached at the upstream of its previous turn. The next turn must go
+// there, also through another daemon, or the prompt is prefilled again; but it must not
+// queue there.
 func TestProgramsStay(t *testing.T) {
 	is := is.New(t)
 	list := ups(9)
 	p := &Picker{Domain: "y"}
-	c := Request{Candidates: list, Key: "k", Prefer: "u3", Tokens: 4000}
+	r := Request{Candidates: list, Key: "k", Prefer: "u3", Tokens: 4000}
 	for range list[0].Batch {
-		is.Equal(choose(p, c), "u3")
+		is.Equal(choose(p, r), "u3")
 	}
-	repeat(list[0].Batch, func() { choose(p, c) })
-	is.True(p.OwnInFlight()["u3"] < 2*list[0].Batch) // reading it again elsewhere is sooner than to wait
-	c.Tokens = 0
+	repeat(list[0].Batch, func() { choose(p, r) })
+	is.True(p.OwnInFlight()["u3"] < 2*list[0].Batch) // another prefill is faster than queueing
+	r.Tokens = 0
 	p = &Picker{}
 	p.PeersUpdated(map[string]int{"u3": 3}, 1)
-	is.True(choose(p, c) != "u3") // nothing to lose elsewhere
+	is.True(choose(p, r) != "u3") // no prefill is saved by staying
 	is.Equal(choose(&Picker{}, Request{Candidates: list, Only: "u5"}), "u5")
 	is.Equal(choose(&Picker{}, Request{Candidates: list, Only: "gone"}), "")
 }
 
-// The engine that has a program's prompt is busier than others. A turn that moves has
-// its prompt read again, between the steps of all turns at the other engine: it moves
-// to one that is idle, but not to one where many would wait for it.
+// The engine that has a program's prompt cached is busier than others. A turn that moves
+// needs another prefill, which delays all turns at the other engine: it moves to an idle
+// engine, but not to one where the prefill would delay many turns.
 func TestMovingDelaysOthers(t *testing.T) {
 	cases := map[string]struct {
-		there, here int // turns under way
-		want        string
+		preferred, other int // turns in flight at the engine with the prompt and at the other
+		want             string
 	}{
 		"the other is idle":     {12, 0, "u1"},
 		"the other is busy too": {12, 6, "u0"},
@@ -128,13 +128,13 @@
 			p := &Picker{Domain: "x"}
 			list := ups(2)
 			list[0].Batch, list[1].Batch = 16, 16
-			p.PeersUpdated(map[string]int{"u0": c.there, "u1": c.here}, 1)
+			p.PeersUpdated(map[string]int{"u0": c.preferred, "u1": c.other}, 1)
 			is.New(t).Equal(choose(p, Request{Candidates: list, Key: "k", Prefer: "u0", Tokens: 1200}), c.want)
 		})
 	}
 }
 
-// A burst's programs come through one daemon. They must spread, not queue.
+// The programs of a burst that arrives at one daemon must spread over the upstreams.
 func TestProgramsSpread(t *testing.T) {
 	is := is.New(t)
 	p := &Picker{}
@@ -146,9 +146,9 @@
 	is.Equal(count, map[string]int{"u0": 4, "u1": 4, "u2": 4, "u3": 4})
 }
 
-// Many daemons tell their loads rarely. If each went by what it heard last, all of
-// them would send to the upstream that was idle then, and callers would queue
-// there. They must spread by themselves.
+// Many daemons exchange their loads rarely. If each relied on the latest report, all
+// would select the upstream that was idle at that time, and requests would queue there.
+// Out-of-date reports must count less, and the daemons spread.
 func TestManyDaemonsDoNotConverge(t *testing.T) {
 	is := is.New(t)
 	list := ups(20)
@@ -157,14 +157,14 @@
 		p := &Picker{Name: fmt.Sprint("daemon", i), Domain: "x", Age: func() time.Duration { return 600 * time.Millisecond }}
 		busy := map[string]int{}
 		for _, u := range list[1:] {
-			busy[u.ID] = 3 // all but one looked busy a moment ago
+			busy[u.ID] = 3 // all but one are reported busy
 		}
 		p.PeersUpdated(busy, 1)
 		count[choose(p, Request{Candidates: list})]++
 	}
 	for id, n := range count {
 		if n > 12 {
-			t.Errorf("%s gets %d of 60", id, n)
+			t.Errorf("upstream %s got %d of 60 requests, want at most 12", id, n)
 		}
 	}
 	is.True(len(count) > 10)
@@ -177,7 +177,7 @@
 	choose(p, Request{Candidates: ups(1)})
 	p.RecordFull(now, "gone")
 	p.Forget(none)
-	is.Equal(len(p.upstreams), 1) // the one with a request under way
+	is.Equal(len(p.upstreams), 1) // it has a request in flight
 	is.Equal(p.OwnInFlight(), map[string]int{"u0": 1})
 	p.Done("u0")
 	p.Forget(none)
@@ -193,10 +193,10 @@
 	for range 300 {
 		u.Slowdown("a", 6)
 	}
-	is.True(u.Slowdown("a", 6) < 1.1) // what has become usual
+	is.True(u.Slowdown("a", 6) < 1.1) // the mean has adapted
 }
 
-// BenchmarkChoose is for 1,100 upstreams with 5,000 programs under way.
+// BenchmarkChoose selects among 1,100 upstreams with 5,000 programs in flight.
 func BenchmarkChoose(b *testing.B) {
 	p := &Picker{}
 	list := ups(1100)
