--- a/internal/front/mesh/elect.go
+++ b/internal/front/mesh/elect.go
@@ -11,12 +11,12 @@
 
 func (m *Mesh) isSelf(p peer) bool { return p.Node == m.Self.Node }
 
-// together tells whether all fronts tell each other.
+// fullMesh reports whether all fronts send to each other directly.
 func (m *Mesh) fullMesh() bool { return len(m.peers) < FullMeshMax }
 
-// elect works out who is a hub. The first in order of each failure domain are
-// told as hubs even while nothing is heard of them, or two halves that were cut
-// apart would never hear of each other again; those that stand in for them act.
+// elect determines the acting hubs and the targets of this front's shares. The first in
+// order of each failure domain remain targets even while they are silent, or two halves
+// of a partition would never reconnect; their replacements act as hubs meanwhile.
 func (m *Mesh) elect(now time.Time) {
 	m.prune(now)
 	m.hubs, m.targets, m.isHub = nil, nil, false
@@ -37,9 +37,9 @@
 	slices.SortFunc(m.hubs, func(a, b peer) int { return cmp.Compare(a.id, b.id) })
 }
 
-// addStandIns has those told that act as hubs in the eyes of others. Fronts that lost
-// their hubs at different moments come to different ones; each of these tells at least
-// the first in order, who tell the rest of it.
+// addActingHubs adds to the targets the fronts that others treat as hubs. Fronts that lost
+// their hubs at different times choose different replacements; each of these sends to at
+// least the first in order, whose shares make it known to the rest.
 func (m *Mesh) addActingHubs(now time.Time) {
 	more := map[ID]bool{}
 	for id, s := range m.liveShares(now) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// standIns are the hubs heard that not every hub knows of.
+// actingHubs returns the live hubs with a group that are not among this front's hubs, so
+// other hubs may not know them.
 func (m *Mesh) actingHubs() (ids []ID) {
 	for id, s := range m.shares {
 		if len(s.Group) > 0 && !slices.ContainsFunc(m.hubs, func(p peer) bool { return p.id == id }) {
@@ -72,13 +73,14 @@
 	return ids
 }
 
-// inOrder has the VMs with the most processor first: hubs take ten times as many
-// datagrams as others.
+// byRank orders fronts by failure domain, and there by processor cores, the most first:
+// hubs receive ten times as many datagrams as other fronts.
 func byRank(a, b peer) int {
 	return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.id, b.id))
 }
 
-// first returns so many of each failure domain as its size asks for.
+// firstOfDomains returns the first eligible fronts of each failure domain, as many as the
+// size of the domain requires.
 func (m *Mesh) firstOfDomains(eligible func(peer) bool) (out []peer) {
 	size := map[string]int{}
 	for _, p := range m.order {
@@ -94,11 +96,11 @@
 	return out
 }
 
-// down tells whether another front stands in for this one as a hub. That is for its
-// followers to say, who hear of all fronts: they report to the next in order, and
-// whoever gets a report is a hub. A hub that has just started or woken hears of nobody; if
-// it took all others for gone, and each of them did, all would tell each other directly
-// again.
+// isReplaced reports whether another front acts as hub in place of p. Only a front whose
+// reports are not answered or whose recent digest lists p as missing decides that: it
+// reports to the next in order, and a front that receives a report is a hub. A hub that
+// has just started or resumed has received nothing; if each such hub considered all others
+// down, all fronts would send to each other directly again.
 func (m *Mesh) isReplaced(now time.Time, p peer) bool {
 	if m.isSelf(p) {
 		return false
@@ -109,8 +111,9 @@
 	return now.Sub(p.knownSince) >= settleTime && now.Sub(m.resumed) >= settleTime && m.hasDigest(now) && m.digest.missing[p.id]
 }
 
-// told tells whether what is known comes from a hub. One that has just become a hub
-// itself goes by that until the others have told it of theirs.
+// hasDigest reports whether the state of other fronts comes from a recent digest. A front
+// that has just become a hub itself uses its last digest for two report intervals, until
+// it has received the state of the others.
 func (m *Mesh) hasDigest(now time.Time) bool {
 	longest := digestTTL
 	if m.isHub {
@@ -119,12 +122,8 @@
 	return !m.digest.at.IsZero() && now.Sub(m.digest.at) <= longest
 }
 
-// choose returns the hub that a front reports to: one of its failure domain if
-// there is any, each front another one.
-//
-// While a hub gives no answer and nobody has said that it is gone, one of any failure
-// domain will do. All hubs of a domain may be frozen, and half a second goes by with
-// each that is tried; one that answers tells which of them are there.
+// hubFor returns the hub that a front reports to: one of its failure domain if there is
+// any, chosen by a hash so that the fronts spread over the hubs.
 func (m *Mesh) hubFor(front Peer) (hub peer, ok bool) {
 	if list := m.hubCandidates(front); len(list) > 0 {
 		return list[0], true
@@ -132,7 +131,11 @@
 	return hub, false
 }
 
-// preferred returns the hubs that a front may report to, the best first.
+// hubCandidates returns the hubs that a front may report to, the preferred one first.
+//
+// While a hub that did not answer has not been listed as missing in a digest, hubs of all
+// failure domains are candidates. All hubs of a domain may be frozen, and each attempt
+// takes half a second; the digest of any hub that answers tells which of them are alive.
 func (m *Mesh) hubCandidates(front Peer) (list []peer) {
 	sameDomain := slices.ContainsFunc(m.hubs, func(p peer) bool { return p.Domain == front.Domain })
 	for _, a := range m.avoid {
@@ -150,7 +153,8 @@
 	return list
 }
 
-// prune drops what is too old to count.
+// prune drops expired reports, shares and avoided hubs, and avoids hubs that have not
+// answered within answerTimeout.
 func (m *Mesh) prune(now time.Time) {
 	m.reports = maps.Collect(m.liveReports(now))
 	m.shares = maps.Collect(m.liveShares(now))
@@ -171,8 +175,8 @@
 	}
 }
 
-// Rank is how many fronts come before this one in the order in which they look at
-// the store: hubs first, since all others hear from them.
+// Rank is the number of fronts that come before this one in the order in which they read
+// the store: hubs first, since they send the result to all others.
 func (m *Mesh) Rank(now time.Time) int {
 	self := IDOf(m.Self.Node)
 	if i := slices.IndexFunc(m.hubs, m.isSelf); i >= 0 {
--- a/internal/front/mesh/mesh.go
+++ b/internal/front/mesh/mesh.go
@@ -1,20 +1,21 @@
-// Package mesh decides what the daemons that serve callers tell each other, and
-// what follows from what they hear: who is alive, and what all of them together
-// have under way at each upstream.
+// Package mesh is the protocol by which fronts, the daemons that serve callers, exchange
+// their state: which of them are alive, and how many requests all of them together have
+// in flight at each upstream.
 //
-// A few fronts tell each other everything directly. With hundreds that would be
-// tens of thousands of datagrams a second, or news that is seconds old. So beyond
-// Together, some fronts of each failure domain are hubs: every other front reports
-// to one hub, hubs share the sums of their groups with each other, and answer each
-// report with a digest of the whole. What a front has under way reaches all others
-// in three datagrams, and a front takes as many whatever their number.
+// A few fronts send their state to each other directly. With hundreds that would be
+// tens of thousands of datagrams a second, or state that is seconds old. So above
+// FullMeshMax, some fronts of each failure domain are hubs: every other front reports
+// to one hub, and hubs send the sums of their groups to each other and answer each
+// report with a digest of the state of all fronts. The load of a front reaches all others
+// in three datagrams, and the number of datagrams that a front receives does not grow
+// with the number of fronts.
 //
-// Nobody appoints hubs. Each front works the same order out of the list of fronts,
-// and whoever gets a report is a hub for its sender, so fronts whose lists differ
-// still understand each other.
+// Hubs are not elected by messages. Each front derives the same order from the list of
+// fronts, and a front that receives a report acts as hub for its sender, so fronts with
+// different lists still interoperate.
 //
-// Mesh is a state machine without clock, lock or network: events go in, datagrams
-// that are to be sent come out.
+// Mesh is a state machine without clock, lock or network: its inputs are events, its
+// outputs the datagrams to send.
 package mesh
 
 import (
@@ -26,73 +27,74 @@
 )
 
 const (
-	// Together is the largest number of fronts that all tell each other: at 7 ms
-	// for each their words are then 0.17 s old at most, as old as through hubs.
+	// FullMeshMax is the number of fronts, this one included, up to which all send to each
+	// other: at 7 ms for each their state is then at most 0.17 s old, as old as through
+	// hubs.
 	FullMeshMax = 24
-	// groupMost is how many fronts share a hub. A hub takes 160 reports a second
-	// from them, fewer datagrams than from the other hubs.
+	// maxGroup is the number of fronts per hub. A hub receives 160 reports a second from
+	// them, fewer datagrams than from the other hubs.
 	maxGroup = 16
-	// hubsLeast is the least number of hubs in a failure domain, so that the
-	// others have one nearby when one dies.
+	// minHubs is the least number of hubs in a failure domain, so that its other fronts
+	// have another one in the domain when one fails.
 	minHubs = 2
-	// base is the pause between datagrams to the same front: half of the time of
-	// a short plain call.
+	// minInterval is the shortest interval between datagrams to the same front: half of
+	// the time of a short plain call.
 	minInterval = 60 * time.Millisecond
-	// perPeer stretches the pause with the number of fronts that are told, which
-	// bounds the datagrams that each sends and takes to about 140 a second.
-	// perHub is the same between hubs, 250 a second: hubs are few, and the VMs with
-	// the most processor.
+	// intervalPerPeer extends the interval with the number of recipients, which limits the
+	// datagrams that each front sends and receives to about 140 a second.
+	// intervalPerHub is the same between hubs, 250 a second: hubs are few, and run on the
+	// VMs with the most processor cores.
 	intervalPerPeer = 7 * time.Millisecond
 	intervalPerHub  = 4 * time.Millisecond
-	// reportPause is the pause between reports to a hub. Two reports and the hubs'
-	// pause in between are the age of what is known through hubs: 0.3 s at most
-	// with 24 hubs, half of it on the average.
+	// reportInterval is the interval between reports to a hub. State that passes through
+	// hubs is as old as two report intervals and the hubs' interval in between: at most
+	// 0.3 s with 24 hubs, half of that on average.
 	reportInterval = 100 * time.Millisecond
-	// Silent is the least time for which a front may say nothing before it counts
-	// as gone, and silentPauses the same in pauses: so many datagrams in a row are
-	// hardly ever lost. Through hubs it is silentHub, in which the fronts of a hub
-	// that died have found another one.
+	// SilenceTimeout is the least time without datagrams after which a front counts as
+	// down, and silenceIntervals the same in send intervals: so many datagrams in a row are
+	// hardly ever lost. With hubs it is hubSilenceTimeout, in which the fronts of a failed
+	// hub have switched to another one.
 	SilenceTimeout    = 900 * time.Millisecond
 	silenceIntervals  = 3
 	hubSilenceTimeout = 800 * time.Millisecond
-	// digestAge is for how long a digest counts: five answers are hardly ever lost.
+	// digestTTL is how long a digest is valid: five answers in a row are hardly ever lost.
 	digestTTL = 500 * time.Millisecond
-	// followAge is for how long a report counts: five are hardly ever lost.
+	// reportTTL is how long a report is valid: five in a row are hardly ever lost.
 	reportTTL = 500 * time.Millisecond
-	// patience is how long a hub may leave reports without an answer, and
-	// avoidFor how long it is left alone then.
+	// answerTimeout is how long a hub may leave reports unanswered before it is avoided,
+	// and avoidFor how long it is then avoided.
 	answerTimeout = 500 * time.Millisecond
 	avoidFor      = 10 * time.Second
-	// seekMost is how many hubs are tried at a time while none answers: of three
-	// one is there though half of all are frozen, seven times out of eight. seekAfter
-	// is three reports without an answer.
+	// maxProbes is how many hubs get a report at a time while none answers: if half of all
+	// hubs are frozen, one of three answers seven times out of eight. probeAfter is the
+	// time without an answer after which that starts, three reports.
 	maxProbes  = 3
 	probeAfter = 3 * reportInterval
-	// settle is how long a front that has just become known may say nothing
-	// before another one takes its part as a hub.
+	// settleTime is how long a newly listed front may be silent before it is replaced as
+	// a hub. It also applies to all hubs after this front has resumed from a freeze.
 	settleTime = time.Second
-	// stall is the time between two ticks after which this front counts as frozen:
-	// several times the longest pause.
+	// stallTime is the time between two ticks beyond which this front counts as having
+	// been frozen: several times the longest interval.
 	stallTime = time.Second
-	// fewest is the part of all fronts, a quarter, of which a hub must hear for its
-	// digest to count. Half are not heard of when the hubs of half of the failure
-	// domains freeze together, and others must stand in for them.
-	minKnownFraction = 4
-	// greetPause is the pause between digests to a front of which nothing is heard.
-	// One that knows of no other yet learns by them whom to ask, so hundreds that
-	// start together need not read the store until each has found all others.
+	// minKnownDivisor sets the number of live fronts that a digest must report to be
+	// accepted: more than this part of all fronts, a quarter. Half are missing from digests
+	// when the hubs of half of the failure domains freeze together, until they are replaced.
+	minKnownDivisor = 4
+	// announceInterval is the interval between digests to a silent front. A front that
+	// knows of no other yet learns from them which peer to ask, so hundreds that start
+	// together need not read the store until each has found all others.
 	announceInterval = 500 * time.Millisecond
-	// maxLoads bounds the upstreams in one datagram, so that it stays below its
-	// largest size: those with the most under way. So it does for accounts.
+	// maxLoads is the largest number of upstreams in one datagram, those with the most
+	// requests in flight, so that the datagram fits MaxPacket. It also applies to accounts.
 	maxLoads = 500
 )
 
-// ID is the short form of a name. Datagrams have four bytes in place of some
-// twenty; among a thousand names two are the same once in 8,000 fleets, and then
-// the load of one upstream is counted for another.
+// ID is a hash of a name: four bytes in a datagram in place of some twenty. Among a
+// thousand names there is a collision in one of 8,000 fleets; the load of one upstream
+// is then also counted for another.
 type ID uint32
 
-// IDOf returns the short form of the name of a front or an upstream.
+// IDOf returns the hash of the name of a front, an upstream or an account.
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
 type (
@@ -104,53 +106,53 @@
 		Cores   float64
 	}
 
-	// Event is something that the machine is told.
+	// Event is an input of the state machine.
 	Event interface{ event() }
 
-	// Listed tells which other fronts there are.
+	// PeerList is the list of fronts in the store; it may include this one.
 	PeerList struct{ Peers []Peer }
 
-	// Heard is a datagram that came. A damaged one is not an event.
+	// Received is a message from another front. Invalid datagrams are not passed on.
 	Received struct{ Message Message }
 
-	// Tick is due every Pause. It may also come earlier, to tell something now.
+	// Tick is due at every Interval. It may come earlier, to send changed state at once.
 	Tick struct {
 		State State
-		Load  map[ID]int // own requests under way, by upstream
-		Used  map[ID]int // own requests let in lately, by account
+		Load  map[ID]int // own requests in flight, by upstream
+		Used  map[ID]int // own requests admitted recently, by account
 	}
 
-	// Send is a datagram that is to be sent.
+	// Send is a datagram to send.
 	Send struct {
 		To      string
 		Message Message
 	}
 
-	// Mesh is one front's part. Set Self, then call Step.
+	// Mesh is the state of one front. Set Self, then call Step.
 	Mesh struct {
 		Self Peer
 
 		own          Tick
 		listed       []Peer
 		peers        map[ID]peer
-		order        []peer        // all fronts, this one too, in the order in which they become hubs
-		reports      map[ID]report // of the fronts that follow this one
-		shares       map[ID]share  // of other hubs
-		digest       digest
-		avoid        map[ID]avoided   // hubs that gave no answer
-		awaiting     map[ID]time.Time // hubs that have not answered since
-		lastAnnounce time.Time        // when silent fronts were told last
+		order        []peer           // all fronts, this one included, in the order in which they become hubs
+		reports      map[ID]report    // of the fronts that have this one as their hub
+		shares       map[ID]share     // of other hubs
+		digest       digest           // the latest, from any hub
+		avoid        map[ID]avoided   // hubs that did not answer
+		awaiting     map[ID]time.Time // hubs with unanswered reports, by the time of the first
+		lastAnnounce time.Time        // when digests were last sent to silent fronts
 		lastTick     time.Time
-		resumed      time.Time // from a freeze
+		resumed      time.Time // end of the latest freeze
 		isHub        bool
-		hubs         []peer // of all failure domains, in the order of their IDs; those that act
-		targets      []peer // that are told as a hub
+		hubs         []peer // acting hubs of all failure domains, sorted by ID
+		targets      []peer // to which this front sends its share as a hub
 	}
 
 	peer struct {
 		Peer
 		id         ID
-		knownSince time.Time // known since then
+		knownSince time.Time // when it was first listed at its address
 	}
 
 	report struct {
@@ -160,7 +162,7 @@
 
 	avoided struct {
 		until         time.Time
-		confirmedDown bool // others have missed it since, too
+		confirmedDown bool // a digest has since listed it as missing, too
 	}
 
 	share struct {
@@ -179,7 +181,7 @@
 func (Received) event() {}
 func (Tick) event()     {}
 
-// Step takes an event and returns what is to be sent.
+// Step applies an event and returns the datagrams to send.
 func (m *Mesh) Step(now time.Time, e Event) []Send {
 	m.init()
 	switch e := e.(type) {
@@ -208,13 +210,13 @@
 	m.shares = map[ID]share{}
 	m.avoid = map[ID]avoided{}
 	m.awaiting = map[ID]time.Time{}
-	m.isHub = true // until there are others to choose from
+	m.isHub = true // until other fronts are listed
 	m.setPeers(time.Time{}, nil)
 }
 
-// wake forgets what others said if this front has been frozen. Datagrams that waited
-// for it come as if they were new: it would count what others had under way seconds
-// ago, and take hubs for dead that were only frozen with it.
+// resetIfStalled drops the state of other fronts if this one has been frozen. Datagrams
+// that queued up in the meantime arrive as if they were new: it would count loads that are
+// seconds old, and consider hubs down that were only frozen together with it.
 func (m *Mesh) resetIfStalled(now time.Time) {
 	last := m.lastTick
 	m.lastTick = now
@@ -265,7 +267,7 @@
 		m.reports[id] = report{Report: msg, at: now}
 		sends := []Send{{To: msg.State.Peer, Message: m.digestFor(now, id)}}
 		if !known || status(old.State) != status(msg.State) {
-			sends = append(sends, m.shareWithHubs(now)...) // callers are sent elsewhere at once
+			sends = append(sends, m.shareWithHubs(now)...) // so that callers are directed elsewhere at once
 		}
 		return sends
 	case Share:
@@ -275,11 +277,11 @@
 		m.shares[id] = share{Share: msg, at: now}
 	case Digest:
 		delete(m.awaiting, id)
-		if minKnownFraction*msg.Fronts <= len(m.order) {
+		if minKnownDivisor*msg.Fronts <= len(m.order) {
 			if msg.State.Node == m.digest.State.Node {
-				m.digest = digest{} // others are tried
+				m.digest = digest{} // so that other hubs are tried
 			}
-			return nil // it has just become a hub, or has woken, and knows of few itself
+			return nil // the hub has just become one or has resumed, and knows few fronts
 		}
 		if msg.State.Node == m.digest.State.Node && stale(now, msg.State, m.digest.State, m.digest.at) {
 			return nil
@@ -292,13 +294,14 @@
 	return nil
 }
 
-// stale tells whether a front said this before what it has said already. One that
-// started again may have a clock that was set back.
+// stale reports whether a message was sent before the latest one of the same front.
+// If that one is older than SilenceTimeout any message is accepted, since a front that
+// restarted may have a clock that was set back.
 func stale(now time.Time, s, old State, at time.Time) bool {
 	return s.Sent <= old.Sent && now.Sub(at) < SilenceTimeout
 }
 
-// Pause is the time between ticks.
+// Interval is the time between ticks.
 func (m *Mesh) Interval() time.Duration {
 	if !m.isHub {
 		return reportInterval
@@ -314,7 +317,7 @@
 	return max(minInterval, time.Duration(len(m.targets))*each)
 }
 
-// Age is how old what is known of other fronts may be.
+// Age is the largest age of the state of other fronts.
 func (m *Mesh) Age() time.Duration {
 	if m.fullMesh() {
 		return m.Interval()
--- a/internal/front/mesh/mesh_test.go
+++ b/internal/front/mesh/mesh_test.go
@@ -14,9 +14,9 @@
 	return State{Node: node, Peer: node + ":peer", Callers: node, Sent: sent}
 }
 
-// Datagrams overtake each other, and a daemon starts again with a clock that was set
-// back. What is old must not undo what is newer, but the restarted daemon must be
-// heard.
+// Datagrams arrive out of order, and a daemon restarts with a clock that was set back.
+// Older state must not overwrite newer, but messages of the restarted daemon must be
+// accepted.
 func TestReorderedDatagrams(t *testing.T) {
 	up := IDOf("upstream")
 	cases := map[string]struct {
@@ -54,7 +54,7 @@
 	is.Equal(p.Alive[IDOf("c")], Unhealthy)
 	is.Equal(p.Unlisted, []State{state("unlisted", 1)})
 	p = m.Summary(start.Add(SilenceTimeout + time.Millisecond))
-	is.Equal(p.Fronts, 3) // a, and c through it
+	is.Equal(p.Fronts, 3) // this one, a, and c in the group of a
 	is.Equal(len(p.Unlisted), 0)
 }
 
@@ -67,10 +67,9 @@
 	return peers
 }
 
-// Hundreds of fronts start together and know nobody. The first that has read of the
-// others must not be the only one that knows for long: each that reads by itself
-// costs a call to the store, and until it knows the others it sees engines idle that
-// are not.
+// Hundreds of fronts start together and know no peers. The first that has read the list
+// from the store must make it available to the others quickly: a front that reads by itself
+// costs a call to the store, and until it has its peers' loads busy engines look idle.
 func TestSilentFrontsGetDigests(t *testing.T) {
 	is := is.New(t)
 	peers := many(171)
@@ -79,7 +78,7 @@
 		m := Mesh{Self: p}
 		m.Step(start, PeerList{Peers: peers})
 		sends := m.Step(start, Tick{State: state(p.Node, 1)})
-		sends = append(sends, m.Step(start.Add(announceInterval-1), Tick{State: state(p.Node, 2)})...) // not again so soon
+		sends = append(sends, m.Step(start.Add(announceInterval-1), Tick{State: state(p.Node, 2)})...) // none again within announceInterval
 		for _, s := range sends {
 			switch s.Message.(type) {
 			case Digest:
@@ -91,17 +90,17 @@
 		}
 		for _, s := range m.Step(start.Add(announceInterval), Tick{State: state(p.Node, 3)}) {
 			if _, is := s.Message.(Digest); is && len(m.reports) > 0 {
-				t.Errorf("%s is told although it reports", s.To)
+				t.Errorf("unsolicited digest to %s, which reports", s.To)
 			}
 		}
 	}
 	for _, p := range peers {
-		is.True(digests[p.Node] == 1 || shares[p.Node] > 0) // hubs hear of each other anyway
+		is.True(digests[p.Node] == 1 || shares[p.Node] > 0) // hubs get shares instead
 	}
 }
 
-// A datagram must hold the loads of all upstreams with the most under way, whatever
-// their number.
+// A datagram must stay within MaxPacket and hold the loads of the upstreams with the most
+// requests in flight, whatever the number of upstreams.
 func TestLargestDatagram(t *testing.T) {
 	is := is.New(t)
 	load := map[ID]int{}
@@ -123,7 +122,7 @@
 	is.Equal(got.Missing, d.Missing)
 }
 
-// Datagrams come from anywhere and may be damaged. None may stop a daemon.
+// Datagrams may come from any sender and may be damaged. None may crash a daemon.
 func FuzzDecode(f *testing.F) {
 	for _, msg := range []Message{
 		Report{State: state("a", 1), Load: map[ID]int{1: 2}},
@@ -136,7 +135,7 @@
 		}
 		f.Add(data)
 	}
-	f.Add([]byte{0xa1, 0x01, 0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}) // a map that claims to be huge
+	f.Add([]byte{0xa1, 0x01, 0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}) // a map header with a huge length
 	f.Fuzz(func(t *testing.T, data []byte) {
 		msg, err := Decode(data)
 		if err != nil {
@@ -148,8 +147,8 @@
 	})
 }
 
-// A front froze and wakes, with datagrams that waited for it. What they tell is seconds
-// old, so engines that were idle then get its requests.
+// A front resumes from a freeze and receives datagrams that were queued meanwhile. Their
+// loads are seconds old, and with them it would select engines that are no longer idle.
 func TestResumedFrontResets(t *testing.T) {
 	up := IDOf("upstream")
 	cases := map[string]struct {
@@ -172,8 +171,8 @@
 	}
 }
 
-// A front reports what it has under way and is told what the others have. If its own
-// came back as others', it would take its upstreams for twice as busy as they are.
+// A front reports its load and receives a digest of the others' loads. If the digest
+// included its own, it would count its requests twice.
 func TestOwnLoadIsNotOthers(t *testing.T) {
 	is := is.New(t)
 	up := IDOf("upstream")
--- a/internal/front/mesh/message.go
+++ b/internal/front/mesh/message.go
@@ -12,54 +12,55 @@
 const MaxPacket = 8 << 10
 
 type (
-	// Message is what one front tells another.
+	// Message is a Report, Share or Digest that one front sends to another.
 	Message interface{ state() State }
 
-	// State is what a front tells of itself.
+	// State is what a front reports about itself in each message.
 	State struct {
 		Node         string `cbor:"1,keyasint"`
-		Sent         int64  `cbor:"2,keyasint"` // Unix nanoseconds of the sender; orders what it says
+		Sent         int64  `cbor:"2,keyasint"` // Unix nanoseconds of the sender's clock; orders its messages
 		Peer         string `cbor:"3,keyasint"` // its address for other daemons
-		Callers      string `cbor:"4,keyasint"` // and for callers
+		Callers      string `cbor:"4,keyasint"` // its address for callers
 		Leaving      bool   `cbor:"5,keyasint,omitempty"`
-		Unhealthy    bool   `cbor:"6,keyasint,omitempty"` // it can't reach what it needs to serve
-		Revision     uint64 `cbor:"7,keyasint"`           // of the store, as it knows it
-		Hash         uint64 `cbor:"8,keyasint"`           // of its knowledge
-		Age          int64  `cbor:"9,keyasint"`           // milliseconds since that was confirmed
-		AvailableFor int64  `cbor:"10,keyasint"`          // milliseconds without a gap in the store's news before that
+		Unhealthy    bool   `cbor:"6,keyasint,omitempty"` // it can't reach a dependency that it needs to serve requests
+		Revision     uint64 `cbor:"7,keyasint"`           // of the store, in its fleet view
+		Hash         uint64 `cbor:"8,keyasint"`           // of its fleet view
+		Age          int64  `cbor:"9,keyasint"`           // milliseconds since that view was confirmed
+		AvailableFor int64  `cbor:"10,keyasint"`          // milliseconds before that in which the store was available without a gap
 	}
 
-	// Report is what a front tells its hub.
+	// Report is what a front sends to its hub.
 	Report struct {
 		State State      `cbor:"1,keyasint"`
-		Load  map[ID]int `cbor:"2,keyasint,omitempty"` // its own
-		Used  map[ID]int `cbor:"3,keyasint,omitempty"`
+		Load  map[ID]int `cbor:"2,keyasint,omitempty"` // its own requests in flight, by upstream
+		Used  map[ID]int `cbor:"3,keyasint,omitempty"` // its own requests admitted recently, by account
 	}
 
-	// Share is what a hub tells the others.
+	// Share is what a hub sends to the other hubs.
 	Share struct {
 		State State         `cbor:"1,keyasint"`
 		Load  map[ID]int    `cbor:"2,keyasint,omitempty"` // its own and its group's
 		Group map[ID]Status `cbor:"3,keyasint,omitempty"` // the fronts that report to it
-		Hubs  []ID          `cbor:"4,keyasint,omitempty"` // that stand in for others, as far as it hears of them
-		Used  map[ID]int    `cbor:"5,keyasint,omitempty"`
+		Hubs  []ID          `cbor:"4,keyasint,omitempty"` // fronts that act as hubs, but are not hubs in the sender's order
+		Used  map[ID]int    `cbor:"5,keyasint,omitempty"` // as Load, by account
 	}
 
-	// Digest is what a hub answers to a report.
+	// Digest is the state of all fronts that a hub sends in answer to a report, or
+	// unsolicited to a silent front.
 	Digest struct {
 		State     State      `cbor:"1,keyasint"`
-		Load      map[ID]int `cbor:"2,keyasint,omitempty"` // of all fronts but the one that is told
-		Fronts    int        `cbor:"3,keyasint"`           // that are alive, the one that is told included
-		Missing   []ID       `cbor:"4,keyasint,omitempty"` // listed, but nothing is heard of them
+		Load      map[ID]int `cbor:"2,keyasint,omitempty"` // of all fronts but the recipient
+		Fronts    int        `cbor:"3,keyasint"`           // live fronts; includes the sender, and the recipient if it reported
+		Missing   []ID       `cbor:"4,keyasint,omitempty"` // listed fronts that are not alive
 		Leaving   []ID       `cbor:"5,keyasint,omitempty"`
 		Unhealthy []ID       `cbor:"6,keyasint,omitempty"`
-		Used      map[ID]int `cbor:"7,keyasint,omitempty"` // as Load
+		Used      map[ID]int `cbor:"7,keyasint,omitempty"` // as Load, by account
 	}
 
-	// Mark is what matters to callers of a front that is alive.
+	// Status holds the flags of a live front that decide whether callers are directed to it.
 	Status uint8
 
-	// packet is a datagram: one of its fields is set.
+	// packet is the encoding of a datagram: exactly one of its fields is set.
 	packet struct {
 		Report *Report `cbor:"1,keyasint,omitempty"`
 		Share  *Share  `cbor:"2,keyasint,omitempty"`
@@ -67,7 +68,7 @@
 	}
 )
 
-// The marks of a front. One that is neither leaving nor unwell has none.
+// The flags of a Status.
 const (
 	Leaving Status = 1 << iota
 	Unhealthy
@@ -87,7 +88,7 @@
 	return m
 }
 
-// Encode returns the datagram of a message.
+// Encode returns the datagram of a message, with at most maxLoads upstreams and accounts.
 func Encode(msg Message) (data []byte, err error) {
 	var p packet
 	switch msg := msg.(type) {
@@ -105,8 +106,8 @@
 	return data, errors.Wrap(err, "encode datagram")
 }
 
-// Decode returns the message of a datagram. Errors are of datagrams that are
-// damaged or not of a front.
+// Decode returns the message of a datagram. The error reports a datagram that is damaged
+// or has no message of a front.
 func Decode(data []byte) (msg Message, err error) {
 	var p packet
 	if err = cbor.Unmarshal(data, &p); err != nil {
@@ -121,15 +122,15 @@
 		msg = *p.Digest
 	}
 	if msg == nil || msg.state().Node == "" {
-		return nil, errors.New("decode datagram: no message of a front")
+		return nil, errors.New("decode datagram: no message or no sender")
 	}
 	return msg, nil
 }
 
-// StateOf returns what the sender of a message tells of itself.
+// StateOf returns the state of the sender of a message.
 func StateOf(msg Message) State { return msg.state() }
 
-// busiest returns the loads that fit a datagram.
+// busiest returns the maxLoads largest counts.
 func busiest(load map[ID]int) map[ID]int {
 	if len(load) <= maxLoads {
 		return load
--- a/internal/front/mesh/sim_test.go
+++ b/internal/front/mesh/sim_test.go
@@ -14,29 +14,29 @@
 const (
 	loss  = 0.05 // of datagrams
 	delay = 2 * time.Millisecond
-	step  = 20 * time.Millisecond  // between looks at what fronts know
-	round = 400 * time.Millisecond // a report, a share and a digest
+	step  = 20 * time.Millisecond  // interval between checks of the fronts' state
+	round = 400 * time.Millisecond // time for a report, a share and a digest
 )
 
 type (
-	// world plays fronts on a virtual clock.
+	// simulation runs fronts on a virtual clock.
 	simulation struct {
 		now         time.Time
 		fronts      []*front
-		at          map[string]int // fronts by address
+		at          map[string]int // index of the front, by address
 		queue       events
 		rng         *rand.Rand
-		received    map[int]int // datagrams that came, by front
-		bytes       map[int]int
-		largest     int  // bytes of the largest datagram
-		measure     bool // datagrams
-		partitioned bool // the first half hears nothing of the second, nor the other way round
+		received    map[int]int // number of datagrams sent to a front, by index
+		bytes       map[int]int // their bytes
+		largest     int         // bytes of the largest datagram
+		measure     bool        // count datagrams and bytes
+		partitioned bool        // the two halves don't receive each other's datagrams
 	}
 
 	front struct {
 		Mesh
 		frozen bool
-		held   []Message // that came while it was frozen
+		held   []Message // received while it was frozen
 	}
 
 	delivery struct {
@@ -59,10 +59,10 @@
 	return e
 }
 
-// newWorld has fronts in six failure domains, a tenth of them with four times the
-// processor of the others. All start within 0.3 s.
+// newSimulation returns fronts in six failure domains, a tenth of them with four times the
+// processor cores of the others. All start within 0.3 s.
 func newSimulation(n int, seed uint64) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		now: time.Unix(1000, 0), at: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 1)),
 		received: map[int]int{}, bytes: map[int]int{},
 	}
@@ -73,168 +73,169 @@
 			p.Cores = 0.8
 		}
 		peers = append(peers, p)
-		w.at[p.Address] = i
+		sim.at[p.Address] = i
 	}
 	for i, p := range peers {
 		f := &front{Mesh: Mesh{Self: p}}
-		f.Step(w.now, PeerList{Peers: peers})
-		w.fronts = append(w.fronts, f)
-		heap.Push(&w.queue, delivery{at: w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond), to: i})
+		f.Step(sim.now, PeerList{Peers: peers})
+		sim.fronts = append(sim.fronts, f)
+		heap.Push(&sim.queue, delivery{at: sim.now.Add(time.Duration(sim.rng.IntN(300)) * time.Millisecond), to: i})
 	}
-	return w
+	return sim
 }
 
-// load tells the time in place of a count, so that others' knowledge has an age.
-func (w *simulation) load() int { return int(w.now.UnixMilli()) }
+// load returns the time in place of a count, from which the age of loads is computed.
+func (sim *simulation) load() int { return int(sim.now.UnixMilli()) }
 
-func (w *simulation) tick(i int) []Send {
-	p := w.fronts[i].Self
-	return w.fronts[i].Step(w.now, Tick{
+func (sim *simulation) tick(i int) []Send {
+	p := sim.fronts[i].Self
+	return sim.fronts[i].Step(sim.now, Tick{
 		State: State{Node: p.Node, Peer: p.Address, Callers: p.Address},
-		Load:  map[ID]int{IDOf(p.Node): w.load()},
+		Load:  map[ID]int{IDOf(p.Node): sim.load()},
 	})
 }
 
-// run plays until then, and looks every step.
-func (w *simulation) run(until time.Time, observe func()) {
-	next := w.now
+// run simulates until the given time, and calls observe every step.
+func (sim *simulation) run(until time.Time, observe func()) {
+	next := sim.now
 	for {
-		e := w.queue[0]
+		e := sim.queue[0]
 		if observe != nil && !next.After(e.at) && !next.After(until) {
-			w.now = next
+			sim.now = next
 			observe()
 			next = next.Add(step)
 			continue
 		}
 		if e.at.After(until) {
-			w.now = until
+			sim.now = until
 			return
 		}
-		heap.Pop(&w.queue)
-		w.now = e.at
-		w.deliver(e)
+		heap.Pop(&sim.queue)
+		sim.now = e.at
+		sim.deliver(e)
 	}
 }
 
-func (w *simulation) deliver(e delivery) {
-	f := w.fronts[e.to]
+func (sim *simulation) deliver(e delivery) {
+	f := sim.fronts[e.to]
 	if f.frozen {
 		if e.msg != nil {
 			f.held = append(f.held, e.msg)
 			return
 		}
-		heap.Push(&w.queue, delivery{at: w.now.Add(step), to: e.to}) // its timer fires when it wakes
+		heap.Push(&sim.queue, delivery{at: sim.now.Add(step), to: e.to}) // its timer fires when it resumes
 		return
 	}
 	if e.msg == nil {
-		w.send(w.tick(e.to))
-		heap.Push(&w.queue, delivery{at: w.now.Add(f.Interval()), to: e.to})
+		sim.send(sim.tick(e.to))
+		heap.Push(&sim.queue, delivery{at: sim.now.Add(f.Interval()), to: e.to})
 		return
 	}
 	for _, msg := range append(f.held, e.msg) {
-		w.send(f.Step(w.now, Received{Message: msg}))
+		sim.send(f.Step(sim.now, Received{Message: msg}))
 	}
 	f.held = nil
 }
 
-func (w *simulation) send(sends []Send) {
+func (sim *simulation) send(sends []Send) {
 	for _, s := range sends {
-		to := w.at[s.To]
-		from := w.at[StateOf(s.Message).Peer]
-		if w.partitioned && (2*from < len(w.fronts)) != (2*to < len(w.fronts)) {
+		to := sim.at[s.To]
+		from := sim.at[StateOf(s.Message).Peer]
+		if sim.partitioned && (2*from < len(sim.fronts)) != (2*to < len(sim.fronts)) {
 			continue
 		}
-		if w.measure {
+		if sim.measure {
 			data, err := Encode(s.Message)
 			if err != nil {
 				panic(err)
 			}
-			w.received[to]++
-			w.bytes[to] += len(data)
-			w.largest = max(w.largest, len(data))
+			sim.received[to]++
+			sim.bytes[to] += len(data)
+			sim.largest = max(sim.largest, len(data))
 		}
-		if w.rng.Float64() < loss {
+		if sim.rng.Float64() < loss {
 			continue
 		}
-		heap.Push(&w.queue, delivery{at: w.now.Add(delay), to: to, msg: s.Message})
+		heap.Push(&sim.queue, delivery{at: sim.now.Add(delay), to: to, msg: s.Message})
 	}
 }
 
-// freeze stops or wakes a tenth of the fronts, all with much processor.
-func (w *simulation) freeze(on bool) (list []int) {
-	for i := 0; i < len(w.fronts); i += 10 {
-		w.fronts[i].frozen = on
+// freeze freezes or resumes a tenth of the fronts, those with the most cores.
+func (sim *simulation) freeze(on bool) (list []int) {
+	for i := 0; i < len(sim.fronts); i += 10 {
+		sim.fronts[i].frozen = on
 		list = append(list, i)
 	}
 	return list
 }
 
-// looker keeps since when fronts know better of others than they should.
+// observer records how long fronts have had a wrong status of others.
 type observer struct {
-	since   map[[2]int]time.Time // by viewer and viewed
-	longest time.Duration        // that some front was wrong of another
+	since   map[[2]int]time.Time // by the indices of the front and of the other
+	longest time.Duration        // longest time for which a front had a wrong status of another
 }
 
-// look has a dozen fronts checked for whether the listed are alive.
-func (l *observer) observe(w *simulation, list []int, alive bool) {
-	for i := 0; i < len(w.fronts); i += 1 + len(w.fronts)/12 {
-		if w.fronts[i].frozen {
+// observe checks in a dozen fronts that the fronts in list are alive, or that they are down
+// and have no load.
+func (o *observer) observe(sim *simulation, list []int, alive bool) {
+	for i := 0; i < len(sim.fronts); i += 1 + len(sim.fronts)/12 {
+		if sim.fronts[i].frozen {
 			continue
 		}
-		p := w.fronts[i].Summary(w.now)
+		p := sim.fronts[i].Summary(sim.now)
 		for _, other := range list {
 			key := [2]int{i, other}
-			id := IDOf(w.fronts[other].Self.Node)
+			id := IDOf(sim.fronts[other].Self.Node)
 			_, is := p.Alive[id]
-			is = is || !alive && p.Load[id] != 0 // what it had under way counts no more
+			is = is || !alive && p.Load[id] != 0 // the load of a front that is down must not count
 			if other == i || is == alive {
-				delete(l.since, key)
+				delete(o.since, key)
 				continue
 			}
-			if _, known := l.since[key]; !known {
-				l.since[key] = w.now
+			if _, known := o.since[key]; !known {
+				o.since[key] = sim.now
 			}
-			l.longest = max(l.longest, w.now.Sub(l.since[key]))
+			o.longest = max(o.longest, sim.now.Sub(o.since[key]))
 		}
 	}
 }
 
 var sizes = map[string]int{"eight": 8, "a few dozen": 54, "the largest that is served": 171, "the target": 320}
 
-// freezeAndWake has a tenth of all VMs freeze at the same moment, all hubs of half of the
-// failure domains among them, and wake some seconds later. Callers that are sent to a
-// frozen VM wait for nothing; callers that are not sent to one that is well make the
-// others work harder.
+// freezeAndResume freezes a tenth of all VMs at the same time, among them all hubs of half
+// of the failure domains, and resumes them seconds later. Requests sent to a frozen VM
+// time out; a healthy VM that is left out adds load to the others.
 func freezeAndResume(t *testing.T, n int, seed uint64) {
 	t.Helper()
 	is := is.New(t)
-	w := newSimulation(n, seed)
-	w.run(w.now.Add(2*time.Second), nil)
-	check := func(list []int, alive bool, played time.Duration) time.Duration {
-		l := observer{since: map[[2]int]time.Time{}}
-		w.run(w.now.Add(played), func() { l.observe(w, list, alive) })
-		return l.longest
+	sim := newSimulation(n, seed)
+	sim.run(sim.now.Add(2*time.Second), nil)
+	check := func(list []int, alive bool, duration time.Duration) time.Duration {
+		o := observer{since: map[[2]int]time.Time{}}
+		sim.run(sim.now.Add(duration), func() { o.observe(sim, list, alive) })
+		return o.longest
 	}
 	var all []int
-	for i := range w.fronts {
+	for i := range sim.fronts {
 		all = append(all, i)
 	}
-	left := check(all, true, time.Second)
-	frozen := w.freeze(true)
-	gone := check(frozen, false, 2500*time.Millisecond)
-	well := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(frozen, i) })
-	rest := check(well, true, 500*time.Millisecond) // by others than the frozen hubs
-	w.freeze(false)
-	back := check(frozen, true, 2*time.Second)
-	t.Logf("left out while well %v, out after %v, the others missed for %v meanwhile, back after %v", left, gone, rest, back)
-	is.True(left <= round)
-	is.True(gone <= 1500*time.Millisecond)
-	is.True(rest <= round)
-	is.True(back <= time.Second)
+	before := check(all, true, time.Second)
+	frozen := sim.freeze(true)
+	dropped := check(frozen, false, 2500*time.Millisecond)
+	healthy := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(frozen, i) })
+	missing := check(healthy, true, 500*time.Millisecond) // while the hubs are replaced
+	sim.freeze(false)
+	resumed := check(frozen, true, 2*time.Second)
+	t.Logf("before the freeze missing for up to %v; frozen fronts dropped after %v, healthy ones then missing for up to %v; resumed fronts alive after %v", before, dropped, missing, resumed)
+	is.True(before <= round)
+	is.True(dropped <= 1500*time.Millisecond)
+	is.True(missing <= round)
+	is.True(resumed <= time.Second)
 }
 
-// VMs freeze and wake: the frozen are out of every answer within a second and a half,
-// and back within a second; all others stay.
+// VMs freeze and resume: frozen fronts must be dropped within a second and a half, and be
+// alive again within a second of resuming; no other front may be missing for more than
+// 0.4 s.
 func TestFrozenFrontsAreLeftOut(t *testing.T) {
 	for name, n := range sizes {
 		t.Run(name, func(t *testing.T) { freezeAndResume(t, n, 7) })
@@ -244,91 +245,91 @@
 	}
 }
 
-// The same with 320 fronts and seeds that show how the worst luck fares: stand-ins that
-// were found at different moments have to learn of each other first.
+// The same with 320 fronts and the worst seeds: replacement hubs that were chosen at
+// different times have to discover each other first.
 func TestFrozenFrontsAtTheTarget(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { freezeAndResume(t, 320, seed) })
 	}
 }
 
-// Engines are chosen by what all fronts have under way there. If that is old, a
-// burst finds the same engine idle at every front.
+// Engines are selected by the requests that all fronts have in flight there. With outdated
+// loads the fronts send a burst to the same engine, which looks idle to all of them.
 func TestLoadIsKnownInTime(t *testing.T) {
 	for name, n := range sizes {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newSimulation(n, 11)
-			w.run(w.now.Add(2*time.Second), nil)
-			w.measure = true
+			sim := newSimulation(n, 11)
+			sim.run(sim.now.Add(2*time.Second), nil)
+			sim.measure = true
 			var ages []int
 			unknown := 0
 			const played = 2
-			w.run(w.now.Add(played*time.Second), func() {
+			sim.run(sim.now.Add(played*time.Second), func() {
 				for i := 0; i < n; i += 1 + n/12 {
-					load := w.fronts[i].Summary(w.now).Load
-					for j, other := range w.fronts {
-						told := load[IDOf(other.Self.Node)]
+					load := sim.fronts[i].Summary(sim.now).Load
+					for j, other := range sim.fronts {
+						reported := load[IDOf(other.Self.Node)]
 						switch {
 						case i == j:
-						case told == 0:
+						case reported == 0:
 							unknown++
 						default:
-							ages = append(ages, w.load()-told)
+							ages = append(ages, sim.load()-reported)
 						}
 					}
 				}
 			})
 			slices.Sort(ages)
 			most, mean, bytes := 0, 0, 0
-			for i := range w.fronts {
-				most = max(most, w.received[i]/played)
-				mean += w.received[i] / played
-				bytes += w.bytes[i] / played
+			for i := range sim.fronts {
+				most = max(most, sim.received[i]/played)
+				mean += sim.received[i] / played
+				bytes += sim.bytes[i] / played
 			}
 			mean, bytes = mean/n, bytes/n
 			p95 := time.Duration(ages[len(ages)*95/100]) * time.Millisecond
-			t.Logf("age: half %d ms, p95 %v; a front takes %d datagrams/s, a hub %d, %d bytes/s, the largest has %d", ages[len(ages)/2], p95, mean, most, bytes, w.largest)
+			t.Logf("age: median %d ms, p95 %v; sent to a front: mean %d datagrams/s, at most %d, mean %d bytes/s; largest datagram: %d bytes", ages[len(ages)/2], p95, mean, most, bytes, sim.largest)
 			is.True(p95 <= 300*time.Millisecond)
 			is.True(float64(unknown) <= 0.001*float64(len(ages)))
 		})
 	}
 }
 
-// Fronts lose most of what they know, all at once: they start, the VMs that are hubs
-// freeze and wake, the network falls into halves. If each then took itself for a hub,
-// hundreds would tell hundreds, and the datagrams would bury what callers ask.
+// All fronts lose most of their state at once: they start, the VMs of the hubs freeze and
+// resume, the network is partitioned into halves. If each front then acted as a hub,
+// hundreds would send to hundreds, and the datagrams would crowd out callers' requests.
 func TestHubsStayFew(t *testing.T) {
 	const n = 171
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			is := is.New(t)
-			w := newSimulation(n, seed)
+			sim := newSimulation(n, seed)
 			most := 0
 			count := func() {
 				hubs := 0
-				for _, f := range w.fronts {
+				for _, f := range sim.fronts {
 					if f.isHub {
 						hubs++
 					}
 				}
 				most = max(most, hubs)
 			}
-			w.run(w.now.Add(time.Second), nil)
-			w.run(w.now.Add(time.Second), count)
-			w.freeze(true)
-			w.run(w.now.Add(2500*time.Millisecond), count)
-			w.freeze(false)
-			w.run(w.now.Add(1500*time.Millisecond), count)
-			w.partitioned = true
-			w.run(w.now.Add(3*time.Second), count)
-			w.partitioned = false
-			w.run(w.now.Add(time.Second), count)
-			t.Logf("%d hubs at most, of %d fronts", most, n)
+			sim.run(sim.now.Add(time.Second), nil)
+			sim.run(sim.now.Add(time.Second), count)
+			sim.freeze(true)
+			sim.run(sim.now.Add(2500*time.Millisecond), count)
+			sim.freeze(false)
+			sim.run(sim.now.Add(1500*time.Millisecond), count)
+			sim.partitioned = true
+			sim.run(sim.now.Add(3*time.Second), count)
+			sim.partitioned = false
+			sim.run(sim.now.Add(time.Second), count)
+			t.Logf("at most %d hubs among %d fronts", most, n)
 			is.True(most <= n/3)
-			l := observer{since: map[[2]int]time.Time{}}
-			w.run(w.now.Add(time.Second), func() { l.observe(w, []int{1, n - 1}, true) })
-			is.True(l.longest <= round) // the halves know each other again
+			o := observer{since: map[[2]int]time.Time{}}
+			sim.run(sim.now.Add(time.Second), func() { o.observe(sim, []int{1, n - 1}, true) })
+			is.True(o.longest <= round) // the halves have reconnected
 		})
 	}
 }
--- a/internal/front/mesh/summary.go
+++ b/internal/front/mesh/summary.go
@@ -9,24 +9,25 @@
 )
 
 type (
-	// sums are what several fronts have under way and let in together.
+	// totals are sums over several fronts: requests in flight by upstream, and requests
+	// admitted recently by account.
 	totals struct{ load, used map[ID]int }
 
-	// Picture is what is known of the other fronts at one moment.
+	// Summary is the state of the other fronts at one moment.
 	Summary struct {
 		Alive    map[ID]Status
-		Unlisted []State    // of those heard of that are not listed, by name
-		Load     map[ID]int // what all of them have under way, by upstream
-		Used     map[ID]int // what all of them let in lately, by account
-		Fronts   int        // that are alive, this one included
+		Unlisted []State    // of live fronts that are not in the PeerList, sorted by node
+		Load     map[ID]int // requests in flight at all of them, by upstream
+		Used     map[ID]int // requests admitted recently by all of them, by account
+		Fronts   int        // number of live fronts, this one included
 	}
 )
 
-// Trusted tells whether at least half of so many others are heard of. Who hears fewer
-// is cut off itself, and can't tell which of them are gone.
+// ReachesHalf reports whether at least half of so many other fronts are alive. A front
+// that receives from fewer is partitioned itself, and can't tell which of them are down.
 func (p Summary) ReachesHalf(others int) bool { return 2*(p.Fronts-1) >= others }
 
-// Picture returns what is known now.
+// Summary returns the current state of the other fronts.
 func (m *Mesh) Summary(now time.Time) (p Summary) {
 	m.init()
 	if m.hasDigest(now) {
@@ -68,8 +69,8 @@
 	return p
 }
 
-// alive returns the other fronts of which something was heard lately, from
-// themselves or through their hubs.
+// alive returns the other fronts with a live report or share, of their own or of their
+// hub.
 func (m *Mesh) alive(now time.Time) map[ID]Status {
 	out := make(map[ID]Status, len(m.peers))
 	for id, s := range m.liveShares(now) {
@@ -83,7 +84,8 @@
 	return out
 }
 
-// sum returns what other fronts have under way and let in, but for one.
+// total returns the totals of the other fronts, without those of one that reports to
+// this front.
 func (m *Mesh) total(now time.Time, except ID) totals {
 	out := newTotals()
 	for _, s := range m.liveShares(now) {
@@ -101,13 +103,13 @@
 	}
 }
 
-// hubsHeard are the shares that count now.
+// liveShares returns the shares that have not expired.
 func (m *Mesh) liveShares(now time.Time) iter.Seq2[ID, share] {
 	longest := m.silenceTimeout()
 	return filter(m.shares, func(s share) bool { return now.Sub(s.at) <= longest })
 }
 
-// followers are the reports that count now.
+// liveReports returns the reports that have not expired.
 func (m *Mesh) liveReports(now time.Time) iter.Seq2[ID, report] {
 	return filter(m.reports, func(r report) bool { return now.Sub(r.at) <= reportTTL })
 }
@@ -133,7 +135,8 @@
 	}
 }
 
-// tellHubs shares this front's group with the other hubs.
+// shareWithHubs returns the share of this front and its group, addressed to the targets
+// and to hubs that are not listed.
 func (m *Mesh) shareWithHubs(now time.Time) (sends []Send) {
 	all := newTotals()
 	all.add(m.own.Load, m.own.Used)
@@ -154,14 +157,15 @@
 	return sends
 }
 
-// tellHub reports to this front's hub, or to a few while none answers.
+// reportToHub returns the report to this front's hub, or to maxProbes of them while none
+// answers.
 func (m *Mesh) reportToHub(now time.Time) (sends []Send) {
 	list := m.hubCandidates(m.Self)
 	most := 1
 	if now.Sub(m.digest.at) > probeAfter {
 		most = maxProbes
 	} else if len(list) > 0 {
-		maps.DeleteFunc(m.awaiting, func(id ID, _ time.Time) bool { return id != list[0].id }) // another one answered first
+		maps.DeleteFunc(m.awaiting, func(id ID, _ time.Time) bool { return id != list[0].id }) // probed hubs that need not answer any more
 	}
 	r := Report{State: m.own.State, Load: m.own.Load, Used: m.own.Used}
 	r.State.Sent = now.UnixNano()
@@ -174,7 +178,7 @@
 	return sends
 }
 
-// greet tells the silent fronts that would report to this one.
+// announce returns digests to the silent fronts that would report to this one.
 func (m *Mesh) announce(now time.Time) (sends []Send) {
 	if m.fullMesh() || now.Sub(m.lastAnnounce) < announceInterval {
 		return nil
@@ -192,7 +196,7 @@
 	return sends
 }
 
-// digestFor returns what a front that reported is told.
+// digestFor returns the digest for a front, without the load of its own report.
 func (m *Mesh) digestFor(now time.Time, to ID) Digest {
 	alive := m.alive(now)
 	all := m.total(now, to)
