--- a/internal/front/bucket/bucket.go
+++ b/internal/front/bucket/bucket.go
@@ -1,22 +1,22 @@
-// Package ration decides which requests of an account one front lets in, so that all
-// fronts together keep the account's limit.
+// Package bucket is a distributed rate limiter: it decides which requests of an account
+// one front admits, so that all fronts together keep the account's limit.
 //
-// The limit of an account is a token bucket over all fronts: it fills at so many
-// requests a second, up to a burst. Nobody holds that bucket. Each front reckons its
-// level by what it let in itself and what the others say that they let in during the
-// last Period; these sums go with the datagrams that fronts exchange anyway. What the
-// others let in since they last spoke is not known, so a front that finds an account busy
-// takes no more than its part of the level within one Period. The parts of all fronts
-// add up to the level, so the sum stays within the limit however fast a flood begins.
+// The limit of an account is a token bucket over all fronts: it fills at a rate in
+// requests a second, up to a burst. The bucket is not stored in one place. Each front
+// estimates its level from the requests that it admitted itself and the sums that the
+// other fronts report for the last Period, which are part of the datagrams that fronts
+// exchange anyway. What the others admitted since their last report is not known, so a
+// front at which an account is busy admits no more than its share of the level within one
+// Period. The shares of all fronts add up to the level, so the sum stays within the limit
+// however fast a flood begins.
 //
-// Fronts that don't hear each other can't share one bucket. A front counts how many it
-// hears of all that there were lately, and takes that part of each limit: two groups
-// that are cut apart have a part of their own each, which add up to the whole. A front
-// that has not run for a while takes the bucket to be empty, since it may be: what the
-// others let in meanwhile is not known to it. One that has just started takes a part of
-// it to be there.
+// Fronts that can't communicate can't share one bucket. A front computes the ratio of the
+// live fronts to those that recently existed; the live fronts together use this part of
+// each limit, so the parts of two sides of a partition add up to the whole. A front that
+// has not run for a while assumes an empty bucket, since it does not know what the others
+// admitted meanwhile. One that has just started assumes a partly filled one.
 //
-// Ration is a state machine without clock, lock or network.
+// Limiter is a state machine without clock, lock or network.
 package bucket
 
 import (
@@ -25,89 +25,90 @@
 )
 
 const (
-	// Period is the time over which fronts say how many requests they let in.
+	// Period is the time over which fronts report the number of admitted requests.
 	Period = 300 * time.Millisecond
-	// gap is the time without any word of the others after which this front counts
-	// as one that has not run: even alone it takes ten looks a second.
+	// stallTime is the time without a call of Update after which this front counts as not
+	// having run: Update is called ten times a second even without other fronts.
 	stallTime = time.Second
-	// useOver is how much of what the operator tolerates above a limit is lent. The rest
-	// is for what fronts can't know of each other.
+	// toleranceUse is the part of the tolerance above a limit that is added to the
+	// capacity. The rest covers what fronts can't know of each other.
 	toleranceUse = 0.1
-	// reserve is the part of the largest level that new programs leave to those that
-	// have begun, which fail if one of their calls is refused.
+	// startedReserve is the part of the capacity that is reserved for started programs,
+	// which fail if one of their calls is refused.
 	startedReserve = 0.6
-	// calm is the part of the level that all fronts may let in within a Period before
-	// each of them is held to its part, and calmBegun the same for programs that have
-	// begun: only new ones come in a flood.
+	// freeUse is the part of the level that all fronts may admit within a Period before
+	// each of them is limited to its share, and freeUseStarted the same for started
+	// programs: only new programs arrive in floods.
 	freeUse        = 0.35
 	freeUseStarted = 0.7
-	// busy is the part of its rate that an account uses whose callers are refused by all
-	// fronts, and not by this one only.
+	// busyUse is the part of its rate from which an account is assumed to be refused by
+	// all fronts, and not only by this one.
 	busyUse = 0.7
-	// startPart is the part of the largest level that is there when a front starts. What
-	// it let in before is not known to it, so with all fronts started anew an account may
-	// have used its whole bucket a moment ago: that, this part, and what fills up meanwhile
-	// stay within what is tolerated.
+	// initialLevel is the part of the capacity that is available when a front starts. It
+	// does not know what it admitted before, so if all fronts restart an account may have
+	// just used its whole bucket: the sum of that, this part, and the refill in between
+	// stays within the tolerance.
 	initialLevel = 0.5
-	// startTime is how long a front that has started finds the others.
+	// startupTime is how long a front takes after its start to discover the others.
 	startupTime = 2 * time.Second
-	// soonest and latest bound the time after which a refused caller may come back.
+	// minRetryAfter and maxRetryAfter bound the time after which a refused caller may
+	// retry, before it is randomized.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
 
 type (
-	// Limit is what an account may ask of all fronts together.
+	// Limit is the limit of an account over all fronts.
 	Limit struct {
 		Rate  float64 // requests a second; 0 is no limit
-		Burst float64 // requests beside that rate
+		Burst float64 // requests in addition to that rate
 	}
 
-	// Tolerance is how far above a limit the operator lets the sum of all fronts be in
-	// a window: by the part Over of what the limit allows in it, and Slack requests.
+	// Tolerance is how far the sum of all fronts may exceed a limit within Window: by the
+	// part Over of what the limit allows in it, plus Slack requests.
 	Tolerance struct {
 		Window time.Duration
 		Over   float64
 		Slack  float64
 	}
 
-	// Heard is what the other fronts have said.
+	// PeerUsage is the state of the other fronts.
 	PeerUsage struct {
-		Used   map[string]int // requests let in during the last Period, by account
-		Fronts int            // that are heard of, this one included
-		Total  int            // that there were lately, this one included
+		Used   map[string]int // requests that they admitted during the last Period, by account
+		Fronts int            // live fronts, this one included; 0 if this front may not use any part of the limits
+		Total  int            // fronts that recently existed, this one included
 	}
 
-	// Verdict tells whether a request is let in.
+	// Decision reports whether a request is admitted.
 	Decision struct {
 		OK         bool
-		RetryAfter time.Duration // until there is room; of a refusal
-		NoShare    bool          // refused since this front has no part of any limit
+		RetryAfter time.Duration // for a refused request
+		NoShare    bool          // refused because this front has no part of the limits
 	}
 
-	// Ration is one front's part. Set Tolerance before use.
+	// Limiter is the limiter of one front. Set Tolerance before use.
 	Limiter struct {
 		Tolerance Tolerance
-		// Draw returns a number of at least 0 and below 1.
+		// Rand returns a random number in [0, 1); nil disables randomization.
 		Rand func() float64
 
 		accounts    map[string]*account
 		peers       PeerUsage
-		share       float64 // of all limits that those heard of may use; 0 before any word
+		groupShare  float64 // part of all limits that the live fronts may use together; 0 before the first Update
 		lastUpdate  time.Time
-		firstUpdate time.Time // when the first word came
+		firstUpdate time.Time // time of the first Update
 	}
 
 	account struct {
 		limit   Limit
-		level   float64 // requests that all fronts together may let in now
+		level   float64 // requests that the live fronts together may admit now
 		at      time.Time
-		used    window // let in by this front
-		refused window // by this front
+		used    window // requests admitted by this front
+		refused window // requests refused by this front
 	}
 )
 
-// Limit replaces the limits of accounts.
+// Limit replaces the limits, by account. An account without a rate is not limited.
 func (r *Limiter) Limit(now time.Time, limits map[string]Limit) {
 	next := make(map[string]*account, len(limits))
 	for name, l := range limits {
@@ -116,7 +117,7 @@
 		}
 		a := r.accounts[name]
 		if a == nil {
-			a = &account{at: now, level: initialLevel * r.capacity(l, r.share)}
+			a = &account{at: now, level: initialLevel * r.capacity(l, r.groupShare)}
 		}
 		r.refill(now, name, a)
 		a.limit = l
@@ -125,8 +126,8 @@
 	r.accounts = next
 }
 
-// Take asks for one request of an account. Begun tells that it belongs to a program that
-// has begun.
+// Take decides on one request of an account, and counts it if it is admitted. Started
+// reports whether it belongs to a program that has started.
 func (r *Limiter) Take(now time.Time, name string, started bool) Decision {
 	v := r.Peek(now, name)
 	a := r.accounts[name]
@@ -135,7 +136,7 @@
 	}
 	level, free := a.level, freeUseStarted
 	if !started {
-		level -= startedReserve * max(r.capacity(a.limit, r.share)-1, 0)
+		level -= startedReserve * max(r.capacity(a.limit, r.groupShare)-1, 0)
 		free = freeUse
 	}
 	if level < 1 || !r.fits(now, name, a, level, free) {
@@ -145,13 +146,14 @@
 	return v
 }
 
-// Look tells whether there is room for any request of an account, and takes none.
+// Peek reports whether any request of an account could be admitted. It counts a refusal,
+// but no admission.
 func (r *Limiter) Peek(now time.Time, name string) Decision {
 	a := r.account(now, name)
 	switch {
 	case a == nil:
 		return Decision{OK: true}
-	case r.share == 0:
+	case r.groupShare == 0:
 		return Decision{RetryAfter: maxRetryAfter, NoShare: true}
 	case a.level < 1:
 		return r.refuse(now, name, a, a.level)
@@ -164,45 +166,45 @@
 	return Decision{RetryAfter: r.retryAfter(now, name, a, 1-level)}
 }
 
-// Add counts a request that is sent once more.
+// Add counts a request that is sent again.
 func (r *Limiter) Add(now time.Time, name string) {
 	if a := r.account(now, name); a != nil {
 		a.use(now, 1)
 	}
 }
 
-// GiveBack counts a request no more: it reached no upstream.
+// Refund undoes the count of a request that reached no upstream.
 func (r *Limiter) Refund(now time.Time, name string) {
 	if a := r.account(now, name); a != nil {
 		a.use(now, -1)
 	}
 }
 
-// Hear takes what the other fronts have said. It is to be called some times a second,
-// also if none is heard.
-func (r *Limiter) Update(now time.Time, h PeerUsage) {
+// Update sets the state of the other fronts. It must be called several times a second,
+// even if there are none.
+func (r *Limiter) Update(now time.Time, u PeerUsage) {
 	r.detectStall(now)
-	share := 1.0
-	if h.Total > 0 {
-		share = min(float64(h.Fronts)/float64(h.Total), 1)
+	groupShare := 1.0
+	if u.Total > 0 {
+		groupShare = min(float64(u.Fronts)/float64(u.Total), 1)
 	}
 	if r.firstUpdate.IsZero() {
 		r.firstUpdate = now
 	}
-	r.peers.Total = h.Total
+	r.peers.Total = u.Total
 	for name, a := range r.accounts {
 		r.refill(now, name, a)
 		switch {
-		case share < r.share && a.level > 0:
-			a.level *= share / r.share // the others take theirs with them
-		case share > r.share && now.Sub(r.firstUpdate) < startupTime:
-			a.level += initialLevel * (r.capacity(a.limit, share) - r.capacity(a.limit, r.share))
+		case groupShare < r.groupShare && a.level > 0:
+			a.level *= groupShare / r.groupShare // the rest belongs to the fronts that are no longer live
+		case groupShare > r.groupShare && now.Sub(r.firstUpdate) < startupTime:
+			a.level += initialLevel * (r.capacity(a.limit, groupShare) - r.capacity(a.limit, r.groupShare))
 		}
 	}
-	r.peers, r.share, r.lastUpdate = h, share, now
+	r.peers, r.groupShare, r.lastUpdate = u, groupShare, now
 }
 
-// Forget takes all buckets to be empty: this front has not run for a while.
+// Drain empties all buckets, for a front that has not run for a while.
 func (r *Limiter) Drain(now time.Time) {
 	for _, a := range r.accounts {
 		a.level, a.at = min(a.level, 0), now
@@ -210,7 +212,7 @@
 	r.peers.Used = nil
 }
 
-// Used returns what this front let in during the last Period.
+// Used returns the requests that this front admitted during the last Period, by account.
 func (r *Limiter) Used(now time.Time) map[string]int {
 	out := map[string]int{}
 	for name, a := range r.accounts {
@@ -221,21 +223,22 @@
 	return out
 }
 
-// Left returns which part of its largest level each account has left.
+// Remaining returns the level of each account as a part of its capacity, from 0 to 1.
 func (r *Limiter) Remaining(now time.Time) map[string]float64 {
 	out := make(map[string]float64, len(r.accounts))
 	for name, a := range r.accounts {
 		r.refill(now, name, a)
-		out[name] = max(a.level, 0) / max(r.capacity(a.limit, r.share), 1)
+		out[name] = max(a.level, 0) / max(r.capacity(a.limit, r.groupShare), 1)
 	}
 	return out
 }
 
-// fits tells whether this front may let one more in while the others' last requests
-// are not known. Level is what there is for requests like it.
+// fits reports whether this front may admit one more request while the others' latest
+// requests are not known. Level is the part of the bucket's level that this kind of
+// request may use, free the part of it up to which shares are not enforced.
 func (r *Limiter) fits(now time.Time, name string, a *account, level, free float64) bool {
 	own, others := float64(a.used.sum(now)), r.others(name)
-	if max(own+others, r.estimateTotal(own)) < free*(a.level+own) { // the level before any of this Period
+	if max(own+others, r.estimateTotal(own)) < free*(a.level+own) { // the level without this front's requests in this Period
 		return true
 	}
 	level += own
@@ -244,7 +247,7 @@
 		share = (share + own/(own+others)) / 2
 	}
 	most := share * level
-	// A part of less than one request is one request now and then.
+	// A fraction of a request is rounded up with a probability equal to the fraction.
 	whole := math.Floor(most)
 	if r.Rand != nil && r.Rand() < most-whole {
 		whole++
@@ -252,18 +255,18 @@
 	return own+1 <= whole
 }
 
-// guess is how many requests all fronts let in at least, if the others let in as many as
-// this one: a flood shows here before the others can tell of it.
+// estimateTotal returns a lower estimate of the requests admitted by all fronts, if the
+// others admit as many as this one: it detects a flood before the others' reports arrive.
 func (r *Limiter) estimateTotal(own float64) float64 {
 	return (own - math.Sqrt(own)) * float64(r.peers.Fronts)
 }
 
-// after is when a refused caller may come back: once there is room for it and for those
-// that were refused before it, and not all at once.
+// retryAfter returns when a refused caller may retry: once there is room for it and for
+// the requests that were refused before it, randomized so that not all retry at once.
 func (r *Limiter) retryAfter(now time.Time, name string, a *account, short float64) time.Duration {
 	ahead := max(short, 0) + float64(a.refused.sum(now))
 	if float64(a.used.sum(now))+r.others(name) > busyUse*r.rate(a.limit)*Period.Seconds() {
-		ahead = max(short, 0) + float64(a.refused.sum(now)*r.peers.Fronts) // as many elsewhere
+		ahead = max(short, 0) + float64(a.refused.sum(now)*r.peers.Fronts) // assumes as many refusals at each live front
 	}
 	wait := maxRetryAfter
 	if rate := r.rate(a.limit); rate > 0 {
@@ -276,16 +279,17 @@
 	return wait
 }
 
-// rate is what this front and those that it hears may let in a second.
-func (r *Limiter) rate(l Limit) float64 { return l.Rate * r.share }
+// rate is the number of requests that the live fronts together may admit in a second.
+func (r *Limiter) rate(l Limit) float64 { return l.Rate * r.groupShare }
 
-// most is the largest level for a part of the limit. A front that is alone has room for one
-// request at least, unless all that could be alone at the same time would let too many in.
-func (r *Limiter) capacity(l Limit, share float64) float64 {
+// capacity is the largest level for a part of the limit. It is at least one request, so
+// that an isolated front can admit any, unless all fronts would exceed the tolerance if
+// they were isolated at the same time.
+func (r *Limiter) capacity(l Limit, groupShare float64) float64 {
 	t := r.Tolerance
 	tolerated := t.Over*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
-	capacity := (l.Burst + toleranceUse*tolerated) * share
-	if share > 0 && float64(r.peers.Total) <= l.Burst+(1-toleranceUse)*tolerated {
+	capacity := (l.Burst + toleranceUse*tolerated) * groupShare
+	if groupShare > 0 && float64(r.peers.Total) <= l.Burst+(1-toleranceUse)*tolerated {
 		return max(capacity, 1)
 	}
 	return capacity
@@ -293,7 +297,7 @@
 
 func (r *Limiter) others(name string) float64 { return float64(r.peers.Used[name]) }
 
-// account returns the account at its level of now, nil if it has no limit.
+// account returns the account with its level updated, nil if it has no limit.
 func (r *Limiter) account(now time.Time, name string) *account {
 	r.detectStall(now)
 	a := r.accounts[name]
@@ -303,7 +307,7 @@
 	return a
 }
 
-// wake notices that this front has not run.
+// detectStall empties the buckets if this front has not run for stallTime.
 func (r *Limiter) detectStall(now time.Time) {
 	if !r.lastUpdate.IsZero() && now.Sub(r.lastUpdate) > stallTime {
 		r.Drain(now)
@@ -311,7 +315,8 @@
 	}
 }
 
-// refill reckons the level at a time.
+// refill updates the level by the time passed, and by the rate at which the other fronts
+// admit requests.
 func (r *Limiter) refill(now time.Time, name string, a *account) {
 	passed := now.Sub(a.at)
 	if passed <= 0 {
@@ -319,7 +324,7 @@
 	}
 	a.at = now
 	a.level += passed.Seconds() * (r.rate(a.limit) - r.others(name)/Period.Seconds())
-	capacity := r.capacity(a.limit, r.share)
+	capacity := r.capacity(a.limit, r.groupShare)
 	a.level = max(min(a.level, capacity), -capacity)
 }
 
--- a/internal/front/bucket/bucket_test.go
+++ b/internal/front/bucket/bucket_test.go
@@ -13,13 +13,13 @@
 	tolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 )
 
-// A front that is alone takes its part of the limit, and no part at all if it has been
-// alone for too long to know whether it is counted.
+// An isolated front uses its part of the limit, and none if it has been isolated for so
+// long that the other fronts may no longer count it.
 func TestIsolatedFront(t *testing.T) {
 	cases := map[string]struct {
-		heard PeerUsage
-		most  int // let in within ten seconds
-		knows bool
+		peers PeerUsage
+		most  int // requests admitted within ten seconds
+		share bool
 	}{
 		"one of one":       {PeerUsage{Fronts: 1, Total: 1}, 10*10 + 10 + 20, true},
 		"one of ten":       {PeerUsage{Fronts: 1, Total: 10}, 10 + 1 + 2, true},
@@ -33,31 +33,31 @@
 			r := Limiter{Tolerance: tolerance}
 			now := time.Unix(1000, 0)
 			r.Limit(now, limits)
-			in, unknown := 0, 0
+			admitted, noShare := 0, 0
 			for range 1000 {
-				if c.heard.Total > 0 {
-					r.Update(now, c.heard)
+				if c.peers.Total > 0 {
+					r.Update(now, c.peers)
 				}
 				now = now.Add(10 * time.Millisecond)
 				v := r.Take(now, "small", true)
 				if v.OK {
-					in++
+					admitted++
 				} else {
 					is.True(v.RetryAfter > 0)
 				}
 				if v.NoShare {
-					unknown++
+					noShare++
 				}
 			}
-			is.True(in <= c.most)
-			is.True(in >= c.most*3/4)
-			is.Equal(unknown == 0, c.knows)
+			is.True(admitted <= c.most)
+			is.True(admitted >= c.most*3/4)
+			is.Equal(noShare == 0, c.share)
 		})
 	}
 }
 
-// A front that wakes from a freeze has old news: it would let in what the others took
-// meanwhile once more.
+// A front that resumes from a freeze has outdated usage: it would admit again what the
+// others admitted meanwhile.
 func TestResumedFrontStartsEmpty(t *testing.T) {
 	is := is.New(t)
 	r := Limiter{Tolerance: tolerance}
@@ -71,7 +71,8 @@
 	is.True(!r.Peek(now.Add(2*stallTime), "small").OK)
 }
 
-// What was taken and not sent is given back, and what is sent twice counts twice.
+// A request that was counted and not sent is refunded, and one that is sent twice counts
+// twice.
 func TestRefundAndResend(t *testing.T) {
 	is := is.New(t)
 	r := Limiter{Tolerance: tolerance}
--- a/internal/front/bucket/window.go
+++ b/internal/front/bucket/window.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// slots divide a Period.
+	// slots is the number of slots in a Period.
 	slots = 10
 	slot  = Period / slots
 )
 
-// window counts what happened during the last Period.
+// window is a sliding count over the last Period.
 type window struct {
-	start  time.Time // of the first slot; steps of the time of day don't matter so
+	start  time.Time // of the first slot; slots follow the monotonic clock from there
 	counts [slots]int
-	slot   int64 // of the newest
+	slot   int64 // index of the newest slot, counted from start
 }
 
 func (w *window) add(now time.Time, n int) {
@@ -28,7 +28,7 @@
 	return max(sum, 0)
 }
 
-// turn empties the slots that lie a Period back.
+// advance clears the slots that are older than a Period.
 func (w *window) advance(now time.Time) {
 	if w.start.IsZero() {
 		w.start = now
