--- a/internal/front/reach/reach.go
+++ b/internal/front/reach/reach.go
@@ -1,10 +1,10 @@
-// Package pulse notices that a front can't reach the holders of records, while
-// other fronts may.
+// Package reach is a circuit breaker for the calls of a front to the holders of records,
+// which may be unreachable from one front only.
 //
-// Turns at such a front would wait for their records until their callers give up.
-// Once calls have failed for a while without one that succeeded, further ones fail
-// at once, so that callers are told to come back and meet another front; now
-// and then one goes through, to notice when the holders are reached again.
+// Turns at such a front would wait for their records until their callers give up. Once
+// calls have failed for some time without a success, further calls fail at once, so that
+// callers retry and are directed to another front; probes are let through to detect
+// when the holders are reachable again.
 package reach
 
 import (
@@ -19,109 +19,113 @@
 )
 
 const (
-	// Patience bounds what a turn waits for before it runs. A holder that was
-	// killed is passed over within 20 ms, and a roster that changed is learnt within
-	// 0.1 s, so what takes longer is not about to come.
+	// CallTimeout limits the calls that a turn waits for before it runs. A killed holder is
+	// skipped within 20 ms, and a changed roster is known within 0.1 s, so a call that
+	// takes longer is unlikely to succeed.
 	CallTimeout = 900 * time.Millisecond
-	// failures in a row and the time since the first of them make the holders
-	// count as out of reach. One slow call alone doesn't.
+	// tripFailures is the number of consecutive failures, and tripTime the time since the
+	// first of them, after which the holders count as unreachable. One slow call does not
+	// suffice.
 	tripFailures = 2
 	tripTime     = 300 * time.Millisecond
-	// probeEvery is the pause between calls that go through meanwhile.
+	// probeInterval is the interval between calls let through as probes meanwhile.
 	probeInterval = 250 * time.Millisecond
 )
 
 type (
-	// Records reads and writes what must last.
+	// Records reads and writes durable records.
 	Records interface {
 		Write(context.Context, book.Record) (quorum.Result, error)
 		Read(ctx context.Context, program, turn string) ([]book.Turn, error)
 	}
 
-	// Pulse is Records that fail at once while they are out of reach. Set
-	// Records before use.
+	// Breaker wraps Records so that calls fail at once while the holders are unreachable.
+	// Set Records before use.
 	Breaker struct {
 		Records Records
 
 		mu           sync.Mutex
-		failures     int       // failures since the last success
-		firstFailure time.Time // of them
+		failures     int       // since the last success
+		firstFailure time.Time // since the last success
 		lastProbe    time.Time
 	}
 )
 
-// Write writes a record. A reservation has Patience at most; what a turn has said
-// or spent is worth waiting for.
-func (p *Breaker) Write(ctx context.Context, rec book.Record) (res quorum.Result, err error) {
+// Write writes a record. A reservation has CallTimeout, and fails with quorum.ErrUnsure
+// while the holders are unreachable. Other records, the output and the usage of turns, are
+// always written, without a timeout of their own.
+func (b *Breaker) Write(ctx context.Context, rec book.Record) (res quorum.Result, err error) {
 	if !rec.Reserved {
-		return p.Records.Write(ctx, rec)
+		return b.Records.Write(ctx, rec)
 	}
-	if !p.allow(time.Now()) {
+	if !b.allow(time.Now()) {
 		return res, quorum.ErrUnsure
 	}
 	limited, stop := context.WithTimeout(ctx, CallTimeout)
 	defer stop()
-	res, err = p.Records.Write(limited, rec)
-	p.recordOutcome(ctx, err)
+	res, err = b.Records.Write(limited, rec)
+	b.recordOutcome(ctx, err)
 	return res, err
 }
 
-// Read reads a turn with its chain.
-func (p *Breaker) Read(ctx context.Context, program, turn string) (chain []book.Turn, err error) {
-	if !p.allow(time.Now()) {
+// Read reads a turn with its chain, within CallTimeout. It fails with quorum.ErrUnsure
+// while the holders are unreachable.
+func (b *Breaker) Read(ctx context.Context, program, turn string) (chain []book.Turn, err error) {
+	if !b.allow(time.Now()) {
 		return nil, quorum.ErrUnsure
 	}
 	limited, stop := context.WithTimeout(ctx, CallTimeout)
 	defer stop()
-	chain, err = p.Records.Read(limited, program, turn)
-	p.recordOutcome(ctx, err)
+	chain, err = b.Records.Read(limited, program, turn)
+	b.recordOutcome(ctx, err)
 	return chain, err
 }
 
-// note learns from a call. One that its caller broke off says nothing.
-func (p *Breaker) recordOutcome(ctx context.Context, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// recordOutcome counts a failure or resets the count. A call that its caller cancelled is
+// ignored.
+func (b *Breaker) recordOutcome(ctx context.Context, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	switch {
 	case err == nil || errors.Is(err, quorum.ErrNoTurn):
-		p.failures = 0
+		b.failures = 0
 	case errors.Is(ctx.Err(), context.Canceled):
 	default:
-		if p.failures++; p.failures == 1 {
-			p.firstFailure = time.Now()
+		if b.failures++; b.failures == 1 {
+			b.firstFailure = time.Now()
 		}
 	}
 }
 
-// Down tells whether the holders are out of reach.
-func (p *Breaker) Down(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.down(now)
+// Down reports whether the holders count as unreachable.
+func (b *Breaker) Down(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.down(now)
 }
 
-func (p *Breaker) down(now time.Time) bool {
-	return p.failures >= tripFailures && now.Sub(p.firstFailure) >= tripTime
+func (b *Breaker) down(now time.Time) bool {
+	return b.failures >= tripFailures && now.Sub(b.firstFailure) >= tripTime
 }
 
-// pass tells whether a call may go out.
-func (p *Breaker) allow(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.down(now) {
+// allow reports whether a call may be made, as a probe if the holders are unreachable.
+func (b *Breaker) allow(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.down(now) {
 		return true
 	}
-	if now.Sub(p.lastProbe) < probeInterval {
+	if now.Sub(b.lastProbe) < probeInterval {
 		return false
 	}
-	p.lastProbe = now
+	b.lastProbe = now
 	return true
 }
 
-// Probe reads something while the holders are out of reach, so that a front to
-// which no callers come any more notices when they are back.
-func (p *Breaker) Probe(ctx context.Context) {
-	if p.Down(time.Now()) {
-		_, _ = p.Read(ctx, "", "probe") // what it tells is noted
+// Probe makes a read while the holders count as unreachable, so that a front which gets no
+// requests any more detects when they are reachable again.
+func (b *Breaker) Probe(ctx context.Context) {
+	if b.Down(time.Now()) {
+		_, _ = b.Read(ctx, "", "probe") // the outcome is recorded
 	}
 }
