--- a/internal/front/mesh/message.go
+++ b/internal/front/mesh/message.go
@@ -26,7 +26,7 @@
 		Revision     uint64 `cbor:"7,keyasint"`           // of the store, in its fleet view
 		Hash         uint64 `cbor:"8,keyasint"`           // of its fleet view
 		Age          int64  `cbor:"9,keyasint"`           // milliseconds since that view was confirmed
-		AvailableFor int64  `cbor:"10,keyasint"`          // milliseconds before that in which the store was available without a gap
+		AvailableFor int64  `cbor:"10,keyasint"`          // milliseconds without a store outage before that
 	}
 
 	// Report is what a front sends to its hub.
@@ -50,7 +50,7 @@
 	Digest struct {
 		State     State      `cbor:"1,keyasint"`
 		Load      map[ID]int `cbor:"2,keyasint,omitempty"` // of all fronts but the recipient
-		Fronts    int        `cbor:"3,keyasint"`           // live fronts; includes the sender, and the recipient if it reported
+		Fronts    int        `cbor:"3,keyasint"`           // live fronts, the sender included
 		Missing   []ID       `cbor:"4,keyasint,omitempty"` // listed fronts that are not alive
 		Leaving   []ID       `cbor:"5,keyasint,omitempty"`
 		Unhealthy []ID       `cbor:"6,keyasint,omitempty"`
--- a/internal/front/meshio/meshio.go
+++ b/internal/front/meshio/meshio.go
@@ -1,9 +1,9 @@
-// Package rumor carries what the daemons that serve callers tell each other, as
-// package mesh decides, in datagrams.
+// Package meshio exchanges the messages of package mesh between the daemons that serve
+// callers, in UDP datagrams.
 //
-// Upstreams report their load late and each report is a call to them. A datagram
-// of a few hundred bytes costs less and is newer. Datagrams may be lost or overtake
-// each other; each carries the whole state, so the next one makes up for it.
+// Upstreams report their load late, and each report requires a call to them. A datagram
+// of a few hundred bytes costs less and is more recent. Datagrams may be lost or
+// reordered; each carries the full state, so the next one makes up for a loss.
 package meshio
 
 import (
@@ -18,38 +18,40 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// pictureAge is for how long a picture is used again: each answer of the directory
-// needs one, and it changes a few times a second.
+// summaryTTL is how long a summary is cached: each answer of the directory needs one, and
+// it changes a few times a second.
 const summaryTTL = 20 * time.Millisecond
 
 type (
-	// Rumor sends and takes datagrams. Set the exported fields, then call Run.
+	// Transport sends and receives datagrams. Set the exported fields, then call Run.
 	Transport struct {
 		Conn  net.PacketConn
 		Self  mesh.Peer
-		Local func() mesh.Tick   // what is told
-		Peers func() []mesh.Peer // the others, as the store lists them
-		// Heard takes what another daemon tells of itself, and Changed is called
-		// after each datagram and each turn with what is known of all others.
+		Local func() mesh.Tick   // state and load of this daemon
+		Peers func() []mesh.Peer // daemons as listed in the store
+		// Received is called with the sender's state for each message, and Changed with the
+		// summary of all other daemons after each message and each broadcast. Both may be
+		// nil.
 		Received func(now time.Time, s mesh.State)
 		Changed  func(mesh.Summary)
 
 		mu          sync.Mutex
 		mesh        mesh.Mesh
 		summary     mesh.Summary
-		summaryTime time.Time // of the picture
+		summaryTime time.Time // when summary was computed
 	}
 )
 
-// Run sends and takes until ctx ends, and closes the socket.
-func (l *Transport) Run(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "exchange rumors") }()
-	stop := context.AfterFunc(ctx, func() { _ = l.Conn.Close() })
+// Run sends and receives until ctx ends, which closes the socket and returns nil. The error
+// is that of receiving from the socket.
+func (t *Transport) Run(ctx context.Context) (err error) {
+	defer func() { err = errors.Wrap(err, "exchange mesh datagrams") }()
+	stop := context.AfterFunc(ctx, func() { _ = t.Conn.Close() })
 	defer stop()
-	go l.broadcastLoop(ctx)
+	go t.broadcastLoop(ctx)
 	var buf [mesh.MaxPacket]byte
 	for {
-		n, _, err := l.Conn.ReadFrom(buf[:])
+		n, _, err := t.Conn.ReadFrom(buf[:])
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -58,83 +60,83 @@
 		}
 		msg, err := mesh.Decode(buf[:n])
 		if err != nil {
-			continue // not one of ours, or spoilt: the next one makes up for it
+			continue // foreign or damaged; the sender's next datagram makes up for it
 		}
-		l.Receive(time.Now(), msg)
+		t.Receive(time.Now(), msg)
 	}
 }
 
-// Take learns from a message and answers it.
-func (l *Transport) Receive(now time.Time, msg mesh.Message) {
-	l.step(now, mesh.Received{Message: msg})
-	if l.Received != nil {
-		l.Received(now, mesh.StateOf(msg))
+// Receive processes a message and sends the answers to it.
+func (t *Transport) Receive(now time.Time, msg mesh.Message) {
+	t.step(now, mesh.Received{Message: msg})
+	if t.Received != nil {
+		t.Received(now, mesh.StateOf(msg))
 	}
-	l.notifyChanged(now)
+	t.notifyChanged(now)
 }
 
-// Picture returns what is known of the others.
-func (l *Transport) Summary(now time.Time) mesh.Summary {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if age := now.Sub(l.summaryTime); age < 0 || age > summaryTTL {
-		l.summary, l.summaryTime = l.mesh.Summary(now), now
+// Summary returns the state of the other daemons, at most summaryTTL old.
+func (t *Transport) Summary(now time.Time) mesh.Summary {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if age := now.Sub(t.summaryTime); age < 0 || age > summaryTTL {
+		t.summary, t.summaryTime = t.mesh.Summary(now), now
 	}
-	return l.summary
+	return t.summary
 }
 
-// Rank is how many live daemons look at the store before this one.
-func (l *Transport) Rank(now time.Time) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.mesh.Rank(now)
+// Rank is the number of daemons that come before this one in reading the store.
+func (t *Transport) Rank(now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.mesh.Rank(now)
 }
 
-// Age is how old what is known of others may be.
-func (l *Transport) Age() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.mesh.Age()
+// Age is the largest age of the state of other daemons.
+func (t *Transport) Age() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.mesh.Age()
 }
 
-// Tell says everything now, without waiting for the next turn.
-func (l *Transport) Broadcast() {
+// Broadcast sends this daemon's state now, without waiting for the next interval.
+func (t *Transport) Broadcast() {
 	now := time.Now()
-	own := l.Local()
-	l.step(now, mesh.PeerList{Peers: l.Peers()})
-	l.step(now, own)
-	l.notifyChanged(now)
+	own := t.Local()
+	t.step(now, mesh.PeerList{Peers: t.Peers()})
+	t.step(now, own)
+	t.notifyChanged(now)
 }
 
-func (l *Transport) broadcastLoop(ctx context.Context) {
+func (t *Transport) broadcastLoop(ctx context.Context) {
 	for {
-		l.mu.Lock()
-		wait := l.mesh.Interval()
-		l.mu.Unlock()
+		t.mu.Lock()
+		wait := t.mesh.Interval()
+		t.mu.Unlock()
 		if !pause.For(ctx, wait) {
 			return
 		}
-		l.Broadcast()
+		t.Broadcast()
 	}
 }
 
-func (l *Transport) notifyChanged(now time.Time) {
-	if l.Changed != nil {
-		l.Changed(l.Summary(now))
+func (t *Transport) notifyChanged(now time.Time) {
+	if t.Changed != nil {
+		t.Changed(t.Summary(now))
 	}
 }
 
-func (l *Transport) step(now time.Time, e mesh.Event) {
-	l.mu.Lock()
-	l.mesh.Self = l.Self
-	sends := l.mesh.Step(now, e)
-	l.mu.Unlock()
+func (t *Transport) step(now time.Time, e mesh.Event) {
+	t.mu.Lock()
+	t.mesh.Self = t.Self
+	sends := t.mesh.Step(now, e)
+	t.mu.Unlock()
 	var last mesh.Message
 	var data []byte
 	for i, s := range sends {
 		to, err := net.ResolveUDPAddr("udp", s.To)
 		if err != nil {
-			continue // a damaged entry; others tell of this daemon
+			continue // an invalid entry; the peer gets this daemon's state from others
 		}
 		if i == 0 || !sameShare(last, s.Message) {
 			if data, err = mesh.Encode(s.Message); err != nil {
@@ -142,11 +144,11 @@
 			}
 			last = s.Message
 		}
-		_, _ = l.Conn.WriteTo(data, to) // lost datagrams are made up for by the next
+		_, _ = t.Conn.WriteTo(data, to) // the next datagram makes up for a lost one
 	}
 }
 
-// same tells whether two messages of one step are the same share, which is encoded
+// sameShare reports whether two messages of one step are the same share, which is encoded
 // once for all hubs.
 func sameShare(a, b mesh.Message) bool {
 	s, is := a.(mesh.Share)
--- a/internal/front/meshio/meshio_test.go
+++ b/internal/front/meshio/meshio_test.go
@@ -12,7 +12,7 @@
 	"github.com/slaterock/slaterock/internal/front/mesh"
 )
 
-// pipe is a socket whose datagrams go to another one.
+// pipe is a packet connection whose datagrams are received by another pipe.
 type pipe struct {
 	net.PacketConn
 	in, out chan []byte
@@ -38,26 +38,25 @@
 
 func (p *pipe) Close() error { return nil }
 
-func newTransport(name string, conn net.PacketConn, heard *atomic.Int64, others ...mesh.Peer) *Transport {
+func newTransport(name string, conn net.PacketConn, received *atomic.Int64, others ...mesh.Peer) *Transport {
 	return &Transport{
 		Conn: conn, Self: mesh.Peer{Node: name, Address: "127.0.0.1:1"},
 		Local: func() mesh.Tick {
 			return mesh.Tick{State: mesh.State{Node: name, Peer: "127.0.0.1:1"}, Load: map[mesh.ID]int{mesh.IDOf("upstream"): 3}}
 		},
 		Peers:    func() []mesh.Peer { return others },
-		Received: func(time.Time, mesh.State) { heard.Add(1) },
+		Received: func(time.Time, mesh.State) { received.Add(1) },
 	}
 }
 
-// Two daemons tell each other of their load. Datagrams that make no sense come in
-// between, and cost nothing.
+// Two daemons exchange their loads. Invalid datagrams in between are ignored.
 func TestTwoDaemons(t *testing.T) {
 	is := is.New(t)
 	ab, ba := make(chan []byte, 100), make(chan []byte, 100)
 	ctx := t.Context()
-	var heard atomic.Int64
-	a := newTransport("a", &pipe{in: ba, out: ab, done: ctx}, &heard, mesh.Peer{Node: "b", Address: "127.0.0.1:2"})
-	b := newTransport("b", &pipe{in: ab, out: ba, done: ctx}, &heard, mesh.Peer{Node: "a", Address: "127.0.0.1:1"})
+	var received atomic.Int64
+	a := newTransport("a", &pipe{in: ba, out: ab, done: ctx}, &received, mesh.Peer{Node: "b", Address: "127.0.0.1:2"})
+	b := newTransport("b", &pipe{in: ab, out: ba, done: ctx}, &received, mesh.Peer{Node: "a", Address: "127.0.0.1:1"})
 	ab <- []byte("nothing that a daemon says")
 	ba <- nil
 	a.Broadcast()
@@ -72,7 +71,7 @@
 	now := time.Now().Add(summaryTTL * 2)
 	is.Equal(a.Summary(now).Load[mesh.IDOf("upstream")], 3)
 	is.Equal(b.Summary(now).Fronts, 2)
-	is.Equal(heard.Load(), int64(2))
+	is.Equal(received.Load(), int64(2))
 }
 
 func drain(c chan []byte) (list [][]byte) {
