--- a/internal/front/avail/avail.go
+++ b/internal/front/avail/avail.go
@@ -1,26 +1,27 @@
-// Package spell holds since when somebody has had news of the store without a gap.
+// Package avail tracks the interval in which the store has been available without a gap.
 //
-// A daemon that has had none for a while can't tell an outage of the store from its own
-// network, or its own VM, having stood still. The others can: if one of them had news all
-// the while, the store was there. So daemons tell each other their spells, and an outage
-// is what lies between two that don't meet.
+// A daemon that could not read the store for a while can't tell an outage of the store
+// from a failure of its own network or a freeze of its own VM. Its peers can: if the store
+// answered one of them throughout, it was available. So daemons exchange the intervals in
+// which it answered them, and an outage is the gap between two that don't meet.
 package avail
 
 import "time"
 
-// Gap is the longest time without news within a spell. Upstreams' entries lapse after
-// three reports that did not come, 3.6 s and more; while all is well news is half a
-// second old.
+// MaxGap is the longest time without a successful read within an interval. Upstreams'
+// entries expire after three missed reports, 3.6 s and more; in normal operation the
+// latest read is half a second old.
 const MaxGap = 2 * time.Second
 
-// Spell is a time in which the store was there. The zero value is none.
+// Interval is a time in which the store was available. The zero value is empty.
 type Interval struct{ From, To time.Time }
 
-// At returns the spell of a single piece of news.
+// At returns the interval of a single read.
 func At(t time.Time) Interval { return Interval{From: t, To: t} }
 
-// With returns the spell with a later or an overlapping one, own or told. Away is how
-// long the store was away between the two, 0 if it was not.
+// Merge returns the union with an interval that is at most MaxGap apart, or else the later
+// of the two, an empty one excepted. Outage is the time between the two if o is more than
+// MaxGap later, otherwise 0.
 func (s Interval) Merge(o Interval) (merged Interval, outage time.Duration) {
 	switch {
 	case s.To.IsZero():
@@ -28,7 +29,7 @@
 	case o.From.Sub(s.To) > MaxGap:
 		return o, o.From.Sub(s.To)
 	case s.From.Sub(o.To) > MaxGap:
-		return s, 0 // told by one that has heard nothing since
+		return s, 0 // from a peer that has not reached the store since
 	}
 	if o.From.Before(s.From) {
 		s.From = o.From
@@ -39,7 +40,7 @@
 	return s, 0
 }
 
-// Earlier returns the spell moved back, for a clock that stood still.
+// ShiftBack returns the interval moved back in time, for a clock that stood still.
 func (s Interval) ShiftBack(by time.Duration) Interval {
 	if s.To.IsZero() {
 		return s
--- a/internal/front/avail/avail_test.go
+++ b/internal/front/avail/avail_test.go
@@ -11,12 +11,12 @@
 
 func span(from, to float64) Interval { return Interval{From: at(from), To: at(to)} }
 
-// A daemon that takes its own deafness for an outage keeps upstreams that left; one that
-// takes an outage for its own deafness drops upstreams that live.
+// A daemon that takes its own partition for an outage retains upstreams that left; one that
+// takes an outage for its own partition drops upstreams that are alive.
 func TestMerge(t *testing.T) {
 	cases := map[string]struct {
-		own, told, want Interval
-		away            time.Duration
+		own, peer, want Interval
+		outage          time.Duration
 	}{
 		"the first news":                       {Interval{}, span(5, 5), span(5, 5), 0},
 		"news in time":                         {span(0, 5), span(5.5, 5.5), span(0, 5.5), 0},
@@ -32,9 +32,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			merged, away := c.own.Merge(c.told)
+			merged, outage := c.own.Merge(c.peer)
 			is.Equal(merged, c.want)
-			is.Equal(away, c.away)
+			is.Equal(outage, c.outage)
 		})
 	}
 	is.New(t).Equal(Interval{}.ShiftBack(time.Second), Interval{})
