--- a/internal/front/bucket/window.go
+++ b/internal/front/bucket/window.go
@@ -10,7 +10,7 @@
 
 // window is a sliding count over the last Period.
 type window struct {
-	start  time.Time // of the first slot; slots follow the monotonic clock from there
+	start  time.Time // of the first slot; monotonic, so steps of the wall clock have no effect
 	counts [slots]int
 	slot   int64 // index of the newest slot, counted from start
 }
--- a/internal/front/fleet/fleet.go
+++ b/internal/front/fleet/fleet.go
@@ -50,11 +50,11 @@
 }
 
 // Update applies an event and returns the resulting changes.
-func (f *Fleet) Update(now time.Time, n Event) (changes []Change) {
+func (f *Fleet) Update(now time.Time, e Event) (changes []Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := *f.View()
-	switch n := n.(type) {
+	switch e := e.(type) {
 	case Outage:
 		if !f.unreachable {
 			f.unreachable = true
@@ -62,29 +62,29 @@
 		}
 		return changes
 	case Suspended:
-		v.Confirmed = v.Confirmed.Add(-n.For)
-		f.avail = f.avail.ShiftBack(n.For)
+		v.Confirmed = v.Confirmed.Add(-e.For)
+		f.avail = f.avail.ShiftBack(e.For)
 	case PeerAvailability:
-		to := now.Add(-n.Age)
-		changes = f.extendAvailability(avail.Interval{From: to.Add(-n.AvailableFor), To: to})
+		to := now.Add(-e.Age)
+		changes = f.extendAvailability(avail.Interval{From: to.Add(-e.AvailableFor), To: to})
 	case Confirmed:
-		if n.Revision < v.Revision {
+		if e.Revision < v.Revision {
 			return nil
 		}
-		changes = f.confirm(&v, n.Revision, now.Add(-n.Age))
+		changes = f.confirm(&v, e.Revision, now.Add(-e.Age))
 	case PeerSnapshot:
-		if n.Revision < v.Revision {
+		if e.Revision < v.Revision {
 			return nil
 		}
-		changes = f.confirm(&v, n.Revision, now.Add(-n.Age))
-		changes = append(changes, v.replace(n.Snapshot, f.inGrace(now))...)
+		changes = f.confirm(&v, e.Revision, now.Add(-e.Age))
+		changes = append(changes, v.replace(e.Snapshot, f.inGrace(now))...)
 	case Snapshot:
 		changes = f.noteReachable()
-		if n.Revision < v.Revision {
+		if e.Revision < v.Revision {
 			return changes
 		}
-		changes = append(changes, f.confirm(&v, n.Revision, now)...)
-		changes = append(changes, v.replace(n, f.inGrace(now))...)
+		changes = append(changes, f.confirm(&v, e.Revision, now)...)
+		changes = append(changes, v.replace(e, f.inGrace(now))...)
 	}
 	changes = append(changes, f.dropExpired(&v, now)...)
 	v.AvailableSince = f.avail.From
--- a/internal/front/fleet/view.go
+++ b/internal/front/fleet/view.go
@@ -50,13 +50,13 @@
 
 // replace sets the content of the view. With retain, upstreams that are no longer listed
 // are kept as by setUpstreams.
-func (v *View) replace(n Snapshot, retain bool) (changes []Change) {
-	if n.Table != nil && (v.Table == nil || n.Table.Version > v.Table.Version) {
-		v.Table = n.Table
+func (v *View) replace(s Snapshot, retain bool) (changes []Change) {
+	if s.Table != nil && (v.Table == nil || s.Table.Version > v.Table.Version) {
+		v.Table = s.Table
 		changes = append(changes, Change{Kind: "config"})
 	}
-	changes = append(changes, v.setUpstreams(n.Upstreams, retain)...)
-	v.Entries = slices.Clone(n.Entries)
+	changes = append(changes, v.setUpstreams(s.Upstreams, retain)...)
+	v.Entries = slices.Clone(s.Entries)
 	slices.SortFunc(v.Entries, func(a, b Entry) int { return cmp.Compare(a.Node, b.Node) })
 	v.Hash = v.hash()
 	return changes
--- a/internal/front/mesh/mesh.go
+++ b/internal/front/mesh/mesh.go
@@ -98,7 +98,7 @@
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
 type (
-	// Peer is a front as the store lists it.
+	// Peer is a front as listed in the store.
 	Peer struct {
 		Node    string
 		Address string // for other daemons
--- a/internal/front/pick/pick_test.go
+++ b/internal/front/pick/pick_test.go
@@ -19,7 +19,7 @@
 	return list
 }
 
-func fixed(t *testing.T) {
+func disableJitter(t *testing.T) {
 	old := jitter
 	jitter = func() float64 { return 0 }
 	t.Cleanup(func() { jitter = old })
@@ -31,7 +31,7 @@
 }
 
 func TestPlainCallsSpread(t *testing.T) {
-	fixed(t)
+	disableJitter(t)
 	is := is.New(t)
 	p := &Picker{Domain: "x"}
 	list := ups(3)
@@ -72,7 +72,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			fixed(t)
+			disableJitter(t)
 			list := ups(2)
 			p := &Picker{Domain: "x"}
 			c.prepare(p, list)
@@ -124,7 +124,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			fixed(t)
+			disableJitter(t)
 			p := &Picker{Domain: "x"}
 			list := ups(2)
 			list[0].Batch, list[1].Batch = 16, 16
--- a/internal/front/reach/reach_test.go
+++ b/internal/front/reach/reach_test.go
@@ -39,7 +39,7 @@
 // A front is partitioned from all holders of records, and from nothing else. Its calls must
 // fail at once, so that callers can retry at another front, instead of waiting until their
 // deadline; and they must succeed again soon after the partition.
-func TestCutOffFromRecords(t *testing.T) {
+func TestPartitionedFromRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &stubRecords{}
