--- a/internal/front/allow/allow.go
+++ b/internal/front/allow/allow.go
@@ -30,10 +30,10 @@
 }
 
 // Look tells whether there is room for any request of an account, as ration.Look does.
-func (a *Allow) Peek(now time.Time, name string) bucket.Decision {
+func (a *Allow) Check(now time.Time, name string) bucket.Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.bucket.Peek(now, name)
+	return a.bucket.Check(now, name)
 }
 
 // Add counts a request that is sent once more.
--- a/internal/front/bucket/bucket.go
+++ b/internal/front/bucket/bucket.go
@@ -129,7 +129,7 @@
 // Take decides on one request of an account, and counts it if it is admitted. Started
 // reports whether it belongs to a program that has started.
 func (r *Limiter) Take(now time.Time, name string, started bool) Decision {
-	v := r.Peek(now, name)
+	v := r.Check(now, name)
 	a := r.accounts[name]
 	if !v.OK || a == nil {
 		return v
@@ -148,7 +148,7 @@
 
 // Peek reports whether any request of an account could be admitted. It counts a refusal,
 // but no admission.
-func (r *Limiter) Peek(now time.Time, name string) Decision {
+func (r *Limiter) Check(now time.Time, name string) Decision {
 	a := r.account(now, name)
 	switch {
 	case a == nil:
--- a/internal/front/bucket/bucket_test.go
+++ b/internal/front/bucket/bucket_test.go
@@ -67,8 +67,8 @@
 		r.Update(now, PeerUsage{Fronts: 2, Total: 2})
 		now = now.Add(stallTime / 10)
 	}
-	is.True(r.Peek(now, "small").OK)
-	is.True(!r.Peek(now.Add(2*stallTime), "small").OK)
+	is.True(r.Check(now, "small").OK)
+	is.True(!r.Check(now.Add(2*stallTime), "small").OK)
 }
 
 // A request that was counted and not sent is refunded, and one that is sent twice counts
--- a/internal/front/entry/account.go
+++ b/internal/front/entry/account.go
@@ -69,7 +69,7 @@
 	if q.account.Name == "" {
 		return false
 	}
-	v := q.e.Allow.Peek(time.Now(), q.account.Name)
+	v := q.e.Allow.Check(time.Now(), q.account.Name)
 	return !v.OK && !q.within(v)
 }
 
--- a/internal/front/fleet/fleet.go
+++ b/internal/front/fleet/fleet.go
@@ -29,7 +29,7 @@
 		history     []*View        // previous views, the newest last
 		unreachable bool           // the store does not answer this daemon
 		avail       avail.Interval // latest interval in which some daemon reached the store
-		recovered   bool           // avail was preceded by an outage
+		outageSeen  bool           // avail was preceded by an outage
 	}
 
 	// Change is one effect of an event, for the log.
@@ -113,7 +113,7 @@
 	if f.avail, outage = f.avail.Merge(s); outage == 0 {
 		return nil
 	}
-	f.recovered = true
+	f.outageSeen = true
 	return []Change{{Kind: "return", From: outage.String()}}
 }
 
@@ -130,7 +130,7 @@
 
 // inGrace reports whether entries that expired in an outage may still be missing.
 func (f *Fleet) inGrace(now time.Time) bool {
-	return f.recovered && now.Sub(f.avail.From) < RecoveryGrace
+	return f.outageSeen && now.Sub(f.avail.From) < RecoveryGrace
 }
 
 // dropExpired drops the retained upstreams once the grace period is over.
--- a/internal/front/fleet/fleet_test.go
+++ b/internal/front/fleet/fleet_test.go
@@ -87,7 +87,7 @@
 // the store had recovered. The list that it then reads is incomplete, since upstreams
 // have not rewritten their entries yet. If the daemon took it for complete and passed it
 // to its peers, requests would find no upstream.
-func TestOutageSeenByNoDaemon(t *testing.T) {
+func TestOutageNotSeenByThisDaemon(t *testing.T) {
 	cases := map[string]struct {
 		last Event // before the list is read, if any
 		at   time.Duration
--- a/internal/front/fleet/partition_test.go
+++ b/internal/front/fleet/partition_test.go
@@ -28,14 +28,14 @@
 // partitioned simulates five seconds in which one daemon is partitioned and the other goes
 // on reading. At the end the other reads last and sends its view to the first. The result
 // is the time 0.1 s after that.
-func partitioned(isolated, other *Fleet, last Snapshot) time.Time {
+func partitioned(isolated, other *Fleet, finalSnapshot Snapshot) time.Time {
 	isolated.Update(start, snapshot(1, 1, "a", "b"))
 	other.Update(start, snapshot(1, 1, "a", "b"))
 	recovery := start.Add(5 * time.Second)
 	for at := start; at.Before(recovery); at = at.Add(readInterval) {
 		other.Update(at, snapshot(1, 1, "a", "b"))
 	}
-	other.Update(recovery, last)
+	other.Update(recovery, finalSnapshot)
 	exchange(recovery, other, isolated)
 	return recovery.Add(100 * time.Millisecond)
 }
--- a/internal/front/mesh/elect.go
+++ b/internal/front/mesh/elect.go
@@ -32,7 +32,7 @@
 		}
 	}
 	m.isHub = slices.ContainsFunc(m.hubs, m.isSelf) || len(m.reports) > 0
-	m.addActingHubs(now)
+	m.addUnexpectedHubs(now)
 	m.targets = slices.DeleteFunc(m.targets, m.isSelf)
 	slices.SortFunc(m.hubs, func(a, b peer) int { return cmp.Compare(a.id, b.id) })
 }
@@ -40,7 +40,7 @@
 // addActingHubs adds to the targets the fronts that others treat as hubs. Fronts that lost
 // their hubs at different times choose different replacements; each of these sends to at
 // least the first in order, whose shares make it known to the rest.
-func (m *Mesh) addActingHubs(now time.Time) {
+func (m *Mesh) addUnexpectedHubs(now time.Time) {
 	more := map[ID]bool{}
 	for id, s := range m.liveShares(now) {
 		if len(s.Group) > 0 {
@@ -63,7 +63,7 @@
 
 // actingHubs returns the live hubs with a group that are not among this front's hubs, so
 // other hubs may not know them.
-func (m *Mesh) actingHubs() (ids []ID) {
+func (m *Mesh) unexpectedHubs() (ids []ID) {
 	for id, s := range m.shares {
 		if len(s.Group) > 0 && !slices.ContainsFunc(m.hubs, func(p peer) bool { return p.id == id }) {
 			ids = append(ids, id)
@@ -75,7 +75,7 @@
 
 // byRank orders fronts by failure domain, and there by processor cores, the most first:
 // hubs receive ten times as many datagrams as other fronts.
-func byRank(a, b peer) int {
+func byHubOrder(a, b peer) int {
 	return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.id, b.id))
 }
 
@@ -182,8 +182,8 @@
 	if i := slices.IndexFunc(m.hubs, m.isSelf); i >= 0 {
 		alive := m.alive(now)
 		return len(slices.DeleteFunc(slices.Clone(m.hubs[:i]), func(p peer) bool {
-			_, is := alive[p.id]
-			return !is
+			_, ok := alive[p.id]
+			return !ok
 		}))
 	}
 	n := len(m.hubs)
--- a/internal/front/mesh/mesh.go
+++ b/internal/front/mesh/mesh.go
@@ -250,7 +250,7 @@
 	}
 	m.peers = next
 	m.order = append(slices.Collect(maps.Values(next)), peer{Peer: m.Self, id: IDOf(m.Self.Node)})
-	slices.SortFunc(m.order, byRank)
+	slices.SortFunc(m.order, byHubOrder)
 }
 
 func (m *Mesh) receive(now time.Time, msg Message) []Send {
--- a/internal/front/mesh/sim_test.go
+++ b/internal/front/mesh/sim_test.go
@@ -186,9 +186,9 @@
 		for _, other := range list {
 			key := [2]int{i, other}
 			id := IDOf(sim.fronts[other].Self.Node)
-			_, is := p.Alive[id]
-			is = is || !alive && p.Load[id] != 0 // the load of a front that is down must not count
-			if other == i || is == alive {
+			_, live := p.Alive[id]
+			live = live || !alive && p.Load[id] != 0 // the load of a front that is down must not count
+			if other == i || live == alive {
 				delete(o.since, key)
 				continue
 			}
@@ -247,7 +247,7 @@
 
 // The same with 320 fronts and the worst seeds: replacement hubs that were chosen at
 // different times have to discover each other first.
-func TestFrozenFrontsAtTheTarget(t *testing.T) {
+func TestFrozenFronts320(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 5} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { freezeAndResume(t, 320, seed) })
 	}
@@ -264,8 +264,8 @@
 			sim.measure = true
 			var ages []int
 			unknown := 0
-			const played = 2
-			sim.run(sim.now.Add(played*time.Second), func() {
+			const measureSeconds = 2
+			sim.run(sim.now.Add(measureSeconds*time.Second), func() {
 				for i := 0; i < n; i += 1 + n/12 {
 					load := sim.fronts[i].Summary(sim.now).Load
 					for j, other := range sim.fronts {
@@ -283,9 +283,9 @@
 			slices.Sort(ages)
 			most, mean, bytes := 0, 0, 0
 			for i := range sim.fronts {
-				most = max(most, sim.received[i]/played)
-				mean += sim.received[i] / played
-				bytes += sim.bytes[i] / played
+				most = max(most, sim.received[i]/measureSeconds)
+				mean += sim.received[i] / measureSeconds
+				bytes += sim.bytes[i] / measureSeconds
 			}
 			mean, bytes = mean/n, bytes/n
 			p95 := time.Duration(ages[len(ages)*95/100]) * time.Millisecond
--- a/internal/front/mesh/summary.go
+++ b/internal/front/mesh/summary.go
@@ -141,7 +141,7 @@
 	all := newTotals()
 	all.add(m.own.Load, m.own.Used)
 	m.addGroup(now, all, 0)
-	s := Share{State: m.own.State, Load: all.load, Used: all.used, Group: map[ID]Status{}, Hubs: m.actingHubs()}
+	s := Share{State: m.own.State, Load: all.load, Used: all.used, Group: map[ID]Status{}, Hubs: m.unexpectedHubs()}
 	for id, r := range m.liveReports(now) {
 		s.Group[id] = status(r.State)
 	}
@@ -186,7 +186,7 @@
 	m.lastAnnounce = now
 	alive := m.alive(now)
 	for _, p := range m.order {
-		if _, is := alive[p.id]; is || m.isSelf(p) {
+		if _, live := alive[p.id]; live || m.isSelf(p) {
 			continue
 		}
 		if hub, ok := m.hubFor(p.Peer); ok && m.isSelf(hub) {
@@ -204,7 +204,7 @@
 	d := Digest{State: m.own.State, Load: all.load, Used: all.used, Fronts: len(alive) + 1}
 	d.State.Sent = now.UnixNano()
 	for id := range m.peers {
-		if _, is := alive[id]; !is {
+		if _, ok := alive[id]; !ok {
 			d.Missing = append(d.Missing, id)
 		}
 	}
--- a/internal/front/meshio/meshio.go
+++ b/internal/front/meshio/meshio.go
@@ -33,7 +33,7 @@
 		// summary of all other daemons after each message and each broadcast. Both may be
 		// nil.
 		Received func(now time.Time, s mesh.State)
-		Changed  func(mesh.Summary)
+		Updated  func(mesh.Summary)
 
 		mu          sync.Mutex
 		mesh        mesh.Mesh
@@ -72,7 +72,7 @@
 	if t.Received != nil {
 		t.Received(now, mesh.StateOf(msg))
 	}
-	t.notifyChanged(now)
+	t.notifyUpdated(now)
 }
 
 // Summary returns the state of the other daemons, at most summaryTTL old.
@@ -105,7 +105,7 @@
 	own := t.Local()
 	t.step(now, mesh.PeerList{Peers: t.Peers()})
 	t.step(now, own)
-	t.notifyChanged(now)
+	t.notifyUpdated(now)
 }
 
 func (t *Transport) broadcastLoop(ctx context.Context) {
@@ -120,9 +120,9 @@
 	}
 }
 
-func (t *Transport) notifyChanged(now time.Time) {
-	if t.Changed != nil {
-		t.Changed(t.Summary(now))
+func (t *Transport) notifyUpdated(now time.Time) {
+	if t.Updated != nil {
+		t.Updated(t.Summary(now))
 	}
 }
 
@@ -151,7 +151,7 @@
 // sameShare reports whether two messages of one step are the same share, which is encoded
 // once for all hubs.
 func sameShare(a, b mesh.Message) bool {
-	s, is := a.(mesh.Share)
-	o, too := b.(mesh.Share)
-	return is && too && s.State.Sent == o.State.Sent
+	s, isShare := a.(mesh.Share)
+	o, otherIsShare := b.(mesh.Share)
+	return isShare && otherIsShare && s.State.Sent == o.State.Sent
 }
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -169,7 +169,7 @@
 	}
 	d.meshio.Conn, d.meshio.Local, d.meshio.Peers = conn, d.told, d.peers
 	d.meshio.Self = mesh.Peer{Node: d.Settings.Node, Address: d.Settings.Peer, Domain: d.Settings.Domain, Cores: d.Settings.Cores}
-	d.meshio.Received, d.meshio.Changed = d.heard, d.changed
+	d.meshio.Received, d.meshio.Updated = d.heard, d.changed
 	go func() {
 		if err := d.meshio.Run(ctx); err != nil {
 			d.Log.Error().Err(err).Msg("nothing is heard of other daemons any more")
