--- a/internal/front/avail/avail.go
+++ b/internal/front/avail/avail.go
@@ -3,14 +3,14 @@
 // A daemon that could not read the store for a while can't tell an outage of the store
 // from a failure of its own network or a freeze of its own VM. Its peers can: if the store
 // answered one of them throughout, it was available. So daemons exchange the intervals in
-// which it answered them, and an outage is the gap between two that don't meet.
+// which it answered them, and an outage is a gap of more than MaxGap between two of them.
 package avail
 
 import "time"
 
-// MaxGap is the longest time without a successful read within an interval. Upstreams'
-// entries expire after three missed reports, 3.6 s and more; in normal operation the
-// latest read is half a second old.
+// MaxGap is the longest time without a successful read within an interval. It is less than
+// the 3.6 s, three missed reports, after which the entry of an upstream may expire, and more
+// than the half second between reads in normal operation.
 const MaxGap = 2 * time.Second
 
 // Interval is a time in which the store was available. The zero value is empty.
@@ -19,9 +19,9 @@
 // At returns the interval of a single read.
 func At(t time.Time) Interval { return Interval{From: t, To: t} }
 
-// Merge returns the union with an interval that is at most MaxGap apart, or else the later
-// of the two, an empty one excepted. Outage is the time between the two if o is more than
-// MaxGap later, otherwise 0.
+// Merge returns the union if the two intervals are at most MaxGap apart, otherwise the
+// later one. If s is empty it returns o. Outage is the gap if o begins more than MaxGap
+// after the end of s, otherwise 0.
 func (s Interval) Merge(o Interval) (merged Interval, outage time.Duration) {
 	switch {
 	case s.To.IsZero():
--- a/internal/front/bucket/bucket.go
+++ b/internal/front/bucket/bucket.go
@@ -5,10 +5,10 @@
 // requests a second, up to a burst. The bucket is not stored in one place. Each front
 // estimates its level from the requests that it admitted itself and the sums that the
 // other fronts report for the last Period, which are part of the datagrams that fronts
-// exchange anyway. What the others admitted since their last report is not known, so a
-// front at which an account is busy admits no more than its share of the level within one
-// Period. The shares of all fronts add up to the level, so the sum stays within the limit
-// however fast a flood begins.
+// exchange anyway. What the others admitted since their last report is not known, so once
+// the known sum of a Period exceeds a part of the level, a front admits no more than its
+// share of the level within that Period. The shares of all fronts add up to the level if all
+// reports are current. Until the first reports of a flood arrive the sum can exceed it.
 //
 // Fronts that can't communicate can't share one bucket. A front computes the ratio of the
 // live fronts to those that recently existed; the live fronts together use this part of
@@ -146,8 +146,8 @@
 	return v
 }
 
-// Peek reports whether any request of an account could be admitted. It counts a refusal,
-// but no admission.
+// Check reports whether an account is refused whatever the request. It counts a refusal for
+// lack of level, which retryAfter takes into account, but no admission.
 func (r *Limiter) Check(now time.Time, name string) Decision {
 	a := r.account(now, name)
 	switch {
@@ -238,7 +238,7 @@
 // request may use, free the part of it up to which shares are not enforced.
 func (r *Limiter) fits(now time.Time, name string, a *account, level, free float64) bool {
 	own, others := float64(a.used.sum(now)), r.others(name)
-	if max(own+others, r.estimateTotal(own)) < free*(a.level+own) { // the level without this front's requests in this Period
+	if max(own+others, r.estimateTotal(own)) < free*(a.level+own) { // level before own requests
 		return true
 	}
 	level += own
--- a/internal/front/fleet/delta.go
+++ b/internal/front/fleet/delta.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// historySize is how many previous views are kept as bases for deltas. All daemons
-// go through the same views, at least half a second apart, so a peer that requests a
-// delta is a few views behind. A view of a thousand upstreams takes 0.2 MB.
+// historySize is the number of previous views that are kept as bases for deltas. Views
+// usually change at most every half second, and a peer that requests a delta is a few views
+// behind; one that is further behind gets the full state. A view of a thousand upstreams
+// takes 0.2 MB.
 const historySize = 12
 
 // Delta is the difference between two views, which are identified by their hashes.
@@ -16,8 +17,8 @@
 	Hash        uint64     // hash of the resulting view
 	Upstreams   []Upstream // added or changed
 	Gone        []string   // ids of removed upstreams
-	Entries     []Entry    // added or changed
-	GoneEntries []string   // nodes of removed entries
+	Entries     []Entry    // added or changed fronts
+	GoneEntries []string   // nodes of removed fronts
 }
 
 // DeltaSince returns the delta from the view with that hash to the current one, and
--- a/internal/front/fleet/fleet.go
+++ b/internal/front/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet holds one daemon's view of the system: the configuration in
 // force, the upstreams, and the daemons that serve callers.
 //
-// The daemon with the oldest view reads the store and passes the result to its
-// peers. Updates may arrive twice or out of order, so any update with a revision
+// Usually one daemon, the first by its rank in package mesh, reads the store and passes
+// the result to its peers. Updates may arrive twice or out of order, so any with a revision
 // lower than the current one is ignored and the view never reverts. While the
 // store is unavailable the last view stays in force.
 package fleet
@@ -16,9 +16,9 @@
 )
 
 // RecoveryGrace is how long an upstream without an entry is retained after the
-// store has recovered. Live upstreams rewrite entries that expired during an
-// outage within about two seconds; dropping all of them at once would leave
-// callers without any upstream after each outage.
+// store has recovered. Within about two seconds live upstreams rewrite the entries that
+// expired during an outage; dropping all of them at once would leave callers without any
+// upstream after each outage.
 const RecoveryGrace = 2300 * time.Millisecond
 
 type (
@@ -29,15 +29,18 @@
 		history     []*View        // previous views, the newest last
 		unreachable bool           // the store does not answer this daemon
 		avail       avail.Interval // latest interval in which some daemon reached the store
-		outageSeen  bool           // avail was preceded by an outage
+		outageSeen  bool           // an outage was detected since the start, so avail.From may be its end
 	}
 
 	// Change is one effect of an event, for the log.
 	Change struct {
-		Kind string // config, upstream, outage, regained, return
-		ID   string
-		From string // previous state; for a return, the duration of the outage
-		To   string // new state
+		// Kind is "config", "upstream", "outage" if the store does not answer this daemon,
+		// "regained" if it does again, or "return" after the store was unavailable to all
+		// daemons.
+		Kind string
+		ID   string // of the upstream
+		From string // previous state of the upstream; for a return, the duration of the outage
+		To   string // new state of the upstream
 	}
 )
 
@@ -105,9 +108,9 @@
 }
 
 // extendAvailability merges an interval in which some daemon reached the store, and
-// detects the end of an outage. Of hundreds of daemons only the first in rank query the
-// store during an outage; one of a lower rank that first reads after the recovery would
-// otherwise take the incomplete list for the full one.
+// detects the end of an outage by the gap between the intervals, not by failed reads. Of
+// hundreds of daemons only the first by rank read the store during an outage; another one,
+// whose first read is after the recovery, would take the incomplete list for the full one.
 func (f *Fleet) extendAvailability(s avail.Interval) []Change {
 	var outage time.Duration
 	if f.avail, outage = f.avail.Merge(s); outage == 0 {
--- a/internal/front/fleet/fleet_test.go
+++ b/internal/front/fleet/fleet_test.go
@@ -208,15 +208,11 @@
 	is.Equal(len(f.Update(start, Outage{})), 0) // reported once
 }
 
-// A leaving upstream got new requests for 2.3 s, 0.3 s longer than allowed. The store had
-// been unavailable until three seconds before. One daemon's last read attempt hung until
-// then, while its peers kept it up to date. When it read, it started the grace period at
-// its own first successful read, took the missing entry for one that had expired in the
-// outage, and told its peers that the upstream was alive.
-//
-// This sequence of events failed on the code of that time; with any other reader the
-// upstream was dropped at the next read. The last request came 2.313 s after the entry was
-// removed, which is the grace period.
+// The store recovers from an outage, and one daemon, which its peers keep up to date, reads
+// it successfully only some seconds later. It must not start the grace period at its own
+// first read: it would take the entry of an upstream that has just left for one that expired
+// in the outage, and requests would go to that upstream for the whole grace period, 2.3 s,
+// where two seconds are allowed.
 func TestLastReaderAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
--- a/internal/front/fleet/partition_test.go
+++ b/internal/front/fleet/partition_test.go
@@ -11,7 +11,8 @@
 const readInterval = 500 * time.Millisecond
 
 // exchange applies the view of one daemon to another as daemons do: an equal view is
-// confirmed, an older one gets a snapshot, a newer one stays as it is.
+// confirmed, one of an older revision is replaced by a snapshot, and one of a newer revision,
+// or of the same with another hash, stays as it is.
 func exchange(now time.Time, from, to *Fleet) {
 	v, w := from.View(), to.View()
 	age := now.Sub(v.Confirmed)
@@ -26,8 +27,8 @@
 }
 
 // partitioned simulates five seconds in which one daemon is partitioned and the other goes
-// on reading. At the end the other reads last and sends its view to the first. The result
-// is the time 0.1 s after that.
+// on reading. At the end the other reads finalSnapshot and sends its view to the isolated
+// one. The result is the time 0.1 s after that.
 func partitioned(isolated, other *Fleet, finalSnapshot Snapshot) time.Time {
 	isolated.Update(start, snapshot(1, 1, "a", "b"))
 	other.Update(start, snapshot(1, 1, "a", "b"))
@@ -40,15 +41,10 @@
 	return recovery.Add(100 * time.Millisecond)
 }
 
-// Daemons that had been connected all the time sent requests to a leaving upstream for
-// 2.3 s more. The daemon that reads for all had been partitioned for five seconds and took
-// that for an outage of the store. It read again, retained the upstream, whose entry had
-// just been removed, as one whose entry had expired in the outage, and sent it to its peers
-// as listed in the store.
-//
-// In a recorded day the partitioned daemon logged the upstream as gone 2.3 s after it was
-// reconnected, which is the grace period, and the five others only after that; no other
-// daemon had lost the store.
+// A daemon was partitioned for five seconds, and an upstream leaves just after that. If the
+// daemon took its own gap for an outage of the store, it would retain the upstream for the
+// grace period, 2.3 s. Its peers, which reached the store all the time, must not take over
+// that upstream and go on sending requests to it.
 func TestPartitionedDaemonDoesNotMisleadPeers(t *testing.T) {
 	is := is.New(t)
 	var isolated, other Fleet
@@ -58,13 +54,10 @@
 	is.Equal(ids(other.View()), "a")
 }
 
-// A daemon that had been partitioned for five seconds sent requests to upstreams that had
-// left, for 2.3 s after it was reconnected: those that left during the partition, and those
-// that left as it ended. It took its own gap for an outage of the store, although all of its
-// peers reported that the store had been available to them.
-//
-// In a recorded day the daemon had logged no outage of its own before, and the views of the
-// other five were confirmed every half second.
+// A daemon that was partitioned must not take its own gap for an outage of the store if its
+// peers report that the store was available to them. Otherwise it goes on sending requests,
+// for 2.3 s after it was reconnected, to upstreams that left during the partition or just
+// after it.
 func TestPartitionedDaemonTrustsPeers(t *testing.T) {
 	cases := map[string]struct{ final, read Snapshot }{
 		"an upstream left as it was back":       {snapshot(1, 1, "a", "b"), snapshot(2, 1, "a")},
@@ -80,14 +73,12 @@
 	}
 }
 
-// The store was unavailable. An upstream left meanwhile, and its entry stays missing. The
-// daemon that reads drops it after the grace period, but the revision of the store has not
-// changed, and daemons ignore a peer whose hash differs at the same revision. Each went on
-// sending requests to the upstream until its own next read, up to 22 s later among 171,
-// because retained upstreams were part of the state sent to peers.
-//
-// In a recorded day six daemons dropped an upstream one after the other within 0.7 s, in
-// the order in which they read, each by its own read and none by a peer's update.
+// An upstream leaves during an outage of the store, so its entry stays missing. The daemon
+// that reads drops it after the grace period, and all others must drop it at the same time.
+// If retained upstreams were part of the state sent to peers, the drop would change the hash
+// but not the revision; daemons ignore a peer whose hash differs at the same revision, so
+// each would send requests to the upstream until its own next read, up to 22 s later among
+// 171 daemons.
 func TestMissingUpstreamIsDroppedByAll(t *testing.T) {
 	is := is.New(t)
 	var reader, other Fleet
--- a/internal/front/fleet/types.go
+++ b/internal/front/fleet/types.go
@@ -21,7 +21,7 @@
 		Born    int64         // start time in Unix milliseconds; changes if it restarts under the same id
 	}
 
-	// Entry is a daemon that serves callers.
+	// Entry is a front, a daemon that serves callers, as listed in the store.
 	Entry struct {
 		Node    string
 		Address string // for callers
@@ -34,7 +34,8 @@
 	// Event is an input of Fleet.Update.
 	Event interface{ event() }
 
-	// Snapshot is the content of the store at a revision, as this daemon has just read it.
+	// Snapshot is the content of the store at a revision. As an event it is what this daemon
+	// has just read.
 	Snapshot struct {
 		Revision  uint64
 		Table     *route.Table // nil if there is no valid configuration
--- a/internal/front/fleet/view.go
+++ b/internal/front/fleet/view.go
@@ -35,7 +35,7 @@
 	Services       map[string][]Upstream // listed and retained upstreams, by service
 	Upstreams      []Upstream            // as listed in the store, sorted by id
 	Retained       []Upstream            // kept although the store does not list them, sorted by id
-	Entries        []Entry               // sorted by node
+	Entries        []Entry               // fronts as listed in the store, sorted by node
 	Hash           uint64                // of the listed content
 }
 
--- a/internal/front/mesh/elect.go
+++ b/internal/front/mesh/elect.go
@@ -14,9 +14,9 @@
 // fullMesh reports whether all fronts send to each other directly.
 func (m *Mesh) fullMesh() bool { return len(m.peers) < FullMeshMax }
 
-// elect determines the acting hubs and the targets of this front's shares. The first in
-// order of each failure domain remain targets even while they are silent, or two halves
-// of a partition would never reconnect; their replacements act as hubs meanwhile.
+// elect determines the hubs and the targets of this front's shares. The first of each
+// failure domain in hub order remain targets even while they are silent, or two halves of a
+// partition would never reconnect; their replacements act as hubs meanwhile.
 func (m *Mesh) elect(now time.Time) {
 	m.prune(now)
 	m.hubs, m.targets, m.isHub = nil, nil, false
@@ -37,9 +37,10 @@
 	slices.SortFunc(m.hubs, func(a, b peer) int { return cmp.Compare(a.id, b.id) })
 }
 
-// addActingHubs adds to the targets the fronts that others treat as hubs. Fronts that lost
-// their hubs at different times choose different replacements; each of these sends to at
-// least the first in order, whose shares make it known to the rest.
+// addUnexpectedHubs adds to the targets the fronts that others treat as hubs. Fronts that
+// lost their hubs at different times may choose different replacements. Each replacement
+// sends its share to at least the first fronts in hub order, and these list it in
+// Share.Hubs, so that all hubs get to know it.
 func (m *Mesh) addUnexpectedHubs(now time.Time) {
 	more := map[ID]bool{}
 	for id, s := range m.liveShares(now) {
@@ -61,8 +62,8 @@
 	}
 }
 
-// actingHubs returns the live hubs with a group that are not among this front's hubs, so
-// other hubs may not know them.
+// unexpectedHubs returns the fronts that act as hubs, with a group of their own, but are
+// not hubs in this front's view, so that other hubs may not know them either.
 func (m *Mesh) unexpectedHubs() (ids []ID) {
 	for id, s := range m.shares {
 		if len(s.Group) > 0 && !slices.ContainsFunc(m.hubs, func(p peer) bool { return p.id == id }) {
@@ -73,14 +74,14 @@
 	return ids
 }
 
-// byRank orders fronts by failure domain, and there by processor cores, the most first:
-// hubs receive ten times as many datagrams as other fronts.
+// byHubOrder orders fronts by failure domain, and there by processor cores, the most first:
+// hubs receive 20 to 40 times as many datagrams as other fronts.
 func byHubOrder(a, b peer) int {
 	return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(b.Cores, a.Cores), cmp.Compare(a.id, b.id))
 }
 
-// firstOfDomains returns the first eligible fronts of each failure domain, as many as the
-// size of the domain requires.
+// firstOfDomains returns the first eligible fronts of each failure domain in hub order: one
+// for each maxGroup fronts of the domain, and at least minHubs.
 func (m *Mesh) firstOfDomains(eligible func(peer) bool) (out []peer) {
 	size := map[string]int{}
 	for _, p := range m.order {
@@ -96,11 +97,11 @@
 	return out
 }
 
-// isReplaced reports whether another front acts as hub in place of p. Only a front whose
-// reports are not answered or whose recent digest lists p as missing decides that: it
-// reports to the next in order, and a front that receives a report is a hub. A hub that
-// has just started or resumed has received nothing; if each such hub considered all others
-// down, all fronts would send to each other directly again.
+// isReplaced reports whether another front acts as hub in place of p: if p did not answer
+// this front's reports, or if a recent digest lists it as missing. It is not enough that this
+// front has received nothing from p: hubs that have just started or resumed have received
+// nothing from anyone. If each of them considered all others down, all fronts would send to
+// each other directly again.
 func (m *Mesh) isReplaced(now time.Time, p peer) bool {
 	if m.isSelf(p) {
 		return false
@@ -133,9 +134,10 @@
 
 // hubCandidates returns the hubs that a front may report to, the preferred one first.
 //
-// While a hub that did not answer has not been listed as missing in a digest, hubs of all
-// failure domains are candidates. All hubs of a domain may be frozen, and each attempt
-// takes half a second; the digest of any hub that answers tells which of them are alive.
+// Normally these are the hubs of its own failure domain. If a hub did not answer and no
+// digest has confirmed yet that it is down, the hubs of all domains are candidates: all hubs
+// of a domain may be frozen, and trying them one by one takes answerTimeout, half a second,
+// for each. The digest of any hub that answers lists those that are down.
 func (m *Mesh) hubCandidates(front Peer) (list []peer) {
 	sameDomain := slices.ContainsFunc(m.hubs, func(p peer) bool { return p.Domain == front.Domain })
 	for _, a := range m.avoid {
@@ -153,8 +155,9 @@
 	return list
 }
 
-// prune drops expired reports, shares and avoided hubs, and avoids hubs that have not
-// answered within answerTimeout.
+// prune drops expired reports and shares, and avoids hubs that have not answered within
+// answerTimeout. A hub is no longer avoided after avoidFor, or once a digest no longer lists
+// it as missing after one that did.
 func (m *Mesh) prune(now time.Time) {
 	m.reports = maps.Collect(m.liveReports(now))
 	m.shares = maps.Collect(m.liveShares(now))
@@ -175,8 +178,10 @@
 	}
 }
 
-// Rank is the number of fronts that come before this one in the order in which they read
-// the store: hubs first, since they send the result to all others.
+// Rank is the position of this front, from 0, in the order in which fronts read the store:
+// hubs first, since they send the result to all others. For a hub it is the number of live
+// hubs before it, for another front the number of hubs plus that of listed fronts with a
+// smaller ID.
 func (m *Mesh) Rank(now time.Time) int {
 	self := IDOf(m.Self.Node)
 	if i := slices.IndexFunc(m.hubs, m.isSelf); i >= 0 {
--- a/internal/front/mesh/mesh.go
+++ b/internal/front/mesh/mesh.go
@@ -8,9 +8,9 @@
 // to one hub, and hubs send the sums of their groups to each other and answer each
 // report with a digest of the state of all fronts. The load of a front reaches all others
 // in three datagrams, and the number of datagrams that a front receives does not grow
-// with the number of fronts.
+// with the number of fronts. Up to FullMeshMax every front is a hub without a group.
 //
-// Hubs are not elected by messages. Each front derives the same order from the list of
+// Hubs are not elected by messages. Each front derives the hub order from the list of
 // fronts, and a front that receives a report acts as hub for its sender, so fronts with
 // different lists still interoperate.
 //
@@ -28,8 +28,8 @@
 
 const (
 	// FullMeshMax is the number of fronts, this one included, up to which all send to each
-	// other: at 7 ms for each their state is then at most 0.17 s old, as old as through
-	// hubs.
+	// other: at 7 ms for each their state is then at most 0.17 s old; through hubs it is up
+	// to 0.26 s old or more, half of that on average.
 	FullMeshMax = 24
 	// maxGroup is the number of fronts per hub. A hub receives 160 reports a second from
 	// them, fewer datagrams than from the other hubs.
@@ -37,8 +37,8 @@
 	// minHubs is the least number of hubs in a failure domain, so that its other fronts
 	// have another one in the domain when one fails.
 	minHubs = 2
-	// minInterval is the shortest interval between datagrams to the same front: half of
-	// the time of a short plain call.
+	// minInterval is the shortest interval between datagrams to the same front: about half
+	// of the time of a plain call.
 	minInterval = 60 * time.Millisecond
 	// intervalPerPeer extends the interval with the number of recipients, which limits the
 	// datagrams that each front sends and receives to about 140 a second.
@@ -50,10 +50,9 @@
 	// hubs is as old as two report intervals and the hubs' interval in between: at most
 	// 0.3 s with 24 hubs, half of that on average.
 	reportInterval = 100 * time.Millisecond
-	// SilenceTimeout is the least time without datagrams after which a front counts as
-	// down, and silenceIntervals the same in send intervals: so many datagrams in a row are
-	// hardly ever lost. With hubs it is hubSilenceTimeout, in which the fronts of a failed
-	// hub have switched to another one.
+	// SilenceTimeout is how long a share is valid, or silenceIntervals send intervals if that
+	// is longer: so many datagrams in a row are hardly ever lost. With hubs hubSilenceTimeout
+	// takes its place, in which the fronts of a failed hub have switched to another one.
 	SilenceTimeout    = 900 * time.Millisecond
 	silenceIntervals  = 3
 	hubSilenceTimeout = 800 * time.Millisecond
@@ -62,7 +61,7 @@
 	// reportTTL is how long a report is valid: five in a row are hardly ever lost.
 	reportTTL = 500 * time.Millisecond
 	// answerTimeout is how long a hub may leave reports unanswered before it is avoided,
-	// and avoidFor how long it is then avoided.
+	// and avoidFor how long it is then avoided at most.
 	answerTimeout = 500 * time.Millisecond
 	avoidFor      = 10 * time.Second
 	// maxProbes is how many hubs get a report at a time while none answers: if half of all
@@ -70,19 +69,19 @@
 	// time without an answer after which that starts, three reports.
 	maxProbes  = 3
 	probeAfter = 3 * reportInterval
-	// settleTime is how long a newly listed front may be silent before it is replaced as
-	// a hub. It also applies to all hubs after this front has resumed from a freeze.
+	// settleTime is how long after a front was listed, or after this front resumed from a
+	// freeze, digests that list the front as missing do not replace it as a hub.
 	settleTime = time.Second
 	// stallTime is the time between two ticks beyond which this front counts as having
 	// been frozen: several times the longest interval.
 	stallTime = time.Second
-	// minKnownDivisor sets the number of live fronts that a digest must report to be
-	// accepted: more than this part of all fronts, a quarter. Half are missing from digests
-	// when the hubs of half of the failure domains freeze together, until they are replaced.
+	// minKnownDivisor is 4: a digest is accepted only if it reports more than a quarter of all
+	// fronts as alive. Half would be too many: that many are missing while the hubs of half of
+	// the failure domains are frozen and not yet replaced.
 	minKnownDivisor = 4
-	// announceInterval is the interval between digests to a silent front. A front that
-	// knows of no other yet learns from them which peer to ask, so hundreds that start
-	// together need not read the store until each has found all others.
+	// announceInterval is the interval between digests to a silent front. A front that has
+	// just started learns from them which peer it can get the fleet view from, so that
+	// hundreds that start together don't all read the store.
 	announceInterval = 500 * time.Millisecond
 	// maxLoads is the largest number of upstreams in one datagram, those with the most
 	// requests in flight, so that the datagram fits MaxPacket. It also applies to accounts.
@@ -135,7 +134,7 @@
 		own          Tick
 		listed       []Peer
 		peers        map[ID]peer
-		order        []peer           // all fronts, this one included, in the order in which they become hubs
+		order        []peer           // all fronts, this one included, in hub order
 		reports      map[ID]report    // of the fronts that have this one as their hub
 		shares       map[ID]share     // of other hubs
 		digest       digest           // the latest, from any hub
@@ -145,7 +144,7 @@
 		lastTick     time.Time
 		resumed      time.Time // end of the latest freeze
 		isHub        bool
-		hubs         []peer // acting hubs of all failure domains, sorted by ID
+		hubs         []peer // that this front considers hubs, of all failure domains, sorted by ID
 		targets      []peer // to which this front sends its share as a hub
 	}
 
--- a/internal/front/mesh/summary.go
+++ b/internal/front/mesh/summary.go
@@ -84,8 +84,8 @@
 	return out
 }
 
-// total returns the totals of the other fronts, without those of one that reports to
-// this front.
+// total returns the totals of the other fronts. If the front except reports to this one its
+// own counts are left out; 0 excepts none.
 func (m *Mesh) total(now time.Time, except ID) totals {
 	out := newTotals()
 	for _, s := range m.liveShares(now) {
--- a/internal/front/meshio/meshio.go
+++ b/internal/front/meshio/meshio.go
@@ -1,9 +1,10 @@
 // Package meshio exchanges the messages of package mesh between the daemons that serve
 // callers, in UDP datagrams.
 //
-// Upstreams report their load late, and each report requires a call to them. A datagram
-// of a few hundred bytes costs less and is more recent. Datagrams may be lost or
-// reordered; each carries the full state, so the next one makes up for a loss.
+// Daemons could get the load from the upstreams instead, but each report takes a call to
+// the upstream and arrives late; a datagram of a few hundred bytes costs less and is more
+// recent. Datagrams may be lost or reordered; each carries the full state, so the next one
+// makes up for a loss.
 package meshio
 
 import (
@@ -18,8 +19,8 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// summaryTTL is how long a summary is cached: each answer of the directory needs one, and
-// it changes a few times a second.
+// summaryTTL is how long a summary is cached: each answer to a caller that asks for the list
+// of daemons needs one, and the interval between two messages of a daemon is longer.
 const summaryTTL = 20 * time.Millisecond
 
 type (
@@ -29,9 +30,9 @@
 		Self  mesh.Peer
 		Local func() mesh.Tick   // state and load of this daemon
 		Peers func() []mesh.Peer // daemons as listed in the store
-		// Received is called with the sender's state for each message, and Changed with the
-		// summary of all other daemons after each message and each broadcast. Both may be
-		// nil.
+		// Received is called with the sender's state for each message, and Updated after each
+		// message and each broadcast with a summary that is at most summaryTTL old. Both may
+		// be nil.
 		Received func(now time.Time, s mesh.State)
 		Updated  func(mesh.Summary)
 
@@ -85,7 +86,7 @@
 	return t.summary
 }
 
-// Rank is the number of daemons that come before this one in reading the store.
+// Rank is the position of this daemon in the order in which daemons read the store, from 0.
 func (t *Transport) Rank(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/front/pick/pick.go
+++ b/internal/front/pick/pick.go
@@ -1,8 +1,8 @@
 // Package pick selects the upstream of a request.
 //
 // It tracks the requests in flight of this daemon at each upstream, those that other
-// daemons report, and the outcomes of recent requests. Selection uses only this state,
-// the request and a random jitter; it makes no calls.
+// daemons report, and the outcomes of recent requests. Selection uses this state, the
+// request, Picker.Age, Picker.Idle and a random jitter; it makes no network requests.
 //
 // Each upstream has a cost in milliseconds of the caller's time: queueing,
 // repeating the prefill of a prompt that is cached at another upstream, and the delay
@@ -40,32 +40,37 @@
 	// of the load: peers' counts are up to 0.1 s old, and a call that finds the batch
 	// full waits.
 	loadCost = 30.0
-	// contentionCost is what each request in flight at an engine adds, whatever the
-	// batch size: prefills run between the decode steps of all other turns, 25 to 80 ms
-	// for each turn, and a turn overlaps with several.
+	// contentionCost is what each request in flight at an engine adds, whatever the batch
+	// size: each has a prefill of 25 to 80 ms, during which the decoding of all other turns
+	// at the engine pauses, and several prefills fall into the duration of a turn.
 	contentionCost = 10.0
 	// queueCost is the wait for each full batch queued ahead of a request.
 	queueCost = 200.0
 	// prefillPerMs is the prefill rate in tokens per millisecond, the lowest of the
 	// engines in use. A prefill delays every other turn at that engine by its duration,
-	// so it is counted for each of them too: with bursts on eight engines with batches
-	// of 16 this gained 0.063 ±0.016 of a day's score (eight paired runs).
+	// so it is counted for each of them too. With bursts on eight engines with batches of
+	// 16 this gained 0.063 ±0.016 of the total value of a day's programs (eight paired
+	// simulations).
 	prefillPerMs = 42.0
-	// crossDomainCost accounts for bytes between failure domains: the 10 KB of a turn
-	// cost about as much as a hundredth of a program's value.
+	// crossDomainCost is added for an upstream in another failure domain, for the price of
+	// the bytes in between: for the 10 KB of a turn it is about a hundredth of the value of
+	// a program.
 	crossDomainCost = 4.0
-	// newConnCost accounts for a new connection and the millisecond that it takes. A
-	// value of 15 lost 0.020 of a day's score with eight busy engines (six paired runs):
-	// turns shared an engine with others because it had an open connection.
+	// newConnCost is added for a new connection, which takes a millisecond. With a value of
+	// 15 turns shared an engine with others only because a connection was open, which lost
+	// 0.020 of the total value of a day's programs on eight busy engines (six paired
+	// simulations).
 	newConnCost = 5.0
-	// noiseCost keeps daemons with the same state from all selecting the same upstream.
-	// spreadCost is the most that a hash of the daemon or the program adds to an upstream
-	// where peers' loads are out of date. They are up to one report interval old; beyond
-	// freshAge, more calls have started and ended since then than are in flight, and
-	// daemons that relied on the counts would all converge on one upstream.
-	noiseCost  = 3.0
+	// noiseCost is the most that the hash of the program or daemon and the upstream adds,
+	// and twice the most that jitter adds. It keeps daemons with the same state from all
+	// selecting the same upstream.
+	noiseCost = 3.0
+	// spreadCost is the most that the hash adds on top while peers' reports are older than
+	// freshAge. Daemons that relied on such reports would all converge on one upstream.
 	spreadCost = 40.0
-	freshAge   = 80 * time.Millisecond
+	// freshAge is the age up to which peers' reports count fully. In a longer time more
+	// calls start and end than are in flight.
+	freshAge = 80 * time.Millisecond
 	// failureCost is the cost of an upstream that fails every request.
 	failureCost = 600.0
 	// slowThreshold is the multiple of the usual time above which an upstream counts as
@@ -111,7 +116,7 @@
 		Key        string           // of the program whose turn it is; empty for plain calls
 		Prefer     string           // id of the upstream that has the prompt cached; may be empty
 		Tokens     int              // length of the prompt, which other upstreams would have to prefill
-		Only       string           // id of the only upstream that may run it; empty for any
+		Only       string           // id of the only upstream that may run it, even if leaving or excluded; empty for any
 		Exclude    map[string]bool  // ids that have refused or failed this attempt
 	}
 )
@@ -232,9 +237,10 @@
 	return 0
 }
 
-// Load returns the number of requests in flight at the upstreams, leaving ones excepted,
-// the number of turns that they should run, and the number of daemons that share them.
-// Share returns the part of a batch size that an upstream should run.
+// Load returns the sums over all upstreams that are not leaving: the requests in flight
+// (Under) and the capacity in requests (Room), which is for each the batch size times
+// share(batch size). It adds the number of daemons, this one included (Fronts), and the age
+// of their reports (News).
 func (p *Picker) Load(list []fleet.Upstream, share func(batch int) float64) (l gate.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/reach/reach.go
+++ b/internal/front/reach/reach.go
@@ -1,5 +1,5 @@
-// Package reach is a circuit breaker for the calls of a front to the holders of records,
-// which may be unreachable from one front only.
+// Package reach is a circuit breaker for the calls of a front to the holders, the replicas
+// that store durable records, which may be unreachable from one front only.
 //
 // Turns at such a front would wait for their records until their callers give up. Once
 // calls have failed for some time without a success, further calls fail at once, so that
@@ -20,8 +20,8 @@
 
 const (
 	// CallTimeout limits the calls that a turn waits for before it runs. A killed holder is
-	// skipped within 20 ms, and a changed roster is known within 0.1 s, so a call that
-	// takes longer is unlikely to succeed.
+	// skipped within 20 ms, and a changed list of holders is known within 0.1 s, so a call
+	// that takes longer is unlikely to succeed.
 	CallTimeout = 900 * time.Millisecond
 	// tripFailures is the number of consecutive failures, and tripTime the time since the
 	// first of them, after which the holders count as unreachable. One slow call does not
@@ -68,8 +68,8 @@
 	return res, err
 }
 
-// Read reads a turn with its chain, within CallTimeout. It fails with quorum.ErrUnsure
-// while the holders are unreachable.
+// Read returns a turn and the turns before it, the oldest first, within CallTimeout. It
+// fails with quorum.ErrUnsure while the holders are unreachable.
 func (b *Breaker) Read(ctx context.Context, program, turn string) (chain []book.Turn, err error) {
 	if !b.allow(time.Now()) {
 		return nil, quorum.ErrUnsure
@@ -81,8 +81,8 @@
 	return chain, err
 }
 
-// recordOutcome counts a failure or resets the count. A call that its caller cancelled is
-// ignored.
+// recordOutcome counts a failure or resets the count. ErrNoTurn is an answer and resets it,
+// too; a call that its caller cancelled is ignored.
 func (b *Breaker) recordOutcome(ctx context.Context, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/reach/reach_test.go
+++ b/internal/front/reach/reach_test.go
@@ -37,8 +37,9 @@
 }
 
 // A front is partitioned from all holders of records, and from nothing else. Its calls must
-// fail at once, so that callers can retry at another front, instead of waiting until their
-// deadline; and they must succeed again soon after the partition.
+// fail within CallTimeout, so that callers can retry at another front, instead of waiting
+// until their deadline; and they must succeed again soon after the partition. Each call here
+// takes longer than probeInterval, so while the breaker is open all of them are probes.
 func TestPartitionedFromRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -68,7 +69,7 @@
 		for range 5 {
 			took, err = write()
 			if s.calls == before {
-				is.Equal(took, time.Duration(0)) // at once
+				is.Equal(took, time.Duration(0)) // not let through
 			}
 			is.True(err != nil)
 		}
