--- a/cmd/slaterock/folder_test.go
+++ b/cmd/slaterock/folder_test.go
@@ -45,9 +45,9 @@
 		is.True(answer.Whole)
 		h, err = s.client(entry).History(s.ctx, program)
 		is.NoErr(err)
-		return h.Calls[number].AnswerIn != nil && h.Calls[number].AskedIn != nil
+		return h.Calls[number].AnswerBlob != nil && h.Calls[number].AskedBlob != nil
 	})
-	is.Equal(len(h.Calls[number].AnswerIn.Holders), 2)
+	is.Equal(len(h.Calls[number].AnswerBlob.Holders), 2)
 	is.Equal(h.Calls[number].Note, "")
 	is.Equal(string(h.Calls[number].Result.Body), answer.Text)
 
@@ -58,7 +58,7 @@
 		h, err = s.client(entry).History(s.ctx, program)
 		return err == nil && h.Calls[number].Note == ""
 	})
-	is.True(h.Calls[number].AskedIn != nil)
+	is.True(h.Calls[number].AskedBlob != nil)
 	is.Equal(string(h.Calls[number].Result.Body), answer.Text)
 	is.True(strings.Contains(h.Calls[number].Asked, talk[0].Content))
 	again, err := s.client(entry).Chat(s.ctx, program, number, 256, talk, nil)
--- a/internal/edge/report/report.go
+++ b/internal/edge/report/report.go
@@ -58,7 +58,7 @@
 	t.row("outcome", sentence(c))
 	t.row("ran", ran(c))
 	t.row("tokens", fmt.Sprintf("%d prompt (%d cached), %d output", c.Result.Prompt, c.Result.Cached, c.Result.Output))
-	t.row("budget", fmt.Sprintf("%d tokens before, %d after", c.Before, c.After))
+	t.row("budget", fmt.Sprintf("%d tokens before, %d after", c.BudgetBefore, c.BudgetAfter))
 	t.row("configuration", fmt.Sprintf("version %d", c.Config))
 	t.row("owner's epoch", c.Epoch)
 	t.row("started", c.Start.UTC().Format(clock))
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -23,9 +23,9 @@
 		Calls: []hist.Call{{
 			Request: "0123456789abcdef-3-000000000001", Number: 3, Kind: call.Service, Target: "receipts/issue",
 			Digest: "9891", Asked: "{\"kg\":3}\nforged: line",
-			Tries:  []hist.Try{{Upstream: "ledger2", Start: start, End: start.Add(5 * time.Second), Ended: "connection lost"}},
-			Result: result.Failed(result.CodeUnknown, result.Unknown, "the service got the request and gave no answer"),
-			Before: 800, After: 780, Config: 12, Epoch: 4, Start: start, End: start.Add(5100 * time.Millisecond),
+			Tries:        []hist.Try{{Upstream: "ledger2", Start: start, End: start.Add(5 * time.Second), Ended: "connection lost"}},
+			Result:       result.Failed(result.CodeUnknown, result.Unknown, "the service got the request and gave no answer"),
+			BudgetBefore: 800, BudgetAfter: 780, Config: 12, Epoch: 4, Start: start, End: start.Add(5100 * time.Millisecond),
 		}},
 	}
 }
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -72,7 +72,7 @@
 	handle(&d.link, methodReport, func(ctx context.Context, r host.Report) (any, error) {
 		return d.shards.Report(ctx, r)
 	})
-	handle(&d.link, methodQuota, func(_ context.Context, a quota.Ask) (any, error) {
+	handle(&d.link, methodQuota, func(_ context.Context, a quota.Request) (any, error) {
 		return d.guard.Answer(a), nil
 	})
 	handle(&d.link, methodLive, func(_ context.Context, l liveness) (any, error) {
@@ -85,7 +85,7 @@
 	d.guard.Members = d.gossip.Members
 	d.guard.Config = d.keeper.Current
 	d.guard.Live = d.shards.Has
-	d.guard.Send = func(ctx context.Context, peer string, a quota.Ask) (r quota.Answer, err error) {
+	d.guard.Send = func(ctx context.Context, peer string, a quota.Request) (r quota.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodQuota, a, &r)
 		return r, err
 	}
--- a/internal/node/guard/guard.go
+++ b/internal/node/guard/guard.go
@@ -38,7 +38,7 @@
 	Members func() []beat.Member
 	Config  func() file.File
 	// Send asks the daemon at a peer address.
-	Send func(ctx context.Context, peer string, a quota.Ask) (quota.Answer, error)
+	Send func(ctx context.Context, peer string, a quota.Request) (quota.Answer, error)
 	// Live reports whether a program is owned here and open.
 	Live func(program string) bool
 
@@ -53,11 +53,11 @@
 }
 
 // Answer answers another daemon, or this one, as the home of the account.
-func (g *Guard) Answer(a quota.Ask) quota.Answer {
+func (g *Guard) Answer(a quota.Request) quota.Answer {
 	acct := g.Config().Accounts[a.Account]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.home.Ask(time.Now(), a, quota.Limit{Tokens: acct.TokensPerMinute, Programs: acct.MaxPrograms})
+	return g.home.Request(time.Now(), a, quota.Limit{Tokens: acct.TokensPerMinute, Programs: acct.MaxPrograms})
 }
 
 // Open asks for room for a program. A result with a code refuses it; else
@@ -118,7 +118,7 @@
 	}
 	sent := time.Now()
 	g.mu.Lock()
-	ask := g.local.Ask(sent, c.Account, cost)
+	ask := g.local.Request(sent, c.Account, cost)
 	g.mu.Unlock()
 	a, err := g.ask(ctx, ask)
 	g.mu.Lock()
@@ -130,12 +130,12 @@
 		// silence would refuse the account's other callers.
 		return silent(retrySilent)
 	case err != nil:
-		g.local.Silent(now, c.Account, retrySilent)
+		g.local.DenyUnreachable(now, c.Account, retrySilent)
 		return silent(retrySilent)
 	case !a.OK:
 		g.local.Deny(now, c.Account, cost, a.Retry)
 		return spent(cost, a.Retry)
-	case !g.local.Take(now, sent, ask, a):
+	case !g.local.Apply(now, sent, ask, a):
 		return silent(retrySilent)
 	}
 	g.local.Charge(c.Account, c.Program, c.Number)
@@ -156,7 +156,7 @@
 func (g *Guard) known(program string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.local.Knows(program)
+	return g.local.Counted(program)
 }
 
 // spend decides what needs no message.
@@ -192,7 +192,7 @@
 
 // Serve reports what is open and frees what is idle, until ctx ends.
 func (g *Guard) Serve(ctx context.Context) {
-	t := time.NewTicker(quota.ReportEvery)
+	t := time.NewTicker(quota.ReportInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -226,7 +226,7 @@
 	work.Wait()
 }
 
-func (g *Guard) ask(ctx context.Context, a quota.Ask) (quota.Answer, error) {
+func (g *Guard) ask(ctx context.Context, a quota.Request) (quota.Answer, error) {
 	m, ok := Home(g.Members(), a.Account, g.Config().System.Shards)
 	if !ok || m.Name == g.Self {
 		return g.Answer(a), nil
--- a/internal/node/guard/guard_test.go
+++ b/internal/node/guard/guard_test.go
@@ -47,7 +47,7 @@
 	return f
 }
 
-func (f *fleet) send(ctx context.Context, peer string, a quota.Ask) (quota.Answer, error) {
+func (f *fleet) send(ctx context.Context, peer string, a quota.Request) (quota.Answer, error) {
 	f.sent++
 	if f.down[peer] {
 		<-ctx.Done()
@@ -215,7 +215,7 @@
 			g.Live = func(string) bool { return false }
 			go g.Serve(ctx)
 		}
-		<-time.After(quota.ReportEvery + time.Second)
+		<-time.After(quota.ReportInterval + time.Second)
 		o := call.Open{Account: "acct", Program: "late"}
 		is.Equal(f.guards["c"].Open(t.Context(), o).Code, result.Code(""))
 		f.guards["c"].Opened(o, result.Refuse(result.CodeStoreDown, "down"))
@@ -263,7 +263,7 @@
 	is := is.New(t)
 	f := newFleet()
 	g := f.others()[0]
-	g.Send = func(context.Context, string, quota.Ask) (quota.Answer, error) {
+	g.Send = func(context.Context, string, quota.Request) (quota.Answer, error) {
 		return quota.Answer{}, errors.New("lost")
 	}
 	r := g.Open(t.Context(), call.Open{Account: "acct", Program: "p"})
@@ -277,7 +277,7 @@
 	f := newFleet()
 	g := f.guards["a"]
 	now := time.Now()
-	g.local.Take(now, now.Add(time.Hour), quota.Ask{Account: "acct"}, quota.Answer{OK: true, Tokens: 1 << 60})
+	g.local.Apply(now, now.Add(time.Hour), quota.Request{Account: "acct"}, quota.Answer{OK: true, Tokens: 1 << 60})
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		if g.Call(b.Context(), model(n, 100)).Code != "" {
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -114,12 +114,12 @@
 	h.savedAt = h.Taken.Snap.Head.Upto
 	h.machine = owner.Owner{Fold: h.Taken.Fold, Hold: h.Hold}
 	h.machine.Chain = chain.Chain{Shard: h.Shard, Epoch: h.Taken.Epoch, Owner: h.Name, Next: h.Taken.Next, Rand: h.Rand}
-	if len(h.machine.Fold.Older)+len(h.machine.Fold.Texts) > 0 {
+	if len(h.machine.Fold.SnapshotTexts)+len(h.machine.Fold.Texts) > 0 {
 		h.mu.Lock()
 		h.startBulk()
 		h.mu.Unlock()
 	}
-	h.machine.Fold.Older, h.Taken.Fold.Older = nil, nil // bulk knows them now
+	h.machine.Fold.SnapshotTexts, h.Taken.Fold.SnapshotTexts = nil, nil // bulk knows them now
 	go h.run()
 }
 
--- a/internal/play/soak/judge.go
+++ b/internal/play/soak/judge.go
@@ -50,7 +50,7 @@
 	recorded := map[string]string{}
 	heads := map[string]int{}
 	refs := map[string]hist.Blob{}
-	var j record.Joiner
+	var j record.Reassembler
 	epoch := uint64(0)
 	for n := uint64(1); ; n++ {
 		v, err := w.st.Get(context.Background(), chain.Key(0, n))
--- a/internal/play/soak/texts.go
+++ b/internal/play/soak/texts.go
@@ -36,7 +36,7 @@
 		known[b.Digest] = text
 	})
 	w.texts = known
-	n.own.Fold.Older = nil
+	n.own.Fold.SnapshotTexts = nil
 	n.refs = map[string]int{}
 	for digest := range known {
 		n.refs[digest] = 1
@@ -109,7 +109,7 @@
 // resolve puts a call's texts back and looks whether they are its own.
 func (w *world) resolve(refs map[string]hist.Blob, r record.Ended) hist.Call {
 	c := r.Call
-	for b, inline := range map[*hist.Blob]int{c.AskedIn: len(c.Asked), c.AnswerIn: len(c.Result.Body)} {
+	for b, inline := range map[*hist.Blob]int{c.AskedBlob: len(c.Asked), c.AnswerBlob: len(c.Result.Body)} {
 		if b == nil {
 			continue
 		}
@@ -118,11 +118,11 @@
 			w.breaks("call %d of %s refers to a text that the folders don't have, or has it inline too", c.Number, r.Program)
 		}
 	}
-	if c.AskedIn != nil {
-		c.Asked = w.texts[c.AskedIn.Digest]
+	if c.AskedBlob != nil {
+		c.Asked = w.texts[c.AskedBlob.Digest]
 	}
-	if c.AnswerIn != nil {
-		c.Result.Body = []byte(w.texts[c.AnswerIn.Digest])
+	if c.AnswerBlob != nil {
+		c.Result.Body = []byte(w.texts[c.AnswerBlob.Digest])
 	}
 	if c.Result.Ran != result.No && !strings.Contains(c.Asked, fmt.Sprint(r.Program, c.Number)) {
 		w.breaks("call %d of %s has another's question: %q", c.Number, r.Program, c.Asked)
--- a/internal/play/tape/tape.go
+++ b/internal/play/tape/tape.go
@@ -148,7 +148,7 @@
 			return // what came before is not known, so a replay would mislead
 		}
 		p = &program{}
-		p.Name, p.Account, p.Budget = id, account, c.Before
+		p.Name, p.Account, p.Budget = id, account, c.BudgetBefore
 		p.AtMS = c.Start.Sub(t.start).Milliseconds()
 		t.programs[id] = p
 	}
--- a/internal/play/tape/tape_test.go
+++ b/internal/play/tape/tape_test.go
@@ -39,7 +39,7 @@
 // for each token of output.
 func model(number int, start time.Time, prompt, cached, output int) hist.Call {
 	took := time.Duration(prompt-cached)*time.Millisecond/4 + time.Duration(output)*10*time.Millisecond
-	c := hist.Call{Number: number, Kind: call.Model, Target: "m", Start: start, End: start.Add(took), Before: 50000}
+	c := hist.Call{Number: number, Kind: call.Model, Target: "m", Start: start, End: start.Add(took), BudgetBefore: 50000}
 	c.Tries = []hist.Try{{Upstream: "e1", Start: start, End: c.End, Ended: "ok"}}
 	c.Result = result.Result{Code: result.CodeOK, Ran: result.Yes, Prompt: prompt, Cached: cached, Output: output}
 	return c
--- a/internal/prog/budget/budget.go
+++ b/internal/prog/budget/budget.go
@@ -10,11 +10,11 @@
 // Budget is the account of one root program, in tokens. It is a value: each
 // change returns a new one.
 type Budget struct {
-	Limit    int64 // what the program may spend in its life
-	Reserved int64 // what the journal says may be spent
-	Asked    int64 // the reservation that waits for the journal, if above Reserved
-	Spent    int64
-	Held     int64 // by calls under way
+	Limit     int64 // what the program may spend in its life
+	Reserved  int64 // what the journal says may be spent
+	Requested int64 // the reservation that waits for the journal, if above Reserved
+	Spent     int64
+	Held      int64 // by calls under way
 }
 
 // Free is what further calls can still cost, reserved or not.
@@ -43,21 +43,21 @@
 }
 
 // WithAsked notes that a reservation up to total waits for the journal.
-func (b Budget) WithAsked(total int64) Budget {
-	b.Asked = total
+func (b Budget) WithRequested(total int64) Budget {
+	b.Requested = total
 	return b
 }
 
 // Ahead returns the reservation to ask for so that n tokens fit with a block to
 // spare, and whether that is more than was asked for already.
-func (b Budget) Ahead(n, block int64) (total int64, more bool) {
+func (b Budget) NextReservation(n, block int64) (total int64, more bool) {
 	total = min(b.Limit, b.Spent+b.Held+n+block)
-	return total, total > max(b.Asked, b.Reserved)
+	return total, total > max(b.Requested, b.Reserved)
 }
 
 // Recovered is the budget as a new owner must take it: all that the journal
 // reserved counts as spent, because the former owner may have spent it without
 // getting to say so.
 func (b Budget) Recovered() Budget {
-	return Budget{Limit: b.Limit, Reserved: b.Reserved, Asked: b.Reserved, Spent: max(b.Spent, b.Reserved)}
+	return Budget{Limit: b.Limit, Reserved: b.Reserved, Requested: b.Reserved, Spent: max(b.Spent, b.Reserved)}
 }
--- a/internal/prog/budget/budget_test.go
+++ b/internal/prog/budget/budget_test.go
@@ -23,7 +23,7 @@
 // Calls hold and settle, reservations are committed late, an owner dies. A
 // program must never have spent more than its limit, nor more than the journal
 // has reserved, whatever the order in which that happens.
-func TestNeverBeyond(t *testing.T) {
+func TestNeverExceedsReservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 500).Draw(t, "limit")
 		block := rapid.Int64Range(1, 100).Draw(t, "block")
@@ -34,15 +34,15 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				n := rapid.Int64Range(1, 60).Draw(t, "hold")
-				if total, more := b.Ahead(n, block); more {
-					b = b.WithAsked(total)
+				if total, more := b.NextReservation(n, block); more {
+					b = b.WithRequested(total)
 				}
 				if n <= b.Free() && b.Fits(n) {
 					b = b.WithHold(n)
 					held = append(held, n)
 				}
 			case 1:
-				b = b.WithReserved(max(b.Reserved, b.Asked))
+				b = b.WithReserved(max(b.Reserved, b.Requested))
 			case 2:
 				if len(held) > 0 {
 					cost := rapid.Int64Range(0, held[0]).Draw(t, "cost")
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestAhead(t *testing.T) {
+func TestNextReservation(t *testing.T) {
 	tests := map[string]struct {
 		b     budget.Budget
 		n     int64
@@ -74,13 +74,13 @@
 	}{
 		"nothing reserved":      {budget.Budget{Limit: 1000}, 50, 150, true},
 		"reserved with a block": {budget.Budget{Limit: 1000, Reserved: 150}, 50, 150, false},
-		"asked already":         {budget.Budget{Limit: 1000, Asked: 150}, 50, 150, false},
+		"asked already":         {budget.Budget{Limit: 1000, Requested: 150}, 50, 150, false},
 		"up to the limit":       {budget.Budget{Limit: 120, Reserved: 100, Spent: 60}, 50, 120, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			total, more := tt.b.Ahead(tt.n, 100)
+			total, more := tt.b.NextReservation(tt.n, 100)
 			is.Equal(total, tt.total)
 			is.Equal(more, tt.more)
 		})
@@ -91,8 +91,8 @@
 	w := budget.Budget{Limit: 1 << 60}
 	b.ReportAllocs()
 	for b.Loop() {
-		total, _ := w.Ahead(100, 8192)
-		w = w.WithAsked(total).WithReserved(total)
+		total, _ := w.NextReservation(100, 8192)
+		w = w.WithRequested(total).WithReserved(total)
 		if !w.Fits(100) {
 			b.Fatal("not reserved")
 		}
--- a/internal/prog/hist/hist.go
+++ b/internal/prog/hist/hist.go
@@ -39,19 +39,19 @@
 		Asked   string    `json:"asked,omitempty"`
 		// AskedIn and AnswerIn say where Asked and the result's body are if
 		// they were too long for the journal; the journal has them empty then.
-		AskedIn  *Blob `json:"asked_in,omitempty"`
-		AnswerIn *Blob `json:"answer_in,omitempty"`
+		AskedBlob  *Blob `json:"asked_in,omitempty"`
+		AnswerBlob *Blob `json:"answer_in,omitempty"`
 		// Note tells a reader that a text can't be read now, and why.
 		Note string `json:"note,omitempty"`
 
-		Tries  []Try         `json:"attempts"`
-		Result result.Result `json:"result"`
-		Before int64         `json:"budget_before"`
-		After  int64         `json:"budget_after"`
-		Config uint64        `json:"config_version"`
-		Epoch  uint64        `json:"epoch"`
-		Start  time.Time     `json:"start"`
-		End    time.Time     `json:"end,omitzero"`
+		Tries        []Try         `json:"attempts"`
+		Result       result.Result `json:"result"`
+		BudgetBefore int64         `json:"budget_before"`
+		BudgetAfter  int64         `json:"budget_after"`
+		Config       uint64        `json:"config_version"`
+		Epoch        uint64        `json:"epoch"`
+		Start        time.Time     `json:"start"`
+		End          time.Time     `json:"end,omitzero"`
 	}
 
 	// Blob is a text that is kept in data folders.
--- a/internal/prog/order/order.go
+++ b/internal/prog/order/order.go
@@ -9,18 +9,18 @@
 
 const (
 	// Run is the program's next call.
-	Run Verdict = iota
+	Run Class = iota
 	// Early is a call whose predecessors have not ended.
 	Early
 	// Join repeats the call under way.
 	Join
 	// Again repeats the newest call that ended; it may run once more if its
 	// outcome isn't final.
-	Again
+	Repeat
 	// Past repeats a call that ended before others ran after it.
-	Past
+	Superseded
 	// Far is a call too far ahead to wait for.
-	Far
+	TooFar
 )
 
 const (
@@ -30,7 +30,7 @@
 
 type (
 	// Verdict tells what to do with a call.
-	Verdict int
+	Class int
 
 	// Order is one program's place in its chain of calls. The zero value is a
 	// program before its first call. It is a value: each change returns a new
@@ -43,20 +43,20 @@
 )
 
 // Judge tells what to do with the call of the given number.
-func (o Order) Judge(number int) Verdict {
+func (o Order) Classify(number int) Class {
 	switch {
 	case o.Running && number == o.Current:
 		return Join
 	case number >= o.Next+Window:
-		return Far
+		return TooFar
 	case number > o.Next || number == o.Next && o.Running:
 		return Early
 	case number == o.Next:
 		return Run
 	case number == o.Next-1:
-		return Again
+		return Repeat
 	}
-	return Past
+	return Superseded
 }
 
 // WithStarted notes that the call runs.
--- a/internal/prog/order/order_test.go
+++ b/internal/prog/order/order_test.go
@@ -10,29 +10,29 @@
 
 // Calls come over several connections, twice, early, or long after others ran. A
 // wrong verdict would run a call out of order or run one twice.
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	fresh := order.Order{}
 	running := order.Order{Next: 3}.WithStarted(3)
 	between := running.WithEnded()
 	tests := map[string]struct {
 		o      order.Order
 		number int
-		want   order.Verdict
+		want   order.Class
 	}{
 		"first":                   {fresh, 0, order.Run},
 		"first, early":            {fresh, 1, order.Early},
-		"too far ahead":           {fresh, order.Window, order.Far},
+		"too far ahead":           {fresh, order.Window, order.TooFar},
 		"the one under way":       {running, 3, order.Join},
 		"next while one runs":     {running, 4, order.Early},
-		"newest that ended":       {running, 2, order.Again},
-		"older":                   {running, 1, order.Past},
+		"newest that ended":       {running, 2, order.Repeat},
+		"older":                   {running, 1, order.Superseded},
 		"next between two":        {between, 4, order.Run},
-		"newest between two":      {between, 3, order.Again},
-		"a call that was skipped": {between, 2, order.Past},
+		"newest between two":      {between, 3, order.Repeat},
+		"a call that was skipped": {between, 2, order.Superseded},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(tt.o.Judge(tt.number), tt.want)
+			is.New(t).Equal(tt.o.Classify(tt.number), tt.want)
 		})
 	}
 }
@@ -41,7 +41,7 @@
 	var o order.Order
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if o.Judge(i) != order.Run {
+		if o.Classify(i) != order.Run {
 			b.Fatal("out of order")
 		}
 		o = o.WithStarted(i).WithEnded()
--- a/internal/prog/quota/home.go
+++ b/internal/prog/quota/home.go
@@ -13,27 +13,27 @@
 	// account is what the home knows of one account.
 	account struct {
 		granted window
-		askers  map[string]*asker
+		daemons map[string]*daemon
 	}
 
 	// asker is what the home knows of one daemon.
-	asker struct {
-		granted window
-		open    int
-		serial  int64 // of the ask that told open
-		heard   time.Duration
+	daemon struct {
+		granted  window
+		open     int
+		serial   int64 // of the ask that told open
+		lastSeen time.Duration
 	}
 )
 
 // Ask answers a daemon. A refusal by the home is not charged.
-func (h *Home) Ask(now time.Time, a Ask, limit Limit) Answer {
+func (h *Home) Request(now time.Time, a Request, limit Limit) Answer {
 	at := elapsed(&h.start, now)
-	b, from := h.learn(at, a)
+	b, from := h.update(at, a)
 	switch {
 	case a.Programs > 0:
-		return b.program(from, a, limit)
+		return b.admitProgram(from, a, limit)
 	case a.Tokens > 0:
-		return b.tokens(at, from, a, limit)
+		return b.admitTokens(at, from, a, limit)
 	}
 	return Answer{OK: true}
 }
@@ -43,7 +43,7 @@
 	at := elapsed(&h.start, now)
 	for name, b := range h.accounts {
 		b.trim(at)
-		if len(b.askers) == 0 {
+		if len(b.daemons) == 0 {
 			delete(h.accounts, name)
 		}
 	}
@@ -55,39 +55,39 @@
 // learn takes in what the asker tells of itself. What it was granted by
 // another home counts from now on as if it were granted now, so that it is
 // never forgotten too early.
-func (h *Home) learn(now time.Duration, a Ask) (*account, *asker) {
+func (h *Home) update(now time.Duration, a Request) (*account, *daemon) {
 	if h.accounts == nil {
 		h.accounts = map[string]*account{}
 	}
 	b := h.accounts[a.Account]
 	if b == nil {
-		b = &account{askers: map[string]*asker{}}
+		b = &account{daemons: map[string]*daemon{}}
 		h.accounts[a.Account] = b
 	}
 	b.trim(now)
-	from := b.askers[a.Daemon]
+	from := b.daemons[a.Daemon]
 	if from == nil {
-		from = &asker{}
-		b.askers[a.Daemon] = from
+		from = &daemon{}
+		b.daemons[a.Daemon] = from
 	}
 	// A report that was overtaken by a newer ask would hide a program that is
 	// being opened, and the account could open one too many.
 	if a.Serial > from.serial {
-		from.heard, from.open, from.serial = now, a.Open, a.Serial
+		from.lastSeen, from.open, from.serial = now, a.Open, a.Serial
 	}
 	b.grant(now, from, a.Granted-from.granted.sum)
 	return b, from
 }
 
-func (b *account) grant(now time.Duration, to *asker, n int64) {
+func (b *account) grant(now time.Duration, to *daemon, n int64) {
 	to.granted.add(now, n)
 	b.granted.add(now, n)
 }
 
 // program lets a daemon open programs. The asker's count includes them.
-func (b *account) program(from *asker, a Ask, limit Limit) Answer {
+func (b *account) admitProgram(from *daemon, a Request, limit Limit) Answer {
 	open := 0
-	for _, d := range b.askers {
+	for _, d := range b.daemons {
 		open += d.open
 	}
 	if limit.Programs > 0 && open > limit.Programs {
@@ -97,33 +97,33 @@
 	return Answer{OK: true}
 }
 
-func (b *account) tokens(now time.Duration, to *asker, a Ask, limit Limit) Answer {
+func (b *account) admitTokens(now time.Duration, to *daemon, a Request, limit Limit) Answer {
 	if limit.Tokens > 0 && a.Tokens > limit.Tokens {
 		return Answer{}
 	}
 	free := limit.Tokens - b.granted.sum
 	if limit.Tokens > 0 && a.Tokens > free {
-		return Answer{Retry: b.granted.frees(now, a.Tokens-free, grantKeep)}
+		return Answer{Retry: b.granted.waitFor(now, a.Tokens-free, grantRetention)}
 	}
 	// Tokens beyond the call that are not spent in time are lost for a minute.
 	// Callers that are slow would lose a good part of their limit, so a daemon
 	// gets beforehand at most half of what it took just now.
-	ahead := min(limit.Tokens/shareOfLimit, (free-a.Tokens)/shareOfFree, to.granted.since(now-BlockLife)/2)
+	ahead := min(limit.Tokens/limitDivisor, (free-a.Tokens)/freeDivisor, to.granted.since(now-BlockTTL)/2)
 	n := a.Tokens + max(ahead, 0)
 	b.grant(now, to, n)
 	return Answer{OK: true, Tokens: n}
 }
 
 func (b *account) trim(now time.Duration) {
-	b.granted.trim(now, grantKeep)
-	for name, d := range b.askers {
-		d.granted.trim(now, grantKeep)
-		silent := now-d.heard > openKeep
+	b.granted.trim(now, grantRetention)
+	for name, d := range b.daemons {
+		d.granted.trim(now, grantRetention)
+		silent := now-d.lastSeen > reportTTL
 		if silent {
 			d.open, d.serial = 0, 0
 		}
 		if silent && d.granted.sum == 0 {
-			delete(b.askers, name)
+			delete(b.daemons, name)
 		}
 	}
 }
--- a/internal/prog/quota/local.go
+++ b/internal/prog/quota/local.go
@@ -5,9 +5,9 @@
 const (
 	// remembered is how many of a program's latest call numbers are known to
 	// be charged or not.
-	remembered = 64
+	chargeHistory = 64
 	// denyFor is how long a refusal is repeated without asking again.
-	denyFor = time.Second
+	denialTTL = time.Second
 )
 
 type (
@@ -33,10 +33,10 @@
 
 	// denial is a refusal that holds for calls of the same cost and above.
 	denial struct {
-		cost   int64
-		until  time.Time
-		frees  time.Time // when the tokens were said to be free
-		silent bool      // the home did not answer
+		cost        int64
+		until       time.Time
+		freeAt      time.Time // when the tokens were said to be free
+		unreachable bool      // the home did not answer
 	}
 
 	program struct {
@@ -49,16 +49,16 @@
 
 // Spend takes the cost of a call out of the block, if that holds as much.
 func (l *Local) Spend(now time.Time, account string, cost int64) bool {
-	p := l.accounts[account]
-	if p == nil || !now.Before(p.until) || p.left < cost {
+	u := l.accounts[account]
+	if u == nil || !now.Before(u.until) || u.left < cost {
 		return false
 	}
-	p.left -= cost
+	u.left -= cost
 	return true
 }
 
 // Ask is the ask for the cost of a call that Spend refused.
-func (l *Local) Ask(now time.Time, account string, cost int64) Ask {
+func (l *Local) Request(now time.Time, account string, cost int64) Request {
 	a := l.Report(now, account)
 	a.Tokens = cost
 	return a
@@ -67,30 +67,30 @@
 // Take notes the answer to an ask that was sent at a time, and spends the
 // call's cost. It reports whether the call may go on. An answer that came too
 // late to be spent is counted as granted all the same.
-func (l *Local) Take(now, sent time.Time, asked Ask, a Answer) bool {
+func (l *Local) Apply(now, sent time.Time, req Request, a Answer) bool {
 	if !a.OK {
 		return false
 	}
-	p := l.usage(asked.Account)
-	p.granted.add(elapsed(&l.start, sent), a.Tokens)
-	until := sent.Add(BlockLife)
+	u := l.usage(req.Account)
+	u.granted.add(elapsed(&l.start, sent), a.Tokens)
+	until := sent.Add(BlockTTL)
 	if !now.Before(until) {
 		return false
 	}
-	if p.left > 0 && now.Before(p.until) {
-		p.left += a.Tokens - asked.Tokens
-		p.until = earlier(p.until, until)
+	if u.left > 0 && now.Before(u.until) {
+		u.left += a.Tokens - req.Tokens
+		u.until = earlier(u.until, until)
 		return true
 	}
-	p.left, p.until = a.Tokens-asked.Tokens, until
+	u.left, u.until = a.Tokens-req.Tokens, until
 	return true
 }
 
 // Opening counts a program that is about to be opened, and returns the ask.
 // It is false if the program is counted already. Opened or Closed follows.
-func (l *Local) Opening(now time.Time, account, name string) (Ask, bool) {
+func (l *Local) Opening(now time.Time, account, name string) (Request, bool) {
 	if !l.Add(account, name) {
-		return Ask{}, false
+		return Request{}, false
 	}
 	l.programs[name].opening = true
 	a := l.Report(now, account)
@@ -140,7 +140,7 @@
 }
 
 // Knows reports whether the program is counted.
-func (l *Local) Knows(name string) bool { return l.programs[name] != nil }
+func (l *Local) Counted(name string) bool { return l.programs[name] != nil }
 
 // Deny notes that the cost was refused and would be free after a time. For a
 // second, such calls are refused without a message to the home.
@@ -148,22 +148,22 @@
 	if after <= 0 {
 		return
 	}
-	l.usage(account).denied = denial{cost: cost, until: now.Add(min(after, denyFor)), frees: now.Add(after)}
+	l.usage(account).denied = denial{cost: cost, until: now.Add(min(after, denialTTL)), freeAt: now.Add(after)}
 }
 
 // Silent notes that the home did not answer, and is not to be asked for a time.
-func (l *Local) Silent(now time.Time, account string, after time.Duration) {
-	l.usage(account).denied = denial{until: now.Add(after), frees: now.Add(after), silent: true}
+func (l *Local) DenyUnreachable(now time.Time, account string, after time.Duration) {
+	l.usage(account).denied = denial{until: now.Add(after), freeAt: now.Add(after), unreachable: true}
 }
 
 // Denied returns for how long a call of the cost is still refused, or 0, and
 // whether that is because the home did not answer.
-func (l *Local) Denied(now time.Time, account string, cost int64) (after time.Duration, silent bool) {
-	p := l.accounts[account]
-	if p == nil || cost < p.denied.cost || !now.Before(p.denied.until) {
+func (l *Local) Denied(now time.Time, account string, cost int64) (after time.Duration, unreachable bool) {
+	u := l.accounts[account]
+	if u == nil || cost < u.denied.cost || !now.Before(u.denied.until) {
 		return 0, false
 	}
-	return p.denied.frees.Sub(now), p.denied.silent
+	return u.denied.freeAt.Sub(now), u.denied.unreachable
 }
 
 // Charged reports whether a call was charged before, so that a repeat isn't
@@ -175,7 +175,7 @@
 		return false
 	}
 	back := p.next - 1 - number
-	return back >= 0 && back < remembered && p.charged&(1<<back) != 0
+	return back >= 0 && back < chargeHistory && p.charged&(1<<back) != 0
 }
 
 // Adopt counts a program that was taken over. Its calls below next have ended
@@ -194,10 +194,10 @@
 		return
 	}
 	if ahead := number + 1 - p.next; ahead > 0 {
-		p.charged <<= min(ahead, remembered)
+		p.charged <<= min(ahead, chargeHistory)
 		p.next = number + 1
 	}
-	if back := p.next - 1 - number; back < remembered {
+	if back := p.next - 1 - number; back < chargeHistory {
 		p.charged |= 1 << back
 	}
 }
@@ -208,29 +208,29 @@
 	if p == nil {
 		return
 	}
-	if back := p.next - 1 - number; back >= 0 && back < remembered {
+	if back := p.next - 1 - number; back >= 0 && back < chargeHistory {
 		p.charged &^= 1 << back
 	}
 }
 
 // Report is what a home needs to know of an account.
-func (l *Local) Report(now time.Time, account string) Ask {
+func (l *Local) Report(now time.Time, account string) Request {
 	l.Serial++
-	a := Ask{Account: account, Daemon: l.Daemon, Serial: l.Serial}
-	if p := l.accounts[account]; p != nil {
-		p.granted.trim(elapsed(&l.start, now), claimKeep)
-		a.Granted, a.Open = p.granted.sum, p.open
+	a := Request{Account: account, Daemon: l.Daemon, Serial: l.Serial}
+	if u := l.accounts[account]; u != nil {
+		u.granted.trim(elapsed(&l.start, now), claimRetention)
+		a.Granted, a.Open = u.granted.sum, u.open
 	}
 	return a
 }
 
 // Reports returns a report for each account with programs open or tokens
 // granted, and frees the others.
-func (l *Local) Reports(now time.Time) []Ask {
-	out := make([]Ask, 0, len(l.accounts))
-	for name, p := range l.accounts {
+func (l *Local) Reports(now time.Time) []Request {
+	out := make([]Request, 0, len(l.accounts))
+	for name, u := range l.accounts {
 		a := l.Report(now, name)
-		if a.Open == 0 && a.Granted == 0 && !now.Before(p.until) {
+		if a.Open == 0 && a.Granted == 0 && !now.Before(u.until) {
 			delete(l.accounts, name)
 			continue
 		}
@@ -243,12 +243,12 @@
 	if l.accounts == nil {
 		l.accounts = map[string]*usage{}
 	}
-	p := l.accounts[account]
-	if p == nil {
-		p = &usage{}
-		l.accounts[account] = p
+	u := l.accounts[account]
+	if u == nil {
+		u = &usage{}
+		l.accounts[account] = u
 	}
-	return p
+	return u
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/prog/quota/open_test.go
+++ b/internal/prog/quota/open_test.go
@@ -12,7 +12,7 @@
 	if !fresh {
 		return true
 	}
-	if f.homes[f.home].Ask(f.now, ask, limit).OK {
+	if f.homes[f.home].Request(f.now, ask, limit).OK {
 		f.locals[i].Opened(name)
 		f.opened++
 		return true
@@ -23,7 +23,7 @@
 
 func (f *fleet) report(i int) {
 	for _, a := range f.locals[i].Reports(f.clock(i)) {
-		f.homes[f.home].Ask(f.now, a, limit)
+		f.homes[f.home].Request(f.now, a, limit)
 	}
 }
 
@@ -67,7 +67,7 @@
 				f.open(0, "p")
 				old := f.locals[0].Reports(f.clock(0))
 				f.open(0, "q")
-				f.homes[0].Ask(f.now, old[0], limit)
+				f.homes[0].Request(f.now, old[0], limit)
 				f.open(1, "r")
 				f.open(1, "s")
 				f.open(2, "t")
@@ -79,9 +79,9 @@
 				for _, n := range []string{"p", "q", "r", "s"} {
 					f.open(0, n)
 				}
-				f.wait(openKeep)
+				f.advance(reportTTL)
 				f.open(1, "t") // still counted
-				f.wait(time.Second)
+				f.advance(time.Second)
 				f.open(1, "u")
 			},
 			opened: 5,
--- a/internal/prog/quota/quota.go
+++ b/internal/prog/quota/quota.go
@@ -18,31 +18,31 @@
 	// Period is the time for which a limit of tokens holds.
 	Period = time.Minute
 	// BlockLife is how long after its ask was sent a block may be spent.
-	BlockLife = 2 * time.Second
+	BlockTTL = 2 * time.Second
 	// ReportEvery is how often a daemon reports the programs that it has open.
-	ReportEvery = 3 * time.Second
+	ReportInterval = 3 * time.Second
 
 	// claimKeep is how long an asker tells of a grant: as long as tokens of it
 	// can have been spent within the last minute.
-	claimKeep = Period + BlockLife
+	claimRetention = Period + BlockTTL
 	// grantKeep is how long the home counts a grant. The asker dates a grant
 	// by its ask, so before the home does, and both count whole seconds. Were
 	// the home to forget a grant first, the next ask would bring it back as
 	// news, and an account would get half of its limit.
-	grantKeep = claimKeep + 2*time.Second
+	grantRetention = claimRetention + 2*time.Second
 	// openKeep is how long the home believes a count without a new report.
-	openKeep = 5 * ReportEvery
+	reportTTL = 5 * ReportInterval
 
 	// The tokens that an asker gets beyond its call are at most this part of
 	// the limit and of what is free, so that blocks shrink towards the end.
-	shareOfLimit = 64
-	shareOfFree  = 16
+	limitDivisor = 64
+	freeDivisor  = 16
 )
 
 type (
 	// Ask is what a daemon asks of an account's home. Without Tokens and
 	// Programs it is a report.
-	Ask struct {
+	Request struct {
 		Account  string `json:"account"`
 		Daemon   string `json:"daemon"`
 		Serial   int64  `json:"serial"`             // grows from ask to ask of one daemon
--- a/internal/prog/quota/quota_test.go
+++ b/internal/prog/quota/quota_test.go
@@ -39,7 +39,7 @@
 // clock is the time as a daemon sees it.
 func (f *fleet) clock(i int) time.Time { return f.now.Add(f.skew[i]) }
 
-func (f *fleet) wait(d time.Duration) { f.now = f.now.Add(d) }
+func (f *fleet) advance(d time.Duration) { f.now = f.now.Add(d) }
 
 func (f *fleet) moveHome() {
 	f.homes = append(f.homes, &Home{})
@@ -54,13 +54,13 @@
 		return f.count(cost)
 	}
 	sent := f.clock(i)
-	ask := f.locals[i].Ask(sent, "acct", cost)
-	a := f.homes[f.home].Ask(f.now, ask, limit)
-	return f.take(i, sent, ask, a)
+	ask := f.locals[i].Request(sent, "acct", cost)
+	a := f.homes[f.home].Request(f.now, ask, limit)
+	return f.apply(i, sent, ask, a)
 }
 
-func (f *fleet) take(i int, sent time.Time, ask Ask, a Answer) bool {
-	if !f.locals[i].Take(f.clock(i), sent, ask, a) {
+func (f *fleet) apply(i int, sent time.Time, ask Request, a Answer) bool {
+	if !f.locals[i].Apply(f.clock(i), sent, ask, a) {
 		return false
 	}
 	return f.count(ask.Tokens)
@@ -77,18 +77,18 @@
 	}
 }
 
-// most is the highest sum of tokens in any minute.
-func (f *fleet) most() int64 {
-	most, sum, first := int64(0), int64(0), 0
+// peak is the highest sum of tokens in any minute.
+func (f *fleet) peak() int64 {
+	peak, sum, first := int64(0), int64(0), 0
 	for _, c := range f.spent {
 		sum += c.tokens
 		for c.at.Sub(f.spent[first].at) >= Period {
 			sum -= f.spent[first].tokens
 			first++
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	return most
+	return peak
 }
 
 // A limit that each daemon counted for itself would let an account use as many
@@ -96,61 +96,61 @@
 // callers who are within it.
 func TestTokens(t *testing.T) {
 	cases := map[string]struct {
-		run   func(f *fleet)
-		most  int64 // the highest sum in a minute that is allowed
-		least int64 // what must have been let in
+		run      func(f *fleet)
+		peak     int64 // the highest sum in a minute that is allowed
+		minTotal int64 // what must have been let in
 	}{
 		"one daemon uses all": {
 			run:  func(f *fleet) { f.exhaust(0, 100) },
-			most: 6400, least: 6300,
+			peak: 6400, minTotal: 6300,
 		},
 		"two daemons race for the last tokens": {
 			run: func(f *fleet) {
 				f.exhaust(0, 5900)
 				sent := f.now
-				one, two := f.locals[1].Ask(f.clock(1), "acct", 400), f.locals[2].Ask(f.clock(2), "acct", 400)
-				a, b := f.homes[0].Ask(f.now, one, limit), f.homes[0].Ask(f.now, two, limit)
-				f.take(1, sent.Add(f.skew[1]), one, a)
-				f.take(2, sent.Add(f.skew[2]), two, b)
+				one, two := f.locals[1].Request(f.clock(1), "acct", 400), f.locals[2].Request(f.clock(2), "acct", 400)
+				a, b := f.homes[0].Request(f.now, one, limit), f.homes[0].Request(f.now, two, limit)
+				f.apply(1, sent.Add(f.skew[1]), one, a)
+				f.apply(2, sent.Add(f.skew[2]), two, b)
 			},
-			most: 6400, least: 6300,
+			peak: 6400, minTotal: 6300,
 		},
 		"slow callers get all": {
 			run: func(f *fleet) {
 				for n := range 64 {
 					f.call(n%3, 100)
-					f.wait(900 * time.Millisecond)
+					f.advance(900 * time.Millisecond)
 				}
 			},
-			most: 6400, least: 6400,
+			peak: 6400, minTotal: 6400,
 		},
 		"the minute rolls": {
 			run: func(f *fleet) {
 				for range 240 {
 					f.exhaust(0, 100)
 					f.exhaust(1, 100)
-					f.wait(time.Second)
+					f.advance(time.Second)
 				}
 			},
-			most: 6400, least: 4*6400 - 600,
+			peak: 6400, minTotal: 4*6400 - 600,
 		},
 		"an answer is lost": {
 			run: func(f *fleet) {
-				f.homes[0].Ask(f.now, f.locals[0].Ask(f.clock(0), "acct", 3200), limit)
+				f.homes[0].Request(f.now, f.locals[0].Request(f.clock(0), "acct", 3200), limit)
 				f.exhaust(1, 100)
 				f.exhaust(2, 10)
 			},
-			most: 3200, least: 2900,
+			peak: 3200, minTotal: 2900,
 		},
 		"an answer is late": {
 			run: func(f *fleet) {
 				sent := f.clock(0)
-				ask := f.locals[0].Ask(sent, "acct", 3200)
-				a := f.homes[0].Ask(f.now, ask, limit)
-				f.wait(BlockLife)
-				f.take(0, sent, ask, a)
+				ask := f.locals[0].Request(sent, "acct", 3200)
+				a := f.homes[0].Request(f.now, ask, limit)
+				f.advance(BlockTTL)
+				f.apply(0, sent, ask, a)
 			},
-			most: 0, least: 0,
+			peak: 0, minTotal: 0,
 		},
 		"an asker dies with a block": {
 			run: func(f *fleet) {
@@ -158,7 +158,7 @@
 				f.restart(0)
 				f.exhaust(0, 100)
 			},
-			most: 6400, least: 6100,
+			peak: 6400, minTotal: 6100,
 		},
 		"the home dies and its askers tell the next": {
 			run: func(f *fleet) {
@@ -167,7 +167,7 @@
 				f.exhaust(0, 100)
 				f.exhaust(1, 100)
 			},
-			most: 6400, least: 6300,
+			peak: 6400, minTotal: 6300,
 		},
 		"the home dies and those who know are silent": {
 			run: func(f *fleet) {
@@ -175,7 +175,7 @@
 				f.moveHome()
 				f.exhaust(1, 100)
 			},
-			most: 2 * 6400, least: 2 * 6300,
+			peak: 2 * 6400, minTotal: 2 * 6300,
 		},
 		"the home moves and comes back": {
 			run: func(f *fleet) {
@@ -185,7 +185,7 @@
 				f.home = 0
 				f.exhaust(2, 100)
 			},
-			most: 2 * 6400, least: 6400,
+			peak: 2 * 6400, minTotal: 6400,
 		},
 	}
 	for name, c := range cases {
@@ -197,8 +197,8 @@
 			for _, s := range f.spent {
 				total += s.tokens
 			}
-			is.True(f.most() <= c.most)
-			is.True(total >= c.least)
+			is.True(f.peak() <= c.peak)
+			is.True(total >= c.minTotal)
 		})
 	}
 }
@@ -206,18 +206,18 @@
 // A caller that is refused comes back when it was told to. Were the hint too
 // early, it would be refused again and again; were it missing where the call
 // can never fit, it would come back for ever.
-func TestRetryIsHonest(t *testing.T) {
+func TestRetryHint(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
 	f.exhaust(0, 100)
-	a := f.homes[0].Ask(f.now, f.locals[0].Ask(f.clock(0), "acct", 1000), limit)
+	a := f.homes[0].Request(f.now, f.locals[0].Request(f.clock(0), "acct", 1000), limit)
 	is.True(!a.OK)
-	is.True(a.Retry > Period && a.Retry <= grantKeep+time.Second)
-	f.wait(a.Retry - time.Second)
+	is.True(a.Retry > Period && a.Retry <= grantRetention+time.Second)
+	f.advance(a.Retry - time.Second)
 	is.True(!f.call(0, 1000))
-	f.wait(time.Second)
+	f.advance(time.Second)
 	is.True(f.call(0, 1000))
-	never := f.homes[0].Ask(f.now, f.locals[0].Ask(f.clock(0), "acct", limit.Tokens+1), limit)
+	never := f.homes[0].Request(f.now, f.locals[0].Request(f.clock(0), "acct", limit.Tokens+1), limit)
 	is.Equal(never, Answer{})
 }
 
@@ -236,11 +236,11 @@
 	l.Deny(f.now, "acct", 100, 20*time.Second)
 	denied(100, 20*time.Second, false)
 	denied(99, 0, false) // a smaller call may fit
-	f.wait(denyFor)
+	f.advance(denialTTL)
 	denied(100, 0, false) // time to ask again
-	l.Silent(f.now, "acct", time.Second)
+	l.DenyUnreachable(f.now, "acct", time.Second)
 	denied(1, time.Second, true)
-	f.wait(time.Second)
+	f.advance(time.Second)
 	denied(1, 0, false)
 }
 
@@ -274,14 +274,14 @@
 	f := newFleet(2)
 	f.call(0, 100)
 	f.open(1, "p")
-	f.wait(grantKeep + 2*time.Second)
+	f.advance(grantRetention + 2*time.Second)
 	f.report(1)
 	f.homes[0].Trim(f.now)
 	is.Equal(f.homes[0].Len(), 1) // a program is open
 	f.locals[1].Closed("p")
 	f.report(0)
 	f.report(1)
-	f.wait(openKeep + time.Second)
+	f.advance(reportTTL + time.Second)
 	f.homes[0].Trim(f.now)
 	is.Equal(f.homes[0].Len(), 0)
 	is.Equal(len(f.locals[0].accounts), 0)
--- a/internal/prog/quota/random_test.go
+++ b/internal/prog/quota/random_test.go
@@ -15,7 +15,7 @@
 type message struct {
 	from     int
 	sent     time.Time
-	ask      Ask
+	ask      Request
 	answer   Answer
 	answered bool
 }
@@ -34,20 +34,20 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 6).Draw(rt, "daemons"))
 		moves := rapid.IntRange(0, 2).Draw(rt, "moves")
-		var under []message
+		var inFlight []message
 		for range rapid.IntRange(50, 400).Draw(rt, "steps") {
 			i := rapid.IntRange(0, len(f.locals)-1).Draw(rt, "daemon")
 			switch rapid.SampledFrom([]string{"call", "call", "call", "carry", "carry", "carry", "lose", "wait", "tick", "restart", "move"}).Draw(rt, "step") {
 			case "call":
-				under = append(under, f.ask(i, int64(rapid.IntRange(1, 2000).Draw(rt, "cost")))...)
+				inFlight = append(inFlight, f.ask(i, int64(rapid.IntRange(1, 2000).Draw(rt, "cost")))...)
 			case "carry":
-				under = f.carry(under, rapid.IntRange(0, 50).Draw(rt, "message"))
+				inFlight = f.deliver(inFlight, rapid.IntRange(0, 50).Draw(rt, "message"))
 			case "lose":
-				if len(under) > 0 {
-					under = under[1:]
+				if len(inFlight) > 0 {
+					inFlight = inFlight[1:]
 				}
 			case "wait":
-				f.wait(time.Duration(rapid.IntRange(1, 8000).Draw(rt, "ms")) * time.Millisecond)
+				f.advance(time.Duration(rapid.IntRange(1, 8000).Draw(rt, "ms")) * time.Millisecond)
 			case "tick":
 				f.report(i)
 				f.homes[f.home].Trim(f.now)
@@ -61,8 +61,8 @@
 				}
 			}
 		}
-		if most := f.most(); most > limit.Tokens*int64(len(f.homes)) {
-			rt.Fatalf("%d tokens in a minute after %d homes", most, len(f.homes))
+		if peak := f.peak(); peak > limit.Tokens*int64(len(f.homes)) {
+			rt.Fatalf("%d tokens in a minute after %d homes", peak, len(f.homes))
 		}
 	})
 }
@@ -74,22 +74,22 @@
 		f.count(cost)
 		return nil
 	}
-	return []message{{from: i, sent: now, ask: f.locals[i].Ask(now, "acct", cost)}}
+	return []message{{from: i, sent: now, ask: f.locals[i].Request(now, "acct", cost)}}
 }
 
 // carry brings one message to its end, in any order.
-func (f *fleet) carry(under []message, at int) []message {
-	if len(under) == 0 {
-		return under
+func (f *fleet) deliver(inFlight []message, at int) []message {
+	if len(inFlight) == 0 {
+		return inFlight
 	}
-	at %= len(under)
-	l := under[at]
-	rest := append(append([]message(nil), under[:at]...), under[at+1:]...)
+	at %= len(inFlight)
+	l := inFlight[at]
+	rest := append(append([]message(nil), inFlight[:at]...), inFlight[at+1:]...)
 	if !l.answered {
-		l.answer, l.answered = f.homes[f.home].Ask(f.now, l.ask, limit), true
+		l.answer, l.answered = f.homes[f.home].Request(f.now, l.ask, limit), true
 		return append(rest, l)
 	}
-	f.take(l.from, l.sent, l.ask, l.answer)
+	f.apply(l.from, l.sent, l.ask, l.answer)
 	return rest
 }
 
@@ -103,13 +103,13 @@
 		for i := range f.locals {
 			f.exhaust(i, 37)
 		}
-		f.wait(250 * time.Millisecond)
+		f.advance(250 * time.Millisecond)
 	}
 	total := int64(0)
 	for _, c := range f.spent {
 		total += c.tokens
 	}
-	is.True(f.most() <= limit.Tokens)
+	is.True(f.peak() <= limit.Tokens)
 	is.True(total >= 10*limit.Tokens*85/100)
 	t.Logf("%d of %d tokens in ten minutes", total, 10*limit.Tokens)
 }
@@ -117,7 +117,7 @@
 func BenchmarkSpend(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	l := Local{Daemon: "a"}
-	l.Take(now, now, Ask{Account: "acct"}, Answer{OK: true, Tokens: 1 << 60})
+	l.Apply(now, now, Request{Account: "acct"}, Answer{OK: true, Tokens: 1 << 60})
 	b.ReportAllocs()
 	for b.Loop() {
 		if !l.Spend(now, "acct", 100) {
@@ -129,12 +129,12 @@
 func BenchmarkAsk(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	h := Home{}
-	a := Ask{Account: "acct", Daemon: "a", Tokens: 100}
+	a := Request{Account: "acct", Daemon: "a", Tokens: 100}
 	b.ReportAllocs()
 	for b.Loop() {
 		a.Serial++
 		now = now.Add(time.Millisecond)
-		h.Ask(now, a, Limit{Tokens: 1 << 60})
+		h.Request(now, a, Limit{Tokens: 1 << 60})
 	}
 }
 
@@ -150,7 +150,7 @@
 		now := time.Unix(1_800_000_000, 0)
 		for range 10 {
 			for i := range accounts {
-				h.Ask(now, Ask{Account: fmt.Sprint("acct-", i), Daemon: "a", Tokens: 1}, limit)
+				h.Request(now, Request{Account: fmt.Sprint("acct-", i), Daemon: "a", Tokens: 1}, limit)
 			}
 			now = now.Add(6 * time.Second)
 		}
--- a/internal/prog/quota/window.go
+++ b/internal/prog/quota/window.go
@@ -9,12 +9,12 @@
 // a moment that its user chooses, so that a step of the wall clock doesn't
 // matter. The zero value is empty.
 type window struct {
-	parts []part // by ascending second
-	sum   int64
+	buckets []bucket // by ascending second
+	sum     int64
 }
 
 // part is what was added in one second.
-type part struct {
+type bucket struct {
 	second int64
 	tokens int64
 }
@@ -25,39 +25,39 @@
 	}
 	w.sum += n
 	s := int64(now / time.Second)
-	if last := len(w.parts) - 1; last >= 0 && w.parts[last].second >= s {
-		w.parts[last].tokens += n
+	if last := len(w.buckets) - 1; last >= 0 && w.buckets[last].second >= s {
+		w.buckets[last].tokens += n
 		return
 	}
-	w.parts = append(w.parts, part{s, n})
+	w.buckets = append(w.buckets, bucket{s, n})
 }
 
 // trim drops the seconds that lie at least keep back.
 func (w *window) trim(now time.Duration, keep time.Duration) {
 	first := int64((now - keep) / time.Second)
 	n := 0
-	for n < len(w.parts) && w.parts[n].second < first {
-		w.sum -= w.parts[n].tokens
+	for n < len(w.buckets) && w.buckets[n].second < first {
+		w.sum -= w.buckets[n].tokens
 		n++
 	}
 	if n > 0 {
-		w.parts = slices.Delete(w.parts, 0, n)
+		w.buckets = slices.Delete(w.buckets, 0, n)
 	}
 }
 
 // since returns the sum of the seconds that begin after a time.
 func (w *window) since(first time.Duration) int64 {
 	n := int64(0)
-	for i := len(w.parts) - 1; i >= 0 && time.Duration(w.parts[i].second)*time.Second > first; i-- {
-		n += w.parts[i].tokens
+	for i := len(w.buckets) - 1; i >= 0 && time.Duration(w.buckets[i].second)*time.Second > first; i-- {
+		n += w.buckets[i].tokens
 	}
 	return n
 }
 
 // frees returns how long it takes until n tokens have left the sum, or 0 if it
 // never holds as many.
-func (w *window) frees(now time.Duration, n int64, keep time.Duration) time.Duration {
-	for _, p := range w.parts {
+func (w *window) waitFor(now time.Duration, n int64, keep time.Duration) time.Duration {
+	for _, p := range w.buckets {
 		if n -= p.tokens; n <= 0 {
 			return max(time.Duration(p.second+1)*time.Second+keep-now, 0)
 		}
--- a/internal/prog/record/codec.go
+++ b/internal/prog/record/codec.go
@@ -41,11 +41,11 @@
 
 	// Joiner puts the pieces of large records together again. The zero value
 	// is ready; one Joiner reads the entries of one chain in order.
-	Joiner struct {
+	Reassembler struct {
 		id    uint64
 		next  int
 		count int
-		parts []byte
+		buf   []byte
 	}
 
 	// CorruptError reports bytes that are no journal value.
@@ -66,7 +66,7 @@
 )
 
 const (
-	kindTook     = "took"
+	kindAcquired = "took"
 	kindOpened   = "opened"
 	kindReserved = "reserved"
 	kindIntent   = "intent"
@@ -78,10 +78,10 @@
 )
 
 var (
-	encoding, _ = cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
-	decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxDecoded))
+	encoding, _     = cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
+	decoding, _     = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
+	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
+	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxDecoded))
 )
 
 // Error names what is wrong with the bytes.
@@ -117,7 +117,7 @@
 // Records decodes an entry's units. A record whose pieces are not all there
 // yet comes with the entry that holds the last of them. Pieces that are never
 // completed belong to a writer that lost the shard; they are dropped.
-func (j *Joiner) Records(e Entry) (rs []Record, err error) {
+func (j *Reassembler) Records(e Entry) (rs []Record, err error) {
 	defer func() { err = errors.Wrapf(err, "record: entry %d of shard %d", e.Number, e.Shard) }()
 	for _, raw := range e.Units {
 		var u unit
@@ -126,17 +126,17 @@
 		}
 		whole := u
 		if u.Kind == kindPiece {
-			done, err := j.join(u.Piece)
+			done, err := j.add(u.Piece)
 			if err != nil {
 				return nil, err
 			}
 			if !done {
 				continue
 			}
-			if err := decoding.Unmarshal(j.parts, &whole); err != nil {
+			if err := decoding.Unmarshal(j.buf, &whole); err != nil {
 				return nil, &CorruptError{Reason: err.Error()}
 			}
-			*j = Joiner{}
+			*j = Reassembler{}
 		}
 		r, err := decodeRecord(whole)
 		if err != nil {
@@ -147,20 +147,20 @@
 	return rs, nil
 }
 
-func (j *Joiner) join(p *piece) (done bool, err error) {
+func (j *Reassembler) add(p *piece) (done bool, err error) {
 	if p == nil || p.Count < 1 || p.Count > maxPieces || p.Index < 0 || p.Index >= p.Count {
 		return false, &CorruptError{Reason: "piece out of range"}
 	}
 	if p.Index == 0 {
-		*j = Joiner{id: p.ID, count: p.Count}
+		*j = Reassembler{id: p.ID, count: p.Count}
 	}
 	if p.ID != j.id || p.Index != j.next || p.Count != j.count {
 		return false, &CorruptError{Reason: fmt.Sprintf("piece %d of %d is out of place", p.Index, p.Count)}
 	}
-	if len(j.parts)+len(p.Data) > maxDecoded {
+	if len(j.buf)+len(p.Data) > maxDecoded {
 		return false, &CorruptError{Reason: "record too large"}
 	}
-	j.parts = append(j.parts, p.Data...)
+	j.buf = append(j.buf, p.Data...)
 	j.next++
 	return j.next == j.count, nil
 }
@@ -183,7 +183,7 @@
 	}
 	b = make([]byte, headerSize, headerSize+len(plain)/2)
 	copy(b, magic)
-	b = packer.EncodeAll(plain, b)
+	b = compressor.EncodeAll(plain, b)
 	binary.LittleEndian.PutUint64(b[len(magic):], xxhash.Sum64(b[headerSize:]))
 	return b, nil
 }
@@ -198,7 +198,7 @@
 	if binary.LittleEndian.Uint64(b[len(magic):]) != xxhash.Sum64(b[headerSize:]) {
 		return &CorruptError{Reason: "checksum differs"}
 	}
-	plain, err := unpacker.DecodeAll(b[headerSize:], nil)
+	plain, err := decompressor.DecodeAll(b[headerSize:], nil)
 	if err != nil {
 		return &CorruptError{Reason: err.Error()}
 	}
@@ -210,8 +210,8 @@
 
 func kind(r Record) string {
 	switch r.(type) {
-	case Took:
-		return kindTook
+	case Acquired:
+		return kindAcquired
 	case Opened:
 		return kindOpened
 	case Reserved:
@@ -232,8 +232,8 @@
 
 func decodeRecord(u unit) (Record, error) {
 	switch u.Kind {
-	case kindTook:
-		return decode[Took](u.Body)
+	case kindAcquired:
+		return decode[Acquired](u.Body)
 	case kindOpened:
 		return decode[Opened](u.Body)
 	case kindReserved:
--- a/internal/prog/record/codec_test.go
+++ b/internal/prog/record/codec_test.go
@@ -21,12 +21,12 @@
 	c.Result = result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200, Body: []byte("receipt")}
 	kept := c
 	kept.Asked, kept.Result.Body = "", nil
-	kept.AskedIn = &hist.Blob{Digest: "d1", Size: 9000, Holders: []string{"a", "b"}}
-	kept.AnswerIn = &hist.Blob{Digest: "d2", Size: 7000, Holders: []string{"b", "c"}}
+	kept.AskedBlob = &hist.Blob{Digest: "d1", Size: 9000, Holders: []string{"a", "b"}}
+	kept.AnswerBlob = &hist.Blob{Digest: "d2", Size: 7000, Holders: []string{"b", "c"}}
 	return map[string]record.Record{
 		"kept":     record.Ended{Program: "p", Call: kept, Tokens: 4, Final: true, Head: true},
-		"holders":  record.Holders{Blob: *kept.AskedIn},
-		"took":     record.Took{Epoch: 3, Owner: "a", At: at},
+		"holders":  record.Holders{Blob: *kept.AskedBlob},
+		"took":     record.Acquired{Epoch: 3, Owner: "a", At: at},
 		"opened":   record.Opened{Open: call.Open{Account: "x", Program: "p"}, Budget: 10, Reserved: 5, At: at},
 		"reserved": record.Reserved{Program: "p", Total: 7},
 		"intent":   record.Intent{Program: "p", Call: c},
@@ -48,13 +48,13 @@
 	return b
 }
 
-func TestRecordsComeBackAsWritten(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	for name, r := range sample() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			e, err := record.Decode(encode(t, r))
 			is.NoErr(err)
-			var j record.Joiner
+			var j record.Reassembler
 			got, err := j.Records(e)
 			is.NoErr(err)
 			is.Equal(got, []record.Record{r})
@@ -64,7 +64,7 @@
 
 // A value in the store is cut short or altered. Whoever takes the shard over
 // must be told, since going on would lose programs without a word.
-func TestDamageIsFound(t *testing.T) {
+func TestCorruptionIsDetected(t *testing.T) {
 	whole := encode(t, sample()["ended"])
 	tests := map[string]func(b []byte) []byte{
 		"empty":          func([]byte) []byte { return nil },
@@ -85,13 +85,13 @@
 
 // An owner dies between two pieces of a large record. The next owner's records
 // follow, and the half record must neither fail the takeover nor appear.
-func TestPiecesOfALostWriterAreDropped(t *testing.T) {
+func TestIncompleteRecordIsDropped(t *testing.T) {
 	is := is.New(t)
 	big := record.Ended{Program: "p", Call: hist.Call{Asked: string(make([]byte, 2*record.MaxUnit))}}
 	us, err := record.Units(big, 1)
 	is.NoErr(err)
 	is.True(len(us) > 1)
-	var j record.Joiner
+	var j record.Reassembler
 	rs, err := j.Records(record.Entry{Number: 1, Units: us[:1]})
 	is.NoErr(err)
 	is.Equal(len(rs), 0)
@@ -136,7 +136,7 @@
 }
 
 func checkUnits(t *testing.T, e record.Entry) {
-	var j record.Joiner
+	var j record.Reassembler
 	_, err := j.Records(e)
 	var c *record.CorruptError
 	if err != nil && !errors.As(err, &c) {
--- a/internal/prog/record/record.go
+++ b/internal/prog/record/record.go
@@ -23,7 +23,7 @@
 	}
 
 	// Took opens an epoch: Owner has the shard from here on.
-	Took struct {
+	Acquired struct {
 		Epoch uint64    `json:"epoch"`
 		Owner string    `json:"owner"`
 		At    time.Time `json:"at"`
@@ -90,7 +90,7 @@
 )
 
 // Subject is empty: an epoch is about the whole shard.
-func (Took) Subject() string { return "" }
+func (Acquired) Subject() string { return "" }
 
 // Subject is the program opened.
 func (r Opened) Subject() string { return r.Open.Program }
--- a/internal/prog/state/state.go
+++ b/internal/prog/state/state.go
@@ -24,32 +24,32 @@
 const (
 	// KeepBody is the largest answer, in bytes, that stays in memory for a
 	// repeat of a program's last call; a larger one is read from the journal.
-	KeepBody = 16 << 10
+	MaxCachedBody = 16 << 10
 )
 
 type (
 	// Program is the durable part of one program.
 	Program struct {
-		Open     call.Open         `json:"open"`
-		Budget   int64             `json:"budget"`
-		Priority int               `json:"priority"`
-		Reserved int64             `json:"reserved"`
-		Spent    int64             `json:"spent"`
-		Config   uint64            `json:"config"`
-		Opened   time.Time         `json:"opened"`
-		Active   time.Time         `json:"active"`
-		Next     int               `json:"next"`  // one above the highest call that ended
-		Turns    int               `json:"turns"` // calls that ended
-		Last     hist.Call         `json:"last"`  // the newest outcome, without the question
-		Final    bool              `json:"final"` // a repeat of Last doesn't run
-		Dropped  bool              `json:"dropped"`
-		Intents  map[int]hist.Call `json:"intents,omitempty"` // by call number; no outcome yet
-		Moved    *record.Moved     `json:"moved,omitempty"`   // its attempt was under way at a handover
-		Tokens   Size              `json:"size"`
-		Engines  []string          `json:"engines,omitempty"`  // that ran its model calls, and may hold memory for it
-		Entries  []uint64          `json:"entries,omitempty"`  // journal entries
-		Segments []uint64          `json:"segments,omitempty"` // compacted journal
-		Closed   string            `json:"closed,omitempty"`
+		Open        call.Open         `json:"open"`
+		Budget      int64             `json:"budget"`
+		Priority    int               `json:"priority"`
+		Reserved    int64             `json:"reserved"`
+		Spent       int64             `json:"spent"`
+		Config      uint64            `json:"config"`
+		Opened      time.Time         `json:"opened"`
+		Active      time.Time         `json:"active"`
+		Next        int               `json:"next"`  // one above the highest call that ended
+		Turns       int               `json:"turns"` // calls that ended
+		Last        hist.Call         `json:"last"`  // the newest outcome, without the question
+		Final       bool              `json:"final"` // a repeat of Last doesn't run
+		BodyDropped bool              `json:"dropped"`
+		Intents     map[int]hist.Call `json:"intents,omitempty"` // by call number; no outcome yet
+		Moved       *record.Moved     `json:"moved,omitempty"`   // its attempt was under way at a handover
+		Tokens      Size              `json:"size"`
+		Engines     []string          `json:"engines,omitempty"`  // that ran its model calls, and may hold memory for it
+		Entries     []uint64          `json:"entries,omitempty"`  // journal entries
+		Segments    []uint64          `json:"segments,omitempty"` // compacted journal
+		Closed      string            `json:"closed,omitempty"`
 	}
 
 	// Size is the length of the conversation at the newest model call.
@@ -78,8 +78,8 @@
 		// named when it was loaded. Older serves a takeover alone: whoever
 		// looks after the texts takes them from it, and an owner that goes on
 		// without it holds no list that grows with the history.
-		Texts map[string]Text      `json:"-"`
-		Older map[string]hist.Blob `json:"-"`
+		Texts         map[string]Text      `json:"-"`
+		SnapshotTexts map[string]hist.Blob `json:"-"`
 
 		// Gone has the hash of each root program that ended and left memory
 		// with all its sub-agents, and the position of the index value that
@@ -100,11 +100,11 @@
 	}
 	f.Upto = max(f.Upto, n)
 	switch r := r.(type) {
-	case record.Took:
+	case record.Acquired:
 		f.Epoch, f.Owner = r.Epoch, r.Owner
 		return nil
 	case record.Holders:
-		f.refer(n, &r.Blob)
+		f.addTextRef(n, &r.Blob)
 		return nil
 	case record.Opened:
 		f.open(r)
@@ -151,9 +151,9 @@
 		if p.Moved != nil && p.Moved.Call.Request == r.Call.Request {
 			p.Moved = nil
 		}
-		f.refer(p.Entries[len(p.Entries)-1], r.Call.AskedIn)
-		f.refer(p.Entries[len(p.Entries)-1], r.Call.AnswerIn)
-		p.ended(r)
+		f.addTextRef(p.Entries[len(p.Entries)-1], r.Call.AskedBlob)
+		f.addTextRef(p.Entries[len(p.Entries)-1], r.Call.AnswerBlob)
+		p.applyEnded(r)
 		if root := f.Programs[call.Root(r.Program)]; root != nil {
 			root.Spent += r.Tokens
 		}
@@ -164,7 +164,7 @@
 }
 
 // refer notes that entry n refers to a text, or has new holders of it.
-func (f *Fold) refer(n uint64, b *hist.Blob) {
+func (f *Fold) addTextRef(n uint64, b *hist.Blob) {
 	if b == nil {
 		return
 	}
@@ -175,14 +175,14 @@
 }
 
 // Named forgets the texts that a snapshot up to entry upto names.
-func (f *Fold) Named(upto uint64) {
+func (f *Fold) DropTexts(upto uint64) {
 	maps.DeleteFunc(f.Texts, func(_ string, t Text) bool { return t.Entry <= upto })
 }
 
 // Known calls each for every text that the journal refers to, each text once.
 // It is complete only before Older is let go.
 func (f *Fold) Known(each func(b hist.Blob)) {
-	for digest, b := range f.Older {
+	for digest, b := range f.SnapshotTexts {
 		if _, newer := f.Texts[digest]; !newer {
 			each(b)
 		}
@@ -192,11 +192,11 @@
 	}
 }
 
-func (p *Program) ended(r record.Ended) {
+func (p *Program) applyEnded(r record.Ended) {
 	c := r.Call
 	delete(p.Intents, c.Number)
 	p.Active = c.End
-	p.ran(c)
+	p.addEngines(c)
 	if !r.Head {
 		return
 	}
@@ -204,10 +204,10 @@
 		p.Turns++
 	}
 	p.Next = c.Number + 1
-	p.Last, p.Final, p.Dropped = c, r.Final, false
-	p.Last.Asked, p.Last.AskedIn = "", nil
-	if len(c.Result.Body) > KeepBody || c.AnswerIn != nil {
-		p.Last.Result.Body, p.Dropped = nil, true
+	p.Last, p.Final, p.BodyDropped = c, r.Final, false
+	p.Last.Asked, p.Last.AskedBlob = "", nil
+	if len(c.Result.Body) > MaxCachedBody || c.AnswerBlob != nil {
+		p.Last.Result.Body, p.BodyDropped = nil, true
 	}
 	if c.Kind == call.Model && c.Result.OK() {
 		p.Tokens = Size{Prompt: c.Result.Prompt, Output: c.Result.Output, Bytes: c.Size}
@@ -216,7 +216,7 @@
 
 // ran notes which engines ran a call. Whoever owns the program when it ends has them free
 // its memory, whichever daemon chose them.
-func (p *Program) ran(c hist.Call) {
+func (p *Program) addEngines(c hist.Call) {
 	if c.Kind != call.Model {
 		return
 	}
@@ -239,12 +239,12 @@
 		c.Programs[id] = &q
 	}
 	c.Texts = maps.Clone(f.Texts)
-	c.Older, c.Gone = nil, nil
+	c.SnapshotTexts, c.Gone = nil, nil
 	return c
 }
 
 // Settled reports whether the program has ended with all its records in
 // entries up to upto.
-func (p *Program) Settled(upto uint64) bool {
+func (p *Program) ClosedBy(upto uint64) bool {
 	return p.Closed != "" && len(p.Intents) == 0 && p.Moved == nil && p.Entries[len(p.Entries)-1] <= upto
 }
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -61,7 +61,7 @@
 		return t, err
 	}
 	t.Next = t.Fold.Upto + 1
-	var j record.Joiner
+	var j record.Reassembler
 	for range maxRounds {
 		if err = b.follow(ctx, &t, &j); err != nil {
 			return t, err
@@ -75,7 +75,7 @@
 }
 
 // follow reads the journal up to its end.
-func (b Boot) follow(ctx context.Context, t *Taken, j *record.Joiner) error {
+func (b Boot) follow(ctx context.Context, t *Taken, j *record.Reassembler) error {
 	for {
 		for _, r := range b.ahead(ctx, t.Next) {
 			if errors.Is(r.err, store.ErrNotFound) {
@@ -106,7 +106,7 @@
 }
 
 // apply adds what an entry holds.
-func (b Boot) apply(t *Taken, j *record.Joiner, e record.Entry) error {
+func (b Boot) apply(t *Taken, j *record.Reassembler, e record.Entry) error {
 	if e.Number != t.Next || e.Shard != b.Shard {
 		return &record.CorruptError{Reason: "the entry belongs elsewhere"}
 	}
@@ -137,7 +137,7 @@
 // entry stands there now.
 func (b Boot) claim(ctx context.Context, t *Taken) (won bool, err error) {
 	epoch := t.Fold.Epoch + 1
-	took := record.Took{Epoch: epoch, Owner: b.Owner, At: b.Now()}
+	took := record.Acquired{Epoch: epoch, Owner: b.Owner, At: b.Now()}
 	us, err := record.Units(took, 0)
 	if err != nil {
 		return false, err
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -78,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			st := &keyval.Store{}
-			write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
+			write(t, st, 1, 1, record.Acquired{Epoch: 1, Owner: "old"}, open("p"))
 			v := st.Client("a")
 			v.Script(keyval.Writes, tt.faults)
 			got, err := taker(v, "a", 1).Take(ctx)
@@ -101,7 +101,7 @@
 func TestFormerOwnerWritesLast(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
-	write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
+	write(t, st, 1, 1, record.Acquired{Epoch: 1, Owner: "old"}, open("p"))
 	race := &raced{Store: st, key: chain.Key(2, 2), do: func() { write(t, st, 2, 1, ended("p", 0)) }}
 	got, err := taker(race, "a", 1).Take(ctx)
 	is.NoErr(err)
@@ -130,7 +130,7 @@
 func TestDamagedEntryStopsTheTakeover(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
-	write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
+	write(t, st, 1, 1, record.Acquired{Epoch: 1, Owner: "old"}, open("p"))
 	_, err := st.Put(ctx, chain.Key(2, 2), []byte("not an entry"), 0, 0)
 	is.NoErr(err)
 	_, err = taker(st, "a", 1).Take(ctx)
@@ -152,7 +152,7 @@
 			t.Run(fmt.Sprintf("fault %d at write %d", f.kind, f.at), func(t *testing.T) {
 				is := is.New(t)
 				st := &keyval.Store{}
-				write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "a"}, open("live"), open("gone"), open("gone/child"))
+				write(t, st, 1, 1, record.Acquired{Epoch: 1, Owner: "a"}, open("live"), open("gone"), open("gone/child"))
 				write(t, st, 2, 1, ended("live", 0), ended("gone/child", 0), closed("gone/child"), closed("gone"))
 				v := st.Client("a")
 				took, err := taker(v, "a", 1).Take(ctx)
@@ -196,7 +196,7 @@
 func TestTwoSnapshotWriters(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
-	write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "x"}, open("p"))
+	write(t, st, 1, 1, record.Acquired{Epoch: 1, Owner: "x"}, open("p"))
 	old, err := taker(st, "old", 1).Take(ctx)
 	is.NoErr(err)
 	fresh, err := taker(st, "fresh", 70).Take(ctx)
--- a/internal/shard/chain/chain_test.go
+++ b/internal/shard/chain/chain_test.go
@@ -157,7 +157,7 @@
 	_, err := c.Add(big)
 	is.NoErr(err)
 	add(t, c, "q")
-	var j record.Joiner
+	var j record.Reassembler
 	var got []record.Record
 	effs := c.Step(start, chain.Tick{})
 	for n := 0; len(effs) > 0 && n < 20; n++ {
--- a/internal/shard/fold/fold.go
+++ b/internal/shard/fold/fold.go
@@ -102,7 +102,7 @@
 func split(f state.Fold) (live map[string]*state.Program, gone []Gone) {
 	open := map[string]bool{}
 	for id, p := range f.Programs {
-		if !p.Settled(f.Upto) {
+		if !p.ClosedBy(f.Upto) {
 			open[call.Root(id)] = true
 		}
 	}
@@ -147,7 +147,7 @@
 			q := *live[ids[0]]
 			if len(q.Last.Result.Body) > 0 {
 				// An answer stands in the journal already.
-				q.Last.Result.Body, q.Dropped = nil, true
+				q.Last.Result.Body, q.BodyDropped = nil, true
 			}
 			p.Programs[ids[0]] = &q
 			size += bytesPerProgram + bytesPerEntry*len(q.Entries)
--- a/internal/shard/fold/texts.go
+++ b/internal/shard/fold/texts.go
@@ -78,21 +78,21 @@
 			return err
 		}
 		lines += len(ts.Texts)
-		if f.Older == nil {
-			f.Older = make(map[string]hist.Blob, len(ts.Texts))
+		if f.SnapshotTexts == nil {
+			f.SnapshotTexts = make(map[string]hist.Blob, len(ts.Texts))
 		}
 		for _, b := range ts.Texts {
-			f.Older[b.Digest] = b
+			f.SnapshotTexts[b.Digest] = b
 		}
 	}
-	s.anew = lines > 2*len(f.Older)+slack
+	s.anew = lines > 2*len(f.SnapshotTexts)+slack
 	if !s.anew {
 		return nil
 	}
-	f.Texts = make(map[string]state.Text, len(f.Older))
-	for digest, b := range f.Older {
+	f.Texts = make(map[string]state.Text, len(f.SnapshotTexts))
+	for digest, b := range f.SnapshotTexts {
 		f.Texts[digest] = state.Text{Blob: b, Entry: f.Upto}
 	}
-	f.Older = nil
+	f.SnapshotTexts = nil
 	return nil
 }
--- a/internal/shard/fold/texts_test.go
+++ b/internal/shard/fold/texts_test.go
@@ -45,7 +45,7 @@
 	save := func() {
 		_, err := s.Save(context.Background(), f.Clone())
 		is.NoErr(err)
-		f.Named(f.Upto)
+		f.DropTexts(f.Upto)
 		is.Equal(len(f.Texts), 0)
 	}
 	tell(is, &f, many, "a")
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -76,14 +76,14 @@
 	}
 	p.active = now
 	digest := digestOf(m.Call)
-	switch v := p.order.Judge(m.Call.Number); v {
+	switch v := p.order.Classify(m.Call.Number); v {
 	case order.Join:
 		o.join(m, p.current, digest)
-	case order.Again:
+	case order.Repeat:
 		o.again(now, m, p, digest)
-	case order.Past:
+	case order.Superseded:
 		o.past(m, p)
-	case order.Far:
+	case order.TooFar:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d is too far ahead; the next is %d", m.Call.Number, p.order.Next))
 	case order.Run, order.Early:
 		o.accept(now, m, p, digest, v)
@@ -142,7 +142,7 @@
 	switch {
 	case d.Last.Digest != digest:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeConflict, "call %d has ended with another body", m.Call.Number))
-	case d.Dropped:
+	case d.BodyDropped:
 		o.emit(Recall{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
 	default:
 		o.reply(m.Ticket, d.Last.Request, d.Last.Result)
@@ -171,7 +171,7 @@
 }
 
 // accept takes in a call that is to run now or after the ones before it.
-func (o *Owner) accept(now time.Time, m Call, p *program, digest string, v order.Verdict) {
+func (o *Owner) accept(now time.Time, m Call, p *program, digest string, v order.Class) {
 	if old := p.early[m.Call.Number]; old != nil {
 		o.join(m, old, digest)
 		return
@@ -301,9 +301,9 @@
 // ahead asks the journal for n more tokens and a block, and returns the
 // sequence number of the reservation that covers them.
 func (o *Owner) ahead(root *program, n int64) uint64 {
-	total, more := root.budget.Ahead(n, o.block())
+	total, more := root.budget.NextReservation(n, o.block())
 	if more {
-		root.budget = root.budget.WithAsked(total)
+		root.budget = root.budget.WithRequested(total)
 		return o.add(record.Reserved{Program: root.id, Total: total})
 	}
 	return o.newest()
@@ -340,20 +340,20 @@
 		asked = added(r.call, r.shared)
 	}
 	return hist.Call{
-		Request: r.call.Request,
-		Number:  r.call.Number,
-		Kind:    r.call.Kind,
-		Target:  target,
-		Digest:  r.digest,
-		Size:    size,
-		Shared:  r.shared,
-		Asked:   asked,
-		Tries:   append([]hist.Try(nil), r.tries...),
-		Result:  r.result,
-		Before:  r.before,
-		After:   r.prog.root.budget.Free(),
-		Config:  o.cfg.Version,
-		Epoch:   o.Chain.Epoch,
-		Start:   r.start,
+		Request:      r.call.Request,
+		Number:       r.call.Number,
+		Kind:         r.call.Kind,
+		Target:       target,
+		Digest:       r.digest,
+		Size:         size,
+		Shared:       r.shared,
+		Asked:        asked,
+		Tries:        append([]hist.Try(nil), r.tries...),
+		Result:       r.result,
+		BudgetBefore: r.before,
+		BudgetAfter:  r.prog.root.budget.Free(),
+		Config:       o.cfg.Version,
+		Epoch:        o.Chain.Epoch,
+		Start:        r.start,
 	}
 }
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -76,8 +76,8 @@
 	if root.budget.Fits(next) {
 		return
 	}
-	if total, more := root.budget.Ahead(next, o.block()); more {
-		root.budget = root.budget.WithAsked(total)
+	if total, more := root.budget.NextReservation(next, o.block()); more {
+		root.budget = root.budget.WithRequested(total)
 		o.add(record.Reserved{Program: root.id, Total: total})
 	}
 }
@@ -315,7 +315,7 @@
 
 // saved forgets families that have ended and stand in the snapshot's index.
 func (o *Owner) saved(m Saved) {
-	o.Fold.Named(m.Upto)
+	o.Fold.DropTexts(m.Upto)
 	if o.Fold.Gone == nil {
 		o.Fold.Gone = map[uint64]uint32{}
 	}
@@ -337,6 +337,6 @@
 func (o *Owner) over(root *program, upto uint64) bool {
 	return !slices.ContainsFunc(root.family, func(p *program) bool {
 		d := o.Fold.Programs[p.id]
-		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.Settled(upto)
+		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.ClosedBy(upto)
 	})
 }
--- a/internal/shard/owner/keep.go
+++ b/internal/shard/owner/keep.go
@@ -54,10 +54,10 @@
 	}
 	h := *r.told
 	if m.Asked != nil {
-		h.Asked, h.AskedIn = "", m.Asked
+		h.Asked, h.AskedBlob = "", m.Asked
 	}
 	if m.Answer != nil {
-		h.Result.Body, h.AnswerIn = nil, m.Answer
+		h.Result.Body, h.AnswerBlob = nil, m.Answer
 	}
 	r.told = nil
 	o.record(now, r, h)
--- a/internal/shard/owner/keep_test.go
+++ b/internal/shard/owner/keep_test.go
@@ -64,7 +64,7 @@
 
 // told returns the outcomes and ends in the journal.
 func (d *desk) told(is *is.I) (rs []record.Record) {
-	var j record.Joiner
+	var j record.Reassembler
 	for _, e := range d.journal {
 		all, err := j.Records(e)
 		is.NoErr(err)
@@ -164,9 +164,9 @@
 				e = d.told(is)[1].(record.Ended)
 			}
 			is.Equal(e.Call.Number, 0)
-			is.Equal(e.Call.AskedIn != nil, tt.asked)
+			is.Equal(e.Call.AskedBlob != nil, tt.asked)
 			is.Equal(e.Call.Asked == "", tt.asked)
-			is.Equal(e.Call.AnswerIn != nil, tt.answer)
+			is.Equal(e.Call.AnswerBlob != nil, tt.answer)
 			is.Equal(len(e.Call.Result.Body) == 0, tt.answer)
 			if tt.code == result.CodeOK {
 				is.Equal(string(d.replies[ticket].Body), "done")
@@ -214,7 +214,7 @@
 	d.pass(time.Second)
 	d.kept(true, true)
 	is.Equal(len(d.unkept), 0)
-	is.True(d.told(is)[0].(record.Ended).Call.AnswerIn != nil)
+	is.True(d.told(is)[0].(record.Ended).Call.AnswerBlob != nil)
 }
 
 // The owner is lost before the outcome is recorded. Nothing refers to the
--- a/internal/shard/owner/move.go
+++ b/internal/shard/owner/move.go
@@ -90,7 +90,7 @@
 		if p.root != p || p.closed != "" || b.Reserved <= total {
 			continue
 		}
-		p.budget = b.WithReserved(total).WithAsked(total)
+		p.budget = b.WithReserved(total).WithRequested(total)
 		o.add(record.Reserved{Program: id, Total: total})
 	}
 }
@@ -101,7 +101,7 @@
 	c := m.Call
 	r := &run{prog: p, phase: waitAnswer, digest: c.Digest, shared: c.Shared, hold: m.Hold, cost: m.Cost, tries: c.Tries, moved: true}
 	r.call = call.Call{Request: c.Request, Account: p.open.Account, Program: p.id, Number: c.Number, Kind: c.Kind, Service: m.Service}
-	r.start, r.before = c.Start, c.Before
+	r.start, r.before = c.Start, c.BudgetBefore
 	r.target, r.asked, r.size = c.Target, c.Asked, c.Size
 	r.deadline = now.Add(tailTime)
 	r.alone = now.Add(rejoinTime - aloneTime)
--- a/internal/shard/owner/move_test.go
+++ b/internal/shard/owner/move_test.go
@@ -18,7 +18,7 @@
 	next := newDesk()
 	next.own = owner.Owner{Chain: next.own.Chain}
 	next.own.Chain.Epoch = 2
-	var j record.Joiner
+	var j record.Reassembler
 	for _, e := range d.journal {
 		rs, err := j.Records(e)
 		is.NoErr(err)
@@ -35,7 +35,7 @@
 
 // records are all that the journal has.
 func (d *desk) records(is *is.I) (all []record.Record) {
-	var j record.Joiner
+	var j record.Reassembler
 	for _, e := range d.journal {
 		rs, err := j.Records(e)
 		is.NoErr(err)
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -323,7 +323,7 @@
 	case Saved:
 		o.saved(m)
 	case Verify:
-		o.verifySeq = o.add(record.Took{Epoch: o.Chain.Epoch, Owner: o.Chain.Owner, At: now})
+		o.verifySeq = o.add(record.Acquired{Epoch: o.Chain.Epoch, Owner: o.Chain.Owner, At: now})
 	case Pace:
 		o.Chain.Interval = m.Interval
 	case Drain:
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -138,8 +138,8 @@
 	if p.root == p {
 		rec.Budget = cmp.Or(open.Budget, agent.Budget)
 		p.budget = budget.Budget{Limit: rec.Budget}
-		rec.Reserved, _ = p.budget.Ahead(0, o.block())
-		p.budget = p.budget.WithAsked(rec.Reserved)
+		rec.Reserved, _ = p.budget.NextReservation(0, o.block())
+		p.budget = p.budget.WithRequested(rec.Reserved)
 	}
 	p.openSeq = o.add(rec)
 	o.opening = append(o.opening, waiter{seq: p.openSeq, ticket: m.Ticket, result: opened()})
--- a/internal/shard/past/past.go
+++ b/internal/shard/past/past.go
@@ -81,7 +81,7 @@
 	h.Calls = slices.Clone(h.Calls)
 	for i := range h.Calls {
 		c := &h.Calls[i]
-		if c.AskedIn == nil && c.AnswerIn == nil {
+		if c.AskedBlob == nil && c.AnswerBlob == nil {
 			continue
 		}
 		slots <- struct{}{}
@@ -94,15 +94,15 @@
 }
 
 func (p Past) fill(ctx context.Context, c *hist.Call) {
-	if c.AskedIn != nil {
-		text, err := p.text(ctx, *c.AskedIn)
+	if c.AskedBlob != nil {
+		text, err := p.text(ctx, *c.AskedBlob)
 		c.Asked = string(text)
-		note(c, "question", *c.AskedIn, err)
+		note(c, "question", *c.AskedBlob, err)
 	}
-	if c.AnswerIn != nil {
-		text, err := p.text(ctx, *c.AnswerIn)
+	if c.AnswerBlob != nil {
+		text, err := p.text(ctx, *c.AnswerBlob)
 		c.Result.Body = text
-		note(c, "answer", *c.AnswerIn, err)
+		note(c, "answer", *c.AnswerBlob, err)
 	}
 }
 
@@ -144,8 +144,8 @@
 
 func (p Past) answered(ctx context.Context, e record.Ended) (c hist.Call, ok bool, err error) {
 	c = e.Call
-	if c.AnswerIn != nil {
-		c.Result.Body, err = p.text(ctx, *c.AnswerIn)
+	if c.AnswerBlob != nil {
+		c.Result.Body, err = p.text(ctx, *c.AnswerBlob)
 	}
 	return c, e.Final, err
 }
@@ -157,7 +157,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var j record.Joiner
+	var j record.Reassembler
 	var rs []record.Record
 	for _, e := range chained {
 		if rs, err = j.Records(e); err != nil {
