--- a/cmd/slaterock/process_test.go
+++ b/cmd/slaterock/process_test.go
@@ -20,8 +20,8 @@
 	"github.com/slaterock/slaterock/internal/conf/apply"
 	"github.com/slaterock/slaterock/internal/edge/client"
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/plat/kvnet"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
+	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -172,7 +172,7 @@
 	}
 	path := filepath.Join(s.t.TempDir(), "system.ini")
 	is.New(s.t).NoErr(os.WriteFile(path, []byte(text), 0o600))
-	st := &kvnet.Client{Line: line.Line{Address: s.parts["store"]}, Name: "operator"}
+	st := &kvhttp.Client{Endpoint: httpc.Endpoint{Address: s.parts["store"]}, Name: "operator"}
 	is.New(s.t).NoErr(apply.File(s.ctx, io.Discard, st, path, apply.Request{Base: apply.Newest, By: "test"}))
 }
 
--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -16,7 +16,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/slaterock/slaterock/internal/edge/server"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 )
@@ -103,7 +103,7 @@
 
 func (c Client) exchange(ctx context.Context, req *fasthttp.Request) (resp *fasthttp.Response, err error) {
 	resp = &fasthttp.Response{}
-	if err := (line.Line{Address: c.Address}).Do(ctx, req, resp); err != nil {
+	if err := (httpc.Endpoint{Address: c.Address}).Do(ctx, req, resp); err != nil {
 		return nil, err
 	}
 	if s := resp.StatusCode(); s < 200 || s > 299 {
@@ -188,7 +188,7 @@
 	}
 	req := c.request(fasthttp.MethodPost, "/v1/chat/completions", body)
 	identify(req, program, number)
-	resp, err := (line.Line{Address: c.Address}).Open(ctx, req)
+	resp, err := (httpc.Endpoint{Address: c.Address}).Open(ctx, req)
 	if err != nil {
 		return a, err
 	}
--- a/internal/fake/keyval/keyval.go
+++ b/internal/fake/keyval/keyval.go
@@ -97,7 +97,7 @@
 		return 0, &store.ConflictError{Key: key, Rev: now}
 	}
 	if _, ok := s.leases[l]; l != 0 && !ok {
-		return 0, store.ErrLapsed
+		return 0, store.ErrLeaseExpired
 	}
 	if s.entries == nil {
 		s.entries = map[string]record{}
@@ -171,7 +171,7 @@
 	s.lapse()
 	v, ok := s.leases[l]
 	if !ok {
-		return store.ErrLapsed
+		return store.ErrLeaseExpired
 	}
 	v.end = s.now().Add(v.ttl)
 	s.leases[l] = v
@@ -185,7 +185,7 @@
 	s.counts.Writes++
 	s.lapse()
 	if _, ok := s.leases[l]; !ok {
-		return store.ErrLapsed
+		return store.ErrLeaseExpired
 	}
 	s.end(l)
 	return nil
--- a/internal/fake/keyval/server.go
+++ b/internal/fake/keyval/server.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/slaterock/slaterock/internal/fake/host"
-	"github.com/slaterock/slaterock/internal/plat/kvnet"
+	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
@@ -28,8 +28,8 @@
 }
 
 func (s *Store) serve(ctx context.Context, w *fasthttp.RequestCtx) {
-	op, ok := strings.CutPrefix(string(w.Path()), kvnet.Path)
-	var c kvnet.Call
+	op, ok := strings.CutPrefix(string(w.Path()), kvhttp.Path)
+	var c kvhttp.Request
 	if !ok || json.Unmarshal(w.PostBody(), &c) != nil {
 		w.SetStatusCode(http.StatusBadRequest)
 		return
@@ -40,7 +40,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	a, err := s.Client(c.Client).do(ctx, kvnet.Op(op), c)
+	a, err := s.Client(c.Client).do(ctx, kvhttp.Op(op), c)
 	a, answered := encode(a, err)
 	if !answered {
 		host.Break(w)
@@ -51,23 +51,23 @@
 	w.SetBody(body)
 }
 
-func (v *View) do(ctx context.Context, op kvnet.Op, c kvnet.Call) (a kvnet.Answer, err error) {
+func (v *View) do(ctx context.Context, op kvhttp.Op, c kvhttp.Request) (a kvhttp.Response, err error) {
 	switch op {
-	case kvnet.OpGet:
+	case kvhttp.OpGet:
 		a.Entry, err = v.Get(ctx, c.Key)
-	case kvnet.OpPut:
+	case kvhttp.OpPut:
 		a.Rev, err = v.Put(ctx, c.Key, c.Data, c.Rev, c.Lease)
-	case kvnet.OpDelete:
+	case kvhttp.OpDelete:
 		err = v.Delete(ctx, c.Key, c.Rev)
-	case kvnet.OpList:
+	case kvhttp.OpList:
 		a.Keys, err = v.List(ctx, c.Key, c.After, c.Limit)
-	case kvnet.OpWatch:
+	case kvhttp.OpWatch:
 		a.Entry, err = v.Watch(ctx, c.Key, c.Rev)
-	case kvnet.OpGrant:
+	case kvhttp.OpGrant:
 		a.Lease, err = v.Grant(ctx, c.TTL)
-	case kvnet.OpRenew:
+	case kvhttp.OpRenew:
 		err = v.Renew(ctx, c.Lease)
-	case kvnet.OpRevoke:
+	case kvhttp.OpRevoke:
 		err = v.Revoke(ctx, c.Lease)
 	default:
 		err = store.ErrUnavailable
@@ -77,24 +77,24 @@
 
 // encode turns an error into its code. Where the outcome is unknown there is no
 // answer at all: the connection breaks, as it would for a real client.
-func encode(a kvnet.Answer, err error) (kvnet.Answer, bool) {
+func encode(a kvhttp.Response, err error) (kvhttp.Response, bool) {
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
-		a.Code, a.Rev = kvnet.CodeConflict, conflict.Rev
+		a.Code, a.Rev = kvhttp.CodeConflict, conflict.Rev
 	case errors.Is(err, store.ErrUnknown):
 		return a, false
 	case errors.Is(err, store.ErrNotFound):
-		a.Code = kvnet.CodeNotFound
-	case errors.Is(err, store.ErrLapsed):
-		a.Code = kvnet.CodeLapsed
+		a.Code = kvhttp.CodeNotFound
+	case errors.Is(err, store.ErrLeaseExpired):
+		a.Code = kvhttp.CodeLapsed
 	case errors.Is(err, store.ErrTooLarge):
-		a.Code = kvnet.CodeTooLarge
+		a.Code = kvhttp.CodeTooLarge
 	case errors.Is(err, store.ErrUnavailable):
-		a.Code = kvnet.CodeUnavailable
+		a.Code = kvhttp.CodeUnavailable
 	case errors.Is(err, context.DeadlineExceeded):
-		a.Code = kvnet.CodeAgain
+		a.Code = kvhttp.CodeWatchTimeout
 	default:
 		return a, false
 	}
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -10,13 +10,13 @@
 	"github.com/slaterock/slaterock/internal/fake/model"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/kvnet"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
+	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/plat/plain"
 	"github.com/slaterock/slaterock/internal/plat/tool"
+	"github.com/slaterock/slaterock/internal/plat/vmhttp"
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
-	"github.com/slaterock/slaterock/internal/plat/vmnet"
-	"github.com/slaterock/slaterock/internal/plat/wtnet"
+	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
 func TestPartsAnswerOverTheNetwork(t *testing.T) {
@@ -27,10 +27,10 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	at := func(p Part) line.Line { return line.Line{Address: s.Address(p)} }
+	at := func(p Part) httpc.Endpoint { return httpc.Endpoint{Address: s.Address(p)} }
 	tests := map[string]func(is *is.I){
 		"store": func(is *is.I) {
-			c := &kvnet.Client{Line: at(Store)}
+			c := &kvhttp.Client{Endpoint: at(Store)}
 			rev, err := c.Put(ctx, "a", []byte("1"), 0, 0)
 			is.NoErr(err)
 			e, err := c.Get(ctx, "a")
@@ -39,7 +39,7 @@
 			is.Equal(string(e.Data), "1")
 		},
 		"engine": func(is *is.I) {
-			c := &chat.Client{Line: at(Engine2)}
+			c := &chat.Client{Endpoint: at(Engine2)}
 			r := engine.Request{ID: "r1", Program: "p", Body: []byte(`{"messages":[{"role":"user","content":"hello"}]}`), MaxTokens: 12}
 			text := ""
 			u, err := c.Chat(ctx, r, func(d engine.Delta) error {
@@ -52,7 +52,7 @@
 			is.Equal(s.E2.Dispatches()[0].Program, "p")
 		},
 		"ledger": func(is *is.I) {
-			c := &plain.Client{Line: at(Ledger)}
+			c := &plain.Client{Endpoint: at(Ledger)}
 			resp, err := c.Do(ctx, tool.Request{ID: "r1", Method: "POST", Path: "/receipts", Body: []byte("x")})
 			is.NoErr(err)
 			is.Equal(resp.Status, 200)
@@ -61,12 +61,12 @@
 		"vm list": func(is *is.I) {
 			vm := vmlist.VM{Name: "a", Address: "127.0.0.1:1", State: vmlist.Live}
 			s.VMs.Put(vm)
-			got, err := (&vmnet.Client{Line: at(VMs)}).VMs(ctx)
+			got, err := (&vmhttp.Client{Endpoint: at(VMs)}).VMs(ctx)
 			is.NoErr(err)
 			is.Equal(got, []vmlist.VM{vm})
 		},
 		"weights": func(is *is.I) {
-			wait, err := (&wtnet.Client{Line: at(Weights)}).Admit(ctx, "m")
+			wait, err := (&wthttp.Client{Endpoint: at(Weights)}).Admit(ctx, "m")
 			is.NoErr(err)
 			is.Equal(wait, time.Duration(0))
 		},
--- a/internal/fake/weight/server.go
+++ b/internal/fake/weight/server.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/slaterock/slaterock/internal/fake/host"
-	"github.com/slaterock/slaterock/internal/plat/wtnet"
+	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
 // Serve serves the weight store on the listener in the form that wtnet.Client
@@ -21,7 +21,7 @@
 }
 
 func (w *Weights) serve(ctx context.Context, out *fasthttp.RequestCtx) {
-	var ask wtnet.Ask
+	var ask wthttp.Request
 	if json.Unmarshal(out.PostBody(), &ask) != nil {
 		out.SetStatusCode(http.StatusBadRequest)
 		return
@@ -31,7 +31,7 @@
 		out.Error(err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	body, _ := json.Marshal(wtnet.Answer{Wait: wait})
+	body, _ := json.Marshal(wthttp.Response{Wait: wait})
 	out.SetContentType("application/json")
 	out.SetBody(body)
 }
--- a/internal/node/daemon/connect.go
+++ b/internal/node/daemon/connect.go
@@ -9,31 +9,31 @@
 	"github.com/slaterock/slaterock/internal/edge/locate"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/kvnet"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
+	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/plat/plain"
 	"github.com/slaterock/slaterock/internal/plat/tool"
-	"github.com/slaterock/slaterock/internal/plat/vmnet"
-	"github.com/slaterock/slaterock/internal/plat/wtnet"
+	"github.com/slaterock/slaterock/internal/plat/vmhttp"
+	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
 // Connect sets the clients of the platform and the upstreams to those that the
 // settings name.
 func (d *Daemon) Connect() {
 	s := d.Settings
-	d.Store = &kvnet.Client{Line: line.Line{Address: s.Platform.Store}, Name: s.Daemon.Name}
+	d.Store = &kvhttp.Client{Endpoint: httpc.Endpoint{Address: s.Platform.Store}, Name: s.Daemon.Name}
 	if s.Platform.VMList != "" {
-		d.VMs = &vmnet.Client{Line: line.Line{Address: s.Platform.VMList}}
+		d.VMs = &vmhttp.Client{Endpoint: httpc.Endpoint{Address: s.Platform.VMList}}
 	}
 	if s.Platform.Weights != "" {
-		d.Weights = &wtnet.Client{Line: line.Line{Address: s.Platform.Weights}}
+		d.Weights = &wthttp.Client{Endpoint: httpc.Endpoint{Address: s.Platform.Weights}}
 	}
 	d.Engine = func(address string) engine.Engine {
 		first := d.keeper.Current().Limits.UpstreamTimeout
-		return &chat.Client{Line: line.Line{Address: address, First: first}}
+		return &chat.Client{Endpoint: httpc.Endpoint{Address: address, FirstByteTimeout: first}}
 	}
 	d.Tool = func(address string) tool.Tool {
-		return &plain.Client{Line: line.Line{Address: address}}
+		return &plain.Client{Endpoint: httpc.Endpoint{Address: address}}
 	}
 }
 
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -276,7 +276,7 @@
 	n = max(n, 1)
 	sys := d.keeper.Current().System
 	// Owners write and read more than others, so a share is twice the mean.
-	d.meter.Allow(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
+	d.meter.SetRates(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
 }
 
 func (d *Daemon) place(ctx context.Context, h *host.Host, m sched.Message) {
--- a/internal/node/listed/listed.go
+++ b/internal/node/listed/listed.go
@@ -101,7 +101,7 @@
 func (l *Listed) step(ctx context.Context) error {
 	if l.lease != 0 {
 		err := l.Store.Renew(ctx, l.lease)
-		if errors.Is(err, store.ErrLapsed) {
+		if errors.Is(err, store.ErrLeaseExpired) {
 			l.lease = 0
 		} else if err != nil {
 			return err
--- a/internal/node/listed/listed_test.go
+++ b/internal/node/listed/listed_test.go
@@ -42,7 +42,7 @@
 		return store.ErrUnknown
 	}
 	if !time.Now().Before(f.ends[l]) {
-		return store.ErrLapsed
+		return store.ErrLeaseExpired
 	}
 	f.ends[l] = time.Now().Add(TTL)
 	return nil
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -79,7 +79,7 @@
 	call, stop := context.WithTimeout(ctx, leaseTimeout)
 	defer stop()
 	err := s.Store.Renew(call, r.ID)
-	s.post(ctx, leaseMessage{lease.Renewed{Lapsed: errors.Is(err, store.ErrLapsed), Err: err}})
+	s.post(ctx, leaseMessage{lease.Renewed{Lapsed: errors.Is(err, store.ErrLeaseExpired), Err: err}})
 }
 
 func (s *Shards) stepAssign(ctx context.Context, m assign.Message) {
--- a/internal/plat/chat/bench_test.go
+++ b/internal/plat/chat/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/slaterock/slaterock/internal/fake/model"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 // BenchmarkPiece measures what one piece of an answer takes over loopback, the
@@ -21,7 +21,7 @@
 	}
 	h := model.Serve(ln, &model.Engine{Name: "e1", Speed: 1e12, Piece: 1, Output: pieces})
 	defer h.Close()
-	c := &chat.Client{Line: line.Line{Address: h.Address()}}
+	c := &chat.Client{Endpoint: httpc.Endpoint{Address: h.Address()}}
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/plat/chat/body.go
+++ b/internal/plat/chat/body.go
@@ -16,7 +16,7 @@
 // withFields returns the caller's body with the fields that slaterock decides.
 // All other values are copied byte for byte: engines cache by the bytes of
 // messages, so another spelling of the same JSON would miss the cache.
-func withFields(r engine.Request) ([]byte, error) {
+func rewriteBody(r engine.Request) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(r.Body, &fields); err != nil {
 		return nil, err
@@ -39,10 +39,10 @@
 		}
 		fields[k] = raw
 	}
-	return join(fields)
+	return marshalObject(fields)
 }
 
-func join(fields map[string]json.RawMessage) ([]byte, error) {
+func marshalObject(fields map[string]json.RawMessage) ([]byte, error) {
 	var b bytes.Buffer
 	sep := byte('{')
 	for _, k := range slices.Sorted(maps.Keys(fields)) {
--- a/internal/plat/chat/chat.go
+++ b/internal/plat/chat/chat.go
@@ -20,7 +20,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 const (
@@ -42,14 +42,14 @@
 	// HeaderTrace is the W3C trace context.
 	HeaderTrace = "Traceparent"
 
-	finishCut    = "cancelled"
-	finishLength = "length"
+	finishCancelled = "cancelled"
+	finishLength    = "length"
 )
 
 type (
 	// Client implements engine.Engine.
 	Client struct {
-		Line line.Line
+		Endpoint httpc.Endpoint
 	}
 
 	// Chunk is one server-sent event of an answer.
@@ -92,7 +92,7 @@
 
 // Chat implements engine.Engine.
 func (c *Client) Chat(ctx context.Context, r engine.Request, sink func(engine.Delta) error) (u engine.Usage, err error) {
-	body, err := withFields(r)
+	body, err := rewriteBody(r)
 	if err != nil {
 		return u, &engine.Error{Err: err}
 	}
@@ -108,30 +108,30 @@
 		req.Header.Set(HeaderResume, strconv.Itoa(r.Resume))
 	}
 	req.SetBodyRaw(body)
-	a, err := c.Line.Open(ctx, &req)
+	a, err := c.Endpoint.Open(ctx, &req)
 	if err != nil {
-		return u, failed(err)
+		return u, sendError(err)
 	}
 	defer a.Close()
 	if status := a.Header.StatusCode(); status != http.StatusOK {
-		return u, refused(a, status)
+		return u, statusError(a, status)
 	}
-	in := reader{answer: a, limit: r.MaxTokens, after: r.Resume, sink: sink}
+	in := reader{resp: a, maxTokens: r.MaxTokens, after: r.Resume, sink: sink}
 	err = in.run()
 	if ctx.Err() != nil {
-		in.usage.Finish = finishCut
+		in.usage.Finish = finishCancelled
 	}
 	return in.usage, err
 }
 
 // refused reads the body of an answer that is no stream.
-func refused(a *line.Answer, status int) error {
+func statusError(a *httpc.Response, status int) error {
 	b := make([]byte, 512)
 	n, _ := a.Body.Read(b)
 	return &engine.Error{Sent: true, Status: status, Err: fmt.Errorf("chat: status %d: %s", status, bytes.TrimSpace(b[:n]))}
 }
 
-func failed(err error) error {
-	var e *line.Error
+func sendError(err error) error {
+	var e *httpc.Error
 	return &engine.Error{Sent: !errors.As(err, &e) || e.Sent, Err: err}
 }
--- a/internal/plat/chat/chat_test.go
+++ b/internal/plat/chat/chat_test.go
@@ -16,14 +16,14 @@
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 const address = "engine"
 
 type (
 	// form is one form of an engine.
-	form struct {
+	variant struct {
 		*is.I
 		engine.Engine
 		ctx  context.Context //nolint:containedctx // the test's
@@ -32,7 +32,7 @@
 	}
 
 	// answer is what a request brought.
-	answer struct {
+	outcome struct {
 		text  string
 		usage engine.Usage
 		err   error
@@ -40,25 +40,25 @@
 	}
 )
 
-func inMemory(t *testing.T, run func(f form)) {
+func inMemory(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &model.Engine{Name: "e1"}
-		run(form{I: is.New(t), Engine: e, ctx: t.Context(), fake: e})
+		run(variant{I: is.New(t), Engine: e, ctx: t.Context(), fake: e})
 	})
 }
 
-func overNetwork(t *testing.T, run func(f form)) {
+func overNetwork(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &model.Engine{Name: "e1"}
 		var n pipe.Net
 		h := model.Serve(n.Listen(address), e)
 		defer h.Close()
-		c := &chat.Client{Line: line.Line{Address: address, Connect: n.Connect}}
-		run(form{I: is.New(t), Engine: c, ctx: t.Context(), fake: e, host: h})
+		c := &chat.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}
+		run(variant{I: is.New(t), Engine: c, ctx: t.Context(), fake: e, host: h})
 	})
 }
 
-func (f form) ask(ctx context.Context, r engine.Request) (a answer) {
+func (f variant) complete(ctx context.Context, r engine.Request) (a outcome) {
 	start := time.Now()
 	a.usage, a.err = f.Chat(ctx, r, func(d engine.Delta) error {
 		a.text += d.Text
@@ -68,21 +68,21 @@
 	return a
 }
 
-func (f form) within(d time.Duration, r engine.Request) answer {
+func (f variant) completeWithin(d time.Duration, r engine.Request) outcome {
 	ctx, cancel := context.WithTimeout(f.ctx, d)
 	defer cancel()
-	return f.ask(ctx, r)
+	return f.complete(ctx, r)
 }
 
 // sent checks that the request failed with the status after it was sent.
-func (f form) sent(err error, status int) {
+func (f variant) failedWith(err error, status int) {
 	var e *engine.Error
 	f.True(errors.As(err, &e))
 	f.True(e.Sent)
 	f.Equal(e.Status, status)
 }
 
-func (f form) idle() {
+func (f variant) isIdle() {
 	synctest.Wait()
 	l, err := f.Load(f.ctx)
 	f.NoErr(err)
@@ -97,18 +97,18 @@
 	return engine.Request{ID: id, Program: program, Body: []byte(`{"messages": [` + strings.Join(m, ", ") + `]}`)}
 }
 
-var contract = map[string]func(f form){
-	"whole answer to its own request": func(f form) {
+var contract = map[string]func(f variant){
+	"whole answer to its own request": func(f variant) {
 		r := request("r1", "p", "hello")
-		a := f.ask(f.ctx, r)
+		a := f.complete(f.ctx, r)
 		f.NoErr(a.err)
 		f.Equal(a.usage.Finish, "stop")
 		f.Equal(a.text, model.Answer("e1", r, a.usage.Output))
 	},
-	"what is asked arrives": func(f form) {
+	"what is asked arrives": func(f variant) {
 		r := request("r1", "p", "hello")
 		r.Model, r.Priority, r.MaxTokens, r.TraceParent = "m", 7, 9, "00-1-2-01"
-		a := f.ask(f.ctx, r)
+		a := f.complete(f.ctx, r)
 		f.NoErr(a.err)
 		f.Equal(a.usage.Finish, "length")
 		f.Equal(a.usage.Output, 9)
@@ -119,16 +119,16 @@
 			Prompt: a.usage.Prompt, Ended: "length",
 		})
 	},
-	"pieces come as they are made": func(f form) {
+	"pieces come as they are made": func(f variant) {
 		f.fake.Output = 12
-		a := f.ask(f.ctx, request("r1", "p", strings.Repeat("x", 32_000)))
+		a := f.complete(f.ctx, request("r1", "p", strings.Repeat("x", 32_000)))
 		f.NoErr(a.err)
 		prefill := time.Duration(a.usage.Prompt) * time.Second / 8000
 		f.Equal(a.at, []time.Duration{prefill + 80*time.Millisecond, prefill + 160*time.Millisecond, prefill + 240*time.Millisecond})
 	},
-	"a longer prompt finds its beginning cached": func(f form) {
-		f.NoErr(f.ask(f.ctx, request("r1", "p", "one", "two")).err)
-		a := f.ask(f.ctx, request("r2", "p", "one", "two", "three"))
+	"a longer prompt finds its beginning cached": func(f variant) {
+		f.NoErr(f.complete(f.ctx, request("r1", "p", "one", "two")).err)
+		a := f.complete(f.ctx, request("r2", "p", "one", "two", "three"))
 		f.NoErr(a.err)
 		f.Equal(a.usage.Cached, 2*9)
 		f.Equal(a.usage.Prompt, 3*9)
@@ -138,9 +138,9 @@
 		f.Equal(events[0].Seq, uint64(2))
 		f.Equal(events[0].Stored, []uint64{engine.Blocks(request("", "", "one", "two", "three").Body)[2].Hash})
 	},
-	"release frees a program's memory": func(f form) {
-		f.NoErr(f.ask(f.ctx, request("r1", "p", "one")).err)
-		f.NoErr(f.ask(f.ctx, request("r2", "q", "two")).err)
+	"release frees a program's memory": func(f variant) {
+		f.NoErr(f.complete(f.ctx, request("r1", "p", "one")).err)
+		f.NoErr(f.complete(f.ctx, request("r2", "q", "two")).err)
 		held, err := f.Held(f.ctx)
 		f.NoErr(err)
 		f.Equal(held, []string{"p", "q"})
@@ -150,115 +150,115 @@
 		f.Equal(held, []string{"q"})
 		f.Equal(f.fake.HeldTokens("p"), 0)
 	},
-	"export brings a prefix to another engine": func(f form) {
+	"export brings a prefix to another engine": func(f variant) {
 		other := &model.Engine{Name: "e2"}
 		f.fake.Peer = func(string) *model.Engine { return other }
-		f.NoErr(f.ask(f.ctx, request("r1", "p", "one", "two")).err)
+		f.NoErr(f.complete(f.ctx, request("r1", "p", "one", "two")).err)
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderExport, Program: "p", Target: "e2"}))
 		u, err := other.Chat(f.ctx, request("r2", "p", "one", "two"), func(engine.Delta) error { return nil })
 		f.NoErr(err)
 		f.Equal(u.Cached, u.Prompt)
 	},
-	"load tells of leaving, late": func(f form) {
+	"load tells of leaving, late": func(f variant) {
 		f.fake.LoadLag = 2 * time.Second
 		f.fake.Leave(true)
 		l, err := f.Load(f.ctx)
 		f.NoErr(err)
 		f.True(!l.Leaving)
-		pass(2 * time.Second)
+		sleep(2 * time.Second)
 		l, err = f.Load(f.ctx)
 		f.NoErr(err)
 		f.True(l.Leaving)
 	},
-	"load a model by order": func(f form) {
+	"load a model by order": func(f variant) {
 		f.fake.Models = []string{"m"}
 		r := request("r1", "p", "one")
 		r.Model = "n"
-		f.sent(f.ask(f.ctx, r).err, 404)
+		f.failedWith(f.complete(f.ctx, r).err, 404)
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderLoad, Target: "n"}))
-		f.NoErr(f.ask(f.ctx, r).err)
+		f.NoErr(f.complete(f.ctx, r).err)
 	},
 }
 
-var failures = map[string]func(f form){
+var failures = map[string]func(f variant){
 	// An order from a former owner arrives after the new owner's. An engine
 	// that checks refuses it, so nothing of the new owner's work is undone.
-	"old fencing number refused": func(f form) {
+	"old fencing number refused": func(f variant) {
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "decode", Fence: 2}))
-		f.sent(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "prefill", Fence: 1}), 409)
+		f.failedWith(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "prefill", Fence: 1}), 409)
 		f.Equal(f.fake.Role(), "decode")
 	},
 	// The same at an engine that does not check: the late order wins.
-	"old fencing number ignored": func(f form) {
+	"old fencing number ignored": func(f variant) {
 		f.fake.IgnoreFence = true
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "decode", Fence: 2}))
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "prefill", Fence: 1}))
 		f.Equal(f.fake.Role(), "prefill")
 	},
 	// The engine is too busy to take the request and says so.
-	"busy": func(f form) {
+	"busy": func(f variant) {
 		f.fake.Set(model.Busy, 0)
-		f.sent(f.ask(f.ctx, request("r1", "p", "one")).err, 503)
+		f.failedWith(f.complete(f.ctx, request("r1", "p", "one")).err, 503)
 	},
 	// The engine's process dies in the middle of an answer. What came is the
 	// beginning of the answer, and nobody takes it for the whole; where the
 	// engine resumes, the rest follows without a gap or a repeat.
-	"dies mid-stream and resumes": func(f form) {
+	"dies mid-stream and resumes": func(f variant) {
 		f.fake.Script(map[int]model.Fault{1: model.Die})
 		r := request("r1", "p", "one")
-		a := f.ask(f.ctx, r)
+		a := f.complete(f.ctx, r)
 		f.True(a.err != nil)
 		var e *engine.Error
 		f.True(errors.As(a.err, &e))
 		f.True(e.Sent)
 		f.True(len(a.at) > 0)
 		r.Resume = len(a.at)
-		b := f.ask(f.ctx, r)
+		b := f.complete(f.ctx, r)
 		f.NoErr(b.err)
 		f.Equal(a.text+b.text, model.Answer("e1", r, b.usage.Output))
 	},
 	// The engine takes the request and never answers. The caller's deadline
 	// ends the wait.
-	"hangs": func(f form) {
+	"hangs": func(f variant) {
 		f.fake.Set(model.Hang, 0)
 		start := time.Now()
-		a := f.within(5*time.Second, request("r1", "p", "one"))
+		a := f.completeWithin(5*time.Second, request("r1", "p", "one"))
 		f.True(errors.Is(a.err, context.DeadlineExceeded))
 		f.Equal(time.Since(start), 5*time.Second)
 	},
 	// The first piece comes late, but it comes, and the answer is whole.
-	"late": func(f form) {
+	"late": func(f variant) {
 		f.fake.Set(model.Late, 20*time.Second)
 		r := request("r1", "p", "one")
-		a := f.ask(f.ctx, r)
+		a := f.complete(f.ctx, r)
 		f.NoErr(a.err)
 		f.True(a.at[0] > 20*time.Second)
 		f.Equal(a.text, model.Answer("e1", r, a.usage.Output))
 	},
 	// A caller cancels in the middle of its answer. The engine stops and its
 	// place in the batch is free again.
-	"cancelled": func(f form) {
+	"cancelled": func(f variant) {
 		f.fake.Output = 1000
-		a := f.within(time.Second, request("r1", "p", "one"))
+		a := f.completeWithin(time.Second, request("r1", "p", "one"))
 		f.True(errors.Is(a.err, context.DeadlineExceeded))
 		f.Equal(a.usage.Finish, "cancelled")
-		pass(time.Second)
-		f.idle()
+		sleep(time.Second)
+		f.isIdle()
 	},
 	// Whoever takes the pieces has gone. The engine is not left generating.
-	"sink fails": func(f form) {
+	"sink fails": func(f variant) {
 		f.fake.Output = 1000
 		gone := errors.New("caller is gone")
 		_, err := f.Chat(f.ctx, request("r1", "p", "one"), func(engine.Delta) error { return gone })
 		f.True(errors.Is(err, gone))
-		pass(time.Second)
-		f.idle()
+		sleep(time.Second)
+		f.isIdle()
 	},
 	// Cache events get lost. A reader sees the gap in the numbers.
-	"cache events with gaps": func(f form) {
+	"cache events with gaps": func(f variant) {
 		f.fake.EventGap = 2
 		for i := range 4 {
-			f.NoErr(f.ask(f.ctx, request("r", "p", fmt.Sprint(i))).err)
+			f.NoErr(f.complete(f.ctx, request("r", "p", fmt.Sprint(i))).err)
 		}
 		events, err := f.Events(f.ctx, 0)
 		f.NoErr(err)
@@ -267,7 +267,7 @@
 }
 
 func TestEngine(t *testing.T) {
-	forms := map[string]func(*testing.T, func(form)){"in memory": inMemory, "network": overNetwork}
+	forms := map[string]func(*testing.T, func(variant)){"in memory": inMemory, "network": overNetwork}
 	for name, run := range forms {
 		for tt, f := range contract {
 			t.Run(name+"/"+tt, func(t *testing.T) { run(t, f) })
@@ -279,4 +279,4 @@
 }
 
 // pass lets the bubble's time pass.
-func pass(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
--- a/internal/plat/chat/network_test.go
+++ b/internal/plat/chat/network_test.go
@@ -17,58 +17,58 @@
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 func TestNetwork(t *testing.T) {
-	tests := map[string]func(f form){
+	tests := map[string]func(f variant){
 		// Nobody listens at the engine's address. No byte left, so the
 		// request may go to another engine without any doubt.
-		"connection refused": func(f form) {
+		"connection refused": func(f variant) {
 			f.host.Close()
 			var e *engine.Error
-			f.True(errors.As(f.ask(f.ctx, request("r1", "p", "one")).err, &e))
+			f.True(errors.As(f.complete(f.ctx, request("r1", "p", "one")).err, &e))
 			f.True(!e.Sent)
 		},
 		// The engine takes the request and its connection brings nothing.
 		// The wait for the first piece is bounded.
-		"silent before the first piece": func(f form) {
+		"silent before the first piece": func(f variant) {
 			f.fake.Set(model.Hang, 0)
 			start := time.Now()
-			a := f.ask(f.ctx, request("r1", "p", "one"))
-			f.True(errors.Is(a.err, line.ErrSilent))
+			a := f.complete(f.ctx, request("r1", "p", "one"))
+			f.True(errors.Is(a.err, httpc.ErrStalled))
 			f.Equal(time.Since(start), 30*time.Second)
 		},
 		// A connection goes silent in the middle of an answer, and nobody
 		// closes it. The pause is noticed, and the next request has a new
 		// connection, which works.
-		"connection goes silent mid-stream": func(f form) {
+		"connection goes silent mid-stream": func(f variant) {
 			f.fake.Output = 40
 			time.AfterFunc(500*time.Millisecond, f.host.Silence)
 			r := request("r1", "p", "one")
-			a := f.ask(f.ctx, r)
-			f.True(errors.Is(a.err, line.ErrSilent))
+			a := f.complete(f.ctx, r)
+			f.True(errors.Is(a.err, httpc.ErrStalled))
 			f.True(len(a.at) > 0)
-			f.NoErr(f.ask(f.ctx, r).err)
+			f.NoErr(f.complete(f.ctx, r).err)
 		},
 		// The engine stalls in the middle of an answer with its connection
 		// open. The pause between pieces is bounded too.
-		"engine stalls mid-stream": func(f form) {
+		"engine stalls mid-stream": func(f variant) {
 			f.fake.Set(model.Silent, 0)
 			start := time.Now()
-			a := f.ask(f.ctx, request("r1", "p", "one"))
-			f.True(errors.Is(a.err, line.ErrSilent))
+			a := f.complete(f.ctx, request("r1", "p", "one"))
+			f.True(errors.Is(a.err, httpc.ErrStalled))
 			f.Equal(time.Since(start)-a.at[len(a.at)-1], 10*time.Second)
-			pass(time.Second)
-			f.idle()
+			sleep(time.Second)
+			f.isIdle()
 		},
 		// All connections break at once, as when a machine fails.
-		"connections cut mid-stream": func(f form) {
+		"connections cut mid-stream": func(f variant) {
 			f.fake.Output = 40
 			time.AfterFunc(500*time.Millisecond, f.host.Cut)
-			a := f.ask(f.ctx, request("r1", "p", "one"))
+			a := f.complete(f.ctx, request("r1", "p", "one"))
 			f.True(a.err != nil)
-			f.True(!errors.Is(a.err, line.ErrSilent))
+			f.True(!errors.Is(a.err, httpc.ErrStalled))
 			f.True(len(a.at) > 0)
 		},
 	}
@@ -79,7 +79,7 @@
 
 // events serves a fixed body as an answer and returns what the client makes of
 // it.
-func events(t *testing.T, body string, limit, resume int) (a answer) {
+func parse(t *testing.T, body string, limit, resume int) (a outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		var n pipe.Net
 		h := host.Host{Handler: func(_ context.Context, w *fasthttp.RequestCtx) {
@@ -88,7 +88,7 @@
 		}}
 		h.Start(n.Listen(address))
 		defer h.Close()
-		c := &chat.Client{Line: line.Line{Address: address, Connect: n.Connect}}
+		c := &chat.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}
 		r := request("r1", "p", "one")
 		r.MaxTokens, r.Resume = limit, resume
 		a.usage, a.err = c.Chat(t.Context(), r, func(d engine.Delta) error {
@@ -118,7 +118,7 @@
 		"no space and carriage returns":    {strings.ReplaceAll(strings.ReplaceAll(piece+end+usage+mark, "data: ", "data:"), "\n", "\r\n"), 0, "ab", whole, nil, 0},
 		// The engine's process ends cleanly but too early: the answer looks
 		// whole at the level of HTTP. Without the end mark it is not.
-		"end mark missing": {piece + piece, 0, "abab", engine.Usage{Output: 2}, chat.ErrCut, 0},
+		"end mark missing": {piece + piece, 0, "abab", engine.Usage{Output: 2}, chat.ErrTruncated, 0},
 		// The engine ignores max_tokens. The answer ends at the limit, so
 		// that the program's budget holds.
 		"more than the limit":     {piece + piece + piece + end + mark, 2, "abab", engine.Usage{Output: 2, Finish: "length"}, nil, 0},
@@ -131,7 +131,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a := events(t, tt.body, tt.limit, tt.resume)
+			a := parse(t, tt.body, tt.limit, tt.resume)
 			is.True(errors.Is(a.err, tt.err))
 			is.Equal(a.text, tt.text)
 			is.Equal(a.usage, tt.usage)
@@ -142,7 +142,7 @@
 // A caller limits its answer by the protocol's newer field. Passed on beside
 // our own limit it would win at some engines, and the answer would cost more
 // than the program's budget has.
-func TestOneLimitArrives(t *testing.T) {
+func TestOnlyOneTokenLimitIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var n pipe.Net
@@ -153,7 +153,7 @@
 		}}
 		h.Start(n.Listen(address))
 		defer h.Close()
-		c := &chat.Client{Line: line.Line{Address: address, Connect: n.Connect}}
+		c := &chat.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}
 		r := engine.Request{MaxTokens: 7, Body: []byte(`{"messages":[],"max_tokens":900,"max_completion_tokens":900,"seed":5}`)}
 		_, err := c.Chat(t.Context(), r, func(engine.Delta) error { return nil })
 		is.NoErr(err)
--- a/internal/plat/chat/order.go
+++ b/internal/plat/chat/order.go
@@ -49,8 +49,8 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(raw)
 	}
-	if err := c.Line.Do(ctx, &req, &resp); err != nil {
-		return failed(err)
+	if err := c.Endpoint.Do(ctx, &req, &resp); err != nil {
+		return sendError(err)
 	}
 	if status := resp.StatusCode(); status != http.StatusOK {
 		return &engine.Error{Sent: true, Status: status, Err: fmt.Errorf("chat: status %d: %s", status, bytes.TrimSpace(resp.Body()))}
--- a/internal/plat/chat/reader.go
+++ b/internal/plat/chat/reader.go
@@ -10,7 +10,7 @@
 	"strconv"
 
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 const maxEvent = 1 << 20 // bytes of one server-sent event
@@ -18,35 +18,35 @@
 type (
 	// reader takes an answer's events.
 	reader struct {
-		answer *line.Answer
-		limit  int // tokens
-		after  int // ID of the piece that a resumed answer goes on after
-		id     int // of the newest event, 0 without one
-		sink   func(engine.Delta) error
-		usage  engine.Usage
-		least  int // tokens that certainly came
+		resp      *httpc.Response
+		maxTokens int // tokens
+		after     int // ID of the piece that a resumed answer goes on after
+		id        int // of the newest event, 0 without one
+		sink      func(engine.Delta) error
+		usage     engine.Usage
+		minTokens int // tokens that certainly came
 	}
 )
 
 var (
 	prefixData = []byte("data:")
 	prefixID   = []byte("id:")
-	done       = []byte("[DONE]")
+	doneMark   = []byte("[DONE]")
 
 	// ErrCut reports an answer that ended before its end was told.
-	ErrCut = errors.New("chat: answer was cut off")
+	ErrTruncated = errors.New("chat: answer was cut off")
 
 	// ErrNotResumed reports an engine that began an answer anew instead of going
 	// on with it. Taking its pieces would give the caller two beginnings.
 	ErrNotResumed = errors.New("chat: engine did not resume the answer")
 
-	errEnough = errors.New("chat: engine went on past the limit")
+	errOverLimit = errors.New("chat: engine went on past the limit")
 )
 
 // run reads the events up to the end mark. An answer without one was cut off,
 // however whole it looks: its reader would take half an answer for the whole.
 func (r *reader) run() error {
-	s := bufio.NewScanner(r.answer.Body)
+	s := bufio.NewScanner(r.resp.Body)
 	s.Buffer(nil, maxEvent)
 	for s.Scan() {
 		if id, ok := bytes.CutPrefix(s.Bytes(), prefixID); ok {
@@ -58,11 +58,11 @@
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		if bytes.Equal(data, done) {
+		if bytes.Equal(data, doneMark) {
 			return nil
 		}
 		err := r.event(data)
-		if errors.Is(err, errEnough) {
+		if errors.Is(err, errOverLimit) {
 			r.usage.Finish = finishLength
 			return nil
 		}
@@ -72,9 +72,9 @@
 	}
 	err := s.Err()
 	if err == nil {
-		err = ErrCut
+		err = ErrTruncated
 	}
-	return &engine.Error{Sent: true, Status: http.StatusOK, Err: r.answer.Cause(err)}
+	return &engine.Error{Sent: true, Status: http.StatusOK, Err: r.resp.Cause(err)}
 }
 
 func (r *reader) event(data []byte) error {
@@ -106,10 +106,10 @@
 		return ErrNotResumed
 	}
 	r.after = 0
-	r.answer.Flow()
-	r.least += max(m.Tokens, 1)
-	if r.limit > 0 && r.least > r.limit {
-		return errEnough
+	r.resp.UseIdleTimeout()
+	r.minTokens += max(m.Tokens, 1)
+	if r.maxTokens > 0 && r.minTokens > r.maxTokens {
+		return errOverLimit
 	}
 	tokens := m.Tokens
 	if tokens == 0 {
--- a/internal/plat/line/line.go
+++ b/internal/plat/httpc/httpc.go
@@ -7,7 +7,7 @@
 // anybody knowing, a client library may send a request again by itself. So
 // each exchange dials, sends once and closes. A silent connection then costs
 // one exchange, and the next has a new one.
-package line
+package httpc
 
 import (
 	"bufio"
@@ -23,21 +23,21 @@
 )
 
 const (
-	defaultDial    = time.Second
-	defaultFirst   = 30 * time.Second
-	defaultBetween = 10 * time.Second
-	defaultMaxBody = 64 << 20
+	defaultDialTimeout      = time.Second
+	defaultFirstByteTimeout = 30 * time.Second
+	defaultIdleTimeout      = 10 * time.Second
+	defaultMaxBody          = 64 << 20
 )
 
 type (
 	// Line sends requests to one address. The zero value of every field but
 	// Address is ready for use.
-	Line struct {
-		Address string        // IP number and port
-		Dial    time.Duration // to connect
-		First   time.Duration // to the answer's first byte; of Open, to Flow
-		Between time.Duration // between the pieces of an answer after that
-		MaxBody int           // bytes of an answer that is read whole
+	Endpoint struct {
+		Address          string        // IP number and port
+		DialTimeout      time.Duration // to connect
+		FirstByteTimeout time.Duration // to the answer's first byte; of Open, to Flow
+		IdleTimeout      time.Duration // between the pieces of an answer after that
+		MaxBody          int           // bytes of an answer that is read whole
 
 		// Connect replaces the dialling, for tests.
 		Connect func(ctx context.Context, address string) (net.Conn, error)
@@ -51,27 +51,27 @@
 	}
 
 	// Answer is an answer whose body is still being received.
-	Answer struct {
+	Response struct {
 		Header *fasthttp.ResponseHeader
 		Body   io.Reader
 
-		conn    *conn
-		between time.Duration
-		stop    func() bool
-		ctx     context.Context //nolint:containedctx // its end is the cause of the body's errors
+		conn        *conn
+		idleTimeout time.Duration
+		stop        func() bool
+		ctx         context.Context //nolint:containedctx // its end is the cause of the body's errors
 	}
 
 	// conn gives every read a deadline of its own and counts what was written.
 	conn struct {
 		net.Conn
-		wait time.Duration
-		next time.Duration // replaces wait after the first byte; 0 keeps it
-		sent atomic.Bool
+		timeout     time.Duration
+		idleTimeout time.Duration // replaces wait after the first byte; 0 keeps it
+		written     atomic.Bool
 	}
 )
 
 // ErrSilent reports a connection over which nothing came in time.
-var ErrSilent = errors.New("line: connection is silent")
+var ErrStalled = errors.New("line: connection is silent")
 
 // Error returns the cause's text.
 func (e *Error) Error() string { return e.Err.Error() }
@@ -80,15 +80,15 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Do makes the exchange and reads the whole answer into resp.
-func (l Line) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
+func (l Endpoint) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	c, stop, err := l.send(ctx, req)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	defer stop()
-	c.next = pick(l.Between, defaultBetween)
-	if err := resp.ReadLimitBody(bufio.NewReader(c), pick(l.MaxBody, defaultMaxBody)); err != nil {
+	c.idleTimeout = orDefault(l.IdleTimeout, defaultIdleTimeout)
+	if err := resp.ReadLimitBody(bufio.NewReader(c), orDefault(l.MaxBody, defaultMaxBody)); err != nil {
 		return &Error{Sent: true, Err: cause(ctx, err)}
 	}
 	return nil
@@ -97,44 +97,44 @@
 // Open makes the exchange and returns once the answer's header is there. The
 // body is read as it arrives; its errors are those of Cause. The caller closes
 // the answer.
-func (l Line) Open(ctx context.Context, req *fasthttp.Request) (*Answer, error) {
+func (l Endpoint) Open(ctx context.Context, req *fasthttp.Request) (*Response, error) {
 	c, stop, err := l.send(ctx, req)
 	if err != nil {
 		return nil, err
 	}
 	resp := &fasthttp.Response{StreamBody: true}
-	if err := resp.ReadLimitBody(bufio.NewReader(c), pick(l.MaxBody, defaultMaxBody)); err != nil {
+	if err := resp.ReadLimitBody(bufio.NewReader(c), orDefault(l.MaxBody, defaultMaxBody)); err != nil {
 		stop()
 		_ = c.Close()
 		return nil, &Error{Sent: true, Err: cause(ctx, err)}
 	}
-	return &Answer{
+	return &Response{
 		Header: &resp.Header, Body: resp.BodyStream(),
-		conn: c, between: pick(l.Between, defaultBetween), stop: stop, ctx: ctx,
+		conn: c, idleTimeout: orDefault(l.IdleTimeout, defaultIdleTimeout), stop: stop, ctx: ctx,
 	}, nil
 }
 
 // Flow tells that the first piece of the answer is there. Servers send their
 // header at once and may take long to the first piece; only from then on does
 // a pause mean that the connection is silent.
-func (a *Answer) Flow() { a.conn.wait = a.between }
+func (a *Response) UseIdleTimeout() { a.conn.timeout = a.idleTimeout }
 
 // Cause returns what really ended the body: the context, silence, or err.
-func (a *Answer) Cause(err error) error { return cause(a.ctx, err) }
+func (a *Response) Cause(err error) error { return cause(a.ctx, err) }
 
 // Close closes the connection.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.stop()
 	_ = a.conn.Close()
 }
 
-func (l Line) send(ctx context.Context, req *fasthttp.Request) (c *conn, stop func() bool, err error) {
-	raw, err := l.connect(ctx)
+func (l Endpoint) send(ctx context.Context, req *fasthttp.Request) (c *conn, stop func() bool, err error) {
+	nc, err := l.connect(ctx)
 	if err != nil {
 		return nil, nil, &Error{Err: cause(ctx, err)}
 	}
-	c = &conn{Conn: raw, wait: pick(l.First, defaultFirst)}
-	stop = context.AfterFunc(ctx, func() { _ = raw.Close() })
+	c = &conn{Conn: nc, timeout: orDefault(l.FirstByteTimeout, defaultFirstByteTimeout)}
+	stop = context.AfterFunc(ctx, func() { _ = nc.Close() })
 	req.SetConnectionClose()
 	if len(req.Header.Host()) == 0 {
 		req.SetHost(l.Address)
@@ -147,13 +147,13 @@
 	if err != nil {
 		stop()
 		_ = c.Close()
-		return nil, nil, &Error{Sent: c.sent.Load(), Err: cause(ctx, err)}
+		return nil, nil, &Error{Sent: c.written.Load(), Err: cause(ctx, err)}
 	}
 	return c, stop, nil
 }
 
-func (l Line) connect(ctx context.Context) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, pick(l.Dial, defaultDial))
+func (l Endpoint) connect(ctx context.Context) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, orDefault(l.DialTimeout, defaultDialTimeout))
 	defer cancel()
 	if l.Connect != nil {
 		return l.Connect(ctx, l.Address)
@@ -166,21 +166,21 @@
 // than its own limit. Without it a connection that nobody closes holds its
 // caller for ever.
 func (c *conn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.wait)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.next > 0 {
-		c.wait = c.next
+	if n > 0 && c.idleTimeout > 0 {
+		c.timeout = c.idleTimeout
 	}
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.wait)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
 	}
-	c.sent.Store(true)
+	c.written.Store(true)
 	return c.Conn.Write(p)
 }
 
@@ -190,14 +190,14 @@
 	}
 	var timeout net.Error
 	if errors.Is(err, fasthttp.ErrTimeout) || errors.As(err, &timeout) && timeout.Timeout() {
-		return fmt.Errorf("%w (%w)", ErrSilent, err)
+		return fmt.Errorf("%w (%w)", ErrStalled, err)
 	}
 	return err
 }
 
-func pick[T int | time.Duration](v, otherwise T) T {
+func orDefault[T int | time.Duration](v, def T) T {
 	if v <= 0 {
-		return otherwise
+		return def
 	}
 	return v
 }
--- a/internal/plat/line/line_test.go
+++ b/internal/plat/httpc/httpc_test.go
@@ -1,4 +1,4 @@
-package line_test
+package httpc_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/slaterock/slaterock/internal/fake/host"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 func serve(tb testing.TB, handler host.Handler) *host.Host {
@@ -31,21 +31,21 @@
 
 // An answer larger than its reader allows would fill the reader's memory. It
 // is refused, and not cut: half of an answer must not pass for the whole.
-func TestAnswerTooLarge(t *testing.T) {
+func TestResponseTooLarge(t *testing.T) {
 	is := is.New(t)
 	h := serve(t, func(_ context.Context, w *fasthttp.RequestCtx) { w.SetBodyString(strings.Repeat("x", 1000)) })
 	var req fasthttp.Request
 	var resp fasthttp.Response
-	err := line.Line{Address: h.Address(), MaxBody: 999}.Do(t.Context(), &req, &resp)
+	err := httpc.Endpoint{Address: h.Address(), MaxBody: 999}.Do(t.Context(), &req, &resp)
 	is.True(err != nil)
-	is.NoErr(line.Line{Address: h.Address(), MaxBody: 1000}.Do(t.Context(), &req, &resp))
+	is.NoErr(httpc.Endpoint{Address: h.Address(), MaxBody: 1000}.Do(t.Context(), &req, &resp))
 	is.Equal(len(resp.Body()), 1000)
 }
 
 // served runs one exchange against a peer that plays its part by hand.
-func served(t *testing.T, peer func(net.Conn)) (err error) {
+func exchange(t *testing.T, peer func(net.Conn)) (err error) {
 	synctest.Test(t, func(t *testing.T) {
-		l := line.Line{Address: "peer", Connect: func(context.Context, string) (net.Conn, error) {
+		l := httpc.Endpoint{Address: "peer", Connect: func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go peer(far)
 			return near, nil
@@ -55,20 +55,20 @@
 		req.SetBodyString(strings.Repeat("x", 100_000))
 		start := time.Now()
 		err = l.Do(t.Context(), &req, &resp)
-		if errors.Is(err, line.ErrSilent) {
-			err = silent{error: err, after: time.Since(start)}
+		if errors.Is(err, httpc.ErrStalled) {
+			err = stalled{error: err, after: time.Since(start)}
 		}
 	})
 	return err
 }
 
 // silent tells when an exchange was given up.
-type silent struct {
+type stalled struct {
 	error
 	after time.Duration
 }
 
-func (s silent) Unwrap() error { return s.error }
+func (s stalled) Unwrap() error { return s.error }
 
 func TestFailures(t *testing.T) {
 	tests := map[string]struct {
@@ -97,11 +97,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			err := served(t, tt.peer)
-			var failed *line.Error
+			err := exchange(t, tt.peer)
+			var failed *httpc.Error
 			is.True(errors.As(err, &failed))
 			is.True(failed.Sent)
-			var s silent
+			var s stalled
 			is.Equal(errors.As(err, &s), tt.after > 0)
 			is.Equal(s.after, tt.after)
 		})
@@ -112,7 +112,7 @@
 // loopback, client and server together.
 func BenchmarkExchange(b *testing.B) {
 	h := serve(b, func(_ context.Context, w *fasthttp.RequestCtx) { w.SetBodyString("ok") })
-	l := line.Line{Address: h.Address()}
+	l := httpc.Endpoint{Address: h.Address()}
 	b.ReportAllocs()
 	for b.Loop() {
 		var req fasthttp.Request
--- a/internal/plat/kvnet/kvnet.go
+++ b/internal/plat/kvhttp/kvhttp.go
@@ -5,7 +5,7 @@
 // does not come may have taken effect, and the caller is told ErrUnknown. A
 // read is repeated on a new connection, so that one that went silent costs a Try
 // and no answer.
-package kvnet
+package kvhttp
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
@@ -38,28 +38,28 @@
 
 // The codes of answers; empty is success.
 const (
-	CodeNotFound    Code = "not_found"
-	CodeConflict    Code = "conflict"
-	CodeLapsed      Code = "lapsed"
-	CodeUnavailable Code = "unavailable"
-	CodeTooLarge    Code = "too_large"
-	CodeAgain       Code = "again" // a watch whose Wait is over
+	CodeNotFound     Code = "not_found"
+	CodeConflict     Code = "conflict"
+	CodeLapsed       Code = "lapsed"
+	CodeUnavailable  Code = "unavailable"
+	CodeTooLarge     Code = "too_large"
+	CodeWatchTimeout Code = "again" // a watch whose Wait is over
 )
 
 const (
-	defaultTry   = time.Second
-	defaultWatch = 20 * time.Second
-	maxTries     = 3 // of a read
-	maxAnswer    = 2 * store.MaxValue
+	defaultTimeout   = time.Second
+	defaultWatchWait = 20 * time.Second
+	maxReadAttempts  = 3 // of a read
+	maxResponse      = 2 * store.MaxValue
 )
 
 type (
 	// Client implements store.Store.
 	Client struct {
-		Line      line.Line     // First and Between are set for each call
-		Name      string        // tells clients apart at the service
-		Try       time.Duration // after which a connection counts as silent
-		WatchWait time.Duration // how long the service holds one watch
+		Endpoint  httpc.Endpoint // First and Between are set for each call
+		Name      string         // tells clients apart at the service
+		Timeout   time.Duration  // after which a connection counts as silent
+		WatchWait time.Duration  // how long the service holds one watch
 	}
 
 	// Op names an operation.
@@ -69,7 +69,7 @@
 	Code string
 
 	// Call is a request's body. Fields that the operation lacks are empty.
-	Call struct {
+	Request struct {
 		Client string        `json:"client,omitempty"`
 		Key    string        `json:"key,omitempty"` // for List the prefix
 		Data   []byte        `json:"data,omitempty"`
@@ -82,7 +82,7 @@
 	}
 
 	// Answer is a response's body.
-	Answer struct {
+	Response struct {
 		Code  Code        `json:"code,omitempty"`
 		Entry store.Entry `json:"entry,omitzero"`
 		Rev   store.Rev   `json:"rev,omitempty"`
@@ -93,7 +93,7 @@
 
 // Get implements store.Store.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
-	a, err := c.read(ctx, OpGet, Call{Key: key})
+	a, err := c.read(ctx, OpGet, Request{Key: key})
 	return a.Entry, err
 }
 
@@ -102,7 +102,7 @@
 	if len(data) > store.MaxValue {
 		return 0, store.ErrTooLarge
 	}
-	a, err := c.write(ctx, OpPut, Call{Key: key, Data: data, Rev: rev, Lease: lease})
+	a, err := c.write(ctx, OpPut, Request{Key: key, Data: data, Rev: rev, Lease: lease})
 	if err != nil {
 		return 0, err
 	}
@@ -111,29 +111,29 @@
 
 // Delete implements store.Store.
 func (c *Client) Delete(ctx context.Context, key string, rev store.Rev) error {
-	_, err := c.write(ctx, OpDelete, Call{Key: key, Rev: rev})
+	_, err := c.write(ctx, OpDelete, Request{Key: key, Rev: rev})
 	return err
 }
 
 // List implements store.Store.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
-	a, err := c.read(ctx, OpList, Call{Key: prefix, After: after, Limit: limit})
+	a, err := c.read(ctx, OpList, Request{Key: prefix, After: after, Limit: limit})
 	return a.Keys, err
 }
 
 // Watch implements store.Store. It asks again whenever the service's hold is
 // over; an answer that is later than that means a silent connection.
 func (c *Client) Watch(ctx context.Context, key string, rev store.Rev) (store.Entry, error) {
-	hold := pick(c.WatchWait, defaultWatch)
+	hold := orDefault(c.WatchWait, defaultWatchWait)
 	for {
-		a, err := c.call(ctx, OpWatch, Call{Key: key, Rev: rev, Wait: hold}, hold+c.try())
+		a, err := c.call(ctx, OpWatch, Request{Key: key, Rev: rev, Wait: hold}, hold+c.timeout())
 		switch {
 		case ctx.Err() != nil:
 			return store.Entry{}, ctx.Err()
-		case errors.Is(err, line.ErrSilent), err == nil && a.Code == CodeAgain:
+		case errors.Is(err, httpc.ErrStalled), err == nil && a.Code == CodeWatchTimeout:
 			continue
 		case err != nil:
-			return store.Entry{}, because(store.ErrUnavailable, err)
+			return store.Entry{}, withCause(store.ErrUnavailable, err)
 		}
 		return a.Entry, a.err(key)
 	}
@@ -141,53 +141,53 @@
 
 // Grant implements store.Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (store.Lease, error) {
-	a, err := c.write(ctx, OpGrant, Call{TTL: ttl})
+	a, err := c.write(ctx, OpGrant, Request{TTL: ttl})
 	return a.Lease, err
 }
 
 // Renew implements store.Store.
 func (c *Client) Renew(ctx context.Context, lease store.Lease) error {
-	_, err := c.write(ctx, OpRenew, Call{Lease: lease})
+	_, err := c.write(ctx, OpRenew, Request{Lease: lease})
 	return err
 }
 
 // Revoke implements store.Store.
 func (c *Client) Revoke(ctx context.Context, lease store.Lease) error {
-	_, err := c.write(ctx, OpRevoke, Call{Lease: lease})
+	_, err := c.write(ctx, OpRevoke, Request{Lease: lease})
 	return err
 }
 
-func (c *Client) read(ctx context.Context, op Op, r Call) (a Answer, err error) {
-	for range maxTries {
-		a, err = c.call(ctx, op, r, c.try())
-		if !errors.Is(err, line.ErrSilent) {
+func (c *Client) read(ctx context.Context, op Op, r Request) (a Response, err error) {
+	for range maxReadAttempts {
+		a, err = c.call(ctx, op, r, c.timeout())
+		if !errors.Is(err, httpc.ErrStalled) {
 			break
 		}
 	}
 	if err != nil {
-		return Answer{}, because(store.ErrUnavailable, err)
+		return Response{}, withCause(store.ErrUnavailable, err)
 	}
 	return a, a.err(r.Key)
 }
 
-func (c *Client) write(ctx context.Context, op Op, r Call) (Answer, error) {
-	a, err := c.call(ctx, op, r, c.try())
-	var e *line.Error
+func (c *Client) write(ctx context.Context, op Op, r Request) (Response, error) {
+	a, err := c.call(ctx, op, r, c.timeout())
+	var e *httpc.Error
 	switch {
 	case errors.As(err, &e) && !e.Sent:
-		return Answer{}, because(store.ErrUnavailable, err)
+		return Response{}, withCause(store.ErrUnavailable, err)
 	case err != nil:
-		return Answer{}, because(store.ErrUnknown, err)
+		return Response{}, withCause(store.ErrUnknown, err)
 	}
 	return a, a.err(r.Key)
 }
 
 // call makes one exchange. Its errors are *line.Error.
-func (c *Client) call(ctx context.Context, op Op, r Call, first time.Duration) (a Answer, err error) {
+func (c *Client) call(ctx context.Context, op Op, r Request, first time.Duration) (a Response, err error) {
 	r.Client = c.Name
 	body, err := json.Marshal(r)
 	if err != nil {
-		return a, &line.Error{Err: err}
+		return a, &httpc.Error{Err: err}
 	}
 	var req fasthttp.Request
 	var resp fasthttp.Response
@@ -195,23 +195,23 @@
 	req.Header.SetContentType("application/json")
 	req.SetRequestURI(Path + string(op))
 	req.SetBodyRaw(body)
-	l := c.Line
-	l.First, l.Between, l.MaxBody = first, c.try(), maxAnswer
+	l := c.Endpoint
+	l.FirstByteTimeout, l.IdleTimeout, l.MaxBody = first, c.timeout(), maxResponse
 	if err := l.Do(ctx, &req, &resp); err != nil {
 		return a, err
 	}
 	if resp.StatusCode() != http.StatusOK {
-		return a, &line.Error{Sent: true, Err: fmt.Errorf("kvnet: status %d", resp.StatusCode())}
+		return a, &httpc.Error{Sent: true, Err: fmt.Errorf("kvnet: status %d", resp.StatusCode())}
 	}
 	if err := json.Unmarshal(resp.Body(), &a); err != nil {
-		return a, &line.Error{Sent: true, Err: err}
+		return a, &httpc.Error{Sent: true, Err: err}
 	}
 	return a, nil
 }
 
-func (c *Client) try() time.Duration { return pick(c.Try, defaultTry) }
+func (c *Client) timeout() time.Duration { return orDefault(c.Timeout, defaultTimeout) }
 
-func (a Answer) err(key string) error {
+func (a Response) err(key string) error {
 	switch a.Code {
 	case "":
 		return nil
@@ -220,7 +220,7 @@
 	case CodeConflict:
 		return &store.ConflictError{Key: key, Rev: a.Rev}
 	case CodeLapsed:
-		return store.ErrLapsed
+		return store.ErrLeaseExpired
 	case CodeTooLarge:
 		return store.ErrTooLarge
 	case CodeUnavailable:
@@ -229,11 +229,11 @@
 	return fmt.Errorf("%w: code %q", store.ErrUnknown, a.Code)
 }
 
-func because(end, cause error) error { return fmt.Errorf("%w: %w", end, cause) }
+func withCause(outcome, cause error) error { return fmt.Errorf("%w: %w", outcome, cause) }
 
-func pick(v, otherwise time.Duration) time.Duration {
+func orDefault(v, def time.Duration) time.Duration {
 	if v <= 0 {
-		return otherwise
+		return def
 	}
 	return v
 }
--- a/internal/plat/kvnet/kvnet_test.go
+++ b/internal/plat/kvhttp/kvhttp_test.go
@@ -1,4 +1,4 @@
-package kvnet_test
+package kvhttp_test
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"github.com/slaterock/slaterock/internal/fake/host"
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 	"github.com/slaterock/slaterock/internal/fake/pipe"
-	"github.com/slaterock/slaterock/internal/plat/kvnet"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
+	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
 const address = "store"
 
 type (
-	// bench is one form of the service before one client of it.
-	bench struct {
+	// fixture is one form of the service before one client of it.
+	fixture struct {
 		*is.I
 		store.Store
 		ctx  context.Context //nolint:containedctx // the test's
@@ -33,38 +33,38 @@
 
 // inMemory and overNetwork run a test in a bubble, where time passes only when
 // everybody waits.
-func inMemory(t *testing.T, run func(b bench)) {
+func inMemory(t *testing.T, run func(b fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		var s keyval.Store
 		v := s.Client("a")
-		run(bench{I: is.New(t), Store: v, ctx: t.Context(), view: v, fake: &s})
+		run(fixture{I: is.New(t), Store: v, ctx: t.Context(), view: v, fake: &s})
 	})
 }
 
-func overNetwork(t *testing.T, run func(b bench)) {
+func overNetwork(t *testing.T, run func(b fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		var s keyval.Store
 		var n pipe.Net
 		h := keyval.Serve(n.Listen(address), &s)
 		defer h.Close()
-		c := &kvnet.Client{Line: line.Line{Address: address, Connect: n.Connect}, Name: "a"}
-		run(bench{I: is.New(t), Store: c, ctx: t.Context(), view: s.Client("a"), fake: &s, host: h})
+		c := &kvhttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}, Name: "a"}
+		run(fixture{I: is.New(t), Store: c, ctx: t.Context(), view: s.Client("a"), fake: &s, host: h})
 	})
 }
 
-func (b bench) put(key, data string, rev store.Rev) store.Rev {
+func (b fixture) put(key, data string, rev store.Rev) store.Rev {
 	r, err := b.Put(b.ctx, key, []byte(data), rev, 0)
 	b.NoErr(err)
 	return r
 }
 
-func (b bench) conflict(err error, rev store.Rev) {
+func (b fixture) isConflict(err error, rev store.Rev) {
 	var c *store.ConflictError
 	b.True(errors.As(err, &c))
 	b.Equal(c.Rev, rev)
 }
 
-func (b bench) leased(key string, ttl time.Duration) store.Lease {
+func (b fixture) putLeased(key string, ttl time.Duration) store.Lease {
 	l, err := b.Grant(b.ctx, ttl)
 	b.NoErr(err)
 	_, err = b.Put(b.ctx, key, []byte("x"), 0, l)
@@ -73,10 +73,10 @@
 }
 
 // pass lets the bubble's time pass.
-func pass(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
 
 // watching starts a watch and returns its end once it waits.
-func (b bench) watching(key string, rev store.Rev) <-chan error {
+func (b fixture) watchAsync(key string, rev store.Rev) <-chan error {
 	end := make(chan error, 1)
 	go func() {
 		e, err := b.Watch(b.ctx, key, rev)
@@ -89,23 +89,23 @@
 	return end
 }
 
-var contract = map[string]func(b bench){
-	"create only if absent": func(b bench) {
+var contract = map[string]func(b fixture){
+	"create only if absent": func(b fixture) {
 		r := b.put("k", "1", 0)
 		_, err := b.Put(b.ctx, "k", []byte("2"), 0, 0)
-		b.conflict(err, r)
+		b.isConflict(err, r)
 		e, err := b.Get(b.ctx, "k")
 		b.NoErr(err)
 		b.Equal(e, store.Entry{Key: "k", Data: []byte("1"), Rev: r})
 	},
-	"replace only the revision read": func(b bench) {
+	"replace only the revision read": func(b fixture) {
 		r1 := b.put("k", "1", 0)
 		r2 := b.put("k", "2", r1)
 		_, err := b.Put(b.ctx, "k", []byte("3"), r1, 0)
-		b.conflict(err, r2)
-		b.conflict(b.Delete(b.ctx, "k", r1), r2)
+		b.isConflict(err, r2)
+		b.isConflict(b.Delete(b.ctx, "k", r1), r2)
 	},
-	"revisions rise over a deletion": func(b bench) {
+	"revisions rise over a deletion": func(b fixture) {
 		r1 := b.put("k", "1", 0)
 		b.NoErr(b.Delete(b.ctx, "k", r1))
 		_, err := b.Get(b.ctx, "k")
@@ -113,7 +113,7 @@
 		b.True(errors.Is(b.Delete(b.ctx, "k", r1), store.ErrNotFound))
 		b.True(b.put("k", "2", 0) > r1)
 	},
-	"list in order": func(b bench) {
+	"list in order": func(b fixture) {
 		for _, k := range []string{"a/2", "a/1", "b/1", "a/3"} {
 			b.put(k, "x", 0)
 		}
@@ -121,70 +121,70 @@
 		b.NoErr(err)
 		b.Equal(keys, []string{"a/2"})
 	},
-	"value too large": func(b bench) {
+	"value too large": func(b fixture) {
 		_, err := b.Put(b.ctx, "k", make([]byte, store.MaxValue+1), 0, 0)
 		b.True(errors.Is(err, store.ErrTooLarge))
 		_, err = b.Put(b.ctx, "k", make([]byte, store.MaxValue), 0, 0)
 		b.NoErr(err)
 	},
-	"a lease lapses with its keys": func(b bench) {
-		l := b.leased("k", 3*time.Second)
-		pass(2 * time.Second)
+	"a lease lapses with its keys": func(b fixture) {
+		l := b.putLeased("k", 3*time.Second)
+		sleep(2 * time.Second)
 		b.NoErr(b.Renew(b.ctx, l))
-		pass(2 * time.Second)
+		sleep(2 * time.Second)
 		_, err := b.Get(b.ctx, "k")
 		b.NoErr(err)
-		pass(time.Second)
+		sleep(time.Second)
 		_, err = b.Get(b.ctx, "k")
 		b.True(errors.Is(err, store.ErrNotFound))
-		b.True(errors.Is(b.Renew(b.ctx, l), store.ErrLapsed))
+		b.True(errors.Is(b.Renew(b.ctx, l), store.ErrLeaseExpired))
 		_, err = b.Put(b.ctx, "k", nil, 0, l)
-		b.True(errors.Is(err, store.ErrLapsed))
+		b.True(errors.Is(err, store.ErrLeaseExpired))
 	},
-	"a lease is revoked with its keys": func(b bench) {
-		l := b.leased("k", time.Hour)
+	"a lease is revoked with its keys": func(b fixture) {
+		l := b.putLeased("k", time.Hour)
 		b.NoErr(b.Revoke(b.ctx, l))
 		_, err := b.Get(b.ctx, "k")
 		b.True(errors.Is(err, store.ErrNotFound))
 	},
-	"watch returns what is newer": func(b bench) {
+	"watch returns what is newer": func(b fixture) {
 		r := b.put("k", "1", 0)
 		e, err := b.Watch(b.ctx, "k", 0)
 		b.NoErr(err)
 		b.Equal(e.Rev, r)
 	},
-	"watch wakes on a change": func(b bench) {
+	"watch wakes on a change": func(b fixture) {
 		r := b.put("k", "1", 0)
-		end := b.watching("k", r)
+		end := b.watchAsync("k", r)
 		b.put("k", "2", r)
 		b.NoErr(<-end)
 	},
-	"watch wakes on creation": func(b bench) {
-		end := b.watching("k", 0)
+	"watch wakes on creation": func(b fixture) {
+		end := b.watchAsync("k", 0)
 		b.put("k", "1", 0)
 		b.NoErr(<-end)
 	},
-	"watch wakes on deletion": func(b bench) {
+	"watch wakes on deletion": func(b fixture) {
 		r := b.put("k", "1", 0)
-		end := b.watching("k", r)
+		end := b.watchAsync("k", r)
 		b.NoErr(b.Delete(b.ctx, "k", r))
 		b.True(errors.Is(<-end, store.ErrNotFound))
 	},
-	"watch of what is deleted already": func(b bench) {
+	"watch of what is deleted already": func(b fixture) {
 		r := b.put("k", "1", 0)
 		b.NoErr(b.Delete(b.ctx, "k", r))
 		_, err := b.Watch(b.ctx, "k", r)
 		b.True(errors.Is(err, store.ErrNotFound))
 	},
-	"watch wakes on a lapse": func(b bench) {
-		b.leased("k", 40*time.Second)
+	"watch wakes on a lapse": func(b fixture) {
+		b.putLeased("k", 40*time.Second)
 		e, err := b.Get(b.ctx, "k")
 		b.NoErr(err)
 		start := time.Now()
-		b.True(errors.Is(<-b.watching("k", e.Rev), store.ErrNotFound))
+		b.True(errors.Is(<-b.watchAsync("k", e.Rev), store.ErrNotFound))
 		b.Equal(time.Since(start), 40*time.Second)
 	},
-	"watch ends with its context": func(b bench) {
+	"watch ends with its context": func(b fixture) {
 		ctx, cancel := context.WithTimeout(b.ctx, time.Minute)
 		defer cancel()
 		_, err := b.Watch(ctx, "k", 0)
@@ -192,10 +192,10 @@
 	},
 }
 
-var failures = map[string]func(b bench){
+var failures = map[string]func(b fixture){
 	// The service takes a write and its answer is lost on the way. The writer
 	// must not be told success or failure; what it finds is its own value.
-	"acknowledgement lost": func(b bench) {
+	"acknowledgement lost": func(b fixture) {
 		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
 		_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
 		b.True(errors.Is(err, store.ErrUnknown))
@@ -205,7 +205,7 @@
 	},
 	// The write itself is lost. To the writer it looks the same as a lost
 	// acknowledgement, and only reading back tells.
-	"write lost": func(b bench) {
+	"write lost": func(b fixture) {
 		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseWrite})
 		_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
 		b.True(errors.Is(err, store.ErrUnknown))
@@ -214,19 +214,19 @@
 	},
 	// The acknowledgement of a renewal is lost: the holder can't tell whether
 	// its lease runs on, but it does.
-	"renewal's acknowledgement lost": func(b bench) {
-		l := b.leased("k", 3*time.Second)
-		pass(2 * time.Second)
+	"renewal's acknowledgement lost": func(b fixture) {
+		l := b.putLeased("k", 3*time.Second)
+		sleep(2 * time.Second)
 		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
 		b.True(errors.Is(b.Renew(b.ctx, l), store.ErrUnknown))
-		pass(2 * time.Second)
+		sleep(2 * time.Second)
 		b.NoErr(b.Renew(b.ctx, l))
 	},
 	// The service is down. Every call says at once that it had no effect,
 	// waiting watches end, and afterwards everything is as it was.
-	"outage": func(b bench) {
+	"outage": func(b fixture) {
 		r := b.put("k", "1", 0)
-		end := b.watching("k", r)
+		end := b.watchAsync("k", r)
 		b.view.Set(keyval.Down)
 		b.True(errors.Is(<-end, store.ErrUnavailable))
 		_, err := b.Put(b.ctx, "k", []byte("2"), r, 0)
@@ -242,7 +242,7 @@
 	},
 	// The service is slower than the caller can wait. The call ends at the
 	// caller's deadline, and a write's outcome is unknown.
-	"slower than the deadline": func(b bench) {
+	"slower than the deadline": func(b fixture) {
 		b.view.Slow(time.Minute)
 		ctx, cancel := context.WithTimeout(b.ctx, 500*time.Millisecond)
 		defer cancel()
@@ -255,7 +255,7 @@
 		b.True(errors.Is(err, store.ErrUnavailable))
 	},
 	// The connection gives no answer at all. Nobody waits past the deadline.
-	"no answer": func(b bench) {
+	"no answer": func(b fixture) {
 		b.view.Set(keyval.Silent)
 		ctx, cancel := context.WithTimeout(b.ctx, 500*time.Millisecond)
 		defer cancel()
@@ -268,7 +268,7 @@
 }
 
 func TestStore(t *testing.T) {
-	forms := map[string]func(*testing.T, func(bench)){"in memory": inMemory, "network": overNetwork}
+	forms := map[string]func(*testing.T, func(fixture)){"in memory": inMemory, "network": overNetwork}
 	for form, run := range forms {
 		for name, tt := range contract {
 			t.Run(form+"/"+name, func(t *testing.T) { run(t, tt) })
@@ -280,10 +280,10 @@
 }
 
 func TestNetwork(t *testing.T) {
-	tests := map[string]func(b bench){
+	tests := map[string]func(b fixture){
 		// Nobody listens at the service's address. No byte left, so a write
 		// certainly had no effect and its caller may say so.
-		"connection refused": func(b bench) {
+		"connection refused": func(b fixture) {
 			b.host.Close()
 			_, err := b.Put(b.ctx, "k", nil, 0, 0)
 			b.True(errors.Is(err, store.ErrUnavailable))
@@ -291,7 +291,7 @@
 		},
 		// Something between the two ends forgets a connection while a read
 		// waits on it. The read is made again on a new one and succeeds.
-		"connection goes silent under a read": func(b bench) {
+		"connection goes silent under a read": func(b fixture) {
 			b.put("k", "1", 0)
 			b.view.Slow(100 * time.Millisecond)
 			start := time.Now()
@@ -303,7 +303,7 @@
 		},
 		// The same under a write: it took effect, but the writer is told
 		// after one try that nobody knows.
-		"connection goes silent under a write": func(b bench) {
+		"connection goes silent under a write": func(b fixture) {
 			b.view.Slow(100 * time.Millisecond)
 			time.AfterFunc(50*time.Millisecond, b.host.Silence)
 			_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
@@ -314,9 +314,9 @@
 		// A watch's connection goes silent and the change is never told on
 		// it. The watch asks again when the service's hold should be over, so
 		// the change is seen late but not never.
-		"connection goes silent under a watch": func(b bench) {
+		"connection goes silent under a watch": func(b fixture) {
 			start := time.Now()
-			end := b.watching("k", 0)
+			end := b.watchAsync("k", 0)
 			b.host.Silence()
 			b.put("k", "1", 0)
 			b.NoErr(<-end)
@@ -329,7 +329,7 @@
 }
 
 func TestCounts(t *testing.T) {
-	inMemory(t, func(b bench) {
+	inMemory(t, func(b fixture) {
 		r := b.put("k", "1", 0)
 		_, err := b.Get(b.ctx, "k")
 		b.NoErr(err)
--- a/internal/plat/meter/meter.go
+++ b/internal/plat/meter/meter.go
@@ -18,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-const burst = 2 // seconds' worth of calls
+const burstSeconds = 2 // seconds' worth of calls
 
 type (
 	// Meter is a store.Store that calls Store. The zero rates are no bound.
@@ -46,7 +46,7 @@
 var _ store.Store = (*Meter)(nil)
 
 // Allow sets this daemon's share, in calls a second.
-func (m *Meter) Allow(reads, writes float64) {
+func (m *Meter) SetRates(reads, writes float64) {
 	m.reads.Store(limiter(reads))
 	m.writes.Store(limiter(writes))
 }
@@ -55,7 +55,7 @@
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burst)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds)))
 }
 
 // Counts returns the calls so far.
@@ -83,9 +83,9 @@
 }
 
 // done notes how a call ended. A refusal is an answer too.
-func (m *Meter) done(sent time.Time, err error) {
+func (m *Meter) record(sent time.Time, err error) {
 	var c *store.ConflictError
-	answered := err == nil || errors.As(err, &c) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrLapsed)
+	answered := err == nil || errors.As(err, &c) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrLeaseExpired)
 	if !answered {
 		m.nfailed.Add(1)
 		return
@@ -101,7 +101,7 @@
 		return e, err
 	}
 	m.nreads.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Get(ctx, key)
 }
 
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	m.nreads.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.List(ctx, prefix, after, limit)
 }
 
@@ -130,7 +130,7 @@
 		return 0, err
 	}
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Put(ctx, key, data, rev, lease)
 }
 
@@ -140,27 +140,27 @@
 		return err
 	}
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Delete(ctx, key, rev)
 }
 
 // Grant implements store.Store.
 func (m *Meter) Grant(ctx context.Context, ttl time.Duration) (l store.Lease, err error) {
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Grant(ctx, ttl)
 }
 
 // Renew implements store.Store.
 func (m *Meter) Renew(ctx context.Context, lease store.Lease) (err error) {
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Renew(ctx, lease)
 }
 
 // Revoke implements store.Store.
 func (m *Meter) Revoke(ctx context.Context, lease store.Lease) (err error) {
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Revoke(ctx, lease)
 }
--- a/internal/plat/plain/plain.go
+++ b/internal/plat/plain/plain.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/tool"
 )
 
@@ -25,7 +25,7 @@
 type (
 	// Client implements tool.Tool.
 	Client struct {
-		Line line.Line
+		Endpoint httpc.Endpoint
 	}
 )
 
@@ -43,7 +43,7 @@
 		req.Header.Set(headerTrace, r.TraceParent)
 	}
 	req.SetBodyRaw(r.Body)
-	if err := c.Line.Do(ctx, &req, &resp); err != nil {
+	if err := c.Endpoint.Do(ctx, &req, &resp); err != nil {
 		return tool.Response{}, &tool.Error{Sent: sent(err), Err: err}
 	}
 	return tool.Response{
@@ -61,6 +61,6 @@
 }
 
 func sent(err error) bool {
-	var e *line.Error
+	var e *httpc.Error
 	return !errors.As(err, &e) || e.Sent
 }
--- a/internal/plat/plain/plain_test.go
+++ b/internal/plat/plain/plain_test.go
@@ -13,7 +13,7 @@
 	"github.com/slaterock/slaterock/internal/fake/host"
 	"github.com/slaterock/slaterock/internal/fake/ledger"
 	"github.com/slaterock/slaterock/internal/fake/pipe"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/plain"
 	"github.com/slaterock/slaterock/internal/plat/tool"
 )
@@ -21,7 +21,7 @@
 const address = "ledger"
 
 // form is one form of a service.
-type form struct {
+type variant struct {
 	*is.I
 	tool.Tool
 	ctx    context.Context //nolint:containedctx // the test's
@@ -30,31 +30,31 @@
 	refuse func()
 }
 
-func inMemory(t *testing.T, run func(f form)) {
+func inMemory(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &ledger.Service{}
-		run(form{I: is.New(t), Tool: s, ctx: t.Context(), fake: s, refuse: func() { s.Set(ledger.Refuse) }})
+		run(variant{I: is.New(t), Tool: s, ctx: t.Context(), fake: s, refuse: func() { s.Set(ledger.Refuse) }})
 	})
 }
 
-func overNetwork(t *testing.T, run func(f form)) {
+func overNetwork(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &ledger.Service{}
 		var n pipe.Net
 		h := ledger.Serve(n.Listen(address), s)
 		defer h.Close()
-		c := &plain.Client{Line: line.Line{Address: address, Connect: n.Connect}}
-		run(form{I: is.New(t), Tool: c, ctx: t.Context(), fake: s, host: h, refuse: h.Close})
+		c := &plain.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}
+		run(variant{I: is.New(t), Tool: c, ctx: t.Context(), fake: s, host: h, refuse: h.Close})
 	})
 }
 
-func (f form) within(d time.Duration, r tool.Request) (tool.Response, error) {
+func (f variant) doWithin(d time.Duration, r tool.Request) (tool.Response, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, d)
 	defer cancel()
 	return f.Do(ctx, r)
 }
 
-func (f form) failed(err error, sent bool) {
+func (f variant) failedWith(err error, sent bool) {
 	var e *tool.Error
 	f.True(errors.As(err, &e))
 	f.Equal(e.Sent, sent)
@@ -62,8 +62,8 @@
 
 var receipt = tool.Request{ID: "r1", Method: "POST", Path: "/receipts?drum=4", ContentType: "application/json", Body: []byte(`{"kg":18}`), TraceParent: "00-1-2-01"}
 
-var contract = map[string]func(f form){
-	"answer": func(f form) {
+var contract = map[string]func(f variant){
+	"answer": func(f variant) {
 		resp, err := f.Do(f.ctx, receipt)
 		f.NoErr(err)
 		f.Equal(resp.Status, 200)
@@ -73,43 +73,43 @@
 	},
 	// Nobody listens at the service's address: the request did not run, and
 	// its caller may be told so.
-	"refused": func(f form) {
+	"refused": func(f variant) {
 		f.refuse()
 		_, err := f.Do(f.ctx, receipt)
-		f.failed(err, false)
+		f.failedWith(err, false)
 		f.Equal(f.fake.Ran("r1"), 0)
 	},
 	// The service does its work and its answer is lost. The request is not
 	// sent again, whatever its method: a second receipt must not be issued.
-	"answer lost": func(f form) {
+	"answer lost": func(f variant) {
 		f.fake.Set(ledger.LoseAnswer)
 		for _, method := range []string{"GET", "PUT", "POST"} {
 			r := receipt
 			r.ID, r.Method = method, method
 			_, err := f.Do(f.ctx, r)
-			f.failed(err, true)
+			f.failedWith(err, true)
 			f.Equal(f.fake.Ran(method), 1)
 		}
 		f.Equal(len(f.fake.Calls()), 3)
 	},
 	// The service takes the request and never answers. The deadline ends the
 	// wait, and nobody knows whether it ran.
-	"hangs": func(f form) {
+	"hangs": func(f variant) {
 		f.fake.Set(ledger.Hang)
 		start := time.Now()
-		_, err := f.within(2*time.Second, receipt)
-		f.failed(err, true)
+		_, err := f.doWithin(2*time.Second, receipt)
+		f.failedWith(err, true)
 		f.True(errors.Is(err, context.DeadlineExceeded))
 		f.Equal(time.Since(start), 2*time.Second)
 	},
 	// The same after the work is done.
-	"hangs after the work": func(f form) {
+	"hangs after the work": func(f variant) {
 		f.fake.Set(ledger.HangAfter)
-		_, err := f.within(2*time.Second, receipt)
-		f.failed(err, true)
+		_, err := f.doWithin(2*time.Second, receipt)
+		f.failedWith(err, true)
 		f.Equal(f.fake.Ran("r1"), 1)
 	},
-	"fails": func(f form) {
+	"fails": func(f variant) {
 		f.fake.Set(ledger.Fail)
 		resp, err := f.Do(f.ctx, receipt)
 		f.NoErr(err)
@@ -119,7 +119,7 @@
 }
 
 func TestTool(t *testing.T) {
-	forms := map[string]func(*testing.T, func(form)){"in memory": inMemory, "network": overNetwork}
+	forms := map[string]func(*testing.T, func(variant)){"in memory": inMemory, "network": overNetwork}
 	for name, run := range forms {
 		for tt, f := range contract {
 			t.Run(name+"/"+tt, func(t *testing.T) { run(t, f) })
@@ -128,16 +128,16 @@
 }
 
 func TestNetwork(t *testing.T) {
-	tests := map[string]func(f form){
+	tests := map[string]func(f variant){
 		// The connection goes silent while the service works. The receipt is
 		// issued, its answer never arrives, and the next request has a new
 		// connection.
-		"connection goes silent": func(f form) {
+		"connection goes silent": func(f variant) {
 			f.fake.Time = 100 * time.Millisecond
 			time.AfterFunc(50*time.Millisecond, f.host.Silence)
 			_, err := f.Do(f.ctx, receipt)
-			f.failed(err, true)
-			f.True(errors.Is(err, line.ErrSilent))
+			f.failedWith(err, true)
+			f.True(errors.Is(err, httpc.ErrStalled))
 			f.Equal(f.fake.Ran("r1"), 1)
 			r := receipt
 			r.ID = "r2"
@@ -145,11 +145,11 @@
 			f.NoErr(err)
 		},
 		// The machine fails while the service works.
-		"connection is cut": func(f form) {
+		"connection is cut": func(f variant) {
 			f.fake.Time = 100 * time.Millisecond
 			time.AfterFunc(50*time.Millisecond, f.host.Cut)
 			_, err := f.Do(f.ctx, receipt)
-			f.failed(err, true)
+			f.failedWith(err, true)
 		},
 	}
 	for name, tt := range tests {
@@ -163,7 +163,7 @@
 func TestConnectingIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := &plain.Client{Line: line.Line{Address: address, Connect: func(ctx context.Context, _ string) (net.Conn, error) {
+		c := &plain.Client{Endpoint: httpc.Endpoint{Address: address, Connect: func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}}}
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -91,13 +91,13 @@
 	// ErrNotFound reports a key that does not exist.
 	ErrNotFound = errors.New("store: key not found")
 	// ErrLapsed reports a lease that is over.
-	ErrLapsed = errors.New("store: lease lapsed")
+	ErrLeaseExpired = errors.New("store: lease lapsed")
 	// ErrUnavailable reports a call that certainly had no effect.
 	ErrUnavailable = errors.New("store: unavailable")
 	// ErrUnknown reports a write that may or may not have taken effect.
 	ErrUnknown = errors.New("store: outcome unknown")
 	// ErrGone reports history that the service no longer has.
-	ErrGone = errors.New("store: history is gone")
+	ErrCompacted = errors.New("store: history is gone")
 	// ErrTooLarge reports a value above MaxValue.
 	ErrTooLarge = errors.New("store: value too large")
 )
--- a/internal/plat/vmnet/vmnet.go
+++ b/internal/plat/vmhttp/vmhttp.go
@@ -1,6 +1,6 @@
 // Package vmnet reads the platform's list of VMs over HTTP: a GET of Path
 // answers with a JSON list.
-package vmnet
+package vmhttp
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
 )
 
@@ -21,7 +21,7 @@
 type (
 	// Client implements vmlist.List.
 	Client struct {
-		Line line.Line
+		Endpoint httpc.Endpoint
 	}
 )
 
@@ -31,7 +31,7 @@
 	var req fasthttp.Request
 	var resp fasthttp.Response
 	req.SetRequestURI(Path)
-	if err := c.Line.Do(ctx, &req, &resp); err != nil {
+	if err := c.Endpoint.Do(ctx, &req, &resp); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode() != http.StatusOK {
--- a/internal/plat/vmnet/vmnet_test.go
+++ b/internal/plat/vmhttp/vmhttp_test.go
@@ -1,4 +1,4 @@
-package vmnet_test
+package vmhttp_test
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 	"github.com/slaterock/slaterock/internal/fake/vmset"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
+	"github.com/slaterock/slaterock/internal/plat/vmhttp"
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
-	"github.com/slaterock/slaterock/internal/plat/vmnet"
 )
 
 const address = "vms"
@@ -68,7 +68,7 @@
 				var n pipe.Net
 				h := vmset.Serve(n.Listen(address), s)
 				defer h.Close()
-				tt(is.New(t), &vmnet.Client{Line: line.Line{Address: address, Connect: n.Connect}}, s)
+				tt(is.New(t), &vmhttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}, s)
 			})
 		})
 	}
@@ -78,6 +78,6 @@
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	var n pipe.Net
-	_, err := (&vmnet.Client{Line: line.Line{Address: address, Connect: n.Connect}}).VMs(ctx)
+	_, err := (&vmhttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}).VMs(ctx)
 	is.True(err != nil)
 }
--- a/internal/plat/wtnet/wtnet.go
+++ b/internal/plat/wthttp/wthttp.go
@@ -1,6 +1,6 @@
 // Package wtnet asks the platform's weight store over HTTP whether a load may
 // start: a POST to Path with the model's name answers with an Answer.
-package wtnet
+package wthttp
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 // Path is where loads are admitted.
@@ -21,16 +21,16 @@
 type (
 	// Client implements weight.Weights.
 	Client struct {
-		Line line.Line
+		Endpoint httpc.Endpoint
 	}
 
 	// Ask is the request.
-	Ask struct {
+	Request struct {
 		Model string `json:"model"`
 	}
 
 	// Answer is the response. Wait is zero if the load may start.
-	Answer struct {
+	Response struct {
 		Wait time.Duration `json:"wait"` // nanoseconds
 	}
 )
@@ -38,7 +38,7 @@
 // Admit implements weight.Weights.
 func (c *Client) Admit(ctx context.Context, model string) (wait time.Duration, err error) {
 	defer func() { err = errors.Wrap(err, "weight store") }()
-	body, err := json.Marshal(Ask{Model: model})
+	body, err := json.Marshal(Request{Model: model})
 	if err != nil {
 		return 0, err
 	}
@@ -47,13 +47,13 @@
 	req.Header.SetMethod(http.MethodPost)
 	req.SetRequestURI(Path)
 	req.SetBodyRaw(body)
-	if err := c.Line.Do(ctx, &req, &resp); err != nil {
+	if err := c.Endpoint.Do(ctx, &req, &resp); err != nil {
 		return 0, err
 	}
 	if resp.StatusCode() != http.StatusOK {
 		return 0, fmt.Errorf("status %d: %s", resp.StatusCode(), resp.Body())
 	}
-	var a Answer
+	var a Response
 	err = json.Unmarshal(resp.Body(), &a)
 	return a.Wait, err
 }
--- a/internal/plat/wtnet/wtnet_test.go
+++ b/internal/plat/wthttp/wthttp_test.go
@@ -1,4 +1,4 @@
-package wtnet_test
+package wthttp_test
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 	fake "github.com/slaterock/slaterock/internal/fake/weight"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/weight"
-	"github.com/slaterock/slaterock/internal/plat/wtnet"
+	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
 const address = "weights"
@@ -53,7 +53,7 @@
 				var n pipe.Net
 				h := fake.Serve(n.Listen(address), f)
 				defer h.Close()
-				tt(is.New(t), &wtnet.Client{Line: line.Line{Address: address, Connect: n.Connect}}, f)
+				tt(is.New(t), &wthttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}, f)
 			})
 		})
 	}
--- a/internal/play/load/direct.go
+++ b/internal/play/load/direct.go
@@ -9,7 +9,7 @@
 	"github.com/slaterock/slaterock/internal/edge/client"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 const directPrefix = "direct-"
@@ -59,7 +59,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	c := chat.Client{Line: line.Line{Address: d.load.Engine}}
+	c := chat.Client{Endpoint: httpc.Endpoint{Address: d.load.Engine}}
 	watch := stopwatch{start: time.Now()}
 	_, err = c.Chat(ctx, engine.Request{ID: name, Program: name, Body: body, MaxTokens: s.Output}, func(engine.Delta) error {
 		watch.piece("")
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -135,7 +135,7 @@
 			}, func(err error) { n.stepLease(lease.Granted{ID: id, Err: err}) })
 		case lease.Renew:
 			n.storeCall(func() error { return n.w.st.Renew(context.Background(), e.ID) },
-				func(err error) { n.stepLease(lease.Renewed{Lapsed: err == store.ErrLapsed, Err: err}) }) //nolint:errorlint // the store's own value
+				func(err error) { n.stepLease(lease.Renewed{Lapsed: err == store.ErrLeaseExpired, Err: err}) }) //nolint:errorlint // the store's own value
 		case lease.Got:
 			if n.own != nil && n.suspended {
 				n.rekey(e.ID)
