--- a/internal/prog/budget/budget_test.go
+++ b/internal/prog/budget/budget_test.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/prog/budget"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict.
+// TestMain fixes the seed, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -20,16 +20,16 @@
 	os.Exit(m.Run())
 }
 
-// Calls hold and settle, reservations are committed late, an owner dies. A
-// program must never have spent more than its limit, nor more than the journal
-// has reserved, whatever the order in which that happens.
+// Calls hold and settle tokens, reservations are committed late, and owners
+// crash, in random order. A program must never have spent more than its limit,
+// nor more than the reservation in the journal.
 func TestNeverExceedsReservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 500).Draw(t, "limit")
 		block := rapid.Int64Range(1, 100).Draw(t, "block")
 		b := budget.Budget{Limit: limit}
 		var held []int64
-		spent := int64(0) // in truth, by whichever owner
+		spent := int64(0) // the actual cost, under all owners
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
@@ -51,7 +51,8 @@
 					held = held[1:]
 				}
 			case 3:
-				// The owner dies; what its calls held may have been spent.
+				// The owner crashes: the tokens that its calls held may have
+				// been spent.
 				for _, n := range held {
 					spent += n
 				}
--- a/internal/prog/call/call.go
+++ b/internal/prog/call/call.go
@@ -1,10 +1,10 @@
-// Package call holds what callers ask for: to open a program, to run one call
-// of it, and to end it.
+// Package call defines the requests of callers: to open a program, to run one
+// call of it, and to end it.
 //
 // A program's id is chosen by its caller. A sub-agent's id is its parent's id,
 // a slash and a name of its own, so that a program and all its sub-agents share
-// the root that decides their shard, their order and their budget. Calls of one
-// program are numbered 0, 1, 2 ...; a repeat carries the same number.
+// a root, which determines their shard, their order and their budget. The calls
+// of a program are numbered 0, 1, 2 ...; a repeat has the same number.
 package call
 
 import (
@@ -14,25 +14,26 @@
 const (
 	// Model is a chat completion.
 	Model Kind = "model"
-	// Service is a call to a plain service.
+	// Service is an HTTP request to a plain service.
 	Service Kind = "service"
 
-	// Finish ends a program whose work is done.
+	// Finish ends a program that is complete.
 	Finish EndKind = "finished"
-	// Cancel ends a program whose work is not wanted any more.
+	// Cancel ends a program whose result is no longer needed.
 	Cancel EndKind = "cancelled"
 
 	rootSeparator = "/"
 )
 
 type (
-	// Kind tells model calls from service calls.
+	// Kind is the kind of a call.
 	Kind string
 
-	// EndKind tells how a caller ends a program.
+	// EndKind says how a caller ends a program.
 	EndKind string
 
-	// Open asks for a program. Repeating it with the same values is harmless.
+	// Open requests a program. It is idempotent: a repeat with the same values
+	// has no further effect.
 	Open struct {
 		Account  string `json:"account"`
 		Program  string `json:"program"`
@@ -44,7 +45,7 @@
 
 	// Call is one call of a program.
 	Call struct {
-		Request     string `json:"request"` // unique; assigned by the daemon that met the caller
+		Request     string `json:"request"` // unique id; assigned by the daemon that received the call
 		Account     string `json:"account"`
 		Program     string `json:"program"`
 		Number      int    `json:"number"`
@@ -59,7 +60,7 @@
 		TraceParent string `json:"trace_parent,omitempty"`
 	}
 
-	// End asks for a program's end.
+	// End requests the end of a program.
 	End struct {
 		Account string  `json:"account"`
 		Program string  `json:"program"`
@@ -67,8 +68,7 @@
 	}
 )
 
-// Root returns the id of the program at the head of a family: what stands
-// before the first slash.
+// Root returns the id of a program's root: the part before the first slash.
 func Root(program string) string {
 	root, _, _ := strings.Cut(program, rootSeparator)
 	return root
--- a/internal/prog/hist/hist.go
+++ b/internal/prog/hist/hist.go
@@ -1,5 +1,5 @@
-// Package hist holds a program's history in the form that support engineers
-// read: what was asked, what was tried, how it ended and what it cost.
+// Package hist defines a program's history as support engineers read it: the
+// requests, their attempts, their outcomes and their costs.
 package hist
 
 import (
@@ -10,8 +10,9 @@
 )
 
 type (
-	// History is one program's life. Ended is empty while it is open. All
-	// token counts include those of sub-agents only in the root's history.
+	// History is the history of one program. Ended is empty while the program
+	// is open. Token counts include those of sub-agents only in the root's
+	// history.
 	History struct {
 		Program  string    `json:"program"`
 		Account  string    `json:"account"`
@@ -21,13 +22,13 @@
 		Budget   int64     `json:"budget_tokens"`
 		Spent    int64     `json:"spent_tokens"`
 		Opened   time.Time `json:"opened"`
-		Ended    string    `json:"ended,omitempty"` // finished, cancelled, expired or a limit's code
+		Ended    string    `json:"ended,omitempty"` // finished, cancelled, expired, or the code of the limit that ended it
 		EndedAt  time.Time `json:"ended_at,omitzero"`
 		Calls    []Call    `json:"calls"`
 	}
 
-	// Call is one call of the program with its outcome. A call under way has
-	// a result without code.
+	// Call is one call of the program with its outcome. The result of a call in
+	// progress has no code.
 	Call struct {
 		Request string    `json:"request"`
 		Number  int       `json:"call"`
@@ -35,13 +36,13 @@
 		Target  string    `json:"target"`           // model, or service and path
 		Digest  string    `json:"digest"`           // SHA-256 of the request's body, hex
 		Size    int       `json:"size"`             // of the request's body, bytes
-		Shared  int       `json:"shared,omitempty"` // leading messages as in the program's model call before; Asked has the rest
+		Shared  int       `json:"shared,omitempty"` // leading messages repeated from the program's previous model call, not in Asked
 		Asked   string    `json:"asked,omitempty"`
-		// AskedIn and AnswerIn say where Asked and the result's body are if
-		// they were too long for the journal; the journal has them empty then.
+		// AskedBlob and AnswerBlob locate Asked and the result's body if these
+		// are too long for the journal, which then has them empty.
 		AskedBlob  *Blob `json:"asked_in,omitempty"`
 		AnswerBlob *Blob `json:"answer_in,omitempty"`
-		// Note tells a reader that a text can't be read now, and why.
+		// Note says which texts can't be read now.
 		Note string `json:"note,omitempty"`
 
 		Tries        []Try         `json:"attempts"`
@@ -54,18 +55,18 @@
 		End          time.Time     `json:"end,omitzero"`
 	}
 
-	// Blob is a text that is kept in data folders.
+	// Blob locates a text that is stored in data folders.
 	Blob struct {
 		Digest  string   `json:"digest"` // SHA-256 of the text, hex
 		Size    int      `json:"size"`   // bytes
 		Holders []string `json:"holders"`
 	}
 
-	// Try is one attempt at one upstream.
+	// Try is one attempt of a call at one upstream.
 	Try struct {
 		Upstream string    `json:"upstream"`
 		Start    time.Time `json:"start"`
 		End      time.Time `json:"end,omitzero"`
-		Ended    string    `json:"ended"` // ok, or why it ended
+		Ended    string    `json:"ended"` // ok, or the reason of the failure
 	}
 )
--- a/internal/prog/order/order.go
+++ b/internal/prog/order/order.go
@@ -1,48 +1,49 @@
-// Package order decides what becomes of a call from its number alone: whether
-// it is the program's next, came early, repeats one under way, or repeats one
+// Package order classifies a call by its number alone: as the program's next
+// call, as early, as a repeat of the call in progress, or as a repeat of one
 // that has ended.
 //
-// A program's calls run one at a time and in the order of their numbers. That
-// is what makes "the calls reach the engines in the order made" true whichever
-// connections and daemons they came over.
+// A program's calls run one at a time and in the order of their numbers. This
+// guarantees that they reach the engines in the order in which they were made,
+// whichever connections and daemons they arrived through.
 package order
 
 const (
 	// Run is the program's next call.
 	Run Class = iota
-	// Early is a call whose predecessors have not ended.
+	// Early is a call with predecessors that have not ended.
 	Early
-	// Join repeats the call under way.
+	// Join repeats the call in progress.
 	Join
-	// Again repeats the newest call that ended; it may run once more if its
+	// Repeat repeats the newest call that ended; it may run once more if its
 	// outcome isn't final.
 	Repeat
-	// Past repeats a call that ended before others ran after it.
+	// Superseded repeats a call that is older than the newest one that ended.
 	Superseded
-	// Far is a call too far ahead to wait for.
+	// TooFar is a call that is Window or more ahead of the next and is refused.
 	TooFar
 )
 
 const (
-	// Window is how far ahead of the next call a call may wait.
+	// Window is the number of calls, from the next one on, that may wait for
+	// their turn.
 	Window = 16
 )
 
 type (
-	// Verdict tells what to do with a call.
+	// Class is a call's place in the order of its program's calls.
 	Class int
 
-	// Order is one program's place in its chain of calls. The zero value is a
-	// program before its first call. It is a value: each change returns a new
-	// one.
+	// Order is a program's position in its sequence of calls. The zero value is
+	// a program before its first call. It is immutable: each change returns a
+	// new value.
 	Order struct {
-		Next    int  // one above the highest call that ended
-		Running bool // the call Current is under way
+		Next    int  // one above the highest call number that ended
+		Running bool // the call Current is in progress
 		Current int
 	}
 )
 
-// Judge tells what to do with the call of the given number.
+// Classify returns the class of the call with the given number.
 func (o Order) Classify(number int) Class {
 	switch {
 	case o.Running && number == o.Current:
@@ -59,13 +60,13 @@
 	return Superseded
 }
 
-// WithStarted notes that the call runs.
+// WithStarted returns the order with the call in progress.
 func (o Order) WithStarted(number int) Order {
 	o.Running, o.Current = true, number
 	return o
 }
 
-// WithEnded notes that the call under way has ended.
+// WithEnded returns the order after the end of the call in progress.
 func (o Order) WithEnded() Order {
 	o.Running = false
 	o.Next = max(o.Next, o.Current+1)
--- a/internal/prog/order/order_test.go
+++ b/internal/prog/order/order_test.go
@@ -8,8 +8,8 @@
 	"github.com/slaterock/slaterock/internal/prog/order"
 )
 
-// Calls come over several connections, twice, early, or long after others ran. A
-// wrong verdict would run a call out of order or run one twice.
+// Calls arrive over several connections: repeated, early, or long after later
+// ones ran. A wrong class would run a call out of order or twice.
 func TestClassify(t *testing.T) {
 	fresh := order.Order{}
 	running := order.Order{Next: 3}.WithStarted(3)
--- a/internal/prog/quota/home.go
+++ b/internal/prog/quota/home.go
@@ -3,29 +3,29 @@
 import "time"
 
 type (
-	// Home is the record of the accounts whose home is here. The zero value
-	// knows of none.
+	// Home is the state of the accounts that have this daemon as their home.
+	// The zero value is ready for use.
 	Home struct {
 		start    time.Time
 		accounts map[string]*account
 	}
 
-	// account is what the home knows of one account.
+	// account is the home's state of one account.
 	account struct {
 		granted window
 		daemons map[string]*daemon
 	}
 
-	// asker is what the home knows of one daemon.
+	// daemon is the home's state of one daemon's use of an account.
 	daemon struct {
 		granted  window
 		open     int
-		serial   int64 // of the ask that told open
+		serial   int64 // of the request that open is from
 		lastSeen time.Duration
 	}
 )
 
-// Ask answers a daemon. A refusal by the home is not charged.
+// Request handles a daemon's request. A refused request is not charged.
 func (h *Home) Request(now time.Time, a Request, limit Limit) Answer {
 	at := elapsed(&h.start, now)
 	b, from := h.update(at, a)
@@ -38,7 +38,8 @@
 	return Answer{OK: true}
 }
 
-// Trim frees what is known of accounts and daemons that were idle for long.
+// Trim removes the daemons that have neither recent reports nor recent grants,
+// and the accounts without daemons.
 func (h *Home) Trim(now time.Time) {
 	at := elapsed(&h.start, now)
 	for name, b := range h.accounts {
@@ -49,12 +50,12 @@
 	}
 }
 
-// Len is the number of accounts with state.
+// Len returns the number of accounts with state.
 func (h *Home) Len() int { return len(h.accounts) }
 
-// learn takes in what the asker tells of itself. What it was granted by
-// another home counts from now on as if it were granted now, so that it is
-// never forgotten too early.
+// update merges the daemon's report into the account's state. Tokens granted to it
+// by another home are counted as if they were granted now, so that they are never
+// dropped too early.
 func (h *Home) update(now time.Duration, a Request) (*account, *daemon) {
 	if h.accounts == nil {
 		h.accounts = map[string]*account{}
@@ -70,8 +71,9 @@
 		from = &daemon{}
 		b.daemons[a.Daemon] = from
 	}
-	// A report that was overtaken by a newer ask would hide a program that is
-	// being opened, and the account could open one too many.
+	// A report that arrives after a newer request must not replace it: it would
+	// omit a program that is being opened, and the account could open one too
+	// many.
 	if a.Serial > from.serial {
 		from.lastSeen, from.open, from.serial = now, a.Open, a.Serial
 	}
@@ -84,7 +86,8 @@
 	b.granted.add(now, n)
 }
 
-// program lets a daemon open programs. The asker's count includes them.
+// admitProgram decides whether the daemon may open programs. Its count of open
+// programs includes them already.
 func (b *account) admitProgram(from *daemon, a Request, limit Limit) Answer {
 	open := 0
 	for _, d := range b.daemons {
@@ -105,9 +108,9 @@
 	if limit.Tokens > 0 && a.Tokens > free {
 		return Answer{Retry: b.granted.waitFor(now, a.Tokens-free, grantRetention)}
 	}
-	// Tokens beyond the call that are not spent in time are lost for a minute.
-	// Callers that are slow would lose a good part of their limit, so a daemon
-	// gets beforehand at most half of what it took just now.
+	// Tokens beyond the call's cost that are not spent in time are lost for a
+	// minute. Slow callers would lose a large part of their limit, so a daemon
+	// gets in advance at most half of what it was granted within BlockTTL.
 	ahead := min(limit.Tokens/limitDivisor, (free-a.Tokens)/freeDivisor, to.granted.since(now-BlockTTL)/2)
 	n := a.Tokens + max(ahead, 0)
 	b.grant(now, to, n)
--- a/internal/prog/quota/local.go
+++ b/internal/prog/quota/local.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// remembered is how many of a program's latest call numbers are known to
-	// be charged or not.
+	// chargeHistory is the number of a program's latest call numbers for which
+	// Local records whether they were charged.
 	chargeHistory = 64
-	// denyFor is how long a refusal is repeated without asking again.
+	// denialTTL is how long a refusal is repeated without a new request.
 	denialTTL = time.Second
 )
 
 type (
-	// Local is what one daemon may spend. Set Daemon before use, and Serial to
-	// more than any former life of the daemon used, such as the time.
+	// Local is one daemon's share of the limits of all accounts. Set Daemon
+	// before use, and Serial to more than the daemon used before a restart, such
+	// as the time.
 	Local struct {
 		Daemon string
 		Serial int64
@@ -22,20 +23,20 @@
 		programs map[string]*program
 	}
 
-	// usage is one account's at this daemon.
+	// usage is the use of one account at this daemon.
 	usage struct {
-		left    int64 // of the block
+		left    int64 // tokens left of the block
 		until   time.Time
 		granted window
-		open    int // programs, those being opened included
+		open    int // programs, including those being opened
 		denied  denial
 	}
 
-	// denial is a refusal that holds for calls of the same cost and above.
+	// denial is a refusal that applies to calls of the same cost and above.
 	denial struct {
 		cost        int64
 		until       time.Time
-		freeAt      time.Time // when the tokens were said to be free
+		freeAt      time.Time // when the home expects the tokens to be free
 		unreachable bool      // the home did not answer
 	}
 
@@ -47,7 +48,8 @@
 	}
 )
 
-// Spend takes the cost of a call out of the block, if that holds as much.
+// Spend deducts a call's cost from the block. It reports false if the block has
+// expired or holds too few tokens.
 func (l *Local) Spend(now time.Time, account string, cost int64) bool {
 	u := l.accounts[account]
 	if u == nil || !now.Before(u.until) || u.left < cost {
@@ -57,16 +59,16 @@
 	return true
 }
 
-// Ask is the ask for the cost of a call that Spend refused.
+// Request returns the request for the cost of a call that Spend refused.
 func (l *Local) Request(now time.Time, account string, cost int64) Request {
 	a := l.Report(now, account)
 	a.Tokens = cost
 	return a
 }
 
-// Take notes the answer to an ask that was sent at a time, and spends the
-// call's cost. It reports whether the call may go on. An answer that came too
-// late to be spent is counted as granted all the same.
+// Apply applies the answer to a request that was sent at the time sent, and spends
+// the call's cost. It reports whether the call may proceed. Tokens of an answer
+// that arrives too late to be spent count as granted nevertheless.
 func (l *Local) Apply(now, sent time.Time, req Request, a Answer) bool {
 	if !a.OK {
 		return false
@@ -86,8 +88,9 @@
 	return true
 }
 
-// Opening counts a program that is about to be opened, and returns the ask.
-// It is false if the program is counted already. Opened or Closed follows.
+// Opening counts a program that is about to be opened, and returns the request to
+// send. It is false if the program is counted already. Otherwise Opened or Closed
+// must follow.
 func (l *Local) Opening(now time.Time, account, name string) (Request, bool) {
 	if !l.Add(account, name) {
 		return Request{}, false
@@ -98,14 +101,14 @@
 	return a, true
 }
 
-// Opened ends an opening that went well.
+// Opened marks a program as open after its request was granted.
 func (l *Local) Opened(name string) {
 	if p := l.programs[name]; p != nil {
 		p.opening = false
 	}
 }
 
-// Add counts an open program. It is false if it is counted already.
+// Add counts an open program. It reports false if the program is counted already.
 func (l *Local) Add(account, name string) bool {
 	if _, known := l.programs[name]; known {
 		return false
@@ -118,7 +121,7 @@
 	return true
 }
 
-// Closed counts a program no more.
+// Closed stops counting a program.
 func (l *Local) Closed(name string) {
 	p := l.programs[name]
 	if p == nil {
@@ -128,7 +131,7 @@
 	l.accounts[p.account].open--
 }
 
-// Programs returns the programs that are counted and not just being opened.
+// Programs returns the counted programs, without those being opened.
 func (l *Local) Programs() []string {
 	out := make([]string, 0, len(l.programs))
 	for name, p := range l.programs {
@@ -139,11 +142,12 @@
 	return out
 }
 
-// Knows reports whether the program is counted.
+// Counted reports whether the program is counted.
 func (l *Local) Counted(name string) bool { return l.programs[name] != nil }
 
-// Deny notes that the cost was refused and would be free after a time. For a
-// second, such calls are refused without a message to the home.
+// Deny records that a call of the cost was refused and that the tokens are
+// expected to be free after the given time. For at most denialTTL, Denied then
+// refuses such calls without a message to the home.
 func (l *Local) Deny(now time.Time, account string, cost int64, after time.Duration) {
 	if after <= 0 {
 		return
@@ -151,13 +155,15 @@
 	l.usage(account).denied = denial{cost: cost, until: now.Add(min(after, denialTTL)), freeAt: now.Add(after)}
 }
 
-// Silent notes that the home did not answer, and is not to be asked for a time.
+// DenyUnreachable records that the home did not answer. For the given time, Denied
+// then refuses all calls without a message to the home.
 func (l *Local) DenyUnreachable(now time.Time, account string, after time.Duration) {
 	l.usage(account).denied = denial{until: now.Add(after), freeAt: now.Add(after), unreachable: true}
 }
 
-// Denied returns for how long a call of the cost is still refused, or 0, and
-// whether that is because the home did not answer.
+// Denied returns the time until the tokens for a call that is refused without a
+// message are expected to be free, and whether it is refused because the home did
+// not answer. It returns 0 for a call that is not refused.
 func (l *Local) Denied(now time.Time, account string, cost int64) (after time.Duration, unreachable bool) {
 	u := l.accounts[account]
 	if u == nil || cost < u.denied.cost || !now.Before(u.denied.until) {
@@ -166,9 +172,9 @@
 	return u.denied.freeAt.Sub(now), u.denied.unreachable
 }
 
-// Charged reports whether a call was charged before, so that a repeat isn't
-// charged twice. It knows the last 64 numbers of programs opened or taken over
-// here; older ones and other programs count as not charged.
+// Charged reports whether a call was charged before, so that a repeat isn't charged
+// twice. It covers the last 64 call numbers of programs opened or taken over by
+// this daemon; older calls and other programs count as not charged.
 func (l *Local) Charged(account, name string, number int) bool {
 	p := l.programs[name]
 	if p == nil || p.account != account {
@@ -187,7 +193,7 @@
 	}
 }
 
-// Charge notes that a call was charged.
+// Charge records that a call was charged.
 func (l *Local) Charge(account, name string, number int) {
 	p := l.programs[name]
 	if p == nil || p.account != account {
@@ -202,7 +208,7 @@
 	}
 }
 
-// Uncharge forgets that a call was charged, because a repeat runs again.
+// Uncharge clears the record that a call was charged, because a repeat runs again.
 func (l *Local) Uncharge(name string, number int) {
 	p := l.programs[name]
 	if p == nil {
@@ -213,7 +219,7 @@
 	}
 }
 
-// Report is what a home needs to know of an account.
+// Report returns the report of an account's use for its home.
 func (l *Local) Report(now time.Time, account string) Request {
 	l.Serial++
 	a := Request{Account: account, Daemon: l.Daemon, Serial: l.Serial}
@@ -224,8 +230,8 @@
 	return a
 }
 
-// Reports returns a report for each account with programs open or tokens
-// granted, and frees the others.
+// Reports returns a report for each account with open programs, recent grants or
+// an unexpired block, and removes the others.
 func (l *Local) Reports(now time.Time) []Request {
 	out := make([]Request, 0, len(l.accounts))
 	for name, u := range l.accounts {
--- a/internal/prog/quota/open_test.go
+++ b/internal/prog/quota/open_test.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// An account may have four programs open. If daemons counted apart it would get
-// four at each; if ends were not told, none after a while.
+// An account may have four programs open. If each daemon counted for itself, it
+// could open four at each; if the ends of programs were not reported, it could
+// open none after a while.
 func TestPrograms(t *testing.T) {
 	cases := map[string]struct {
 		run    func(f *fleet)
--- a/internal/prog/quota/quota.go
+++ b/internal/prog/quota/quota.go
@@ -1,67 +1,70 @@
-// Package quota keeps an account within its limits across all daemons: tokens
-// of model calls a minute, and programs open at a time.
+// Package quota enforces an account's limits across all daemons: tokens of model
+// calls per minute, and programs open at the same time.
 //
-// Each account has a home, the daemon that owns the shard of the account's
-// name. Home is the record kept there, in memory only. Every other daemon keeps a
-// Local: it asks the home for tokens, gets some more than the call at hand needs
-// and spends them within BlockLife, so that not each call costs a message. An
-// ask says what the asker was granted lately and what it has open; a new home
-// learns the truth from these.
+// Each account has a home, the daemon that owns the shard of the account's name.
+// The home keeps the account's state in a Home, in memory only. Each daemon keeps
+// a Local: it requests tokens from the home, gets a block that is larger than the
+// current call needs, and spends it within BlockTTL, so that most calls cost no
+// message. Each request reports the tokens that the daemon was granted recently
+// and its open programs; a new home rebuilds its state from these reports.
 //
-// Both are plain state: their users pass the time in, carry Ask and Answer
-// between them and guard them against concurrent use.
+// Home and Local are plain state: their users pass in the time, transfer Request
+// and Answer between them and synchronize access.
 package quota
 
 import "time"
 
 const (
-	// Period is the time for which a limit of tokens holds.
+	// Period is the sliding window of the token limit.
 	Period = time.Minute
-	// BlockLife is how long after its ask was sent a block may be spent.
+	// BlockTTL is how long a block may be spent, from when its request was sent.
 	BlockTTL = 2 * time.Second
-	// ReportEvery is how often a daemon reports the programs that it has open.
+	// ReportInterval is the time between a daemon's reports of its open programs.
 	ReportInterval = 3 * time.Second
 
-	// claimKeep is how long an asker tells of a grant: as long as tokens of it
-	// can have been spent within the last minute.
+	// claimRetention is how long a daemon reports a grant: as long as tokens of
+	// it may have been spent within the last minute.
 	claimRetention = Period + BlockTTL
-	// grantKeep is how long the home counts a grant. The asker dates a grant
-	// by its ask, so before the home does, and both count whole seconds. Were
-	// the home to forget a grant first, the next ask would bring it back as
-	// news, and an account would get half of its limit.
+	// grantRetention is how long the home counts a grant. The daemon dates a
+	// grant by the time of its request, so earlier than the home, and both count
+	// in whole seconds. If the home dropped a grant first, the next request would
+	// report it and the home would count it again as a new one: an account would
+	// get half of its limit.
 	grantRetention = claimRetention + 2*time.Second
-	// openKeep is how long the home believes a count without a new report.
+	// reportTTL is how long the home uses a daemon's count of open programs
+	// without a new report.
 	reportTTL = 5 * ReportInterval
 
-	// The tokens that an asker gets beyond its call are at most this part of
-	// the limit and of what is free, so that blocks shrink towards the end.
+	// The tokens that a daemon gets beyond its call's cost are at most this part,
+	// 1/64 and 1/16, of the limit and of the free tokens, so that blocks shrink
+	// as the limit is approached.
 	limitDivisor = 64
 	freeDivisor  = 16
 )
 
 type (
-	// Ask is what a daemon asks of an account's home. Without Tokens and
-	// Programs it is a report.
+	// Request is a daemon's request to an account's home. Without Tokens and
+	// Programs it is only a report.
 	Request struct {
 		Account  string `json:"account"`
 		Daemon   string `json:"daemon"`
-		Serial   int64  `json:"serial"`             // grows from ask to ask of one daemon
-		Tokens   int64  `json:"tokens,omitempty"`   // wanted
+		Serial   int64  `json:"serial"`             // increases with each request of a daemon
+		Tokens   int64  `json:"tokens,omitempty"`   // requested
 		Programs int    `json:"programs,omitempty"` // to be opened
-		Granted  int64  `json:"granted,omitempty"`  // tokens, lately, by any home
-		Open     int    `json:"open,omitempty"`     // programs, those being opened included
+		Granted  int64  `json:"granted,omitempty"`  // tokens granted within claimRetention, by any home
+		Open     int    `json:"open,omitempty"`     // open programs, including those being opened
 	}
 
-	// Answer is what the home grants. OK is false if it refuses.
+	// Answer is the home's answer to a Request. OK is false if it refuses.
 	Answer struct {
 		OK     bool          `json:"ok"`
 		Tokens int64         `json:"tokens,omitempty"`
-		Retry  time.Duration `json:"retry,omitempty"` // zero: the call will never fit
+		Retry  time.Duration `json:"retry,omitempty"` // after a refusal; zero: the call exceeds the limit by itself
 	}
 
-	// Limit is what an account may use; zero is no limit.
+	// Limit is an account's limits; zero is unlimited.
 	Limit struct {
-		Tokens   int64 // a minute
+		Tokens   int64 // per minute
 		Programs int
 	}
 )
--- a/internal/prog/quota/quota_test.go
+++ b/internal/prog/quota/quota_test.go
@@ -10,7 +10,7 @@
 var limit = Limit{Tokens: 6400, Programs: 4}
 
 type (
-	// fleet is some daemons and the homes that an account had.
+	// fleet is a number of daemons and the successive homes of one account.
 	fleet struct {
 		now    time.Time
 		homes  []*Home
@@ -36,7 +36,7 @@
 	return f
 }
 
-// clock is the time as a daemon sees it.
+// clock returns the time on a daemon's clock.
 func (f *fleet) clock(i int) time.Time { return f.now.Add(f.skew[i]) }
 
 func (f *fleet) advance(d time.Duration) { f.now = f.now.Add(d) }
@@ -48,7 +48,7 @@
 
 func (f *fleet) restart(i int) { f.locals[i] = &Local{Daemon: f.locals[i].Daemon, Serial: 1 << 30} }
 
-// call lets a daemon admit a call, and reports whether it may.
+// call has a daemon decide on a call and reports whether it is admitted.
 func (f *fleet) call(i int, cost int64) bool {
 	if f.locals[i].Spend(f.clock(i), "acct", cost) {
 		return f.count(cost)
@@ -77,7 +77,7 @@
 	}
 }
 
-// peak is the highest sum of tokens in any minute.
+// peak returns the highest sum of tokens in any minute.
 func (f *fleet) peak() int64 {
 	peak, sum, first := int64(0), int64(0), 0
 	for _, c := range f.spent {
@@ -91,14 +91,13 @@
 	return peak
 }
 
-// A limit that each daemon counted for itself would let an account use as many
-// times its limit as there are daemons; one that forgot too late would refuse
-// callers who are within it.
+// If each daemon counted for itself, an account could use its limit once per
+// daemon; if grants expired too late, callers within the limit would be refused.
 func TestTokens(t *testing.T) {
 	cases := map[string]struct {
 		run      func(f *fleet)
 		peak     int64 // the highest sum in a minute that is allowed
-		minTotal int64 // what must have been let in
+		minTotal int64 // that must have been admitted
 	}{
 		"one daemon uses all": {
 			run:  func(f *fleet) { f.exhaust(0, 100) },
@@ -203,9 +202,9 @@
 	}
 }
 
-// A caller that is refused comes back when it was told to. Were the hint too
-// early, it would be refused again and again; were it missing where the call
-// can never fit, it would come back for ever.
+// A refused caller retries after the time in the answer. If that is too short, it
+// is refused again and again; if a call that can never fit got one, it would be
+// retried for ever.
 func TestRetryHint(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
@@ -221,8 +220,8 @@
 	is.Equal(never, Answer{})
 }
 
-// While an account is over its limit its callers go on asking. If each of them
-// cost a message, a home would be busiest with those who get nothing.
+// Callers of an account that is over its limit keep sending calls. If each call
+// cost a message, the home's load would be highest for refused calls.
 func TestDenied(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
@@ -237,15 +236,15 @@
 	denied(100, 20*time.Second, false)
 	denied(99, 0, false) // a smaller call may fit
 	f.advance(denialTTL)
-	denied(100, 0, false) // time to ask again
+	denied(100, 0, false) // expired: the home is asked again
 	l.DenyUnreachable(f.now, "acct", time.Second)
 	denied(1, time.Second, true)
 	f.advance(time.Second)
 	denied(1, 0, false)
 }
 
-// A caller repeats a call whose answer it lost. If each repeat were charged, a
-// bad line would use up an account.
+// A caller repeats a call whose answer it lost. If each repeat were charged, a bad
+// connection would exhaust the account's limit.
 func TestChargedOnce(t *testing.T) {
 	is := is.New(t)
 	l := &Local{Daemon: "a"}
@@ -256,7 +255,7 @@
 	is.True(!l.Charged("acct", "p", 3))
 	l.Charge("acct", "p", 5)
 	is.True(l.Charged("acct", "p", 5))
-	is.True(!l.Charged("acct", "p", 4)) // skipped numbers are not free
+	is.True(!l.Charged("acct", "p", 4)) // skipped numbers count as not charged
 	is.True(!l.Charged("acct", "p", 3))
 	l.Charge("acct", "p", 4)
 	is.True(l.Charged("acct", "p", 4))
@@ -264,11 +263,11 @@
 	is.True(!l.Charged("acct", "p", 4))
 	is.True(!l.Charged("other", "p", 5)) // another account's program
 	l.Charge("acct", "p", 500)
-	is.True(!l.Charged("acct", "p", 5)) // too old to be known
+	is.True(!l.Charged("acct", "p", 5)) // older than the history
 }
 
-// Tens of thousands of accounts come and go. What is kept of those that are
-// idle would grow for as long as a daemon lives.
+// Tens of thousands of accounts are used for a while. If the state of idle ones
+// were kept, memory would grow for as long as a daemon runs.
 func TestIdleAccountsAreFreed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
--- a/internal/prog/quota/random_test.go
+++ b/internal/prog/quota/random_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// message is an ask under way to the home, or its answer under way back.
+// message is a request on its way to the home, or the answer on its way back.
 type message struct {
 	from     int
 	sent     time.Time
@@ -20,10 +20,9 @@
 	answered bool
 }
 
-// Messages cross and get lost, clocks differ, daemons die and come back without
-// memory, and homes move. Whatever happens, no minute may see more than the
-// limit for each home that granted within it; if no home moved, that is the
-// limit itself.
+// Messages are reordered and lost, clocks differ, daemons restart without state,
+// and homes move. No minute may see more than the limit once for each home that
+// the account had; if the home never moved, that is the limit itself.
 func TestAnyOrder(t *testing.T) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		t.Fatal(err)
@@ -62,12 +61,12 @@
 			}
 		}
 		if peak := f.peak(); peak > limit.Tokens*int64(len(f.homes)) {
-			rt.Fatalf("%d tokens in a minute after %d homes", peak, len(f.homes))
+			rt.Fatalf("%d tokens in one minute with %d successive homes", peak, len(f.homes))
 		}
 	})
 }
 
-// ask admits a call out of the block, or puts an ask on its way.
+// ask admits a call from the block, or returns the request to the home.
 func (f *fleet) ask(i int, cost int64) []message {
 	now := f.clock(i)
 	if f.locals[i].Spend(now, "acct", cost) {
@@ -77,7 +76,7 @@
 	return []message{{from: i, sent: now, ask: f.locals[i].Request(now, "acct", cost)}}
 }
 
-// carry brings one message to its end, in any order.
+// deliver delivers one of the messages in flight; at selects it.
 func (f *fleet) deliver(inFlight []message, at int) []message {
 	if len(inFlight) == 0 {
 		return inFlight
@@ -93,9 +92,9 @@
 	return rest
 }
 
-// Daemons that always ask the same home must get nearly the whole limit minute
-// after minute: were the home to take an asker's report of its own grants for
-// news, it would count them twice, and the account would get half.
+// Daemons that always use the same home must get nearly the whole limit in every
+// minute: if the home took a daemon's report of the home's own grants for grants
+// of another home, it would count them twice, and the account would get half.
 func TestLimitIsReached(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(5)
@@ -138,8 +137,8 @@
 	}
 }
 
-// BenchmarkMemory measures the bytes of one account at its home, with one
-// daemon that asked in each of ten seconds of a minute.
+// BenchmarkMemory measures the bytes of one account at its home, with one daemon
+// that requested tokens in ten different seconds of a minute.
 func BenchmarkMemory(b *testing.B) {
 	const accounts = 10_000
 	for b.Loop() {
--- a/internal/prog/quota/window.go
+++ b/internal/prog/quota/window.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// window is a sliding sum of tokens, kept by the second. Times are counted from
-// a moment that its user chooses, so that a step of the wall clock doesn't
-// matter. The zero value is empty.
+// window is a sliding sum of tokens in buckets of one second. Times are durations
+// since a start that its user chooses, so that steps of the wall clock have no
+// effect. The zero value is empty.
 type window struct {
-	buckets []bucket // by ascending second
+	buckets []bucket // in ascending order
 	sum     int64
 }
 
-// part is what was added in one second.
+// bucket holds the tokens added in one second.
 type bucket struct {
 	second int64
 	tokens int64
@@ -32,7 +32,7 @@
 	w.buckets = append(w.buckets, bucket{s, n})
 }
 
-// trim drops the seconds that lie at least keep back.
+// trim drops the buckets that ended at least keep ago, in whole seconds.
 func (w *window) trim(now time.Duration, keep time.Duration) {
 	first := int64((now - keep) / time.Second)
 	n := 0
@@ -45,7 +45,7 @@
 	}
 }
 
-// since returns the sum of the seconds that begin after a time.
+// since returns the sum of the buckets that begin after first.
 func (w *window) since(first time.Duration) int64 {
 	n := int64(0)
 	for i := len(w.buckets) - 1; i >= 0 && time.Duration(w.buckets[i].second)*time.Second > first; i-- {
@@ -54,8 +54,8 @@
 	return n
 }
 
-// frees returns how long it takes until n tokens have left the sum, or 0 if it
-// never holds as many.
+// waitFor returns how long it takes until n tokens have left the window, or 0 if
+// it holds fewer than n.
 func (w *window) waitFor(now time.Duration, n int64, keep time.Duration) time.Duration {
 	for _, p := range w.buckets {
 		if n -= p.tokens; n <= 0 {
@@ -65,7 +65,7 @@
 	return 0
 }
 
-// elapsed is the time since start, which the first use sets.
+// elapsed returns the time since start, which the first call sets to now.
 func elapsed(start *time.Time, now time.Time) time.Duration {
 	if start.IsZero() {
 		*start = now
--- a/internal/prog/record/codec.go
+++ b/internal/prog/record/codec.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// MaxUnit bounds one unit, in bytes, so that an entry with a unit in it
-	// stays below the store's largest value even if nothing compresses.
+	// MaxUnit is the largest unit, in bytes. It keeps an entry with a unit in it
+	// below the store's largest value even if the data does not compress.
 	MaxUnit = 384 << 10
-	// MaxUnits bounds the units of one entry together, in bytes.
+	// MaxUnits is the largest total size of an entry's units, in bytes.
 	MaxUnits = 768 << 10
 
 	magic      = "slj1"
@@ -29,7 +29,7 @@
 	// Unit is an encoded record or a piece of one.
 	Unit = cbor.RawMessage
 
-	// Entry is one value of a journal's chain.
+	// Entry is one entry of a journal, stored as one value.
 	Entry struct {
 		Shard  int    `json:"shard"`
 		Number uint64 `json:"number"`
@@ -39,8 +39,9 @@
 		Units  []Unit `json:"units"`
 	}
 
-	// Joiner puts the pieces of large records together again. The zero value
-	// is ready; one Joiner reads the entries of one chain in order.
+	// Reassembler decodes records and joins the pieces of large ones. The zero
+	// value is ready for use; one Reassembler reads the entries of one journal
+	// in order.
 	Reassembler struct {
 		id    uint64
 		next  int
@@ -48,7 +49,7 @@
 		buf   []byte
 	}
 
-	// CorruptError reports bytes that are no journal value.
+	// CorruptError reports bytes that are not a valid journal value.
 	CorruptError struct{ Reason string }
 
 	unit struct {
@@ -84,11 +85,11 @@
 	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxDecoded))
 )
 
-// Error names what is wrong with the bytes.
+// Error returns the reason with a prefix.
 func (e *CorruptError) Error() string { return "record: corrupt: " + e.Reason }
 
 // Units encodes a record. A record larger than MaxUnit becomes several pieces
-// that share id, which must differ between the records of one chain.
+// with the given id, which must differ between the records of one journal.
 func Units(r Record, id uint64) (us []Unit, err error) {
 	defer func() { err = errors.Wrapf(err, "record: encode %T", r) }()
 	body, err := encoding.Marshal(r)
@@ -114,9 +115,9 @@
 	return us, nil
 }
 
-// Records decodes an entry's units. A record whose pieces are not all there
-// yet comes with the entry that holds the last of them. Pieces that are never
-// completed belong to a writer that lost the shard; they are dropped.
+// Records decodes an entry's units. A record in several pieces is returned with
+// the entry that holds the last of them. Pieces that are never completed belong
+// to a writer that lost the shard; they are dropped.
 func (j *Reassembler) Records(e Entry) (rs []Record, err error) {
 	defer func() { err = errors.Wrapf(err, "record: entry %d of shard %d", e.Number, e.Shard) }()
 	for _, raw := range e.Units {
@@ -165,16 +166,17 @@
 	return j.next == j.count, nil
 }
 
-// Encode returns the entry's bytes as the store keeps them.
+// Encode returns the entry's stored form.
 func (e Entry) Encode() (b []byte, err error) { return Pack(e) }
 
-// Decode reads an entry; a *CorruptError if the bytes are damaged.
+// Decode decodes an entry. Damaged bytes give a *CorruptError.
 func Decode(b []byte) (e Entry, err error) {
 	err = Unpack(b, &e)
 	return e, err
 }
 
-// Pack encodes a value with a checksum, compressed.
+// Pack encodes a value as CBOR, compresses it with zstd and prefixes a magic
+// number and a checksum of the compressed bytes.
 func Pack(v any) (b []byte, err error) {
 	defer func() { err = errors.Wrap(err, "record: pack") }()
 	plain, err := encoding.Marshal(v)
@@ -188,9 +190,9 @@
 	return b, nil
 }
 
-// Unpack reads what Pack wrote into v. Damaged bytes give a *CorruptError: a
-// value that was half written or altered would otherwise lose programs without
-// a word.
+// Unpack decodes the output of Pack into v. Damaged bytes give a *CorruptError:
+// a value that was written in part or altered would otherwise lose programs
+// silently.
 func Unpack(b []byte, v any) error {
 	if len(b) < headerSize || !bytes.Equal(b[:len(magic)], []byte(magic)) {
 		return &CorruptError{Reason: "no header"}
@@ -260,8 +262,8 @@
 	return r, nil
 }
 
-// Continues reports whether the entry begins with a further piece of a record
-// that began in the entry before it.
+// Continues reports whether the entry begins with a later piece of a record that
+// began in an earlier entry.
 func (e Entry) Continues() bool {
 	if len(e.Units) == 0 {
 		return false
--- a/internal/prog/record/codec_test.go
+++ b/internal/prog/record/codec_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A value in the store is cut short or altered. Whoever takes the shard over
-// must be told, since going on would lose programs without a word.
+// A stored value is truncated or altered. The takeover must get an error, since
+// ignoring the damage would silently lose programs.
 func TestCorruptionIsDetected(t *testing.T) {
 	whole := encode(t, sample()["ended"])
 	tests := map[string]func(b []byte) []byte{
@@ -83,8 +83,9 @@
 	}
 }
 
-// An owner dies between two pieces of a large record. The next owner's records
-// follow, and the half record must neither fail the takeover nor appear.
+// An owner crashes between two pieces of a large record, and the next owner's
+// records follow. The incomplete record must neither fail the takeover nor be
+// returned.
 func TestIncompleteRecordIsDropped(t *testing.T) {
 	is := is.New(t)
 	big := record.Ended{Program: "p", Call: hist.Call{Asked: string(make([]byte, 2*record.MaxUnit))}}
@@ -104,7 +105,7 @@
 	is.Equal(rs[0], took)
 	_, err = j.Records(record.Entry{Number: 3, Units: us[1:]})
 	var c *record.CorruptError
-	is.True(errors.As(err, &c)) // a piece without its first
+	is.True(errors.As(err, &c)) // a piece whose predecessors are missing
 }
 
 func FuzzDecode(f *testing.F) {
@@ -117,7 +118,7 @@
 		if err != nil {
 			var c *record.CorruptError
 			if !errors.As(err, &c) {
-				t.Fatalf("untyped error %v", err)
+				t.Fatalf("error is not a *CorruptError: %v", err)
 			}
 			return
 		}
@@ -125,7 +126,8 @@
 	})
 }
 
-// FuzzUnits goes behind the checksum, which random bytes seldom pass.
+// FuzzUnits fuzzes the units directly: random bytes hardly ever pass the
+// checksum.
 func FuzzUnits(f *testing.F) {
 	for _, r := range sample() {
 		us, err := record.Units(r, 1)
@@ -140,6 +142,6 @@
 	_, err := j.Records(e)
 	var c *record.CorruptError
 	if err != nil && !errors.As(err, &c) {
-		t.Fatalf("untyped error %v", err)
+		t.Fatalf("error is not a *CorruptError: %v", err)
 	}
 }
--- a/internal/prog/record/record.go
+++ b/internal/prog/record/record.go
@@ -1,11 +1,10 @@
-// Package record holds what a shard's journal says of its programs, and the
-// bytes in which it says it.
+// Package record defines the records of a shard's journal and their encoding.
 //
-// A journal is a chain of entries, each written once. An entry names the epoch
-// of the owner that wrote it and a nonce of that one write, so that a writer
-// whose acknowledgement was lost finds out whether an entry is its own. It
-// carries units: a unit is one encoded record, or a piece of a record that is
-// too large for one entry.
+// A journal is a chain of entries, each written once. An entry has the epoch of
+// the owner that wrote it and a nonce that is unique to the write, so that a
+// writer whose acknowledgement was lost can tell whether an entry is its own.
+// It carries units: a unit is one encoded record, or a piece of a record that
+// is too large for one entry.
 package record
 
 import (
@@ -16,21 +15,22 @@
 )
 
 type (
-	// Record is one fact about a program. Facts are only ever added.
+	// Record is one event of a program. Records are only ever appended.
 	Record interface {
-		// Subject is the id of the program that the fact is about.
+		// Subject returns the id of the program that the record is about;
+		// empty if it is about the whole shard.
 		Subject() string
 	}
 
-	// Took opens an epoch: Owner has the shard from here on.
+	// Acquired begins an epoch: from here on Owner owns the shard.
 	Acquired struct {
 		Epoch uint64    `json:"epoch"`
 		Owner string    `json:"owner"`
 		At    time.Time `json:"at"`
 	}
 
-	// Opened adds a program. Reserved is the first block of a root's budget;
-	// sub-agents have none.
+	// Opened adds a program. Reserved is the first block of a root's budget, in
+	// tokens; sub-agents have no budget of their own.
 	Opened struct {
 		Open     call.Open `json:"open"`
 		Budget   int64     `json:"budget"`
@@ -40,33 +40,33 @@
 		At       time.Time `json:"at"`
 	}
 
-	// Reserved sets how much of a root's budget may be spent before the next
-	// Reserved. After a crash the whole of it counts as spent.
+	// Reserved sets how many tokens of a root's budget, in total, may be spent
+	// until the next Reserved. After a crash all of them count as spent.
 	Reserved struct {
 		Program string `json:"program"`
 		Total   int64  `json:"total"`
 	}
 
-	// Intent comes before a non-idempotent call's first attempt. An intent
-	// without an Ended is never attempted again by anybody.
+	// Intent precedes the first attempt of a non-idempotent call. A call with
+	// an Intent and no Ended is never attempted again, by any owner.
 	Intent struct {
 		Program string    `json:"program"`
 		Call    hist.Call `json:"call"`
 	}
 
-	// Ended is the outcome of a call. Tokens is what it cost its root.
+	// Ended is the outcome of a call. Tokens is its cost to the root's budget.
 	Ended struct {
 		Program string    `json:"program"`
 		Call    hist.Call `json:"call"`
 		Tokens  int64     `json:"tokens"`
-		Final   bool      `json:"final"` // a repeat gets this outcome and doesn't run
-		Head    bool      `json:"head"`  // it was the program's next call: the one after it may run
+		Final   bool      `json:"final"` // a repeat gets this outcome and is not run
+		Head    bool      `json:"head"`  // it was the program's next call in order, so the one after it may run
 	}
 
-	// Moved tells of a call whose attempt was under way when its owner handed
-	// the shard over. The former owner's daemon goes on with the attempt and
-	// tells the new owner how it ends. Hold is what the call may cost in all,
-	// Cost what its attempts that failed before may have cost of that.
+	// Moved is a call with an attempt in flight when its owner handed the shard
+	// over. The former owner's daemon continues the attempt and reports its
+	// outcome to the new owner. Hold is the most that the call may cost in all,
+	// in tokens, and Cost what its earlier, failed attempts may have cost of it.
 	Moved struct {
 		Program string    `json:"program"`
 		Call    hist.Call `json:"call"`
@@ -75,8 +75,8 @@
 		Cost    int64     `json:"cost,omitempty"`
 	}
 
-	// Holders tells where a text is that the journal refers to already: a
-	// holder was lost and the text was copied to another.
+	// Holders updates the holders of a text that the journal refers to already:
+	// one was lost, and the text was copied to another.
 	Holders struct {
 		Blob hist.Blob `json:"blob"`
 	}
@@ -89,10 +89,10 @@
 	}
 )
 
-// Subject is empty: an epoch is about the whole shard.
+// Subject is empty: an epoch concerns the whole shard.
 func (Acquired) Subject() string { return "" }
 
-// Subject is the program opened.
+// Subject is the opened program.
 func (r Opened) Subject() string { return r.Open.Program }
 
 // Subject is the root whose budget is reserved.
@@ -107,7 +107,7 @@
 // Subject is the calling program.
 func (r Moved) Subject() string { return r.Program }
 
-// Subject is empty: programs of the shard with the same text share a blob.
+// Subject is empty: all programs of the shard with the same text share a blob.
 func (Holders) Subject() string { return "" }
 
 // Subject is the program that ended.
--- a/internal/prog/result/result.go
+++ b/internal/prog/result/result.go
@@ -1,8 +1,8 @@
-// Package result holds the outcome of one request, as its caller is told it
-// and as the history keeps it.
+// Package result defines the outcome of one request, as it is returned to the
+// caller and stored in the history.
 //
-// Ran is a promise. No is said only where it is proved that the request did
-// not run and never will; where that can't be proved it is Unknown.
+// Ran is a guarantee. It is No only if it is proved that the request did not run
+// and never will; if that can't be proved it is Unknown.
 package result
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	// No means that the request did not run and will not.
+	// No means that the request did not run and never will.
 	No Ran = "no"
 	// Yes means that the request ran.
 	Yes Ran = "yes"
-	// Unknown means that nobody can tell.
+	// Unknown means that the request may or may not have run.
 	Unknown Ran = "unknown"
 )
 
-// The codes of outcomes; they are part of the callers' interface.
+// The codes of outcomes. They are part of the API.
 const (
 	CodeOK             Code = "ok"
 	CodeBadRequest     Code = "bad_request"
@@ -44,10 +44,10 @@
 )
 
 type (
-	// Ran tells whether a request ran.
+	// Ran says whether a request ran.
 	Ran string
 
-	// Code names the kind of an outcome.
+	// Code is the kind of an outcome.
 	Code string
 
 	// Result is the outcome of one request. The zero value is no outcome.
@@ -55,7 +55,7 @@
 		Code        Code          `json:"code"`
 		Message     string        `json:"message,omitempty"`
 		Ran         Ran           `json:"ran"`
-		Status      int           `json:"status"` // HTTP status for the caller
+		Status      int           `json:"status"` // HTTP status of the response
 		RetryAfter  time.Duration `json:"retry_after,omitempty"`
 		ContentType string        `json:"content_type,omitempty"`
 		Body        []byte        `json:"body,omitempty"`     // the whole answer: a service's body, or a model's text
@@ -102,7 +102,7 @@
 // OK reports whether the request succeeded.
 func (r Result) OK() bool { return r.Code == CodeOK }
 
-// WithRetryAfter returns the result with a hint when to come back.
+// WithRetryAfter returns the result with a hint how long to wait before a retry.
 func (r Result) WithRetryAfter(d time.Duration) Result {
 	r.RetryAfter = d
 	return r
--- a/internal/prog/state/state.go
+++ b/internal/prog/state/state.go
@@ -1,10 +1,11 @@
-// Package state folds a shard's journal into the programs it tells of.
+// Package state rebuilds a shard's programs from the records of its journal.
 //
-// Fold is what is durable: the same records in the same order always give the
-// same Fold, whether they come from the journal at a takeover or from the
-// owner's own commits. The owner keeps what is under way beside it, and a
-// snapshot is a Fold written out. Texts stay in the journal; a program
-// remembers which entries hold its records.
+// Fold is the durable state, computed by applying records in journal order.
+// The same records in the same order always give the same Fold, whether they
+// are replayed from the journal at a takeover or committed by the owner itself.
+// The owner keeps the calls in progress separately, and a snapshot is a
+// serialized Fold. The texts of calls stay in the journal or, if they are long,
+// in data folders; a program keeps the numbers of the entries with its records.
 package state
 
 import (
@@ -22,8 +23,8 @@
 )
 
 const (
-	// KeepBody is the largest answer, in bytes, that stays in memory for a
-	// repeat of a program's last call; a larger one is read from the journal.
+	// MaxCachedBody is the largest answer, in bytes, that is kept in memory for
+	// a repeat of a program's last call; a larger one is read from the journal.
 	MaxCachedBody = 16 << 10
 )
 
@@ -38,29 +39,30 @@
 		Config      uint64            `json:"config"`
 		Opened      time.Time         `json:"opened"`
 		Active      time.Time         `json:"active"`
-		Next        int               `json:"next"`  // one above the highest call that ended
-		Turns       int               `json:"turns"` // calls that ended
-		Last        hist.Call         `json:"last"`  // the newest outcome, without the question
-		Final       bool              `json:"final"` // a repeat of Last doesn't run
-		BodyDropped bool              `json:"dropped"`
-		Intents     map[int]hist.Call `json:"intents,omitempty"` // by call number; no outcome yet
-		Moved       *record.Moved     `json:"moved,omitempty"`   // its attempt was under way at a handover
+		Next        int               `json:"next"`              // one above the highest call number that ended
+		Turns       int               `json:"turns"`             // calls that ended, without those that did not run
+		Last        hist.Call         `json:"last"`              // newest call that ended in order, without request text
+		Final       bool              `json:"final"`             // a repeat of Last gets the same outcome and is not run
+		BodyDropped bool              `json:"dropped"`           // the answer of Last is not in memory
+		Intents     map[int]hist.Call `json:"intents,omitempty"` // by call number; without an outcome so far
+		Moved       *record.Moved     `json:"moved,omitempty"`   // a call with an attempt in flight at a handover
 		Tokens      Size              `json:"size"`
-		Engines     []string          `json:"engines,omitempty"`  // that ran its model calls, and may hold memory for it
-		Entries     []uint64          `json:"entries,omitempty"`  // journal entries
-		Segments    []uint64          `json:"segments,omitempty"` // compacted journal
+		Engines     []string          `json:"engines,omitempty"`  // upstreams of its model calls; may hold KV cache for it
+		Entries     []uint64          `json:"entries,omitempty"`  // journal entries with its records
+		Segments    []uint64          `json:"segments,omitempty"` // of the compacted journal
 		Closed      string            `json:"closed,omitempty"`
 	}
 
-	// Size is the length of the conversation at the newest model call.
+	// Size is the length of the conversation at the newest successful model
+	// call.
 	Size struct {
-		Prompt int `json:"prompt"` // tokens, as the engine counted
+		Prompt int `json:"prompt"` // tokens, as counted by the engine
 		Output int `json:"output"`
-		Bytes  int `json:"bytes"` // of the request's body
+		Bytes  int `json:"bytes"` // size of the request's body
 	}
 
-	// Text is a text in data folders. Entry is the journal entry that told of
-	// it last.
+	// Text is a text in data folders. Entry is the newest journal entry that
+	// refers to it.
 	Text struct {
 		Blob  hist.Blob
 		Entry uint64
@@ -73,27 +75,28 @@
 		Owner    string              `json:"owner"`
 		Programs map[string]*Program `json:"programs"`
 
-		// Texts has the texts in data folders that records after the newest
-		// snapshot refer to, by digest, and Older those that the snapshot
-		// named when it was loaded. Older serves a takeover alone: whoever
-		// looks after the texts takes them from it, and an owner that goes on
-		// without it holds no list that grows with the history.
+		// Texts holds, by digest, the texts in data folders that records after
+		// the newest snapshot refer to, SnapshotTexts those that the snapshot
+		// listed when it was loaded. SnapshotTexts is used only at a takeover:
+		// the component that maintains the copies of the texts reads it once,
+		// and the owner then clears it, so that no list in its memory grows
+		// with the history.
 		Texts         map[string]Text      `json:"-"`
 		SnapshotTexts map[string]hist.Blob `json:"-"`
 
-		// Gone has the hash of each root program that ended and left memory
-		// with all its sub-agents, and the position of the index value that
-		// knows the family's journal entries.
+		// Gone maps the hash of each root program that was removed from memory
+		// after it and all its sub-agents had ended to the position of the
+		// snapshot's index value that lists the family's journal entries.
 		Gone map[uint64]uint32 `json:"-"`
 	}
 )
 
-// Hash is the number under which an ended family is remembered, and by which
-// request ids name the family.
+// Hash identifies a program's family, a root with all its sub-agents, in
+// Fold.Gone and in request ids.
 func Hash(program string) uint64 { return xxhash.Sum64String(call.Root(program)) }
 
-// Apply adds a record that entry n holds. A record that can't follow on what
-// is known is an error: it means that the journal was altered.
+// Apply applies a record of entry n. A record of a program that was never
+// opened is an error: it means that the journal was altered.
 func (f *Fold) Apply(n uint64, r record.Record) error {
 	if f.Programs == nil {
 		f.Programs = map[string]*Program{}
@@ -163,7 +166,7 @@
 	}
 }
 
-// refer notes that entry n refers to a text, or has new holders of it.
+// addTextRef records that entry n refers to a text or changes its holders.
 func (f *Fold) addTextRef(n uint64, b *hist.Blob) {
 	if b == nil {
 		return
@@ -174,13 +177,13 @@
 	f.Texts[b.Digest] = Text{Blob: *b, Entry: n}
 }
 
-// Named forgets the texts that a snapshot up to entry upto names.
+// DropTexts removes the texts that a snapshot up to entry upto lists.
 func (f *Fold) DropTexts(upto uint64) {
 	maps.DeleteFunc(f.Texts, func(_ string, t Text) bool { return t.Entry <= upto })
 }
 
-// Known calls each for every text that the journal refers to, each text once.
-// It is complete only before Older is let go.
+// Known calls each once for every text that the journal refers to. It is
+// complete only until the owner clears SnapshotTexts.
 func (f *Fold) Known(each func(b hist.Blob)) {
 	for digest, b := range f.SnapshotTexts {
 		if _, newer := f.Texts[digest]; !newer {
@@ -214,8 +217,9 @@
 	}
 }
 
-// ran notes which engines ran a call. Whoever owns the program when it ends has them free
-// its memory, whichever daemon chose them.
+// addEngines adds the upstreams that a model call was sent to. When the program
+// ends, its owner at that time has all of them release its memory, whichever
+// daemon selected them.
 func (p *Program) addEngines(c hist.Call) {
 	if c.Kind != call.Model {
 		return
@@ -227,7 +231,8 @@
 	}
 }
 
-// Clone returns a copy that shares nothing with f that either changes later.
+// Clone returns a copy that later changes of f don't affect, and the other way
+// round. The copy has no SnapshotTexts and no Gone.
 func (f *Fold) Clone() Fold {
 	c := *f
 	c.Programs = make(map[string]*Program, len(f.Programs))
@@ -243,8 +248,8 @@
 	return c
 }
 
-// Settled reports whether the program has ended with all its records in
-// entries up to upto.
+// ClosedBy reports whether the program has ended, has no calls without an
+// outcome, and has all its records in entries up to upto.
 func (p *Program) ClosedBy(upto uint64) bool {
 	return p.Closed != "" && len(p.Intents) == 0 && p.Moved == nil && p.Entries[len(p.Entries)-1] <= upto
 }
