--- a/internal/prog/quota/open_test.go
+++ b/internal/prog/quota/open_test.go
@@ -8,11 +8,11 @@
 )
 
 func (f *fleet) open(i int, name string) bool {
-	ask, fresh := f.locals[i].Opening(f.clock(i), "acct", name)
+	req, fresh := f.locals[i].Opening(f.clock(i), "acct", name)
 	if !fresh {
 		return true
 	}
-	if f.homes[f.home].Request(f.now, ask, limit).OK {
+	if f.homes[f.home].Request(f.now, req, limit).OK {
 		f.locals[i].Opened(name)
 		f.opened++
 		return true
--- a/internal/prog/quota/quota_test.go
+++ b/internal/prog/quota/quota_test.go
@@ -54,16 +54,16 @@
 		return f.count(cost)
 	}
 	sent := f.clock(i)
-	ask := f.locals[i].Request(sent, "acct", cost)
-	a := f.homes[f.home].Request(f.now, ask, limit)
-	return f.apply(i, sent, ask, a)
+	req := f.locals[i].Request(sent, "acct", cost)
+	a := f.homes[f.home].Request(f.now, req, limit)
+	return f.apply(i, sent, req, a)
 }
 
-func (f *fleet) apply(i int, sent time.Time, ask Request, a Answer) bool {
-	if !f.locals[i].Apply(f.clock(i), sent, ask, a) {
+func (f *fleet) apply(i int, sent time.Time, req Request, a Answer) bool {
+	if !f.locals[i].Apply(f.clock(i), sent, req, a) {
 		return false
 	}
-	return f.count(ask.Tokens)
+	return f.count(req.Tokens)
 }
 
 func (f *fleet) count(cost int64) bool {
@@ -144,10 +144,10 @@
 		"an answer is late": {
 			run: func(f *fleet) {
 				sent := f.clock(0)
-				ask := f.locals[0].Request(sent, "acct", 3200)
-				a := f.homes[0].Request(f.now, ask, limit)
+				req := f.locals[0].Request(sent, "acct", 3200)
+				a := f.homes[0].Request(f.now, req, limit)
 				f.advance(BlockTTL)
-				f.apply(0, sent, ask, a)
+				f.apply(0, sent, req, a)
 			},
 			peak: 0, minTotal: 0,
 		},
--- a/internal/prog/quota/random_test.go
+++ b/internal/prog/quota/random_test.go
@@ -15,7 +15,7 @@
 type message struct {
 	from     int
 	sent     time.Time
-	ask      Request
+	request  Request
 	answer   Answer
 	answered bool
 }
@@ -38,7 +38,7 @@
 			i := rapid.IntRange(0, len(f.locals)-1).Draw(rt, "daemon")
 			switch rapid.SampledFrom([]string{"call", "call", "call", "carry", "carry", "carry", "lose", "wait", "tick", "restart", "move"}).Draw(rt, "step") {
 			case "call":
-				inFlight = append(inFlight, f.ask(i, int64(rapid.IntRange(1, 2000).Draw(rt, "cost")))...)
+				inFlight = append(inFlight, f.request(i, int64(rapid.IntRange(1, 2000).Draw(rt, "cost")))...)
 			case "carry":
 				inFlight = f.deliver(inFlight, rapid.IntRange(0, 50).Draw(rt, "message"))
 			case "lose":
@@ -66,14 +66,14 @@
 	})
 }
 
-// ask admits a call from the block, or returns the request to the home.
-func (f *fleet) ask(i int, cost int64) []message {
+// request admits a call from the block, or returns the request to the home.
+func (f *fleet) request(i int, cost int64) []message {
 	now := f.clock(i)
 	if f.locals[i].Spend(now, "acct", cost) {
 		f.count(cost)
 		return nil
 	}
-	return []message{{from: i, sent: now, ask: f.locals[i].Request(now, "acct", cost)}}
+	return []message{{from: i, sent: now, request: f.locals[i].Request(now, "acct", cost)}}
 }
 
 // deliver delivers one of the messages in flight; at selects it.
@@ -85,10 +85,10 @@
 	l := inFlight[at]
 	rest := append(append([]message(nil), inFlight[:at]...), inFlight[at+1:]...)
 	if !l.answered {
-		l.answer, l.answered = f.homes[f.home].Request(f.now, l.ask, limit), true
+		l.answer, l.answered = f.homes[f.home].Request(f.now, l.request, limit), true
 		return append(rest, l)
 	}
-	f.apply(l.from, l.sent, l.ask, l.answer)
+	f.apply(l.from, l.sent, l.request, l.answer)
 	return rest
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	h := Home{}
 	a := Request{Account: "acct", Daemon: "a", Tokens: 100}
