--- a/internal/fake/keyval/server.go
+++ b/internal/fake/keyval/server.go
@@ -88,7 +88,7 @@
 	case errors.Is(err, store.ErrNotFound):
 		a.Code = kvhttp.CodeNotFound
 	case errors.Is(err, store.ErrLeaseExpired):
-		a.Code = kvhttp.CodeLapsed
+		a.Code = kvhttp.CodeLeaseExpired
 	case errors.Is(err, store.ErrTooLarge):
 		a.Code = kvhttp.CodeTooLarge
 	case errors.Is(err, store.ErrUnavailable):
--- a/internal/plat/chat/bench_test.go
+++ b/internal/plat/chat/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
-// BenchmarkPiece measures what one piece of an answer takes over loopback, the
-// stand-in engine and the client together.
+// BenchmarkPiece measures the time per piece of an answer over loopback, fake engine
+// and client together.
 func BenchmarkPiece(b *testing.B) {
 	const pieces = 1000
 	var l net.ListenConfig
--- a/internal/plat/chat/body.go
+++ b/internal/plat/chat/body.go
@@ -13,9 +13,9 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// withFields returns the caller's body with the fields that slaterock decides.
-// All other values are copied byte for byte: engines cache by the bytes of
-// messages, so another spelling of the same JSON would miss the cache.
+// rewriteBody returns the caller's body with the fields that slaterock sets. All
+// other values are copied byte for byte: engines cache by the bytes of messages,
+// so another encoding of the same JSON would miss the cache.
 func rewriteBody(r engine.Request) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(r.Body, &fields); err != nil {
--- a/internal/plat/chat/chat.go
+++ b/internal/plat/chat/chat.go
@@ -1,12 +1,12 @@
-// Package chat is the client of model engines that speak the usual chat
+// Package chat is the client of model engines that implement the common chat
 // completions protocol with server-sent events.
 //
-// A completion is a POST to /v1/chat/completions with "stream" set. The
-// caller's own body is passed on byte for byte, but for the fields that
-// slaterock decides: model, max_tokens, stream, user (the program) and
-// priority. Resuming uses the events' ids and the Last-Event-ID header. Load
-// reports, cache events, orders and held programs have no published form; they
-// are small JSON documents below /engine/.
+// A completion is a POST to /v1/chat/completions with "stream" set. The values in
+// the caller's body are forwarded byte for byte, except for the fields that
+// slaterock sets: model, max_tokens, stream, stream_options, user (the program)
+// and priority. Resuming uses the events' ids and the Last-Event-ID header. Load
+// reports, cache events, orders and held programs are not part of a published
+// protocol; they are small JSON documents below /engine/.
 package chat
 
 import (
@@ -24,22 +24,23 @@
 )
 
 const (
-	// PathChat takes completions.
+	// PathChat accepts completions.
 	PathChat = "/v1/chat/completions"
-	// PathLoad answers with an engine.Load.
+	// PathLoad returns an engine.Load.
 	PathLoad = "/engine/load"
-	// PathEvents answers with a list of engine.Event; query after.
+	// PathEvents returns a list of engine.Event, those after the sequence
+	// number in the query parameter after.
 	PathEvents = "/engine/events"
-	// PathOrder takes an engine.Order.
+	// PathOrder accepts an engine.Order.
 	PathOrder = "/engine/order"
-	// PathHeld answers with a list of programs.
+	// PathHeld returns a list of program ids.
 	PathHeld = "/engine/held"
 
-	// HeaderRequest carries our request's name.
+	// HeaderRequest has the id of the request.
 	HeaderRequest = "X-Request-Id"
-	// HeaderResume carries the number of the last piece received.
+	// HeaderResume has the number of the last piece received.
 	HeaderResume = "Last-Event-ID"
-	// HeaderTrace is the W3C trace context.
+	// HeaderTrace has the W3C trace context.
 	HeaderTrace = "Traceparent"
 
 	finishCancelled = "cancelled"
@@ -68,15 +69,15 @@
 		Finish *string `json:"finish_reason"`
 	}
 
-	// Message is a piece of the assistant's message. Tokens is an extension:
-	// how many tokens the piece has; without it they are estimated.
+	// Message is a piece of the assistant's message. Tokens, the number of
+	// tokens in the piece, is an extension; without it they are estimated.
 	Message struct {
 		Role    string `json:"role,omitempty"`
 		Content string `json:"content,omitempty"`
 		Tokens  int    `json:"tokens,omitempty"`
 	}
 
-	// ChunkUsage is the usage in the protocol's own form.
+	// ChunkUsage is the usage as the protocol encodes it, in tokens.
 	ChunkUsage struct {
 		Prompt     int           `json:"prompt_tokens"`
 		Completion int           `json:"completion_tokens"`
@@ -84,7 +85,7 @@
 		Details    PromptDetails `json:"prompt_tokens_details"`
 	}
 
-	// PromptDetails tells what part of the prompt was cached.
+	// PromptDetails says how many tokens of the prompt were cached.
 	PromptDetails struct {
 		Cached int `json:"cached_tokens"`
 	}
@@ -124,7 +125,8 @@
 	return in.usage, err
 }
 
-// refused reads the body of an answer that is no stream.
+// statusError returns the error of a response with another status than 200. It
+// includes up to 512 bytes of the body.
 func statusError(a *httpc.Response, status int) error {
 	b := make([]byte, 512)
 	n, _ := a.Body.Read(b)
--- a/internal/plat/chat/chat_test.go
+++ b/internal/plat/chat/chat_test.go
@@ -22,21 +22,21 @@
 const address = "engine"
 
 type (
-	// form is one form of an engine.
+	// variant is an engine, in memory or behind a client over the network.
 	variant struct {
 		*is.I
 		engine.Engine
 		ctx  context.Context //nolint:containedctx // the test's
 		fake *model.Engine
-		host *host.Host // nil in memory
+		host *host.Host // nil if in memory
 	}
 
-	// answer is what a request brought.
+	// outcome is the result of one request.
 	outcome struct {
 		text  string
 		usage engine.Usage
 		err   error
-		at    []time.Duration // of the pieces, since the request
+		at    []time.Duration // arrival of each piece, since the request
 	}
 )
 
@@ -74,7 +74,7 @@
 	return f.complete(ctx, r)
 }
 
-// sent checks that the request failed with the status after it was sent.
+// failedWith checks that the request failed after it was sent, with the status.
 func (f variant) failedWith(err error, status int) {
 	var e *engine.Error
 	f.True(errors.As(err, &e))
@@ -181,28 +181,28 @@
 }
 
 var failures = map[string]func(f variant){
-	// An order from a former owner arrives after the new owner's. An engine
-	// that checks refuses it, so nothing of the new owner's work is undone.
+	// An order from a former owner arrives after the new owner's. An engine that
+	// checks fencing numbers refuses it, so the new owner's order stays in effect.
 	"old fencing number refused": func(f variant) {
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "decode", Fence: 2}))
 		f.failedWith(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "prefill", Fence: 1}), 409)
 		f.Equal(f.fake.Role(), "decode")
 	},
-	// The same at an engine that does not check: the late order wins.
+	// The same at an engine that does not check: the late order takes effect.
 	"old fencing number ignored": func(f variant) {
 		f.fake.IgnoreFence = true
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "decode", Fence: 2}))
 		f.NoErr(f.Order(f.ctx, engine.Order{Kind: engine.OrderRole, Target: "prefill", Fence: 1}))
 		f.Equal(f.fake.Role(), "prefill")
 	},
-	// The engine is too busy to take the request and says so.
+	// The engine is overloaded and refuses the request.
 	"busy": func(f variant) {
 		f.fake.Set(model.Busy, 0)
 		f.failedWith(f.complete(f.ctx, request("r1", "p", "one")).err, 503)
 	},
-	// The engine's process dies in the middle of an answer. What came is the
-	// beginning of the answer, and nobody takes it for the whole; where the
-	// engine resumes, the rest follows without a gap or a repeat.
+	// The engine's process crashes in the middle of an answer. The pieces so far
+	// are the beginning of the answer, and the client returns an error; after the
+	// resume, the rest follows without a gap or a repeat.
 	"dies mid-stream and resumes": func(f variant) {
 		f.fake.Script(map[int]model.Fault{1: model.Die})
 		r := request("r1", "p", "one")
@@ -217,8 +217,8 @@
 		f.NoErr(b.err)
 		f.Equal(a.text+b.text, model.Answer("e1", r, b.usage.Output))
 	},
-	// The engine takes the request and never answers. The caller's deadline
-	// ends the wait.
+	// The engine accepts the request and never responds. The call ends at the
+	// caller's deadline.
 	"hangs": func(f variant) {
 		f.fake.Set(model.Hang, 0)
 		start := time.Now()
@@ -226,7 +226,8 @@
 		f.True(errors.Is(a.err, context.DeadlineExceeded))
 		f.Equal(time.Since(start), 5*time.Second)
 	},
-	// The first piece comes late, but it comes, and the answer is whole.
+	// The first piece arrives late, but within the timeout, and the answer is
+	// complete.
 	"late": func(f variant) {
 		f.fake.Set(model.Late, 20*time.Second)
 		r := request("r1", "p", "one")
@@ -235,8 +236,8 @@
 		f.True(a.at[0] > 20*time.Second)
 		f.Equal(a.text, model.Answer("e1", r, a.usage.Output))
 	},
-	// A caller cancels in the middle of its answer. The engine stops and its
-	// place in the batch is free again.
+	// A caller cancels in the middle of its answer. The engine stops generating
+	// and frees the slot in the batch.
 	"cancelled": func(f variant) {
 		f.fake.Output = 1000
 		a := f.completeWithin(time.Second, request("r1", "p", "one"))
@@ -245,7 +246,8 @@
 		sleep(time.Second)
 		f.isIdle()
 	},
-	// Whoever takes the pieces has gone. The engine is not left generating.
+	// The sink fails because the caller has disconnected. The engine must stop
+	// generating.
 	"sink fails": func(f variant) {
 		f.fake.Output = 1000
 		gone := errors.New("caller is gone")
@@ -254,7 +256,7 @@
 		sleep(time.Second)
 		f.isIdle()
 	},
-	// Cache events get lost. A reader sees the gap in the numbers.
+	// Cache events are lost. A reader sees the gap in the sequence numbers.
 	"cache events with gaps": func(f variant) {
 		f.fake.EventGap = 2
 		for i := range 4 {
@@ -278,5 +280,5 @@
 	}
 }
 
-// pass lets the bubble's time pass.
+// sleep advances the bubble's time.
 func sleep(d time.Duration) { <-time.After(d) }
--- a/internal/plat/chat/network_test.go
+++ b/internal/plat/chat/network_test.go
@@ -22,16 +22,16 @@
 
 func TestNetwork(t *testing.T) {
 	tests := map[string]func(f variant){
-		// Nobody listens at the engine's address. No byte left, so the
-		// request may go to another engine without any doubt.
+		// No process listens at the engine's address. No byte was sent, so the
+		// request may safely go to another engine.
 		"connection refused": func(f variant) {
 			f.host.Close()
 			var e *engine.Error
 			f.True(errors.As(f.complete(f.ctx, request("r1", "p", "one")).err, &e))
 			f.True(!e.Sent)
 		},
-		// The engine takes the request and its connection brings nothing.
-		// The wait for the first piece is bounded.
+		// The engine accepts the request and sends nothing. A timeout bounds the
+		// wait for the first piece.
 		"silent before the first piece": func(f variant) {
 			f.fake.Set(model.Hang, 0)
 			start := time.Now()
@@ -39,9 +39,9 @@
 			f.True(errors.Is(a.err, httpc.ErrStalled))
 			f.Equal(time.Since(start), 30*time.Second)
 		},
-		// A connection goes silent in the middle of an answer, and nobody
-		// closes it. The pause is noticed, and the next request has a new
-		// connection, which works.
+		// A connection stalls in the middle of an answer without being closed.
+		// The idle timeout ends it, and the next request succeeds on a new
+		// connection.
 		"connection goes silent mid-stream": func(f variant) {
 			f.fake.Output = 40
 			time.AfterFunc(500*time.Millisecond, f.host.Silence)
@@ -51,8 +51,8 @@
 			f.True(len(a.at) > 0)
 			f.NoErr(f.complete(f.ctx, r).err)
 		},
-		// The engine stalls in the middle of an answer with its connection
-		// open. The pause between pieces is bounded too.
+		// The engine stalls in the middle of an answer with its connection open.
+		// The idle timeout bounds the pause between pieces.
 		"engine stalls mid-stream": func(f variant) {
 			f.fake.Set(model.Silent, 0)
 			start := time.Now()
@@ -77,8 +77,7 @@
 	}
 }
 
-// events serves a fixed body as an answer and returns what the client makes of
-// it.
+// parse serves a fixed body as a response and returns the client's result.
 func parse(t *testing.T, body string, limit, resume int) (a outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		var n pipe.Net
@@ -116,15 +115,15 @@
 		"usage in a last chunk of its own": {piece + piece + end + usage + mark, 0, "abab", whole, nil, 0},
 		"comments and other fields":        {": ping\n\nevent: x\nid: 4\n" + piece + end + usage + mark, 0, "ab", whole, nil, 0},
 		"no space and carriage returns":    {strings.ReplaceAll(strings.ReplaceAll(piece+end+usage+mark, "data: ", "data:"), "\n", "\r\n"), 0, "ab", whole, nil, 0},
-		// The engine's process ends cleanly but too early: the answer looks
-		// whole at the level of HTTP. Without the end mark it is not.
+		// The engine's process exits cleanly but too early: the response is
+		// complete as HTTP, but without the end mark the answer is not.
 		"end mark missing": {piece + piece, 0, "abab", engine.Usage{Output: 2}, chat.ErrTruncated, 0},
 		// The engine ignores max_tokens. The answer ends at the limit, so
 		// that the program's budget holds.
 		"more than the limit":     {piece + piece + piece + end + mark, 2, "abab", engine.Usage{Output: 2, Finish: "length"}, nil, 0},
 		"goes on after what came": {"id: 4\n" + piece + end + usage + mark, 0, "ab", whole, nil, 3},
-		// The engine takes the request for a new one. Its pieces would stand
-		// behind those that the caller has of the first answer.
+		// The engine handles the resume as a new request. Its pieces would be
+		// appended to those that the caller has of the first answer.
 		"begins anew":      {"id: 1\n" + piece + end + usage + mark, 0, "", engine.Usage{}, chat.ErrNotResumed, 3},
 		"counts no pieces": {piece + end + usage + mark, 0, "", engine.Usage{}, chat.ErrNotResumed, 3},
 	}
@@ -139,9 +138,9 @@
 	}
 }
 
-// A caller limits its answer by the protocol's newer field. Passed on beside
-// our own limit it would win at some engines, and the answer would cost more
-// than the program's budget has.
+// A caller limits its answer with the protocol's newer field. Sent together with
+// slaterock's own limit it would take precedence at some engines, and the answer
+// could exceed the program's budget.
 func TestOnlyOneTokenLimitIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/plat/chat/reader.go
+++ b/internal/plat/chat/reader.go
@@ -13,18 +13,18 @@
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
-const maxEvent = 1 << 20 // bytes of one server-sent event
+const maxEvent = 1 << 20 // largest server-sent event, in bytes
 
 type (
-	// reader takes an answer's events.
+	// reader reads the events of a response.
 	reader struct {
 		resp      *httpc.Response
-		maxTokens int // tokens
-		after     int // ID of the piece that a resumed answer goes on after
-		id        int // of the newest event, 0 without one
+		maxTokens int // tokens; 0: none
+		after     int // ID of the piece that a resumed answer must continue after
+		id        int // of the newest event; 0 if it has none
 		sink      func(engine.Delta) error
 		usage     engine.Usage
-		minTokens int // tokens that certainly came
+		minTokens int // lower bound of the tokens received
 	}
 )
 
@@ -33,18 +33,19 @@
 	prefixID   = []byte("id:")
 	doneMark   = []byte("[DONE]")
 
-	// ErrCut reports an answer that ended before its end was told.
+	// ErrTruncated reports a response that ended without the end mark.
 	ErrTruncated = errors.New("chat: answer was cut off")
 
-	// ErrNotResumed reports an engine that began an answer anew instead of going
-	// on with it. Taking its pieces would give the caller two beginnings.
+	// ErrNotResumed reports an engine that restarted an answer instead of
+	// resuming it. Accepting its pieces would give the caller two beginnings.
 	ErrNotResumed = errors.New("chat: engine did not resume the answer")
 
-	errOverLimit = errors.New("chat: engine went on past the limit")
+	errOverLimit = errors.New("chat: engine exceeded max_tokens")
 )
 
-// run reads the events up to the end mark. An answer without one was cut off,
-// however whole it looks: its reader would take half an answer for the whole.
+// run reads the events up to the end mark. A response without one was truncated,
+// even if it is complete as HTTP: accepting it would pass off a partial answer as
+// a complete one.
 func (r *reader) run() error {
 	s := bufio.NewScanner(r.resp.Body)
 	s.Buffer(nil, maxEvent)
@@ -94,10 +95,10 @@
 	return r.piece(c.Choices[0].Delta)
 }
 
-// piece passes a piece on while the limit lasts. An engine that ignores
-// max_tokens would spend its program's budget: the answer is ended here, and
-// closing the connection cancels the rest. A piece without a token count is
-// taken for one token, so that no answer is cut on an estimate.
+// piece passes a piece to the sink up to the token limit. An engine that ignores
+// max_tokens could exceed its program's budget: the answer ends here, and closing
+// the connection cancels the rest. For the limit, a piece without a token count
+// counts as one token, so that no answer is truncated because of an estimate.
 func (r *reader) piece(m Message) error {
 	if m.Content == "" {
 		return nil
--- a/internal/plat/engine/blocks.go
+++ b/internal/plat/engine/blocks.go
@@ -15,8 +15,8 @@
 // Tokens estimates the number of tokens in n bytes of text.
 func Tokens(n int) int { return (n + bytesPerToken - 1) / bytesPerToken }
 
-// Blocks cuts a chat request into the blocks that engines cache: one for each
-// message, each hash covering all messages up to it. A body that is not a chat
+// Blocks splits a chat request into the blocks that engines cache: one for each
+// message, with a hash of all messages up to it. A body that is not JSON of a chat
 // request has no blocks.
 func Blocks(body []byte) []Block {
 	var b chatBody
--- a/internal/plat/engine/engine.go
+++ b/internal/plat/engine/engine.go
@@ -1,11 +1,11 @@
-// Package engine describes a model engine: a worker that batches chat
-// completions, caches prompt prefixes in limited memory and takes orders.
+// Package engine defines the interface to a model engine: a worker that batches chat
+// completions, caches prompt prefixes in limited memory and executes orders.
 //
-// Requests and answers are the usual chat protocol's JSON. Load reports lag
-// behind, and cache events come late and with gaps: Seq rises by one for each
-// event, so that a reader can count what it missed. An order carries a fencing
-// number. Some engines refuse an order whose number is older than the newest
-// they saw; others ignore it.
+// Request bodies are JSON of the common chat completions protocol. Load reports lag,
+// and cache events arrive late and with gaps: Seq increases by one for each event, so
+// that a reader can count those that it missed. An order has a fencing number. Some
+// engines refuse an order with a number lower than the highest they have seen; others
+// ignore the number.
 package engine
 
 import (
@@ -28,45 +28,46 @@
 	// Engine is one model engine.
 	Engine interface {
 		// Chat runs one completion. It calls sink for each piece of text as
-		// it arrives and returns the usage at the end. An *Error tells
-		// whether the request may have reached the engine. When ctx ends the
-		// stream is cancelled at the engine.
+		// it arrives and returns the usage at the end. An *Error says
+		// whether the request may have reached the engine. When ctx ends, the
+		// completion is cancelled at the engine.
 		Chat(ctx context.Context, r Request, sink func(Delta) error) (Usage, error)
 		// Load returns the newest load report.
 		Load(ctx context.Context) (Load, error)
-		// Events returns the cache events after the sequence number.
+		// Events returns the cache events with a higher sequence number than
+		// after.
 		Events(ctx context.Context, after uint64) ([]Event, error)
-		// Order carries out an order of the given kind.
+		// Order executes an order.
 		Order(ctx context.Context, o Order) error
-		// Held lists the programs that the engine holds memory for.
+		// Held returns the ids of the programs that the engine holds memory
+		// for.
 		Held(ctx context.Context) ([]string, error)
 	}
 
 	// Request is one completion to run.
 	Request struct {
-		ID          string // our request's name, for resuming and for logs
-		Program     string // tags the memory that the request leaves behind
+		ID          string // request id, for resuming and for logs
+		Program     string // owner of the cache memory that the request leaves behind
 		Model       string
-		Body        []byte // the chat protocol's request, JSON
-		Priority    int    // higher runs first
-		MaxTokens   int    // the engine generates no more than this
+		Body        []byte // request of the chat protocol, JSON
+		Priority    int    // higher runs earlier
+		MaxTokens   int    // maximum output, in tokens
 		TraceParent string
-		Resume      int // ID of the last piece received, to go on after it
+		Resume      int // ID of the last piece received, to continue after it; 0: from the start
 	}
 
-	// Delta is one piece of an answer.
-	// ID is its number in the answer, from 1 on; 0 where the engine gives none
-	// and an answer can't be resumed.
+	// Delta is one piece of an answer. ID is its number in the answer, from 1
+	// on, or 0 if the engine numbers no pieces and can't resume answers.
 	Delta struct {
 		Text   string
 		Tokens int
 		ID     int
 	}
 
-	// Usage is what one completion took, in tokens.
+	// Usage is the token usage of one completion.
 	Usage struct {
 		Prompt int    `json:"prompt"`
-		Cached int    `json:"cached"` // part of Prompt that was found cached
+		Cached int    `json:"cached"` // tokens of Prompt that were cached
 		Output int    `json:"output"`
 		Finish string `json:"finish"` // stop, length or cancelled
 	}
@@ -77,22 +78,22 @@
 		At      time.Time `json:"at"` // when the engine measured it
 		Running int       `json:"running"`
 		Waiting int       `json:"waiting"`
-		Used    int       `json:"used"`  // cached tokens
-		Total   int       `json:"total"` // room for cached tokens
+		Used    int       `json:"used"`  // tokens in the cache
+		Total   int       `json:"total"` // capacity of the cache, in tokens
 		Leaving bool      `json:"leaving"`
 	}
 
-	// Event tells of blocks that entered or left an engine's cache.
+	// Event reports blocks added to and evicted from an engine's cache.
 	Event struct {
 		Seq     uint64   `json:"seq"`
 		Stored  []uint64 `json:"stored,omitempty"`
 		Evicted []uint64 `json:"evicted,omitempty"`
 	}
 
-	// OrderKind tells what an order asks for.
+	// OrderKind is the kind of an order.
 	OrderKind string
 
-	// Order is an instruction that changes an engine's state.
+	// Order is a command that changes an engine's state.
 	Order struct {
 		Kind    OrderKind `json:"kind"`
 		Program string    `json:"program,omitempty"`
@@ -100,15 +101,15 @@
 		Fence   uint64    `json:"fence"` // the fencing number
 	}
 
-	// Block is a part of a prompt that an engine caches as a unit. Hash
-	// covers the block and all before it.
+	// Block is a part of a prompt that an engine caches as a unit. Hash covers
+	// the block and all blocks before it.
 	Block struct {
 		Hash   uint64
 		Tokens int
 	}
 
 	// Error is a failed request. Sent false means that no byte of it reached
-	// the engine. Status is the HTTP status, 0 without an answer.
+	// the engine. Status is the HTTP status; 0 without a response.
 	Error struct {
 		Sent   bool
 		Status int
--- a/internal/plat/httpc/httpc.go
+++ b/internal/plat/httpc/httpc.go
@@ -1,12 +1,11 @@
-// Package line makes one HTTP exchange over a connection of its own.
+// Package httpc is an HTTP client that uses a new connection for each exchange.
 //
-// Calls to upstreams and to the platform must know exactly whether a byte of
-// the request may have arrived, must end at once with their context, and must
-// notice a connection that goes silent without being closed. A pool of
-// connections makes all three hard: a kept connection may be dead without
-// anybody knowing, a client library may send a request again by itself. So
-// each exchange dials, sends once and closes. A silent connection then costs
-// one exchange, and the next has a new one.
+// Calls to upstreams and to the platform must know exactly whether a byte of the
+// request may have arrived, must end at once with their context, and must detect
+// a connection that stops delivering data without being closed. Connection pools
+// make all three hard: a pooled connection may be dead without a sign of it, and
+// a client library may resend a request by itself. So each exchange dials, sends
+// once and closes. A dead connection then costs one exchange.
 package httpc
 
 import (
@@ -30,27 +29,27 @@
 )
 
 type (
-	// Line sends requests to one address. The zero value of every field but
-	// Address is ready for use.
+	// Endpoint sends requests to one address. All fields but Address have
+	// defaults for their zero values.
 	Endpoint struct {
-		Address          string        // IP number and port
-		DialTimeout      time.Duration // to connect
-		FirstByteTimeout time.Duration // to the answer's first byte; of Open, to Flow
-		IdleTimeout      time.Duration // between the pieces of an answer after that
-		MaxBody          int           // bytes of an answer that is read whole
+		Address          string        // IP address and port
+		DialTimeout      time.Duration // to establish the connection
+		FirstByteTimeout time.Duration // per write, and per read up to the first byte; with Open, to UseIdleTimeout
+		IdleTimeout      time.Duration // of each read after that
+		MaxBody          int           // largest response body, in bytes
 
-		// Connect replaces the dialling, for tests.
+		// Connect replaces dialling in tests.
 		Connect func(ctx context.Context, address string) (net.Conn, error)
 	}
 
-	// Error is an exchange without a whole answer. Sent false means that no
-	// byte of the request left for the other end.
+	// Error is an exchange without a complete response. Sent false means that
+	// no byte of the request was written to the connection.
 	Error struct {
 		Sent bool
 		Err  error
 	}
 
-	// Answer is an answer whose body is still being received.
+	// Response is a response whose body is still being received.
 	Response struct {
 		Header *fasthttp.ResponseHeader
 		Body   io.Reader
@@ -58,19 +57,21 @@
 		conn        *conn
 		idleTimeout time.Duration
 		stop        func() bool
-		ctx         context.Context //nolint:containedctx // its end is the cause of the body's errors
+		ctx         context.Context //nolint:containedctx // Cause reports its end as the cause of read errors
 	}
 
-	// conn gives every read a deadline of its own and counts what was written.
+	// conn sets a deadline for each read and write and records whether any write
+	// was attempted.
 	conn struct {
 		net.Conn
 		timeout     time.Duration
-		idleTimeout time.Duration // replaces wait after the first byte; 0 keeps it
+		idleTimeout time.Duration // replaces timeout after the first byte; 0: never
 		written     atomic.Bool
 	}
 )
 
-// ErrSilent reports a connection over which nothing came in time.
+// ErrStalled reports a connection that made no progress within its timeout. Its
+// text is stored in histories and keeps its wording.
 var ErrStalled = errors.New("line: connection is silent")
 
 // Error returns the cause's text.
@@ -79,7 +80,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Do makes the exchange and reads the whole answer into resp.
+// Do sends the request and reads the whole response into resp.
 func (l Endpoint) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	c, stop, err := l.send(ctx, req)
 	if err != nil {
@@ -94,9 +95,9 @@
 	return nil
 }
 
-// Open makes the exchange and returns once the answer's header is there. The
-// body is read as it arrives; its errors are those of Cause. The caller closes
-// the answer.
+// Open sends the request and returns when the response's header has arrived. The
+// caller reads the body as it arrives, finds the cause of a read error with
+// Cause, and closes the response.
 func (l Endpoint) Open(ctx context.Context, req *fasthttp.Request) (*Response, error) {
 	c, stop, err := l.send(ctx, req)
 	if err != nil {
@@ -114,12 +115,14 @@
 	}, nil
 }
 
-// Flow tells that the first piece of the answer is there. Servers send their
-// header at once and may take long to the first piece; only from then on does
-// a pause mean that the connection is silent.
+// UseIdleTimeout switches from FirstByteTimeout to IdleTimeout. It is called when
+// the first piece of the body has arrived: servers may send the header at once and
+// take long to the first piece, and only after that does a short pause mean that
+// the connection has stalled.
 func (a *Response) UseIdleTimeout() { a.conn.timeout = a.idleTimeout }
 
-// Cause returns what really ended the body: the context, silence, or err.
+// Cause returns the cause of the read error err: the context's error, an error that
+// wraps ErrStalled after a timeout, or err itself.
 func (a *Response) Cause(err error) error { return cause(a.ctx, err) }
 
 // Close closes the connection.
@@ -162,9 +165,8 @@
 	return d.DialContext(ctx, "tcp", l.Address)
 }
 
-// Read waits for the first byte, and then for each further piece, no longer
-// than its own limit. Without it a connection that nobody closes holds its
-// caller for ever.
+// Read applies the current timeout to each read. Without it, a dead connection that
+// is never closed would block its caller for ever.
 func (c *conn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
--- a/internal/plat/httpc/httpc_test.go
+++ b/internal/plat/httpc/httpc_test.go
@@ -29,8 +29,8 @@
 	return h
 }
 
-// An answer larger than its reader allows would fill the reader's memory. It
-// is refused, and not cut: half of an answer must not pass for the whole.
+// A response above MaxBody could exhaust the client's memory. It is an error and
+// not truncated: a partial response must not pass for a complete one.
 func TestResponseTooLarge(t *testing.T) {
 	is := is.New(t)
 	h := serve(t, func(_ context.Context, w *fasthttp.RequestCtx) { w.SetBodyString(strings.Repeat("x", 1000)) })
@@ -42,7 +42,7 @@
 	is.Equal(len(resp.Body()), 1000)
 }
 
-// served runs one exchange against a peer that plays its part by hand.
+// exchange runs one exchange with a server given as a function of its connection.
 func exchange(t *testing.T, peer func(net.Conn)) (err error) {
 	synctest.Test(t, func(t *testing.T) {
 		l := httpc.Endpoint{Address: "peer", Connect: func(context.Context, string) (net.Conn, error) {
@@ -62,7 +62,7 @@
 	return err
 }
 
-// silent tells when an exchange was given up.
+// stalled adds to ErrStalled the time after which the exchange was abandoned.
 type stalled struct {
 	error
 	after time.Duration
@@ -75,8 +75,8 @@
 		peer  func(net.Conn)
 		after time.Duration
 	}{
-		// The connection breaks in the middle of the request. What arrived may
-		// have been enough to act on, so nobody may say that it did not run.
+		// The connection breaks in the middle of the request. The part that
+		// arrived may have been enough to act on, so it must count as sent.
 		"breaks while it is sent": {func(c net.Conn) {
 			_, _ = c.Read(make([]byte, 10))
 			_ = c.Close()
@@ -85,10 +85,10 @@
 			_, _ = io.ReadFull(c, make([]byte, 100_000))
 			_ = c.Close()
 		}, 0},
-		// The other end accepts the connection and reads nothing.
+		// The server accepts the connection and reads nothing.
 		"is not read": {func(net.Conn) {}, 30 * time.Second},
-		// The answer begins and stops in the middle. The pause between two
-		// pieces is bounded more tightly than the wait for the first.
+		// The response stops in the middle. The timeout between two pieces is
+		// shorter than the one for the first.
 		"stops in the middle of the answer": {func(c net.Conn) {
 			go func() { _, _ = io.Copy(io.Discard, c) }()
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkExchange measures an exchange with a connection of its own over
-// loopback, client and server together.
+// BenchmarkExchange measures an exchange on a new connection over loopback, client
+// and server together.
 func BenchmarkExchange(b *testing.B) {
 	h := serve(b, func(_ context.Context, w *fasthttp.RequestCtx) { w.SetBodyString("ok") })
 	l := httpc.Endpoint{Address: h.Address()}
--- a/internal/plat/kvhttp/kvhttp.go
+++ b/internal/plat/kvhttp/kvhttp.go
@@ -1,10 +1,11 @@
-// Package kvnet reaches the platform's key-value service over HTTP: every call
-// is a POST of a Call to Path/OP and answers with an Answer.
+// Package kvhttp is the client of the platform's key-value service over HTTP: each
+// call is a POST of a Request to Path followed by the operation's name, and is
+// answered with a Response.
 //
-// A call that could not connect certainly had no effect. A write whose answer
-// does not come may have taken effect, and the caller is told ErrUnknown. A
-// read is repeated on a new connection, so that one that went silent costs a Try
-// and no answer.
+// A call that could not connect had no effect. A write without a response may have
+// taken effect and returns store.ErrUnknown. A read on a stalled connection is
+// repeated on a new one, up to maxReadAttempts attempts, so that one dead connection
+// costs a Timeout and causes no error.
 package kvhttp
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// Path is where the calls are; the operation's name follows.
+// Path is the prefix of all paths; the operation's name follows.
 const Path = "/kv/"
 
 // The operations.
@@ -36,52 +37,53 @@
 	OpRevoke Op = "revoke"
 )
 
-// The codes of answers; empty is success.
+// The codes of responses; empty is success.
 const (
 	CodeNotFound     Code = "not_found"
 	CodeConflict     Code = "conflict"
-	CodeLapsed       Code = "lapsed"
+	CodeLeaseExpired Code = "lapsed"
 	CodeUnavailable  Code = "unavailable"
 	CodeTooLarge     Code = "too_large"
-	CodeWatchTimeout Code = "again" // a watch whose Wait is over
+	CodeWatchTimeout Code = "again" // a watch without a change within Wait
 )
 
 const (
 	defaultTimeout   = time.Second
 	defaultWatchWait = 20 * time.Second
-	maxReadAttempts  = 3 // of a read
+	maxReadAttempts  = 3
 	maxResponse      = 2 * store.MaxValue
 )
 
 type (
 	// Client implements store.Store.
 	Client struct {
-		Endpoint  httpc.Endpoint // First and Between are set for each call
-		Name      string         // tells clients apart at the service
-		Timeout   time.Duration  // after which a connection counts as silent
-		WatchWait time.Duration  // how long the service holds one watch
+		Endpoint  httpc.Endpoint // FirstByteTimeout, IdleTimeout and MaxBody are set by each call
+		Name      string         // identifies this client to the service
+		Timeout   time.Duration  // after which a connection counts as stalled
+		WatchWait time.Duration  // how long the service holds one watch request open
 	}
 
 	// Op names an operation.
 	Op string
 
-	// Code tells why a call failed.
+	// Code is the reason why a call failed.
 	Code string
 
-	// Call is a request's body. Fields that the operation lacks are empty.
+	// Request is a request's body. Fields that the operation does not use are
+	// empty.
 	Request struct {
 		Client string        `json:"client,omitempty"`
-		Key    string        `json:"key,omitempty"` // for List the prefix
+		Key    string        `json:"key,omitempty"` // for List, the prefix
 		Data   []byte        `json:"data,omitempty"`
 		Rev    store.Rev     `json:"rev,omitempty"`
 		Lease  store.Lease   `json:"lease,omitempty"`
 		After  string        `json:"after,omitempty"`
 		Limit  int           `json:"limit,omitempty"`
 		TTL    time.Duration `json:"ttl,omitempty"`  // nanoseconds
-		Wait   time.Duration `json:"wait,omitempty"` // nanoseconds; how long to hold a watch
+		Wait   time.Duration `json:"wait,omitempty"` // nanoseconds; how long to hold a watch open
 	}
 
-	// Answer is a response's body.
+	// Response is a response's body.
 	Response struct {
 		Code  Code        `json:"code,omitempty"`
 		Entry store.Entry `json:"entry,omitzero"`
@@ -121,8 +123,9 @@
 	return a.Keys, err
 }
 
-// Watch implements store.Store. It asks again whenever the service's hold is
-// over; an answer that is later than that means a silent connection.
+// Watch implements store.Store. It sends a new request whenever the service ends
+// one without a change. A response that takes longer than that means a stalled
+// connection, and the request is sent again on a new one.
 func (c *Client) Watch(ctx context.Context, key string, rev store.Rev) (store.Entry, error) {
 	hold := orDefault(c.WatchWait, defaultWatchWait)
 	for {
@@ -182,7 +185,7 @@
 	return a, a.err(r.Key)
 }
 
-// call makes one exchange. Its errors are *line.Error.
+// call makes one exchange. Its errors are *httpc.Error.
 func (c *Client) call(ctx context.Context, op Op, r Request, first time.Duration) (a Response, err error) {
 	r.Client = c.Name
 	body, err := json.Marshal(r)
@@ -219,7 +222,7 @@
 		return store.ErrNotFound
 	case CodeConflict:
 		return &store.ConflictError{Key: key, Rev: a.Rev}
-	case CodeLapsed:
+	case CodeLeaseExpired:
 		return store.ErrLeaseExpired
 	case CodeTooLarge:
 		return store.ErrTooLarge
--- a/internal/plat/kvhttp/kvhttp_test.go
+++ b/internal/plat/kvhttp/kvhttp_test.go
@@ -20,19 +20,19 @@
 const address = "store"
 
 type (
-	// fixture is one form of the service before one client of it.
+	// fixture is a service, in memory or over the network, and one client of it.
 	fixture struct {
 		*is.I
 		store.Store
 		ctx  context.Context //nolint:containedctx // the test's
 		view *keyval.View
 		fake *keyval.Store
-		host *host.Host // nil in memory
+		host *host.Host // nil if in memory
 	}
 )
 
-// inMemory and overNetwork run a test in a bubble, where time passes only when
-// everybody waits.
+// inMemory and overNetwork run a test in a synctest bubble, where time advances
+// only when all goroutines are blocked.
 func inMemory(t *testing.T, run func(b fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		var s keyval.Store
@@ -72,10 +72,11 @@
 	return l
 }
 
-// pass lets the bubble's time pass.
+// sleep advances the bubble's time.
 func sleep(d time.Duration) { <-time.After(d) }
 
-// watching starts a watch and returns its end once it waits.
+// watchAsync starts a watch and returns when it is blocked. The channel gets the
+// watch's error.
 func (b fixture) watchAsync(key string, rev store.Rev) <-chan error {
 	end := make(chan error, 1)
 	go func() {
@@ -193,8 +194,8 @@
 }
 
 var failures = map[string]func(b fixture){
-	// The service takes a write and its answer is lost on the way. The writer
-	// must not be told success or failure; what it finds is its own value.
+	// The service executes a write and its response is lost. The writer must get
+	// neither success nor failure; reading back returns its own value.
 	"acknowledgement lost": func(b fixture) {
 		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
 		_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
@@ -203,8 +204,8 @@
 		b.NoErr(err)
 		b.Equal(string(e.Data), "1")
 	},
-	// The write itself is lost. To the writer it looks the same as a lost
-	// acknowledgement, and only reading back tells.
+	// The write itself is lost. The writer can't distinguish this from a lost
+	// acknowledgement except by reading back.
 	"write lost": func(b fixture) {
 		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseWrite})
 		_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
@@ -212,8 +213,8 @@
 		_, err = b.Get(b.ctx, "k")
 		b.True(errors.Is(err, store.ErrNotFound))
 	},
-	// The acknowledgement of a renewal is lost: the holder can't tell whether
-	// its lease runs on, but it does.
+	// The acknowledgement of a renewal is lost: the lease is renewed, but its
+	// holder can't know.
 	"renewal's acknowledgement lost": func(b fixture) {
 		l := b.putLeased("k", 3*time.Second)
 		sleep(2 * time.Second)
@@ -222,8 +223,8 @@
 		sleep(2 * time.Second)
 		b.NoErr(b.Renew(b.ctx, l))
 	},
-	// The service is down. Every call says at once that it had no effect,
-	// waiting watches end, and afterwards everything is as it was.
+	// The service is down. Every call fails at once with ErrUnavailable, blocked
+	// watches end, and the data is unchanged after the outage.
 	"outage": func(b fixture) {
 		r := b.put("k", "1", 0)
 		end := b.watchAsync("k", r)
@@ -240,8 +241,8 @@
 		b.NoErr(err)
 		b.Equal(e.Rev, r)
 	},
-	// The service is slower than the caller can wait. The call ends at the
-	// caller's deadline, and a write's outcome is unknown.
+	// The service is slower than the caller's deadline. The call ends at the
+	// deadline, and a write's outcome is unknown.
 	"slower than the deadline": func(b fixture) {
 		b.view.Slow(time.Minute)
 		ctx, cancel := context.WithTimeout(b.ctx, 500*time.Millisecond)
@@ -254,7 +255,7 @@
 		_, err = b.Get(ctx, "k")
 		b.True(errors.Is(err, store.ErrUnavailable))
 	},
-	// The connection gives no answer at all. Nobody waits past the deadline.
+	// The connection delivers no response. The call ends at its deadline.
 	"no answer": func(b fixture) {
 		b.view.Set(keyval.Silent)
 		ctx, cancel := context.WithTimeout(b.ctx, 500*time.Millisecond)
@@ -281,16 +282,16 @@
 
 func TestNetwork(t *testing.T) {
 	tests := map[string]func(b fixture){
-		// Nobody listens at the service's address. No byte left, so a write
-		// certainly had no effect and its caller may say so.
+		// No process listens at the service's address. No byte was sent, so a
+		// write had no effect for certain and must not return ErrUnknown.
 		"connection refused": func(b fixture) {
 			b.host.Close()
 			_, err := b.Put(b.ctx, "k", nil, 0, 0)
 			b.True(errors.Is(err, store.ErrUnavailable))
 			b.True(!errors.Is(err, store.ErrUnknown))
 		},
-		// Something between the two ends forgets a connection while a read
-		// waits on it. The read is made again on a new one and succeeds.
+		// A middlebox drops the state of a connection while a read waits for its
+		// response. The read is repeated on a new connection and succeeds.
 		"connection goes silent under a read": func(b fixture) {
 			b.put("k", "1", 0)
 			b.view.Slow(100 * time.Millisecond)
@@ -301,8 +302,8 @@
 			b.Equal(string(e.Data), "1")
 			b.Equal(time.Since(start), 1100*time.Millisecond)
 		},
-		// The same under a write: it took effect, but the writer is told
-		// after one try that nobody knows.
+		// The same during a write: it took effect, but after one attempt the
+		// writer gets ErrUnknown.
 		"connection goes silent under a write": func(b fixture) {
 			b.view.Slow(100 * time.Millisecond)
 			time.AfterFunc(50*time.Millisecond, b.host.Silence)
@@ -311,9 +312,9 @@
 			_, err = b.Get(b.ctx, "k")
 			b.NoErr(err)
 		},
-		// A watch's connection goes silent and the change is never told on
-		// it. The watch asks again when the service's hold should be over, so
-		// the change is seen late but not never.
+		// A watch's connection stalls and never delivers the change. The watch
+		// sends a new request when the service should have ended the old one, so
+		// the change is seen late instead of never.
 		"connection goes silent under a watch": func(b fixture) {
 			start := time.Now()
 			end := b.watchAsync("k", 0)
--- a/internal/plat/meter/meter.go
+++ b/internal/plat/meter/meter.go
@@ -1,10 +1,10 @@
-// Package meter keeps a daemon's calls to the platform's key-value service
-// within its share of what the service takes, and counts them.
+// Package meter limits a daemon's calls to the platform's key-value service to its
+// share of the service's rates, and counts them.
 //
-// The service's rates are shared by all daemons and grow more slowly than they
-// do. A call above the share waits for its turn as long as its context allows;
-// calls that keep a lease don't wait, because an owner that loses its shards to
-// its own queue would only cause more calls.
+// All daemons share the service's rates, which grow more slowly than the number of
+// daemons. A call above the share waits as long as its context allows. Calls on
+// leases don't wait: an owner that lost its shards because a renewal was delayed
+// would only cause more calls.
 package meter
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-const burstSeconds = 2 // seconds' worth of calls
+const burstSeconds = 2 // burst of the limiters, in seconds of their rate
 
 type (
-	// Meter is a store.Store that calls Store. The zero rates are no bound.
+	// Meter is a store.Store that forwards to Store. Until SetRates is called
+	// the rates are unlimited.
 	Meter struct {
 		Store     store.Store
-		OnSuccess func(at time.Time) // a call sent at that time was answered
+		OnSuccess func(at time.Time) // called for each answered call with the time when it was sent
 
 		reads, writes   atomic.Pointer[rate.Limiter]
 		nreads, nwrites atomic.Uint64
@@ -33,19 +34,19 @@
 		waited          atomic.Int64
 	}
 
-	// Counts are calls since the start.
+	// Counts are the numbers of calls since the start.
 	Counts struct {
 		Reads   uint64        `json:"reads"`
 		Writes  uint64        `json:"writes"`
 		Watches uint64        `json:"watches"`
 		Failed  uint64        `json:"failed"`
-		Waited  time.Duration `json:"waited"` // by calls above the share
+		Waited  time.Duration `json:"waited"` // total time that calls waited for the limiters
 	}
 )
 
 var _ store.Store = (*Meter)(nil)
 
-// Allow sets this daemon's share, in calls a second.
+// SetRates sets this daemon's share, in calls per second; 0 is unlimited.
 func (m *Meter) SetRates(reads, writes float64) {
 	m.reads.Store(limiter(reads))
 	m.writes.Store(limiter(writes))
@@ -58,7 +59,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds)))
 }
 
-// Counts returns the calls so far.
+// Counts returns the current counts.
 func (m *Meter) Counts() Counts {
 	return Counts{
 		Reads:   m.nreads.Load(),
@@ -76,13 +77,13 @@
 	}
 	start := time.Now()
 	if err := l.Wait(ctx); err != nil {
-		return errors.Wrap(store.ErrUnavailable, "over the call budget")
+		return errors.Wrap(store.ErrUnavailable, "call rate limit exceeded")
 	}
 	m.waited.Add(int64(time.Since(start)))
 	return nil
 }
 
-// done notes how a call ended. A refusal is an answer too.
+// record records how a call ended. A refusal by the service counts as answered.
 func (m *Meter) record(sent time.Time, err error) {
 	var c *store.ConflictError
 	answered := err == nil || errors.As(err, &c) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrLeaseExpired)
--- a/internal/plat/plain/plain.go
+++ b/internal/plat/plain/plain.go
@@ -1,7 +1,7 @@
-// Package plain is the client of plain services: workers that speak HTTP.
+// Package plain is the client of plain services: upstreams with an HTTP API.
 //
-// Every request goes out once, on a connection of its own; see package line.
-// Whether to repeat it is decided elsewhere, by what Error.Sent tells.
+// Each request is sent once, on a new connection; see package httpc. The caller
+// decides on retries by tool.Error.Sent.
 package plain
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	// HeaderRequest carries our request's name, so that a service can
-	// recognise a repeat.
+	// HeaderRequest has the id of the request, so that a service can detect a
+	// repeat.
 	HeaderRequest = "Slaterock-Request"
 
 	headerTrace = "Traceparent"
--- a/internal/plat/plain/plain_test.go
+++ b/internal/plat/plain/plain_test.go
@@ -20,13 +20,13 @@
 
 const address = "ledger"
 
-// form is one form of a service.
+// variant is a service, in memory or behind a client over the network.
 type variant struct {
 	*is.I
 	tool.Tool
 	ctx    context.Context //nolint:containedctx // the test's
 	fake   *ledger.Service
-	host   *host.Host // nil in memory
+	host   *host.Host // nil if in memory
 	refuse func()
 }
 
@@ -71,16 +71,16 @@
 		f.Equal(string(resp.Body), `{"request":"r1","path":"/receipts?drum=4","receipt":1,"bytes":9}`)
 		f.Equal(f.fake.Calls(), []tool.Request{receipt})
 	},
-	// Nobody listens at the service's address: the request did not run, and
-	// its caller may be told so.
+	// No process listens at the service's address: the request certainly did not
+	// run, and the error says so.
 	"refused": func(f variant) {
 		f.refuse()
 		_, err := f.Do(f.ctx, receipt)
 		f.failedWith(err, false)
 		f.Equal(f.fake.Ran("r1"), 0)
 	},
-	// The service does its work and its answer is lost. The request is not
-	// sent again, whatever its method: a second receipt must not be issued.
+	// The service executes the request and its response is lost. The request is
+	// not sent again, whatever its method: a second receipt must not be issued.
 	"answer lost": func(f variant) {
 		f.fake.Set(ledger.LoseAnswer)
 		for _, method := range []string{"GET", "PUT", "POST"} {
@@ -92,8 +92,8 @@
 		}
 		f.Equal(len(f.fake.Calls()), 3)
 	},
-	// The service takes the request and never answers. The deadline ends the
-	// wait, and nobody knows whether it ran.
+	// The service accepts the request and never responds. The call ends at its
+	// deadline, and it is unknown whether the request ran.
 	"hangs": func(f variant) {
 		f.fake.Set(ledger.Hang)
 		start := time.Now()
@@ -102,7 +102,7 @@
 		f.True(errors.Is(err, context.DeadlineExceeded))
 		f.Equal(time.Since(start), 2*time.Second)
 	},
-	// The same after the work is done.
+	// The same after the request was executed.
 	"hangs after the work": func(f variant) {
 		f.fake.Set(ledger.HangAfter)
 		_, err := f.doWithin(2*time.Second, receipt)
@@ -129,8 +129,8 @@
 
 func TestNetwork(t *testing.T) {
 	tests := map[string]func(f variant){
-		// The connection goes silent while the service works. The receipt is
-		// issued, its answer never arrives, and the next request has a new
+		// The connection stalls while the service works. The receipt is issued,
+		// its response never arrives, and the next request succeeds on a new
 		// connection.
 		"connection goes silent": func(f variant) {
 			f.fake.Time = 100 * time.Millisecond
@@ -144,7 +144,7 @@
 			_, err = f.Do(f.ctx, r)
 			f.NoErr(err)
 		},
-		// The machine fails while the service works.
+		// The service's machine fails while it works.
 		"connection is cut": func(f variant) {
 			f.fake.Time = 100 * time.Millisecond
 			time.AfterFunc(50*time.Millisecond, f.host.Cut)
@@ -157,9 +157,9 @@
 	}
 }
 
-// The network drops what is sent to the service's address, so that connecting
-// takes for ever. The attempt ends after its own limit, long before the
-// caller's, and the request may be given elsewhere.
+// The network drops all packets to the service's address, so that connecting never
+// completes. The attempt ends after the dial timeout, long before the caller's
+// deadline, and counts as not sent, so the request may go to another upstream.
 func TestConnectingIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -1,12 +1,12 @@
-// Package store describes the platform's key-value service, the only place
-// where slaterock keeps what must last.
+// Package store defines the interface to the platform's key-value service, the only
+// durable storage of slaterock's state.
 //
-// The service offers compare-and-swap on revisions, leases that delete their
-// keys when they lapse, and watches. Every call counts against its rates, a
-// waiting watch too. A value is at most MaxValue bytes. A write has four ends:
-// it succeeded, it was refused with a *ConflictError, it certainly was not
-// taken (ErrUnavailable), or nobody knows (ErrUnknown). The last one must be
-// resolved by reading the key back; callers never assume either way.
+// The service has compare-and-swap on revisions, leases that delete their keys when
+// they expire, and watches. Every call, also a blocked watch, counts against its rate
+// limits. A value has at most MaxValue bytes. A write has four possible outcomes: it
+// succeeded, it was refused with a *ConflictError, it had no effect (ErrUnavailable),
+// or it is unknown whether it took effect (ErrUnknown). An unknown outcome must be
+// resolved by reading the key back; callers must not assume either.
 package store
 
 import (
@@ -17,20 +17,19 @@
 )
 
 const (
-	// MaxValue is the largest value that the service takes, in bytes.
+	// MaxValue is the largest value that the service accepts, in bytes.
 	MaxValue = 1 << 20
 )
 
 type (
-	// Store is one client's access to the service. Implementations are safe
-	// for concurrent use, honour the context's deadline and never block
-	// past it.
+	// Store is a client of the service. Implementations are safe for concurrent
+	// use and never block past the context's deadline.
 	Store interface {
 		// Get reads one key; ErrNotFound if it does not exist.
 		Get(ctx context.Context, key string) (Entry, error)
 		// Put writes data if the key's revision is still rev; rev 0 means
 		// that the key must not exist. A lease other than zero deletes the
-		// key when it lapses. The new revision is returned.
+		// key when it expires. Put returns the new revision.
 		Put(ctx context.Context, key string, data []byte, rev Rev, lease Lease) (Rev, error)
 		// Delete removes the key if its revision is still rev.
 		Delete(ctx context.Context, key string, rev Rev) error
@@ -41,46 +40,46 @@
 		// entry, or ErrNotFound if the key was deleted. When the context
 		// ends first it returns the context's error.
 		Watch(ctx context.Context, key string, rev Rev) (Entry, error)
-		// Grant opens a lease that lapses ttl after its last renewal.
+		// Grant creates a lease that expires ttl after its last renewal.
 		Grant(ctx context.Context, ttl time.Duration) (Lease, error)
-		// Renew extends the lease; ErrLapsed if it is over.
+		// Renew extends the lease; ErrLeaseExpired if it has expired.
 		Renew(ctx context.Context, lease Lease) error
 		// Revoke ends the lease at once and deletes its keys.
 		Revoke(ctx context.Context, lease Lease) error
 	}
 
-	// Shared is what daemons use to agree on few small values and to find
-	// each other.
+	// Shared is the part of a key-value service that daemons use for discovery
+	// and for agreement on a few small values.
 	Shared interface {
 		Get(ctx context.Context, key string) (Entry, error)
-		// Scan reads all keys with the prefix, and the store's revision. A
-		// stale read costs little and may be seconds old.
+		// Scan reads all keys with the prefix and returns the store's revision.
+		// A stale read is cheaper and may be seconds old.
 		Scan(ctx context.Context, prefix string, stale bool) ([]Entry, Rev, error)
 		Put(ctx context.Context, key string, data []byte, rev Rev, lease Lease) (Rev, error)
-		// Set writes data whatever the key holds.
+		// Set writes data unconditionally.
 		Set(ctx context.Context, key string, data []byte, lease Lease) (Rev, error)
-		// Remove removes the key whatever it holds.
+		// Remove removes the key unconditionally.
 		Remove(ctx context.Context, key string) error
 		Grant(ctx context.Context, ttl time.Duration) (Lease, error)
 		Renew(ctx context.Context, lease Lease) error
 		Revoke(ctx context.Context, lease Lease) error
 	}
 
-	// Rev is a key's revision. Revisions of one store only rise.
+	// Rev is a key's revision. The revisions of a store only increase.
 	Rev uint64
 
-	// Lease names a lease; zero is none.
+	// Lease is the id of a lease; zero is none.
 	Lease uint64
 
-	// Entry is a key's value as read.
+	// Entry is a key with its value and revision.
 	Entry struct {
 		Key  string `json:"key"`
 		Data []byte `json:"data"`
 		Rev  Rev    `json:"rev"`
 	}
 
-	// ConflictError reports that the key was not at the revision that the
-	// writer named. Rev is the key's present revision, 0 if it is absent.
+	// ConflictError reports that the key was not at the expected revision. Rev
+	// is its current revision, 0 if it does not exist.
 	ConflictError struct {
 		Key string
 		Rev Rev
@@ -90,19 +89,19 @@
 var (
 	// ErrNotFound reports a key that does not exist.
 	ErrNotFound = errors.New("store: key not found")
-	// ErrLapsed reports a lease that is over.
-	ErrLeaseExpired = errors.New("store: lease lapsed")
-	// ErrUnavailable reports a call that certainly had no effect.
+	// ErrLeaseExpired reports a lease that expired or was revoked.
+	ErrLeaseExpired = errors.New("store: lease expired")
+	// ErrUnavailable reports a call that had no effect.
 	ErrUnavailable = errors.New("store: unavailable")
 	// ErrUnknown reports a write that may or may not have taken effect.
 	ErrUnknown = errors.New("store: outcome unknown")
-	// ErrGone reports history that the service no longer has.
-	ErrCompacted = errors.New("store: history is gone")
+	// ErrCompacted reports a revision that the service no longer has.
+	ErrCompacted = errors.New("store: revision has been compacted")
 	// ErrTooLarge reports a value above MaxValue.
 	ErrTooLarge = errors.New("store: value too large")
 )
 
-// Error names the key and its present revision.
+// Error returns the key and its current revision.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("store: %s is at revision %d", e.Key, e.Rev)
 }
--- a/internal/plat/tool/tool.go
+++ b/internal/plat/tool/tool.go
@@ -1,38 +1,38 @@
-// Package tool describes a plain service: a worker that answers one request
+// Package tool defines the interface to a plain service, which answers one request
 // with one response.
 //
-// A service may hang, fail, or do its work and lose the answer. Error.Sent is
-// the one fact that retries rest on: false means that no byte of the request
-// reached the service, so it certainly did not run.
+// A service may hang, fail, or execute the request and lose the response. Retries
+// depend on Error.Sent alone: false means that no byte of the request reached the
+// service, so that it did not run.
 package tool
 
 import "context"
 
 type (
-	// Tool is one plain service's worker.
+	// Tool is one upstream of a plain service.
 	Tool interface {
-		// Do sends the request once. It never retries by itself.
+		// Do sends the request once. It never retries.
 		Do(ctx context.Context, r Request) (Response, error)
 	}
 
 	// Request is one call to a service.
 	Request struct {
-		ID          string // our request's name, sent as Slaterock-Request
+		ID          string // request id, sent as Slaterock-Request
 		Method      string
-		Path        string // below the service's root, with query
+		Path        string // relative to the service's root, with query
 		ContentType string
 		Body        []byte
 		TraceParent string
 	}
 
-	// Response is the service's answer.
+	// Response is the service's response.
 	Response struct {
 		Status      int
 		ContentType string
 		Body        []byte
 	}
 
-	// Error is a call without an answer.
+	// Error is a request without a response.
 	Error struct {
 		Sent bool
 		Err  error
--- a/internal/plat/vmhttp/vmhttp.go
+++ b/internal/plat/vmhttp/vmhttp.go
@@ -1,5 +1,5 @@
-// Package vmnet reads the platform's list of VMs over HTTP: a GET of Path
-// answers with a JSON list.
+// Package vmhttp reads the platform's list of VMs over HTTP: a GET of Path returns
+// a JSON list.
 package vmhttp
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
 )
 
-// Path is where the list is.
+// Path is the path of the list.
 const Path = "/vms"
 
 type (
--- a/internal/plat/vmhttp/vmhttp_test.go
+++ b/internal/plat/vmhttp/vmhttp_test.go
@@ -28,8 +28,8 @@
 			is.NoErr(err)
 			is.Equal(len(vms), 0)
 		},
-		// The list lags: a VM that leaves is shown as live for a while, and
-		// readers go on giving it work.
+		// The list lags: a leaving VM is listed as live for a while, and readers
+		// keep sending work to it.
 		"lags": func(is *is.I, l vmlist.List, s *vmset.Set) {
 			s.Put(a)
 			s.Lag = 5 * time.Second
@@ -42,8 +42,8 @@
 			is.NoErr(err)
 			is.Equal(vms, []vmlist.VM{b})
 		},
-		// The list can't be read. That is an error, never an empty list: its
-		// reader would take all VMs for gone.
+		// The list can't be read. That is an error and never an empty list, from
+		// which a reader would conclude that all VMs are gone.
 		"down": func(is *is.I, l vmlist.List, s *vmset.Set) {
 			s.Put(a)
 			s.Down(true)
@@ -74,7 +74,7 @@
 	}
 }
 
-// Nobody listens where the list should be.
+// No process listens at the list's address.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	var n pipe.Net
--- a/internal/plat/vmlist/vmlist.go
+++ b/internal/plat/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist describes the platform's list of live and leaving VMs. The
-// list lags: a VM may be gone before it leaves the list.
+// Package vmlist defines the interface to the platform's list of live and leaving
+// VMs. The list lags: a VM may be gone before it is removed from the list.
 package vmlist
 
 import "context"
@@ -17,11 +17,11 @@
 		VMs(ctx context.Context) ([]VM, error)
 	}
 
-	// State is a VM's place in its life.
+	// State is a VM's lifecycle state.
 	State string
 
-	// VM is one row of the list. Address is an IP number with the port of
-	// what runs there.
+	// VM is one entry of the list. Address is the IP address and port of the
+	// process on the VM.
 	VM struct {
 		Name          string `json:"name"`
 		Address       string `json:"address"`
--- a/internal/plat/wthttp/wthttp.go
+++ b/internal/plat/wthttp/wthttp.go
@@ -1,5 +1,6 @@
-// Package wtnet asks the platform's weight store over HTTP whether a load may
-// start: a POST to Path with the model's name answers with an Answer.
+// Package wthttp is the client of the platform's weight store over HTTP. To ask
+// whether the load of a model may start, it POSTs a Request to Path and gets a
+// Response.
 package wthttp
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
-// Path is where loads are admitted.
+// Path is the path of the admission request.
 const Path = "/admit"
 
 type (
@@ -24,12 +25,12 @@
 		Endpoint httpc.Endpoint
 	}
 
-	// Ask is the request.
+	// Request is a request's body.
 	Request struct {
 		Model string `json:"model"`
 	}
 
-	// Answer is the response. Wait is zero if the load may start.
+	// Response is a response's body. Wait is zero if the load may start now.
 	Response struct {
 		Wait time.Duration `json:"wait"` // nanoseconds
 	}
--- a/internal/plat/wthttp/wthttp_test.go
+++ b/internal/plat/wthttp/wthttp_test.go
@@ -32,8 +32,8 @@
 			is.NoErr(err)
 			is.Equal(wait, time.Duration(0))
 		},
-		// The weight store is down. Its answer is an error, never a leave to
-		// load: all engines would load at once when it comes back.
+		// The weight store is down. Admit returns an error and never an
+		// admission: all engines would load at once when the store recovers.
 		"down": func(is *is.I, w weight.Weights, f *fake.Weights) {
 			f.Down(true)
 			_, err := w.Admit(ctx, "m")
