--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -230,7 +230,7 @@
 
 func (d *Daemon) assemble(ctx context.Context) {
 	d.meter.Store = d.Store
-	d.meter.OnSuccess = func(at time.Time) {
+	d.meter.OnAnswer = func(at time.Time) {
 		d.run(func() {
 			d.gossip.Reached(ctx, at)
 			d.shards.Reached(ctx, at)
--- a/internal/plat/httpc/httpc.go
+++ b/internal/plat/httpc/httpc.go
@@ -81,15 +81,15 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Do sends the request and reads the whole response into resp.
-func (l Endpoint) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
-	c, stop, err := l.send(ctx, req)
+func (e Endpoint) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
+	c, stop, err := e.send(ctx, req)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	defer stop()
-	c.idleTimeout = orDefault(l.IdleTimeout, defaultIdleTimeout)
-	if err := resp.ReadLimitBody(bufio.NewReader(c), orDefault(l.MaxBody, defaultMaxBody)); err != nil {
+	c.idleTimeout = orDefault(e.IdleTimeout, defaultIdleTimeout)
+	if err := resp.ReadLimitBody(bufio.NewReader(c), orDefault(e.MaxBody, defaultMaxBody)); err != nil {
 		return &Error{Sent: true, Err: cause(ctx, err)}
 	}
 	return nil
@@ -98,20 +98,20 @@
 // Open sends the request and returns when the response's header has arrived. The
 // caller reads the body as it arrives, finds the cause of a read error with
 // Cause, and closes the response.
-func (l Endpoint) Open(ctx context.Context, req *fasthttp.Request) (*Response, error) {
-	c, stop, err := l.send(ctx, req)
+func (e Endpoint) Open(ctx context.Context, req *fasthttp.Request) (*Response, error) {
+	c, stop, err := e.send(ctx, req)
 	if err != nil {
 		return nil, err
 	}
 	resp := &fasthttp.Response{StreamBody: true}
-	if err := resp.ReadLimitBody(bufio.NewReader(c), orDefault(l.MaxBody, defaultMaxBody)); err != nil {
+	if err := resp.ReadLimitBody(bufio.NewReader(c), orDefault(e.MaxBody, defaultMaxBody)); err != nil {
 		stop()
 		_ = c.Close()
 		return nil, &Error{Sent: true, Err: cause(ctx, err)}
 	}
 	return &Response{
 		Header: &resp.Header, Body: resp.BodyStream(),
-		conn: c, idleTimeout: orDefault(l.IdleTimeout, defaultIdleTimeout), stop: stop, ctx: ctx,
+		conn: c, idleTimeout: orDefault(e.IdleTimeout, defaultIdleTimeout), stop: stop, ctx: ctx,
 	}, nil
 }
 
@@ -119,28 +119,28 @@
 // the first piece of the body has arrived: servers may send the header at once and
 // take long to the first piece, and only after that does a short pause mean that
 // the connection has stalled.
-func (a *Response) UseIdleTimeout() { a.conn.timeout = a.idleTimeout }
+func (r *Response) UseIdleTimeout() { r.conn.timeout = r.idleTimeout }
 
 // Cause returns the cause of the read error err: the context's error, an error that
 // wraps ErrStalled after a timeout, or err itself.
-func (a *Response) Cause(err error) error { return cause(a.ctx, err) }
+func (r *Response) Cause(err error) error { return cause(r.ctx, err) }
 
 // Close closes the connection.
-func (a *Response) Close() {
-	a.stop()
-	_ = a.conn.Close()
+func (r *Response) Close() {
+	r.stop()
+	_ = r.conn.Close()
 }
 
-func (l Endpoint) send(ctx context.Context, req *fasthttp.Request) (c *conn, stop func() bool, err error) {
-	nc, err := l.connect(ctx)
+func (e Endpoint) send(ctx context.Context, req *fasthttp.Request) (c *conn, stop func() bool, err error) {
+	nc, err := e.connect(ctx)
 	if err != nil {
 		return nil, nil, &Error{Err: cause(ctx, err)}
 	}
-	c = &conn{Conn: nc, timeout: orDefault(l.FirstByteTimeout, defaultFirstByteTimeout)}
+	c = &conn{Conn: nc, timeout: orDefault(e.FirstByteTimeout, defaultFirstByteTimeout)}
 	stop = context.AfterFunc(ctx, func() { _ = nc.Close() })
 	req.SetConnectionClose()
 	if len(req.Header.Host()) == 0 {
-		req.SetHost(l.Address)
+		req.SetHost(e.Address)
 	}
 	w := bufio.NewWriter(c)
 	err = req.Write(w)
@@ -155,14 +155,14 @@
 	return c, stop, nil
 }
 
-func (l Endpoint) connect(ctx context.Context) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, orDefault(l.DialTimeout, defaultDialTimeout))
+func (e Endpoint) connect(ctx context.Context) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, orDefault(e.DialTimeout, defaultDialTimeout))
 	defer cancel()
-	if l.Connect != nil {
-		return l.Connect(ctx, l.Address)
+	if e.Connect != nil {
+		return e.Connect(ctx, e.Address)
 	}
 	var d net.Dialer
-	return d.DialContext(ctx, "tcp", l.Address)
+	return d.DialContext(ctx, "tcp", e.Address)
 }
 
 // Read applies the current timeout to each read. Without it, a dead connection that
--- a/internal/plat/kvhttp/kvhttp.go
+++ b/internal/plat/kvhttp/kvhttp.go
@@ -198,9 +198,9 @@
 	req.Header.SetContentType("application/json")
 	req.SetRequestURI(Path + string(op))
 	req.SetBodyRaw(body)
-	l := c.Endpoint
-	l.FirstByteTimeout, l.IdleTimeout, l.MaxBody = first, c.timeout(), maxResponse
-	if err := l.Do(ctx, &req, &resp); err != nil {
+	e := c.Endpoint
+	e.FirstByteTimeout, e.IdleTimeout, e.MaxBody = first, c.timeout(), maxResponse
+	if err := e.Do(ctx, &req, &resp); err != nil {
 		return a, err
 	}
 	if resp.StatusCode() != http.StatusOK {
@@ -214,14 +214,14 @@
 
 func (c *Client) timeout() time.Duration { return orDefault(c.Timeout, defaultTimeout) }
 
-func (a Response) err(key string) error {
-	switch a.Code {
+func (r Response) err(key string) error {
+	switch r.Code {
 	case "":
 		return nil
 	case CodeNotFound:
 		return store.ErrNotFound
 	case CodeConflict:
-		return &store.ConflictError{Key: key, Rev: a.Rev}
+		return &store.ConflictError{Key: key, Rev: r.Rev}
 	case CodeLeaseExpired:
 		return store.ErrLeaseExpired
 	case CodeTooLarge:
@@ -229,7 +229,7 @@
 	case CodeUnavailable:
 		return store.ErrUnavailable
 	}
-	return fmt.Errorf("%w: code %q", store.ErrUnknown, a.Code)
+	return fmt.Errorf("%w: code %q", store.ErrUnknown, r.Code)
 }
 
 func withCause(outcome, cause error) error { return fmt.Errorf("%w: %w", outcome, cause) }
--- a/internal/plat/meter/meter.go
+++ b/internal/plat/meter/meter.go
@@ -24,8 +24,8 @@
 	// Meter is a store.Store that forwards to Store. Until SetRates is called
 	// the rates are unlimited.
 	Meter struct {
-		Store     store.Store
-		OnSuccess func(at time.Time) // called for each answered call with the time when it was sent
+		Store    store.Store
+		OnAnswer func(at time.Time) // called for each answered call with the time when it was sent
 
 		reads, writes   atomic.Pointer[rate.Limiter]
 		nreads, nwrites atomic.Uint64
@@ -91,8 +91,8 @@
 		m.nfailed.Add(1)
 		return
 	}
-	if m.OnSuccess != nil {
-		m.OnSuccess(sent)
+	if m.OnAnswer != nil {
+		m.OnAnswer(sent)
 	}
 }
 
--- a/internal/play/soak/judge.go
+++ b/internal/play/soak/judge.go
@@ -78,10 +78,10 @@
 			if !ok {
 				continue
 			}
-			if r.Head && r.Call.Number < heads[r.Program] {
+			if r.InOrder && r.Call.Number < heads[r.Program] {
 				w.breaks("the journal has call %d of %s after call %d", r.Call.Number, r.Program, heads[r.Program])
 			}
-			if r.Head {
+			if r.InOrder {
 				heads[r.Program] = r.Call.Number
 			}
 			c := w.resolve(refs, r)
--- a/internal/prog/quota/local.go
+++ b/internal/prog/quota/local.go
@@ -61,30 +61,30 @@
 
 // Request returns the request for the cost of a call that Spend refused.
 func (l *Local) Request(now time.Time, account string, cost int64) Request {
-	a := l.Report(now, account)
-	a.Tokens = cost
-	return a
+	req := l.Report(now, account)
+	req.Tokens = cost
+	return req
 }
 
 // Apply applies the answer to a request that was sent at the time sent, and spends
 // the call's cost. It reports whether the call may proceed. Tokens of an answer
 // that arrives too late to be spent count as granted nevertheless.
-func (l *Local) Apply(now, sent time.Time, req Request, a Answer) bool {
-	if !a.OK {
+func (l *Local) Apply(now, sent time.Time, req Request, answer Answer) bool {
+	if !answer.OK {
 		return false
 	}
 	u := l.usage(req.Account)
-	u.granted.add(elapsed(&l.start, sent), a.Tokens)
+	u.granted.add(elapsed(&l.start, sent), answer.Tokens)
 	until := sent.Add(BlockTTL)
 	if !now.Before(until) {
 		return false
 	}
 	if u.left > 0 && now.Before(u.until) {
-		u.left += a.Tokens - req.Tokens
+		u.left += answer.Tokens - req.Tokens
 		u.until = earlier(u.until, until)
 		return true
 	}
-	u.left, u.until = a.Tokens-req.Tokens, until
+	u.left, u.until = answer.Tokens-req.Tokens, until
 	return true
 }
 
@@ -96,9 +96,9 @@
 		return Request{}, false
 	}
 	l.programs[name].opening = true
-	a := l.Report(now, account)
-	a.Programs = 1
-	return a, true
+	req := l.Report(now, account)
+	req.Programs = 1
+	return req, true
 }
 
 // Opened marks a program as open after its request was granted.
@@ -222,12 +222,12 @@
 // Report returns the report of an account's use for its home.
 func (l *Local) Report(now time.Time, account string) Request {
 	l.Serial++
-	a := Request{Account: account, Daemon: l.Daemon, Serial: l.Serial}
+	req := Request{Account: account, Daemon: l.Daemon, Serial: l.Serial}
 	if u := l.accounts[account]; u != nil {
-		u.granted.trim(elapsed(&l.start, now), claimRetention)
-		a.Granted, a.Open = u.granted.sum, u.open
+		u.granted.trim(elapsed(&l.start, now), reportedGrantRetention)
+		req.Granted, req.Open = u.granted.sum, u.open
 	}
-	return a
+	return req
 }
 
 // Reports returns a report for each account with open programs, recent grants or
@@ -235,12 +235,12 @@
 func (l *Local) Reports(now time.Time) []Request {
 	out := make([]Request, 0, len(l.accounts))
 	for name, u := range l.accounts {
-		a := l.Report(now, name)
-		if a.Open == 0 && a.Granted == 0 && !now.Before(u.until) {
+		req := l.Report(now, name)
+		if req.Open == 0 && req.Granted == 0 && !now.Before(u.until) {
 			delete(l.accounts, name)
 			continue
 		}
-		out = append(out, a)
+		out = append(out, req)
 	}
 	return out
 }
--- a/internal/prog/quota/quota.go
+++ b/internal/prog/quota/quota.go
@@ -24,13 +24,13 @@
 
 	// claimRetention is how long a daemon reports a grant: as long as tokens of
 	// it may have been spent within the last minute.
-	claimRetention = Period + BlockTTL
+	reportedGrantRetention = Period + BlockTTL
 	// grantRetention is how long the home counts a grant. The daemon dates a
 	// grant by the time of its request, so earlier than the home, and both count
 	// in whole seconds. If the home dropped a grant first, the next request would
 	// report it and the home would count it again as a new one: an account would
 	// get half of its limit.
-	grantRetention = claimRetention + 2*time.Second
+	grantRetention = reportedGrantRetention + 2*time.Second
 	// reportTTL is how long the home uses a daemon's count of open programs
 	// without a new report.
 	reportTTL = 5 * ReportInterval
--- a/internal/prog/quota/quota_test.go
+++ b/internal/prog/quota/quota_test.go
@@ -59,8 +59,8 @@
 	return f.apply(i, sent, req, a)
 }
 
-func (f *fleet) apply(i int, sent time.Time, req Request, a Answer) bool {
-	if !f.locals[i].Apply(f.clock(i), sent, req, a) {
+func (f *fleet) apply(i int, sent time.Time, req Request, answer Answer) bool {
+	if !f.locals[i].Apply(f.clock(i), sent, req, answer) {
 		return false
 	}
 	return f.count(req.Tokens)
--- a/internal/prog/quota/random_test.go
+++ b/internal/prog/quota/random_test.go
@@ -82,13 +82,13 @@
 		return inFlight
 	}
 	at %= len(inFlight)
-	l := inFlight[at]
+	m := inFlight[at]
 	rest := append(append([]message(nil), inFlight[:at]...), inFlight[at+1:]...)
-	if !l.answered {
-		l.answer, l.answered = f.homes[f.home].Request(f.now, l.request, limit), true
-		return append(rest, l)
+	if !m.answered {
+		m.answer, m.answered = f.homes[f.home].Request(f.now, m.request, limit), true
+		return append(rest, m)
 	}
-	f.apply(l.from, l.sent, l.request, l.answer)
+	f.apply(m.from, m.sent, m.request, m.answer)
 	return rest
 }
 
--- a/internal/prog/record/codec.go
+++ b/internal/prog/record/codec.go
@@ -118,7 +118,7 @@
 // Records decodes an entry's units. A record in several pieces is returned with
 // the entry that holds the last of them. Pieces that are never completed belong
 // to a writer that lost the shard; they are dropped.
-func (j *Reassembler) Records(e Entry) (rs []Record, err error) {
+func (ra *Reassembler) Records(e Entry) (rs []Record, err error) {
 	defer func() { err = errors.Wrapf(err, "record: entry %d of shard %d", e.Number, e.Shard) }()
 	for _, raw := range e.Units {
 		var u unit
@@ -127,17 +127,17 @@
 		}
 		whole := u
 		if u.Kind == kindPiece {
-			done, err := j.add(u.Piece)
+			done, err := ra.add(u.Piece)
 			if err != nil {
 				return nil, err
 			}
 			if !done {
 				continue
 			}
-			if err := decoding.Unmarshal(j.buf, &whole); err != nil {
+			if err := decoding.Unmarshal(ra.buf, &whole); err != nil {
 				return nil, &CorruptError{Reason: err.Error()}
 			}
-			*j = Reassembler{}
+			*ra = Reassembler{}
 		}
 		r, err := decodeRecord(whole)
 		if err != nil {
@@ -148,22 +148,22 @@
 	return rs, nil
 }
 
-func (j *Reassembler) add(p *piece) (done bool, err error) {
+func (ra *Reassembler) add(p *piece) (done bool, err error) {
 	if p == nil || p.Count < 1 || p.Count > maxPieces || p.Index < 0 || p.Index >= p.Count {
 		return false, &CorruptError{Reason: "piece out of range"}
 	}
 	if p.Index == 0 {
-		*j = Reassembler{id: p.ID, count: p.Count}
+		*ra = Reassembler{id: p.ID, count: p.Count}
 	}
-	if p.ID != j.id || p.Index != j.next || p.Count != j.count {
+	if p.ID != ra.id || p.Index != ra.next || p.Count != ra.count {
 		return false, &CorruptError{Reason: fmt.Sprintf("piece %d of %d is out of place", p.Index, p.Count)}
 	}
-	if len(j.buf)+len(p.Data) > maxDecoded {
+	if len(ra.buf)+len(p.Data) > maxDecoded {
 		return false, &CorruptError{Reason: "record too large"}
 	}
-	j.buf = append(j.buf, p.Data...)
-	j.next++
-	return j.next == j.count, nil
+	ra.buf = append(ra.buf, p.Data...)
+	ra.next++
+	return ra.next == ra.count, nil
 }
 
 // Encode returns the entry's stored form.
--- a/internal/prog/record/codec_test.go
+++ b/internal/prog/record/codec_test.go
@@ -24,13 +24,13 @@
 	kept.AskedBlob = &hist.Blob{Digest: "d1", Size: 9000, Holders: []string{"a", "b"}}
 	kept.AnswerBlob = &hist.Blob{Digest: "d2", Size: 7000, Holders: []string{"b", "c"}}
 	return map[string]record.Record{
-		"kept":     record.Ended{Program: "p", Call: kept, Tokens: 4, Final: true, Head: true},
+		"kept":     record.Ended{Program: "p", Call: kept, Tokens: 4, Final: true, InOrder: true},
 		"holders":  record.Holders{Blob: *kept.AskedBlob},
 		"took":     record.Acquired{Epoch: 3, Owner: "a", At: at},
 		"opened":   record.Opened{Open: call.Open{Account: "x", Program: "p"}, Budget: 10, Reserved: 5, At: at},
 		"reserved": record.Reserved{Program: "p", Total: 7},
 		"intent":   record.Intent{Program: "p", Call: c},
-		"ended":    record.Ended{Program: "p", Call: c, Tokens: 4, Final: true, Head: true},
+		"ended":    record.Ended{Program: "p", Call: c, Tokens: 4, Final: true, InOrder: true},
 		"moved":    record.Moved{Program: "p", Call: c, Service: "receipts", Hold: 3, Cost: 1},
 		"closed":   record.Closed{Program: "p", Code: "finished", At: at},
 	}
--- a/internal/prog/record/record.go
+++ b/internal/prog/record/record.go
@@ -60,7 +60,7 @@
 		Call    hist.Call `json:"call"`
 		Tokens  int64     `json:"tokens"`
 		Final   bool      `json:"final"` // a repeat gets this outcome and is not run
-		Head    bool      `json:"head"`  // it was the program's next call in order, so the one after it may run
+		InOrder bool      `json:"head"`  // it was the program's next call in order, so the one after it may run
 	}
 
 	// Moved is a call with an attempt in flight when its owner handed the shard
--- a/internal/prog/state/state.go
+++ b/internal/prog/state/state.go
@@ -31,26 +31,26 @@
 type (
 	// Program is the durable part of one program.
 	Program struct {
-		Open        call.Open         `json:"open"`
-		Budget      int64             `json:"budget"`
-		Priority    int               `json:"priority"`
-		Reserved    int64             `json:"reserved"`
-		Spent       int64             `json:"spent"`
-		Config      uint64            `json:"config"`
-		Opened      time.Time         `json:"opened"`
-		Active      time.Time         `json:"active"`
-		Next        int               `json:"next"`              // one above the highest call number that ended
-		Turns       int               `json:"turns"`             // calls that ended, without those that did not run
-		Last        hist.Call         `json:"last"`              // newest call that ended in order, without request text
-		Final       bool              `json:"final"`             // a repeat of Last gets the same outcome and is not run
-		BodyDropped bool              `json:"dropped"`           // the answer of Last is not in memory
-		Intents     map[int]hist.Call `json:"intents,omitempty"` // by call number; without an outcome so far
-		Moved       *record.Moved     `json:"moved,omitempty"`   // a call with an attempt in flight at a handover
-		Tokens      Size              `json:"size"`
-		Engines     []string          `json:"engines,omitempty"`  // upstreams of its model calls; may hold KV cache for it
-		Entries     []uint64          `json:"entries,omitempty"`  // journal entries with its records
-		Segments    []uint64          `json:"segments,omitempty"` // of the compacted journal
-		Closed      string            `json:"closed,omitempty"`
+		Open         call.Open         `json:"open"`
+		Budget       int64             `json:"budget"`
+		Priority     int               `json:"priority"`
+		Reserved     int64             `json:"reserved"`
+		Spent        int64             `json:"spent"`
+		Config       uint64            `json:"config"`
+		Opened       time.Time         `json:"opened"`
+		LastActive   time.Time         `json:"active"`
+		Next         int               `json:"next"`              // one above the highest call number that ended
+		Turns        int               `json:"turns"`             // calls that ended, without those that did not run
+		Last         hist.Call         `json:"last"`              // newest call that ended in order, without request text
+		Final        bool              `json:"final"`             // a repeat of Last gets the same outcome and is not run
+		BodyDropped  bool              `json:"dropped"`           // the answer of Last is not in memory
+		Intents      map[int]hist.Call `json:"intents,omitempty"` // by call number; without an outcome so far
+		Moved        *record.Moved     `json:"moved,omitempty"`   // a call with an attempt in flight at a handover
+		Conversation Size              `json:"size"`
+		Engines      []string          `json:"engines,omitempty"`  // upstreams of its model calls; may hold KV cache for it
+		Entries      []uint64          `json:"entries,omitempty"`  // journal entries with its records
+		Segments     []uint64          `json:"segments,omitempty"` // of the compacted journal
+		Closed       string            `json:"closed,omitempty"`
 	}
 
 	// Size is the length of the conversation at the newest successful model
@@ -128,13 +128,13 @@
 		return
 	}
 	f.Programs[r.Open.Program] = &Program{
-		Open:     r.Open,
-		Budget:   r.Budget,
-		Priority: r.Priority,
-		Reserved: r.Reserved,
-		Config:   r.Config,
-		Opened:   r.At,
-		Active:   r.At,
+		Open:       r.Open,
+		Budget:     r.Budget,
+		Priority:   r.Priority,
+		Reserved:   r.Reserved,
+		Config:     r.Config,
+		Opened:     r.At,
+		LastActive: r.At,
 	}
 }
 
@@ -147,7 +147,7 @@
 			p.Intents = map[int]hist.Call{}
 		}
 		p.Intents[r.Call.Number] = r.Call
-		p.Active = r.Call.Start
+		p.LastActive = r.Call.Start
 	case record.Moved:
 		p.Moved = &r
 	case record.Ended:
@@ -162,7 +162,7 @@
 		}
 	case record.Closed:
 		p.Closed = r.Code
-		p.Active = r.At
+		p.LastActive = r.At
 	}
 }
 
@@ -198,9 +198,9 @@
 func (p *Program) applyEnded(r record.Ended) {
 	c := r.Call
 	delete(p.Intents, c.Number)
-	p.Active = c.End
+	p.LastActive = c.End
 	p.addEngines(c)
-	if !r.Head {
+	if !r.InOrder {
 		return
 	}
 	if c.Result.Ran != result.No {
@@ -213,7 +213,7 @@
 		p.Last.Result.Body, p.BodyDropped = nil, true
 	}
 	if c.Kind == call.Model && c.Result.OK() {
-		p.Tokens = Size{Prompt: c.Result.Prompt, Output: c.Result.Output, Bytes: c.Size}
+		p.Conversation = Size{Prompt: c.Result.Prompt, Output: c.Result.Output, Bytes: c.Size}
 	}
 }
 
@@ -250,6 +250,6 @@
 
 // ClosedBy reports whether the program has ended, has no calls without an
 // outcome, and has all its records in entries up to upto.
-func (p *Program) ClosedBy(upto uint64) bool {
+func (p *Program) CompleteUpTo(upto uint64) bool {
 	return p.Closed != "" && len(p.Intents) == 0 && p.Moved == nil && p.Entries[len(p.Entries)-1] <= upto
 }
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -53,7 +53,7 @@
 
 func ended(program string, number int) record.Record {
 	c := hist.Call{Request: fmt.Sprint(program, "-", number), Number: number, Result: result.Result{Code: result.CodeOK, Body: []byte("answer")}}
-	return record.Ended{Program: program, Call: c, Tokens: 5, Final: true, Head: true}
+	return record.Ended{Program: program, Call: c, Tokens: 5, Final: true, InOrder: true}
 }
 
 func closed(program string) record.Record {
--- a/internal/shard/fold/fold.go
+++ b/internal/shard/fold/fold.go
@@ -102,7 +102,7 @@
 func split(f state.Fold) (live map[string]*state.Program, gone []Gone) {
 	open := map[string]bool{}
 	for id, p := range f.Programs {
-		if !p.ClosedBy(f.Upto) {
+		if !p.CompleteUpTo(f.Upto) {
 			open[call.Root(id)] = true
 		}
 	}
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -43,7 +43,7 @@
 func (o *Owner) record(now time.Time, r *run, h hist.Call) {
 	p, res := r.prog, r.result
 	head := p.current == r
-	r.seq = o.add(record.Ended{Program: p.id, Call: h, Tokens: r.cost, Final: r.final, Head: head})
+	r.seq = o.add(record.Ended{Program: p.id, Call: h, Tokens: r.cost, Final: r.final, InOrder: head})
 	r.phase = waitCommit
 	r.deadline = now.Add(commitWait)
 	o.emit(Log{Account: p.open.Account, Program: p.id, Call: h})
@@ -337,6 +337,6 @@
 func (o *Owner) over(root *program, upto uint64) bool {
 	return !slices.ContainsFunc(root.family, func(p *program) bool {
 		d := o.Fold.Programs[p.id]
-		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.ClosedBy(upto)
+		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.CompleteUpTo(upto)
 	})
 }
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -64,7 +64,7 @@
 
 func (o *Owner) adoptProgram(now time.Time, d *state.Program) {
 	p := o.put(d.Open, d.Priority, d.Opened)
-	p.active, p.turns, p.closed, p.size = d.Active, d.Turns, d.Closed, d.Tokens
+	p.active, p.turns, p.closed, p.size = d.LastActive, d.Turns, d.Closed, d.Conversation
 	p.order = order.Order{Next: d.Next}
 	if p.root == p {
 		p.budget = budget.Budget{Limit: d.Budget, Reserved: d.Reserved, Spent: d.Spent}.Recovered()
@@ -96,7 +96,7 @@
 		"the daemon that had accepted the call was lost before its outcome was recorded; it is not run again")
 	r := &run{prog: p, phase: waitCommit, digest: c.Digest, result: c.Result, final: true, start: c.Start}
 	r.call = call.Call{Request: c.Request, Account: p.open.Account, Program: p.id, Number: c.Number, Kind: c.Kind}
-	r.seq = o.add(record.Ended{Program: p.id, Call: c, Final: true, Head: true})
+	r.seq = o.add(record.Ended{Program: p.id, Call: c, Final: true, InOrder: true})
 	o.runs[c.Request] = r
 	p.last = r
 	p.order.Next = max(p.order.Next, c.Number+1)
--- a/internal/shard/past/past_test.go
+++ b/internal/shard/past/past_test.go
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := hist.Call{Request: "r", AskedBlob: asked, AnswerBlob: answer, Result: result.Result{Code: result.CodeOK, Ran: result.Yes}}
-			us, err := record.Units(record.Ended{Program: "p", Call: c, Final: true, Head: true}, 1)
+			us, err := record.Units(record.Ended{Program: "p", Call: c, Final: true, InOrder: true}, 1)
 			is.NoErr(err)
 			data, err := record.Entry{Number: 1, Epoch: 1, Units: us}.Encode()
 			is.NoErr(err)
