--- a/internal/plat/chat/reader.go
+++ b/internal/plat/chat/reader.go
@@ -19,9 +19,9 @@
 	// reader reads the events of a response.
 	reader struct {
 		resp      *httpc.Response
-		maxTokens int // tokens; 0: none
+		maxTokens int // limit of the answer's tokens; 0: no limit
 		after     int // ID of the piece that a resumed answer must continue after
-		id        int // of the newest event; 0 if it has none
+		id        int // last event id received; 0 if none or not a number
 		sink      func(engine.Delta) error
 		usage     engine.Usage
 		minTokens int // lower bound of the tokens received
@@ -36,8 +36,9 @@
 	// ErrTruncated reports a response that ended without the end mark.
 	ErrTruncated = errors.New("chat: answer was cut off")
 
-	// ErrNotResumed reports an engine that restarted an answer instead of
-	// resuming it. Accepting its pieces would give the caller two beginnings.
+	// ErrNotResumed reports an engine whose first piece is not the one after the
+	// last piece received: it restarted the answer, skipped pieces or numbers
+	// none. Accepting a restarted answer would give the caller two beginnings.
 	ErrNotResumed = errors.New("chat: engine did not resume the answer")
 
 	errOverLimit = errors.New("chat: engine exceeded max_tokens")
@@ -95,10 +96,11 @@
 	return r.piece(c.Choices[0].Delta)
 }
 
-// piece passes a piece to the sink up to the token limit. An engine that ignores
-// max_tokens could exceed its program's budget: the answer ends here, and closing
-// the connection cancels the rest. For the limit, a piece without a token count
-// counts as one token, so that no answer is truncated because of an estimate.
+// piece passes a piece to the sink. An engine that ignores max_tokens could exceed
+// the program's budget, so piece returns errOverLimit beyond that limit, and Chat
+// closes the connection, which cancels the completion. For the limit, a piece
+// without a token count counts as one token, so that no answer is truncated because
+// of an estimate.
 func (r *reader) piece(m Message) error {
 	if m.Content == "" {
 		return nil
--- a/internal/plat/engine/engine.go
+++ b/internal/plat/engine/engine.go
@@ -1,9 +1,10 @@
 // Package engine defines the interface to a model engine: a worker that batches chat
 // completions, caches prompt prefixes in limited memory and executes orders.
 //
-// Request bodies are JSON of the common chat completions protocol. Load reports lag,
-// and cache events arrive late and with gaps: Seq increases by one for each event, so
-// that a reader can count those that it missed. An order has a fencing number. Some
+// Request bodies are JSON of the common chat completions protocol. Load reports are
+// delayed, and cache events arrive late and may be missing: Seq increases by one for
+// each event, so that a reader can count those that it missed. An order, a command
+// that changes the engine's state, has a fencing number. Some
 // engines refuse an order with a number lower than the highest they have seen; others
 // ignore the number.
 package engine
--- a/internal/plat/httpc/httpc.go
+++ b/internal/plat/httpc/httpc.go
@@ -32,11 +32,15 @@
 	// Endpoint sends requests to one address. All fields but Address have
 	// defaults for their zero values.
 	Endpoint struct {
-		Address          string        // IP address and port
-		DialTimeout      time.Duration // to establish the connection
-		FirstByteTimeout time.Duration // per write, and per read up to the first byte; with Open, to UseIdleTimeout
-		IdleTimeout      time.Duration // of each read after that
-		MaxBody          int           // largest response body, in bytes
+		Address     string        // IP address and port
+		DialTimeout time.Duration // to establish the connection
+
+		// FirstByteTimeout limits each write, and each read until the response's
+		// first byte has arrived or, after Open, until UseIdleTimeout is called.
+		FirstByteTimeout time.Duration
+
+		IdleTimeout time.Duration // limits each read after that
+		MaxBody     int           // largest response body of Do, in bytes
 
 		// Connect replaces dialling in tests.
 		Connect func(ctx context.Context, address string) (net.Conn, error)
@@ -95,9 +99,10 @@
 	return nil
 }
 
-// Open sends the request and returns when the response's header has arrived. The
-// caller reads the body as it arrives, finds the cause of a read error with
-// Cause, and closes the response.
+// Open sends the request and returns when the response's header has arrived; if the
+// response has a Content-Length of at most MaxBody, it returns when the whole body
+// has arrived. MaxBody does not limit a streamed body. The caller reads the body as
+// it arrives, finds the cause of a read error with Cause, and closes the response.
 func (e Endpoint) Open(ctx context.Context, req *fasthttp.Request) (*Response, error) {
 	c, stop, err := e.send(ctx, req)
 	if err != nil {
--- a/internal/plat/kvhttp/kvhttp.go
+++ b/internal/plat/kvhttp/kvhttp.go
@@ -124,8 +124,8 @@
 }
 
 // Watch implements store.Store. It sends a new request whenever the service ends
-// one without a change. A response that takes longer than that means a stalled
-// connection, and the request is sent again on a new one.
+// one without a change. If no response arrives within WatchWait plus Timeout, the
+// connection has stalled, and Watch sends the request again on a new one.
 func (c *Client) Watch(ctx context.Context, key string, rev store.Rev) (store.Entry, error) {
 	hold := orDefault(c.WatchWait, defaultWatchWait)
 	for {
--- a/internal/plat/meter/meter.go
+++ b/internal/plat/meter/meter.go
@@ -1,10 +1,10 @@
 // Package meter limits a daemon's calls to the platform's key-value service to its
 // share of the service's rates, and counts them.
 //
-// All daemons share the service's rates, which grow more slowly than the number of
-// daemons. A call above the share waits as long as its context allows. Calls on
-// leases don't wait: an owner that lost its shards because a renewal was delayed
-// would only cause more calls.
+// All daemons share the service's rate limits, which grow less than the number of
+// daemons. A call above the share waits for its turn, or fails at once if its
+// context would end before that. Calls on leases don't wait: an owner that lost its
+// shards because a renewal was delayed would only cause more calls.
 package meter
 
 import (
@@ -25,7 +25,7 @@
 	// the rates are unlimited.
 	Meter struct {
 		Store    store.Store
-		OnAnswer func(at time.Time) // called for each answered call with the time when it was sent
+		OnAnswer func(at time.Time) // called for each answered call except watches, with the time when it was sent
 
 		reads, writes   atomic.Pointer[rate.Limiter]
 		nreads, nwrites atomic.Uint64
@@ -34,7 +34,7 @@
 		waited          atomic.Int64
 	}
 
-	// Counts are the numbers of calls since the start.
+	// Counts are the numbers of calls since the start. Failed is without watches.
 	Counts struct {
 		Reads   uint64        `json:"reads"`
 		Writes  uint64        `json:"writes"`
@@ -77,13 +77,14 @@
 	}
 	start := time.Now()
 	if err := l.Wait(ctx); err != nil {
-		return errors.Wrap(store.ErrUnavailable, "call rate limit exceeded")
+		return errors.Wrap(store.ErrUnavailable, "wait for the call rate limit")
 	}
 	m.waited.Add(int64(time.Since(start)))
 	return nil
 }
 
-// record records how a call ended. A refusal by the service counts as answered.
+// record records how a call ended. Conflicts, missing keys and expired leases count
+// as answered, all other errors as failed.
 func (m *Meter) record(sent time.Time, err error) {
 	var c *store.ConflictError
 	answered := err == nil || errors.As(err, &c) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrLeaseExpired)
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -1,12 +1,12 @@
-// Package store defines the interface to the platform's key-value service, the only
-// durable storage of slaterock's state.
+// Package store defines the interface to the platform's key-value service, which
+// stores slaterock's durable state, except long texts of calls.
 //
 // The service has compare-and-swap on revisions, leases that delete their keys when
 // they expire, and watches. Every call, also a blocked watch, counts against its rate
-// limits. A value has at most MaxValue bytes. A write has four possible outcomes: it
-// succeeded, it was refused with a *ConflictError, it had no effect (ErrUnavailable),
-// or it is unknown whether it took effect (ErrUnknown). An unknown outcome must be
-// resolved by reading the key back; callers must not assume either.
+// limits. A value has at most MaxValue bytes. A write either succeeded, was refused
+// (*ConflictError, ErrNotFound, ErrLeaseExpired, ErrTooLarge), had no effect
+// (ErrUnavailable), or it is unknown whether it took effect (ErrUnknown). An unknown
+// outcome must be resolved by reading the key back; callers must not assume either.
 package store
 
 import (
--- a/internal/plat/tool/tool.go
+++ b/internal/plat/tool/tool.go
@@ -1,5 +1,5 @@
-// Package tool defines the interface to a plain service, which answers one request
-// with one response.
+// Package tool defines the interface to a plain service: an HTTP service that is not
+// a model engine. It answers one request with one response.
 //
 // A service may hang, fail, or execute the request and lose the response. Retries
 // depend on Error.Sent alone: false means that no byte of the request reached the
--- a/internal/prog/call/call.go
+++ b/internal/prog/call/call.go
@@ -3,8 +3,9 @@
 //
 // A program's id is chosen by its caller. A sub-agent's id is its parent's id,
 // a slash and a name of its own, so that a program and all its sub-agents share
-// a root, which determines their shard, their order and their budget. The calls
-// of a program are numbered 0, 1, 2 ...; a repeat has the same number.
+// a root, which determines their shard, their share in scheduling and their
+// budget. The calls of a program are numbered 0, 1, 2 ...; a repeat has the same
+// number.
 package call
 
 import (
--- a/internal/prog/hist/hist.go
+++ b/internal/prog/hist/hist.go
@@ -36,10 +36,10 @@
 		Target  string    `json:"target"`           // model, or service and path
 		Digest  string    `json:"digest"`           // SHA-256 of the request's body, hex
 		Size    int       `json:"size"`             // of the request's body, bytes
-		Shared  int       `json:"shared,omitempty"` // leading messages repeated from the program's previous model call, not in Asked
-		Asked   string    `json:"asked,omitempty"`
+		Shared  int       `json:"shared,omitempty"` // leading messages repeated from the previous model call
+		Asked   string    `json:"asked,omitempty"`  // the request's body, without the Shared messages
 		// AskedBlob and AnswerBlob locate Asked and the result's body if these
-		// are too long for the journal, which then has them empty.
+		// are too long for the journal; the fields themselves are empty there.
 		AskedBlob  *Blob `json:"asked_in,omitempty"`
 		AnswerBlob *Blob `json:"answer_in,omitempty"`
 		// Note says which texts can't be read now.
@@ -57,9 +57,9 @@
 
 	// Blob locates a text that is stored in data folders.
 	Blob struct {
-		Digest  string   `json:"digest"` // SHA-256 of the text, hex
-		Size    int      `json:"size"`   // bytes
-		Holders []string `json:"holders"`
+		Digest  string   `json:"digest"`  // SHA-256 of the text, hex
+		Size    int      `json:"size"`    // bytes
+		Holders []string `json:"holders"` // daemons with a copy in their data folder
 	}
 
 	// Try is one attempt of a call at one upstream.
@@ -67,6 +67,6 @@
 		Upstream string    `json:"upstream"`
 		Start    time.Time `json:"start"`
 		End      time.Time `json:"end,omitzero"`
-		Ended    string    `json:"ended"` // ok, or the reason of the failure
+		Ended    string    `json:"ended"` // ok, or the reason of the failure; empty in flight
 	}
 )
--- a/internal/prog/order/order.go
+++ b/internal/prog/order/order.go
@@ -17,7 +17,8 @@
 	// Repeat repeats the newest call that ended; it may run once more if its
 	// outcome isn't final.
 	Repeat
-	// Superseded repeats a call that is older than the newest one that ended.
+	// Superseded is a call with a number below that of the newest call that
+	// ended.
 	Superseded
 	// TooFar is a call that is Window or more ahead of the next and is refused.
 	TooFar
--- a/internal/prog/quota/home.go
+++ b/internal/prog/quota/home.go
@@ -38,8 +38,9 @@
 	return Answer{OK: true}
 }
 
-// Trim removes the daemons that have neither recent reports nor recent grants,
-// and the accounts without daemons.
+// Trim stops counting the open programs of daemons without a report within
+// reportTTL. It removes those of them that have no recent grants either, and the
+// accounts without daemons.
 func (h *Home) Trim(now time.Time) {
 	at := elapsed(&h.start, now)
 	for name, acc := range h.accounts {
--- a/internal/prog/quota/quota.go
+++ b/internal/prog/quota/quota.go
@@ -22,8 +22,8 @@
 	// ReportInterval is the time between a daemon's reports of its open programs.
 	ReportInterval = 3 * time.Second
 
-	// claimRetention is how long a daemon reports a grant: as long as tokens of
-	// it may have been spent within the last minute.
+	// reportedGrantRetention is how long a daemon includes a grant in its
+	// reports: as long as tokens of it may have been spent within the last Period.
 	reportedGrantRetention = Period + BlockTTL
 	// grantRetention is how long the home counts a grant. The daemon dates a
 	// grant by the time of its request, so earlier than the home, and both count
@@ -35,9 +35,9 @@
 	// without a new report.
 	reportTTL = 5 * ReportInterval
 
-	// The tokens that a daemon gets beyond its call's cost are at most this part,
-	// 1/64 and 1/16, of the limit and of the free tokens, so that blocks shrink
-	// as the limit is approached.
+	// The tokens that a daemon gets beyond its call's cost are at most
+	// 1/limitDivisor of the limit and 1/freeDivisor of the free tokens, so that
+	// blocks shrink as the limit is approached.
 	limitDivisor = 64
 	freeDivisor  = 16
 )
@@ -51,7 +51,7 @@
 		Serial   int64  `json:"serial"`             // increases with each request of a daemon
 		Tokens   int64  `json:"tokens,omitempty"`   // requested
 		Programs int    `json:"programs,omitempty"` // to be opened
-		Granted  int64  `json:"granted,omitempty"`  // tokens granted within claimRetention, by any home
+		Granted  int64  `json:"granted,omitempty"`  // tokens granted within reportedGrantRetention, by any home
 		Open     int    `json:"open,omitempty"`     // open programs, including those being opened
 	}
 
--- a/internal/prog/quota/random_test.go
+++ b/internal/prog/quota/random_test.go
@@ -92,8 +92,8 @@
 	return rest
 }
 
-// Daemons that always use the same home must get nearly the whole limit in every
-// minute: if the home took a daemon's report of the home's own grants for grants
+// Daemons that always use the same home must get most of the limit over ten
+// minutes: if the home took a daemon's report of the home's own grants for grants
 // of another home, it would count them twice, and the account would get half.
 func TestLimitIsReached(t *testing.T) {
 	is := is.New(t)
--- a/internal/prog/record/codec.go
+++ b/internal/prog/record/codec.go
@@ -13,8 +13,10 @@
 )
 
 const (
-	// MaxUnit is the largest unit, in bytes. It keeps an entry with a unit in it
-	// below the store's largest value even if the data does not compress.
+	// MaxUnit is the largest encoded record that is stored in one unit, and the
+	// most data in a piece, in bytes; a unit with a piece is slightly larger. It
+	// keeps an entry with a unit in it below the store's largest value even if the
+	// data does not compress.
 	MaxUnit = 384 << 10
 	// MaxUnits is the largest total size of an entry's units, in bytes.
 	MaxUnits = 768 << 10
--- a/internal/prog/record/record.go
+++ b/internal/prog/record/record.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// Record is one event of a program. Records are only ever appended.
+	// Record is one event of a program or of the whole shard. Records are only ever appended.
 	Record interface {
 		// Subject returns the id of the program that the record is about;
 		// empty if it is about the whole shard.
@@ -60,7 +60,7 @@
 		Call    hist.Call `json:"call"`
 		Tokens  int64     `json:"tokens"`
 		Final   bool      `json:"final"` // a repeat gets this outcome and is not run
-		InOrder bool      `json:"head"`  // it was the program's next call in order, so the one after it may run
+		InOrder bool      `json:"head"`  // the call was the program's next in order, so the one after it may run
 	}
 
 	// Moved is a call with an attempt in flight when its owner handed the shard
--- a/internal/prog/state/state.go
+++ b/internal/prog/state/state.go
@@ -24,7 +24,7 @@
 
 const (
 	// MaxCachedBody is the largest answer, in bytes, that is kept in memory for
-	// a repeat of a program's last call; a larger one is read from the journal.
+	// a repeat of a program's last call; a larger one is read from the journal or from data folders.
 	MaxCachedBody = 16 << 10
 )
 
@@ -34,13 +34,13 @@
 		Open         call.Open         `json:"open"`
 		Budget       int64             `json:"budget"`
 		Priority     int               `json:"priority"`
-		Reserved     int64             `json:"reserved"`
-		Spent        int64             `json:"spent"`
+		Reserved     int64             `json:"reserved"` // tokens of a root's budget, in total
+		Spent        int64             `json:"spent"`    // tokens; of a root, with its sub-agents
 		Config       uint64            `json:"config"`
 		Opened       time.Time         `json:"opened"`
-		LastActive   time.Time         `json:"active"`
-		Next         int               `json:"next"`              // one above the highest call number that ended
-		Turns        int               `json:"turns"`             // calls that ended, without those that did not run
+		LastActive   time.Time         `json:"active"`            // last activity: opened, a call's start or end, closed
+		Next         int               `json:"next"`              // one above the newest call that ended in order
+		Turns        int               `json:"turns"`             // calls that ended in order, without those that did not run
 		Last         hist.Call         `json:"last"`              // newest call that ended in order, without request text
 		Final        bool              `json:"final"`             // a repeat of Last gets the same outcome and is not run
 		BodyDropped  bool              `json:"dropped"`           // the answer of Last is not in memory
@@ -50,7 +50,7 @@
 		Engines      []string          `json:"engines,omitempty"`  // upstreams of its model calls; may hold KV cache for it
 		Entries      []uint64          `json:"entries,omitempty"`  // journal entries with its records
 		Segments     []uint64          `json:"segments,omitempty"` // of the compacted journal
-		Closed       string            `json:"closed,omitempty"`
+		Closed       string            `json:"closed,omitempty"`   // how the program ended; empty while open
 	}
 
 	// Size is the length of the conversation at the newest successful model
@@ -68,25 +68,26 @@
 		Entry uint64
 	}
 
-	// Fold is the durable state of a shard up to and with entry Upto.
+	// Fold is the durable state of a shard after applying all entries up to and
+	// including Upto.
 	Fold struct {
 		Upto     uint64              `json:"upto"`
 		Epoch    uint64              `json:"epoch"`
 		Owner    string              `json:"owner"`
 		Programs map[string]*Program `json:"programs"`
 
-		// Texts holds, by digest, the texts in data folders that records after
-		// the newest snapshot refer to, SnapshotTexts those that the snapshot
-		// listed when it was loaded. SnapshotTexts is used only at a takeover:
-		// the component that maintains the copies of the texts reads it once,
-		// and the owner then clears it, so that no list in its memory grows
-		// with the history.
+		// Texts holds, by digest, the texts in data folders that entries after
+		// the newest snapshot refer to. SnapshotTexts holds those that the
+		// snapshot listed when it was loaded. SnapshotTexts is read once, at a
+		// takeover, to restore missing copies. The owner then clears it, since
+		// it grows with the history.
 		Texts         map[string]Text      `json:"-"`
 		SnapshotTexts map[string]hist.Blob `json:"-"`
 
-		// Gone maps the hash of each root program that was removed from memory
-		// after it and all its sub-agents had ended to the position of the
-		// snapshot's index value that lists the family's journal entries.
+		// Gone holds the root programs that were removed from memory because
+		// they and all their sub-agents had ended. The key is Hash of the root.
+		// The value is the position, in the snapshot's list of index values, of
+		// the one that lists the journal entries of the root and its sub-agents.
 		Gone map[uint64]uint32 `json:"-"`
 	}
 )
@@ -182,8 +183,9 @@
 	maps.DeleteFunc(f.Texts, func(_ string, t Text) bool { return t.Entry <= upto })
 }
 
-// Known calls each once for every text that the journal refers to. It is
-// complete only until the owner clears SnapshotTexts.
+// Known calls each once for every text that the journal refers to. After the owner
+// has cleared SnapshotTexts, it covers only the texts that entries after the newest
+// snapshot refer to.
 func (f *Fold) Known(each func(b hist.Blob)) {
 	for digest, b := range f.SnapshotTexts {
 		if _, newer := f.Texts[digest]; !newer {
@@ -217,9 +219,9 @@
 	}
 }
 
-// addEngines adds the upstreams that a model call was sent to. When the program
-// ends, its owner at that time has all of them release its memory, whichever
-// daemon selected them.
+// addEngines adds the upstreams of a model call's attempts. When the program ends,
+// the shard's owner orders all of them to free the memory that they hold for the
+// program, including those selected by former owners.
 func (p *Program) addEngines(c hist.Call) {
 	if c.Kind != call.Model {
 		return
@@ -248,8 +250,8 @@
 	return c
 }
 
-// ClosedBy reports whether the program has ended, has no calls without an
-// outcome, and has all its records in entries up to upto.
+// CompleteUpTo reports whether the program has ended, has no Intent or Moved call
+// without an outcome, and has all its records in entries up to upto.
 func (p *Program) CompleteUpTo(upto uint64) bool {
 	return p.Closed != "" && len(p.Intents) == 0 && p.Moved == nil && p.Entries[len(p.Entries)-1] <= upto
 }
