--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -230,7 +230,7 @@
 
 func (d *Daemon) assemble(ctx context.Context) {
 	d.meter.Store = d.Store
-	d.meter.OnSuccess = func(at time.Time) {
+	d.meter.OnAnswer = func(at time.Time) {
 		d.run(func() {
 			d.gossip.Reached(ctx, at)
 			d.shards.Reached(ctx, at)
@@ -276,7 +276,7 @@
 	n = max(n, 1)
 	sys := d.keeper.Current().System
 	// Owners write and read more than others, so a share is twice the mean.
-	d.meter.Allow(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
+	d.meter.SetRates(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
 }
 
 func (d *Daemon) place(ctx context.Context, h *host.Host, m sched.Message) {
--- a/internal/node/leased/leased.go
+++ b/internal/node/leased/leased.go
@@ -102,7 +102,7 @@
 func (l *Registration) step(ctx context.Context) error {
 	if l.lease != 0 {
 		err := l.Store.Renew(ctx, l.lease)
-		if errors.Is(err, store.ErrLapsed) {
+		if errors.Is(err, store.ErrLeaseExpired) {
 			l.lease = 0
 		} else if err != nil {
 			return err
--- a/internal/plat/chat/bench_test.go
+++ b/internal/plat/chat/bench_test.go
@@ -7,11 +7,11 @@
 	"github.com/slaterock/slaterock/internal/fake/model"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
-// BenchmarkPiece measures what one piece of an answer takes over loopback, the
-// stand-in engine and the client together.
+// BenchmarkPiece measures the time per piece of an answer over loopback, fake engine
+// and client together.
 func BenchmarkPiece(b *testing.B) {
 	const pieces = 1000
 	var l net.ListenConfig
@@ -21,7 +21,7 @@
 	}
 	h := model.Serve(ln, &model.Engine{Name: "e1", Speed: 1e12, Piece: 1, Output: pieces})
 	defer h.Close()
-	c := &chat.Client{Line: line.Line{Address: h.Address()}}
+	c := &chat.Client{Endpoint: httpc.Endpoint{Address: h.Address()}}
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/plat/chat/reader.go
+++ b/internal/plat/chat/reader.go
@@ -10,43 +10,45 @@
 	"strconv"
 
 	"github.com/slaterock/slaterock/internal/plat/engine"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
-const maxEvent = 1 << 20 // bytes of one server-sent event
+const maxEvent = 1 << 20 // largest server-sent event, in bytes
 
 type (
-	// reader takes an answer's events.
+	// reader reads the events of a response.
 	reader struct {
-		answer *line.Answer
-		limit  int // tokens
-		after  int // ID of the piece that a resumed answer goes on after
-		id     int // of the newest event, 0 without one
-		sink   func(engine.Delta) error
-		usage  engine.Usage
-		least  int // tokens that certainly came
+		resp      *httpc.Response
+		maxTokens int // limit of the answer's tokens; 0: no limit
+		after     int // ID of the piece that a resumed answer must continue after
+		id        int // last event id received; 0 if none or not a number
+		sink      func(engine.Delta) error
+		usage     engine.Usage
+		minTokens int // lower bound of the tokens received
 	}
 )
 
 var (
 	prefixData = []byte("data:")
 	prefixID   = []byte("id:")
-	done       = []byte("[DONE]")
+	doneMark   = []byte("[DONE]")
 
-	// ErrCut reports an answer that ended before its end was told.
-	ErrCut = errors.New("chat: answer was cut off")
+	// ErrTruncated reports a response that ended without the end mark.
+	ErrTruncated = errors.New("chat: answer was cut off")
 
-	// ErrNotResumed reports an engine that began an answer anew instead of going
-	// on with it. Taking its pieces would give the caller two beginnings.
+	// ErrNotResumed reports an engine whose first piece is not the one after the
+	// last piece received: it restarted the answer, skipped pieces or numbers
+	// none. Accepting a restarted answer would give the caller two beginnings.
 	ErrNotResumed = errors.New("chat: engine did not resume the answer")
 
-	errEnough = errors.New("chat: engine went on past the limit")
+	errOverLimit = errors.New("chat: engine exceeded max_tokens")
 )
 
-// run reads the events up to the end mark. An answer without one was cut off,
-// however whole it looks: its reader would take half an answer for the whole.
+// run reads the events up to the end mark. A response without one was truncated,
+// even if it is complete as HTTP: accepting it would pass off a partial answer as
+// a complete one.
 func (r *reader) run() error {
-	s := bufio.NewScanner(r.answer.Body)
+	s := bufio.NewScanner(r.resp.Body)
 	s.Buffer(nil, maxEvent)
 	for s.Scan() {
 		if id, ok := bytes.CutPrefix(s.Bytes(), prefixID); ok {
@@ -58,11 +60,11 @@
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		if bytes.Equal(data, done) {
+		if bytes.Equal(data, doneMark) {
 			return nil
 		}
 		err := r.event(data)
-		if errors.Is(err, errEnough) {
+		if errors.Is(err, errOverLimit) {
 			r.usage.Finish = finishLength
 			return nil
 		}
@@ -72,9 +74,9 @@
 	}
 	err := s.Err()
 	if err == nil {
-		err = ErrCut
+		err = ErrTruncated
 	}
-	return &engine.Error{Sent: true, Status: http.StatusOK, Err: r.answer.Cause(err)}
+	return &engine.Error{Sent: true, Status: http.StatusOK, Err: r.resp.Cause(err)}
 }
 
 func (r *reader) event(data []byte) error {
@@ -94,10 +96,11 @@
 	return r.piece(c.Choices[0].Delta)
 }
 
-// piece passes a piece on while the limit lasts. An engine that ignores
-// max_tokens would spend its program's budget: the answer is ended here, and
-// closing the connection cancels the rest. A piece without a token count is
-// taken for one token, so that no answer is cut on an estimate.
+// piece passes a piece to the sink. An engine that ignores max_tokens could exceed
+// the program's budget, so piece returns errOverLimit beyond that limit, and Chat
+// closes the connection, which cancels the completion. For the limit, a piece
+// without a token count counts as one token, so that no answer is truncated because
+// of an estimate.
 func (r *reader) piece(m Message) error {
 	if m.Content == "" {
 		return nil
@@ -106,10 +109,10 @@
 		return ErrNotResumed
 	}
 	r.after = 0
-	r.answer.Flow()
-	r.least += max(m.Tokens, 1)
-	if r.limit > 0 && r.least > r.limit {
-		return errEnough
+	r.resp.UseIdleTimeout()
+	r.minTokens += max(m.Tokens, 1)
+	if r.maxTokens > 0 && r.minTokens > r.maxTokens {
+		return errOverLimit
 	}
 	tokens := m.Tokens
 	if tokens == 0 {
--- a/internal/plat/line/line_test.go
+++ b/internal/plat/httpc/httpc_test.go
@@ -1,4 +1,4 @@
-package line_test
+package httpc_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/slaterock/slaterock/internal/fake/host"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
 func serve(tb testing.TB, handler host.Handler) *host.Host {
@@ -29,23 +29,23 @@
 	return h
 }
 
-// An answer larger than its reader allows would fill the reader's memory. It
-// is refused, and not cut: half of an answer must not pass for the whole.
-func TestAnswerTooLarge(t *testing.T) {
+// A response above MaxBody could exhaust the client's memory. It is an error and
+// not truncated: a partial response must not pass for a complete one.
+func TestResponseTooLarge(t *testing.T) {
 	is := is.New(t)
 	h := serve(t, func(_ context.Context, w *fasthttp.RequestCtx) { w.SetBodyString(strings.Repeat("x", 1000)) })
 	var req fasthttp.Request
 	var resp fasthttp.Response
-	err := line.Line{Address: h.Address(), MaxBody: 999}.Do(t.Context(), &req, &resp)
+	err := httpc.Endpoint{Address: h.Address(), MaxBody: 999}.Do(t.Context(), &req, &resp)
 	is.True(err != nil)
-	is.NoErr(line.Line{Address: h.Address(), MaxBody: 1000}.Do(t.Context(), &req, &resp))
+	is.NoErr(httpc.Endpoint{Address: h.Address(), MaxBody: 1000}.Do(t.Context(), &req, &resp))
 	is.Equal(len(resp.Body()), 1000)
 }
 
-// served runs one exchange against a peer that plays its part by hand.
-func served(t *testing.T, peer func(net.Conn)) (err error) {
+// exchange runs one exchange with a server given as a function of its connection.
+func exchange(t *testing.T, peer func(net.Conn)) (err error) {
 	synctest.Test(t, func(t *testing.T) {
-		l := line.Line{Address: "peer", Connect: func(context.Context, string) (net.Conn, error) {
+		l := httpc.Endpoint{Address: "peer", Connect: func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go peer(far)
 			return near, nil
@@ -55,28 +55,28 @@
 		req.SetBodyString(strings.Repeat("x", 100_000))
 		start := time.Now()
 		err = l.Do(t.Context(), &req, &resp)
-		if errors.Is(err, line.ErrSilent) {
-			err = silent{error: err, after: time.Since(start)}
+		if errors.Is(err, httpc.ErrStalled) {
+			err = stalled{error: err, after: time.Since(start)}
 		}
 	})
 	return err
 }
 
-// silent tells when an exchange was given up.
-type silent struct {
+// stalled adds to ErrStalled the time after which the exchange was abandoned.
+type stalled struct {
 	error
 	after time.Duration
 }
 
-func (s silent) Unwrap() error { return s.error }
+func (s stalled) Unwrap() error { return s.error }
 
 func TestFailures(t *testing.T) {
 	tests := map[string]struct {
 		peer  func(net.Conn)
 		after time.Duration
 	}{
-		// The connection breaks in the middle of the request. What arrived may
-		// have been enough to act on, so nobody may say that it did not run.
+		// The connection breaks in the middle of the request. The part that
+		// arrived may have been enough to act on, so it must count as sent.
 		"breaks while it is sent": {func(c net.Conn) {
 			_, _ = c.Read(make([]byte, 10))
 			_ = c.Close()
@@ -85,10 +85,10 @@
 			_, _ = io.ReadFull(c, make([]byte, 100_000))
 			_ = c.Close()
 		}, 0},
-		// The other end accepts the connection and reads nothing.
+		// The server accepts the connection and reads nothing.
 		"is not read": {func(net.Conn) {}, 30 * time.Second},
-		// The answer begins and stops in the middle. The pause between two
-		// pieces is bounded more tightly than the wait for the first.
+		// The response stops in the middle. The timeout between two pieces is
+		// shorter than the one for the first.
 		"stops in the middle of the answer": {func(c net.Conn) {
 			go func() { _, _ = io.Copy(io.Discard, c) }()
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
@@ -97,22 +97,22 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			err := served(t, tt.peer)
-			var failed *line.Error
+			err := exchange(t, tt.peer)
+			var failed *httpc.Error
 			is.True(errors.As(err, &failed))
 			is.True(failed.Sent)
-			var s silent
+			var s stalled
 			is.Equal(errors.As(err, &s), tt.after > 0)
 			is.Equal(s.after, tt.after)
 		})
 	}
 }
 
-// BenchmarkExchange measures an exchange with a connection of its own over
-// loopback, client and server together.
+// BenchmarkExchange measures an exchange on a new connection over loopback, client
+// and server together.
 func BenchmarkExchange(b *testing.B) {
 	h := serve(b, func(_ context.Context, w *fasthttp.RequestCtx) { w.SetBodyString("ok") })
-	l := line.Line{Address: h.Address()}
+	l := httpc.Endpoint{Address: h.Address()}
 	b.ReportAllocs()
 	for b.Loop() {
 		var req fasthttp.Request
--- a/internal/plat/meter/meter.go
+++ b/internal/plat/meter/meter.go
@@ -1,10 +1,10 @@
-// Package meter keeps a daemon's calls to the platform's key-value service
-// within its share of what the service takes, and counts them.
+// Package meter limits a daemon's calls to the platform's key-value service to its
+// share of the service's rates, and counts them.
 //
-// The service's rates are shared by all daemons and grow more slowly than they
-// do. A call above the share waits for its turn as long as its context allows;
-// calls that keep a lease don't wait, because an owner that loses its shards to
-// its own queue would only cause more calls.
+// All daemons share the service's rate limits, which grow less than the number of
+// daemons. A call above the share waits for its turn, or fails at once if its
+// context would end before that. Calls on leases don't wait: an owner that lost its
+// shards because a renewal was delayed would only cause more calls.
 package meter
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-const burst = 2 // seconds' worth of calls
+const burstSeconds = 2 // burst of the limiters, in seconds of their rate
 
 type (
-	// Meter is a store.Store that calls Store. The zero rates are no bound.
+	// Meter is a store.Store that forwards to Store. Until SetRates is called
+	// the rates are unlimited.
 	Meter struct {
-		Store     store.Store
-		OnSuccess func(at time.Time) // a call sent at that time was answered
+		Store    store.Store
+		OnAnswer func(at time.Time) // called for each answered call except watches, with the time when it was sent
 
 		reads, writes   atomic.Pointer[rate.Limiter]
 		nreads, nwrites atomic.Uint64
@@ -33,20 +34,20 @@
 		waited          atomic.Int64
 	}
 
-	// Counts are calls since the start.
+	// Counts are the numbers of calls since the start. Failed is without watches.
 	Counts struct {
 		Reads   uint64        `json:"reads"`
 		Writes  uint64        `json:"writes"`
 		Watches uint64        `json:"watches"`
 		Failed  uint64        `json:"failed"`
-		Waited  time.Duration `json:"waited"` // by calls above the share
+		Waited  time.Duration `json:"waited"` // total time that calls waited for the limiters
 	}
 )
 
 var _ store.Store = (*Meter)(nil)
 
-// Allow sets this daemon's share, in calls a second.
-func (m *Meter) Allow(reads, writes float64) {
+// SetRates sets this daemon's share, in calls per second; 0 is unlimited.
+func (m *Meter) SetRates(reads, writes float64) {
 	m.reads.Store(limiter(reads))
 	m.writes.Store(limiter(writes))
 }
@@ -55,10 +56,10 @@
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burst)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds)))
 }
 
-// Counts returns the calls so far.
+// Counts returns the current counts.
 func (m *Meter) Counts() Counts {
 	return Counts{
 		Reads:   m.nreads.Load(),
@@ -76,22 +77,23 @@
 	}
 	start := time.Now()
 	if err := l.Wait(ctx); err != nil {
-		return errors.Wrap(store.ErrUnavailable, "over the call budget")
+		return errors.Wrap(store.ErrUnavailable, "wait for the call rate limit")
 	}
 	m.waited.Add(int64(time.Since(start)))
 	return nil
 }
 
-// done notes how a call ended. A refusal is an answer too.
-func (m *Meter) done(sent time.Time, err error) {
+// record records how a call ended. Conflicts, missing keys and expired leases count
+// as answered, all other errors as failed.
+func (m *Meter) record(sent time.Time, err error) {
 	var c *store.ConflictError
-	answered := err == nil || errors.As(err, &c) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrLapsed)
+	answered := err == nil || errors.As(err, &c) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrLeaseExpired)
 	if !answered {
 		m.nfailed.Add(1)
 		return
 	}
-	if m.OnSuccess != nil {
-		m.OnSuccess(sent)
+	if m.OnAnswer != nil {
+		m.OnAnswer(sent)
 	}
 }
 
@@ -101,7 +103,7 @@
 		return e, err
 	}
 	m.nreads.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Get(ctx, key)
 }
 
@@ -111,7 +113,7 @@
 		return nil, err
 	}
 	m.nreads.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.List(ctx, prefix, after, limit)
 }
 
@@ -130,7 +132,7 @@
 		return 0, err
 	}
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Put(ctx, key, data, rev, lease)
 }
 
@@ -140,27 +142,27 @@
 		return err
 	}
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Delete(ctx, key, rev)
 }
 
 // Grant implements store.Store.
 func (m *Meter) Grant(ctx context.Context, ttl time.Duration) (l store.Lease, err error) {
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Grant(ctx, ttl)
 }
 
 // Renew implements store.Store.
 func (m *Meter) Renew(ctx context.Context, lease store.Lease) (err error) {
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Renew(ctx, lease)
 }
 
 // Revoke implements store.Store.
 func (m *Meter) Revoke(ctx context.Context, lease store.Lease) (err error) {
 	m.nwrites.Add(1)
-	defer func(at time.Time) { m.done(at, err) }(time.Now())
+	defer func(at time.Time) { m.record(at, err) }(time.Now())
 	return m.Store.Revoke(ctx, lease)
 }
--- a/internal/plat/plain/plain.go
+++ b/internal/plat/plain/plain.go
@@ -1,7 +1,7 @@
-// Package plain is the client of plain services: workers that speak HTTP.
+// Package plain is the client of plain services: upstreams with an HTTP API.
 //
-// Every request goes out once, on a connection of its own; see package line.
-// Whether to repeat it is decided elsewhere, by what Error.Sent tells.
+// Each request is sent once, on a new connection; see package httpc. The caller
+// decides on retries by tool.Error.Sent.
 package plain
 
 import (
@@ -10,13 +10,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/tool"
 )
 
 const (
-	// HeaderRequest carries our request's name, so that a service can
-	// recognise a repeat.
+	// HeaderRequest has the id of the request, so that a service can detect a
+	// repeat.
 	HeaderRequest = "Slaterock-Request"
 
 	headerTrace = "Traceparent"
@@ -25,7 +25,7 @@
 type (
 	// Client implements tool.Tool.
 	Client struct {
-		Line line.Line
+		Endpoint httpc.Endpoint
 	}
 )
 
@@ -43,7 +43,7 @@
 		req.Header.Set(headerTrace, r.TraceParent)
 	}
 	req.SetBodyRaw(r.Body)
-	if err := c.Line.Do(ctx, &req, &resp); err != nil {
+	if err := c.Endpoint.Do(ctx, &req, &resp); err != nil {
 		return tool.Response{}, &tool.Error{Sent: sent(err), Err: err}
 	}
 	return tool.Response{
@@ -61,6 +61,6 @@
 }
 
 func sent(err error) bool {
-	var e *line.Error
+	var e *httpc.Error
 	return !errors.As(err, &e) || e.Sent
 }
--- a/internal/plat/wtnet/wtnet_test.go
+++ b/internal/plat/wthttp/wthttp_test.go
@@ -1,4 +1,4 @@
-package wtnet_test
+package wthttp_test
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 	fake "github.com/slaterock/slaterock/internal/fake/weight"
-	"github.com/slaterock/slaterock/internal/plat/line"
+	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/weight"
-	"github.com/slaterock/slaterock/internal/plat/wtnet"
+	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
 const address = "weights"
@@ -32,8 +32,8 @@
 			is.NoErr(err)
 			is.Equal(wait, time.Duration(0))
 		},
-		// The weight store is down. Its answer is an error, never a leave to
-		// load: all engines would load at once when it comes back.
+		// The weight store is down. Admit returns an error and never an
+		// admission: all engines would load at once when the store recovers.
 		"down": func(is *is.I, w weight.Weights, f *fake.Weights) {
 			f.Down(true)
 			_, err := w.Admit(ctx, "m")
@@ -53,7 +53,7 @@
 				var n pipe.Net
 				h := fake.Serve(n.Listen(address), f)
 				defer h.Close()
-				tt(is.New(t), &wtnet.Client{Line: line.Line{Address: address, Connect: n.Connect}}, f)
+				tt(is.New(t), &wthttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}, f)
 			})
 		})
 	}
--- a/internal/prog/quota/home.go
+++ b/internal/prog/quota/home.go
@@ -3,127 +3,131 @@
 import "time"
 
 type (
-	// Home is the record of the accounts whose home is here. The zero value
-	// knows of none.
+	// Home is the state of the accounts that have this daemon as their home.
+	// The zero value is ready for use.
 	Home struct {
 		start    time.Time
 		accounts map[string]*account
 	}
 
-	// account is what the home knows of one account.
+	// account is the home's state of one account.
 	account struct {
 		granted window
-		askers  map[string]*asker
+		daemons map[string]*daemon
 	}
 
-	// asker is what the home knows of one daemon.
-	asker struct {
-		granted window
-		open    int
-		serial  int64 // of the ask that told open
-		heard   time.Duration
+	// daemon is the home's state of one daemon's use of an account.
+	daemon struct {
+		granted  window
+		open     int
+		serial   int64 // of the request that open is from
+		lastSeen time.Duration
 	}
 )
 
-// Ask answers a daemon. A refusal by the home is not charged.
-func (h *Home) Ask(now time.Time, a Ask, limit Limit) Answer {
+// Request handles a daemon's request. A refused request is not charged.
+func (h *Home) Request(now time.Time, req Request, limit Limit) Answer {
 	at := elapsed(&h.start, now)
-	b, from := h.learn(at, a)
+	acc, from := h.update(at, req)
 	switch {
-	case a.Programs > 0:
-		return b.program(from, a, limit)
-	case a.Tokens > 0:
-		return b.tokens(at, from, a, limit)
+	case req.Programs > 0:
+		return acc.admitProgram(from, req, limit)
+	case req.Tokens > 0:
+		return acc.admitTokens(at, from, req, limit)
 	}
 	return Answer{OK: true}
 }
 
-// Trim frees what is known of accounts and daemons that were idle for long.
+// Trim stops counting the open programs of daemons without a report within
+// reportTTL. It removes those of them that have no recent grants either, and the
+// accounts without daemons.
 func (h *Home) Trim(now time.Time) {
 	at := elapsed(&h.start, now)
-	for name, b := range h.accounts {
-		b.trim(at)
-		if len(b.askers) == 0 {
+	for name, acc := range h.accounts {
+		acc.trim(at)
+		if len(acc.daemons) == 0 {
 			delete(h.accounts, name)
 		}
 	}
 }
 
-// Len is the number of accounts with state.
+// Len returns the number of accounts with state.
 func (h *Home) Len() int { return len(h.accounts) }
 
-// learn takes in what the asker tells of itself. What it was granted by
-// another home counts from now on as if it were granted now, so that it is
-// never forgotten too early.
-func (h *Home) learn(now time.Duration, a Ask) (*account, *asker) {
+// update merges the daemon's report into the account's state. Tokens granted to it
+// by another home are counted as if they were granted now, so that they are never
+// dropped too early.
+func (h *Home) update(now time.Duration, req Request) (*account, *daemon) {
 	if h.accounts == nil {
 		h.accounts = map[string]*account{}
 	}
-	b := h.accounts[a.Account]
-	if b == nil {
-		b = &account{askers: map[string]*asker{}}
-		h.accounts[a.Account] = b
+	acc := h.accounts[req.Account]
+	if acc == nil {
+		acc = &account{daemons: map[string]*daemon{}}
+		h.accounts[req.Account] = acc
 	}
-	b.trim(now)
-	from := b.askers[a.Daemon]
+	acc.trim(now)
+	from := acc.daemons[req.Daemon]
 	if from == nil {
-		from = &asker{}
-		b.askers[a.Daemon] = from
+		from = &daemon{}
+		acc.daemons[req.Daemon] = from
 	}
-	// A report that was overtaken by a newer ask would hide a program that is
-	// being opened, and the account could open one too many.
-	if a.Serial > from.serial {
-		from.heard, from.open, from.serial = now, a.Open, a.Serial
+	// A report that arrives after a newer request must not replace it: it would
+	// omit a program that is being opened, and the account could open one too
+	// many.
+	if req.Serial > from.serial {
+		from.lastSeen, from.open, from.serial = now, req.Open, req.Serial
 	}
-	b.grant(now, from, a.Granted-from.granted.sum)
-	return b, from
+	acc.grant(now, from, req.Granted-from.granted.sum)
+	return acc, from
 }
 
-func (b *account) grant(now time.Duration, to *asker, n int64) {
+func (acc *account) grant(now time.Duration, to *daemon, n int64) {
 	to.granted.add(now, n)
-	b.granted.add(now, n)
+	acc.granted.add(now, n)
 }
 
-// program lets a daemon open programs. The asker's count includes them.
-func (b *account) program(from *asker, a Ask, limit Limit) Answer {
+// admitProgram decides whether the daemon may open programs. Its count of open
+// programs includes them already.
+func (acc *account) admitProgram(from *daemon, req Request, limit Limit) Answer {
 	open := 0
-	for _, d := range b.askers {
+	for _, d := range acc.daemons {
 		open += d.open
 	}
 	if limit.Programs > 0 && open > limit.Programs {
-		from.open -= a.Programs
+		from.open -= req.Programs
 		return Answer{Retry: time.Second}
 	}
 	return Answer{OK: true}
 }
 
-func (b *account) tokens(now time.Duration, to *asker, a Ask, limit Limit) Answer {
-	if limit.Tokens > 0 && a.Tokens > limit.Tokens {
+func (acc *account) admitTokens(now time.Duration, to *daemon, req Request, limit Limit) Answer {
+	if limit.Tokens > 0 && req.Tokens > limit.Tokens {
 		return Answer{}
 	}
-	free := limit.Tokens - b.granted.sum
-	if limit.Tokens > 0 && a.Tokens > free {
-		return Answer{Retry: b.granted.frees(now, a.Tokens-free, grantKeep)}
+	free := limit.Tokens - acc.granted.sum
+	if limit.Tokens > 0 && req.Tokens > free {
+		return Answer{Retry: acc.granted.waitFor(now, req.Tokens-free, grantRetention)}
 	}
-	// Tokens beyond the call that are not spent in time are lost for a minute.
-	// Callers that are slow would lose a good part of their limit, so a daemon
-	// gets beforehand at most half of what it took just now.
-	ahead := min(limit.Tokens/shareOfLimit, (free-a.Tokens)/shareOfFree, to.granted.since(now-BlockLife)/2)
-	n := a.Tokens + max(ahead, 0)
-	b.grant(now, to, n)
+	// Tokens beyond the call's cost that are not spent in time are lost for a
+	// minute. Slow callers would lose a large part of their limit, so a daemon
+	// gets in advance at most half of what it was granted within BlockTTL.
+	ahead := min(limit.Tokens/limitDivisor, (free-req.Tokens)/freeDivisor, to.granted.since(now-BlockTTL)/2)
+	n := req.Tokens + max(ahead, 0)
+	acc.grant(now, to, n)
 	return Answer{OK: true, Tokens: n}
 }
 
-func (b *account) trim(now time.Duration) {
-	b.granted.trim(now, grantKeep)
-	for name, d := range b.askers {
-		d.granted.trim(now, grantKeep)
-		silent := now-d.heard > openKeep
+func (acc *account) trim(now time.Duration) {
+	acc.granted.trim(now, grantRetention)
+	for name, d := range acc.daemons {
+		d.granted.trim(now, grantRetention)
+		silent := now-d.lastSeen > reportTTL
 		if silent {
 			d.open, d.serial = 0, 0
 		}
 		if silent && d.granted.sum == 0 {
-			delete(b.askers, name)
+			delete(acc.daemons, name)
 		}
 	}
 }
--- a/internal/prog/quota/local.go
+++ b/internal/prog/quota/local.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// remembered is how many of a program's latest call numbers are known to
-	// be charged or not.
-	remembered = 64
-	// denyFor is how long a refusal is repeated without asking again.
-	denyFor = time.Second
+	// chargeHistory is the number of a program's latest call numbers for which
+	// Local records whether they were charged.
+	chargeHistory = 64
+	// denialTTL is how long a refusal is repeated without a new request.
+	denialTTL = time.Second
 )
 
 type (
-	// Local is what one daemon may spend. Set Daemon before use, and Serial to
-	// more than any former life of the daemon used, such as the time.
+	// Local is one daemon's share of the limits of all accounts. Set Daemon
+	// before use, and Serial to more than the daemon used before a restart, such
+	// as the time.
 	Local struct {
 		Daemon string
 		Serial int64
@@ -22,21 +23,21 @@
 		programs map[string]*program
 	}
 
-	// usage is one account's at this daemon.
+	// usage is the use of one account at this daemon.
 	usage struct {
-		left    int64 // of the block
+		left    int64 // tokens left of the block
 		until   time.Time
 		granted window
-		open    int // programs, those being opened included
+		open    int // programs, including those being opened
 		denied  denial
 	}
 
-	// denial is a refusal that holds for calls of the same cost and above.
+	// denial is a refusal that applies to calls of the same cost and above.
 	denial struct {
-		cost   int64
-		until  time.Time
-		frees  time.Time // when the tokens were said to be free
-		silent bool      // the home did not answer
+		cost        int64
+		until       time.Time
+		freeAt      time.Time // when the home expects the tokens to be free
+		unreachable bool      // the home did not answer
 	}
 
 	program struct {
@@ -47,65 +48,67 @@
 	}
 )
 
-// Spend takes the cost of a call out of the block, if that holds as much.
+// Spend deducts a call's cost from the block. It reports false if the block has
+// expired or holds too few tokens.
 func (l *Local) Spend(now time.Time, account string, cost int64) bool {
-	p := l.accounts[account]
-	if p == nil || !now.Before(p.until) || p.left < cost {
+	u := l.accounts[account]
+	if u == nil || !now.Before(u.until) || u.left < cost {
 		return false
 	}
-	p.left -= cost
+	u.left -= cost
 	return true
 }
 
-// Ask is the ask for the cost of a call that Spend refused.
-func (l *Local) Ask(now time.Time, account string, cost int64) Ask {
-	a := l.Report(now, account)
-	a.Tokens = cost
-	return a
+// Request returns the request for the cost of a call that Spend refused.
+func (l *Local) Request(now time.Time, account string, cost int64) Request {
+	req := l.Report(now, account)
+	req.Tokens = cost
+	return req
 }
 
-// Take notes the answer to an ask that was sent at a time, and spends the
-// call's cost. It reports whether the call may go on. An answer that came too
-// late to be spent is counted as granted all the same.
-func (l *Local) Take(now, sent time.Time, asked Ask, a Answer) bool {
-	if !a.OK {
+// Apply applies the answer to a request that was sent at the time sent, and spends
+// the call's cost. It reports whether the call may proceed. Tokens of an answer
+// that arrives too late to be spent count as granted nevertheless.
+func (l *Local) Apply(now, sent time.Time, req Request, answer Answer) bool {
+	if !answer.OK {
 		return false
 	}
-	p := l.usage(asked.Account)
-	p.granted.add(elapsed(&l.start, sent), a.Tokens)
-	until := sent.Add(BlockLife)
+	u := l.usage(req.Account)
+	u.granted.add(elapsed(&l.start, sent), answer.Tokens)
+	until := sent.Add(BlockTTL)
 	if !now.Before(until) {
 		return false
 	}
-	if p.left > 0 && now.Before(p.until) {
-		p.left += a.Tokens - asked.Tokens
-		p.until = earlier(p.until, until)
+	if u.left > 0 && now.Before(u.until) {
+		u.left += answer.Tokens - req.Tokens
+		u.until = earlier(u.until, until)
 		return true
 	}
-	p.left, p.until = a.Tokens-asked.Tokens, until
+	u.left, u.until = answer.Tokens-req.Tokens, until
 	return true
 }
 
-// Opening counts a program that is about to be opened, and returns the ask.
-// It is false if the program is counted already. Opened or Closed follows.
-func (l *Local) Opening(now time.Time, account, name string) (Ask, bool) {
+// Opening counts a program that is about to be opened, and returns the request to
+// send. It is false if the program is counted already. Otherwise Opened or Closed
+// must follow.
+func (l *Local) Opening(now time.Time, account, name string) (Request, bool) {
 	if !l.Add(account, name) {
-		return Ask{}, false
+		return Request{}, false
 	}
 	l.programs[name].opening = true
-	a := l.Report(now, account)
-	a.Programs = 1
-	return a, true
+	req := l.Report(now, account)
+	req.Programs = 1
+	return req, true
 }
 
-// Opened ends an opening that went well.
+// Opened marks a program as open after its request was granted.
 func (l *Local) Opened(name string) {
 	if p := l.programs[name]; p != nil {
 		p.opening = false
 	}
 }
 
-// Add counts an open program. It is false if it is counted already.
+// Add counts an open program. It reports false if the program is counted already.
 func (l *Local) Add(account, name string) bool {
 	if _, known := l.programs[name]; known {
 		return false
@@ -118,7 +121,7 @@
 	return true
 }
 
-// Closed counts a program no more.
+// Closed stops counting a program.
 func (l *Local) Closed(name string) {
 	p := l.programs[name]
 	if p == nil {
@@ -128,7 +131,7 @@
 	l.accounts[p.account].open--
 }
 
-// Programs returns the programs that are counted and not just being opened.
+// Programs returns the counted programs, without those being opened.
 func (l *Local) Programs() []string {
 	out := make([]string, 0, len(l.programs))
 	for name, p := range l.programs {
@@ -139,43 +142,46 @@
 	return out
 }
 
-// Knows reports whether the program is counted.
-func (l *Local) Knows(name string) bool { return l.programs[name] != nil }
+// Counted reports whether the program is counted.
+func (l *Local) Counted(name string) bool { return l.programs[name] != nil }
 
-// Deny notes that the cost was refused and would be free after a time. For a
-// second, such calls are refused without a message to the home.
+// Deny records that a call of the cost was refused and that the tokens are
+// expected to be free after the given time. For at most denialTTL, Denied then
+// refuses such calls without a message to the home.
 func (l *Local) Deny(now time.Time, account string, cost int64, after time.Duration) {
 	if after <= 0 {
 		return
 	}
-	l.usage(account).denied = denial{cost: cost, until: now.Add(min(after, denyFor)), frees: now.Add(after)}
+	l.usage(account).denied = denial{cost: cost, until: now.Add(min(after, denialTTL)), freeAt: now.Add(after)}
 }
 
-// Silent notes that the home did not answer, and is not to be asked for a time.
-func (l *Local) Silent(now time.Time, account string, after time.Duration) {
-	l.usage(account).denied = denial{until: now.Add(after), frees: now.Add(after), silent: true}
+// DenyUnreachable records that the home did not answer. For the given time, Denied
+// then refuses all calls without a message to the home.
+func (l *Local) DenyUnreachable(now time.Time, account string, after time.Duration) {
+	l.usage(account).denied = denial{until: now.Add(after), freeAt: now.Add(after), unreachable: true}
 }
 
-// Denied returns for how long a call of the cost is still refused, or 0, and
-// whether that is because the home did not answer.
-func (l *Local) Denied(now time.Time, account string, cost int64) (after time.Duration, silent bool) {
-	p := l.accounts[account]
-	if p == nil || cost < p.denied.cost || !now.Before(p.denied.until) {
+// Denied returns the time until the tokens for a call that is refused without a
+// message are expected to be free, and whether it is refused because the home did
+// not answer. It returns 0 for a call that is not refused.
+func (l *Local) Denied(now time.Time, account string, cost int64) (after time.Duration, unreachable bool) {
+	u := l.accounts[account]
+	if u == nil || cost < u.denied.cost || !now.Before(u.denied.until) {
 		return 0, false
 	}
-	return p.denied.frees.Sub(now), p.denied.silent
+	return u.denied.freeAt.Sub(now), u.denied.unreachable
 }
 
-// Charged reports whether a call was charged before, so that a repeat isn't
-// charged twice. It knows the last 64 numbers of programs opened or taken over
-// here; older ones and other programs count as not charged.
+// Charged reports whether a call was charged before, so that a repeat isn't charged
+// twice. It covers the last 64 call numbers of programs opened or taken over by
+// this daemon; older calls and other programs count as not charged.
 func (l *Local) Charged(account, name string, number int) bool {
 	p := l.programs[name]
 	if p == nil || p.account != account {
 		return false
 	}
 	back := p.next - 1 - number
-	return back >= 0 && back < remembered && p.charged&(1<<back) != 0
+	return back >= 0 && back < chargeHistory && p.charged&(1<<back) != 0
 }
 
 // Adopt counts a program that was taken over. Its calls below next have ended
@@ -187,54 +193,54 @@
 	}
 }
 
-// Charge notes that a call was charged.
+// Charge records that a call was charged.
 func (l *Local) Charge(account, name string, number int) {
 	p := l.programs[name]
 	if p == nil || p.account != account {
 		return
 	}
 	if ahead := number + 1 - p.next; ahead > 0 {
-		p.charged <<= min(ahead, remembered)
+		p.charged <<= min(ahead, chargeHistory)
 		p.next = number + 1
 	}
-	if back := p.next - 1 - number; back < remembered {
+	if back := p.next - 1 - number; back < chargeHistory {
 		p.charged |= 1 << back
 	}
 }
 
-// Uncharge forgets that a call was charged, because a repeat runs again.
+// Uncharge clears the record that a call was charged, because a repeat runs again.
 func (l *Local) Uncharge(name string, number int) {
 	p := l.programs[name]
 	if p == nil {
 		return
 	}
-	if back := p.next - 1 - number; back >= 0 && back < remembered {
+	if back := p.next - 1 - number; back >= 0 && back < chargeHistory {
 		p.charged &^= 1 << back
 	}
 }
 
-// Report is what a home needs to know of an account.
-func (l *Local) Report(now time.Time, account string) Ask {
+// Report returns the report of an account's use for its home.
+func (l *Local) Report(now time.Time, account string) Request {
 	l.Serial++
-	a := Ask{Account: account, Daemon: l.Daemon, Serial: l.Serial}
-	if p := l.accounts[account]; p != nil {
-		p.granted.trim(elapsed(&l.start, now), claimKeep)
-		a.Granted, a.Open = p.granted.sum, p.open
+	req := Request{Account: account, Daemon: l.Daemon, Serial: l.Serial}
+	if u := l.accounts[account]; u != nil {
+		u.granted.trim(elapsed(&l.start, now), reportedGrantRetention)
+		req.Granted, req.Open = u.granted.sum, u.open
 	}
-	return a
+	return req
 }
 
-// Reports returns a report for each account with programs open or tokens
-// granted, and frees the others.
-func (l *Local) Reports(now time.Time) []Ask {
-	out := make([]Ask, 0, len(l.accounts))
-	for name, p := range l.accounts {
-		a := l.Report(now, name)
-		if a.Open == 0 && a.Granted == 0 && !now.Before(p.until) {
+// Reports returns a report for each account with open programs, recent grants or
+// an unexpired block, and removes the others.
+func (l *Local) Reports(now time.Time) []Request {
+	out := make([]Request, 0, len(l.accounts))
+	for name, u := range l.accounts {
+		req := l.Report(now, name)
+		if req.Open == 0 && req.Granted == 0 && !now.Before(u.until) {
 			delete(l.accounts, name)
 			continue
 		}
-		out = append(out, a)
+		out = append(out, req)
 	}
 	return out
 }
@@ -243,12 +249,12 @@
 	if l.accounts == nil {
 		l.accounts = map[string]*usage{}
 	}
-	p := l.accounts[account]
-	if p == nil {
-		p = &usage{}
-		l.accounts[account] = p
+	u := l.accounts[account]
+	if u == nil {
+		u = &usage{}
+		l.accounts[account] = u
 	}
-	return p
+	return u
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/prog/quota/open_test.go
+++ b/internal/prog/quota/open_test.go
@@ -8,11 +8,11 @@
 )
 
 func (f *fleet) open(i int, name string) bool {
-	ask, fresh := f.locals[i].Opening(f.clock(i), "acct", name)
+	req, fresh := f.locals[i].Opening(f.clock(i), "acct", name)
 	if !fresh {
 		return true
 	}
-	if f.homes[f.home].Ask(f.now, ask, limit).OK {
+	if f.homes[f.home].Request(f.now, req, limit).OK {
 		f.locals[i].Opened(name)
 		f.opened++
 		return true
@@ -23,12 +23,13 @@
 
 func (f *fleet) report(i int) {
 	for _, a := range f.locals[i].Reports(f.clock(i)) {
-		f.homes[f.home].Ask(f.now, a, limit)
+		f.homes[f.home].Request(f.now, a, limit)
 	}
 }
 
-// An account may have four programs open. If daemons counted apart it would get
-// four at each; if ends were not told, none after a while.
+// An account may have four programs open. If each daemon counted for itself, it
+// could open four at each; if the ends of programs were not reported, it could
+// open none after a while.
 func TestPrograms(t *testing.T) {
 	cases := map[string]struct {
 		run    func(f *fleet)
@@ -67,7 +68,7 @@
 				f.open(0, "p")
 				old := f.locals[0].Reports(f.clock(0))
 				f.open(0, "q")
-				f.homes[0].Ask(f.now, old[0], limit)
+				f.homes[0].Request(f.now, old[0], limit)
 				f.open(1, "r")
 				f.open(1, "s")
 				f.open(2, "t")
@@ -79,9 +80,9 @@
 				for _, n := range []string{"p", "q", "r", "s"} {
 					f.open(0, n)
 				}
-				f.wait(openKeep)
+				f.advance(reportTTL)
 				f.open(1, "t") // still counted
-				f.wait(time.Second)
+				f.advance(time.Second)
 				f.open(1, "u")
 			},
 			opened: 5,
--- a/internal/prog/record/codec.go
+++ b/internal/prog/record/codec.go
@@ -13,10 +13,12 @@
 )
 
 const (
-	// MaxUnit bounds one unit, in bytes, so that an entry with a unit in it
-	// stays below the store's largest value even if nothing compresses.
+	// MaxUnit is the largest encoded record that is stored in one unit, and the
+	// most data in a piece, in bytes; a unit with a piece is slightly larger. It
+	// keeps an entry with a unit in it below the store's largest value even if the
+	// data does not compress.
 	MaxUnit = 384 << 10
-	// MaxUnits bounds the units of one entry together, in bytes.
+	// MaxUnits is the largest total size of an entry's units, in bytes.
 	MaxUnits = 768 << 10
 
 	magic      = "slj1"
@@ -29,7 +31,7 @@
 	// Unit is an encoded record or a piece of one.
 	Unit = cbor.RawMessage
 
-	// Entry is one value of a journal's chain.
+	// Entry is one entry of a journal, stored as one value.
 	Entry struct {
 		Shard  int    `json:"shard"`
 		Number uint64 `json:"number"`
@@ -39,16 +41,17 @@
 		Units  []Unit `json:"units"`
 	}
 
-	// Joiner puts the pieces of large records together again. The zero value
-	// is ready; one Joiner reads the entries of one chain in order.
-	Joiner struct {
+	// Reassembler decodes records and joins the pieces of large ones. The zero
+	// value is ready for use; one Reassembler reads the entries of one journal
+	// in order.
+	Reassembler struct {
 		id    uint64
 		next  int
 		count int
-		parts []byte
+		buf   []byte
 	}
 
-	// CorruptError reports bytes that are no journal value.
+	// CorruptError reports bytes that are not a valid journal value.
 	CorruptError struct{ Reason string }
 
 	unit struct {
@@ -66,7 +69,7 @@
 )
 
 const (
-	kindTook     = "took"
+	kindAcquired = "took"
 	kindOpened   = "opened"
 	kindReserved = "reserved"
 	kindIntent   = "intent"
@@ -78,17 +81,17 @@
 )
 
 var (
-	encoding, _ = cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
-	decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxDecoded))
+	encoding, _     = cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
+	decoding, _     = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
+	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
+	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxDecoded))
 )
 
-// Error names what is wrong with the bytes.
+// Error returns the reason with a prefix.
 func (e *CorruptError) Error() string { return "record: corrupt: " + e.Reason }
 
 // Units encodes a record. A record larger than MaxUnit becomes several pieces
-// that share id, which must differ between the records of one chain.
+// with the given id, which must differ between the records of one journal.
 func Units(r Record, id uint64) (us []Unit, err error) {
 	defer func() { err = errors.Wrapf(err, "record: encode %T", r) }()
 	body, err := encoding.Marshal(r)
@@ -114,10 +117,10 @@
 	return us, nil
 }
 
-// Records decodes an entry's units. A record whose pieces are not all there
-// yet comes with the entry that holds the last of them. Pieces that are never
-// completed belong to a writer that lost the shard; they are dropped.
-func (j *Joiner) Records(e Entry) (rs []Record, err error) {
+// Records decodes an entry's units. A record in several pieces is returned with
+// the entry that holds the last of them. Pieces that are never completed belong
+// to a writer that lost the shard; they are dropped.
+func (ra *Reassembler) Records(e Entry) (rs []Record, err error) {
 	defer func() { err = errors.Wrapf(err, "record: entry %d of shard %d", e.Number, e.Shard) }()
 	for _, raw := range e.Units {
 		var u unit
@@ -126,17 +129,17 @@
 		}
 		whole := u
 		if u.Kind == kindPiece {
-			done, err := j.join(u.Piece)
+			done, err := ra.add(u.Piece)
 			if err != nil {
 				return nil, err
 			}
 			if !done {
 				continue
 			}
-			if err := decoding.Unmarshal(j.parts, &whole); err != nil {
+			if err := decoding.Unmarshal(ra.buf, &whole); err != nil {
 				return nil, &CorruptError{Reason: err.Error()}
 			}
-			*j = Joiner{}
+			*ra = Reassembler{}
 		}
 		r, err := decodeRecord(whole)
 		if err != nil {
@@ -147,34 +150,35 @@
 	return rs, nil
 }
 
-func (j *Joiner) join(p *piece) (done bool, err error) {
+func (ra *Reassembler) add(p *piece) (done bool, err error) {
 	if p == nil || p.Count < 1 || p.Count > maxPieces || p.Index < 0 || p.Index >= p.Count {
 		return false, &CorruptError{Reason: "piece out of range"}
 	}
 	if p.Index == 0 {
-		*j = Joiner{id: p.ID, count: p.Count}
+		*ra = Reassembler{id: p.ID, count: p.Count}
 	}
-	if p.ID != j.id || p.Index != j.next || p.Count != j.count {
+	if p.ID != ra.id || p.Index != ra.next || p.Count != ra.count {
 		return false, &CorruptError{Reason: fmt.Sprintf("piece %d of %d is out of place", p.Index, p.Count)}
 	}
-	if len(j.parts)+len(p.Data) > maxDecoded {
+	if len(ra.buf)+len(p.Data) > maxDecoded {
 		return false, &CorruptError{Reason: "record too large"}
 	}
-	j.parts = append(j.parts, p.Data...)
-	j.next++
-	return j.next == j.count, nil
+	ra.buf = append(ra.buf, p.Data...)
+	ra.next++
+	return ra.next == ra.count, nil
 }
 
-// Encode returns the entry's bytes as the store keeps them.
+// Encode returns the entry's stored form.
 func (e Entry) Encode() (b []byte, err error) { return Pack(e) }
 
-// Decode reads an entry; a *CorruptError if the bytes are damaged.
+// Decode decodes an entry. Damaged bytes give a *CorruptError.
 func Decode(b []byte) (e Entry, err error) {
 	err = Unpack(b, &e)
 	return e, err
 }
 
-// Pack encodes a value with a checksum, compressed.
+// Pack encodes a value as CBOR, compresses it with zstd and prefixes a magic
+// number and a checksum of the compressed bytes.
 func Pack(v any) (b []byte, err error) {
 	defer func() { err = errors.Wrap(err, "record: pack") }()
 	plain, err := encoding.Marshal(v)
@@ -183,14 +187,14 @@
 	}
 	b = make([]byte, headerSize, headerSize+len(plain)/2)
 	copy(b, magic)
-	b = packer.EncodeAll(plain, b)
+	b = compressor.EncodeAll(plain, b)
 	binary.LittleEndian.PutUint64(b[len(magic):], xxhash.Sum64(b[headerSize:]))
 	return b, nil
 }
 
-// Unpack reads what Pack wrote into v. Damaged bytes give a *CorruptError: a
-// value that was half written or altered would otherwise lose programs without
-// a word.
+// Unpack decodes the output of Pack into v. Damaged bytes give a *CorruptError:
+// a value that was written in part or altered would otherwise lose programs
+// silently.
 func Unpack(b []byte, v any) error {
 	if len(b) < headerSize || !bytes.Equal(b[:len(magic)], []byte(magic)) {
 		return &CorruptError{Reason: "no header"}
@@ -198,7 +202,7 @@
 	if binary.LittleEndian.Uint64(b[len(magic):]) != xxhash.Sum64(b[headerSize:]) {
 		return &CorruptError{Reason: "checksum differs"}
 	}
-	plain, err := unpacker.DecodeAll(b[headerSize:], nil)
+	plain, err := decompressor.DecodeAll(b[headerSize:], nil)
 	if err != nil {
 		return &CorruptError{Reason: err.Error()}
 	}
@@ -210,8 +214,8 @@
 
 func kind(r Record) string {
 	switch r.(type) {
-	case Took:
-		return kindTook
+	case Acquired:
+		return kindAcquired
 	case Opened:
 		return kindOpened
 	case Reserved:
@@ -232,8 +236,8 @@
 
 func decodeRecord(u unit) (Record, error) {
 	switch u.Kind {
-	case kindTook:
-		return decode[Took](u.Body)
+	case kindAcquired:
+		return decode[Acquired](u.Body)
 	case kindOpened:
 		return decode[Opened](u.Body)
 	case kindReserved:
@@ -260,8 +264,8 @@
 	return r, nil
 }
 
-// Continues reports whether the entry begins with a further piece of a record
-// that began in the entry before it.
+// Continues reports whether the entry begins with a later piece of a record that
+// began in an earlier entry.
 func (e Entry) Continues() bool {
 	if len(e.Units) == 0 {
 		return false
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -43,7 +43,7 @@
 func (o *Owner) record(now time.Time, r *run, h hist.Call) {
 	p, res := r.prog, r.result
 	head := p.current == r
-	r.seq = o.add(record.Ended{Program: p.id, Call: h, Tokens: r.cost, Final: r.final, Head: head})
+	r.seq = o.add(record.Ended{Program: p.id, Call: h, Tokens: r.cost, Final: r.final, InOrder: head})
 	r.phase = waitCommit
 	r.deadline = now.Add(commitWait)
 	o.emit(Log{Account: p.open.Account, Program: p.id, Call: h})
@@ -76,8 +76,8 @@
 	if root.budget.Fits(next) {
 		return
 	}
-	if total, more := root.budget.Ahead(next, o.block()); more {
-		root.budget = root.budget.WithAsked(total)
+	if total, more := root.budget.NextReservation(next, o.block()); more {
+		root.budget = root.budget.WithRequested(total)
 		o.add(record.Reserved{Program: root.id, Total: total})
 	}
 }
@@ -315,7 +315,7 @@
 
 // saved forgets families that have ended and stand in the snapshot's index.
 func (o *Owner) saved(m Saved) {
-	o.Fold.Named(m.Upto)
+	o.Fold.DropTexts(m.Upto)
 	if o.Fold.Gone == nil {
 		o.Fold.Gone = map[uint64]uint32{}
 	}
@@ -337,6 +337,6 @@
 func (o *Owner) over(root *program, upto uint64) bool {
 	return !slices.ContainsFunc(root.family, func(p *program) bool {
 		d := o.Fold.Programs[p.id]
-		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.Settled(upto)
+		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.CompleteUpTo(upto)
 	})
 }
