--- a/internal/node/host/ask.go
+++ b/internal/node/host/ask.go
@@ -46,7 +46,7 @@
 	h.mu.Lock()
 	delete(h.tickets, t)
 	h.mu.Unlock()
-	h.post(owner.Leave{Ticket: t})
+	h.post(owner.CallerGone{Ticket: t})
 }
 
 // Open implements runner.Runner.
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -43,7 +43,7 @@
 	// Attempt carries out one dispatch and returns how it ended. It adds the
 	// pieces of a model's answer to the feed as they come, and ends early with
 	// the context.
-	Attempt func(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.Tried
+	Attempt func(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.AttemptEnded
 
 	// Host owns one shard from Start until its context ends, it is fenced, or
 	// it is drained.
@@ -195,34 +195,34 @@
 
 func (h *Host) carry(e owner.Effect) {
 	switch e := e.(type) {
-	case owner.Write:
+	case owner.StoreRequest:
 		h.Go(func() { h.write(e.Effect) })
 	case owner.Place:
 		h.Place(h, e.Message)
 	case owner.Dispatch:
 		h.dispatch(e)
-	case owner.Stop:
+	case owner.CancelAttempt:
 		if a := h.attempts[e.Request][e.Upstream]; a != nil {
 			a.Cancel()
 		}
-	case owner.Join:
+	case owner.Subscribe:
 		if t := h.ticket(e.Ticket); t != nil {
 			t.feed <- h.feed(e.Request)
 		}
 	case owner.Reply:
 		h.recorded(e.Request)
 		h.reply(e.Ticket, e.Result)
-	case owner.Keep:
+	case owner.Offload:
 		h.Go(func() { h.keep(e) })
-	case owner.Unkeep:
+	case owner.DiscardBlob:
 		h.unkeep(e.Blob)
-	case owner.Recall:
+	case owner.ReplyFromJournal:
 		h.Go(func() { h.recall(e) })
 	case owner.Log:
 		delete(h.feeds, e.Call.Request)
 		h.recording(e.Call.Request)
 		h.Log(e)
-	case owner.Saving:
+	case owner.SnapshotDue:
 		h.save()
 	case owner.Verified:
 		h.Proved(h)
@@ -265,7 +265,7 @@
 	if h.attempts[d.Request] == nil {
 		h.attempts[d.Request] = map[string]*Tail{}
 	}
-	a := &Tail{Request: d.Request, Upstream: d.Upstream, Feed: h.feed(d.Request), Cancel: stop, Done: make(chan owner.Tried, 1)}
+	a := &Tail{Request: d.Request, Upstream: d.Upstream, Feed: h.feed(d.Request), Cancel: stop, Done: make(chan owner.AttemptEnded, 1)}
 	h.attempts[d.Request][d.Upstream] = a
 	h.Go(func() {
 		t := h.Attempt(ctx, d, a.Feed)
@@ -275,7 +275,7 @@
 	})
 }
 
-func (h *Host) tried(t owner.Tried) {
+func (h *Host) tried(t owner.AttemptEnded) {
 	if h.tailing {
 		return // the next owner is told
 	}
@@ -293,9 +293,9 @@
 	switch e := e.(type) {
 	case chain.Create:
 		_, err := h.Store.Put(ctx, e.Key, e.Data, 0, 0)
-		h.post(owner.Journal{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
+		h.post(owner.StoreReply{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
 	case chain.Read:
-		h.post(owner.Journal{Message: h.readBack(ctx, e)})
+		h.post(owner.StoreReply{Message: h.readBack(ctx, e)})
 	}
 }
 
@@ -348,6 +348,6 @@
 	h.saving = false
 	h.savedAt = upto // after a failure the next one waits as long
 	if err == nil {
-		h.step(owner.Saved{Upto: upto, Gone: gone})
+		h.step(owner.SnapshotSaved{Upto: upto, Gone: gone})
 	}
 }
--- a/internal/node/host/keep.go
+++ b/internal/node/host/keep.go
@@ -7,8 +7,8 @@
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
 	"github.com/slaterock/slaterock/internal/shard/bulk"
+	"github.com/slaterock/slaterock/internal/shard/histio"
 	"github.com/slaterock/slaterock/internal/shard/owner"
-	"github.com/slaterock/slaterock/internal/shard/past"
 )
 
 // Folders tells which daemons have a data folder, and how they are. Where there
@@ -35,7 +35,7 @@
 		m.State = beat.Down
 		b.Tell(blobs.Member{Member: m})
 	}
-	h.Tell(owner.Keeping{On: enough(ms)})
+	h.Tell(owner.OffloadEnabled{On: enough(ms)})
 }
 
 // enough reports whether two failure domains have a folder that is up.
@@ -67,10 +67,10 @@
 }
 
 // keep puts a call's texts into data folders.
-func (h *Host) keep(k owner.Keep) {
-	ctx, stop := context.WithTimeout(h.ctx, owner.KeepWait)
+func (h *Host) keep(k owner.Offload) {
+	ctx, stop := context.WithTimeout(h.ctx, owner.OffloadTimeout)
 	defer stop()
-	h.post(owner.Kept{ID: k.ID, Request: k.Request, Asked: h.store(ctx, k.Asked), Answer: h.store(ctx, k.Answer)})
+	h.post(owner.Offloaded{ID: k.ID, Request: k.Request, Asked: h.store(ctx, k.Asked), Answer: h.store(ctx, k.Answer)})
 }
 
 func (h *Host) store(ctx context.Context, text []byte) *hist.Blob {
@@ -117,13 +117,13 @@
 	h.moved = nil
 	h.movedMu.Unlock()
 	for _, t := range moved {
-		h.step(owner.Held{Blob: t})
+		h.step(owner.HoldersChanged{Blob: t})
 	}
 }
 
 // journal reads the shard's journal and texts.
-func (h *Host) journal() past.Past {
-	return past.Past{Store: h.Store, Shard: h.Shard, Text: h.text}
+func (h *Host) journal() histio.Reader {
+	return histio.Reader{Store: h.Store, Shard: h.Shard, ReadText: h.text}
 }
 
 func (h *Host) text(ctx context.Context, t hist.Blob) ([]byte, error) {
--- a/internal/node/host/look.go
+++ b/internal/node/host/look.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/runner"
-	"github.com/slaterock/slaterock/internal/shard/fold"
 	"github.com/slaterock/slaterock/internal/shard/owner"
+	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
 type (
@@ -37,7 +37,7 @@
 }
 
 // recall answers a repeat from the journal.
-func (h *Host) recall(e owner.Recall) {
+func (h *Host) recall(e owner.ReplyFromJournal) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
 	c, ok, err := h.journal().Call(ctx, e.Program, e.Number, e.Entries)
@@ -58,7 +58,7 @@
 		return hist.History{}, notFound()
 	}
 	if refs.Programs == nil {
-		g, err := fold.Find(ctx, h.Store, h.Shard, refs.At, hash)
+		g, err := snapio.Find(ctx, h.Store, h.Shard, refs.IndexPos, hash)
 		if err != nil {
 			return hist.History{}, unread(err)
 		}
@@ -69,7 +69,7 @@
 		return hist.History{}, unread(err)
 	}
 	for i := range hs {
-		hs[i].Calls = append(hs[i].Calls, refs.Live[hs[i].Program]...)
+		hs[i].Calls = append(hs[i].Calls, refs.InFlight[hs[i].Program]...)
 	}
 	p, ok := choose(hs)
 	if !ok || account != "" && p.Account != account {
--- a/internal/node/host/tail.go
+++ b/internal/node/host/tail.go
@@ -16,18 +16,18 @@
 		Request  string
 		Upstream string
 		Feed     *feed.Feed
-		Done     chan owner.Tried // gets how it ended
+		Done     chan owner.AttemptEnded // gets how it ended
 		Cancel   context.CancelFunc
 	}
 
 	// Report is what the next owner is told of an attempt: the answer's text
 	// from byte At on, and how it ended once it has.
 	Report struct {
-		Shard   int          `json:"shard"`
-		Request string       `json:"request"`
-		At      int          `json:"at"`
-		Text    string       `json:"text,omitempty"`
-		Ended   *owner.Tried `json:"ended,omitempty"`
+		Shard   int                 `json:"shard"`
+		Request string              `json:"request"`
+		At      int                 `json:"at"`
+		Text    string              `json:"text,omitempty"`
+		Ended   *owner.AttemptEnded `json:"ended,omitempty"`
 	}
 
 	// Receipt answers a Report. Known false tells that nobody waits for the
@@ -78,11 +78,11 @@
 }
 
 func (h *Host) report(r Report) Receipt {
-	if !h.machine.Knows(r.Request) {
+	if !h.machine.HasAttempt(r.Request) {
 		return Receipt{}
 	}
 	have := h.feed(r.Request).Extend(r.At, r.Text)
-	h.step(owner.Tail{Request: r.Request})
+	h.step(owner.AttemptAlive{Request: r.Request})
 	if r.Ended != nil {
 		h.step(*r.Ended)
 	}
--- a/internal/node/send/send.go
+++ b/internal/node/send/send.go
@@ -40,14 +40,14 @@
 var errOverrun = errors.New("send: the engine generated more than it was asked for")
 
 // Attempt implements host.Attempt.
-func (s Send) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.Tried) {
+func (s Send) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.AttemptEnded) {
 	ctx, span := s.Trace.Start(ctx, trace.Upstream, d.Call.TraceParent,
 		attribute.String("request", d.Request), attribute.String("upstream", d.Upstream), attribute.Int("attempt", d.Try))
 	d.Call.TraceParent = span.Parent()
 	defer func() {
 		var err error
 		if t.Outcome != sched.Succeeded {
-			err = errors.New(t.Why)
+			err = errors.New(t.Reason)
 		}
 		span.End(err)
 	}()
@@ -57,8 +57,8 @@
 	return s.service(ctx, d)
 }
 
-func (s Send) model(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.Tried {
-	t := owner.Tried{Request: d.Request, Upstream: d.Upstream, ContentType: contentText, Status: http.StatusOK}
+func (s Send) model(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.AttemptEnded {
+	t := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, ContentType: contentText, Status: http.StatusOK}
 	tokens, last := 0, 0
 	first := true
 	r := engine.Request{
@@ -102,7 +102,7 @@
 	if err != nil {
 		// What a resumption didn't reach was sent before.
 		var e *engine.Error
-		t.Outcome, t.Why = s.failed(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
+		t.Outcome, t.Reason = s.failed(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
 		return t
 	}
 	t.Outcome = sched.Succeeded
@@ -110,8 +110,8 @@
 	return t
 }
 
-func (s Send) service(ctx context.Context, d owner.Dispatch) owner.Tried {
-	t := owner.Tried{Request: d.Request, Upstream: d.Upstream}
+func (s Send) service(ctx context.Context, d owner.Dispatch) owner.AttemptEnded {
+	t := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream}
 	if d.Timeout > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, d.Timeout)
@@ -127,7 +127,7 @@
 	})
 	if err != nil {
 		var e *tool.Error
-		t.Outcome, t.Why = s.failed(ctx, err, errors.As(err, &e) && !e.Sent)
+		t.Outcome, t.Reason = s.failed(ctx, err, errors.As(err, &e) && !e.Sent)
 		return t
 	}
 	t.Outcome = sched.Succeeded
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -51,7 +51,7 @@
 			s.Go(func() { s.grant(ctx, e) })
 		case lease.Renew:
 			s.Go(func() { s.renew(ctx, e) })
-		case lease.Got:
+		case lease.Acquired:
 			s.Log.Info().Uint64("lease", uint64(e.ID)).Msg("lease granted")
 			s.stepAssign(ctx, assign.Leased{OK: true})
 			for shard, w := range s.hosts {
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -271,13 +271,13 @@
 }
 
 // pace spreads half of the store's writes evenly over the shards' journals.
-func pace(f file.File) owner.Pace {
+func pace(f file.File) owner.WriteInterval {
 	const share = 0.5
 	if f.System.StoreWrites <= 0 || f.System.Shards <= 0 {
-		return owner.Pace{}
+		return owner.WriteInterval{}
 	}
 	perShard := f.System.StoreWrites * share / float64(f.System.Shards)
-	return owner.Pace{Interval: time.Duration(float64(time.Second) / perShard)}
+	return owner.WriteInterval{Interval: time.Duration(float64(time.Second) / perShard)}
 }
 
 func (s *Shards) tick(ctx context.Context) {
@@ -298,7 +298,7 @@
 	if id == 0 || len(s.hosts) > 0 || s.assign.Wants(time.Now()) {
 		return
 	}
-	s.stepLease(ctx, lease.Drop{})
+	s.stepLease(ctx, lease.Forget{})
 	s.stepAssign(ctx, assign.Leased{})
 	s.Go(func() {
 		call, stop := context.WithTimeout(ctx, leaseTimeout)
--- a/internal/play/sizes/journal_test.go
+++ b/internal/play/sizes/journal_test.go
@@ -26,7 +26,7 @@
 	now    time.Time
 	ticket owner.Ticket
 	nonce  uint64
-	wrote  []owner.Write
+	wrote  []owner.StoreRequest
 	bytes  int
 	writes int
 }
@@ -45,7 +45,7 @@
 
 func (j *journal) step(m owner.Message) {
 	for _, e := range j.own.Step(j.now, m) {
-		if w, ok := e.(owner.Write); ok {
+		if w, ok := e.(owner.StoreRequest); ok {
 			j.wrote = append(j.wrote, w)
 		}
 	}
@@ -58,7 +58,7 @@
 		j.wrote = j.wrote[1:]
 		j.bytes += len(c.Data)
 		j.writes++
-		j.step(owner.Journal{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
+		j.step(owner.StoreReply{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
 	}
 }
 
@@ -70,7 +70,7 @@
 		Kind: call.Model, Model: "m", Body: body, MaxTokens: 100,
 	}})
 	j.step(owner.Assigned{Assign: sched.Assign{ID: id, Upstream: "agent-11"}})
-	j.step(owner.Tried{
+	j.step(owner.AttemptEnded{
 		Request: id, Upstream: "agent-11", Outcome: sched.Succeeded, Status: 200, Body: answer,
 		Usage: engine.Usage{Prompt: 2000, Output: 100, Finish: "stop"},
 	})
--- a/internal/play/soak/caller.go
+++ b/internal/play/soak/caller.go
@@ -134,7 +134,7 @@
 		if a.done {
 			return
 		}
-		n.later(0, func() { n.step(owner.Leave{Ticket: t}) })
+		n.later(0, func() { n.step(owner.CallerGone{Ticket: t}) })
 		a.end(result.Failed(result.CodeTimeout, result.Unknown, "the caller gave up"))
 	})
 }
--- a/internal/play/soak/drive.go
+++ b/internal/play/soak/drive.go
@@ -10,29 +10,29 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/histio"
 	"github.com/slaterock/slaterock/internal/shard/owner"
-	"github.com/slaterock/slaterock/internal/shard/past"
 )
 
 func (n *node) carry(own *owner.Owner, e owner.Effect) {
 	w := n.w
 	switch e := e.(type) {
-	case owner.Write:
+	case owner.StoreRequest:
 		n.write(own, e.Effect)
 	case owner.Place:
 		n.place(own, e.Message)
 	case owner.Dispatch:
 		n.dispatch(own, e)
-	case owner.Stop:
+	case owner.CancelAttempt:
 		delete(n.attempts, e.Request+e.Upstream)
 	case owner.Reply:
 		w.reply(e.Ticket, e.Request, e.Result)
-	case owner.Keep:
+	case owner.Offload:
 		n.keep(own, e)
-	case owner.Unkeep:
+	case owner.DiscardBlob:
 		n.unkeep(own, e.Blob)
-	case owner.Recall:
-		c, ok, err := past.Past{Store: w.st, Shard: 0, Text: w.text}.Call(context.Background(), e.Program, e.Number, e.Entries)
+	case owner.ReplyFromJournal:
+		c, ok, err := histio.Reader{Store: w.st, Shard: 0, ReadText: w.text}.Call(context.Background(), e.Program, e.Number, e.Entries)
 		if err != nil {
 			w.reply(e.Ticket, "", result.Refuse(result.CodeStoreDown, "can't be read").WithRetryAfter(time.Second))
 			return
@@ -43,7 +43,7 @@
 			return
 		}
 		w.reply(e.Ticket, c.Request, c.Result)
-	case owner.Saving:
+	case owner.SnapshotDue:
 		n.save()
 	case owner.Drained:
 		w.stats.Handovers++
@@ -68,7 +68,7 @@
 	gone, err := n.snap.Save(context.Background(), f)
 	if err == nil {
 		w.stats.Saves++
-		n.later(w.span(0, 100*time.Millisecond), func() { n.step(owner.Saved{Upto: f.Upto, Gone: gone}) })
+		n.later(w.span(0, 100*time.Millisecond), func() { n.step(owner.SnapshotSaved{Upto: f.Upto, Gone: gone}) })
 	}
 }
 
@@ -80,14 +80,14 @@
 			_, err := n.w.st.Put(ctx, e.Key, e.Data, 0, 0)
 			return err
 		}, func(err error) {
-			n.tell(own, owner.Journal{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
+			n.tell(own, owner.StoreReply{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
 		})
 	case chain.Read:
 		var v store.Entry
 		n.storeCall(func() (err error) {
 			v, err = n.w.st.Get(ctx, e.Key)
 			return err
-		}, func(err error) { n.tell(own, owner.Journal{Message: readBack(e.Number, v, err)}) })
+		}, func(err error) { n.tell(own, owner.StoreReply{Message: readBack(e.Number, v, err)}) })
 	}
 }
 
@@ -147,8 +147,8 @@
 	key := d.Request + d.Upstream
 	n.attempts[key] = true
 	n.later(time.Second, func() { n.follow(own, d.Request, key) })
-	tried := owner.Tried{Request: d.Request, Upstream: d.Upstream, Status: 200, Why: "broken"}
-	done := func(t owner.Tried) {
+	tried := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Status: 200, Reason: "broken"}
+	done := func(t owner.AttemptEnded) {
 		n.later(w.span(1, 200*time.Millisecond), func() {
 			if !n.attempts[key] && t.Outcome != sched.Succeeded {
 				t.Outcome = sched.Withdrawn
@@ -170,7 +170,7 @@
 		w.execute(d, &tried)
 		w.after(w.span(10*time.Millisecond, 3*time.Second), func() {
 			if w.fault(60) {
-				tried = owner.Tried{Request: d.Request, Upstream: d.Upstream, Outcome: sched.Failed, Why: "broken"}
+				tried = owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Outcome: sched.Failed, Reason: "broken"}
 			}
 			done(tried)
 		})
@@ -192,16 +192,16 @@
 
 // report reports an attempt until that has arrived; false if nobody waits for
 // it any more.
-func (n *node) report(request string, ended *owner.Tried) bool {
+func (n *node) report(request string, ended *owner.AttemptEnded) bool {
 	w := n.w
 	for _, m := range w.nodes {
 		if m.own == nil || m.suspended || w.now.Before(m.paused) || w.now.Before(n.alone) || w.now.Before(m.alone) {
 			continue
 		}
-		if !m.own.Knows(request) {
+		if !m.own.HasAttempt(request) {
 			return false
 		}
-		m.step(owner.Tail{Request: request})
+		m.step(owner.AttemptAlive{Request: request})
 		if ended != nil {
 			m.step(*ended)
 		}
--- a/internal/play/soak/judge.go
+++ b/internal/play/soak/judge.go
@@ -15,7 +15,7 @@
 )
 
 // execute is the upstream's side.
-func (w *world) execute(d owner.Dispatch, t *owner.Tried) {
+func (w *world) execute(d owner.Dispatch, t *owner.AttemptEnded) {
 	w.execs[d.Request]++
 	w.note("upstream runs %s (%s %d)", d.Request, d.Call.Program, d.Call.Number)
 	if why, ok := w.refused[d.Request]; ok {
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -136,7 +136,7 @@
 		case lease.Renew:
 			n.storeCall(func() error { return n.w.st.Renew(context.Background(), e.ID) },
 				func(err error) { n.stepLease(lease.Renewed{Lapsed: err == store.ErrLapsed, Err: err}) }) //nolint:errorlint // the store's own value
-		case lease.Got:
+		case lease.Acquired:
 			if n.own != nil && n.suspended {
 				n.rekey(e.ID)
 			}
@@ -209,7 +209,7 @@
 	n.own.Chain = chain.Chain{Shard: 0, Epoch: t.Epoch, Owner: n.name, Next: t.Next, Rand: n.rand, Interval: 20 * time.Millisecond}
 	n.step(owner.Configure{File: w.cfg})
 	n.step(owner.Lease{Until: n.until()})
-	n.step(owner.Keeping{On: w.folders()})
+	n.step(owner.OffloadEnabled{On: w.folders()})
 }
 
 // release gives the shard's key up, so that the next owner need not wait.
--- a/internal/play/soak/texts.go
+++ b/internal/play/soak/texts.go
@@ -45,7 +45,7 @@
 
 // keep puts texts into folders: soon, too late, never, or only one of them. A
 // holder is replaced now and then.
-func (n *node) keep(own *owner.Owner, k owner.Keep) {
+func (n *node) keep(own *owner.Owner, k owner.Offload) {
 	w := n.w
 	life := n.life
 	wait := w.span(0, 300*time.Millisecond)
@@ -57,7 +57,7 @@
 		if n.own != own || n.life != life || w.newest != own {
 			return // its folders heed the newest owner alone
 		}
-		kept := owner.Kept{ID: k.ID, Request: k.Request, Asked: n.put(asked), Answer: n.put(answer)}
+		kept := owner.Offloaded{ID: k.ID, Request: k.Request, Asked: n.put(asked), Answer: n.put(answer)}
 		n.later(w.span(0, 20*time.Millisecond), func() { n.tell(own, kept) })
 	})
 }
@@ -79,7 +79,7 @@
 				return
 			}
 			if _, ok := own.Fold.Texts[b.Digest]; ok {
-				n.tell(own, owner.Held{Blob: moved})
+				n.tell(own, owner.HoldersChanged{Blob: moved})
 			}
 		})
 	}
--- a/internal/play/soak/world.go
+++ b/internal/play/soak/world.go
@@ -9,9 +9,9 @@
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/result"
-	"github.com/slaterock/slaterock/internal/shard/fold"
 	"github.com/slaterock/slaterock/internal/shard/lease"
 	"github.com/slaterock/slaterock/internal/shard/owner"
+	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
 const (
@@ -73,7 +73,7 @@
 		history   []time.Time // of reached
 		lease     lease.Lease
 		own       *owner.Owner
-		snap      *fold.Snap
+		snap      *snapio.Snap
 		key       store.Rev          // of the shard's key as this node wrote it last
 		mine      map[store.Rev]bool // revisions of the key that this life wrote
 		suspended bool
--- a/internal/shard/boot/bench_test.go
+++ b/internal/shard/boot/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/fold"
+	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
 // tail is about what a takeover finds behind the newest snapshot at the most.
@@ -27,7 +27,7 @@
 				is.NoErr(f.Apply(1, open(fmt.Sprint("p", i))))
 				is.NoErr(f.Apply(1, ended(fmt.Sprint("p", i), 0)))
 			}
-			s := fold.Snap{Store: st, Shard: 2, Epoch: 1}
+			s := snapio.Snap{Store: st, Shard: 2, Epoch: 1}
 			_, err := s.Save(ctx, f.Clone())
 			is.NoErr(err)
 			for i := range tail {
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -17,7 +17,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/state"
 	"github.com/slaterock/slaterock/internal/shard/chain"
-	"github.com/slaterock/slaterock/internal/shard/fold"
+	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
 const (
@@ -41,7 +41,7 @@
 		Epoch uint64
 		Next  uint64 // the first entry to write
 		Read  int    // journal entries read
-		Snap  *fold.Snap
+		Snap  *snapio.Snap
 	}
 
 	reading struct {
@@ -56,7 +56,7 @@
 // error.
 func (b Boot) Take(ctx context.Context) (t Taken, err error) {
 	defer func() { err = errors.Wrapf(err, "boot: take shard %d", b.Shard) }()
-	t.Snap = &fold.Snap{Store: b.Store, Shard: b.Shard}
+	t.Snap = &snapio.Snap{Store: b.Store, Shard: b.Shard}
 	if t.Fold, err = t.Snap.Load(ctx); err != nil {
 		return t, err
 	}
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -18,8 +18,8 @@
 	"github.com/slaterock/slaterock/internal/prog/state"
 	"github.com/slaterock/slaterock/internal/shard/boot"
 	"github.com/slaterock/slaterock/internal/shard/chain"
-	"github.com/slaterock/slaterock/internal/shard/fold"
-	"github.com/slaterock/slaterock/internal/shard/past"
+	"github.com/slaterock/slaterock/internal/shard/histio"
+	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
 var (
@@ -181,9 +181,9 @@
 	is.Equal(got.Fold.Programs["live"].Next, 2)
 	at, ok := got.Fold.Gone[state.Hash("gone")]
 	is.True(ok)
-	g, err := fold.Find(ctx, st, 2, at, state.Hash("gone"))
+	g, err := snapio.Find(ctx, st, 2, at, state.Hash("gone"))
 	is.NoErr(err)
-	hs, err := past.Past{Store: st, Shard: 2}.Family(ctx, g.Programs, nil)
+	hs, err := histio.Reader{Store: st, Shard: 2}.Family(ctx, g.Programs, nil)
 	is.NoErr(err)
 	is.Equal(len(hs), 2)
 	is.Equal(hs[0].Program, "gone")
@@ -223,11 +223,11 @@
 		is.NoErr(f.Apply(1, open(gone)))
 		is.NoErr(f.Apply(1, closed(gone)))
 	}
-	s := fold.Snap{Store: st, Shard: 2, Epoch: 1}
+	s := snapio.Snap{Store: st, Shard: 2, Epoch: 1}
 	_, err := s.Save(ctx, f.Clone())
 	is.NoErr(err)
 	is.True(len(s.Head.Parts) > 1)
-	loaded := fold.Snap{Store: st, Shard: 2}
+	loaded := snapio.Snap{Store: st, Shard: 2}
 	got, err := loaded.Load(ctx)
 	is.NoErr(err)
 	is.Equal(len(got.Programs), 3000)
--- a/internal/shard/past/past.go
+++ b/internal/shard/histio/histio.go
@@ -4,7 +4,7 @@
 // those entries and tells them as a history; texts that a model call shares
 // with the one before it stay out, as they stand in the earlier call. Texts
 // that are in data folders are read from there.
-package past
+package histio
 
 import (
 	"context"
@@ -22,30 +22,30 @@
 
 type (
 	// Past reads the journal of one shard.
-	Past struct {
+	Reader struct {
 		Store store.Store
 		Shard int
 		// Text reads a text from the data folders; nil if they can't be
 		// reached.
-		Text func(ctx context.Context, b hist.Blob) ([]byte, error)
+		ReadText func(ctx context.Context, b hist.Blob) ([]byte, error)
 	}
 )
 
 // readers is how many texts of a history are read at a time.
-const readers = 8
+const maxConcurrentReads = 8
 
-var errNoFolders = errors.New("no data folder is known")
+var errNoDataFolder = errors.New("no data folder is known")
 
 // Family reads the histories of the programs whose journal entries are given,
 // by program id. Pending are further records, newer than all entries.
-func (p Past) Family(ctx context.Context, programs map[string][]uint64, pending []record.Record) (hs []hist.History, err error) {
+func (p Reader) Family(ctx context.Context, programs map[string][]uint64, pending []record.Record) (hs []hist.History, err error) {
 	defer func() { err = errors.Wrapf(err, "past: shard %d", p.Shard) }()
 	var numbers []uint64
 	for _, ns := range programs {
 		numbers = append(numbers, ns...)
 	}
 	slices.Sort(numbers)
-	by := map[string]*hist.History{}
+	histories := map[string]*hist.History{}
 	for _, n := range slices.Compact(numbers) {
 		rs, err := p.entry(ctx, n)
 		if err != nil {
@@ -53,14 +53,14 @@
 		}
 		for _, r := range rs {
 			if _, ok := programs[r.Subject()]; ok {
-				tell(by, r)
+				applyRecord(histories, r)
 			}
 		}
 	}
 	for _, r := range pending {
-		tell(by, r)
+		applyRecord(histories, r)
 	}
-	for _, h := range by {
+	for _, h := range histories {
 		hs = append(hs, *h)
 	}
 	slices.SortFunc(hs, func(a, b hist.History) int {
@@ -75,9 +75,9 @@
 // Fill reads the texts of the history's calls that are in data folders. A call
 // whose text can't be read now gets a note: that is still all that is known of
 // the call, and a support engineer must not take it for an empty answer.
-func (p Past) Fill(ctx context.Context, h *hist.History) {
-	var work sync.WaitGroup
-	slots := make(chan struct{}, readers)
+func (p Reader) Fill(ctx context.Context, h *hist.History) {
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentReads)
 	h.Calls = slices.Clone(h.Calls)
 	for i := range h.Calls {
 		c := &h.Calls[i]
@@ -85,48 +85,48 @@
 			continue
 		}
 		slots <- struct{}{}
-		work.Go(func() {
+		wg.Go(func() {
 			p.fill(ctx, c)
 			<-slots
 		})
 	}
-	work.Wait()
+	wg.Wait()
 }
 
-func (p Past) fill(ctx context.Context, c *hist.Call) {
+func (p Reader) fill(ctx context.Context, c *hist.Call) {
 	if c.AskedIn != nil {
 		text, err := p.text(ctx, *c.AskedIn)
 		c.Asked = string(text)
-		note(c, "question", *c.AskedIn, err)
+		addNote(c, "question", *c.AskedIn, err)
 	}
 	if c.AnswerIn != nil {
 		text, err := p.text(ctx, *c.AnswerIn)
 		c.Result.Body = text
-		note(c, "answer", *c.AnswerIn, err)
+		addNote(c, "answer", *c.AnswerIn, err)
 	}
 }
 
-func note(c *hist.Call, what string, b hist.Blob, err error) {
+func addNote(c *hist.Call, kind string, b hist.Blob, err error) {
 	if err == nil {
 		return
 	}
 	if c.Note != "" {
 		c.Note += "; "
 	}
-	c.Note += fmt.Sprintf("the %s (%d bytes, SHA-256 %s) can't be read now", what, b.Size, b.Digest)
+	c.Note += fmt.Sprintf("the %s (%d bytes, SHA-256 %s) can't be read now", kind, b.Size, b.Digest)
 }
 
-func (p Past) text(ctx context.Context, b hist.Blob) ([]byte, error) {
-	if p.Text == nil {
-		return nil, errNoFolders
+func (p Reader) text(ctx context.Context, b hist.Blob) ([]byte, error) {
+	if p.ReadText == nil {
+		return nil, errNoDataFolder
 	}
-	return p.Text(ctx, b)
+	return p.ReadText(ctx, b)
 }
 
 // Call reads the newest outcome of one call, with its answer; false if there is
 // none that a repeat may be answered with. An answer that can't be read now is
 // an error.
-func (p Past) Call(ctx context.Context, program string, number int, entries []uint64) (c hist.Call, ok bool, err error) {
+func (p Reader) Call(ctx context.Context, program string, number int, entries []uint64) (c hist.Call, ok bool, err error) {
 	defer func() { err = errors.Wrapf(err, "past: call %d of %s", number, program) }()
 	for _, n := range slices.Backward(entries) {
 		rs, err := p.entry(ctx, n)
@@ -135,14 +135,14 @@
 		}
 		for _, r := range slices.Backward(rs) {
 			if e, is := r.(record.Ended); is && e.Program == program && e.Call.Number == number {
-				return p.answered(ctx, e)
+				return p.withAnswer(ctx, e)
 			}
 		}
 	}
 	return c, false, nil
 }
 
-func (p Past) answered(ctx context.Context, e record.Ended) (c hist.Call, ok bool, err error) {
+func (p Reader) withAnswer(ctx context.Context, e record.Ended) (c hist.Call, ok bool, err error) {
 	c = e.Call
 	if c.AnswerIn != nil {
 		c.Result.Body, err = p.text(ctx, *c.AnswerIn)
@@ -152,7 +152,7 @@
 
 // entry reads the records that an entry completes. A large record begins in an
 // earlier entry, so those before it are read as far as needed.
-func (p Past) entry(ctx context.Context, n uint64) ([]record.Record, error) {
+func (p Reader) entry(ctx context.Context, n uint64) ([]record.Record, error) {
 	chained, err := p.chained(ctx, n)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	return rs, nil
 }
 
-func (p Past) chained(ctx context.Context, n uint64) (es []record.Entry, err error) {
+func (p Reader) chained(ctx context.Context, n uint64) (es []record.Entry, err error) {
 	for {
 		v, err := p.Store.Get(ctx, chain.Key(p.Shard, n))
 		if err != nil {
@@ -185,9 +185,9 @@
 	}
 }
 
-func tell(by map[string]*hist.History, r record.Record) {
+func applyRecord(histories map[string]*hist.History, r record.Record) {
 	if o, ok := r.(record.Opened); ok {
-		by[o.Open.Program] = &hist.History{
+		histories[o.Open.Program] = &hist.History{
 			Program:  o.Open.Program,
 			Account:  o.Open.Account,
 			Agent:    o.Open.Agent,
@@ -198,7 +198,7 @@
 		}
 		return
 	}
-	h := by[r.Subject()]
+	h := histories[r.Subject()]
 	if h == nil {
 		return
 	}
--- a/internal/shard/past/past_test.go
+++ b/internal/shard/histio/histio_test.go
@@ -1,4 +1,4 @@
-package past_test
+package histio_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/shard/chain"
-	"github.com/slaterock/slaterock/internal/shard/past"
+	"github.com/slaterock/slaterock/internal/shard/histio"
 )
 
 var errUnread = errors.New("no holder answers")
@@ -47,14 +47,14 @@
 			st := &keyval.Store{}
 			_, err = st.Put(t.Context(), chain.Key(0, 1), data, 0, 0)
 			is.NoErr(err)
-			p := past.Past{Store: st, Text: func(_ context.Context, b hist.Blob) ([]byte, error) {
+			p := histio.Reader{Store: st, ReadText: func(_ context.Context, b hist.Blob) ([]byte, error) {
 				if text, ok := tt.texts[b.Digest]; ok {
 					return []byte(text), nil
 				}
 				return nil, errUnread
 			}}
 			if tt.none {
-				p.Text = nil
+				p.ReadText = nil
 			}
 
 			h := hist.History{Calls: []hist.Call{c, {Asked: "short"}}}
--- a/internal/shard/lease/lease.go
+++ b/internal/shard/lease/lease.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	defaultTTL = 6 * time.Second
-	renewals   = 3 // within one time to live
+	defaultTTL     = 6 * time.Second
+	renewalsPerTTL = 3 // within one time to live
 )
 
 type (
@@ -29,11 +29,11 @@
 		TTL  time.Duration
 		Rand func() uint64 // for jitter; nil is none
 
-		id     store.Lease
-		until  time.Time
-		busy   bool
-		sentAt time.Time
-		next   time.Time
+		id          store.Lease
+		until       time.Time
+		inFlight    bool
+		sentAt      time.Time
+		nextRequest time.Time
 	}
 
 	// Message is what Lease reacts to.
@@ -52,7 +52,7 @@
 	}
 
 	// Drop forgets the lease: nothing hangs on it any more.
-	Drop struct{}
+	Forget struct{}
 
 	// Tick lets time pass.
 	Tick struct{}
@@ -67,7 +67,7 @@
 	Renew struct{ ID store.Lease }
 
 	// Got tells that there is a new lease; shards may be taken under it.
-	Got struct{ ID store.Lease }
+	Acquired struct{ ID store.Lease }
 
 	// Lost tells that the lease is over and its keys are gone.
 	Lost struct{ ID store.Lease }
@@ -75,13 +75,13 @@
 
 func (Granted) message() {}
 func (Renewed) message() {}
-func (Drop) message()    {}
+func (Forget) message()  {}
 func (Tick) message()    {}
 
-func (Grant) effect() {}
-func (Renew) effect() {}
-func (Got) effect()   {}
-func (Lost) effect()  {}
+func (Grant) effect()    {}
+func (Renew) effect()    {}
+func (Acquired) effect() {}
+func (Lost) effect()     {}
 
 // ID is the lease held, zero without one.
 func (l *Lease) ID() store.Lease { return l.id }
@@ -93,36 +93,36 @@
 // Step applies one message.
 func (l *Lease) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
-	case Drop:
-		l.id, l.until, l.next = 0, time.Time{}, now
+	case Forget:
+		l.id, l.until, l.nextRequest = 0, time.Time{}, now
 		return nil
 	case Granted:
-		l.busy = false
+		l.inFlight = false
 		if m.Err != nil {
-			l.wait(now)
+			l.backOff(now)
 			return nil
 		}
 		l.id = m.ID
-		l.hold()
-		return []Effect{Got{ID: m.ID}}
+		l.extend()
+		return []Effect{Acquired{ID: m.ID}}
 	case Renewed:
-		l.busy = false
+		l.inFlight = false
 		if l.id == 0 {
 			return nil // it was dropped meanwhile
 		}
 		if m.Lapsed {
 			lost := Lost{ID: l.id}
-			l.id, l.until, l.next = 0, time.Time{}, now
-			return append([]Effect{lost}, l.send(now)...)
+			l.id, l.until, l.nextRequest = 0, time.Time{}, now
+			return append([]Effect{lost}, l.request(now)...)
 		}
 		if m.Err != nil {
-			l.wait(now)
+			l.backOff(now)
 			return nil
 		}
-		l.hold()
+		l.extend()
 		return nil
 	}
-	return l.send(now)
+	return l.request(now)
 }
 
 func (l *Lease) ttl() time.Duration {
@@ -132,26 +132,26 @@
 	return defaultTTL
 }
 
-func (l *Lease) hold() {
+func (l *Lease) extend() {
 	l.until = l.sentAt.Add(l.ttl())
-	l.next = l.sentAt.Add(l.ttl() / renewals)
+	l.nextRequest = l.sentAt.Add(l.ttl() / renewalsPerTTL)
 }
 
 // wait puts off the next call after a failure, with jitter so that the daemons
 // don't meet at the store when it comes back.
-func (l *Lease) wait(now time.Time) {
-	d := l.ttl() / (4 * renewals)
+func (l *Lease) backOff(now time.Time) {
+	d := l.ttl() / (4 * renewalsPerTTL)
 	if l.Rand != nil {
 		d += time.Duration(l.Rand() % uint64(d))
 	}
-	l.next = now.Add(d)
+	l.nextRequest = now.Add(d)
 }
 
-func (l *Lease) send(now time.Time) []Effect {
-	if l.busy || now.Before(l.next) {
+func (l *Lease) request(now time.Time) []Effect {
+	if l.inFlight || now.Before(l.nextRequest) {
 		return nil
 	}
-	l.busy, l.sentAt = true, now
+	l.inFlight, l.sentAt = true, now
 	if l.id == 0 {
 		return []Effect{Grant{TTL: l.ttl()}}
 	}
--- a/internal/shard/owner/try.go
+++ b/internal/shard/owner/attempt.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	defaultTries   = 3
-	endedOK        = "ok"
-	endedUnsent    = "not sent: "
-	endedWithdrawn = "cancelled"
+	defaultMaxAttempts = 3
+	endedOK            = "ok"
+	endedUnsent        = "not sent: "
+	endedWithdrawn     = "cancelled"
 )
 
 // ask queues the call for an upstream. For a while after a takeover it only
 // waits: the former owner may not have noticed yet that its lease is over.
-func (o *Owner) ask(now time.Time, r *run) {
+func (o *Owner) requestPlacement(now time.Time, r *run) {
 	if now.Before(o.Hold) {
-		r.phase, r.deadline = waitHold, o.Hold
+		r.phase, r.deadline = waitTakeover, o.Hold
 		return
 	}
-	r.phase = waitPlace
+	r.phase = waitPlacement
 	r.deadline = time.Time{}
 	p := r.prog
 	a := sched.Ask{
@@ -36,7 +36,7 @@
 		MaxTokens:  r.max,
 		Priority:   p.priority,
 		Attained:   p.root.attained,
-		Avoid:      slices.Clone(r.failed),
+		Avoid:      slices.Clone(r.avoid),
 		Idempotent: o.idempotent(r),
 		Retry:      r.retries > 0,
 	}
@@ -54,18 +54,18 @@
 // assigned dispatches an attempt to the upstream that placement chose.
 func (o *Owner) assigned(now time.Time, a sched.Assign) {
 	r := o.runs[a.ID]
-	if r == nil || !o.wants(r, a.Hedge) {
+	if r == nil || !o.needsAttempt(r, a.Hedge) {
 		o.emit(Place{Message: sched.Done{ID: a.ID, Upstream: a.Upstream, Outcome: sched.Withdrawn}})
 		return
 	}
 	if !o.MayDispatch(now) {
 		o.emit(Place{Message: sched.Done{ID: a.ID, Upstream: a.Upstream, Outcome: sched.Unsent}})
-		o.finish(now, r, o.unsure(r))
+		o.finish(now, r, o.unsureResult(r))
 		return
 	}
-	r.phase = waitAnswer
-	r.live = append(r.live, a.Upstream)
-	r.tries = append(r.tries, hist.Try{Upstream: a.Upstream, Start: now})
+	r.phase = waitAttempt
+	r.inFlight = append(r.inFlight, a.Upstream)
+	r.attempts = append(r.attempts, hist.Try{Upstream: a.Upstream, Start: now})
 	o.emit(Dispatch{
 		Request:   a.ID,
 		Call:      r.call,
@@ -75,24 +75,24 @@
 		MaxTokens: r.max,
 		Fence:     o.Chain.Epoch,
 		Timeout:   o.cfg.Services[r.call.Service].Timeout,
-		Try:       len(r.tries),
+		Try:       len(r.attempts),
 	})
 }
 
 // wants reports whether the call is to have an attempt: its first, or one
 // beside another where running it twice does no harm.
-func (o *Owner) wants(r *run, hedge bool) bool {
+func (o *Owner) needsAttempt(r *run, hedge bool) bool {
 	if hedge {
-		return r.phase == waitAnswer && o.idempotent(r)
+		return r.phase == waitAttempt && o.idempotent(r)
 	}
-	return r.phase == waitPlace
+	return r.phase == waitPlacement
 }
 
 // refused ends a call that placement did not take. A call that was tried before
 // keeps what its attempts tell: it may have run.
 func (o *Owner) refused(now time.Time, m sched.Refuse) {
 	r := o.runs[m.ID]
-	if r == nil || r.phase != waitPlace {
+	if r == nil || r.phase != waitPlacement {
 		return
 	}
 	if r.sent() {
@@ -103,7 +103,7 @@
 }
 
 // place tells placement of a request, if it was placed in this epoch.
-func (o *Owner) place(r *run, m sched.Message) {
+func (o *Owner) notifyPlacement(r *run, m sched.Message) {
 	if !r.moved {
 		o.emit(Place{Message: m})
 	}
@@ -111,20 +111,20 @@
 
 // sent reports whether an attempt may have reached an upstream.
 func (r *run) sent() bool {
-	return slices.ContainsFunc(r.tries, func(t hist.Try) bool {
+	return slices.ContainsFunc(r.attempts, func(t hist.Try) bool {
 		return len(t.Ended) < len(endedUnsent) || t.Ended[:len(endedUnsent)] != endedUnsent
 	})
 }
 
-func (o *Owner) tried(now time.Time, m Tried) {
+func (o *Owner) attemptEnded(now time.Time, m AttemptEnded) {
 	r := o.runs[m.Request]
-	if r == nil || !r.endTry(now, m) {
+	if r == nil || !r.endAttempt(now, m) {
 		return
 	}
 	r.pieces = max(r.pieces, m.Pieces)
 	r.deadline = time.Time{}
-	o.place(r, sched.Done{ID: m.Request, Upstream: m.Upstream, Outcome: m.Outcome, Usage: m.Usage})
-	if r.phase != waitAnswer {
+	o.notifyPlacement(r, sched.Done{ID: m.Request, Upstream: m.Upstream, Outcome: m.Outcome, Usage: m.Usage})
+	if r.phase != waitAttempt {
 		return
 	}
 	switch m.Outcome {
@@ -132,7 +132,7 @@
 		o.succeeded(now, r, m)
 	case sched.Unsent, sched.Failed:
 		r.charge(m)
-		r.failed = append(r.failed, m.Upstream)
+		r.avoid = append(r.avoid, m.Upstream)
 		o.retry(now, r, m)
 	case sched.Withdrawn:
 		r.charge(m)
@@ -141,14 +141,14 @@
 }
 
 // endTry notes the attempt's end; false if there is no such attempt.
-func (r *run) endTry(now time.Time, m Tried) bool {
-	i := slices.Index(r.live, m.Upstream)
+func (r *run) endAttempt(now time.Time, m AttemptEnded) bool {
+	i := slices.Index(r.inFlight, m.Upstream)
 	if i < 0 {
 		return false
 	}
-	r.live = slices.Delete(r.live, i, i+1)
-	for j := len(r.tries) - 1; j >= 0; j-- {
-		t := &r.tries[j]
+	r.inFlight = slices.Delete(r.inFlight, i, i+1)
+	for j := len(r.attempts) - 1; j >= 0; j-- {
+		t := &r.attempts[j]
 		if t.Upstream != m.Upstream || t.Ended != "" {
 			continue
 		}
@@ -157,11 +157,11 @@
 		case sched.Succeeded:
 			t.Ended = endedOK
 		case sched.Unsent:
-			t.Ended = endedUnsent + m.Why
+			t.Ended = endedUnsent + m.Reason
 		case sched.Withdrawn:
 			t.Ended = endedWithdrawn
 		case sched.Failed:
-			t.Ended = m.Why
+			t.Ended = m.Reason
 		}
 		break
 	}
@@ -171,7 +171,7 @@
 // charge adds what a failed attempt may have cost. An engine that broke off
 // doesn't say what it generated; taking nothing for it would let a program pass
 // its budget on a bad day.
-func (r *run) charge(m Tried) {
+func (r *run) charge(m AttemptEnded) {
 	switch {
 	case m.Outcome == sched.Unsent:
 	case m.Usage.Prompt+m.Usage.Output > 0:
@@ -181,8 +181,8 @@
 	}
 }
 
-func (o *Owner) succeeded(now time.Time, r *run, m Tried) {
-	o.stop(r)
+func (o *Owner) succeeded(now time.Time, r *run, m AttemptEnded) {
+	o.cancelAttempts(r)
 	r.cost += int64(m.Usage.Prompt + m.Usage.Output)
 	o.finish(now, r, result.Result{
 		Code:        result.CodeOK,
@@ -200,30 +200,30 @@
 // retry makes a further attempt where that is safe: the request certainly did
 // not run, or running it again does no harm and no caller has seen a part of
 // an answer that a second attempt would contradict.
-func (o *Owner) retry(now time.Time, r *run, m Tried) {
-	if len(r.live) > 0 {
+func (o *Owner) retry(now time.Time, r *run, m AttemptEnded) {
+	if len(r.inFlight) > 0 {
 		return // a hedge is still under way
 	}
 	safe := m.Outcome == sched.Unsent || o.idempotent(r) && r.pieces == 0
 	r.retries++
-	if r.moved || !safe || r.retries >= o.tries(r) || len(r.tickets) == 0 && o.idempotent(r) {
-		o.finish(now, r, o.failure(r, m.Why))
+	if r.moved || !safe || r.retries >= o.maxAttempts(r) || len(r.tickets) == 0 && o.idempotent(r) {
+		o.finish(now, r, o.failure(r, m.Reason))
 		return
 	}
-	if !o.rehold(now, r) {
-		o.finish(now, r, o.failure(r, m.Why+"; the budget allows no further attempt"))
+	if !o.extendHold(now, r) {
+		o.finish(now, r, o.failure(r, m.Reason+"; the budget allows no further attempt"))
 		return
 	}
 	if r.phase != waitBudget {
-		o.ask(now, r)
+		o.requestPlacement(now, r)
 	}
 }
 
 // rehold holds the cost of a further attempt beside what the failed ones cost.
 // If the journal has not reserved that much yet, the call waits for it.
-func (o *Owner) rehold(now time.Time, r *run) bool {
+func (o *Owner) extendHold(now time.Time, r *run) bool {
 	root := r.prog.root
-	more := r.cost + r.prompt + int64(r.max) - r.hold
+	more := r.cost + r.promptBound + int64(r.max) - r.hold
 	if r.cost == 0 || more <= 0 {
 		return true
 	}
@@ -231,20 +231,20 @@
 		return false
 	}
 	if !root.budget.Fits(more) {
-		r.seq = o.ahead(root, more)
+		r.seq = o.requestReservation(root, more)
 		r.phase = waitBudget
-		r.deadline = now.Add(journalWait)
+		r.deadline = now.Add(journalTimeout)
 	}
 	root.budget = root.budget.WithHold(more)
 	r.hold += more
 	return true
 }
 
-func (o *Owner) tries(r *run) int {
+func (o *Owner) maxAttempts(r *run) int {
 	if n := o.cfg.Services[r.call.Service].MaxTries; r.call.Kind == call.Service && n > 0 {
 		return n
 	}
-	return defaultTries
+	return defaultMaxAttempts
 }
 
 // ran tells what is proved of a call that ended without an answer.
--- a/internal/shard/owner/bench_test.go
+++ b/internal/shard/owner/bench_test.go
@@ -15,25 +15,25 @@
 )
 
 type bench struct {
-	own  owner.Owner
-	now  time.Time
-	req  int
-	next owner.Ticket
-	seed uint64
+	machine     owner.Owner
+	now         time.Time
+	lastRequest int
+	lastTicket  owner.Ticket
+	seed        uint64
 }
 
 func newBench(programs int) *bench {
 	b := &bench{now: time.Unix(1_800_000_000, 0)}
-	b.own.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { b.seed++; return b.seed }}
-	b.own.Step(b.now, owner.Configure{File: file.File{
+	b.machine.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { b.seed++; return b.seed }}
+	b.machine.Step(b.now, owner.Configure{File: file.File{
 		Limits: file.Limits{BudgetBlock: 1 << 20, JournalBuffer: 1 << 30},
 		Agents: map[string]file.Agent{"a": {Model: "m", Budget: 1 << 40}},
 		Models: map[string]file.Model{"m": {Group: "g", MaxTokens: 100}},
 	}})
-	b.own.Step(b.now, owner.Lease{Until: b.now.Add(time.Hour)})
+	b.machine.Step(b.now, owner.Lease{Until: b.now.Add(time.Hour)})
 	for i := range programs {
-		b.next++
-		b.settle(b.own.Step(b.now, owner.Open{Ticket: b.next, Open: call.Open{Account: "x", Program: fmt.Sprint("p", i), Agent: "a"}}))
+		b.lastTicket++
+		b.settle(b.machine.Step(b.now, owner.Open{Ticket: b.lastTicket, Open: call.Open{Account: "x", Program: fmt.Sprint("p", i), Agent: "a"}}))
 	}
 	return b
 }
@@ -43,9 +43,9 @@
 	for len(effs) > 0 {
 		var more []owner.Effect
 		for _, e := range effs {
-			if w, ok := e.(owner.Write); ok {
+			if w, ok := e.(owner.StoreRequest); ok {
 				c := w.Effect.(chain.Create)
-				more = append(more, b.own.Step(b.now, owner.Journal{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})...)
+				more = append(more, b.machine.Step(b.now, owner.StoreReply{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})...)
 			}
 		}
 		effs = more
@@ -54,14 +54,14 @@
 
 // turn runs one call of a program to its committed end.
 func (b *bench) turn(program string, number int, body []byte) {
-	b.req++
-	id := fmt.Sprint("r", b.req)
-	b.next++
-	b.own.Step(b.now, owner.Call{Ticket: b.next, Call: call.Call{
+	b.lastRequest++
+	id := fmt.Sprint("r", b.lastRequest)
+	b.lastTicket++
+	b.machine.Step(b.now, owner.Call{Ticket: b.lastTicket, Call: call.Call{
 		Request: id, Account: "x", Program: program, Number: number, Kind: call.Model, Body: body, MaxTokens: 50,
 	}})
-	b.own.Step(b.now, owner.Assigned{Assign: sched.Assign{ID: id, Upstream: "u"}})
-	b.settle(b.own.Step(b.now, owner.Tried{
+	b.machine.Step(b.now, owner.Assigned{Assign: sched.Assign{ID: id, Upstream: "u"}})
+	b.settle(b.machine.Step(b.now, owner.AttemptEnded{
 		Request: id, Upstream: "u", Outcome: sched.Succeeded, Status: 200, Body: []byte("an answer"),
 		Usage: engine.Usage{Prompt: 20, Output: 20, Finish: "stop"},
 	}))
@@ -86,7 +86,7 @@
 			w := newBench(n)
 			for b.Loop() {
 				w.now = w.now.Add(20 * time.Millisecond)
-				w.own.Step(w.now, owner.Tick{})
+				w.machine.Step(w.now, owner.Tick{})
 			}
 		})
 	}
@@ -97,14 +97,14 @@
 		b.Run(fmt.Sprintf("programs=%d", n), func(b *testing.B) {
 			w := newBench(n)
 			for b.Loop() {
-				w.own.Snapshot()
+				w.machine.Snapshot()
 			}
 		})
 	}
 }
 
 // BenchmarkHeld measures the memory that an owner holds.
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkMemory(b *testing.B) {
 	body := []byte(`{"messages":[{"role":"user","content":"where next?"}]}`)
 	for _, turns := range []int{0, 1, 20, 80, 320} {
 		const n = 500
--- a/internal/shard/owner/asked.go
+++ b/internal/shard/owner/body.go
@@ -9,7 +9,7 @@
 // added is the part of the question that the journal must keep: for a model
 // call the messages that the call before didn't have. Keeping each whole
 // conversation would write a long program's text once for each of its turns.
-func added(c call.Call, shared int) string {
+func recordedBody(c call.Call, shared int) string {
 	if c.Kind != call.Model || shared == 0 {
 		return string(c.Body)
 	}
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	waitOrder  phase = iota // for the calls before it
-	waitBudget              // for a reservation to be committed
-	waitIntent              // for its intent to be committed
-	waitHold                // for a former owner's time to be over
-	waitPlace               // for an upstream
-	waitAnswer              // an attempt is under way
-	waitKeep                // for its texts to be in data folders
-	waitCommit              // for its outcome to be committed
+	waitOrder     phase = iota // for the calls before it
+	waitBudget                 // for a reservation to be committed
+	waitIntent                 // for its intent to be committed
+	waitTakeover               // for a former owner's time to be over
+	waitPlacement              // for an upstream
+	waitAttempt                // an attempt is under way
+	waitOffload                // for its texts to be in data folders
+	waitCommit                 // for its outcome to be committed
 
-	maxEarly  = 16
-	maxJoined = 16
+	maxEarlyCalls     = 16
+	maxCallersPerCall = 16
 )
 
 type (
@@ -32,57 +32,57 @@
 
 	// run is one call on its way.
 	run struct {
-		call     call.Call
-		prog     *program
-		phase    phase
-		digest   string
-		blocks   []engine.Block
-		shared   int   // leading messages that the program's model call before had
-		prompt   int64 // bound of the prompt's tokens
-		max      int   // tokens that may be generated
-		hold     int64
-		cost     int64 // of attempts that failed after they were sent
-		tickets  []Ticket
-		tries    []hist.Try
-		live     []string // upstreams with an attempt under way
-		failed   []string // upstreams to avoid
-		retries  int
-		before   int64
-		start    time.Time
-		deadline time.Time // of the present phase, zero is none
-		alone    time.Time // since when no caller waits
-		pieces   int
-		seq      uint64 // the record that the phase waits for
-		target   string // of a moved call, whose body is not here
-		asked    string
-		size     int
-		moved    bool // its attempt is under way at the former owner's daemon
-		result   result.Result
-		final    bool
-		told     *hist.Call // its outcome, while its texts are being kept
-		keep     uint64     // the Keep that waitKeep waits for
+		call          call.Call
+		prog          *program
+		phase         phase
+		digest        string
+		blocks        []engine.Block
+		shared        int   // leading messages that the program's model call before had
+		promptBound   int64 // bound of the prompt's tokens
+		max           int   // tokens that may be generated
+		hold          int64
+		cost          int64 // of attempts that failed after they were sent
+		tickets       []Ticket
+		attempts      []hist.Try
+		inFlight      []string // upstreams with an attempt under way
+		avoid         []string // upstreams to avoid
+		retries       int
+		budgetBefore  int64
+		start         time.Time
+		deadline      time.Time // of the present phase, zero is none
+		noCallerSince time.Time // since when no caller waits
+		pieces        int
+		seq           uint64 // the record that the phase waits for
+		target        string // of a moved call, whose body is not here
+		requestText   string
+		requestSize   int
+		moved         bool // its attempt is under way at the former owner's daemon
+		result        result.Result
+		final         bool
+		outcome       *hist.Call // its outcome, while its texts are being kept
+		offload       uint64     // the Keep that waitKeep waits for
 	}
 )
 
 func (o *Owner) call(now time.Time, m Call) {
 	p := o.progs[m.Call.Program]
 	switch {
-	case p == nil && o.gone(m.Call.Program):
+	case p == nil && o.hasEnded(m.Call.Program):
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeEnded, "the program has ended"))
 		return
 	case p == nil || p.open.Account != m.Call.Account:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeNotFound, "no such program"))
 		return
 	}
-	p.active = now
+	p.lastActive = now
 	digest := digestOf(m.Call)
 	switch v := p.order.Judge(m.Call.Number); v {
 	case order.Join:
 		o.join(m, p.current, digest)
 	case order.Again:
-		o.again(now, m, p, digest)
+		o.repeatNewest(now, m, p, digest)
 	case order.Past:
-		o.past(m, p)
+		o.repeatOlder(m, p)
 	case order.Far:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d is too far ahead; the next is %d", m.Call.Number, p.order.Next))
 	case order.Run, order.Early:
@@ -108,24 +108,24 @@
 	switch {
 	case r.digest != digest:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeConflict, "call %d is under way with another body", r.call.Number))
-	case len(r.tickets) >= maxJoined:
+	case len(r.tickets) >= maxCallersPerCall:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeLimited, "call %d has too many callers waiting", r.call.Number))
 	default:
-		o.attach(m.Ticket, r)
+		o.addCaller(m.Ticket, r)
 	}
 }
 
-func (o *Owner) attach(t Ticket, r *run) {
+func (o *Owner) addCaller(t Ticket, r *run) {
 	r.tickets = append(r.tickets, t)
-	r.alone = time.Time{}
+	r.noCallerSince = time.Time{}
 	o.tickets[t] = r
 	if r.phase != waitCommit {
-		o.emit(Join{Ticket: t, Request: r.call.Request})
+		o.emit(Subscribe{Ticket: t, Request: r.call.Request})
 	}
 }
 
 // again answers a repeat of the newest call that ended.
-func (o *Owner) again(now time.Time, m Call, p *program, digest string) {
+func (o *Owner) repeatNewest(now time.Time, m Call, p *program, digest string) {
 	if p.last != nil && p.last.call.Number == m.Call.Number {
 		if p.last.final || p.last.digest == digest && p.last.result.OK() {
 			o.join(m, p.last, digest)
@@ -143,7 +143,7 @@
 	case d.Last.Digest != digest:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeConflict, "call %d has ended with another body", m.Call.Number))
 	case d.Dropped:
-		o.emit(Recall{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
+		o.emit(ReplyFromJournal{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
 	default:
 		o.reply(m.Ticket, d.Last.Request, d.Last.Result)
 	}
@@ -161,13 +161,13 @@
 }
 
 // past answers a repeat of an older call from the journal.
-func (o *Owner) past(m Call, p *program) {
+func (o *Owner) repeatOlder(m Call, p *program) {
 	d := o.Fold.Programs[p.id]
 	if d == nil {
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d has ended", m.Call.Number))
 		return
 	}
-	o.emit(Recall{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
+	o.emit(ReplyFromJournal{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
 }
 
 // accept takes in a call that is to run now or after the ones before it.
@@ -183,16 +183,16 @@
 	r := &run{call: m.Call, prog: p, digest: digest, start: now}
 	r.deadline = now.Add(o.cfg.Limits.GapWait)
 	if o.draining {
-		o.reply(m.Ticket, m.Call.Request, o.moving())
+		o.reply(m.Ticket, m.Call.Request, o.movingResult())
 		return
 	}
 	o.runs[r.call.Request] = r
-	o.attach(m.Ticket, r)
+	o.addCaller(m.Ticket, r)
 	if v == order.Run {
 		o.begin(now, r)
 		return
 	}
-	if len(p.early) >= maxEarly {
+	if len(p.early) >= maxEarlyCalls {
 		o.refuse(now, r, result.Refuse(result.CodeOrder, "too many calls wait; the next is %d", p.order.Next))
 		return
 	}
@@ -213,15 +213,15 @@
 		return
 	}
 	if r.call.Kind == call.Model {
-		o.measure(r)
+		o.measurePrompt(r)
 	}
-	r.before = p.root.budget.Free()
+	r.budgetBefore = p.root.budget.Free()
 	if refusal := o.reserve(now, r); refusal.Code != "" {
 		o.finish(now, r, refusal)
 		return
 	}
 	if r.phase == waitOrder {
-		o.ready(now, r)
+		o.startReserved(now, r)
 	}
 }
 
@@ -236,7 +236,7 @@
 			return result.Refuse(result.CodeNotFound, "service %q is not declared", r.call.Service)
 		}
 		if !o.idempotent(r) && o.stalled() {
-			return o.down()
+			return o.storeDownResult()
 		}
 		return result.Result{}
 	}
@@ -257,15 +257,15 @@
 // bounds its tokens. What an engine counted before stays as it was counted;
 // each further byte is at most one token. A guess by the usual bytes for a
 // token would let a text that encodes badly pass the budget.
-func (o *Owner) measure(r *run) {
+func (o *Owner) measurePrompt(r *run) {
 	p := r.prog
 	r.blocks = engine.Blocks(r.call.Body)
 	for r.shared < len(r.blocks) && r.shared < len(p.prefix) && r.blocks[r.shared].Hash == p.prefix[r.shared] {
 		r.shared++
 	}
-	r.prompt = int64(len(r.call.Body))
+	r.promptBound = int64(len(r.call.Body))
 	if n := len(p.prefix); n > 0 && r.shared == n && len(r.call.Body) >= p.size.Bytes {
-		r.prompt = int64(p.size.Prompt + len(r.call.Body) - p.size.Bytes)
+		r.promptBound = int64(p.size.Prompt + len(r.call.Body) - p.size.Bytes)
 	}
 }
 
@@ -279,20 +279,20 @@
 	if n := r.call.MaxTokens; n > 0 && (limit == 0 || n < limit) {
 		limit = n
 	}
-	room := root.budget.Free() - r.prompt
+	room := root.budget.Free() - r.promptBound
 	if room < 1 {
-		return result.Refuse(result.CodeBudget, "the call may cost %d tokens and more; the budget has %d left", r.prompt+1, root.budget.Free())
+		return result.Refuse(result.CodeBudget, "the call may cost %d tokens and more; the budget has %d left", r.promptBound+1, root.budget.Free())
 	}
 	r.max = int(min(int64(limit), room))
-	r.hold = r.prompt + int64(r.max)
+	r.hold = r.promptBound + int64(r.max)
 	if !root.budget.Fits(r.hold) {
 		if o.stalled() {
 			r.hold = 0
-			return o.down()
+			return o.storeDownResult()
 		}
-		r.seq = o.ahead(root, r.hold)
+		r.seq = o.requestReservation(root, r.hold)
 		r.phase = waitBudget
-		r.deadline = now.Add(journalWait)
+		r.deadline = now.Add(journalTimeout)
 	}
 	root.budget = root.budget.WithHold(r.hold)
 	return result.Result{}
@@ -300,44 +300,44 @@
 
 // ahead asks the journal for n more tokens and a block, and returns the
 // sequence number of the reservation that covers them.
-func (o *Owner) ahead(root *program, n int64) uint64 {
-	total, more := root.budget.Ahead(n, o.block())
+func (o *Owner) requestReservation(root *program, n int64) uint64 {
+	total, more := root.budget.Ahead(n, o.budgetBlock())
 	if more {
 		root.budget = root.budget.WithAsked(total)
 		return o.add(record.Reserved{Program: root.id, Total: total})
 	}
-	return o.newest()
+	return o.newestSeq()
 }
 
-func (o *Owner) block() int64 {
+func (o *Owner) budgetBlock() int64 {
 	if o.cfg.Limits.BudgetBlock > 0 {
 		return o.cfg.Limits.BudgetBlock
 	}
-	return defaultBlock
+	return defaultBudgetBlock
 }
 
 // ready goes on with a call whose budget is held: a non-idempotent one commits
 // its intent first.
-func (o *Owner) ready(now time.Time, r *run) {
+func (o *Owner) startReserved(now time.Time, r *run) {
 	if o.idempotent(r) {
-		o.ask(now, r)
+		o.requestPlacement(now, r)
 		return
 	}
 	r.phase = waitIntent
-	r.deadline = now.Add(journalWait)
-	r.seq = o.add(record.Intent{Program: r.prog.id, Call: o.history(r)})
+	r.deadline = now.Add(journalTimeout)
+	r.seq = o.add(record.Intent{Program: r.prog.id, Call: o.callRecord(r)})
 }
 
 // history is the call as the journal tells it.
-func (o *Owner) history(r *run) hist.Call {
-	target, asked, size := r.call.Model, "", len(r.call.Body)
+func (o *Owner) callRecord(r *run) hist.Call {
+	target, requestText, requestSize := r.call.Model, "", len(r.call.Body)
 	if r.call.Kind == call.Service {
 		target = r.call.Service + r.call.Path
 	}
 	if r.moved {
-		target, asked, size = r.target, r.asked, r.size
+		target, requestText, requestSize = r.target, r.requestText, r.requestSize
 	} else {
-		asked = added(r.call, r.shared)
+		requestText = recordedBody(r.call, r.shared)
 	}
 	return hist.Call{
 		Request: r.call.Request,
@@ -345,12 +345,12 @@
 		Kind:    r.call.Kind,
 		Target:  target,
 		Digest:  r.digest,
-		Size:    size,
+		Size:    requestSize,
 		Shared:  r.shared,
-		Asked:   asked,
-		Tries:   append([]hist.Try(nil), r.tries...),
+		Asked:   requestText,
+		Tries:   append([]hist.Try(nil), r.attempts...),
 		Result:  r.result,
-		Before:  r.before,
+		Before:  r.budgetBefore,
 		After:   r.prog.root.budget.Free(),
 		Config:  o.cfg.Version,
 		Epoch:   o.Chain.Epoch,
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -19,21 +19,21 @@
 // complete is in the history.
 func (o *Owner) finish(now time.Time, r *run, res result.Result) {
 	p := r.prog
-	if n := len(r.tries); n > 0 {
-		res.Upstream = r.tries[n-1].Upstream
+	if n := len(r.attempts); n > 0 {
+		res.Upstream = r.attempts[n-1].Upstream
 	}
 	r.result = res
 	r.final = res.OK() || !o.idempotent(r) && res.Ran != result.No
 	root := p.root
 	root.budget = root.budget.WithSettled(r.hold, r.cost)
 	root.attained += r.cost
-	h := o.history(r)
+	h := o.callRecord(r)
 	h.End = now
 	if res.Ran == result.No {
 		h.Asked = ""
 	}
-	o.remember(r, res)
-	if o.keep(now, r, h) {
+	o.savePrompt(r, res)
+	if o.offload(now, r, h) {
 		return
 	}
 	o.record(now, r, h)
@@ -45,11 +45,11 @@
 	head := p.current == r
 	r.seq = o.add(record.Ended{Program: p.id, Call: h, Tokens: r.cost, Final: r.final, Head: head})
 	r.phase = waitCommit
-	r.deadline = now.Add(commitWait)
+	r.deadline = now.Add(commitTimeout)
 	o.emit(Log{Account: p.open.Account, Program: p.id, Call: h})
-	o.reserveAhead(p.root, r)
+	o.reserveForNext(p.root, r)
 	if res.Ran == result.No {
-		o.answer(r)
+		o.replyCallers(r)
 		delete(o.runs, r.call.Request)
 	}
 	delete(p.early, r.call.Number)
@@ -59,31 +59,31 @@
 	if res.Ran != result.No {
 		p.turns++
 	}
-	p.active = now
+	p.lastActive = now
 	p.current = nil
 	p.order = p.order.WithEnded()
 	p.last = r
-	o.next(now, p)
+	o.startNext(now, p)
 }
 
 // reserveAhead asks for what the program's next call may cost while this one's
 // outcome is written, so that it need not wait for a write of its own.
-func (o *Owner) reserveAhead(root *program, r *run) {
+func (o *Owner) reserveForNext(root *program, r *run) {
 	if root.closed != "" || r.call.Kind != call.Model {
 		return
 	}
-	next := r.prompt + 2*int64(r.max) + int64(len(r.result.Body)) + o.block()/4
+	next := r.promptBound + 2*int64(r.max) + int64(len(r.result.Body)) + o.budgetBlock()/4
 	if root.budget.Fits(next) {
 		return
 	}
-	if total, more := root.budget.Ahead(next, o.block()); more {
+	if total, more := root.budget.Ahead(next, o.budgetBlock()); more {
 		root.budget = root.budget.WithAsked(total)
 		o.add(record.Reserved{Program: root.id, Total: total})
 	}
 }
 
 // remember keeps what the next call's prompt is measured against.
-func (o *Owner) remember(r *run, res result.Result) {
+func (o *Owner) savePrompt(r *run, res result.Result) {
 	if r.call.Kind != call.Model || !res.OK() {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // next starts the call that waited for the one that ended.
-func (o *Owner) next(now time.Time, p *program) {
+func (o *Owner) startNext(now time.Time, p *program) {
 	r := p.early[p.order.Next]
 	if r == nil || p.closed != "" {
 		return
@@ -106,7 +106,7 @@
 }
 
 // answer tells all waiting callers.
-func (o *Owner) answer(r *run) {
+func (o *Owner) replyCallers(r *run) {
 	for _, t := range r.tickets {
 		delete(o.tickets, t)
 		o.reply(t, r.call.Request, r.result)
@@ -161,31 +161,31 @@
 // on: its outcome must be learnt, not cut.
 func (o *Owner) abandon(now time.Time, r *run, code result.Code, why string) {
 	switch r.phase {
-	case waitAnswer:
+	case waitAttempt:
 		if !o.idempotent(r) {
 			return
 		}
-		o.stop(r)
+		o.cancelAttempts(r)
 		r.cost = r.hold // covers this attempt and those before
-		for i := range r.tries {
-			if r.tries[i].Ended == "" {
-				r.tries[i].End, r.tries[i].Ended = now, endedWithdrawn
+		for i := range r.attempts {
+			if r.attempts[i].Ended == "" {
+				r.attempts[i].End, r.attempts[i].Ended = now, endedWithdrawn
 			}
 		}
 		o.finish(now, r, result.Failed(code, r.ran(), "%s", why))
 		return
-	case waitPlace:
+	case waitPlacement:
 		o.emit(Place{Message: sched.Withdraw{ID: r.call.Request}})
 	case waitIntent, waitBudget:
 		if r.phase == waitIntent && o.Chain.Drop(r.seq) {
 			o.queue = slices.DeleteFunc(o.queue, func(p pending) bool { return p.seq == r.seq })
 		}
-	case waitKeep:
-		o.inline(now, r)
+	case waitOffload:
+		o.recordInline(now, r)
 		return
 	case waitCommit:
 		return
-	case waitOrder, waitHold:
+	case waitOrder, waitTakeover:
 	}
 	if r.sent() {
 		o.finish(now, r, result.Failed(code, r.ran(), "%s", why))
@@ -195,34 +195,34 @@
 }
 
 // stop cancels the attempts under way.
-func (o *Owner) stop(r *run) {
-	for _, u := range r.live {
-		o.emit(Stop{Request: r.call.Request, Upstream: u})
-		o.place(r, sched.Done{ID: r.call.Request, Upstream: u, Outcome: sched.Withdrawn})
+func (o *Owner) cancelAttempts(r *run) {
+	for _, u := range r.inFlight {
+		o.emit(CancelAttempt{Request: r.call.Request, Upstream: u})
+		o.notifyPlacement(r, sched.Done{ID: r.call.Request, Upstream: u, Outcome: sched.Withdrawn})
 	}
-	r.live = nil
+	r.inFlight = nil
 }
 
 // leave forgets a waiting caller. The call goes on for a moment: a caller whose
 // connection broke comes back and joins.
-func (o *Owner) leave(now time.Time, t Ticket) {
+func (o *Owner) callerGone(now time.Time, t Ticket) {
 	r := o.tickets[t]
 	delete(o.tickets, t)
-	o.opening = slices.DeleteFunc(o.opening, func(w waiter) bool { return w.ticket == t })
+	o.waitingReplies = slices.DeleteFunc(o.waitingReplies, func(w waitingReply) bool { return w.ticket == t })
 	if r == nil {
 		return
 	}
 	r.tickets = slices.DeleteFunc(r.tickets, func(x Ticket) bool { return x == t })
 	if len(r.tickets) == 0 {
-		r.alone = now
+		r.noCallerSince = now
 	}
 }
 
-func (o *Owner) journal(now time.Time, m chain.Message) {
+func (o *Owner) stepChain(now time.Time, m chain.Message) {
 	for _, e := range o.Chain.Step(now, m) {
 		switch e := e.(type) {
 		case chain.Create, chain.Read:
-			o.emit(Write{Effect: e})
+			o.emit(StoreRequest{Effect: e})
 		case chain.Committed:
 			o.committed(now, e)
 		case chain.Fenced:
@@ -248,19 +248,19 @@
 		n++
 	}
 	o.queue = append([]pending(nil), o.queue[n:]...)
-	o.bySeq = max(o.bySeq, c.Seq)
+	o.committedSeq = max(o.committedSeq, c.Seq)
 	o.Fold.Upto = c.Number
-	o.stalledNow = false
-	o.release()
+	o.writeStalled = false
+	o.replyCommitted()
 	if o.verifySeq != 0 && c.Seq >= o.verifySeq {
 		o.verifySeq = 0
 		o.emit(Verified{})
 	}
-	for _, r := range o.waiting(c.Seq) {
+	for _, r := range o.committedRuns(c.Seq) {
 		o.proceed(now, r)
 	}
 	if c.Whole {
-		o.emit(Saving{})
+		o.emit(SnapshotDue{})
 	}
 }
 
@@ -271,7 +271,7 @@
 }
 
 // waiting returns the runs whose record is committed, oldest record first.
-func (o *Owner) waiting(seq uint64) []*run {
+func (o *Owner) committedRuns(seq uint64) []*run {
 	var rs []*run
 	for _, r := range o.runs {
 		waits := r.phase == waitBudget || r.phase == waitIntent || r.phase == waitCommit
@@ -280,7 +280,7 @@
 		}
 	}
 	slices.SortFunc(rs, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.seq, b.seq), byName(a, b))
+		return cmp.Or(cmp.Compare(a.seq, b.seq), compareRequests(a, b))
 	})
 	return rs
 }
@@ -289,23 +289,23 @@
 	switch r.phase {
 	case waitBudget:
 		r.phase = waitOrder
-		o.ready(now, r)
+		o.startReserved(now, r)
 	case waitIntent:
-		o.ask(now, r)
+		o.requestPlacement(now, r)
 	case waitCommit:
-		o.answer(r)
+		o.replyCallers(r)
 		delete(o.runs, r.call.Request)
 		if r.prog.last == r {
 			r.prog.last = nil
 		}
-	case waitOrder, waitHold, waitPlace, waitAnswer, waitKeep:
+	case waitOrder, waitTakeover, waitPlacement, waitAttempt, waitOffload:
 	}
 }
 
 // release answers the openings and ends that are committed.
-func (o *Owner) release() {
-	o.opening = slices.DeleteFunc(o.opening, func(w waiter) bool {
-		if w.seq > o.bySeq {
+func (o *Owner) replyCommitted() {
+	o.waitingReplies = slices.DeleteFunc(o.waitingReplies, func(w waitingReply) bool {
+		if w.seq > o.committedSeq {
 			return false
 		}
 		o.reply(w.ticket, "", w.result)
@@ -314,14 +314,14 @@
 }
 
 // saved forgets families that have ended and stand in the snapshot's index.
-func (o *Owner) saved(m Saved) {
+func (o *Owner) snapshotSaved(m SnapshotSaved) {
 	o.Fold.Named(m.Upto)
 	if o.Fold.Gone == nil {
 		o.Fold.Gone = map[uint64]uint32{}
 	}
 	for id, p := range o.progs {
 		at, ok := m.Gone[state.Hash(id)]
-		if !ok || p.root != p || !o.over(p, m.Upto) {
+		if !ok || p.root != p || !o.fullyEnded(p, m.Upto) {
 			continue
 		}
 		o.Fold.Gone[state.Hash(id)] = at
@@ -334,7 +334,7 @@
 
 // over reports whether a family has ended for good, with all its records in
 // entries up to upto.
-func (o *Owner) over(root *program, upto uint64) bool {
+func (o *Owner) fullyEnded(root *program, upto uint64) bool {
 	return !slices.ContainsFunc(root.family, func(p *program) bool {
 		d := o.Fold.Programs[p.id]
 		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.Settled(upto)
--- a/internal/shard/owner/move_test.go
+++ b/internal/shard/owner/handover_test.go
@@ -14,27 +14,27 @@
 )
 
 // successor is the next owner of a desk's shard, from the journal alone.
-func (d *desk) successor(is *is.I) *desk {
-	next := newDesk()
-	next.own = owner.Owner{Chain: next.own.Chain}
-	next.own.Chain.Epoch = 2
+func (d *driver) successor(is *is.I) *driver {
+	next := newDriver()
+	next.machine = owner.Owner{Chain: next.machine.Chain}
+	next.machine.Chain.Epoch = 2
 	var j record.Joiner
 	for _, e := range d.journal {
 		rs, err := j.Records(e)
 		is.NoErr(err)
 		for _, r := range rs {
-			is.NoErr(next.own.Fold.Apply(e.Number, r))
+			is.NoErr(next.machine.Fold.Apply(e.Number, r))
 		}
-		next.own.Chain.Next = e.Number + 1
+		next.machine.Chain.Next = e.Number + 1
 	}
 	next.now = d.now
-	next.step(owner.Configure{File: newDesk().config()})
+	next.step(owner.Configure{File: newDriver().config()})
 	next.step(owner.Lease{Until: next.now.Add(time.Hour)})
 	return next
 }
 
 // records are all that the journal has.
-func (d *desk) records(is *is.I) (all []record.Record) {
+func (d *driver) records(is *is.I) (all []record.Record) {
 	var j record.Joiner
 	for _, e := range d.journal {
 		rs, err := j.Records(e)
@@ -51,40 +51,40 @@
 func TestHandover(t *testing.T) {
 	tests := map[string]struct {
 		service string
-		end     func(next *desk, request string)
+		end     func(next *driver, request string)
 		code    result.Code
 		ran     result.Ran
 	}{
-		"answer comes at the next owner": {"", func(next *desk, request string) {
-			next.step(owner.Tail{Request: request})
-			next.pass(9 * time.Second)
-			next.step(owner.Tail{Request: request})
-			next.pass(9 * time.Second)
-			next.step(owner.Tried{Request: request, Upstream: "u0", Outcome: sched.Succeeded, Status: 200, Body: []byte("done"), Usage: usageOf(sched.Succeeded)})
+		"answer comes at the next owner": {"", func(next *driver, request string) {
+			next.step(owner.AttemptAlive{Request: request})
+			next.advance(9 * time.Second)
+			next.step(owner.AttemptAlive{Request: request})
+			next.advance(9 * time.Second)
+			next.step(owner.AttemptEnded{Request: request, Upstream: "u0", Outcome: sched.Succeeded, Status: 200, Body: []byte("done"), Usage: usageOf(sched.Succeeded)})
 		}, result.CodeOK, result.Yes},
-		"receipt comes at the next owner": {"receipt", func(next *desk, request string) {
-			next.step(owner.Tried{Request: request, Upstream: "u0", Outcome: sched.Succeeded, Status: 200, Body: []byte("done")})
+		"receipt comes at the next owner": {"receipt", func(next *driver, request string) {
+			next.step(owner.AttemptEnded{Request: request, Upstream: "u0", Outcome: sched.Succeeded, Status: 200, Body: []byte("done")})
 		}, result.CodeOK, result.Yes},
-		"receipt breaks off": {"receipt", func(next *desk, request string) {
-			next.step(owner.Tried{Request: request, Upstream: "u0", Outcome: sched.Failed, Why: "broken"})
+		"receipt breaks off": {"receipt", func(next *driver, request string) {
+			next.step(owner.AttemptEnded{Request: request, Upstream: "u0", Outcome: sched.Failed, Reason: "broken"})
 		}, result.CodeUnknown, result.Unknown},
-		"receipt was not sent": {"receipt", func(next *desk, request string) {
-			next.step(owner.Tried{Request: request, Upstream: "u0", Outcome: sched.Unsent, Why: "refused"})
+		"receipt was not sent": {"receipt", func(next *driver, request string) {
+			next.step(owner.AttemptEnded{Request: request, Upstream: "u0", Outcome: sched.Unsent, Reason: "refused"})
 		}, result.CodeUpstreamFailed, result.No},
-		"the former daemon dies": {"receipt", func(next *desk, _ string) {
-			next.pass(11 * time.Second)
+		"the former daemon dies": {"receipt", func(next *driver, _ string) {
+			next.advance(11 * time.Second)
 		}, result.CodeUnknown, result.Unknown},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk()
+			d := newDriver()
 			d.open("p")
 			d.open("q")
 			d.call("p", 0, tt.service, "hello")
 			is.Equal(len(d.sent), 1)
 			request := d.sent[0].Request
-			d.full = true
+			d.noPlacement = true
 			d.open("r")
 			waits := d.call("q", 0, "receipt", "x")
 			queued := d.call("r", 0, "", "hello")
@@ -94,7 +94,7 @@
 			is.Equal(d.replies[waits].Code, result.CodeNotOwner)
 			is.Equal(d.replies[waits].Ran, result.No)
 			next := d.successor(is)
-			is.True(next.own.Knows(request))
+			is.True(next.machine.HasAttempt(request))
 			joined := next.call("p", 0, tt.service, "hello")
 			is.Equal(len(next.sent), 0)
 			tt.end(next, request)
@@ -121,7 +121,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk()
+			d := newDriver()
 			d.open("p") // 1000 tokens, 300 of them reserved
 			if tt.clean {
 				d.step(owner.Drain{})
@@ -142,7 +142,7 @@
 // program would pass its budget.
 func TestHandoverKeepsTheCostOfFailedAttempts(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newDriver()
 	d.open("p")
 	d.call("p", 0, "", string(make([]byte, 300)))
 	d.answer(sched.Failed) // 340 of 1000 may be gone
@@ -150,7 +150,7 @@
 	d.step(owner.Drain{})
 	next := d.successor(is)
 	again := d.sent[1]
-	next.step(owner.Tried{Request: again.Request, Upstream: again.Upstream, Outcome: sched.Succeeded, Status: 200, Body: []byte("done"), Usage: usageOf(sched.Succeeded)})
+	next.step(owner.AttemptEnded{Request: again.Request, Upstream: again.Upstream, Outcome: sched.Succeeded, Status: 200, Body: []byte("done"), Usage: usageOf(sched.Succeeded)})
 	over := next.call("p", 1, "", string(make([]byte, 700))) // 640 are left
 	is.Equal(next.replies[over].Code, result.CodeBudget)
 	fits := next.call("p", 1, "", string(make([]byte, 500)))
@@ -162,7 +162,7 @@
 // generated counts, or a program on a bad day would pass its budget.
 func TestFailedAttemptsCost(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newDriver()
 	d.open("p")
 	d.call("p", 0, "", string(make([]byte, 400)))
 	d.answer(sched.Failed) // 440 of 1000 may be gone; a second attempt has room
@@ -174,15 +174,15 @@
 }
 
 // A taker whose predecessor may still act waits before its first dispatch.
-func TestTakerWaits(t *testing.T) {
+func TestNoDispatchBeforeTakeoverDelay(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newDriver()
 	d.open("p")
-	d.own.Hold = d.now.Add(3 * time.Second)
+	d.machine.Hold = d.now.Add(3 * time.Second)
 	d.call("p", 0, "", "hello")
-	d.pass(2900 * time.Millisecond)
+	d.advance(2900 * time.Millisecond)
 	is.Equal(len(d.sent), 0)
-	d.pass(200 * time.Millisecond)
+	d.advance(200 * time.Millisecond)
 	is.Equal(len(d.sent), 1)
 }
 
@@ -191,11 +191,11 @@
 // them free the program's memory, it would be held until a sweep comes by.
 func TestMemoryIsReleasedAfterAHandover(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newDriver()
 	d.open("p")
 	d.call("p", 0, "", "a question")
 	d.answer(sched.Succeeded)
 	next := d.successor(is)
 	next.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "p", Kind: call.Finish}})
-	is.Equal(next.places[len(next.places)-1], sched.Ended{Program: "p", Engines: []string{"u0"}})
+	is.Equal(next.placementMessages[len(next.placementMessages)-1], sched.Ended{Program: "p", Engines: []string{"u0"}})
 }
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -15,38 +15,38 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
 	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/histio"
 	"github.com/slaterock/slaterock/internal/shard/owner"
-	"github.com/slaterock/slaterock/internal/shard/past"
 )
 
 // desk drives one owner by hand: placement answers at once, attempts and the
 // store only when told to.
-type desk struct {
-	own     owner.Owner
-	now     time.Time
-	down    bool // the store gives no answer
-	full    bool // placement gives no answer
-	journal []record.Entry
-	held    []chain.Effect
-	replies map[owner.Ticket]result.Result
-	sent    []owner.Dispatch
-	places  []sched.Message
-	ticket  owner.Ticket
-	keeps   []owner.Keep
-	unkept  []hist.Blob
-	recalls []owner.Recall
+type driver struct {
+	machine           owner.Owner
+	now               time.Time
+	storeDown         bool // the store gives no answer
+	noPlacement       bool // placement gives no answer
+	journal           []record.Entry
+	storeRequests     []chain.Effect
+	replies           map[owner.Ticket]result.Result
+	sent              []owner.Dispatch
+	placementMessages []sched.Message
+	ticket            owner.Ticket
+	offloads          []owner.Offload
+	discarded         []hist.Blob
+	journalReplies    []owner.ReplyFromJournal
 }
 
-func newDesk() *desk {
-	d := &desk{now: time.Unix(1_800_000_000, 0), replies: map[owner.Ticket]result.Result{}}
+func newDriver() *driver {
+	d := &driver{now: time.Unix(1_800_000_000, 0), replies: map[owner.Ticket]result.Result{}}
 	seed := uint64(0)
-	d.own.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { seed++; return seed }}
+	d.machine.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { seed++; return seed }}
 	d.step(owner.Configure{File: d.config()})
 	d.step(owner.Lease{Until: d.now.Add(time.Hour)})
 	return d
 }
 
-func (*desk) config() file.File {
+func (*driver) config() file.File {
 	return file.File{
 		Limits: file.Limits{BudgetBlock: 300, GapWait: time.Second},
 		Agents: map[string]file.Agent{"a": {Model: "m", Budget: 1000, MaxTurns: 5, IdleLimit: time.Minute, MaxDuration: time.Hour}},
@@ -58,15 +58,15 @@
 	}
 }
 
-func (d *desk) step(m owner.Message) {
-	for _, e := range d.own.Step(d.now, m) {
+func (d *driver) step(m owner.Message) {
+	for _, e := range d.machine.Step(d.now, m) {
 		switch e := e.(type) {
-		case owner.Write:
-			d.held = append(d.held, e.Effect)
+		case owner.StoreRequest:
+			d.storeRequests = append(d.storeRequests, e.Effect)
 			d.store()
 		case owner.Place:
-			d.places = append(d.places, e.Message)
-			if a, ok := e.Message.(sched.Ask); ok && !d.full {
+			d.placementMessages = append(d.placementMessages, e.Message)
+			if a, ok := e.Message.(sched.Ask); ok && !d.noPlacement {
 				d.step(owner.Assigned{Assign: sched.Assign{ID: a.ID, Upstream: fmt.Sprint("u", len(a.Avoid))}})
 			}
 		case owner.Dispatch:
@@ -74,41 +74,41 @@
 		case owner.Reply:
 			d.replies[e.Ticket] = e.Result
 		default:
-			d.note(e)
+			d.capture(e)
 		}
 	}
 }
 
 // store answers what waits, unless the store is down.
-func (d *desk) store() {
-	for !d.down && len(d.held) > 0 {
-		e := d.held[0]
-		d.held = d.held[1:]
+func (d *driver) store() {
+	for !d.storeDown && len(d.storeRequests) > 0 {
+		e := d.storeRequests[0]
+		d.storeRequests = d.storeRequests[1:]
 		if c, ok := e.(chain.Create); ok {
 			e, err := record.Decode(c.Data)
 			if err != nil {
 				panic(err)
 			}
 			d.journal = append(d.journal, e)
-			d.step(owner.Journal{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
+			d.step(owner.StoreReply{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
 		}
 	}
 }
 
-func (d *desk) pass(t time.Duration) {
+func (d *driver) advance(t time.Duration) {
 	for end := d.now.Add(t); d.now.Before(end); {
 		d.now = d.now.Add(50 * time.Millisecond)
 		d.step(owner.Tick{})
 	}
 }
 
-func (d *desk) open(program string) owner.Ticket {
+func (d *driver) open(program string) owner.Ticket {
 	d.ticket++
 	d.step(owner.Open{Ticket: d.ticket, Open: call.Open{Account: "x", Program: program, Agent: "a"}})
 	return d.ticket
 }
 
-func (d *desk) call(program string, number int, service string, body string) owner.Ticket {
+func (d *driver) call(program string, number int, service string, body string) owner.Ticket {
 	d.ticket++
 	c := call.Call{Request: fmt.Sprintf("%s-%d-%d", program, number, d.ticket), Account: "x", Program: program, Number: number, Kind: call.Model, Body: []byte(body)}
 	if service != "" {
@@ -119,9 +119,9 @@
 }
 
 // answer ends the newest attempt.
-func (d *desk) answer(outcome sched.Outcome) {
+func (d *driver) answer(outcome sched.Outcome) {
 	s := d.sent[len(d.sent)-1]
-	d.step(owner.Tried{Request: s.Request, Upstream: s.Upstream, Outcome: outcome, Status: 200, Body: []byte("done"), Why: "broken", Usage: usageOf(outcome)})
+	d.step(owner.AttemptEnded{Request: s.Request, Upstream: s.Upstream, Outcome: outcome, Status: 200, Body: []byte("done"), Reason: "broken", Usage: usageOf(outcome)})
 }
 
 // The platform's store stops answering for minutes. What a caller may notice is
@@ -130,7 +130,7 @@
 func TestStoreOutage(t *testing.T) {
 	long := fmt.Sprintf("%0400d", 1) // costs more than the block reserved ahead
 	tests := map[string]struct {
-		ask    func(d *desk) owner.Ticket
+		ask    func(d *driver) owner.Ticket
 		sent   bool
 		code   result.Code // within two seconds of asking; empty is none yet
 		ran    result.Ran
@@ -138,49 +138,49 @@
 		healed result.Code // of a repeat when the store is back
 	}{
 		"model call within what is reserved": {
-			func(d *desk) owner.Ticket { return d.call("p", 0, "", "hello") },
+			func(d *driver) owner.Ticket { return d.call("p", 0, "", "hello") },
 			true, "", "", result.CodeStoreDown, result.CodeOK,
 		},
 		"model call beyond what is reserved": {
-			func(d *desk) owner.Ticket { return d.call("p", 0, "", long) },
+			func(d *driver) owner.Ticket { return d.call("p", 0, "", long) },
 			false, result.CodeStoreDown, result.No, result.CodeStoreDown, result.CodeOK,
 		},
 		"idempotent service call": {
-			func(d *desk) owner.Ticket { return d.call("p", 0, "lookup", "x") },
+			func(d *driver) owner.Ticket { return d.call("p", 0, "lookup", "x") },
 			true, "", "", result.CodeStoreDown, result.CodeOK,
 		},
 		"call that isn't idempotent": {
-			func(d *desk) owner.Ticket { return d.call("p", 0, "receipt", "x") },
+			func(d *driver) owner.Ticket { return d.call("p", 0, "receipt", "x") },
 			false, result.CodeStoreDown, result.No, result.CodeStoreDown, result.CodeOK,
 		},
 		"new program": {
-			func(d *desk) owner.Ticket { return d.open("q") },
+			func(d *driver) owner.Ticket { return d.open("q") },
 			false, result.CodeStoreDown, result.No, result.CodeStoreDown, result.CodeOK,
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk()
+			d := newDriver()
 			d.open("p")
 			d.open("other")
-			d.down = true
+			d.storeDown = true
 			d.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "other"}}) // something to write
-			d.pass(3 * time.Second)
+			d.advance(3 * time.Second)
 			ticket := tt.ask(d)
 			is.Equal(len(d.sent) > 0, tt.sent)
 			if tt.sent {
 				d.answer(sched.Succeeded)
 			}
-			d.pass(2 * time.Second)
+			d.advance(2 * time.Second)
 			is.Equal(d.replies[ticket].Code, tt.code)
 			if tt.code != "" {
 				is.Equal(d.replies[ticket].Ran, tt.ran)
 				is.True(d.replies[ticket].RetryAfter > 0)
 			}
-			d.pass(13 * time.Second)
+			d.advance(13 * time.Second)
 			is.Equal(d.replies[ticket].Code, tt.later)
-			d.down = false
+			d.storeDown = false
 			d.store()
 			sent := len(d.sent)
 			again := tt.ask(d)
@@ -195,23 +195,23 @@
 
 // A caller is refused and asks at once what became of its request. The record
 // is still on its way to the journal, and must be told all the same.
-func TestHistoryOfAMomentAgo(t *testing.T) {
+func TestHistoryIncludesPendingRecords(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newDriver()
 	d.open("p")
 	d.call("p", 0, "receipt", "a")
-	d.down = true
+	d.storeDown = true
 	for range 3 {
 		d.answer(sched.Unsent)
 	}
-	refs, ok := d.own.Refs(state.Hash("p"))
+	refs, ok := d.machine.Refs(state.Hash("p"))
 	is.True(ok)
-	hs, err := past.Past{}.Family(t.Context(), nil, append(d.records(is), refs.Pending...))
+	hs, err := histio.Reader{}.Family(t.Context(), nil, append(d.records(is), refs.Pending...))
 	is.NoErr(err)
 	is.Equal(len(hs[0].Calls), 1)
 	is.Equal(len(hs[0].Calls[0].Tries), 3)
 	is.Equal(hs[0].Calls[0].Result.Ran, result.No)
-	is.Equal(len(refs.Live["p"]), 0)
+	is.Equal(len(refs.InFlight["p"]), 0)
 }
 
 // The store stops answering right when an intent is written. The caller is told
@@ -219,16 +219,16 @@
 // comes back and the intent turns out to be in the journal.
 func TestIntentInFlightWhenTheStoreStops(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
+	d := newDriver()
 	d.open("p")
-	d.down = true
+	d.storeDown = true
 	ticket := d.call("p", 0, "receipt", "x")
-	d.pass(3100 * time.Millisecond)
+	d.advance(3100 * time.Millisecond)
 	is.Equal(d.replies[ticket].Code, result.CodeStoreDown)
 	is.Equal(d.replies[ticket].Ran, result.No)
-	d.down = false
+	d.storeDown = false
 	d.store()
-	d.pass(time.Second)
+	d.advance(time.Second)
 	is.Equal(len(d.sent), 0)
 	again := d.call("p", 0, "receipt", "x")
 	is.Equal(len(d.sent), 1) // a repeat runs, once
@@ -252,7 +252,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk()
+			d := newDriver()
 			d.open("p")
 			d.step(tt.lease(d.now))
 			ticket := d.call("p", 0, "", "hello")
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -68,7 +68,7 @@
 	}
 
 	// Leave tells that a waiting caller is gone.
-	Leave struct{ Ticket Ticket }
+	CallerGone struct{ Ticket Ticket }
 
 	// Assigned tells that placement chose an upstream for a request.
 	Assigned struct{ Assign sched.Assign }
@@ -78,7 +78,7 @@
 
 	// Tried tells how an attempt ended. Pieces is how many pieces of its
 	// answer callers have been given.
-	Tried struct {
+	AttemptEnded struct {
 		Request     string        `json:"request"`
 		Upstream    string        `json:"upstream"`
 		Outcome     sched.Outcome `json:"outcome"`
@@ -87,31 +87,31 @@
 		Body        []byte        `json:"body"`
 		Usage       engine.Usage  `json:"usage"`
 		Pieces      int           `json:"pieces"`
-		Why         string        `json:"why"`
+		Reason      string        `json:"why"`
 	}
 
 	// Keeping tells whether there are data folders in two failure domains, so
 	// that a long text need not go into the journal.
-	Keeping struct{ On bool }
+	OffloadEnabled struct{ On bool }
 
 	// Kept answers a Keep: where the texts are. A nil one goes into the
 	// journal itself.
-	Kept struct {
+	Offloaded struct {
 		ID            uint64
 		Request       string
 		Asked, Answer *hist.Blob
 	}
 
 	// Held tells that a text that the journal refers to has other holders now.
-	Held struct{ Blob hist.Blob }
+	HoldersChanged struct{ Blob hist.Blob }
 
 	// Journal is the store's answer to a Write or a Read.
-	Journal struct{ Message chain.Message }
+	StoreReply struct{ Message chain.Message }
 
 	// Saved tells that a snapshot up to entry Upto is in force. Gone has, for
 	// the hash of each family that the snapshot left out because it has ended,
 	// the position of the index value that knows it.
-	Saved struct {
+	SnapshotSaved struct {
 		Upto uint64
 		Gone map[uint64]uint32
 	}
@@ -121,7 +121,7 @@
 	Verify struct{}
 
 	// Pace sets the least time between two journal writes.
-	Pace struct{ Interval time.Duration }
+	WriteInterval struct{ Interval time.Duration }
 
 	// Drain asks to give the shard up; the owner says Drained when the next
 	// owner can have it. Calls that are not sent yet are refused as not run,
@@ -131,7 +131,7 @@
 
 	// Tail tells that the daemon that owned the shard before is still busy
 	// with an attempt that it started.
-	Tail struct{ Request string }
+	AttemptAlive struct{ Request string }
 
 	// Tick lets time pass; one is due every 20 ms or so.
 	Tick struct{}
@@ -140,7 +140,7 @@
 	Effect interface{ effect() }
 
 	// Write carries out the chain's effect, a Create or a Read.
-	Write struct{ Effect chain.Effect }
+	StoreRequest struct{ Effect chain.Effect }
 
 	// Place gives a message to placement.
 	Place struct{ Message sched.Message }
@@ -159,10 +159,10 @@
 	}
 
 	// Stop cancels the attempt under way at the upstream.
-	Stop struct{ Request, Upstream string }
+	CancelAttempt struct{ Request, Upstream string }
 
 	// Join lets a waiting caller follow the pieces of a request under way.
-	Join struct {
+	Subscribe struct {
 		Ticket  Ticket
 		Request string
 	}
@@ -176,18 +176,18 @@
 
 	// Keep has the texts of a call that ended put into data folders; nil is
 	// none. It ends with Kept, within KeepWait.
-	Keep struct {
+	Offload struct {
 		ID            uint64
 		Request       string
 		Asked, Answer []byte
 	}
 
 	// Unkeep gives a text up that was kept too late to be referred to.
-	Unkeep struct{ Blob hist.Blob }
+	DiscardBlob struct{ Blob hist.Blob }
 
 	// Recall ends a waiting caller's request with an outcome that has left
 	// memory and stands in one of the journal's entries.
-	Recall struct {
+	ReplyFromJournal struct {
 		Ticket  Ticket
 		Program string
 		Number  int
@@ -201,7 +201,7 @@
 	}
 
 	// Saving tells that a snapshot may be taken now.
-	Saving struct{}
+	SnapshotDue struct{}
 
 	// Verified tells that no other owner wrote to the journal up to now.
 	Verified struct{}
@@ -220,26 +220,26 @@
 		Chain chain.Chain // ready to write the entry after Fold.Upto
 		Hold  time.Time   // no dispatch before: a former owner may still act
 
-		cfg        file.File
-		lease      Lease
-		progs      map[string]*program
-		runs       map[string]*run // by request id
-		tickets    map[Ticket]*run
-		opening    []waiter  // replies that wait for a sequence number
-		queue      []pending // records that wait to be committed, in order
-		bySeq      uint64    // newest committed sequence number
-		verifySeq  uint64    // of the record that proves ownership, zero for none
-		draining   bool
-		drained    bool
-		sweepAt    time.Time
-		effs       []Effect
-		accounts   map[string]*usage
-		stalledNow bool
-		keeping    bool
-		keeps      uint64 // number of the newest Keep
+		cfg            file.File
+		lease          Lease
+		progs          map[string]*program
+		runs           map[string]*run // by request id
+		tickets        map[Ticket]*run
+		waitingReplies []waitingReply // replies that wait for a sequence number
+		queue          []pending      // records that wait to be committed, in order
+		committedSeq   uint64         // newest committed sequence number
+		verifySeq      uint64         // of the record that proves ownership, zero for none
+		draining       bool
+		drained        bool
+		nextSweep      time.Time
+		effects        []Effect
+		accounts       map[string]*usage
+		writeStalled   bool
+		offloadEnabled bool
+		lastOffloadID  uint64 // number of the newest Keep
 	}
 
-	waiter struct {
+	waitingReply struct {
 		seq    uint64
 		ticket Ticket
 		result result.Result
@@ -251,40 +251,40 @@
 	}
 )
 
-func (Configure) message() {}
-func (Lease) message()     {}
-func (Open) message()      {}
-func (Call) message()      {}
-func (End) message()       {}
-func (Leave) message()     {}
-func (Assigned) message()  {}
-func (Refused) message()   {}
-func (Tried) message()     {}
-func (Keeping) message()   {}
-func (Kept) message()      {}
-func (Held) message()      {}
-func (Journal) message()   {}
-func (Saved) message()     {}
-func (Verify) message()    {}
-func (Pace) message()      {}
-func (Drain) message()     {}
-func (Tail) message()      {}
-func (Tick) message()      {}
-
-func (Write) effect()    {}
-func (Place) effect()    {}
-func (Dispatch) effect() {}
-func (Stop) effect()     {}
-func (Join) effect()     {}
-func (Reply) effect()    {}
-func (Keep) effect()     {}
-func (Unkeep) effect()   {}
-func (Recall) effect()   {}
-func (Log) effect()      {}
-func (Saving) effect()   {}
-func (Verified) effect() {}
-func (Fenced) effect()   {}
-func (Drained) effect()  {}
+func (Configure) message()      {}
+func (Lease) message()          {}
+func (Open) message()           {}
+func (Call) message()           {}
+func (End) message()            {}
+func (CallerGone) message()     {}
+func (Assigned) message()       {}
+func (Refused) message()        {}
+func (AttemptEnded) message()   {}
+func (OffloadEnabled) message() {}
+func (Offloaded) message()      {}
+func (HoldersChanged) message() {}
+func (StoreReply) message()     {}
+func (SnapshotSaved) message()  {}
+func (Verify) message()         {}
+func (WriteInterval) message()  {}
+func (Drain) message()          {}
+func (AttemptAlive) message()   {}
+func (Tick) message()           {}
+
+func (StoreRequest) effect()     {}
+func (Place) effect()            {}
+func (Dispatch) effect()         {}
+func (CancelAttempt) effect()    {}
+func (Subscribe) effect()        {}
+func (Reply) effect()            {}
+func (Offload) effect()          {}
+func (DiscardBlob) effect()      {}
+func (ReplyFromJournal) effect() {}
+func (Log) effect()              {}
+func (SnapshotDue) effect()      {}
+func (Verified) effect()         {}
+func (Fenced) effect()           {}
+func (Drained) effect()          {}
 
 // Step applies one message and returns the effects in the order in which they
 // must be carried out.
@@ -304,40 +304,40 @@
 		o.call(now, m)
 	case End:
 		o.end(now, m)
-	case Leave:
-		o.leave(now, m.Ticket)
+	case CallerGone:
+		o.callerGone(now, m.Ticket)
 	case Assigned:
 		o.assigned(now, m.Assign)
 	case Refused:
 		o.refused(now, m.Refuse)
-	case Tried:
-		o.tried(now, m)
-	case Keeping:
-		o.keeping = m.On
-	case Kept:
-		o.kept(now, m)
-	case Held:
+	case AttemptEnded:
+		o.attemptEnded(now, m)
+	case OffloadEnabled:
+		o.offloadEnabled = m.On
+	case Offloaded:
+		o.offloaded(now, m)
+	case HoldersChanged:
 		o.add(record.Holders{Blob: m.Blob})
-	case Journal:
-		o.journal(now, m.Message)
-	case Saved:
-		o.saved(m)
+	case StoreReply:
+		o.stepChain(now, m.Message)
+	case SnapshotSaved:
+		o.snapshotSaved(m)
 	case Verify:
 		o.verifySeq = o.add(record.Took{Epoch: o.Chain.Epoch, Owner: o.Chain.Owner, At: now})
-	case Pace:
+	case WriteInterval:
 		o.Chain.Interval = m.Interval
 	case Drain:
 		o.drain(now)
-	case Tail:
-		o.tail(now, m.Request)
+	case AttemptAlive:
+		o.attemptAlive(now, m.Request)
 	case Tick:
 		o.tick(now)
 	}
-	o.journal(now, chain.Tick{})
+	o.stepChain(now, chain.Tick{})
 	o.checkDrained()
-	effs := o.effs
-	o.effs = nil
-	return effs
+	effects := o.effects
+	o.effects = nil
+	return effects
 }
 
 // Snapshot returns a copy of the durable state, to be written out. It is
@@ -361,10 +361,10 @@
 	o.runs = map[string]*run{}
 	o.tickets = map[Ticket]*run{}
 	o.accounts = map[string]*usage{}
-	o.adopt(now)
+	o.restore(now)
 }
 
-func (o *Owner) emit(e Effect) { o.effs = append(o.effs, e) }
+func (o *Owner) emit(e Effect) { o.effects = append(o.effects, e) }
 
 func (o *Owner) reply(t Ticket, request string, r result.Result) {
 	o.emit(Reply{Ticket: t, Request: request, Result: r})
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -24,24 +24,24 @@
 	// program is the part of a program that is under way. What is durable
 	// stands in Owner.Fold.
 	program struct {
-		id       string
-		open     call.Open
-		priority int
-		root     *program
-		family   []*program    // root only: itself and all sub-agents
-		budget   budget.Budget // root only
-		attained int64         // root only: tokens served in this epoch and before
-		order    order.Order
-		turns    int
-		opened   time.Time
-		active   time.Time
-		openSeq  uint64
-		early    map[int]*run // calls that wait for the ones before them
-		current  *run
-		last     *run // newest that ended, until it is committed
-		prefix   []uint64
-		size     state.Size
-		closed   string
+		id         string
+		open       call.Open
+		priority   int
+		root       *program
+		family     []*program    // root only: itself and all sub-agents
+		budget     budget.Budget // root only
+		attained   int64         // root only: tokens served in this epoch and before
+		order      order.Order
+		turns      int
+		opened     time.Time
+		lastActive time.Time
+		openSeq    uint64
+		early      map[int]*run // calls that wait for the ones before them
+		current    *run
+		last       *run // newest that ended, until it is committed
+		prefix     []uint64
+		size       state.Size
+		closed     string
 	}
 
 	// usage is what an account has under way in this shard.
@@ -51,20 +51,20 @@
 // adopt takes over what the journal left: reserved tokens count as spent, and
 // a call whose intent has no outcome ends as unknown. The former owner may have
 // dispatched it or not; doing it again could do it twice.
-func (o *Owner) adopt(now time.Time) {
+func (o *Owner) restore(now time.Time) {
 	ids := make([]string, 0, len(o.Fold.Programs))
 	for id := range o.Fold.Programs {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids) // parents sort before their sub-agents
 	for _, id := range ids {
-		o.adoptProgram(now, o.Fold.Programs[id])
+		o.restoreProgram(now, o.Fold.Programs[id])
 	}
 }
 
-func (o *Owner) adoptProgram(now time.Time, d *state.Program) {
-	p := o.put(d.Open, d.Priority, d.Opened)
-	p.active, p.turns, p.closed, p.size = d.Active, d.Turns, d.Closed, d.Tokens
+func (o *Owner) restoreProgram(now time.Time, d *state.Program) {
+	p := o.addProgram(d.Open, d.Priority, d.Opened)
+	p.lastActive, p.turns, p.closed, p.size = d.Active, d.Turns, d.Closed, d.Tokens
 	p.order = order.Order{Next: d.Next}
 	if p.root == p {
 		p.budget = budget.Budget{Limit: d.Budget, Reserved: d.Reserved, Spent: d.Spent}.Recovered()
@@ -74,7 +74,7 @@
 		o.accounts[p.open.Account].open--
 	}
 	if m := d.Moved; m != nil {
-		o.adoptRun(now, p, *m)
+		o.restoreRun(now, p, *m)
 	}
 	open := make([]hist.Call, 0, len(d.Intents))
 	for _, c := range d.Intents {
@@ -83,14 +83,14 @@
 	slices.SortFunc(open, func(a, b hist.Call) int { return cmp.Compare(a.Number, b.Number) })
 	for _, c := range open {
 		if d.Moved == nil || d.Moved.Call.Request != c.Request {
-			o.unknown(now, p, c)
+			o.endUnknown(now, p, c)
 		}
 	}
 }
 
 // unknown ends a call whose intent has no outcome. Until that is committed it
 // counts as the program's last call, so that a repeat waits and doesn't run it.
-func (o *Owner) unknown(now time.Time, p *program, c hist.Call) {
+func (o *Owner) endUnknown(now time.Time, p *program, c hist.Call) {
 	c.End = now
 	c.Result = result.Failed(result.CodeUnknown, result.Unknown,
 		"the daemon that had accepted the call was lost before its outcome was recorded; it is not run again")
@@ -104,8 +104,8 @@
 }
 
 // put adds a program to those under way.
-func (o *Owner) put(open call.Open, priority int, opened time.Time) *program {
-	p := &program{id: open.Program, open: open, priority: priority, opened: opened, active: opened}
+func (o *Owner) addProgram(open call.Open, priority int, opened time.Time) *program {
+	p := &program{id: open.Program, open: open, priority: priority, opened: opened, lastActive: opened}
 	p.root = o.progs[call.Root(open.Program)]
 	if p.root == nil {
 		p.root = p
@@ -125,7 +125,7 @@
 
 func (o *Owner) open(now time.Time, m Open) {
 	if p := o.progs[m.Open.Program]; p != nil {
-		o.reopen(m, p)
+		o.repeatOpen(m, p)
 		return
 	}
 	open, agent, r := o.admit(m.Open)
@@ -133,39 +133,39 @@
 		o.reply(m.Ticket, "", r)
 		return
 	}
-	p := o.put(open, cmp.Or(open.Priority, agent.Priority), now)
+	p := o.addProgram(open, cmp.Or(open.Priority, agent.Priority), now)
 	rec := record.Opened{Open: open, Priority: p.priority, Config: o.cfg.Version, At: now}
 	if p.root == p {
 		rec.Budget = cmp.Or(open.Budget, agent.Budget)
 		p.budget = budget.Budget{Limit: rec.Budget}
-		rec.Reserved, _ = p.budget.Ahead(0, o.block())
+		rec.Reserved, _ = p.budget.Ahead(0, o.budgetBlock())
 		p.budget = p.budget.WithAsked(rec.Reserved)
 	}
 	p.openSeq = o.add(rec)
-	o.opening = append(o.opening, waiter{seq: p.openSeq, ticket: m.Ticket, result: opened()})
+	o.waitingReplies = append(o.waitingReplies, waitingReply{seq: p.openSeq, ticket: m.Ticket, result: okResult()})
 }
 
-func opened() result.Result {
+func okResult() result.Result {
 	return result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200}
 }
 
 // reopen answers a repeated opening: the caller may have lost the answer to
 // the first.
-func (o *Owner) reopen(m Open, p *program) {
+func (o *Owner) repeatOpen(m Open, p *program) {
 	switch {
 	case p.open.Account != m.Open.Account:
 		o.reply(m.Ticket, "", result.Refuse(result.CodeConflict, "the program id is taken"))
 	case p.closed != "":
 		o.reply(m.Ticket, "", result.Refuse(result.CodeEnded, "the program has ended: %s", p.closed))
-	case !same(p.open, o.defaults(m.Open)):
+	case !sameOpen(p.open, o.defaults(m.Open)):
 		o.reply(m.Ticket, "", result.Refuse(result.CodeConflict, "the program is open with other values"))
 	default:
-		o.opening = append(o.opening, waiter{seq: p.openSeq, ticket: m.Ticket, result: opened()})
-		o.release()
+		o.waitingReplies = append(o.waitingReplies, waitingReply{seq: p.openSeq, ticket: m.Ticket, result: okResult()})
+		o.replyCommitted()
 	}
 }
 
-func same(a, b call.Open) bool { return a == b }
+func sameOpen(a, b call.Open) bool { return a == b }
 
 // defaults fills in what the opener left to the configuration.
 func (o *Owner) defaults(open call.Open) call.Open {
@@ -192,7 +192,7 @@
 	_, gone := o.Fold.Gone[state.Hash(open.Program)]
 	switch {
 	case o.draining:
-		return open, agent, o.moving()
+		return open, agent, o.movingResult()
 	case gone:
 		return open, agent, result.Refuse(result.CodeEnded, "a program with this id has ended")
 	case !ok:
@@ -204,7 +204,7 @@
 	case o.cfg.Limits.MaxPrograms > 0 && len(o.progs) >= o.cfg.Limits.MaxPrograms:
 		return open, agent, result.Refuse(result.CodeLimited, "too many programs are open").WithRetryAfter(time.Second)
 	case o.stalled():
-		return open, agent, o.down()
+		return open, agent, o.storeDownResult()
 	}
 	root := call.Root(open.Program)
 	if root == open.Program {
@@ -230,28 +230,28 @@
 func (o *Owner) end(now time.Time, m End) {
 	p := o.progs[m.End.Program]
 	switch {
-	case p == nil && o.gone(m.End.Program):
-		o.reply(m.Ticket, "", opened())
+	case p == nil && o.hasEnded(m.End.Program):
+		o.reply(m.Ticket, "", okResult())
 	case p == nil || p.open.Account != m.End.Account:
 		o.reply(m.Ticket, "", result.Refuse(result.CodeNotFound, "no such program"))
 	case p.closed == "":
 		seq := o.close(now, p, string(m.End.Kind))
-		o.opening = append(o.opening, waiter{seq: seq, ticket: m.Ticket, result: opened()})
+		o.waitingReplies = append(o.waitingReplies, waitingReply{seq: seq, ticket: m.Ticket, result: okResult()})
 	default:
-		o.opening = append(o.opening, waiter{seq: o.newest(), ticket: m.Ticket, result: opened()})
-		o.release()
+		o.waitingReplies = append(o.waitingReplies, waitingReply{seq: o.newestSeq(), ticket: m.Ticket, result: okResult()})
+		o.replyCommitted()
 	}
 }
 
-func (o *Owner) gone(program string) bool {
+func (o *Owner) hasEnded(program string) bool {
 	_, ok := o.Fold.Gone[state.Hash(program)]
 	return ok
 }
 
 // newest is the sequence number of the newest record added.
-func (o *Owner) newest() uint64 {
+func (o *Owner) newestSeq() uint64 {
 	if n := len(o.queue); n > 0 {
 		return o.queue[n-1].seq
 	}
-	return o.bySeq
+	return o.committedSeq
 }
--- a/internal/shard/owner/refs.go
+++ b/internal/shard/owner/refs.go
@@ -16,14 +16,14 @@
 	Refs struct {
 		Programs map[string][]uint64
 		Pending  []record.Record
-		Live     map[string][]hist.Call
-		At       uint32
+		InFlight map[string][]hist.Call
+		IndexPos uint32
 	}
 )
 
 // Refs finds the family whose root has the hash.
 func (o *Owner) Refs(hash uint64) (Refs, bool) {
-	r := Refs{Programs: map[string][]uint64{}, Live: map[string][]hist.Call{}}
+	r := Refs{Programs: map[string][]uint64{}, InFlight: map[string][]hist.Call{}}
 	for id, d := range o.Fold.Programs {
 		if state.Hash(id) == hash {
 			r.Programs[id] = append([]uint64(nil), d.Entries...)
@@ -36,20 +36,20 @@
 	}
 	if len(r.Programs)+len(r.Pending) == 0 {
 		at, ok := o.Fold.Gone[hash]
-		return Refs{At: at}, ok
+		return Refs{IndexPos: at}, ok
 	}
 	for _, run := range o.runs {
-		if state.Hash(run.prog.id) == hash && run.phase != waitCommit && !o.intended(run) {
-			h := o.history(run)
+		if state.Hash(run.prog.id) == hash && run.phase != waitCommit && !o.hasIntent(run) {
+			h := o.callRecord(run)
 			h.Result = result.Result{} // one that waits for its texts to be kept is not recorded yet
-			r.Live[run.prog.id] = append(r.Live[run.prog.id], h)
+			r.InFlight[run.prog.id] = append(r.InFlight[run.prog.id], h)
 		}
 	}
 	return r, true
 }
 
 // intended reports whether the journal tells of the call already.
-func (o *Owner) intended(r *run) bool {
+func (o *Owner) hasIntent(r *run) bool {
 	if d := o.Fold.Programs[r.prog.id]; d != nil {
 		if _, ok := d.Intents[r.call.Number]; ok {
 			return true
--- a/internal/shard/fold/fold.go
+++ b/internal/shard/snapio/snapio.go
@@ -7,7 +7,7 @@
 // force. Journal entries are never rewritten or deleted: they are the history,
 // and a program's state lists the entries that hold its records. Families that
 // ended leave the snapshot for an index, by the hash of their root.
-package fold
+package snapio
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 
 	// Estimates of encoded sizes, on the high side, by which values are cut.
 	bytesPerProgram = 1 << 10
-	bytesPerGone    = 64
+	bytesPerFamily  = 64
 	bytesPerEntry   = 9
 )
 
@@ -57,8 +57,8 @@
 		Head  Head
 		Rev   store.Rev // of the head as last read or written, 0 if there is none
 
-		old  []string // keys that the head has stopped naming
-		anew bool     // the next snapshot names all texts again
+		obsolete     []string // keys that the head has stopped naming
+		rewriteTexts bool     // the next snapshot names all texts again
 	}
 
 	part struct {
@@ -79,7 +79,7 @@
 // written a head.
 func (s *Snap) Save(ctx context.Context, f state.Fold) (at map[uint64]uint32, err error) {
 	defer func() { err = errors.Wrapf(err, "fold: snapshot of shard %d at entry %d", s.Shard, f.Upto) }()
-	live, gone := split(f)
+	live, gone := splitEnded(f)
 	h := Head{Upto: f.Upto, Epoch: f.Epoch, Owner: f.Owner}
 	if h.Parts, err = s.writeParts(ctx, f.Upto, live); err != nil {
 		return nil, err
@@ -93,13 +93,13 @@
 	if err = s.swap(ctx, h); err != nil {
 		return nil, err
 	}
-	s.anew = false
-	s.sweep(ctx)
+	s.rewriteTexts = false
+	s.deleteObsolete(ctx)
 	return at, nil
 }
 
 // split tells the families that are wholly over from the rest.
-func split(f state.Fold) (live map[string]*state.Program, gone []Gone) {
+func splitEnded(f state.Fold) (live map[string]*state.Program, gone []Gone) {
 	open := map[string]bool{}
 	for id, p := range f.Programs {
 		if !p.Settled(f.Upto) {
@@ -107,21 +107,21 @@
 		}
 	}
 	live = map[string]*state.Program{}
-	over := map[string]Gone{}
+	ended := map[string]Gone{}
 	for id, p := range f.Programs {
 		root := call.Root(id)
 		if open[root] {
 			live[id] = p
 			continue
 		}
-		g, ok := over[root]
+		g, ok := ended[root]
 		if !ok {
 			g = Gone{Hash: state.Hash(root), Programs: map[string][]uint64{}}
-			over[root] = g
+			ended[root] = g
 		}
 		g.Programs[id] = p.Entries
 	}
-	for _, g := range over {
+	for _, g := range ended {
 		gone = append(gone, g)
 	}
 	slices.SortFunc(gone, func(a, b Gone) int {
@@ -199,7 +199,7 @@
 }
 
 func (g Gone) size() int {
-	n := bytesPerGone
+	n := bytesPerFamily
 	for id, entries := range g.Programs {
 		n += len(id) + bytesPerEntry*len(entries)
 	}
@@ -209,8 +209,8 @@
 // write creates an immutable value. A value of that name that exists stems from
 // an attempt of this owner that was cut short, or from another owner's; the
 // epoch in the name keeps them apart, so it holds the same bytes.
-func (s *Snap) write(ctx context.Context, kind string, upto uint64, i int, v any) (key string, err error) {
-	key = fmt.Sprintf("%s/%04d/%016d-%d-%d", kind, s.Shard, upto, s.Epoch, i)
+func (s *Snap) write(ctx context.Context, kind string, upto uint64, n int, v any) (key string, err error) {
+	key = fmt.Sprintf("%s/%04d/%016d-%d-%d", kind, s.Shard, upto, s.Epoch, n)
 	data, err := record.Pack(v)
 	if err != nil {
 		return "", err
@@ -218,13 +218,13 @@
 	_, err = s.Store.Put(ctx, key, data, 0, 0)
 	var c *store.ConflictError
 	if errors.As(err, &c) || errors.Is(err, store.ErrUnknown) {
-		return key, s.same(ctx, key, data)
+		return key, s.ensureValue(ctx, key, data)
 	}
 	return key, err
 }
 
 // same makes sure that the key holds what was to be written, whoever wrote it.
-func (s *Snap) same(ctx context.Context, key string, data []byte) error {
+func (s *Snap) ensureValue(ctx context.Context, key string, data []byte) error {
 	e, err := s.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
 		_, err = s.Store.Put(ctx, key, data, 0, 0)
@@ -258,7 +258,7 @@
 	named := slices.Concat(h.Parts, h.Index, h.Texts)
 	for _, k := range slices.Concat(s.Head.Parts, s.Head.Index, s.Head.Texts) {
 		if !slices.Contains(named, k) {
-			s.old = append(s.old, k)
+			s.obsolete = append(s.obsolete, k)
 		}
 	}
 	s.Head, s.Rev = h, rev
@@ -267,8 +267,8 @@
 
 // sweep deletes values that no head names any more. What can't be deleted now
 // is tried again after the next snapshot.
-func (s *Snap) sweep(ctx context.Context) {
-	s.old = slices.DeleteFunc(s.old, func(key string) bool {
+func (s *Snap) deleteObsolete(ctx context.Context) {
+	s.obsolete = slices.DeleteFunc(s.obsolete, func(key string) bool {
 		e, err := s.Store.Get(ctx, key)
 		if err == nil {
 			err = s.Store.Delete(ctx, key, e.Rev)
--- a/internal/shard/fold/texts.go
+++ b/internal/shard/snapio/texts.go
@@ -1,4 +1,4 @@
-package fold
+package snapio
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	bytesPerText = 160
 	// slack is how many outdated lines the list of texts may have beside as
 	// many as there are texts, before it is written anew.
-	slack = 1000
+	maxOutdatedTexts = 1000
 )
 
 type (
@@ -29,7 +29,7 @@
 // never forgotten, as they are history; writing all of them each time would
 // cost more and more of the store's writes.
 func (s *Snap) writeTexts(ctx context.Context, f state.Fold) (keys []string, err error) {
-	if !s.anew {
+	if !s.rewriteTexts {
 		keys = slices.Clone(s.Head.Texts)
 	}
 	if len(f.Texts) == 0 {
@@ -42,23 +42,23 @@
 		}
 		keys = keys[:n-1]
 	}
-	left := slices.Concat(ts.Texts, sorted(f.Texts))
-	const most = MaxPart / bytesPerText
-	for len(left) > 0 {
-		n := min(most, len(left))
-		key, err := s.write(ctx, "texts", f.Upto, len(keys), texts{Texts: left[:n]})
+	remaining := slices.Concat(ts.Texts, sortedByDigest(f.Texts))
+	const textsPerValue = MaxPart / bytesPerText
+	for len(remaining) > 0 {
+		n := min(textsPerValue, len(remaining))
+		key, err := s.write(ctx, "texts", f.Upto, len(keys), texts{Texts: remaining[:n]})
 		if err != nil {
 			return nil, err
 		}
 		keys = append(keys, key)
-		left = left[n:]
+		remaining = remaining[n:]
 	}
 	return keys, nil
 }
 
 // sorted puts the texts in an order of their own: a value that is written again
 // after a lost acknowledgement must have the same bytes.
-func sorted(m map[string]state.Text) []hist.Blob {
+func sortedByDigest(m map[string]state.Text) []hist.Blob {
 	out := make([]hist.Blob, 0, len(m))
 	for _, t := range m {
 		out = append(out, t.Blob)
@@ -71,13 +71,13 @@
 // lines, is taken as if the journal had just told it all, so that the next
 // snapshot writes it anew.
 func (s *Snap) loadTexts(ctx context.Context, f *state.Fold) error {
-	lines := 0
+	entries := 0
 	for _, key := range s.Head.Texts {
 		var ts texts
 		if err := s.read(ctx, key, &ts); err != nil {
 			return err
 		}
-		lines += len(ts.Texts)
+		entries += len(ts.Texts)
 		if f.Older == nil {
 			f.Older = make(map[string]hist.Blob, len(ts.Texts))
 		}
@@ -85,8 +85,8 @@
 			f.Older[b.Digest] = b
 		}
 	}
-	s.anew = lines > 2*len(f.Older)+slack
-	if !s.anew {
+	s.rewriteTexts = entries > 2*len(f.Older)+maxOutdatedTexts
+	if !s.rewriteTexts {
 		return nil
 	}
 	f.Texts = make(map[string]state.Text, len(f.Older))
