--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -222,7 +222,7 @@
 		delete(h.feeds, e.Call.Request)
 		h.recording(e.Call.Request)
 		h.Log(e)
-	case owner.SnapshotDue:
+	case owner.SnapshotAllowed:
 		h.save()
 	case owner.Verified:
 		h.Proved(h)
--- a/internal/play/soak/drive.go
+++ b/internal/play/soak/drive.go
@@ -43,7 +43,7 @@
 			return
 		}
 		w.reply(e.Ticket, c.Request, c.Result)
-	case owner.SnapshotDue:
+	case owner.SnapshotAllowed:
 		n.save()
 	case owner.Drained:
 		w.stats.Handovers++
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -260,7 +260,7 @@
 		o.proceed(now, r)
 	}
 	if c.Whole {
-		o.emit(SnapshotDue{})
+		o.emit(SnapshotAllowed{})
 	}
 }
 
--- a/internal/shard/owner/offload.go
+++ b/internal/shard/owner/offload.go
@@ -22,16 +22,16 @@
 	if !o.offloadEnabled || o.draining || r.prog.closed != "" || r.prog.current != r || r.result.Ran == result.No {
 		return false
 	}
-	k := Offload{Request: r.call.Request, Asked: o.longText([]byte(h.Asked)), Answer: o.longText(h.Result.Body)}
-	if k.Asked == nil && k.Answer == nil {
+	msg := Offload{Request: r.call.Request, Asked: o.longText([]byte(h.Asked)), Answer: o.longText(h.Result.Body)}
+	if msg.Asked == nil && msg.Answer == nil {
 		return false
 	}
 	o.lastOffloadID++
-	k.ID = o.lastOffloadID
-	r.outcome, r.offload = &h, k.ID
+	msg.ID = o.lastOffloadID
+	r.outcome, r.offload = &h, msg.ID
 	r.phase = waitOffload
 	r.deadline = now.Add(OffloadTimeout)
-	o.emit(k)
+	o.emit(msg)
 	return true
 }
 
--- a/internal/shard/owner/offload_test.go
+++ b/internal/shard/owner/offload_test.go
@@ -51,13 +51,13 @@
 
 // kept answers the newest Keep.
 func (d *driver) completeOffload(asked, answer bool) {
-	k := d.offloads[len(d.offloads)-1]
-	m := owner.Offloaded{ID: k.ID, Request: k.Request}
+	newest := d.offloads[len(d.offloads)-1]
+	m := owner.Offloaded{ID: newest.ID, Request: newest.Request}
 	if asked {
-		m.Asked = &hist.Blob{Digest: "of the question", Size: len(k.Asked), Holders: []string{"x", "y"}}
+		m.Asked = &hist.Blob{Digest: "of the question", Size: len(newest.Asked), Holders: []string{"x", "y"}}
 	}
 	if answer {
-		m.Answer = &hist.Blob{Digest: "of the answer", Size: len(k.Answer), Holders: []string{"x", "y"}}
+		m.Answer = &hist.Blob{Digest: "of the answer", Size: len(newest.Answer), Holders: []string{"x", "y"}}
 	}
 	d.step(m)
 }
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -201,7 +201,7 @@
 	}
 
 	// Saving tells that a snapshot may be taken now.
-	SnapshotDue struct{}
+	SnapshotAllowed struct{}
 
 	// Verified tells that no other owner wrote to the journal up to now.
 	Verified struct{}
@@ -281,7 +281,7 @@
 func (DiscardBlob) effect()      {}
 func (ReplyFromJournal) effect() {}
 func (Log) effect()              {}
-func (SnapshotDue) effect()      {}
+func (SnapshotAllowed) effect()  {}
 func (Verified) effect()         {}
 func (Fenced) effect()           {}
 func (Drained) effect()          {}
