--- a/internal/shard/owner/attempt.go
+++ b/internal/shard/owner/attempt.go
@@ -17,8 +17,8 @@
 	endedWithdrawn     = "cancelled"
 )
 
-// ask queues the call for an upstream. For a while after a takeover it only
-// waits: the former owner may not have noticed yet that its lease is over.
+// requestPlacement asks placement for an upstream. Before Hold it only waits,
+// because the former owner may not have noticed yet that its lease has expired.
 func (o *Owner) requestPlacement(now time.Time, r *run) {
 	if now.Before(o.Hold) {
 		r.phase, r.deadline = waitTakeover, o.Hold
@@ -79,8 +79,9 @@
 	})
 }
 
-// wants reports whether the call is to have an attempt: its first, or one
-// beside another where running it twice does no harm.
+// needsAttempt reports whether the call still waits for the attempt that
+// placement assigned. A hedge runs beside another attempt and is allowed only
+// for an idempotent call.
 func (o *Owner) needsAttempt(r *run, hedge bool) bool {
 	if hedge {
 		return r.phase == waitAttempt && o.idempotent(r)
@@ -88,8 +89,8 @@
 	return r.phase == waitPlacement
 }
 
-// refused ends a call that placement did not take. A call that was tried before
-// keeps what its attempts tell: it may have run.
+// refused ends a call that placement refused. If an earlier attempt was sent, the
+// outcome is that of a failed attempt, as the call may have run.
 func (o *Owner) refused(now time.Time, m sched.Refuse) {
 	r := o.runs[m.ID]
 	if r == nil || r.phase != waitPlacement {
@@ -102,7 +103,8 @@
 	o.finish(now, r, result.Refuse(m.Code, "%s", m.Message).WithRetryAfter(m.RetryAfter))
 }
 
-// place tells placement of a request, if it was placed in this epoch.
+// notifyPlacement sends a message about a request to placement. Placement does
+// not know a moved call, which the former owner placed.
 func (o *Owner) notifyPlacement(r *run, m sched.Message) {
 	if !r.moved {
 		o.emit(Place{Message: m})
@@ -140,7 +142,7 @@
 	}
 }
 
-// endTry notes the attempt's end; false if there is no such attempt.
+// endAttempt records the attempt's end; false if there is no such attempt.
 func (r *run) endAttempt(now time.Time, m AttemptEnded) bool {
 	i := slices.Index(r.inFlight, m.Upstream)
 	if i < 0 {
@@ -168,16 +170,17 @@
 	return true
 }
 
-// charge adds what a failed attempt may have cost. An engine that broke off
-// doesn't say what it generated; taking nothing for it would let a program pass
-// its budget on a bad day.
+// charge adds what a failed attempt may have cost: its usage if the engine
+// reported it, otherwise all that the call holds. An engine that breaks off does
+// not report what it generated; charging nothing would let a program exceed its
+// budget when engines fail often.
 func (r *run) charge(m AttemptEnded) {
 	switch {
 	case m.Outcome == sched.Unsent:
 	case m.Usage.Prompt+m.Usage.Output > 0:
 		r.cost += int64(m.Usage.Prompt + m.Usage.Output)
 	default:
-		r.cost = r.hold // covers this attempt and those before
+		r.cost = r.hold // covers this attempt and the earlier ones
 	}
 }
 
@@ -197,9 +200,9 @@
 	})
 }
 
-// retry makes a further attempt where that is safe: the request certainly did
-// not run, or running it again does no harm and no caller has seen a part of
-// an answer that a second attempt would contradict.
+// retry makes a further attempt if that is safe: the last one was not sent, or
+// the call is idempotent and no caller has received a part of an answer that a
+// second attempt could contradict.
 func (o *Owner) retry(now time.Time, r *run, m AttemptEnded) {
 	if len(r.inFlight) > 0 {
 		return // a hedge is still under way
@@ -219,8 +222,9 @@
 	}
 }
 
-// rehold holds the cost of a further attempt beside what the failed ones cost.
-// If the journal has not reserved that much yet, the call waits for it.
+// extendHold raises the hold to cover a further attempt in addition to what the
+// failed ones cost; false if the budget does not allow it. If the journal has not
+// reserved that much yet, the call waits for it in waitBudget.
 func (o *Owner) extendHold(now time.Time, r *run) bool {
 	root := r.prog.root
 	more := r.cost + r.promptBound + int64(r.max) - r.hold
@@ -247,7 +251,7 @@
 	return defaultMaxAttempts
 }
 
-// ran tells what is proved of a call that ended without an answer.
+// ran returns what is certain about a call that ended without an answer.
 func (r *run) ran() result.Ran {
 	if !r.sent() {
 		return result.No
--- a/internal/shard/owner/bench_test.go
+++ b/internal/shard/owner/bench_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// turn runs one call of a program to its committed end.
+// turn runs one call of a program until its outcome is committed.
 func (b *bench) turn(program string, number int, body []byte) {
 	b.lastRequest++
 	id := fmt.Sprint("r", b.lastRequest)
@@ -103,7 +103,7 @@
 	}
 }
 
-// BenchmarkHeld measures the memory that an owner holds.
+// BenchmarkMemory measures the heap that an owner occupies, in bytes per program.
 func BenchmarkMemory(b *testing.B) {
 	body := []byte(`{"messages":[{"role":"user","content":"where next?"}]}`)
 	for _, turns := range []int{0, 1, 20, 80, 320} {
--- a/internal/shard/owner/body.go
+++ b/internal/shard/owner/body.go
@@ -6,9 +6,10 @@
 	"github.com/slaterock/slaterock/internal/prog/call"
 )
 
-// added is the part of the question that the journal must keep: for a model
-// call the messages that the call before didn't have. Keeping each whole
-// conversation would write a long program's text once for each of its turns.
+// recordedBody returns the part of a request's body that the journal stores.
+// For a model call it leaves out the shared leading messages, which the
+// program's previous model call already has. Storing each conversation whole
+// would write a long program's text once for each of its turns.
 func recordedBody(c call.Call, shared int) string {
 	if c.Kind != call.Model || shared == 0 {
 		return string(c.Body)
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	waitOrder     phase = iota // for the calls before it
+	waitOrder     phase = iota // for the preceding calls to end
 	waitBudget                 // for a reservation to be committed
 	waitIntent                 // for its intent to be committed
-	waitTakeover               // for a former owner's time to be over
-	waitPlacement              // for an upstream
-	waitAttempt                // an attempt is under way
-	waitOffload                // for its texts to be in data folders
+	waitTakeover               // until a former owner can no longer dispatch
+	waitPlacement              // for placement to choose an upstream
+	waitAttempt                // for the attempt under way to end
+	waitOffload                // for its texts to be stored in data folders
 	waitCommit                 // for its outcome to be committed
 
 	maxEarlyCalls     = 16
@@ -30,37 +30,37 @@
 type (
 	phase int
 
-	// run is one call on its way.
+	// run is one call from its acceptance until its outcome is committed.
 	run struct {
 		call          call.Call
 		prog          *program
 		phase         phase
 		digest        string
 		blocks        []engine.Block
-		shared        int   // leading messages that the program's model call before had
-		promptBound   int64 // bound of the prompt's tokens
-		max           int   // tokens that may be generated
-		hold          int64
-		cost          int64 // of attempts that failed after they were sent
+		shared        int   // leading messages in common with the program's previous model call
+		promptBound   int64 // upper bound of the prompt's tokens
+		max           int   // limit of generated tokens
+		hold          int64 // tokens held in the budget
+		cost          int64 // tokens charged for attempts that were sent
 		tickets       []Ticket
 		attempts      []hist.Try
 		inFlight      []string // upstreams with an attempt under way
-		avoid         []string // upstreams to avoid
+		avoid         []string // upstreams of attempts that failed or were not sent
 		retries       int
 		budgetBefore  int64
 		start         time.Time
-		deadline      time.Time // of the present phase, zero is none
-		noCallerSince time.Time // since when no caller waits
+		deadline      time.Time // of the current phase; zero for none
+		noCallerSince time.Time // since when no caller waits; zero while one does
 		pieces        int
-		seq           uint64 // the record that the phase waits for
-		target        string // of a moved call, whose body is not here
+		seq           uint64 // of the record that the phase waits for
+		target        string // of a moved call, whose body stayed with the former owner
 		requestText   string
 		requestSize   int
-		moved         bool // its attempt is under way at the former owner's daemon
+		moved         bool // taken over with an attempt under way at the former owner's daemon
 		result        result.Result
 		final         bool
-		outcome       *hist.Call // its outcome, while its texts are being kept
-		offload       uint64     // the Keep that waitKeep waits for
+		outcome       *hist.Call // while its texts are being stored in data folders
+		offload       uint64     // ID of the Offload that waitOffload waits for
 	}
 )
 
@@ -90,7 +90,8 @@
 	}
 }
 
-// digestOf covers all that makes two requests the same one.
+// digestOf hashes the fields by which a repeat is told from a different
+// request with the same call number.
 func digestOf(c call.Call) string {
 	h := sha256.New()
 	for _, s := range []string{string(c.Kind), c.Service, c.Method, c.Path, c.Model} {
@@ -101,9 +102,9 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// join lets a repeat wait for the call under way. The caller's first
-// connection may have gone silent; running the call again for the second would
-// cost double or do it twice.
+// join makes a repeat wait for the call under way. Its caller may have lost the
+// first connection; running the call for the second one as well would cost
+// double or repeat its side effects.
 func (o *Owner) join(m Call, r *run, digest string) {
 	switch {
 	case r.digest != digest:
@@ -124,7 +125,7 @@
 	}
 }
 
-// again answers a repeat of the newest call that ended.
+// repeatNewest handles a repeat of the newest call that ended.
 func (o *Owner) repeatNewest(now time.Time, m Call, p *program, digest string) {
 	if p.last != nil && p.last.call.Number == m.Call.Number {
 		if p.last.final || p.last.digest == digest && p.last.result.OK() {
@@ -149,8 +150,8 @@
 	}
 }
 
-// rerun runs the newest call once more: its outcome was that it did not run,
-// or that an idempotent call failed.
+// rerun runs the newest call again, whose outcome was not final: the call did
+// not run, or it was idempotent and failed.
 func (o *Owner) rerun(now time.Time, m Call, p *program, digest string) {
 	if p.order.Running {
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d runs already", p.order.Current))
@@ -160,7 +161,7 @@
 	o.accept(now, m, p, digest, order.Run)
 }
 
-// past answers a repeat of an older call from the journal.
+// repeatOlder answers a repeat of an older call from the journal.
 func (o *Owner) repeatOlder(m Call, p *program) {
 	d := o.Fold.Programs[p.id]
 	if d == nil {
@@ -170,7 +171,8 @@
 	o.emit(ReplyFromJournal{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
 }
 
-// accept takes in a call that is to run now or after the ones before it.
+// accept starts a call that is the program's next, or queues one that arrived
+// before its predecessors.
 func (o *Owner) accept(now time.Time, m Call, p *program, digest string, v order.Verdict) {
 	if old := p.early[m.Call.Number]; old != nil {
 		o.join(m, old, digest)
@@ -225,7 +227,9 @@
 	}
 }
 
-// check refuses what the declarations don't allow.
+// check returns a refusal if the call exceeds its agent's turns, names a model
+// or service that is not declared, or needs the store while it is down. The
+// zero Result allows the call. An empty model becomes the agent's.
 func (o *Owner) check(r *run) result.Result {
 	agent := o.agent(r.prog)
 	if agent.MaxTurns > 0 && r.prog.turns >= agent.MaxTurns {
@@ -253,10 +257,12 @@
 	return r.call.Kind == call.Model || o.cfg.Services[r.call.Service].Idempotent
 }
 
-// measure finds what the prompt shares with the program's call before, and
-// bounds its tokens. What an engine counted before stays as it was counted;
-// each further byte is at most one token. A guess by the usual bytes for a
-// token would let a text that encodes badly pass the budget.
+// measurePrompt finds the leading messages in common with the program's
+// previous model call, and bounds the prompt's tokens. If the prompt extends
+// the previous one, the bound is the engine's count of that prompt plus one
+// token for each further byte; otherwise it is one token for each byte. An
+// estimate from the usual number of bytes per token would let a text that
+// encodes badly exceed the budget.
 func (o *Owner) measurePrompt(r *run) {
 	p := r.prog
 	r.blocks = engine.Blocks(r.call.Body)
@@ -269,7 +275,8 @@
 	}
 }
 
-// reserve holds what the call can cost at most.
+// reserve holds the call's maximum cost in the family's budget. If the journal
+// has not reserved that much yet, the call waits for it in waitBudget.
 func (o *Owner) reserve(now time.Time, r *run) result.Result {
 	if r.call.Kind == call.Service {
 		return result.Result{}
@@ -298,8 +305,9 @@
 	return result.Result{}
 }
 
-// ahead asks the journal for n more tokens and a block, and returns the
-// sequence number of the reservation that covers them.
+// requestReservation adds a record that reserves n more tokens and a spare
+// block, unless an earlier one covers them. It returns the sequence number up
+// to which the journal must be committed.
 func (o *Owner) requestReservation(root *program, n int64) uint64 {
 	total, more := root.budget.Ahead(n, o.budgetBlock())
 	if more {
@@ -316,8 +324,8 @@
 	return defaultBudgetBlock
 }
 
-// ready goes on with a call whose budget is held: a non-idempotent one commits
-// its intent first.
+// startReserved continues a call whose budget is held. A non-idempotent call
+// commits its intent before it asks for an upstream.
 func (o *Owner) startReserved(now time.Time, r *run) {
 	if o.idempotent(r) {
 		o.requestPlacement(now, r)
@@ -328,7 +336,7 @@
 	r.seq = o.add(record.Intent{Program: r.prog.id, Call: o.callRecord(r)})
 }
 
-// history is the call as the journal tells it.
+// callRecord returns the call in the form in which the journal stores it.
 func (o *Owner) callRecord(r *run) hist.Call {
 	target, requestText, requestSize := r.call.Model, "", len(r.call.Body)
 	if r.call.Kind == call.Service {
--- a/internal/shard/owner/calls_test.go
+++ b/internal/shard/owner/calls_test.go
@@ -13,9 +13,10 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-// Callers and upstreams misbehave: calls come early, twice, late or with
-// another body, upstreams fail before or after they got the request. What a
-// user must see is written beside each case.
+// Callers and upstreams misbehave: calls arrive early, twice, late or with a
+// different body, and upstreams fail before or after they received the request.
+// Each case states the code and Ran that the caller must get, and the number of
+// dispatches.
 func TestCalls(t *testing.T) {
 	tests := map[string]struct {
 		run   func(d *driver) owner.Ticket
@@ -141,8 +142,8 @@
 	}
 }
 
-// A sub-agent spends from its parent's budget. Together they must not pass it,
-// and an end of the parent must end the sub-agent and release its memory.
+// A sub-agent spends from its parent's budget. Together they must not exceed it,
+// and ending the parent must end the sub-agent and release its engine memory.
 func TestSubAgents(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
@@ -152,9 +153,9 @@
 	is.Equal(d.replies[d.ticket].Code, result.CodeOK)
 	body := fmt.Sprintf("%0500d", 1)
 	d.call("p", 0, "", body)
-	over := d.call("p/c", 0, "", body) // 540 + 540 of 1000
+	over := d.call("p/c", 0, "", body) // 540 + 540 of 1000 tokens
 	is.Equal(d.replies[over].Code, result.CodeBudget)
-	d.answer(sched.Succeeded) // it cost 20
+	d.answer(sched.Succeeded) // cost: 20 tokens
 	fits := d.call("p/c", 0, "", body)
 	is.Equal(len(d.sent), 2)
 	d.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "p", Kind: call.Finish}})
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -14,9 +14,9 @@
 	"github.com/slaterock/slaterock/internal/shard/chain"
 )
 
-// finish gives a call its outcome. A refusal that did not run is told at once;
-// everything else is told when it is committed, so that whatever a caller saw
-// complete is in the history.
+// finish sets a call's outcome. The outcome of a call that did not run is sent
+// at once; any other only after it is committed, so that every answer that a
+// caller has received is in the history.
 func (o *Owner) finish(now time.Time, r *run, res result.Result) {
 	p := r.prog
 	if n := len(r.attempts); n > 0 {
@@ -39,7 +39,7 @@
 	o.record(now, r, h)
 }
 
-// record writes the outcome down and lets the program's next call run.
+// record adds the outcome to the journal and starts the program's next call.
 func (o *Owner) record(now time.Time, r *run, h hist.Call) {
 	p, res := r.prog, r.result
 	head := p.current == r
@@ -66,8 +66,9 @@
 	o.startNext(now, p)
 }
 
-// reserveAhead asks for what the program's next call may cost while this one's
-// outcome is written, so that it need not wait for a write of its own.
+// reserveForNext reserves the estimated cost of the program's next call in the
+// same write as this call's outcome, so that the next call seldom waits for a
+// write of its own.
 func (o *Owner) reserveForNext(root *program, r *run) {
 	if root.closed != "" || r.call.Kind != call.Model {
 		return
@@ -82,7 +83,8 @@
 	}
 }
 
-// remember keeps what the next call's prompt is measured against.
+// savePrompt stores the prompt's blocks and size, against which measurePrompt
+// measures the next call's prompt.
 func (o *Owner) savePrompt(r *run, res result.Result) {
 	if r.call.Kind != call.Model || !res.OK() {
 		return
@@ -95,7 +97,7 @@
 	p.size = state.Size{Prompt: res.Prompt, Output: res.Output, Bytes: len(r.call.Body)}
 }
 
-// next starts the call that waited for the one that ended.
+// startNext starts the program's next call if it is waiting already.
 func (o *Owner) startNext(now time.Time, p *program) {
 	r := p.early[p.order.Next]
 	if r == nil || p.closed != "" {
@@ -105,7 +107,7 @@
 	o.begin(now, r)
 }
 
-// answer tells all waiting callers.
+// replyCallers sends the result to all waiting callers.
 func (o *Owner) replyCallers(r *run) {
 	for _, t := range r.tickets {
 		delete(o.tickets, t)
@@ -114,7 +116,9 @@
 	r.tickets = nil
 }
 
-// close ends a program and its sub-agents, and stops what they have under way.
+// close ends a program, and with a root its sub-agents, and abandons their
+// calls under way. It returns the sequence number of the program's Closed
+// record.
 func (o *Owner) close(now time.Time, p *program, code string) uint64 {
 	if p.root == p {
 		for _, q := range p.family {
@@ -147,7 +151,8 @@
 	return seq
 }
 
-// engines returns those that ran the program's calls, as far as the journal has them.
+// engines returns the engines that the journal lists for the program's model
+// calls.
 func (o *Owner) engines(program string) []string {
 	if d := o.Fold.Programs[program]; d != nil {
 		return slices.Clone(d.Engines)
@@ -157,8 +162,8 @@
 
 func (o *Owner) refuse(now time.Time, r *run, res result.Result) { o.finish(now, r, res) }
 
-// abandon gives up a call under way. A non-idempotent call that was sent goes
-// on: its outcome must be learnt, not cut.
+// abandon ends a call under way. A non-idempotent call whose attempt is under
+// way continues, because its outcome must be recorded.
 func (o *Owner) abandon(now time.Time, r *run, code result.Code, why string) {
 	switch r.phase {
 	case waitAttempt:
@@ -166,7 +171,7 @@
 			return
 		}
 		o.cancelAttempts(r)
-		r.cost = r.hold // covers this attempt and those before
+		r.cost = r.hold // covers this attempt and the earlier ones
 		for i := range r.attempts {
 			if r.attempts[i].Ended == "" {
 				r.attempts[i].End, r.attempts[i].Ended = now, endedWithdrawn
@@ -194,7 +199,7 @@
 	o.finish(now, r, result.Refuse(code, "%s", why))
 }
 
-// stop cancels the attempts under way.
+// cancelAttempts cancels the attempts under way.
 func (o *Owner) cancelAttempts(r *run) {
 	for _, u := range r.inFlight {
 		o.emit(CancelAttempt{Request: r.call.Request, Upstream: u})
@@ -203,8 +208,9 @@
 	r.inFlight = nil
 }
 
-// leave forgets a waiting caller. The call goes on for a moment: a caller whose
-// connection broke comes back and joins.
+// callerGone removes a waiting caller. An idempotent call without callers
+// continues for noCallerTimeout, so that a caller whose connection broke can
+// reconnect and join it.
 func (o *Owner) callerGone(now time.Time, t Ticket) {
 	r := o.tickets[t]
 	delete(o.tickets, t)
@@ -231,13 +237,14 @@
 	}
 }
 
-// committed applies what is durable now and tells whoever waited for it.
+// committed applies the records that are durable now, and continues the calls
+// and sends the replies that waited for them.
 func (o *Owner) committed(now time.Time, c chain.Committed) {
 	n := 0
 	for n < len(o.queue) && o.queue[n].seq <= c.Seq {
 		rec := o.queue[n].rec
 		if err := o.Fold.Apply(c.Number, rec); err != nil {
-			panic(err) // the record was made here from the same programs
+			panic(err) // unreachable: the record was built from the same programs
 		}
 		if r, ok := rec.(record.Reserved); ok {
 			o.reserved(r.Program, r.Total)
@@ -270,7 +277,8 @@
 	}
 }
 
-// waiting returns the runs whose record is committed, oldest record first.
+// committedRuns returns the runs whose awaited record is committed, oldest
+// record first.
 func (o *Owner) committedRuns(seq uint64) []*run {
 	var rs []*run
 	for _, r := range o.runs {
@@ -302,7 +310,8 @@
 	}
 }
 
-// release answers the openings and ends that are committed.
+// replyCommitted answers requests to open or end a program whose records are
+// committed.
 func (o *Owner) replyCommitted() {
 	o.waitingReplies = slices.DeleteFunc(o.waitingReplies, func(w waitingReply) bool {
 		if w.seq > o.committedSeq {
@@ -313,7 +322,8 @@
 	})
 }
 
-// saved forgets families that have ended and stand in the snapshot's index.
+// snapshotSaved drops from memory the texts that the snapshot lists and the
+// ended families that are in its index.
 func (o *Owner) snapshotSaved(m SnapshotSaved) {
 	o.Fold.Named(m.Upto)
 	if o.Fold.Gone == nil {
@@ -332,8 +342,8 @@
 	}
 }
 
-// over reports whether a family has ended for good, with all its records in
-// entries up to upto.
+// fullyEnded reports whether all programs of a family are closed, without a
+// call under way, and have all their records in entries up to upto.
 func (o *Owner) fullyEnded(root *program, upto uint64) bool {
 	return !slices.ContainsFunc(root.family, func(p *program) bool {
 		d := o.Fold.Programs[p.id]
--- a/internal/shard/owner/handover.go
+++ b/internal/shard/owner/handover.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// tailTime is how long an attempt that the former owner's daemon goes on
-	// with may give no sign.
+	// attemptSilenceTimeout is how long the new owner waits between two reports
+	// of an attempt that the former owner's daemon continues.
 	attemptSilenceTimeout = 10 * time.Second
-	// rejoinTime is how long a moved call's callers may take to find the new
-	// owner.
+	// rejoinTimeout is how long the callers of a moved call have to reconnect to
+	// the new owner before an idempotent call is abandoned.
 	rejoinTimeout = 20 * time.Second
 )
 
-// drain gives the shard up. Waiting until all calls have ended would block
-// every program of the shard for as long as the longest stream lasts; cutting
-// them would break the promise of a planned stop.
+// drain starts the handover of the shard. Waiting until all calls have ended
+// would block every program of the shard for as long as the longest stream
+// lasts; cancelling them would break the guarantee that a planned stop cuts no
+// call.
 func (o *Owner) drain(now time.Time) {
 	if o.draining {
 		return
@@ -46,8 +47,8 @@
 	}
 }
 
-// byRequest returns all runs, in the order of their requests so that a replay
-// takes them alike.
+// sortedRuns returns all runs, ordered by request id so that a replay handles
+// them in the same order.
 func (o *Owner) sortedRuns() []*run {
 	rs := make([]*run, 0, len(o.runs))
 	for _, r := range o.runs {
@@ -57,14 +58,15 @@
 	return rs
 }
 
-// byName orders runs by their requests.
+// compareRequests orders runs by request id.
 func compareRequests(a, b *run) int { return cmp.Compare(a.call.Request, b.call.Request) }
 
-// ids returns the programs' ids, sorted so that a replay writes the same journal.
+// programIDs returns the ids of all programs, sorted so that a replay writes the
+// same journal.
 func (o *Owner) programIDs() []string { return slices.Sorted(maps.Keys(o.progs)) }
 
-// turnAway ends a call that was not sent. Its callers repeat it at the next
-// owner, so without an intent the history has no need of it.
+// rejectUnsent ends a call that has no attempt under way. An idempotent call
+// that was never sent leaves no record: its callers repeat it at the next owner.
 func (o *Owner) rejectUnsent(now time.Time, r *run) {
 	if r.phase == waitIntent || r.sent() || !o.idempotent(r) {
 		o.abandon(now, r, result.CodeNotOwner, "the program is moving to another daemon")
@@ -80,8 +82,8 @@
 	root.budget = root.budget.WithSettled(r.hold, 0)
 }
 
-// settle gives back what is reserved and neither spent nor held: the next owner
-// would have to count it as spent.
+// releaseReservations lowers each budget's reservation to what is spent or
+// held. The next owner would have to count the rest as spent.
 func (o *Owner) releaseReservations() {
 	for _, id := range o.programIDs() {
 		p := o.progs[id]
@@ -95,8 +97,8 @@
 	}
 }
 
-// adoptRun goes on with a call whose attempt is under way at the former owner's
-// daemon. What it holds is not spent yet.
+// restoreRun takes over a call whose attempt is under way at the former owner's
+// daemon. The tokens that it holds are moved from spent back to held.
 func (o *Owner) restoreRun(now time.Time, p *program, m record.Moved) {
 	c := m.Call
 	r := &run{prog: p, phase: waitAttempt, digest: c.Digest, shared: c.Shared, hold: m.Hold, cost: m.Cost, attempts: c.Tries, moved: true}
@@ -124,10 +126,11 @@
 	}
 }
 
-// orphaned ends a moved call of which nothing is heard: the daemon that had its
-// attempt is gone, so nobody will tell how it ended.
+// attemptLost ends a moved call whose attempt has not been reported for
+// attemptSilenceTimeout. The daemon that ran the attempt counts as lost, and the
+// attempt's outcome can't be learnt.
 func (o *Owner) attemptLost(now time.Time, r *run) {
-	r.cost = r.hold // covers this attempt and those before
+	r.cost = r.hold // covers this attempt and the earlier ones
 	for i := range r.attempts {
 		if r.attempts[i].Ended == "" {
 			r.attempts[i].End, r.attempts[i].Ended = now, "the daemon that had the attempt is gone"
@@ -137,8 +140,8 @@
 	o.finish(now, r, o.failure(r, "the daemon that had the attempt is gone"))
 }
 
-// Knows reports whether the request is still under way. A daemon that goes on
-// with an attempt for an earlier epoch stops when nobody waits for it.
+// HasAttempt reports whether the request has an attempt under way. A daemon that
+// continues an attempt of an earlier epoch cancels it once this is false.
 func (o *Owner) HasAttempt(request string) bool {
 	r := o.runs[request]
 	return r != nil && r.phase == waitAttempt
--- a/internal/shard/owner/handover_test.go
+++ b/internal/shard/owner/handover_test.go
@@ -13,7 +13,7 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-// successor is the next owner of a desk's shard, from the journal alone.
+// successor returns the shard's next owner, built from the journal alone.
 func (d *driver) successor(is *is.I) *driver {
 	next := newDriver()
 	next.machine = owner.Owner{Chain: next.machine.Chain}
@@ -33,7 +33,7 @@
 	return next
 }
 
-// records are all that the journal has.
+// records returns all records in the journal.
 func (d *driver) records(is *is.I) (all []record.Record) {
 	var j record.Joiner
 	for _, e := range d.journal {
@@ -45,9 +45,8 @@
 }
 
 // A daemon hands its shard over while an attempt is under way and other calls
-// wait. Callers would notice a call that is cut, run twice, or left without any
-// answer; the operators would notice tokens that nobody spent but no program
-// can use.
+// wait. Guards against a call that is cut, runs twice or gets no reply, and against
+// tokens that stay reserved without being spent.
 func TestHandover(t *testing.T) {
 	tests := map[string]struct {
 		service string
@@ -100,7 +99,7 @@
 			tt.end(next, request)
 			is.Equal(next.replies[joined].Code, tt.code)
 			is.Equal(next.replies[joined].Ran, tt.ran)
-			again := next.call("q", 0, "receipt", "x") // what was turned away runs there
+			again := next.call("q", 0, "receipt", "x") // the call rejected by the drain runs here
 			is.Equal(len(next.sent), 1)
 			next.answer(sched.Succeeded)
 			is.Equal(next.replies[again].Code, result.CodeOK)
@@ -108,8 +107,8 @@
 	}
 }
 
-// A clean handover loses no budget; after a crash the reserved block counts as
-// spent, since the dead owner may have spent it.
+// A clean handover loses no budget. After a crash the reserved block counts as
+// spent, because the former owner may have spent it.
 func TestBudgetAfterTakeover(t *testing.T) {
 	tests := map[string]struct {
 		clean bool
@@ -122,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := newDriver()
-			d.open("p") // 1000 tokens, 300 of them reserved
+			d.open("p") // 1000 tokens, of which 300 are reserved
 			if tt.clean {
 				d.step(owner.Drain{})
 			}
@@ -138,42 +137,42 @@
 }
 
 // An attempt has failed and the next one is under way when the shard is handed
-// over. What the first may have cost must not be forgotten on the way; the
-// program would pass its budget.
+// over. The next owner must still charge the failed attempt's possible cost;
+// otherwise the program would exceed its budget.
 func TestHandoverKeepsTheCostOfFailedAttempts(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
 	d.open("p")
 	d.call("p", 0, "", string(make([]byte, 300)))
-	d.answer(sched.Failed) // 340 of 1000 may be gone
+	d.answer(sched.Failed) // may have cost 340 of 1000 tokens
 	is.Equal(len(d.sent), 2)
 	d.step(owner.Drain{})
 	next := d.successor(is)
 	again := d.sent[1]
 	next.step(owner.AttemptEnded{Request: again.Request, Upstream: again.Upstream, Outcome: sched.Succeeded, Status: 200, Body: []byte("done"), Usage: usageOf(sched.Succeeded)})
-	over := next.call("p", 1, "", string(make([]byte, 700))) // 640 are left
+	over := next.call("p", 1, "", string(make([]byte, 700))) // 640 tokens are left
 	is.Equal(next.replies[over].Code, result.CodeBudget)
 	fits := next.call("p", 1, "", string(make([]byte, 500)))
 	is.Equal(next.replies[fits].Code, result.Code(""))
 	is.Equal(len(next.sent), 1)
 }
 
-// An engine breaks off without saying what it generated. What it may have
-// generated counts, or a program on a bad day would pass its budget.
+// An engine breaks off without reporting what it generated. The maximum must be
+// charged; otherwise a program could exceed its budget when engines fail often.
 func TestFailedAttemptsCost(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
 	d.open("p")
 	d.call("p", 0, "", string(make([]byte, 400)))
-	d.answer(sched.Failed) // 440 of 1000 may be gone; a second attempt has room
+	d.answer(sched.Failed) // may have cost 440 of 1000 tokens; a second attempt fits
 	is.Equal(len(d.sent), 2)
-	d.answer(sched.Failed) // 880 may be gone
+	d.answer(sched.Failed) // may have cost 880
 	is.Equal(len(d.sent), 2)
 	over := d.call("p", 1, "", string(make([]byte, 200)))
 	is.Equal(d.replies[over].Code, result.CodeBudget)
 }
 
-// A taker whose predecessor may still act waits before its first dispatch.
+// While the former owner may still dispatch, the new owner dispatches nothing.
 func TestNoDispatchBeforeTakeoverDelay(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
@@ -186,9 +185,9 @@
 	is.Equal(len(d.sent), 1)
 }
 
-// A shard changes hands between the calls of a program, as it does when daemons start or
-// are replaced. The next owner chose none of the engines that ran them; if it didn't have
-// them free the program's memory, it would be held until a sweep comes by.
+// A shard is handed over between two calls of a program, as when daemons start or are
+// replaced. The next owner placed none of the earlier calls, but must release the program's
+// memory at their engines; otherwise it would stay occupied until the next sweep.
 func TestMemoryIsReleasedAfterAHandover(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
--- a/internal/shard/owner/offload.go
+++ b/internal/shard/owner/offload.go
@@ -7,17 +7,18 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// KeepWait is how long an outcome waits for its texts to be in data folders.
-// After it they go into the journal: a folder that hangs must not hold up a
-// caller for longer than a slow write to the store does.
+// OffloadTimeout is how long an outcome waits for its texts to be stored in data
+// folders. After that they go into the journal: a folder that hangs must not
+// delay a caller for longer than a slow write to the store does.
 const OffloadTimeout = 2 * time.Second
 
-// keep asks for places for the long texts of a call that ended, and reports
-// whether the outcome must wait for them. Nothing is told or started before the
-// outcome is recorded, so that the program's records stay in order.
+// offload requests storage in data folders for the long texts of a call that
+// ended, and reports whether the outcome must wait for it. Until the outcome is
+// recorded, no reply is sent and the program's next call does not start, so that
+// the program's records stay in order.
 //
-// A shard or program that is given up doesn't wait: its last records are due
-// now.
+// In a shard that is being drained and in a closed program the outcome is
+// recorded at once, as it must precede the last records.
 func (o *Owner) offload(now time.Time, r *run, h hist.Call) bool {
 	if !o.offloadEnabled || o.draining || r.prog.closed != "" || r.prog.current != r || r.result.Ran == result.No {
 		return false
@@ -42,9 +43,9 @@
 	return text
 }
 
-// kept records an outcome whose texts have their places, or have none. Places
-// that come too late are given up: the journal has the texts by then, and blobs
-// that nobody refers to would stay for ever.
+// offloaded records an outcome with the locations of its texts; a text without
+// one goes into the journal. Blobs that arrive too late are discarded: the
+// journal has the texts by then, and unreferenced blobs would never be deleted.
 func (o *Owner) offloaded(now time.Time, m Offloaded) {
 	r := o.runs[m.Request]
 	if r == nil || r.phase != waitOffload || r.offload != m.ID {
@@ -69,7 +70,8 @@
 	}
 }
 
-// inline records an outcome with its texts, without waiting any longer.
+// recordInline records an outcome with its texts in the journal, without
+// waiting for the data folders any longer.
 func (o *Owner) recordInline(now time.Time, r *run) {
 	h := *r.outcome
 	r.outcome = nil
--- a/internal/shard/owner/offload_test.go
+++ b/internal/shard/owner/offload_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	inlineLimit   = 3               // bytes; a desk's answers are longer
-	offloadedCall = owner.Ticket(2) // the first call at a desk with folders
+	inlineLimit   = 3               // bytes; a driver's answers are longer
+	offloadedCall = owner.Ticket(2) // the first call of newOffloadDriver
 )
 
 func usageOf(o sched.Outcome) engine.Usage {
@@ -38,7 +38,7 @@
 	}
 }
 
-// keeping is a desk with data folders.
+// newOffloadDriver returns a driver with offloading enabled and program p open.
 func newOffloadDriver() *driver {
 	d := newDriver()
 	f := d.config()
@@ -49,7 +49,7 @@
 	return d
 }
 
-// kept answers the newest Keep.
+// completeOffload answers the newest Offload.
 func (d *driver) completeOffload(asked, answer bool) {
 	newest := d.offloads[len(d.offloads)-1]
 	m := owner.Offloaded{ID: newest.ID, Request: newest.Request}
@@ -62,7 +62,7 @@
 	d.step(m)
 }
 
-// told returns the outcomes and ends in the journal.
+// finished returns the Ended and Closed records in the journal.
 func (d *driver) finished(is *is.I) (rs []record.Record) {
 	var j record.Joiner
 	for _, e := range d.journal {
@@ -78,10 +78,10 @@
 	return rs
 }
 
-// A call ends with a long answer, whose way into data folders can be short,
-// long or without an end, while the shard is handed over, the program is ended
-// or the store is down. Callers would notice an answer that is lost or comes
-// twice, a next call that runs too early, or a call that hangs.
+// A call ends with a long answer, and storing its texts in data folders is fast,
+// slow or never completes, while the shard is handed over, the program is ended or
+// the store is down. Guards against an answer that is lost or sent twice, a next
+// call that runs too early, and a call that hangs.
 func TestOffload(t *testing.T) {
 	tests := map[string]struct {
 		then      func(is *is.I, d *driver)
@@ -125,7 +125,7 @@
 			is.Equal(d.replies[99].Code, result.CodeOK)
 			rs := d.finished(is)
 			_, last := rs[len(rs)-1].(record.Closed)
-			is.True(last) // nothing of a program is recorded after its end
+			is.True(last) // no record of a program follows its Closed
 			d.completeOffload(true, true)
 		}, false, false, result.CodeOK, 2},
 		"the program is too old meanwhile": {func(_ *is.I, d *driver) {
@@ -137,7 +137,7 @@
 			d.completeOffload(true, true)
 			d.advance(9 * time.Second)
 			_, finished := d.replies[offloadedCall]
-			is.True(!finished) // the answer is held back
+			is.True(!finished) // no reply before the outcome is committed
 			d.advance(2 * time.Second)
 			d.storeDown = false
 			d.store()
@@ -160,7 +160,7 @@
 			is.Equal(d.replies[ticket].Code, tt.code)
 			is.Equal(len(d.discarded), tt.discarded)
 			e := d.finished(is)[0].(record.Ended)
-			if e.Call.Number == 1 { // refused because of the program's end
+			if e.Call.Number == 1 { // refused because the program was ended
 				e = d.finished(is)[1].(record.Ended)
 			}
 			is.Equal(e.Call.Number, 0)
@@ -173,9 +173,9 @@
 			}
 			next := d.successor(is)
 			again := next.call("p", 0, "", "question")
-			is.Equal(len(next.sent), 0)               // a repeat never runs again
-			recalled := len(next.journalReplies) == 1 // call 1 is the newest by now
-			is.True(recalled || string(next.replies[again].Body) == "done")
+			is.Equal(len(next.sent), 0)                  // a repeat does not run
+			fromJournal := len(next.journalReplies) == 1 // call 1 is the newest by now
+			is.True(fromJournal || string(next.replies[again].Body) == "done")
 			known := 0
 			next.machine.Fold.Known(func(hist.Blob) { known++ })
 			is.Equal(known == 2, tt.asked && tt.answer)
@@ -184,8 +184,8 @@
 	}
 }
 
-// A caller's connection breaks while the texts are on their way. The answer is
-// there, so the call must not be cancelled, and the repeat gets it.
+// A caller's connection breaks while the texts are being stored. The call has its
+// answer, so it must not be cancelled, and a repeat must get that answer.
 func TestOffloadSurvivesDisconnect(t *testing.T) {
 	is := is.New(t)
 	d := newOffloadDriver()
@@ -202,9 +202,9 @@
 	is.Equal(len(d.sent), 1)
 }
 
-// The caller has been gone for a while when the answer comes. Its texts are kept
-// like any other's: a journal that got them whenever callers are impatient would
-// be full when the system is slow.
+// The caller has already disconnected when the answer arrives. Its texts must be
+// offloaded all the same: if the journal got the texts of every abandoned call, it
+// would fill up whenever the system is slow.
 func TestOffloadWithoutCaller(t *testing.T) {
 	is := is.New(t)
 	d := newOffloadDriver()
@@ -217,8 +217,8 @@
 	is.True(d.finished(is)[0].(record.Ended).Call.AnswerIn != nil)
 }
 
-// The owner is lost before the outcome is recorded. Nothing refers to the
-// texts, and the call is as if it had not ended.
+// The owner is lost before the outcome is recorded. The journal must not refer to
+// the texts, and the next owner ends the call as unknown.
 func TestOwnerLostDuringOffload(t *testing.T) {
 	is := is.New(t)
 	d := newOffloadDriver()
@@ -227,12 +227,12 @@
 	is.Equal(len(d.offloads), 1)
 	next := d.successor(is)
 	again := next.call("p", 0, "receipt", "question")
-	is.Equal(next.replies[again].Code, result.CodeUnknown) // it ran once and isn't run again
+	is.Equal(next.replies[again].Code, result.CodeUnknown) // it ran once and does not run again
 	is.Equal(len(next.sent), 0)
-	next.machine.Fold.Known(func(b hist.Blob) { t.Errorf("%s is referred to", b.Digest) })
+	next.machine.Fold.Known(func(b hist.Blob) { t.Errorf("journal refers to text %s of an unrecorded outcome", b.Digest) })
 }
 
-// Where there is nothing to keep, outcomes go the shortest way.
+// Without texts to offload, an outcome is recorded at once.
 func TestNothingToOffload(t *testing.T) {
 	tests := map[string]struct {
 		limit int
@@ -258,8 +258,8 @@
 	}
 }
 
-// A repeat meets an owner that has the call's outcome without its answer. It
-// must be read, not told as an empty one.
+// A repeat reaches an owner that has the call's outcome without its body. The
+// outcome must be read from the journal, not sent with an empty body.
 func TestRepeatOfOffloadedCall(t *testing.T) {
 	is := is.New(t)
 	d := newOffloadDriver()
@@ -268,16 +268,16 @@
 	d.completeOffload(true, true)
 	for name, o := range map[string]*driver{"same owner": d, "next owner": d.successor(is)} {
 		again := o.call("p", 0, "", "question")
-		is.Equal(len(o.journalReplies), 1) // at either
+		is.Equal(len(o.journalReplies), 1) // for both owners
 		_, told := o.replies[again]
 		if told {
-			t.Errorf("%s answered itself: %+v", name, o.replies[again])
+			t.Errorf("%s replied from memory, without the body: %+v", name, o.replies[again])
 		}
 	}
 }
 
-// A holder was lost and its texts copied. Whoever takes the shard over must
-// look for them at the new one.
+// A holder was lost and its texts were copied to another one. After a takeover the
+// next owner must have the new holders.
 func TestHolders(t *testing.T) {
 	is := is.New(t)
 	d := newOffloadDriver()
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -19,13 +19,14 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-// desk drives one owner by hand: placement answers at once, attempts and the
-// store only when told to.
+// driver runs one owner in a test. Placement answers at once unless noPlacement is
+// set, and the store unless storeDown is set; attempts end when the test calls
+// answer.
 type driver struct {
 	machine           owner.Owner
 	now               time.Time
-	storeDown         bool // the store gives no answer
-	noPlacement       bool // placement gives no answer
+	storeDown         bool // the store does not answer
+	noPlacement       bool // placement does not answer
 	journal           []record.Entry
 	storeRequests     []chain.Effect
 	replies           map[owner.Ticket]result.Result
@@ -79,7 +80,7 @@
 	}
 }
 
-// store answers what waits, unless the store is down.
+// store answers the store requests that wait, unless the store is down.
 func (d *driver) store() {
 	for !d.storeDown && len(d.storeRequests) > 0 {
 		e := d.storeRequests[0]
@@ -124,18 +125,18 @@
 	d.step(owner.AttemptEnded{Request: s.Request, Upstream: s.Upstream, Outcome: outcome, Status: 200, Body: []byte("done"), Reason: "broken", Usage: usageOf(outcome)})
 }
 
-// The platform's store stops answering for minutes. What a caller may notice is
-// a refusal that is true and prompt, or an answer that is held back until it is
-// recorded; never a call that ran behind a refusal, or one that just hangs.
+// The platform's store stops answering. A caller may get a prompt refusal of a call
+// that did not run, or an answer that is delayed until it is recorded. Guards
+// against a call that runs although it was refused, and against a call that hangs.
 func TestStoreOutage(t *testing.T) {
-	long := fmt.Sprintf("%0400d", 1) // costs more than the block reserved ahead
+	long := fmt.Sprintf("%0400d", 1) // costs more than the block reserved in advance
 	tests := map[string]struct {
 		ask    func(d *driver) owner.Ticket
 		sent   bool
-		code   result.Code // within two seconds of asking; empty is none yet
+		code   result.Code // within 2 s of the request; empty for no reply yet
 		ran    result.Ran
-		later  result.Code // 15 s after asking
-		healed result.Code // of a repeat when the store is back
+		later  result.Code // 15 s after the request
+		healed result.Code // of a repeat when the store answers again
 	}{
 		"model call within what is reserved": {
 			func(d *driver) owner.Ticket { return d.call("p", 0, "", "hello") },
@@ -165,7 +166,7 @@
 			d.open("p")
 			d.open("other")
 			d.storeDown = true
-			d.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "other"}}) // something to write
+			d.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "other"}}) // leaves a journal entry that waits for the store
 			d.advance(3 * time.Second)
 			ticket := tt.ask(d)
 			is.Equal(len(d.sent) > 0, tt.sent)
@@ -185,7 +186,7 @@
 			sent := len(d.sent)
 			again := tt.ask(d)
 			if len(d.sent) > sent {
-				is.True(!tt.sent) // what ran before doesn't run again
+				is.True(!tt.sent) // a call that ran before does not run again
 				d.answer(sched.Succeeded)
 			}
 			is.Equal(d.replies[again].Code, tt.healed)
@@ -193,8 +194,8 @@
 	}
 }
 
-// A caller is refused and asks at once what became of its request. The record
-// is still on its way to the journal, and must be told all the same.
+// A caller is refused and reads its request's history before the record is
+// committed. The history must include the pending record.
 func TestHistoryIncludesPendingRecords(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
@@ -214,9 +215,9 @@
 	is.Equal(len(refs.InFlight["p"]), 0)
 }
 
-// The store stops answering right when an intent is written. The caller is told
-// within seconds that the call did not run, and it must not run when the store
-// comes back and the intent turns out to be in the journal.
+// The store stops answering while an intent is being written. The caller learns
+// within seconds that the call did not run, so the call must not run when the store
+// answers again and the intent turns out to be in the journal.
 func TestIntentInFlightWhenTheStoreStops(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
@@ -236,9 +237,8 @@
 	is.Equal(d.replies[again].Code, result.CodeOK)
 }
 
-// The lease is over and the daemon was not able to renew it. Another daemon may
-// own the program by now, so nothing may be sent, unless nobody can reach the
-// store.
+// The lease has expired and was not renewed. Another daemon may own the program by
+// now, so the owner must not dispatch, unless no daemon can reach the store.
 func TestDispatchNeedsTheLease(t *testing.T) {
 	tests := map[string]struct {
 		lease func(now time.Time) owner.Lease
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -1,20 +1,21 @@
-// Package owner runs the programs of one shard: it alone puts their calls in
-// order, reserves their budgets, writes their journal and says how they ended.
+// Package owner runs the programs of one shard. A shard has one owner at a time,
+// which orders the programs' calls, reserves their budgets, writes their journal
+// and decides their outcomes.
 //
-// Owner is a state machine. Callers' requests, attempts' ends and the store's
-// answers come in as messages; what goes out are effects: journal writes,
-// requests for an upstream, dispatches and replies. Whoever drives it owns the
-// clock, the sockets and the texts on their way.
+// Owner is a state machine. Its messages are requests of callers, ends of
+// attempts and replies of the store; its effects are journal writes, requests to
+// placement, dispatches and replies to callers. Its driver owns the clock, the
+// sockets and the streamed pieces of answers.
 //
-// What waits for the journal and what does not:
+// What waits for the journal:
 //
-//   - A non-idempotent call is dispatched only after its intent is committed.
-//     Whoever recovers an intent without an outcome answers "unknown" and never
-//     dispatches it.
-//   - A model call waits for nothing but a reservation that covers the most it
-//     can cost, and that was mostly committed ahead.
-//   - No outcome is told to a caller before it is committed, except a refusal
-//     that is known not to have run.
+//   - A non-idempotent call is dispatched only after its intent is committed. An
+//     owner that recovers an intent without an outcome ends the call with
+//     result.CodeUnknown and never dispatches it.
+//   - A model call waits only for a reservation that covers its maximum cost,
+//     which is usually committed in advance.
+//   - An outcome is sent to the caller only after it is committed, unless the
+//     call is known not to have run.
 package owner
 
 import (
@@ -32,52 +33,53 @@
 )
 
 type (
-	// Ticket names one waiting caller; it is chosen by the driver.
+	// Ticket identifies one waiting caller; the driver chooses it.
 	Ticket uint64
 
-	// Message is what Owner reacts to.
+	// Message is an input of Owner.
 	Message interface{ message() }
 
-	// Configure puts a configuration in force.
+	// Configure replaces the configuration.
 	Configure struct{ File file.File }
 
-	// Lease says until when no other daemon can own the shard. Outage is
-	// until when it may be taken for certain that nobody can reach the store,
-	// so that nobody can take the shard after Until.
+	// Lease replaces the times up to which the owner may dispatch. Before Until
+	// no other daemon can own the shard. Before Outage it is certain that no
+	// daemon can reach the store, so that none can take over the shard even
+	// after Until.
 	Lease struct {
 		Until  time.Time
 		Outage time.Time
 	}
 
-	// Open asks for a program.
+	// Open requests that a program be opened.
 	Open struct {
 		Ticket Ticket
 		Open   call.Open
 	}
 
-	// Call asks for a call of a program.
+	// Call submits a call of a program.
 	Call struct {
 		Ticket Ticket
 		Call   call.Call
 	}
 
-	// End asks for a program's end.
+	// End requests that a program be ended.
 	End struct {
 		Ticket Ticket
 		End    call.End
 	}
 
-	// Leave tells that a waiting caller is gone.
+	// CallerGone reports that a waiting caller has disconnected.
 	CallerGone struct{ Ticket Ticket }
 
-	// Assigned tells that placement chose an upstream for a request.
+	// Assigned reports that placement chose an upstream for a request.
 	Assigned struct{ Assign sched.Assign }
 
-	// Refused tells that placement refused a request.
+	// Refused reports that placement refused a request.
 	Refused struct{ Refuse sched.Refuse }
 
-	// Tried tells how an attempt ended. Pieces is how many pieces of its
-	// answer callers have been given.
+	// AttemptEnded reports how an attempt ended. Pieces is the number of pieces
+	// of its streamed answer that callers have received.
 	AttemptEnded struct {
 		Request     string        `json:"request"`
 		Upstream    string        `json:"upstream"`
@@ -90,62 +92,63 @@
 		Reason      string        `json:"why"`
 	}
 
-	// Keeping tells whether there are data folders in two failure domains, so
-	// that a long text need not go into the journal.
+	// OffloadEnabled reports whether data folders are up in two failure domains,
+	// so that long texts need not go into the journal.
 	OffloadEnabled struct{ On bool }
 
-	// Kept answers a Keep: where the texts are. A nil one goes into the
-	// journal itself.
+	// Offloaded answers an Offload with the locations of the texts. A text with
+	// a nil location goes into the journal.
 	Offloaded struct {
 		ID            uint64
 		Request       string
 		Asked, Answer *hist.Blob
 	}
 
-	// Held tells that a text that the journal refers to has other holders now.
+	// HoldersChanged reports new holders of a text that the journal refers to.
 	HoldersChanged struct{ Blob hist.Blob }
 
-	// Journal is the store's answer to a Write or a Read.
+	// StoreReply is the store's reply to a StoreRequest.
 	StoreReply struct{ Message chain.Message }
 
-	// Saved tells that a snapshot up to entry Upto is in force. Gone has, for
-	// the hash of each family that the snapshot left out because it has ended,
-	// the position of the index value that knows it.
+	// SnapshotSaved reports that the snapshot up to journal entry Upto is in
+	// force. The snapshot leaves out ended families and lists them in an index;
+	// Gone maps the hash of each such family to the position of its index value.
 	SnapshotSaved struct {
 		Upto uint64
 		Gone map[uint64]uint32
 	}
 
-	// Verify asks for proof that the journal is still this owner's, after its
-	// lease had lapsed; the answer is Verified once a record is committed.
+	// Verify requests proof that the owner still has the shard, after its lease
+	// had lapsed. Verified follows once a record is committed.
 	Verify struct{}
 
-	// Pace sets the least time between two journal writes.
+	// WriteInterval sets the minimum time between two journal writes.
 	WriteInterval struct{ Interval time.Duration }
 
-	// Drain asks to give the shard up; the owner says Drained when the next
-	// owner can have it. Calls that are not sent yet are refused as not run,
-	// for their callers to repeat at the next owner. Attempts under way are
-	// not waited for: the next owner is told of them and goes on with them.
+	// Drain starts a handover; Drained follows when the next owner can take the
+	// shard. Calls that wait for their first or next attempt end, and their
+	// callers repeat them at the next owner; one that was never sent is refused
+	// as not run. Attempts under way are not waited for: they are recorded in
+	// the journal and the next owner takes them over.
 	Drain struct{}
 
-	// Tail tells that the daemon that owned the shard before is still busy
-	// with an attempt that it started.
+	// AttemptAlive reports that the former owner's daemon is still running an
+	// attempt that it started.
 	AttemptAlive struct{ Request string }
 
-	// Tick lets time pass; one is due every 20 ms or so.
+	// Tick advances time; send one about every 20 ms.
 	Tick struct{}
 
-	// Effect is what Owner wants done.
+	// Effect is an action that the driver must carry out.
 	Effect interface{ effect() }
 
-	// Write carries out the chain's effect, a Create or a Read.
+	// StoreRequest carries out an effect of the chain: a Create or a Read.
 	StoreRequest struct{ Effect chain.Effect }
 
-	// Place gives a message to placement.
+	// Place sends a message to placement.
 	Place struct{ Message sched.Message }
 
-	// Dispatch sends one attempt. No more than MaxTokens may be generated.
+	// Dispatch sends one attempt. At most MaxTokens tokens may be generated.
 	Dispatch struct {
 		Request   string
 		Call      call.Call
@@ -158,35 +161,36 @@
 		Try       int
 	}
 
-	// Stop cancels the attempt under way at the upstream.
+	// CancelAttempt cancels the attempt under way at the upstream.
 	CancelAttempt struct{ Request, Upstream string }
 
-	// Join lets a waiting caller follow the pieces of a request under way.
+	// Subscribe streams the pieces of a request under way to a waiting caller.
 	Subscribe struct {
 		Ticket  Ticket
 		Request string
 	}
 
-	// Reply ends a waiting caller's request.
+	// Reply answers a waiting caller.
 	Reply struct {
 		Ticket  Ticket
-		Request string // whose outcome it is
+		Request string // whose outcome it is; empty for Open and End
 		Result  result.Result
 	}
 
-	// Keep has the texts of a call that ended put into data folders; nil is
-	// none. It ends with Kept, within KeepWait.
+	// Offload stores the texts of a call that ended in data folders; a nil text
+	// needs no storing. The driver replies with Offloaded within OffloadTimeout.
 	Offload struct {
 		ID            uint64
 		Request       string
 		Asked, Answer []byte
 	}
 
-	// Unkeep gives a text up that was kept too late to be referred to.
+	// DiscardBlob releases a text that was stored too late for the journal to
+	// refer to it.
 	DiscardBlob struct{ Blob hist.Blob }
 
-	// Recall ends a waiting caller's request with an outcome that has left
-	// memory and stands in one of the journal's entries.
+	// ReplyFromJournal answers a waiting caller with an outcome that is no longer
+	// in memory. It is in one of the given journal entries.
 	ReplyFromJournal struct {
 		Ticket  Ticket
 		Program string
@@ -194,39 +198,41 @@
 		Entries []uint64
 	}
 
-	// Log tells of a request's end, for the log and the metrics.
+	// Log reports the end of a request, for logs and metrics.
 	Log struct {
 		Account, Program string
 		Call             hist.Call
 	}
 
-	// Saving tells that a snapshot may be taken now.
+	// SnapshotAllowed reports that a snapshot may be taken now.
 	SnapshotAllowed struct{}
 
-	// Verified tells that no other owner wrote to the journal up to now.
+	// Verified reports that no other owner has written to the journal so far.
 	Verified struct{}
 
-	// Fenced tells that the shard has another owner.
+	// Fenced reports that the shard has another owner.
 	Fenced struct{}
 
-	// Drained tells that nothing is under way and all is committed.
+	// Drained reports that all records are committed after a Drain. The owner
+	// ignores further messages.
 	Drained struct{}
 )
 
 type (
-	// Owner is the machine. Make it from a takeover with Fold and Chain set.
+	// Owner is the state machine. Create it from a takeover, with Fold and Chain
+	// set.
 	Owner struct {
-		Fold  state.Fold  // as loaded; the machine goes on with it
+		Fold  state.Fold  // as loaded at the takeover; updated with every commit
 		Chain chain.Chain // ready to write the entry after Fold.Upto
-		Hold  time.Time   // no dispatch before: a former owner may still act
+		Hold  time.Time   // no dispatch before this time: a former owner may still dispatch
 
 		cfg            file.File
 		lease          Lease
 		progs          map[string]*program
 		runs           map[string]*run // by request id
 		tickets        map[Ticket]*run
-		waitingReplies []waitingReply // replies that wait for a sequence number
-		queue          []pending      // records that wait to be committed, in order
+		waitingReplies []waitingReply // to requests to open or end a program
+		queue          []pending      // records that are not committed yet, in order
 		committedSeq   uint64         // newest committed sequence number
 		verifySeq      uint64         // of the record that proves ownership, zero for none
 		draining       bool
@@ -236,7 +242,7 @@
 		accounts       map[string]*usage
 		writeStalled   bool
 		offloadEnabled bool
-		lastOffloadID  uint64 // number of the newest Keep
+		lastOffloadID  uint64 // ID of the newest Offload
 	}
 
 	waitingReply struct {
@@ -291,7 +297,7 @@
 func (o *Owner) Step(now time.Time, m Message) []Effect {
 	o.init(now)
 	if o.drained {
-		return nil // the shard may be another's by now
+		return nil // the shard may have another owner by now
 	}
 	switch m := m.(type) {
 	case Configure:
@@ -340,15 +346,16 @@
 	return effects
 }
 
-// Snapshot returns a copy of the durable state, to be written out. It is
-// meaningful right after a Committed that is Whole.
+// Snapshot returns a copy of the durable state, for writing out. Call it directly
+// after SnapshotAllowed, when no record is split between two entries.
 func (o *Owner) Snapshot() state.Fold { return o.Fold.Clone() }
 
 // MayDispatch reports whether an attempt may be sent now. An owner whose lease
-// is over can't know whether another has the shard; sending then could let two
-// owners run one program's calls at once. It may go on only while nobody can
-// reach the store, for then nobody can have taken the shard. What it heard of
-// an outage must be fresh: a process that was paused would act on old news.
+// has expired can't know whether another daemon owns the shard; dispatching
+// could then make two owners run one program's calls at once. It may continue
+// only while no daemon can reach the store, because then none can have taken
+// over the shard. Outage is short-lived, as a process that was paused would
+// otherwise act on stale information.
 func (o *Owner) MayDispatch(now time.Time) bool {
 	return now.Before(o.lease.Until) || now.Before(o.lease.Outage)
 }
@@ -374,8 +381,8 @@
 func (o *Owner) add(r record.Record) uint64 {
 	seq, err := o.Chain.Add(r)
 	if err != nil {
-		// Records are made of plain fields, so encoding can't fail on any
-		// input; going on without the record would lose history.
+		// Records consist of plain fields, so encoding can't fail on any
+		// input; continuing without the record would lose history.
 		panic(err)
 	}
 	o.queue = append(o.queue, pending{seq: seq, rec: r})
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -21,36 +21,36 @@
 )
 
 type (
-	// program is the part of a program that is under way. What is durable
-	// stands in Owner.Fold.
+	// program is the volatile state of a program. Its durable state is in
+	// Owner.Fold.
 	program struct {
 		id         string
 		open       call.Open
 		priority   int
 		root       *program
-		family     []*program    // root only: itself and all sub-agents
+		family     []*program    // root only: the root and all its sub-agents
 		budget     budget.Budget // root only
-		attained   int64         // root only: tokens served in this epoch and before
+		attained   int64         // root only: tokens served in this and earlier epochs
 		order      order.Order
 		turns      int
 		opened     time.Time
 		lastActive time.Time
 		openSeq    uint64
-		early      map[int]*run // calls that wait for the ones before them
+		early      map[int]*run // calls that wait for their predecessors, by number
 		current    *run
-		last       *run // newest that ended, until it is committed
-		prefix     []uint64
+		last       *run     // newest call that ended, until its outcome is committed
+		prefix     []uint64 // hashes of the newest answered prompt's blocks
 		size       state.Size
-		closed     string
+		closed     string // code; empty while open
 	}
 
-	// usage is what an account has under way in this shard.
+	// usage counts an account's open programs in this shard.
 	usage struct{ open int }
 )
 
-// adopt takes over what the journal left: reserved tokens count as spent, and
-// a call whose intent has no outcome ends as unknown. The former owner may have
-// dispatched it or not; doing it again could do it twice.
+// restore builds the volatile state from the journal. Reserved tokens count as
+// spent, and a call whose intent has no outcome ends as unknown: the former owner
+// may have dispatched it, so running it again could run it twice.
 func (o *Owner) restore(now time.Time) {
 	ids := make([]string, 0, len(o.Fold.Programs))
 	for id := range o.Fold.Programs {
@@ -88,8 +88,8 @@
 	}
 }
 
-// unknown ends a call whose intent has no outcome. Until that is committed it
-// counts as the program's last call, so that a repeat waits and doesn't run it.
+// endUnknown ends a call whose intent has no outcome. Until its end is committed
+// it is the program's last call, so that a repeat joins it and does not run.
 func (o *Owner) endUnknown(now time.Time, p *program, c hist.Call) {
 	c.End = now
 	c.Result = result.Failed(result.CodeUnknown, result.Unknown,
@@ -103,7 +103,7 @@
 	p.turns++
 }
 
-// put adds a program to those under way.
+// addProgram adds a program and counts it as open for its account.
 func (o *Owner) addProgram(open call.Open, priority int, opened time.Time) *program {
 	p := &program{id: open.Program, open: open, priority: priority, opened: opened, lastActive: opened}
 	p.root = o.progs[call.Root(open.Program)]
@@ -149,8 +149,8 @@
 	return result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200}
 }
 
-// reopen answers a repeated opening: the caller may have lost the answer to
-// the first.
+// repeatOpen answers a repeated Open, whose caller may have lost the first
+// reply.
 func (o *Owner) repeatOpen(m Open, p *program) {
 	switch {
 	case p.open.Account != m.Open.Account:
@@ -167,7 +167,7 @@
 
 func sameOpen(a, b call.Open) bool { return a == b }
 
-// defaults fills in what the opener left to the configuration.
+// defaults fills in an empty agent: the parent's, or the only one configured.
 func (o *Owner) defaults(open call.Open) call.Open {
 	if open.Agent == "" && open.Parent != "" {
 		if parent := o.progs[open.Parent]; parent != nil {
@@ -182,7 +182,8 @@
 	return open
 }
 
-// admit checks an opening; a result with a code refuses it.
+// admit checks an Open and fills in its defaults; a result with a code refuses
+// it.
 func (o *Owner) admit(open call.Open) (call.Open, file.Agent, result.Result) {
 	none := result.Result{}
 	open = o.defaults(open)
@@ -248,7 +249,7 @@
 	return ok
 }
 
-// newest is the sequence number of the newest record added.
+// newestSeq is the sequence number of the newest record added.
 func (o *Owner) newestSeq() uint64 {
 	if n := len(o.queue); n > 0 {
 		return o.queue[n-1].seq
--- a/internal/shard/owner/refs.go
+++ b/internal/shard/owner/refs.go
@@ -8,11 +8,12 @@
 )
 
 type (
-	// Refs tells where the records of a family of programs are. Programs is
-	// nil if the family has ended and left memory; then the index value at
-	// position At knows it. Pending are records that the journal does not have
-	// yet; a caller that was refused a moment ago may ask for its history. Live
-	// has the calls under way that no record tells of.
+	// Refs locates the records of a family: a root program and its sub-agents.
+	// Programs maps each program's id to its journal entries; it is nil if the
+	// family has ended and is no longer in memory, and then the snapshot's index
+	// value at IndexPos has the entries. Pending holds the records that are not
+	// committed yet, because a caller may ask for its history directly after a
+	// refusal. InFlight has the calls under way without a record, by program id.
 	Refs struct {
 		Programs map[string][]uint64
 		Pending  []record.Record
@@ -21,7 +22,8 @@
 	}
 )
 
-// Refs finds the family whose root has the hash.
+// Refs locates the records of the family whose root has the given hash; false if
+// there is no such family.
 func (o *Owner) Refs(hash uint64) (Refs, bool) {
 	r := Refs{Programs: map[string][]uint64{}, InFlight: map[string][]hist.Call{}}
 	for id, d := range o.Fold.Programs {
@@ -41,14 +43,15 @@
 	for _, run := range o.runs {
 		if state.Hash(run.prog.id) == hash && run.phase != waitCommit && !o.hasIntent(run) {
 			h := o.callRecord(run)
-			h.Result = result.Result{} // one that waits for its texts to be kept is not recorded yet
+			h.Result = result.Result{} // in waitOffload it is set but not recorded yet
 			r.InFlight[run.prog.id] = append(r.InFlight[run.prog.id], h)
 		}
 	}
 	return r, true
 }
 
-// intended reports whether the journal tells of the call already.
+// hasIntent reports whether the call has an intent that is committed or waits to
+// be.
 func (o *Owner) hasIntent(r *run) bool {
 	if d := o.Fold.Programs[r.prog.id]; d != nil {
 		if _, ok := d.Intents[r.call.Number]; ok {
--- a/internal/shard/owner/tick.go
+++ b/internal/shard/owner/tick.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// commitWait is how long a caller waits for the journal. After it the
-	// caller is told at once how things stand and when to come back; holding
-	// the answer longer would only keep a caller from trying elsewhere.
+	// commitTimeout is how long a caller waits for an outcome to be committed.
+	// After it the caller gets CodeStoreDown and a time to retry; holding the
+	// reply longer would only keep the caller from trying elsewhere.
 	commitTimeout = 10 * time.Second
-	// stallTime is how long an entry may wait for the store before the store
-	// counts as down.
+	// stallThreshold is how long a journal entry may wait for the store before
+	// the store counts as down.
 	stallThreshold = 2 * time.Second
-	// journalWait is how long a call waits for its intent or its reservation.
-	// Nothing was sent yet, so its caller can be refused as soon as the store
-	// is taken for down.
+	// journalTimeout is how long a call waits for its intent or its reservation
+	// to be committed. No attempt is under way, so its caller can be answered
+	// as soon as the store counts as down.
 	journalTimeout = stallThreshold + time.Second
-	// aloneTime is how long an idempotent call goes on without a caller.
+	// noCallerTimeout is how long an idempotent call continues without a caller.
 	noCallerTimeout = 2 * time.Second
 
 	sweepInterval        = time.Second
@@ -29,7 +29,8 @@
 	defaultJournalBuffer = 8 << 20
 )
 
-// stalled reports whether the store is taken for down.
+// stalled reports whether the store counts as down: an entry has waited for
+// longer than stallThreshold, or the records that wait exceed the buffer.
 func (o *Owner) stalled() bool { return o.writeStalled || o.Chain.Bytes() > o.bufferLimit() }
 
 func (o *Owner) bufferLimit() int {
@@ -67,8 +68,9 @@
 	o.closeExpired(now)
 }
 
-// due returns the runs whose time is up, in the order of their requests so that
-// a replay takes them alike.
+// expiredRuns returns the runs whose deadline has passed or that have been
+// without a caller for noCallerTimeout. They are ordered by request id so that a
+// replay handles them in the same order.
 func (o *Owner) expiredRuns(now time.Time) []*run {
 	var rs []*run
 	for _, r := range o.runs {
@@ -105,7 +107,7 @@
 	switch r.phase {
 	case waitOrder:
 		if r.prog.order.Running {
-			r.deadline = now.Add(o.cfg.Limits.GapWait) // the one before is on its way
+			r.deadline = now.Add(o.cfg.Limits.GapWait) // a predecessor is under way
 			return
 		}
 		o.refuse(now, r, result.Refuse(result.CodeOrder, "call %d came without call %d", r.call.Number, r.prog.order.Next))
@@ -117,8 +119,8 @@
 	}
 }
 
-// late tells callers of an outcome that the journal does not have yet. The call
-// ran; its answer is whole only when its record is, so they are to ask again.
+// replyNotRecorded tells the callers of an ended call to repeat it, because its
+// outcome is not committed yet. The outcome counts only once it is committed.
 func (o *Owner) replyNotRecorded(r *run) {
 	r.deadline = time.Time{}
 	res := result.Failed(result.CodeStoreDown, result.Yes, "the answer is not recorded yet; repeat the call to get it")
@@ -132,8 +134,9 @@
 	r.tickets = nil
 }
 
-// expire ends programs that are idle or old, so that a caller that died
-// between two turns doesn't leave engine memory held for good.
+// closeExpired closes programs that are idle or have been open for too long, so
+// that a caller that died between two calls does not occupy engine memory
+// forever.
 func (o *Owner) closeExpired(now time.Time) {
 	var ids []string
 	for id, p := range o.progs {
@@ -162,8 +165,9 @@
 	return ""
 }
 
-// activity is when the program or one of its sub-agents last did something; a
-// parent that waits for a sub-agent is not idle.
+// lastActivity returns the time of the last activity of the program or of its
+// sub-agents. It is far in the future while a call of the family is waiting or
+// under way, so that a parent that waits for a sub-agent is not idle.
 func (o *Owner) lastActivity(p *program) time.Time {
 	at := p.lastActive
 	for _, q := range p.root.family {
