--- a/internal/shard/histio/histio.go
+++ b/internal/shard/histio/histio.go
@@ -1,9 +1,9 @@
-// Package past reads histories from the journal.
+// Package histio reads the histories of programs from a shard's journal.
 //
-// A program's state lists the journal entries that hold its records. Past reads
-// those entries and tells them as a history; texts that a model call shares
-// with the one before it stay out, as they stand in the earlier call. Texts
-// that are in data folders are read from there.
+// A program's state lists the journal entries that hold its records. Reader reads
+// those entries and builds a hist.History from them. Leading messages that a
+// model call has in common with the program's previous one are recorded with the
+// earlier call only. Texts that are in data folders are read from there.
 package histio
 
 import (
@@ -21,25 +21,26 @@
 )
 
 type (
-	// Past reads the journal of one shard.
+	// Reader reads histories from the journal of one shard.
 	Reader struct {
 		Store store.Store
 		Shard int
-		// Text reads a text from the data folders; nil if they can't be
-		// reached.
+		// ReadText reads a text from the data folders; nil if no data folder
+		// is known.
 		ReadText func(ctx context.Context, b hist.Blob) ([]byte, error)
 	}
 )
 
-// readers is how many texts of a history are read at a time.
+// maxConcurrentReads limits the texts of a history that are read at a time.
 const maxConcurrentReads = 8
 
 var errNoDataFolder = errors.New("no data folder is known")
 
-// Family reads the histories of the programs whose journal entries are given,
-// by program id. Pending are further records, newer than all entries.
+// Family reads the histories of the given programs, sorted by program id. The map
+// has each program's journal entries; pending holds further records that are newer
+// than all entries.
 func (p Reader) Family(ctx context.Context, programs map[string][]uint64, pending []record.Record) (hs []hist.History, err error) {
-	defer func() { err = errors.Wrapf(err, "past: shard %d", p.Shard) }()
+	defer func() { err = errors.Wrapf(err, "histio: read histories of shard %d", p.Shard) }()
 	var numbers []uint64
 	for _, ns := range programs {
 		numbers = append(numbers, ns...)
@@ -73,8 +74,8 @@
 }
 
 // Fill reads the texts of the history's calls that are in data folders. A call
-// whose text can't be read now gets a note: that is still all that is known of
-// the call, and a support engineer must not take it for an empty answer.
+// whose text can't be read now gets a Note, so that a support engineer does not
+// take the missing text for an empty one.
 func (p Reader) Fill(ctx context.Context, h *hist.History) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentReads)
@@ -123,11 +124,12 @@
 	return p.ReadText(ctx, b)
 }
 
-// Call reads the newest outcome of one call, with its answer; false if there is
-// none that a repeat may be answered with. An answer that can't be read now is
-// an error.
+// Call reads the newest outcome of one call from the program's journal entries,
+// with its answer. It returns false if there is no outcome, or only one that is
+// not final and thus must not answer a repeat. An answer that can't be read now
+// is an error.
 func (p Reader) Call(ctx context.Context, program string, number int, entries []uint64) (c hist.Call, ok bool, err error) {
-	defer func() { err = errors.Wrapf(err, "past: call %d of %s", number, program) }()
+	defer func() { err = errors.Wrapf(err, "histio: read call %d of program %s", number, program) }()
 	for _, n := range slices.Backward(entries) {
 		rs, err := p.entry(ctx, n)
 		if err != nil {
@@ -150,8 +152,8 @@
 	return c, e.Final, err
 }
 
-// entry reads the records that an entry completes. A large record begins in an
-// earlier entry, so those before it are read as far as needed.
+// entry returns the records that end in an entry. A large record may begin in
+// earlier entries, which are read as well.
 func (p Reader) entry(ctx context.Context, n uint64) ([]record.Record, error) {
 	chained, err := p.chained(ctx, n)
 	if err != nil {
@@ -167,6 +169,8 @@
 	return rs, nil
 }
 
+// chained reads an entry and the earlier ones in which its first record begins,
+// oldest first.
 func (p Reader) chained(ctx context.Context, n uint64) (es []record.Entry, err error) {
 	for {
 		v, err := p.Store.Get(ctx, chain.Key(p.Shard, n))
@@ -185,6 +189,8 @@
 	}
 }
 
+// applyRecord adds a record to its program's history. Records of a program without
+// an Opened are ignored.
 func applyRecord(histories map[string]*hist.History, r record.Record) {
 	if o, ok := r.(record.Opened); ok {
 		histories[o.Open.Program] = &hist.History{
--- a/internal/shard/histio/histio_test.go
+++ b/internal/shard/histio/histio_test.go
@@ -18,9 +18,8 @@
 
 var errUnread = errors.New("no holder answers")
 
-// A call's texts are in data folders, and some holders can't be read now. A
-// support engineer must see that a text is missing, and a caller who repeats the
-// call must not get an empty answer for the one that it had.
+// A call's texts are in data folders, and some of them can't be read now. Fill must
+// note a missing text, and Call must return an error instead of an empty answer.
 func TestTextsInFolders(t *testing.T) {
 	asked := &hist.Blob{Digest: "d1", Size: 8, Holders: []string{"a", "b"}}
 	answer := &hist.Blob{Digest: "d2", Size: 6, Holders: []string{"a", "b"}}
