--- a/internal/shard/lease/lease.go
+++ b/internal/shard/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease keeps one daemon's session with the store, and says until when
-// its shards are safe from others.
+// Package lease holds and renews a daemon's lease in the store, and tracks the
+// time before which no other daemon can take the daemon's shards.
 //
-// All of a daemon's shards hang on one lease, so that keeping them costs one
-// write a renewal and not one for each shard. The time until which the lease
-// holds is counted on the daemon's own clock from before the renewal was sent:
-// a reply may be late, and a clock that starts at the reply would run past the
+// The keys of all of a daemon's shards are attached to one lease, so that a
+// renewal costs one write and not one for each shard. The expiry is computed on
+// the daemon's own clock from the time at which the grant or renewal was sent. The
+// reply may be late, so an expiry computed from its arrival could be after the
 // store's.
 //
 // Lease is a state machine: Step takes the time and one message and returns
@@ -19,15 +19,15 @@
 
 const (
 	defaultTTL     = 6 * time.Second
-	renewalsPerTTL = 3 // within one time to live
+	renewalsPerTTL = 3
 )
 
 type (
-	// Lease is the machine. The zero value works with a time to live of six
-	// seconds.
+	// Lease is the state machine. The zero value is ready to use; its time to
+	// live is 6 s.
 	Lease struct {
 		TTL  time.Duration
-		Rand func() uint64 // for jitter; nil is none
+		Rand func() uint64 // for jitter; nil disables it
 
 		id          store.Lease
 		until       time.Time
@@ -36,40 +36,41 @@
 		nextRequest time.Time
 	}
 
-	// Message is what Lease reacts to.
+	// Message is an input of Lease.
 	Message interface{ message() }
 
-	// Granted answers Grant. Err is nil if it succeeded.
+	// Granted is the store's reply to Grant. ID is valid if Err is nil.
 	Granted struct {
 		ID  store.Lease
 		Err error
 	}
 
-	// Renewed answers Renew.
+	// Renewed is the store's reply to Renew.
 	Renewed struct {
-		Lapsed bool // the store says that the lease is over
+		Lapsed bool // the lease has expired in the store
 		Err    error
 	}
 
-	// Drop forgets the lease: nothing hangs on it any more.
+	// Forget discards the lease without a request to the store. Send it when no
+	// key is attached to the lease any more.
 	Forget struct{}
 
-	// Tick lets time pass.
+	// Tick advances time.
 	Tick struct{}
 
-	// Effect is what Lease wants done.
+	// Effect is an action that the caller of Step must carry out.
 	Effect interface{ effect() }
 
-	// Grant asks the store for a lease.
+	// Grant requests a lease from the store; the reply is Granted.
 	Grant struct{ TTL time.Duration }
 
-	// Renew extends the lease.
+	// Renew extends the lease; the reply is Renewed.
 	Renew struct{ ID store.Lease }
 
-	// Got tells that there is a new lease; shards may be taken under it.
+	// Acquired reports a new lease, under which shards may be taken.
 	Acquired struct{ ID store.Lease }
 
-	// Lost tells that the lease is over and its keys are gone.
+	// Lost reports that the lease has expired and the store has deleted its keys.
 	Lost struct{ ID store.Lease }
 )
 
@@ -83,11 +84,11 @@
 func (Acquired) effect() {}
 func (Lost) effect()     {}
 
-// ID is the lease held, zero without one.
+// ID returns the lease held, zero without one.
 func (l *Lease) ID() store.Lease { return l.id }
 
-// Until is the time up to which no other daemon can hold what hangs on the
-// lease.
+// Until returns the time before which no other daemon can take a key that is
+// attached to the lease. It is zero without a lease.
 func (l *Lease) Until() time.Time { return l.until }
 
 // Step applies one message.
@@ -108,7 +109,7 @@
 	case Renewed:
 		l.inFlight = false
 		if l.id == 0 {
-			return nil // it was dropped meanwhile
+			return nil // Forget came in between
 		}
 		if m.Lapsed {
 			lost := Lost{ID: l.id}
@@ -137,8 +138,8 @@
 	l.nextRequest = l.sentAt.Add(l.ttl() / renewalsPerTTL)
 }
 
-// wait puts off the next call after a failure, with jitter so that the daemons
-// don't meet at the store when it comes back.
+// backOff delays the next request after a failure. Jitter spreads the daemons'
+// requests when the store recovers.
 func (l *Lease) backOff(now time.Time) {
 	d := l.ttl() / (4 * renewalsPerTTL)
 	if l.Rand != nil {
