--- a/internal/shard/snapio/snapio.go
+++ b/internal/shard/snapio/snapio.go
@@ -1,12 +1,13 @@
-// Package fold writes and reads snapshots of a shard, so that a takeover reads
-// a bounded part of its journal.
+// Package snapio writes and reads snapshots of a shard's state, so that a takeover
+// reads a bounded part of the shard's journal.
 //
-// A snapshot is a set of immutable values, each at most MaxPart bytes, and a
-// head that names them. The head is replaced by compare-and-swap, so that a
-// snapshot torn by a crash is never read and two owners can't both put one in
-// force. Journal entries are never rewritten or deleted: they are the history,
-// and a program's state lists the entries that hold its records. Families that
-// ended leave the snapshot for an index, by the hash of their root.
+// A snapshot consists of immutable values of up to about MaxPart bytes and a head
+// that lists their keys. The head is replaced by compare-and-swap, so that a snapshot
+// left incomplete by a crash is never read, and two owners can't both put one in
+// force. Journal entries are never rewritten or deleted: they are the history, and
+// a program's state lists the entries that hold its records. A family, which is a
+// root program with its sub-agents, is moved from the snapshot to an index when it
+// has ended; the index is by the hash of the root.
 package snapio
 
 import (
@@ -23,42 +24,45 @@
 )
 
 const (
-	// MaxPart bounds one value of a snapshot before compression, in bytes.
+	// MaxPart is the approximate maximum size of one value of a snapshot, in
+	// bytes before compression. Values are filled by estimated sizes.
 	MaxPart = 700 << 10
 
-	// Estimates of encoded sizes, on the high side, by which values are cut.
+	// Generous estimates of encoded sizes, by which programs and families are
+	// distributed over values.
 	bytesPerProgram = 1 << 10
 	bytesPerFamily  = 64
 	bytesPerEntry   = 9
 )
 
 type (
-	// Head names the values of the snapshot in force.
+	// Head lists the keys of the values of the snapshot in force.
 	Head struct {
-		Upto  uint64   `json:"upto"` // the newest journal entry in the snapshot
+		Upto  uint64   `json:"upto"` // newest journal entry in the snapshot
 		Epoch uint64   `json:"epoch"`
 		Owner string   `json:"owner"`
-		Parts []string `json:"parts"`           // keys of the programs
-		Index []string `json:"index"`           // keys of the families that ended
-		Texts []string `json:"texts,omitempty"` // keys of the texts in data folders
+		Parts []string `json:"parts"`           // keys of values with programs
+		Index []string `json:"index"`           // keys of values with ended families
+		Texts []string `json:"texts,omitempty"` // keys of values with the list of texts in data folders
 	}
 
-	// Gone is a family that ended.
+	// Gone is an ended family.
 	Gone struct {
 		Hash     uint64              `json:"hash"`
-		Programs map[string][]uint64 `json:"programs"` // id to journal entries
+		Programs map[string][]uint64 `json:"programs"` // journal entries by program id
 	}
 
-	// Snap writes the snapshots of one shard. It is used by one goroutine.
+	// Snap writes and loads the snapshots of one shard. It is not safe for
+	// concurrent use.
 	Snap struct {
 		Store store.Store
 		Shard int
 		Epoch uint64 // of the owner that writes
 		Head  Head
-		Rev   store.Rev // of the head as last read or written, 0 if there is none
+		Rev   store.Rev // of Head as last read or written; 0 if the shard has none
 
-		obsolete     []string // keys that the head has stopped naming
-		rewriteTexts bool     // the next snapshot names all texts again
+		obsolete     []string // keys that Head no longer lists, to be deleted
+		rewriteTexts bool     // the next snapshot writes the list of texts anew
 	}
 
 	part struct {
@@ -70,15 +74,15 @@
 	}
 )
 
-// HeadKey is the store's key of a shard's head.
+// HeadKey returns the store's key of a shard's head.
 func HeadKey(shard int) string { return fmt.Sprintf("head/%04d", shard) }
 
-// Save puts a snapshot of f in force. f must be taken where no record is split
-// between two entries. It returns, for the hash of each family that ended, the
-// position of the index value that knows it. A *store.ConflictError means that another owner has
-// written a head.
+// Save puts a snapshot of f in force. f must be taken when no record is split
+// between entry f.Upto and the next. It returns the position of the index value of
+// each family that this snapshot moved to the index, by the family's hash. A
+// *store.ConflictError means that another owner has written a head.
 func (s *Snap) Save(ctx context.Context, f state.Fold) (at map[uint64]uint32, err error) {
-	defer func() { err = errors.Wrapf(err, "fold: snapshot of shard %d at entry %d", s.Shard, f.Upto) }()
+	defer func() { err = errors.Wrapf(err, "snapio: save snapshot of shard %d at entry %d", s.Shard, f.Upto) }()
 	live, gone := splitEnded(f)
 	h := Head{Upto: f.Upto, Epoch: f.Epoch, Owner: f.Owner}
 	if h.Parts, err = s.writeParts(ctx, f.Upto, live); err != nil {
@@ -98,7 +102,8 @@
 	return at, nil
 }
 
-// split tells the families that are wholly over from the rest.
+// splitEnded separates the families of which all programs have ended from the
+// others.
 func splitEnded(f state.Fold) (live map[string]*state.Program, gone []Gone) {
 	open := map[string]bool{}
 	for id, p := range f.Programs {
@@ -146,7 +151,7 @@
 		for len(ids) > 0 && size < MaxPart {
 			q := *live[ids[0]]
 			if len(q.Last.Result.Body) > 0 {
-				// An answer stands in the journal already.
+				// The journal has the answer.
 				q.Last.Result.Body, q.Dropped = nil, true
 			}
 			p.Programs[ids[0]] = &q
@@ -162,8 +167,8 @@
 	return keys, nil
 }
 
-// writeIndex adds the families to the newest index value, and begins another
-// when that has grown.
+// writeIndex adds the families to the newest index value, and starts another one
+// when that is full.
 func (s *Snap) writeIndex(ctx context.Context, upto uint64, gone []Gone) (keys []string, at map[uint64]uint32, err error) {
 	keys = slices.Clone(s.Head.Index)
 	at = map[uint64]uint32{}
@@ -206,9 +211,9 @@
 	return n
 }
 
-// write creates an immutable value. A value of that name that exists stems from
-// an attempt of this owner that was cut short, or from another owner's; the
-// epoch in the name keeps them apart, so it holds the same bytes.
+// write creates an immutable value and returns its key. The key has the epoch, so
+// a value that exists already was written by an earlier attempt of this owner;
+// ensureValue makes sure that it has the same bytes.
 func (s *Snap) write(ctx context.Context, kind string, upto uint64, n int, v any) (key string, err error) {
 	key = fmt.Sprintf("%s/%04d/%016d-%d-%d", kind, s.Shard, upto, s.Epoch, n)
 	data, err := record.Pack(v)
@@ -223,7 +228,8 @@
 	return key, err
 }
 
-// same makes sure that the key holds what was to be written, whoever wrote it.
+// ensureValue makes the key hold data, after a conflict or a write whose outcome
+// is unknown.
 func (s *Snap) ensureValue(ctx context.Context, key string, data []byte) error {
 	e, err := s.Store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -244,8 +250,8 @@
 	}
 	rev, err := s.Store.Put(ctx, HeadKey(s.Shard), data, s.Rev, 0)
 	if errors.Is(err, store.ErrUnknown) {
-		// The head may be in force already. Taking it for refused would leave
-		// this writer with a revision that can never match again.
+		// The head may have been written. Assuming that it was not would leave
+		// this writer with a revision that never matches again.
 		e, rerr := s.Store.Get(ctx, HeadKey(s.Shard))
 		if rerr != nil || string(e.Data) != string(data) {
 			return errors.CombineErrors(err, rerr)
@@ -265,8 +271,8 @@
 	return nil
 }
 
-// sweep deletes values that no head names any more. What can't be deleted now
-// is tried again after the next snapshot.
+// deleteObsolete deletes values that the head no longer lists. A deletion that
+// fails is retried after the next snapshot.
 func (s *Snap) deleteObsolete(ctx context.Context) {
 	s.obsolete = slices.DeleteFunc(s.obsolete, func(key string) bool {
 		e, err := s.Store.Get(ctx, key)
@@ -285,10 +291,10 @@
 	return record.Unpack(e.Data, v)
 }
 
-// Load reads the head and the programs of the snapshot in force into a Fold. A
-// shard without one gives an empty Fold.
+// Load reads the snapshot in force into a Fold. A shard without a snapshot has an
+// empty Fold.
 func (s *Snap) Load(ctx context.Context) (f state.Fold, err error) {
-	defer func() { err = errors.Wrapf(err, "fold: load shard %d", s.Shard) }()
+	defer func() { err = errors.Wrapf(err, "snapio: load snapshot of shard %d", s.Shard) }()
 	f = state.Fold{Programs: map[string]*state.Program{}, Gone: map[uint64]uint32{}}
 	e, err := s.Store.Get(ctx, HeadKey(s.Shard))
 	if errors.Is(err, store.ErrNotFound) {
@@ -324,11 +330,11 @@
 	return f, s.loadTexts(ctx, &f)
 }
 
-// Find reads the family with the given hash from the index value at a
-// position. It reads the head again, because a snapshot may have replaced the
-// value since.
+// Find reads the ended family with the given hash from the index value at position
+// at. It reads the head first, because a snapshot may have replaced the value since
+// the position was returned. Without such a family it returns store.ErrNotFound.
 func Find(ctx context.Context, st store.Store, shard int, at uint32, hash uint64) (g Gone, err error) {
-	defer func() { err = errors.Wrapf(err, "fold: find in shard %d", shard) }()
+	defer func() { err = errors.Wrapf(err, "snapio: find ended family in shard %d", shard) }()
 	s := Snap{Store: st, Shard: shard}
 	var h Head
 	if err = s.read(ctx, HeadKey(shard), &h); err != nil {
--- a/internal/shard/snapio/texts.go
+++ b/internal/shard/snapio/texts.go
@@ -11,23 +11,23 @@
 
 const (
 	bytesPerText = 160
-	// slack is how many outdated lines the list of texts may have beside as
-	// many as there are texts, before it is written anew.
+	// maxOutdatedTexts is the number of outdated entries that the list of texts
+	// may have beyond the number of texts before it is written anew.
 	maxOutdatedTexts = 1000
 )
 
 type (
-	// texts is one value of the list of texts in data folders. A later line
-	// about a text replaces an earlier one.
+	// texts is one value of the list of texts in data folders. A later entry of
+	// the list replaces an earlier one for the same text.
 	texts struct {
 		Texts []hist.Blob `json:"texts"`
 	}
 )
 
-// writeTexts adds what the journal told of texts since the last snapshot to the
-// newest value of the list, and begins another when that has grown. Texts are
-// never forgotten, as they are history; writing all of them each time would
-// cost more and more of the store's writes.
+// writeTexts adds the texts that the journal has referred to since the last
+// snapshot to the newest value of the list, and starts another value when that is
+// full. Texts are never removed, because they are part of the history. Writing the
+// whole list each time would take a growing share of the store's writes.
 func (s *Snap) writeTexts(ctx context.Context, f state.Fold) (keys []string, err error) {
 	if !s.rewriteTexts {
 		keys = slices.Clone(s.Head.Texts)
@@ -56,8 +56,8 @@
 	return keys, nil
 }
 
-// sorted puts the texts in an order of their own: a value that is written again
-// after a lost acknowledgement must have the same bytes.
+// sortedByDigest returns the texts in a fixed order: a value that is written again
+// after a lost reply must have the same bytes.
 func sortedByDigest(m map[string]state.Text) []hist.Blob {
 	out := make([]hist.Blob, 0, len(m))
 	for _, t := range m {
@@ -67,8 +67,9 @@
 	return out
 }
 
-// loadTexts reads the list. One that is mostly outdated, since lost holders add
-// lines, is taken as if the journal had just told it all, so that the next
+// loadTexts reads the list of texts into f.Older. Each lost holder adds entries that
+// make earlier ones outdated. A list that is mostly outdated is loaded into f.Texts
+// instead, as if the journal had just referred to all texts, so that the next
 // snapshot writes it anew.
 func (s *Snap) loadTexts(ctx context.Context, f *state.Fold) error {
 	entries := 0
--- a/internal/shard/snapio/texts_test.go
+++ b/internal/shard/snapio/texts_test.go
@@ -14,9 +14,10 @@
 	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
-const textCount = 10_000 // more than one value of the list takes
+const textCount = 10_000 // more than fit in one value of the list
 
-// known returns the texts that a takeover would know.
+// load loads the snapshot as a takeover does. The map has each text's first holder
+// by digest.
 func load(is *is.I, st *keyval.Store) (*snapio.Snap, state.Fold, map[string]string) {
 	s := &snapio.Snap{Store: st, Epoch: 1}
 	f, err := s.Load(context.Background())
@@ -26,7 +27,7 @@
 	return s, f, m
 }
 
-// tell adds n texts, or new holders of them, as one journal entry.
+// addTexts adds n texts, or new holders of them, as one journal entry.
 func addTexts(is *is.I, f *state.Fold, n int, holder string) {
 	f.Upto++
 	for i := range n {
@@ -35,9 +36,9 @@
 	}
 }
 
-// The list of texts only grows by what is new, is written anew when lost
-// holders have made most of it outdated, and is right all the time: what a
-// takeover doesn't find in it would be dropped.
+// A snapshot rewrites only the newest value of the list of texts, and the whole list
+// when most of it is outdated. Each load must return every text with its newest
+// holders, because data folders drop a text that is missing after a takeover.
 func TestTextList(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
@@ -54,7 +55,7 @@
 	is.True(len(first) > 1)
 	addTexts(is, &f, 10, "b")
 	save()
-	is.Equal(s.Head.Texts[:len(first)-1], first[:len(first)-1]) // only the newest value was written again
+	is.Equal(s.Head.Texts[:len(first)-1], first[:len(first)-1]) // only the newest value was rewritten
 	s, f, m := load(is, st)
 	is.Equal(len(m), textCount)
 	is.Equal(len(f.Texts), 0)
@@ -67,7 +68,7 @@
 	lengthBefore := len(s.Head.Texts)
 	s, f, m = load(is, st)
 	is.Equal(len(m), textCount)
-	is.Equal(len(f.Texts), textCount) // to be written anew
+	is.Equal(len(f.Texts), textCount) // the next Save writes the list anew
 	save()
 	is.True(len(s.Head.Texts) < lengthBefore)
 	_, f, m = load(is, st)
