--- a/internal/shard/histio/histio.go
+++ b/internal/shard/histio/histio.go
@@ -2,8 +2,8 @@
 //
 // A program's state lists the journal entries that hold its records. Reader reads
 // those entries and builds a hist.History from them. Leading messages that a
-// model call has in common with the program's previous one are recorded with the
-// earlier call only. Texts that are in data folders are read from there.
+// model call has in common with the program's newest answered one are recorded
+// with earlier calls only. Texts that are in data folders are read from there.
 package histio
 
 import (
--- a/internal/shard/owner/body.go
+++ b/internal/shard/owner/body.go
@@ -7,9 +7,9 @@
 )
 
 // recordedBody returns the part of a request's body that the journal stores.
-// For a model call it leaves out the shared leading messages, which the
-// program's previous model call already has. Storing each conversation whole
-// would write a long program's text once for each of its turns.
+// For a model call it leaves out the shared leading messages, which are recorded
+// with the program's earlier calls. Storing each conversation whole would write a
+// long program's text once for each of its turns.
 func recordedBody(c call.Call, shared int) string {
 	if c.Kind != call.Model || shared == 0 {
 		return string(c.Body)
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -37,7 +37,7 @@
 		phase         phase
 		digest        string
 		blocks        []engine.Block
-		shared        int   // leading messages in common with the program's previous model call
+		shared        int   // leading messages in common with the program's newest answered model call
 		promptBound   int64 // upper bound of the prompt's tokens
 		max           int   // limit of generated tokens
 		hold          int64 // tokens held in the budget
@@ -257,9 +257,9 @@
 	return r.call.Kind == call.Model || o.cfg.Services[r.call.Service].Idempotent
 }
 
-// measurePrompt finds the leading messages in common with the program's
-// previous model call, and bounds the prompt's tokens. If the prompt extends
-// the previous one, the bound is the engine's count of that prompt plus one
+// measurePrompt finds the leading messages in common with the program's newest
+// answered model call, and bounds the prompt's tokens. If the prompt extends
+// that call's, the bound is the engine's count of the earlier prompt plus one
 // token for each further byte; otherwise it is one token for each byte. An
 // estimate from the usual number of bytes per token would let a text that
 // encodes badly exceed the budget.
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -66,9 +66,9 @@
 	o.startNext(now, p)
 }
 
-// reserveForNext reserves the estimated cost of the program's next call in the
-// same write as this call's outcome, so that the next call seldom waits for a
-// write of its own.
+// reserveForNext reserves the estimated cost of the program's next call along with
+// this call's outcome, so that the next call seldom waits for a journal write of
+// its own.
 func (o *Owner) reserveForNext(root *program, r *run) {
 	if root.closed != "" || r.call.Kind != call.Model {
 		return
@@ -151,8 +151,8 @@
 	return seq
 }
 
-// engines returns the engines that the journal lists for the program's model
-// calls.
+// engines returns the engines that ran the program's model calls, as far as they
+// are in the journal.
 func (o *Owner) engines(program string) []string {
 	if d := o.Fold.Programs[program]; d != nil {
 		return slices.Clone(d.Engines)
--- a/internal/shard/owner/offload.go
+++ b/internal/shard/owner/offload.go
@@ -18,7 +18,8 @@
 // the program's records stay in order.
 //
 // In a shard that is being drained and in a closed program the outcome is
-// recorded at once, as it must precede the last records.
+// recorded at once, so that it precedes the handover or the program's Closed
+// record.
 func (o *Owner) offload(now time.Time, r *run, h hist.Call) bool {
 	if !o.offloadEnabled || o.draining || r.prog.closed != "" || r.prog.current != r || r.result.Ran == result.No {
 		return false
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -111,8 +111,8 @@
 	StoreReply struct{ Message chain.Message }
 
 	// SnapshotSaved reports that the snapshot up to journal entry Upto is in
-	// force. The snapshot leaves out ended families and lists them in an index;
-	// Gone maps the hash of each such family to the position of its index value.
+	// force. Gone maps the hash of each ended family that it moved to the
+	// snapshot's index to the position of the index value.
 	SnapshotSaved struct {
 		Upto uint64
 		Gone map[uint64]uint32
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	codeExpired = "expired"  // no call for the agent's idle limit
-	codeTooLong = "too_long" // open for longer than the agent's longest duration
+	codeExpired = "expired"  // no call for the agent's IdleLimit
+	codeTooLong = "too_long" // open for the agent's MaxDuration
 )
 
 type (
--- a/internal/shard/owner/tick.go
+++ b/internal/shard/owner/tick.go
@@ -10,8 +10,8 @@
 
 const (
 	// commitTimeout is how long a caller waits for an outcome to be committed.
-	// After it the caller gets CodeStoreDown and a time to retry; holding the
-	// reply longer would only keep the caller from trying elsewhere.
+	// After it the caller gets result.CodeStoreDown and a time to retry;
+	// holding the reply longer would only keep the caller from trying elsewhere.
 	commitTimeout = 10 * time.Second
 	// stallThreshold is how long a journal entry may wait for the store before
 	// the store counts as down.
@@ -119,8 +119,9 @@
 	}
 }
 
-// replyNotRecorded tells the callers of an ended call to repeat it, because its
-// outcome is not committed yet. The outcome counts only once it is committed.
+// replyNotRecorded tells the callers of a call to repeat it, because its outcome is
+// not committed yet. The call has ended, but its answer may be sent only after the
+// commit.
 func (o *Owner) replyNotRecorded(r *run) {
 	r.deadline = time.Time{}
 	res := result.Failed(result.CodeStoreDown, result.Yes, "the answer is not recorded yet; repeat the call to get it")
