--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -214,7 +214,7 @@
 		h.reply(e.Ticket, e.Result)
 	case owner.Offload:
 		h.Go(func() { h.keep(e) })
-	case owner.DiscardBlob:
+	case owner.ReleaseBlob:
 		h.unkeep(e.Blob)
 	case owner.ReplyFromJournal:
 		h.Go(func() { h.recall(e) })
--- a/internal/node/host/look.go
+++ b/internal/node/host/look.go
@@ -64,12 +64,12 @@
 		}
 		refs.Programs = g.Programs
 	}
-	hs, err := h.journal().Family(ctx, refs.Programs, refs.Pending)
+	hs, err := h.journal().Histories(ctx, refs.Programs, refs.Pending)
 	if err != nil {
 		return hist.History{}, unread(err)
 	}
 	for i := range hs {
-		hs[i].Calls = append(hs[i].Calls, refs.InFlight[hs[i].Program]...)
+		hs[i].Calls = append(hs[i].Calls, refs.Unrecorded[hs[i].Program]...)
 	}
 	p, ok := choose(hs)
 	if !ok || account != "" && p.Account != account {
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -314,7 +314,7 @@
 	now := time.Now()
 	held := owner.Lease{Until: s.lease.Until()}
 	if s.outage(now) {
-		held.Outage = now.Add(newsTime)
+		held.OutageUntil = now.Add(newsTime)
 	}
 	for _, w := range s.hosts {
 		if w.suspended {
--- a/internal/play/soak/drive.go
+++ b/internal/play/soak/drive.go
@@ -29,7 +29,7 @@
 		w.reply(e.Ticket, e.Request, e.Result)
 	case owner.Offload:
 		n.keep(own, e)
-	case owner.DiscardBlob:
+	case owner.ReleaseBlob:
 		n.unkeep(own, e.Blob)
 	case owner.ReplyFromJournal:
 		c, ok, err := histio.Reader{Store: w.st, Shard: 0, ReadText: w.text}.Call(context.Background(), e.Program, e.Number, e.Entries)
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -50,7 +50,7 @@
 	}
 	held := owner.Lease{Until: n.until()}
 	if !n.suspended && n.outage() {
-		held.Outage = n.w.now.Add(newsTime)
+		held.OutageUntil = n.w.now.Add(newsTime)
 	}
 	n.step(held)
 	n.step(owner.Tick{})
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -183,7 +183,7 @@
 	is.True(ok)
 	g, err := snapio.Find(ctx, st, 2, at, state.Hash("gone"))
 	is.NoErr(err)
-	hs, err := histio.Reader{Store: st, Shard: 2}.Family(ctx, g.Programs, nil)
+	hs, err := histio.Reader{Store: st, Shard: 2}.Histories(ctx, g.Programs, nil)
 	is.NoErr(err)
 	is.Equal(len(hs), 2)
 	is.Equal(hs[0].Program, "gone")
--- a/internal/shard/histio/histio.go
+++ b/internal/shard/histio/histio.go
@@ -39,7 +39,7 @@
 // Family reads the histories of the given programs, sorted by program id. The map
 // has each program's journal entries; pending holds further records that are newer
 // than all entries.
-func (p Reader) Family(ctx context.Context, programs map[string][]uint64, pending []record.Record) (hs []hist.History, err error) {
+func (p Reader) Histories(ctx context.Context, programs map[string][]uint64, pending []record.Record) (hs []hist.History, err error) {
 	defer func() { err = errors.Wrapf(err, "histio: read histories of shard %d", p.Shard) }()
 	var numbers []uint64
 	for _, ns := range programs {
--- a/internal/shard/owner/attempt.go
+++ b/internal/shard/owner/attempt.go
@@ -13,8 +13,8 @@
 const (
 	defaultMaxAttempts = 3
 	endedOK            = "ok"
-	endedUnsent        = "not sent: "
-	endedWithdrawn     = "cancelled"
+	unsentPrefix       = "not sent: "
+	endedCancelled     = "cancelled"
 )
 
 // requestPlacement asks placement for an upstream. Before Hold it only waits,
@@ -35,10 +35,10 @@
 		Blocks:     r.blocks,
 		MaxTokens:  r.max,
 		Priority:   p.priority,
-		Attained:   p.root.attained,
+		Attained:   p.root.attainedTokens,
 		Avoid:      slices.Clone(r.avoid),
 		Idempotent: o.idempotent(r),
-		Retry:      r.retries > 0,
+		Retry:      r.failedAttempts > 0,
 	}
 	if r.call.Kind == call.Service {
 		a.Service, a.Group = r.call.Service, o.cfg.Services[r.call.Service].Group
@@ -114,7 +114,7 @@
 // sent reports whether an attempt may have reached an upstream.
 func (r *run) sent() bool {
 	return slices.ContainsFunc(r.attempts, func(t hist.Try) bool {
-		return len(t.Ended) < len(endedUnsent) || t.Ended[:len(endedUnsent)] != endedUnsent
+		return len(t.Ended) < len(unsentPrefix) || t.Ended[:len(unsentPrefix)] != unsentPrefix
 	})
 }
 
@@ -159,9 +159,9 @@
 		case sched.Succeeded:
 			t.Ended = endedOK
 		case sched.Unsent:
-			t.Ended = endedUnsent + m.Reason
+			t.Ended = unsentPrefix + m.Reason
 		case sched.Withdrawn:
-			t.Ended = endedWithdrawn
+			t.Ended = endedCancelled
 		case sched.Failed:
 			t.Ended = m.Reason
 		}
@@ -208,8 +208,8 @@
 		return // a hedge is still under way
 	}
 	safe := m.Outcome == sched.Unsent || o.idempotent(r) && r.pieces == 0
-	r.retries++
-	if r.moved || !safe || r.retries >= o.maxAttempts(r) || len(r.tickets) == 0 && o.idempotent(r) {
+	r.failedAttempts++
+	if r.moved || !safe || r.failedAttempts >= o.maxAttempts(r) || len(r.tickets) == 0 && o.idempotent(r) {
 		o.finish(now, r, o.failure(r, m.Reason))
 		return
 	}
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -32,35 +32,35 @@
 
 	// run is one call from its acceptance until its outcome is committed.
 	run struct {
-		call          call.Call
-		prog          *program
-		phase         phase
-		digest        string
-		blocks        []engine.Block
-		shared        int   // leading messages in common with the program's newest answered model call
-		promptBound   int64 // upper bound of the prompt's tokens
-		max           int   // limit of generated tokens
-		hold          int64 // tokens held in the budget
-		cost          int64 // tokens charged for attempts that were sent
-		tickets       []Ticket
-		attempts      []hist.Try
-		inFlight      []string // upstreams with an attempt under way
-		avoid         []string // upstreams of attempts that failed or were not sent
-		retries       int
-		budgetBefore  int64
-		start         time.Time
-		deadline      time.Time // of the current phase; zero for none
-		noCallerSince time.Time // since when no caller waits; zero while one does
-		pieces        int
-		seq           uint64 // of the record that the phase waits for
-		target        string // of a moved call, whose body stayed with the former owner
-		requestText   string
-		requestSize   int
-		moved         bool // taken over with an attempt under way at the former owner's daemon
-		result        result.Result
-		final         bool
-		outcome       *hist.Call // while its texts are being stored in data folders
-		offload       uint64     // ID of the Offload that waitOffload waits for
+		call           call.Call
+		prog           *program
+		phase          phase
+		digest         string
+		blocks         []engine.Block
+		shared         int   // leading messages in common with the program's newest answered model call
+		promptBound    int64 // upper bound of the prompt's tokens
+		max            int   // limit of generated tokens
+		hold           int64 // tokens held in the budget
+		cost           int64 // tokens charged for attempts that were sent
+		tickets        []Ticket
+		attempts       []hist.Try
+		inFlight       []string // upstreams with an attempt under way
+		avoid          []string // upstreams of attempts that failed or were not sent
+		failedAttempts int
+		budgetBefore   int64
+		start          time.Time
+		deadline       time.Time // of the current phase; zero for none
+		noCallerSince  time.Time // since when no caller waits; zero while one does
+		pieces         int
+		seq            uint64 // of the record that the phase waits for
+		target         string // of a moved call, whose body stayed with the former owner
+		bodyText       string
+		bodySize       int
+		moved          bool // taken over with an attempt under way at the former owner's daemon
+		result         result.Result
+		final          bool
+		outcome        *hist.Call // while its texts are being stored in data folders
+		offload        uint64     // ID of the Offload that waitOffload waits for
 	}
 )
 
@@ -270,8 +270,8 @@
 		r.shared++
 	}
 	r.promptBound = int64(len(r.call.Body))
-	if n := len(p.prefix); n > 0 && r.shared == n && len(r.call.Body) >= p.size.Bytes {
-		r.promptBound = int64(p.size.Prompt + len(r.call.Body) - p.size.Bytes)
+	if n := len(p.prefix); n > 0 && r.shared == n && len(r.call.Body) >= p.promptSize.Bytes {
+		r.promptBound = int64(p.promptSize.Prompt + len(r.call.Body) - p.promptSize.Bytes)
 	}
 }
 
@@ -338,14 +338,14 @@
 
 // callRecord returns the call in the form in which the journal stores it.
 func (o *Owner) callRecord(r *run) hist.Call {
-	target, requestText, requestSize := r.call.Model, "", len(r.call.Body)
+	target, bodyText, bodySize := r.call.Model, "", len(r.call.Body)
 	if r.call.Kind == call.Service {
 		target = r.call.Service + r.call.Path
 	}
 	if r.moved {
-		target, requestText, requestSize = r.target, r.requestText, r.requestSize
+		target, bodyText, bodySize = r.target, r.bodyText, r.bodySize
 	} else {
-		requestText = recordedBody(r.call, r.shared)
+		bodyText = recordedBody(r.call, r.shared)
 	}
 	return hist.Call{
 		Request: r.call.Request,
@@ -353,9 +353,9 @@
 		Kind:    r.call.Kind,
 		Target:  target,
 		Digest:  r.digest,
-		Size:    requestSize,
+		Size:    bodySize,
 		Shared:  r.shared,
-		Asked:   requestText,
+		Asked:   bodyText,
 		Tries:   append([]hist.Try(nil), r.attempts...),
 		Result:  r.result,
 		Before:  r.budgetBefore,
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -26,7 +26,7 @@
 	r.final = res.OK() || !o.idempotent(r) && res.Ran != result.No
 	root := p.root
 	root.budget = root.budget.WithSettled(r.hold, r.cost)
-	root.attained += r.cost
+	root.attainedTokens += r.cost
 	h := o.callRecord(r)
 	h.End = now
 	if res.Ran == result.No {
@@ -94,7 +94,7 @@
 	for _, b := range r.blocks {
 		p.prefix = append(p.prefix, b.Hash)
 	}
-	p.size = state.Size{Prompt: res.Prompt, Output: res.Output, Bytes: len(r.call.Body)}
+	p.promptSize = state.Size{Prompt: res.Prompt, Output: res.Output, Bytes: len(r.call.Body)}
 }
 
 // startNext starts the program's next call if it is waiting already.
@@ -174,7 +174,7 @@
 		r.cost = r.hold // covers this attempt and the earlier ones
 		for i := range r.attempts {
 			if r.attempts[i].Ended == "" {
-				r.attempts[i].End, r.attempts[i].Ended = now, endedWithdrawn
+				r.attempts[i].End, r.attempts[i].Ended = now, endedCancelled
 			}
 		}
 		o.finish(now, r, result.Failed(code, r.ran(), "%s", why))
--- a/internal/shard/owner/handover.go
+++ b/internal/shard/owner/handover.go
@@ -38,7 +38,7 @@
 			o.recordInline(now, r)
 		case waitCommit:
 		case waitIntent, waitBudget, waitOrder, waitTakeover, waitPlacement:
-			o.rejectUnsent(now, r)
+			o.endWaiting(now, r)
 		}
 	}
 	o.releaseReservations()
@@ -67,7 +67,7 @@
 
 // rejectUnsent ends a call that has no attempt under way. An idempotent call
 // that was never sent leaves no record: its callers repeat it at the next owner.
-func (o *Owner) rejectUnsent(now time.Time, r *run) {
+func (o *Owner) endWaiting(now time.Time, r *run) {
 	if r.phase == waitIntent || r.sent() || !o.idempotent(r) {
 		o.abandon(now, r, result.CodeNotOwner, "the program is moving to another daemon")
 		return
@@ -104,7 +104,7 @@
 	r := &run{prog: p, phase: waitAttempt, digest: c.Digest, shared: c.Shared, hold: m.Hold, cost: m.Cost, attempts: c.Tries, moved: true}
 	r.call = call.Call{Request: c.Request, Account: p.open.Account, Program: p.id, Number: c.Number, Kind: c.Kind, Service: m.Service}
 	r.start, r.budgetBefore = c.Start, c.Before
-	r.target, r.requestText, r.requestSize = c.Target, c.Asked, c.Size
+	r.target, r.bodyText, r.bodySize = c.Target, c.Asked, c.Size
 	r.deadline = now.Add(attemptSilenceTimeout)
 	r.noCallerSince = now.Add(rejoinTimeout - noCallerTimeout)
 	for _, t := range c.Tries {
--- a/internal/shard/owner/handover_test.go
+++ b/internal/shard/owner/handover_test.go
@@ -85,13 +85,13 @@
 			request := d.sent[0].Request
 			d.noPlacement = true
 			d.open("r")
-			waits := d.call("q", 0, "receipt", "x")
-			queued := d.call("r", 0, "", "hello")
+			receiptCall := d.call("q", 0, "receipt", "x")
+			modelCall := d.call("r", 0, "", "hello")
 			d.step(owner.Drain{})
-			is.Equal(d.replies[queued].Code, result.CodeNotOwner)
-			is.Equal(d.replies[queued].Ran, result.No)
-			is.Equal(d.replies[waits].Code, result.CodeNotOwner)
-			is.Equal(d.replies[waits].Ran, result.No)
+			is.Equal(d.replies[modelCall].Code, result.CodeNotOwner)
+			is.Equal(d.replies[modelCall].Ran, result.No)
+			is.Equal(d.replies[receiptCall].Code, result.CodeNotOwner)
+			is.Equal(d.replies[receiptCall].Ran, result.No)
 			next := d.successor(is)
 			is.True(next.machine.HasAttempt(request))
 			joined := next.call("p", 0, tt.service, "hello")
@@ -188,7 +188,7 @@
 // A shard is handed over between two calls of a program, as when daemons start or are
 // replaced. The next owner placed none of the earlier calls, but must release the program's
 // memory at their engines; otherwise it would stay occupied until the next sweep.
-func TestMemoryIsReleasedAfterAHandover(t *testing.T) {
+func TestEngineMemoryIsReleasedAfterATakeover(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
 	d.open("p")
--- a/internal/shard/owner/offload.go
+++ b/internal/shard/owner/offload.go
@@ -50,8 +50,8 @@
 func (o *Owner) offloaded(now time.Time, m Offloaded) {
 	r := o.runs[m.Request]
 	if r == nil || r.phase != waitOffload || r.offload != m.ID {
-		o.discardBlob(m.Asked)
-		o.discardBlob(m.Answer)
+		o.releaseBlob(m.Asked)
+		o.releaseBlob(m.Answer)
 		return
 	}
 	h := *r.outcome
@@ -65,9 +65,9 @@
 	o.record(now, r, h)
 }
 
-func (o *Owner) discardBlob(b *hist.Blob) {
+func (o *Owner) releaseBlob(b *hist.Blob) {
 	if b != nil {
-		o.emit(DiscardBlob{Blob: *b})
+		o.emit(ReleaseBlob{Blob: *b})
 	}
 }
 
--- a/internal/shard/owner/offload_test.go
+++ b/internal/shard/owner/offload_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	inlineLimit   = 3               // bytes; a driver's answers are longer
-	offloadedCall = owner.Ticket(2) // the first call of newOffloadDriver
+	inlineLimit     = 3               // bytes; a driver's answers are longer
+	firstCallTicket = owner.Ticket(2) // the first call of newOffloadDriver
 )
 
 func usageOf(o sched.Outcome) engine.Usage {
@@ -31,8 +31,8 @@
 	switch e := e.(type) {
 	case owner.Offload:
 		d.offloads = append(d.offloads, e)
-	case owner.DiscardBlob:
-		d.discarded = append(d.discarded, e.Blob)
+	case owner.ReleaseBlob:
+		d.released = append(d.released, e.Blob)
 	case owner.ReplyFromJournal:
 		d.journalReplies = append(d.journalReplies, e)
 	}
@@ -84,11 +84,11 @@
 // call that runs too early, and a call that hangs.
 func TestOffload(t *testing.T) {
 	tests := map[string]struct {
-		then      func(is *is.I, d *driver)
-		asked     bool // is in the folders, not in the journal
-		answer    bool
-		code      result.Code // for the caller
-		discarded int
+		then     func(is *is.I, d *driver)
+		asked    bool // is in the folders, not in the journal
+		answer   bool
+		code     result.Code // for the caller
+		released int
 	}{
 		"kept": {func(_ *is.I, d *driver) {
 			d.completeOffload(true, true)
@@ -104,7 +104,7 @@
 		}, false, false, result.CodeOK, 0},
 		"folders hang": {func(is *is.I, d *driver) {
 			d.advance(owner.OffloadTimeout - 100*time.Millisecond)
-			_, finished := d.replies[offloadedCall]
+			_, finished := d.replies[firstCallTicket]
 			is.True(!finished)
 			d.advance(200 * time.Millisecond)
 		}, false, false, result.CodeOK, 0},
@@ -136,7 +136,7 @@
 			d.storeDown = true
 			d.completeOffload(true, true)
 			d.advance(9 * time.Second)
-			_, finished := d.replies[offloadedCall]
+			_, finished := d.replies[firstCallTicket]
 			is.True(!finished) // no reply before the outcome is committed
 			d.advance(2 * time.Second)
 			d.storeDown = false
@@ -148,7 +148,7 @@
 			is := is.New(t)
 			d := newOffloadDriver()
 			ticket := d.call("p", 0, "", "question")
-			is.Equal(ticket, offloadedCall)
+			is.Equal(ticket, firstCallTicket)
 			d.answer(sched.Succeeded)
 			d.call("p", 1, "receipt", "next")
 			is.Equal(len(d.offloads), 1)
@@ -158,7 +158,7 @@
 			is.Equal(len(d.sent), 1) // the next call waits
 			tt.then(is, d)
 			is.Equal(d.replies[ticket].Code, tt.code)
-			is.Equal(len(d.discarded), tt.discarded)
+			is.Equal(len(d.released), tt.released)
 			e := d.finished(is)[0].(record.Ended)
 			if e.Call.Number == 1 { // refused because the program was ended
 				e = d.finished(is)[1].(record.Ended)
@@ -213,7 +213,7 @@
 	d.answer(sched.Succeeded)
 	d.advance(time.Second)
 	d.completeOffload(true, true)
-	is.Equal(len(d.discarded), 0)
+	is.Equal(len(d.released), 0)
 	is.True(d.finished(is)[0].(record.Ended).Call.AnswerIn != nil)
 }
 
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -34,7 +34,7 @@
 	placementMessages []sched.Message
 	ticket            owner.Ticket
 	offloads          []owner.Offload
-	discarded         []hist.Blob
+	released          []hist.Blob
 	journalReplies    []owner.ReplyFromJournal
 }
 
@@ -131,12 +131,12 @@
 func TestStoreOutage(t *testing.T) {
 	long := fmt.Sprintf("%0400d", 1) // costs more than the block reserved in advance
 	tests := map[string]struct {
-		ask    func(d *driver) owner.Ticket
-		sent   bool
-		code   result.Code // within 2 s of the request; empty for no reply yet
-		ran    result.Ran
-		later  result.Code // 15 s after the request
-		healed result.Code // of a repeat when the store answers again
+		ask         func(d *driver) owner.Ticket
+		sent        bool
+		code        result.Code // within 2 s of the request; empty for no reply yet
+		ran         result.Ran
+		later       result.Code // 15 s after the request
+		afterOutage result.Code // of a repeat when the store answers again
 	}{
 		"model call within what is reserved": {
 			func(d *driver) owner.Ticket { return d.call("p", 0, "", "hello") },
@@ -189,7 +189,7 @@
 				is.True(!tt.sent) // a call that ran before does not run again
 				d.answer(sched.Succeeded)
 			}
-			is.Equal(d.replies[again].Code, tt.healed)
+			is.Equal(d.replies[again].Code, tt.afterOutage)
 		})
 	}
 }
@@ -207,12 +207,12 @@
 	}
 	refs, ok := d.machine.Refs(state.Hash("p"))
 	is.True(ok)
-	hs, err := histio.Reader{}.Family(t.Context(), nil, append(d.records(is), refs.Pending...))
+	hs, err := histio.Reader{}.Histories(t.Context(), nil, append(d.records(is), refs.Pending...))
 	is.NoErr(err)
 	is.Equal(len(hs[0].Calls), 1)
 	is.Equal(len(hs[0].Calls[0].Tries), 3)
 	is.Equal(hs[0].Calls[0].Result.Ran, result.No)
-	is.Equal(len(refs.InFlight["p"]), 0)
+	is.Equal(len(refs.Unrecorded["p"]), 0)
 }
 
 // The store stops answering while an intent is being written. The caller learns
@@ -246,8 +246,8 @@
 	}{
 		"held":                 {func(now time.Time) owner.Lease { return owner.Lease{Until: now.Add(time.Second)} }, true},
 		"over":                 {func(now time.Time) owner.Lease { return owner.Lease{Until: now} }, false},
-		"over, outage for all": {func(now time.Time) owner.Lease { return owner.Lease{Until: now, Outage: now.Add(time.Second)} }, true},
-		"over, old news":       {func(now time.Time) owner.Lease { return owner.Lease{Until: now, Outage: now} }, false},
+		"over, outage for all": {func(now time.Time) owner.Lease { return owner.Lease{Until: now, OutageUntil: now.Add(time.Second)} }, true},
+		"over, old news":       {func(now time.Time) owner.Lease { return owner.Lease{Until: now, OutageUntil: now} }, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -47,8 +47,8 @@
 	// daemon can reach the store, so that none can take over the shard even
 	// after Until.
 	Lease struct {
-		Until  time.Time
-		Outage time.Time
+		Until       time.Time
+		OutageUntil time.Time
 	}
 
 	// Open requests that a program be opened.
@@ -187,7 +187,7 @@
 
 	// DiscardBlob releases a text that was stored too late for the journal to
 	// refer to it.
-	DiscardBlob struct{ Blob hist.Blob }
+	ReleaseBlob struct{ Blob hist.Blob }
 
 	// ReplyFromJournal answers a waiting caller with an outcome that is no longer
 	// in memory. It is in one of the given journal entries.
@@ -284,7 +284,7 @@
 func (Subscribe) effect()        {}
 func (Reply) effect()            {}
 func (Offload) effect()          {}
-func (DiscardBlob) effect()      {}
+func (ReleaseBlob) effect()      {}
 func (ReplyFromJournal) effect() {}
 func (Log) effect()              {}
 func (SnapshotAllowed) effect()  {}
@@ -357,7 +357,7 @@
 // over the shard. Outage is short-lived, as a process that was paused would
 // otherwise act on stale information.
 func (o *Owner) MayDispatch(now time.Time) bool {
-	return now.Before(o.lease.Until) || now.Before(o.lease.Outage)
+	return now.Before(o.lease.Until) || now.Before(o.lease.OutageUntil)
 }
 
 func (o *Owner) init(now time.Time) {
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -24,24 +24,24 @@
 	// program is the volatile state of a program. Its durable state is in
 	// Owner.Fold.
 	program struct {
-		id         string
-		open       call.Open
-		priority   int
-		root       *program
-		family     []*program    // root only: the root and all its sub-agents
-		budget     budget.Budget // root only
-		attained   int64         // root only: tokens served in this and earlier epochs
-		order      order.Order
-		turns      int
-		opened     time.Time
-		lastActive time.Time
-		openSeq    uint64
-		early      map[int]*run // calls that wait for their predecessors, by number
-		current    *run
-		last       *run     // newest call that ended, until its outcome is committed
-		prefix     []uint64 // hashes of the newest answered prompt's blocks
-		size       state.Size
-		closed     string // code; empty while open
+		id             string
+		open           call.Open
+		priority       int
+		root           *program
+		family         []*program    // root only: the root and all its sub-agents
+		budget         budget.Budget // root only
+		attainedTokens int64         // root only: tokens served in this and earlier epochs
+		order          order.Order
+		turns          int
+		opened         time.Time
+		lastActive     time.Time
+		openSeq        uint64
+		early          map[int]*run // calls that wait for their predecessors, by number
+		current        *run
+		last           *run     // newest call that ended, until its outcome is committed
+		prefix         []uint64 // hashes of the newest answered prompt's blocks
+		promptSize     state.Size
+		closed         string // code; empty while open
 	}
 
 	// usage counts an account's open programs in this shard.
@@ -64,11 +64,11 @@
 
 func (o *Owner) restoreProgram(now time.Time, d *state.Program) {
 	p := o.addProgram(d.Open, d.Priority, d.Opened)
-	p.lastActive, p.turns, p.closed, p.size = d.Active, d.Turns, d.Closed, d.Tokens
+	p.lastActive, p.turns, p.closed, p.promptSize = d.Active, d.Turns, d.Closed, d.Tokens
 	p.order = order.Order{Next: d.Next}
 	if p.root == p {
 		p.budget = budget.Budget{Limit: d.Budget, Reserved: d.Reserved, Spent: d.Spent}.Recovered()
-		p.attained = d.Spent
+		p.attainedTokens = d.Spent
 	}
 	if p.closed != "" {
 		o.accounts[p.open.Account].open--
--- a/internal/shard/owner/refs.go
+++ b/internal/shard/owner/refs.go
@@ -15,17 +15,17 @@
 	// committed yet, because a caller may ask for its history directly after a
 	// refusal. InFlight has the calls under way without a record, by program id.
 	Refs struct {
-		Programs map[string][]uint64
-		Pending  []record.Record
-		InFlight map[string][]hist.Call
-		IndexPos uint32
+		Programs   map[string][]uint64
+		Pending    []record.Record
+		Unrecorded map[string][]hist.Call
+		IndexPos   uint32
 	}
 )
 
 // Refs locates the records of the family whose root has the given hash; false if
 // there is no such family.
 func (o *Owner) Refs(hash uint64) (Refs, bool) {
-	r := Refs{Programs: map[string][]uint64{}, InFlight: map[string][]hist.Call{}}
+	r := Refs{Programs: map[string][]uint64{}, Unrecorded: map[string][]hist.Call{}}
 	for id, d := range o.Fold.Programs {
 		if state.Hash(id) == hash {
 			r.Programs[id] = append([]uint64(nil), d.Entries...)
@@ -44,7 +44,7 @@
 		if state.Hash(run.prog.id) == hash && run.phase != waitCommit && !o.hasIntent(run) {
 			h := o.callRecord(run)
 			h.Result = result.Result{} // in waitOffload it is set but not recorded yet
-			r.InFlight[run.prog.id] = append(r.InFlight[run.prog.id], h)
+			r.Unrecorded[run.prog.id] = append(r.Unrecorded[run.prog.id], h)
 		}
 	}
 	return r, true
--- a/internal/shard/snapio/snapio.go
+++ b/internal/shard/snapio/snapio.go
@@ -26,7 +26,7 @@
 const (
 	// MaxPart is the approximate maximum size of one value of a snapshot, in
 	// bytes before compression. Values are filled by estimated sizes.
-	MaxPart = 700 << 10
+	MaxValueSize = 700 << 10
 
 	// Generous estimates of encoded sizes, by which programs and families are
 	// distributed over values.
@@ -81,14 +81,14 @@
 // between entry f.Upto and the next. It returns the position of the index value of
 // each family that this snapshot moved to the index, by the family's hash. A
 // *store.ConflictError means that another owner has written a head.
-func (s *Snap) Save(ctx context.Context, f state.Fold) (at map[uint64]uint32, err error) {
+func (s *Snap) Save(ctx context.Context, f state.Fold) (positions map[uint64]uint32, err error) {
 	defer func() { err = errors.Wrapf(err, "snapio: save snapshot of shard %d at entry %d", s.Shard, f.Upto) }()
 	live, gone := splitEnded(f)
 	h := Head{Upto: f.Upto, Epoch: f.Epoch, Owner: f.Owner}
 	if h.Parts, err = s.writeParts(ctx, f.Upto, live); err != nil {
 		return nil, err
 	}
-	if h.Index, at, err = s.writeIndex(ctx, f.Upto, gone); err != nil {
+	if h.Index, positions, err = s.writeIndex(ctx, f.Upto, gone); err != nil {
 		return nil, err
 	}
 	if h.Texts, err = s.writeTexts(ctx, f); err != nil {
@@ -99,7 +99,7 @@
 	}
 	s.rewriteTexts = false
 	s.deleteObsolete(ctx)
-	return at, nil
+	return positions, nil
 }
 
 // splitEnded separates the families of which all programs have ended from the
@@ -148,7 +148,7 @@
 	for len(ids) > 0 {
 		p := part{Programs: map[string]*state.Program{}}
 		size := 0
-		for len(ids) > 0 && size < MaxPart {
+		for len(ids) > 0 && size < MaxValueSize {
 			q := *live[ids[0]]
 			if len(q.Last.Result.Body) > 0 {
 				// The journal has the answer.
@@ -169,11 +169,11 @@
 
 // writeIndex adds the families to the newest index value, and starts another one
 // when that is full.
-func (s *Snap) writeIndex(ctx context.Context, upto uint64, gone []Gone) (keys []string, at map[uint64]uint32, err error) {
+func (s *Snap) writeIndex(ctx context.Context, upto uint64, gone []Gone) (keys []string, positions map[uint64]uint32, err error) {
 	keys = slices.Clone(s.Head.Index)
-	at = map[uint64]uint32{}
+	positions = map[uint64]uint32{}
 	if len(gone) == 0 {
-		return keys, at, nil
+		return keys, positions, nil
 	}
 	var ix index
 	if n := len(keys); n > 0 {
@@ -187,8 +187,8 @@
 		size += g.size()
 	}
 	for len(gone) > 0 {
-		for len(gone) > 0 && size < MaxPart {
-			at[gone[0].Hash] = uint32(len(keys))
+		for len(gone) > 0 && size < MaxValueSize {
+			positions[gone[0].Hash] = uint32(len(keys))
 			ix.Gone = append(ix.Gone, gone[0])
 			size += gone[0].size()
 			gone = gone[1:]
@@ -200,7 +200,7 @@
 		keys = append(keys, key)
 		ix, size = index{}, 0
 	}
-	return keys, at, nil
+	return keys, positions, nil
 }
 
 func (g Gone) size() int {
@@ -261,9 +261,9 @@
 	if err != nil {
 		return err
 	}
-	named := slices.Concat(h.Parts, h.Index, h.Texts)
+	listed := slices.Concat(h.Parts, h.Index, h.Texts)
 	for _, k := range slices.Concat(s.Head.Parts, s.Head.Index, s.Head.Texts) {
-		if !slices.Contains(named, k) {
+		if !slices.Contains(listed, k) {
 			s.obsolete = append(s.obsolete, k)
 		}
 	}
@@ -333,18 +333,18 @@
 // Find reads the ended family with the given hash from the index value at position
 // at. It reads the head first, because a snapshot may have replaced the value since
 // the position was returned. Without such a family it returns store.ErrNotFound.
-func Find(ctx context.Context, st store.Store, shard int, at uint32, hash uint64) (g Gone, err error) {
+func Find(ctx context.Context, st store.Store, shard int, position uint32, hash uint64) (g Gone, err error) {
 	defer func() { err = errors.Wrapf(err, "snapio: find ended family in shard %d", shard) }()
 	s := Snap{Store: st, Shard: shard}
 	var h Head
 	if err = s.read(ctx, HeadKey(shard), &h); err != nil {
 		return g, err
 	}
-	if int(at) >= len(h.Index) {
+	if int(position) >= len(h.Index) {
 		return g, store.ErrNotFound
 	}
 	var ix index
-	if err = s.read(ctx, h.Index[at], &ix); err != nil {
+	if err = s.read(ctx, h.Index[position], &ix); err != nil {
 		return g, err
 	}
 	for _, g := range ix.Gone {
--- a/internal/shard/snapio/texts.go
+++ b/internal/shard/snapio/texts.go
@@ -13,13 +13,13 @@
 	bytesPerText = 160
 	// maxOutdatedTexts is the number of outdated entries that the list of texts
 	// may have beyond the number of texts before it is written anew.
-	maxOutdatedTexts = 1000
+	outdatedMargin = 1000
 )
 
 type (
 	// texts is one value of the list of texts in data folders. A later entry of
 	// the list replaces an earlier one for the same text.
-	texts struct {
+	textLocations struct {
 		Texts []hist.Blob `json:"texts"`
 	}
 )
@@ -35,7 +35,7 @@
 	if len(f.Texts) == 0 {
 		return keys, nil
 	}
-	var ts texts
+	var ts textLocations
 	if n := len(keys); n > 0 {
 		if err := s.read(ctx, keys[n-1], &ts); err != nil {
 			return nil, err
@@ -43,10 +43,10 @@
 		keys = keys[:n-1]
 	}
 	remaining := slices.Concat(ts.Texts, sortedByDigest(f.Texts))
-	const textsPerValue = MaxPart / bytesPerText
+	const textsPerValue = MaxValueSize / bytesPerText
 	for len(remaining) > 0 {
 		n := min(textsPerValue, len(remaining))
-		key, err := s.write(ctx, "texts", f.Upto, len(keys), texts{Texts: remaining[:n]})
+		key, err := s.write(ctx, "texts", f.Upto, len(keys), textLocations{Texts: remaining[:n]})
 		if err != nil {
 			return nil, err
 		}
@@ -74,7 +74,7 @@
 func (s *Snap) loadTexts(ctx context.Context, f *state.Fold) error {
 	entries := 0
 	for _, key := range s.Head.Texts {
-		var ts texts
+		var ts textLocations
 		if err := s.read(ctx, key, &ts); err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 			f.Older[b.Digest] = b
 		}
 	}
-	s.rewriteTexts = entries > 2*len(f.Older)+maxOutdatedTexts
+	s.rewriteTexts = entries > 2*len(f.Older)+outdatedMargin
 	if !s.rewriteTexts {
 		return nil
 	}
