--- a/internal/shard/histio/histio.go
+++ b/internal/shard/histio/histio.go
@@ -36,9 +36,9 @@
 
 var errNoDataFolder = errors.New("no data folder is known")
 
-// Family reads the histories of the given programs, sorted by program id. The map
-// has each program's journal entries; pending holds further records that are newer
-// than all entries.
+// Histories reads the histories of the programs in the map and of those opened in
+// pending, sorted by program id. The map has each program's journal entries; pending
+// holds further records, which are newer than all entries.
 func (p Reader) Histories(ctx context.Context, programs map[string][]uint64, pending []record.Record) (hs []hist.History, err error) {
 	defer func() { err = errors.Wrapf(err, "histio: read histories of shard %d", p.Shard) }()
 	var numbers []uint64
--- a/internal/shard/lease/lease.go
+++ b/internal/shard/lease/lease.go
@@ -51,8 +51,8 @@
 		Err    error
 	}
 
-	// Forget discards the lease without a request to the store. Send it when no
-	// key is attached to the lease any more.
+	// Forget discards the lease without revoking it in the store. The next Tick
+	// requests a new one. Send Forget when no key is attached to the lease.
 	Forget struct{}
 
 	// Tick advances time.
--- a/internal/shard/owner/attempt.go
+++ b/internal/shard/owner/attempt.go
@@ -170,10 +170,11 @@
 	return true
 }
 
-// charge adds what a failed attempt may have cost: its usage if the engine
-// reported it, otherwise all that the call holds. An engine that breaks off does
-// not report what it generated; charging nothing would let a program exceed its
-// budget when engines fail often.
+// charge raises the call's cost by an attempt that ended without an answer: by its
+// usage if the engine reported it. Otherwise the cost becomes all that the call
+// holds, as an engine that breaks off does not report what it generated; charging
+// nothing would let a program exceed its budget when engines fail often. An attempt
+// that was not sent costs nothing.
 func (r *run) charge(m AttemptEnded) {
 	switch {
 	case m.Outcome == sched.Unsent:
@@ -200,9 +201,11 @@
 	})
 }
 
-// retry makes a further attempt if that is safe: the last one was not sent, or
-// the call is idempotent and no caller has received a part of an answer that a
-// second attempt could contradict.
+// retry asks for a further attempt after a failed one, or finishes the call if none
+// is allowed: for a moved call, after maxAttempts, for an idempotent call without a
+// caller, if the budget is used up, or if an attempt is not safe. It is safe if the
+// last one was not sent, or if the call is idempotent and no caller has received a
+// part of an answer that a second attempt could contradict.
 func (o *Owner) retry(now time.Time, r *run, m AttemptEnded) {
 	if len(r.inFlight) > 0 {
 		return // a hedge is still under way
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	waitOrder     phase = iota // for the preceding calls to end
+	waitOrder     phase = iota // for the preceding calls to end; also once begun, before any other wait
 	waitBudget                 // for a reservation to be committed
 	waitIntent                 // for its intent to be committed
 	waitTakeover               // until a former owner can no longer dispatch
@@ -30,18 +30,19 @@
 type (
 	phase int
 
-	// run is one call from its acceptance until its outcome is committed.
+	// run is one call from its acceptance until its outcome is committed, or
+	// until it is replied to if the call did not run.
 	run struct {
 		call           call.Call
 		prog           *program
 		phase          phase
 		digest         string
-		blocks         []engine.Block
-		shared         int   // leading messages in common with the program's newest answered model call
-		promptBound    int64 // upper bound of the prompt's tokens
-		max            int   // limit of generated tokens
-		hold           int64 // tokens held in the budget
-		cost           int64 // tokens charged for attempts that were sent
+		blocks         []engine.Block // one for each message of the prompt
+		shared         int            // leading messages in common with the program's newest answered model call
+		promptBound    int64          // upper bound of the prompt's tokens
+		max            int            // limit of generated tokens
+		hold           int64          // tokens held in the budget
+		cost           int64          // tokens charged for attempts that were sent
 		tickets        []Ticket
 		attempts       []hist.Try
 		inFlight       []string // upstreams with an attempt under way
@@ -50,13 +51,13 @@
 		budgetBefore   int64
 		start          time.Time
 		deadline       time.Time // of the current phase; zero for none
-		noCallerSince  time.Time // since when no caller waits; zero while one does
+		noCallerSince  time.Time // start of noCallerTimeout; zero if it does not run
 		pieces         int
 		seq            uint64 // of the record that the phase waits for
-		target         string // of a moved call, whose body stayed with the former owner
-		bodyText       string
-		bodySize       int
-		moved          bool // taken over with an attempt under way at the former owner's daemon
+		target         string // of a moved call, as recorded
+		bodyText       string // of a moved call, as recorded; its body is not in memory
+		bodySize       int    // of a moved call, in bytes
+		moved          bool   // taken over with an attempt under way at the former owner's daemon
 		result         result.Result
 		final          bool
 		outcome        *hist.Call // while its texts are being stored in data folders
@@ -102,9 +103,9 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// join makes a repeat wait for the call under way. Its caller may have lost the
-// first connection; running the call for the second one as well would cost
-// double or repeat its side effects.
+// join makes a repeat wait for the outcome of the call that was accepted already.
+// The caller may have lost its first connection; running the call for the second
+// one as well would cost double or repeat its side effects.
 func (o *Owner) join(m Call, r *run, digest string) {
 	switch {
 	case r.digest != digest:
@@ -261,8 +262,8 @@
 // answered model call, and bounds the prompt's tokens. If the prompt extends
 // that call's, the bound is the engine's count of the earlier prompt plus one
 // token for each further byte; otherwise it is one token for each byte. An
-// estimate from the usual number of bytes per token would let a text that
-// encodes badly exceed the budget.
+// estimate from the usual number of bytes per token would let a text that has
+// fewer bytes per token exceed the budget.
 func (o *Owner) measurePrompt(r *run) {
 	p := r.prog
 	r.blocks = engine.Blocks(r.call.Body)
@@ -305,9 +306,9 @@
 	return result.Result{}
 }
 
-// requestReservation adds a record that reserves n more tokens and a spare
-// block, unless an earlier one covers them. It returns the sequence number up
-// to which the journal must be committed.
+// requestReservation adds a record that reserves n more tokens and a budget block
+// in advance, unless an earlier one covers them. It returns the sequence number
+// up to which the journal must be committed.
 func (o *Owner) requestReservation(root *program, n int64) uint64 {
 	total, more := root.budget.Ahead(n, o.budgetBlock())
 	if more {
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -162,8 +162,9 @@
 
 func (o *Owner) refuse(now time.Time, r *run, res result.Result) { o.finish(now, r, res) }
 
-// abandon ends a call under way. A non-idempotent call whose attempt is under
-// way continues, because its outcome must be recorded.
+// abandon ends a call that has no outcome yet; one that waits in waitOffload is
+// recorded with its outcome. A non-idempotent call whose attempt is under way
+// continues, because its outcome must be recorded.
 func (o *Owner) abandon(now time.Time, r *run, code result.Code, why string) {
 	switch r.phase {
 	case waitAttempt:
@@ -182,6 +183,7 @@
 	case waitPlacement:
 		o.emit(Place{Message: sched.Withdraw{ID: r.call.Request}})
 	case waitIntent, waitBudget:
+		// An intent that no write to the store carries yet is taken back.
 		if r.phase == waitIntent && o.Chain.Drop(r.seq) {
 			o.queue = slices.DeleteFunc(o.queue, func(p pending) bool { return p.seq == r.seq })
 		}
@@ -296,7 +298,7 @@
 func (o *Owner) proceed(now time.Time, r *run) {
 	switch r.phase {
 	case waitBudget:
-		r.phase = waitOrder
+		r.phase = waitOrder // begun, and waits for nothing else yet
 		o.startReserved(now, r)
 	case waitIntent:
 		o.requestPlacement(now, r)
--- a/internal/shard/owner/handover.go
+++ b/internal/shard/owner/handover.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// sortedRuns returns all runs, ordered by request id so that a replay handles
-// them in the same order.
+// sortedRuns returns all runs, ordered by request id so that the same messages
+// always give the same effects.
 func (o *Owner) sortedRuns() []*run {
 	rs := make([]*run, 0, len(o.runs))
 	for _, r := range o.runs {
@@ -61,12 +61,12 @@
 // compareRequests orders runs by request id.
 func compareRequests(a, b *run) int { return cmp.Compare(a.call.Request, b.call.Request) }
 
-// programIDs returns the ids of all programs, sorted so that a replay writes the
-// same journal.
+// programIDs returns the ids of all programs, sorted so that the same messages
+// always give the same journal.
 func (o *Owner) programIDs() []string { return slices.Sorted(maps.Keys(o.progs)) }
 
-// rejectUnsent ends a call that has no attempt under way. An idempotent call
-// that was never sent leaves no record: its callers repeat it at the next owner.
+// endWaiting ends a call that has no attempt under way. An idempotent call of which
+// no attempt was sent leaves no record: its callers repeat it at the next owner.
 func (o *Owner) endWaiting(now time.Time, r *run) {
 	if r.phase == waitIntent || r.sent() || !o.idempotent(r) {
 		o.abandon(now, r, result.CodeNotOwner, "the program is moving to another daemon")
@@ -106,7 +106,7 @@
 	r.start, r.budgetBefore = c.Start, c.Before
 	r.target, r.bodyText, r.bodySize = c.Target, c.Asked, c.Size
 	r.deadline = now.Add(attemptSilenceTimeout)
-	r.noCallerSince = now.Add(rejoinTimeout - noCallerTimeout)
+	r.noCallerSince = now.Add(rejoinTimeout - noCallerTimeout) // expires after rejoinTimeout
 	for _, t := range c.Tries {
 		if t.Ended == "" {
 			r.inFlight = append(r.inFlight, t.Upstream)
--- a/internal/shard/owner/handover_test.go
+++ b/internal/shard/owner/handover_test.go
@@ -45,8 +45,7 @@
 }
 
 // A daemon hands its shard over while an attempt is under way and other calls
-// wait. Guards against a call that is cut, runs twice or gets no reply, and against
-// tokens that stay reserved without being spent.
+// wait. Guards against a call that is interrupted, runs twice or gets no reply.
 func TestHandover(t *testing.T) {
 	tests := map[string]struct {
 		service string
@@ -107,8 +106,9 @@
 	}
 }
 
-// A clean handover loses no budget. After a crash the reserved block counts as
-// spent, because the former owner may have spent it.
+// A clean handover loses no budget: reserved tokens that were not spent can be spent
+// at the next owner. After a crash the reserved block counts as spent, because the
+// former owner may have spent it.
 func TestBudgetAfterTakeover(t *testing.T) {
 	tests := map[string]struct {
 		clean bool
@@ -185,9 +185,10 @@
 	is.Equal(len(d.sent), 1)
 }
 
-// A shard is handed over between two calls of a program, as when daemons start or are
-// replaced. The next owner placed none of the earlier calls, but must release the program's
-// memory at their engines; otherwise it would stay occupied until the next sweep.
+// The owner of a shard changes between two calls of a program, as when daemons start or are
+// replaced. The next owner placed none of the earlier calls, but must tell placement which
+// engines ran them when the program ends. Otherwise the engines would hold the program's memory
+// until placement's next sweep for ended programs.
 func TestEngineMemoryIsReleasedAfterATakeover(t *testing.T) {
 	is := is.New(t)
 	d := newDriver()
--- a/internal/shard/owner/offload.go
+++ b/internal/shard/owner/offload.go
@@ -45,8 +45,8 @@
 }
 
 // offloaded records an outcome with the locations of its texts; a text without
-// one goes into the journal. Blobs that arrive too late are discarded: the
-// journal has the texts by then, and unreferenced blobs would never be deleted.
+// one goes into the journal. Blobs that arrive too late are released: the journal
+// has the texts by then, and blobs that it does not refer to would never be deleted.
 func (o *Owner) offloaded(now time.Time, m Offloaded) {
 	r := o.runs[m.Request]
 	if r == nil || r.phase != waitOffload || r.offload != m.ID {
--- a/internal/shard/owner/offload_test.go
+++ b/internal/shard/owner/offload_test.go
@@ -17,7 +17,7 @@
 
 const (
 	inlineLimit     = 3               // bytes; a driver's answers are longer
-	firstCallTicket = owner.Ticket(2) // the first call of newOffloadDriver
+	firstCallTicket = owner.Ticket(2) // of the first call; ticket 1 opened p
 )
 
 func usageOf(o sched.Outcome) engine.Usage {
@@ -80,8 +80,8 @@
 
 // A call ends with a long answer, and storing its texts in data folders is fast,
 // slow or never completes, while the shard is handed over, the program is ended or
-// the store is down. Guards against an answer that is lost or sent twice, a next
-// call that runs too early, and a call that hangs.
+// the store is down. Guards against an answer that is lost, a next call that runs
+// too early, and a call that hangs.
 func TestOffload(t *testing.T) {
 	tests := map[string]struct {
 		then     func(is *is.I, d *driver)
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -166,7 +166,7 @@
 			d.open("p")
 			d.open("other")
 			d.storeDown = true
-			d.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "other"}}) // leaves a journal entry that waits for the store
+			d.step(owner.End{Ticket: 99, End: call.End{Account: "x", Program: "other"}}) // a write that waits
 			d.advance(3 * time.Second)
 			ticket := tt.ask(d)
 			is.Equal(len(d.sent) > 0, tt.sent)
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -11,9 +11,11 @@
 //
 //   - A non-idempotent call is dispatched only after its intent is committed. An
 //     owner that recovers an intent without an outcome ends the call with
-//     result.CodeUnknown and never dispatches it.
+//     result.CodeUnknown and never dispatches it, unless the former owner has
+//     handed the call over with its attempt under way.
 //   - A model call waits only for a reservation that covers its maximum cost,
 //     which is usually committed in advance.
+//   - An idempotent service call waits for nothing.
 //   - An outcome is sent to the caller only after it is committed, unless the
 //     call is known not to have run.
 package owner
@@ -43,8 +45,8 @@
 	Configure struct{ File file.File }
 
 	// Lease replaces the times up to which the owner may dispatch. Before Until
-	// no other daemon can own the shard. Before Outage it is certain that no
-	// daemon can reach the store, so that none can take over the shard even
+	// no other daemon can own the shard. Before OutageUntil it is certain that
+	// no daemon can reach the store, so that none can take over the shard even
 	// after Until.
 	Lease struct {
 		Until       time.Time
@@ -110,9 +112,9 @@
 	// StoreReply is the store's reply to a StoreRequest.
 	StoreReply struct{ Message chain.Message }
 
-	// SnapshotSaved reports that the snapshot up to journal entry Upto is in
-	// force. Gone maps the hash of each ended family that it moved to the
-	// snapshot's index to the position of the index value.
+	// SnapshotSaved reports that the snapshot up to journal entry Upto is the
+	// current one. Gone maps the hash of each ended family that it moved to the
+	// index to the position of the index value.
 	SnapshotSaved struct {
 		Upto uint64
 		Gone map[uint64]uint32
@@ -156,9 +158,9 @@
 		Address   string
 		Priority  int
 		MaxTokens int
-		Fence     uint64
+		Fence     uint64 // fencing token: the owner's epoch
 		Timeout   time.Duration
-		Try       int
+		Try       int // number of the attempt, 1 for the first
 	}
 
 	// CancelAttempt cancels the attempt under way at the upstream.
@@ -185,8 +187,8 @@
 		Asked, Answer []byte
 	}
 
-	// DiscardBlob releases a text that was stored too late for the journal to
-	// refer to it.
+	// ReleaseBlob ends the reference to a stored text that the journal does not
+	// refer to, because it was stored too late.
 	ReleaseBlob struct{ Blob hist.Blob }
 
 	// ReplyFromJournal answers a waiting caller with an outcome that is no longer
@@ -219,8 +221,8 @@
 )
 
 type (
-	// Owner is the state machine. Create it from a takeover, with Fold and Chain
-	// set.
+	// Owner is the state machine. Set Fold, Chain and Hold from the takeover
+	// before the first Step.
 	Owner struct {
 		Fold  state.Fold  // as loaded at the takeover; updated with every commit
 		Chain chain.Chain // ready to write the entry after Fold.Upto
@@ -354,8 +356,8 @@
 // has expired can't know whether another daemon owns the shard; dispatching
 // could then make two owners run one program's calls at once. It may continue
 // only while no daemon can reach the store, because then none can have taken
-// over the shard. Outage is short-lived, as a process that was paused would
-// otherwise act on stale information.
+// over the shard. OutageUntil is never far ahead of the last check of that, because
+// a process that was paused would otherwise act on an old check.
 func (o *Owner) MayDispatch(now time.Time) bool {
 	return now.Before(o.lease.Until) || now.Before(o.lease.OutageUntil)
 }
--- a/internal/shard/owner/program.go
+++ b/internal/shard/owner/program.go
@@ -30,7 +30,7 @@
 		root           *program
 		family         []*program    // root only: the root and all its sub-agents
 		budget         budget.Budget // root only
-		attainedTokens int64         // root only: tokens served in this and earlier epochs
+		attainedTokens int64         // root only: tokens charged in this and earlier epochs
 		order          order.Order
 		turns          int
 		opened         time.Time
@@ -38,19 +38,20 @@
 		openSeq        uint64
 		early          map[int]*run // calls that wait for their predecessors, by number
 		current        *run
-		last           *run     // newest call that ended, until its outcome is committed
-		prefix         []uint64 // hashes of the newest answered prompt's blocks
-		promptSize     state.Size
-		closed         string // code; empty while open
+		last           *run       // newest call that ended; cleared at its commit, unless it did not run
+		prefix         []uint64   // prefix hashes of the newest answered prompt's messages
+		promptSize     state.Size // tokens and bytes of the newest answered model call
+		closed         string     // code; empty while open
 	}
 
 	// usage counts an account's open programs in this shard.
 	usage struct{ open int }
 )
 
-// restore builds the volatile state from the journal. Reserved tokens count as
-// spent, and a call whose intent has no outcome ends as unknown: the former owner
-// may have dispatched it, so running it again could run it twice.
+// restore builds the volatile state from Fold. Reserved tokens count as spent, and
+// a call whose intent has no outcome ends as unknown, unless the former owner
+// handed it over: it may have been dispatched already, and a second run could
+// repeat its side effects.
 func (o *Owner) restore(now time.Time) {
 	ids := make([]string, 0, len(o.Fold.Programs))
 	for id := range o.Fold.Programs {
--- a/internal/shard/owner/refs.go
+++ b/internal/shard/owner/refs.go
@@ -12,8 +12,9 @@
 	// Programs maps each program's id to its journal entries; it is nil if the
 	// family has ended and is no longer in memory, and then the snapshot's index
 	// value at IndexPos has the entries. Pending holds the records that are not
-	// committed yet, because a caller may ask for its history directly after a
-	// refusal. InFlight has the calls under way without a record, by program id.
+	// committed yet; they are included because a caller may read its history
+	// directly after a refusal. Unrecorded has the accepted calls with neither
+	// an intent nor an outcome among these records, by program id.
 	Refs struct {
 		Programs   map[string][]uint64
 		Pending    []record.Record
--- a/internal/shard/owner/tick.go
+++ b/internal/shard/owner/tick.go
@@ -10,15 +10,15 @@
 
 const (
 	// commitTimeout is how long a caller waits for an outcome to be committed.
-	// After it the caller gets result.CodeStoreDown and a time to retry;
-	// holding the reply longer would only keep the caller from trying elsewhere.
+	// After it the caller gets result.CodeStoreDown and a time to retry; a
+	// longer wait would only keep it from retrying, maybe at another daemon.
 	commitTimeout = 10 * time.Second
 	// stallThreshold is how long a journal entry may wait for the store before
 	// the store counts as down.
 	stallThreshold = 2 * time.Second
 	// journalTimeout is how long a call waits for its intent or its reservation
-	// to be committed. No attempt is under way, so its caller can be answered
-	// as soon as the store counts as down.
+	// to be committed: a little longer than it takes until the store counts as
+	// down. No attempt is under way, so there is no outcome to wait for.
 	journalTimeout = stallThreshold + time.Second
 	// noCallerTimeout is how long an idempotent call continues without a caller.
 	noCallerTimeout = 2 * time.Second
@@ -68,9 +68,9 @@
 	o.closeExpired(now)
 }
 
-// expiredRuns returns the runs whose deadline has passed or that have been
-// without a caller for noCallerTimeout. They are ordered by request id so that a
-// replay handles them in the same order.
+// expiredRuns returns the runs whose deadline has passed, or that are idempotent,
+// have no outcome yet and have been without a caller for noCallerTimeout. They are
+// ordered by request id so that the same messages always give the same effects.
 func (o *Owner) expiredRuns(now time.Time) []*run {
 	var rs []*run
 	for _, r := range o.runs {
--- a/internal/shard/snapio/snapio.go
+++ b/internal/shard/snapio/snapio.go
@@ -1,13 +1,13 @@
 // Package snapio writes and reads snapshots of a shard's state, so that a takeover
 // reads a bounded part of the shard's journal.
 //
-// A snapshot consists of immutable values of up to about MaxPart bytes and a head
+// A snapshot consists of immutable values of up to about MaxValueSize bytes and a head
 // that lists their keys. The head is replaced by compare-and-swap, so that a snapshot
-// left incomplete by a crash is never read, and two owners can't both put one in
-// force. Journal entries are never rewritten or deleted: they are the history, and
-// a program's state lists the entries that hold its records. A family, which is a
+// left incomplete by a crash is never read, and two owners can't both replace the
+// current one. Journal entries are never rewritten or deleted: they are the history,
+// and a program's state lists the entries that hold its records. A family, which is a
 // root program with its sub-agents, is moved from the snapshot to an index when it
-// has ended; the index is by the hash of the root.
+// has ended. The index lists ended families by the hash of the root's id.
 package snapio
 
 import (
@@ -24,7 +24,7 @@
 )
 
 const (
-	// MaxPart is the approximate maximum size of one value of a snapshot, in
+	// MaxValueSize is the approximate maximum size of one value of a snapshot, in
 	// bytes before compression. Values are filled by estimated sizes.
 	MaxValueSize = 700 << 10
 
@@ -36,14 +36,14 @@
 )
 
 type (
-	// Head lists the keys of the values of the snapshot in force.
+	// Head lists the keys of the values of the current snapshot.
 	Head struct {
 		Upto  uint64   `json:"upto"` // newest journal entry in the snapshot
 		Epoch uint64   `json:"epoch"`
 		Owner string   `json:"owner"`
 		Parts []string `json:"parts"`           // keys of values with programs
 		Index []string `json:"index"`           // keys of values with ended families
-		Texts []string `json:"texts,omitempty"` // keys of values with the list of texts in data folders
+		Texts []string `json:"texts,omitempty"` // keys of values with the list of text locations
 	}
 
 	// Gone is an ended family.
@@ -62,7 +62,7 @@
 		Rev   store.Rev // of Head as last read or written; 0 if the shard has none
 
 		obsolete     []string // keys that Head no longer lists, to be deleted
-		rewriteTexts bool     // the next snapshot writes the list of texts anew
+		rewriteTexts bool     // the next snapshot writes the list of text locations anew
 	}
 
 	part struct {
@@ -77,10 +77,10 @@
 // HeadKey returns the store's key of a shard's head.
 func HeadKey(shard int) string { return fmt.Sprintf("head/%04d", shard) }
 
-// Save puts a snapshot of f in force. f must be taken when no record is split
-// between entry f.Upto and the next. It returns the position of the index value of
-// each family that this snapshot moved to the index, by the family's hash. A
-// *store.ConflictError means that another owner has written a head.
+// Save writes a snapshot of f and makes it the current one. f must be taken when no
+// record is split between entry f.Upto and the next. Save returns the position of
+// the index value of each family that this snapshot moved to the index, by the
+// family's hash. A *store.ConflictError means that another owner has written a head.
 func (s *Snap) Save(ctx context.Context, f state.Fold) (positions map[uint64]uint32, err error) {
 	defer func() { err = errors.Wrapf(err, "snapio: save snapshot of shard %d at entry %d", s.Shard, f.Upto) }()
 	live, gone := splitEnded(f)
@@ -291,7 +291,7 @@
 	return record.Unpack(e.Data, v)
 }
 
-// Load reads the snapshot in force into a Fold. A shard without a snapshot has an
+// Load reads the current snapshot into a Fold. A shard without a snapshot has an
 // empty Fold.
 func (s *Snap) Load(ctx context.Context) (f state.Fold, err error) {
 	defer func() { err = errors.Wrapf(err, "snapio: load snapshot of shard %d", s.Shard) }()
@@ -330,8 +330,8 @@
 	return f, s.loadTexts(ctx, &f)
 }
 
-// Find reads the ended family with the given hash from the index value at position
-// at. It reads the head first, because a snapshot may have replaced the value since
+// Find reads the ended family with the given hash from the index value at the given
+// position. It reads the head first, because a snapshot may have replaced the value since
 // the position was returned. Without such a family it returns store.ErrNotFound.
 func Find(ctx context.Context, st store.Store, shard int, position uint32, hash uint64) (g Gone, err error) {
 	defer func() { err = errors.Wrapf(err, "snapio: find ended family in shard %d", shard) }()
--- a/internal/shard/snapio/texts.go
+++ b/internal/shard/snapio/texts.go
@@ -11,23 +11,25 @@
 
 const (
 	bytesPerText = 160
-	// maxOutdatedTexts is the number of outdated entries that the list of texts
-	// may have beyond the number of texts before it is written anew.
+	// outdatedMargin is the number by which the outdated entries of the list of
+	// text locations may exceed the number of texts before it is written anew.
 	outdatedMargin = 1000
 )
 
 type (
-	// texts is one value of the list of texts in data folders. A later entry of
-	// the list replaces an earlier one for the same text.
+	// textLocations is one value of the list of text locations, which tells where
+	// in data folders each text is. A later entry of the list replaces an
+	// earlier one for the same text.
 	textLocations struct {
 		Texts []hist.Blob `json:"texts"`
 	}
 )
 
-// writeTexts adds the texts that the journal has referred to since the last
+// writeTexts adds the locations that the journal has recorded since the last
 // snapshot to the newest value of the list, and starts another value when that is
-// full. Texts are never removed, because they are part of the history. Writing the
-// whole list each time would take a growing share of the store's writes.
+// full. No text is ever removed from the list, because texts are part of the
+// history. Writing the whole list each time would take a growing share of the
+// store's writes.
 func (s *Snap) writeTexts(ctx context.Context, f state.Fold) (keys []string, err error) {
 	if !s.rewriteTexts {
 		keys = slices.Clone(s.Head.Texts)
@@ -56,7 +58,7 @@
 	return keys, nil
 }
 
-// sortedByDigest returns the texts in a fixed order: a value that is written again
+// sortedByDigest returns the locations in a fixed order: a value that is written again
 // after a lost reply must have the same bytes.
 func sortedByDigest(m map[string]state.Text) []hist.Blob {
 	out := make([]hist.Blob, 0, len(m))
@@ -67,7 +69,7 @@
 	return out
 }
 
-// loadTexts reads the list of texts into f.Older. Each lost holder adds entries that
+// loadTexts reads the list of text locations into f.Older. Each lost holder adds entries that
 // make earlier ones outdated. A list that is mostly outdated is loaded into f.Texts
 // instead, as if the journal had just referred to all texts, so that the next
 // snapshot writes it anew.
--- a/internal/shard/snapio/texts_test.go
+++ b/internal/shard/snapio/texts_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A snapshot rewrites only the newest value of the list of texts, and the whole list
+// A snapshot rewrites only the newest value of the list of text locations, or all of it
 // when most of it is outdated. Each load must return every text with its newest
 // holders, because data folders drop a text that is missing after a takeover.
 func TestTextList(t *testing.T) {
