--- a/internal/shard/past/past_test.go
+++ b/internal/shard/histio/histio_test.go
@@ -1,4 +1,4 @@
-package past_test
+package histio_test
 
 import (
 	"context"
@@ -13,14 +13,13 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/shard/chain"
-	"github.com/slaterock/slaterock/internal/shard/past"
+	"github.com/slaterock/slaterock/internal/shard/histio"
 )
 
 var errUnread = errors.New("no holder answers")
 
-// A call's texts are in data folders, and some holders can't be read now. A
-// support engineer must see that a text is missing, and a caller who repeats the
-// call must not get an empty answer for the one that it had.
+// A call's texts are in data folders, and some of them can't be read now. Fill must
+// note a missing text, and Call must return an error instead of an empty answer.
 func TestTextsInFolders(t *testing.T) {
 	asked := &hist.Blob{Digest: "d1", Size: 8, Holders: []string{"a", "b"}}
 	answer := &hist.Blob{Digest: "d2", Size: 6, Holders: []string{"a", "b"}}
@@ -47,14 +46,14 @@
 			st := &keyval.Store{}
 			_, err = st.Put(t.Context(), chain.Key(0, 1), data, 0, 0)
 			is.NoErr(err)
-			p := past.Past{Store: st, Text: func(_ context.Context, b hist.Blob) ([]byte, error) {
+			p := histio.Reader{Store: st, ReadText: func(_ context.Context, b hist.Blob) ([]byte, error) {
 				if text, ok := tt.texts[b.Digest]; ok {
 					return []byte(text), nil
 				}
 				return nil, errUnread
 			}}
 			if tt.none {
-				p.Text = nil
+				p.ReadText = nil
 			}
 
 			h := hist.History{Calls: []hist.Call{c, {Asked: "short"}}}
--- a/internal/shard/lease/lease.go
+++ b/internal/shard/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease keeps one daemon's session with the store, and says until when
-// its shards are safe from others.
+// Package lease holds and renews a daemon's lease in the store, and tracks the
+// time before which no other daemon can take the daemon's shards.
 //
-// All of a daemon's shards hang on one lease, so that keeping them costs one
-// write a renewal and not one for each shard. The time until which the lease
-// holds is counted on the daemon's own clock from before the renewal was sent:
-// a reply may be late, and a clock that starts at the reply would run past the
+// The keys of all of a daemon's shards are attached to one lease, so that a
+// renewal costs one write and not one for each shard. The expiry is computed on
+// the daemon's own clock from the time at which the grant or renewal was sent. The
+// reply may be late, so an expiry computed from its arrival could be after the
 // store's.
 //
 // Lease is a state machine: Step takes the time and one message and returns
@@ -18,111 +18,112 @@
 )
 
 const (
-	defaultTTL = 6 * time.Second
-	renewals   = 3 // within one time to live
+	defaultTTL     = 6 * time.Second
+	renewalsPerTTL = 3
 )
 
 type (
-	// Lease is the machine. The zero value works with a time to live of six
-	// seconds.
+	// Lease is the state machine. The zero value is ready to use; its time to
+	// live is 6 s.
 	Lease struct {
 		TTL  time.Duration
-		Rand func() uint64 // for jitter; nil is none
+		Rand func() uint64 // for jitter; nil disables it
 
-		id     store.Lease
-		until  time.Time
-		busy   bool
-		sentAt time.Time
-		next   time.Time
+		id          store.Lease
+		until       time.Time
+		inFlight    bool
+		sentAt      time.Time
+		nextRequest time.Time
 	}
 
-	// Message is what Lease reacts to.
+	// Message is an input of Lease.
 	Message interface{ message() }
 
-	// Granted answers Grant. Err is nil if it succeeded.
+	// Granted is the store's reply to Grant. ID is valid if Err is nil.
 	Granted struct {
 		ID  store.Lease
 		Err error
 	}
 
-	// Renewed answers Renew.
+	// Renewed is the store's reply to Renew.
 	Renewed struct {
-		Lapsed bool // the store says that the lease is over
+		Lapsed bool // the lease has expired in the store
 		Err    error
 	}
 
-	// Drop forgets the lease: nothing hangs on it any more.
-	Drop struct{}
+	// Forget discards the lease without revoking it in the store. The next Tick
+	// requests a new one. Send Forget when no key is attached to the lease.
+	Forget struct{}
 
-	// Tick lets time pass.
+	// Tick advances time.
 	Tick struct{}
 
-	// Effect is what Lease wants done.
+	// Effect is an action that the caller of Step must carry out.
 	Effect interface{ effect() }
 
-	// Grant asks the store for a lease.
+	// Grant requests a lease from the store; the reply is Granted.
 	Grant struct{ TTL time.Duration }
 
-	// Renew extends the lease.
+	// Renew extends the lease; the reply is Renewed.
 	Renew struct{ ID store.Lease }
 
-	// Got tells that there is a new lease; shards may be taken under it.
-	Got struct{ ID store.Lease }
+	// Acquired reports a new lease, under which shards may be taken.
+	Acquired struct{ ID store.Lease }
 
-	// Lost tells that the lease is over and its keys are gone.
+	// Lost reports that the lease has expired and the store has deleted its keys.
 	Lost struct{ ID store.Lease }
 )
 
 func (Granted) message() {}
 func (Renewed) message() {}
-func (Drop) message()    {}
+func (Forget) message()  {}
 func (Tick) message()    {}
 
-func (Grant) effect() {}
-func (Renew) effect() {}
-func (Got) effect()   {}
-func (Lost) effect()  {}
+func (Grant) effect()    {}
+func (Renew) effect()    {}
+func (Acquired) effect() {}
+func (Lost) effect()     {}
 
-// ID is the lease held, zero without one.
+// ID returns the lease held, zero without one.
 func (l *Lease) ID() store.Lease { return l.id }
 
-// Until is the time up to which no other daemon can hold what hangs on the
-// lease.
+// Until returns the time before which no other daemon can take a key that is
+// attached to the lease. It is zero without a lease.
 func (l *Lease) Until() time.Time { return l.until }
 
 // Step applies one message.
 func (l *Lease) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
-	case Drop:
-		l.id, l.until, l.next = 0, time.Time{}, now
+	case Forget:
+		l.id, l.until, l.nextRequest = 0, time.Time{}, now
 		return nil
 	case Granted:
-		l.busy = false
+		l.inFlight = false
 		if m.Err != nil {
-			l.wait(now)
+			l.backOff(now)
 			return nil
 		}
 		l.id = m.ID
-		l.hold()
-		return []Effect{Got{ID: m.ID}}
+		l.extend()
+		return []Effect{Acquired{ID: m.ID}}
 	case Renewed:
-		l.busy = false
+		l.inFlight = false
 		if l.id == 0 {
-			return nil // it was dropped meanwhile
+			return nil // Forget came in between
 		}
 		if m.Lapsed {
 			lost := Lost{ID: l.id}
-			l.id, l.until, l.next = 0, time.Time{}, now
-			return append([]Effect{lost}, l.send(now)...)
+			l.id, l.until, l.nextRequest = 0, time.Time{}, now
+			return append([]Effect{lost}, l.request(now)...)
 		}
 		if m.Err != nil {
-			l.wait(now)
+			l.backOff(now)
 			return nil
 		}
-		l.hold()
+		l.extend()
 		return nil
 	}
-	return l.send(now)
+	return l.request(now)
 }
 
 func (l *Lease) ttl() time.Duration {
@@ -132,26 +133,26 @@
 	return defaultTTL
 }
 
-func (l *Lease) hold() {
+func (l *Lease) extend() {
 	l.until = l.sentAt.Add(l.ttl())
-	l.next = l.sentAt.Add(l.ttl() / renewals)
+	l.nextRequest = l.sentAt.Add(l.ttl() / renewalsPerTTL)
 }
 
-// wait puts off the next call after a failure, with jitter so that the daemons
-// don't meet at the store when it comes back.
-func (l *Lease) wait(now time.Time) {
-	d := l.ttl() / (4 * renewals)
+// backOff delays the next request after a failure. Jitter spreads the daemons'
+// requests when the store recovers.
+func (l *Lease) backOff(now time.Time) {
+	d := l.ttl() / (4 * renewalsPerTTL)
 	if l.Rand != nil {
 		d += time.Duration(l.Rand() % uint64(d))
 	}
-	l.next = now.Add(d)
+	l.nextRequest = now.Add(d)
 }
 
-func (l *Lease) send(now time.Time) []Effect {
-	if l.busy || now.Before(l.next) {
+func (l *Lease) request(now time.Time) []Effect {
+	if l.inFlight || now.Before(l.nextRequest) {
 		return nil
 	}
-	l.busy, l.sentAt = true, now
+	l.inFlight, l.sentAt = true, now
 	if l.id == 0 {
 		return []Effect{Grant{TTL: l.ttl()}}
 	}
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -14,75 +14,76 @@
 )
 
 const (
-	waitOrder  phase = iota // for the calls before it
-	waitBudget              // for a reservation to be committed
-	waitIntent              // for its intent to be committed
-	waitHold                // for a former owner's time to be over
-	waitPlace               // for an upstream
-	waitAnswer              // an attempt is under way
-	waitKeep                // for its texts to be in data folders
-	waitCommit              // for its outcome to be committed
+	waitOrder     phase = iota // for the preceding calls to end; also once begun, before any other wait
+	waitBudget                 // for a reservation to be committed
+	waitIntent                 // for its intent to be committed
+	waitTakeover               // until a former owner can no longer dispatch
+	waitPlacement              // for placement to choose an upstream
+	waitAttempt                // for the attempt under way to end
+	waitOffload                // for its texts to be stored in data folders
+	waitCommit                 // for its outcome to be committed
 
-	maxEarly  = 16
-	maxJoined = 16
+	maxEarlyCalls     = 16
+	maxCallersPerCall = 16
 )
 
 type (
 	phase int
 
-	// run is one call on its way.
+	// run is one call from its acceptance until its outcome is committed, or
+	// until it is replied to if the call did not run.
 	run struct {
-		call     call.Call
-		prog     *program
-		phase    phase
-		digest   string
-		blocks   []engine.Block
-		shared   int   // leading messages that the program's model call before had
-		prompt   int64 // bound of the prompt's tokens
-		max      int   // tokens that may be generated
-		hold     int64
-		cost     int64 // of attempts that failed after they were sent
-		tickets  []Ticket
-		tries    []hist.Try
-		live     []string // upstreams with an attempt under way
-		failed   []string // upstreams to avoid
-		retries  int
-		before   int64
-		start    time.Time
-		deadline time.Time // of the present phase, zero is none
-		alone    time.Time // since when no caller waits
-		pieces   int
-		seq      uint64 // the record that the phase waits for
-		target   string // of a moved call, whose body is not here
-		asked    string
-		size     int
-		moved    bool // its attempt is under way at the former owner's daemon
-		result   result.Result
-		final    bool
-		told     *hist.Call // its outcome, while its texts are being kept
-		keep     uint64     // the Keep that waitKeep waits for
+		call           call.Call
+		prog           *program
+		phase          phase
+		digest         string
+		blocks         []engine.Block // one for each message of the prompt
+		shared         int            // leading messages in common with the program's newest answered model call
+		promptBound    int64          // upper bound of the prompt's tokens
+		max            int            // limit of generated tokens
+		hold           int64          // tokens held in the budget
+		cost           int64          // tokens charged for attempts that were sent
+		tickets        []Ticket
+		attempts       []hist.Try
+		inFlight       []string // upstreams with an attempt under way
+		avoid          []string // upstreams of attempts that failed or were not sent
+		failedAttempts int
+		budgetBefore   int64
+		start          time.Time
+		deadline       time.Time // of the current phase; zero for none
+		noCallerSince  time.Time // start of noCallerTimeout; zero if it does not run
+		pieces         int
+		seq            uint64 // of the record that the phase waits for
+		target         string // of a moved call, as recorded
+		bodyText       string // of a moved call, as recorded; its body is not in memory
+		bodySize       int    // of a moved call, in bytes
+		moved          bool   // taken over with an attempt under way at the former owner's daemon
+		result         result.Result
+		final          bool
+		outcome        *hist.Call // while its texts are being stored in data folders
+		offload        uint64     // ID of the Offload that waitOffload waits for
 	}
 )
 
 func (o *Owner) call(now time.Time, m Call) {
 	p := o.progs[m.Call.Program]
 	switch {
-	case p == nil && o.gone(m.Call.Program):
+	case p == nil && o.hasEnded(m.Call.Program):
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeEnded, "the program has ended"))
 		return
 	case p == nil || p.open.Account != m.Call.Account:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeNotFound, "no such program"))
 		return
 	}
-	p.active = now
+	p.lastActive = now
 	digest := digestOf(m.Call)
 	switch v := p.order.Classify(m.Call.Number); v {
 	case order.Join:
 		o.join(m, p.current, digest)
 	case order.Repeat:
-		o.again(now, m, p, digest)
+		o.repeatNewest(now, m, p, digest)
 	case order.Superseded:
-		o.past(m, p)
+		o.repeatOlder(m, p)
 	case order.TooFar:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d is too far ahead; the next is %d", m.Call.Number, p.order.Next))
 	case order.Run, order.Early:
@@ -90,7 +91,8 @@
 	}
 }
 
-// digestOf covers all that makes two requests the same one.
+// digestOf hashes the fields by which a repeat is told from a different
+// request with the same call number.
 func digestOf(c call.Call) string {
 	h := sha256.New()
 	for _, s := range []string{string(c.Kind), c.Service, c.Method, c.Path, c.Model} {
@@ -101,31 +103,31 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// join lets a repeat wait for the call under way. The caller's first
-// connection may have gone silent; running the call again for the second would
-// cost double or do it twice.
+// join makes a repeat wait for the outcome of the call that was accepted already.
+// The caller may have lost its first connection; running the call for the second
+// one as well would cost double or repeat its side effects.
 func (o *Owner) join(m Call, r *run, digest string) {
 	switch {
 	case r.digest != digest:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeConflict, "call %d is under way with another body", r.call.Number))
-	case len(r.tickets) >= maxJoined:
+	case len(r.tickets) >= maxCallersPerCall:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeLimited, "call %d has too many callers waiting", r.call.Number))
 	default:
-		o.attach(m.Ticket, r)
+		o.addCaller(m.Ticket, r)
 	}
 }
 
-func (o *Owner) attach(t Ticket, r *run) {
+func (o *Owner) addCaller(t Ticket, r *run) {
 	r.tickets = append(r.tickets, t)
-	r.alone = time.Time{}
+	r.noCallerSince = time.Time{}
 	o.tickets[t] = r
 	if r.phase != waitCommit {
-		o.emit(Join{Ticket: t, Request: r.call.Request})
+		o.emit(Subscribe{Ticket: t, Request: r.call.Request})
 	}
 }
 
-// again answers a repeat of the newest call that ended.
-func (o *Owner) again(now time.Time, m Call, p *program, digest string) {
+// repeatNewest handles a repeat of the newest call that ended.
+func (o *Owner) repeatNewest(now time.Time, m Call, p *program, digest string) {
 	if p.last != nil && p.last.call.Number == m.Call.Number {
 		if p.last.final || p.last.digest == digest && p.last.result.OK() {
 			o.join(m, p.last, digest)
@@ -143,14 +145,14 @@
 	case d.Last.Digest != digest:
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeConflict, "call %d has ended with another body", m.Call.Number))
 	case d.BodyDropped:
-		o.emit(Recall{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
+		o.emit(ReplyFromJournal{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
 	default:
 		o.reply(m.Ticket, d.Last.Request, d.Last.Result)
 	}
 }
 
-// rerun runs the newest call once more: its outcome was that it did not run,
-// or that an idempotent call failed.
+// rerun runs the newest call again, whose outcome was not final: the call did
+// not run, or it was idempotent and failed.
 func (o *Owner) rerun(now time.Time, m Call, p *program, digest string) {
 	if p.order.Running {
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d runs already", p.order.Current))
@@ -160,17 +162,18 @@
 	o.accept(now, m, p, digest, order.Run)
 }
 
-// past answers a repeat of an older call from the journal.
-func (o *Owner) past(m Call, p *program) {
+// repeatOlder answers a repeat of an older call from the journal.
+func (o *Owner) repeatOlder(m Call, p *program) {
 	d := o.Fold.Programs[p.id]
 	if d == nil {
 		o.reply(m.Ticket, m.Call.Request, result.Refuse(result.CodeOrder, "call %d has ended", m.Call.Number))
 		return
 	}
-	o.emit(Recall{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
+	o.emit(ReplyFromJournal{Ticket: m.Ticket, Program: p.id, Number: m.Call.Number, Entries: d.Entries})
 }
 
-// accept takes in a call that is to run now or after the ones before it.
+// accept starts a call that is the program's next, or queues one that arrived
+// before its predecessors.
 func (o *Owner) accept(now time.Time, m Call, p *program, digest string, v order.Class) {
 	if old := p.early[m.Call.Number]; old != nil {
 		o.join(m, old, digest)
@@ -183,16 +186,16 @@
 	r := &run{call: m.Call, prog: p, digest: digest, start: now}
 	r.deadline = now.Add(o.cfg.Limits.GapWait)
 	if o.draining {
-		o.reply(m.Ticket, m.Call.Request, o.moving())
+		o.reply(m.Ticket, m.Call.Request, o.movingResult())
 		return
 	}
 	o.runs[r.call.Request] = r
-	o.attach(m.Ticket, r)
+	o.addCaller(m.Ticket, r)
 	if v == order.Run {
 		o.begin(now, r)
 		return
 	}
-	if len(p.early) >= maxEarly {
+	if len(p.early) >= maxEarlyCalls {
 		o.refuse(now, r, result.Refuse(result.CodeOrder, "too many calls wait; the next is %d", p.order.Next))
 		return
 	}
@@ -213,19 +216,21 @@
 		return
 	}
 	if r.call.Kind == call.Model {
-		o.measure(r)
+		o.measurePrompt(r)
 	}
-	r.before = p.root.budget.Free()
+	r.budgetBefore = p.root.budget.Free()
 	if refusal := o.reserve(now, r); refusal.Code != "" {
 		o.finish(now, r, refusal)
 		return
 	}
 	if r.phase == waitOrder {
-		o.ready(now, r)
+		o.startReserved(now, r)
 	}
 }
 
-// check refuses what the declarations don't allow.
+// check returns a refusal if the call exceeds its agent's turns, names a model
+// or service that is not declared, or needs the store while it is down. The
+// zero Result allows the call. An empty model becomes the agent's.
 func (o *Owner) check(r *run) result.Result {
 	agent := o.agent(r.prog)
 	if agent.MaxTurns > 0 && r.prog.turns >= agent.MaxTurns {
@@ -236,7 +241,7 @@
 			return result.Refuse(result.CodeNotFound, "service %q is not declared", r.call.Service)
 		}
 		if !o.idempotent(r) && o.stalled() {
-			return o.down()
+			return o.storeDownResult()
 		}
 		return result.Result{}
 	}
@@ -253,23 +258,26 @@
 	return r.call.Kind == call.Model || o.cfg.Services[r.call.Service].Idempotent
 }
 
-// measure finds what the prompt shares with the program's call before, and
-// bounds its tokens. What an engine counted before stays as it was counted;
-// each further byte is at most one token. A guess by the usual bytes for a
-// token would let a text that encodes badly pass the budget.
-func (o *Owner) measure(r *run) {
+// measurePrompt finds the leading messages in common with the program's newest
+// answered model call, and bounds the prompt's tokens. If the prompt extends
+// that call's, the bound is the engine's count of the earlier prompt plus one
+// token for each further byte; otherwise it is one token for each byte. An
+// estimate from the usual number of bytes per token would let a text that has
+// fewer bytes per token exceed the budget.
+func (o *Owner) measurePrompt(r *run) {
 	p := r.prog
 	r.blocks = engine.Blocks(r.call.Body)
 	for r.shared < len(r.blocks) && r.shared < len(p.prefix) && r.blocks[r.shared].Hash == p.prefix[r.shared] {
 		r.shared++
 	}
-	r.prompt = int64(len(r.call.Body))
-	if n := len(p.prefix); n > 0 && r.shared == n && len(r.call.Body) >= p.size.Bytes {
-		r.prompt = int64(p.size.Prompt + len(r.call.Body) - p.size.Bytes)
+	r.promptBound = int64(len(r.call.Body))
+	if n := len(p.prefix); n > 0 && r.shared == n && len(r.call.Body) >= p.promptSize.Bytes {
+		r.promptBound = int64(p.promptSize.Prompt + len(r.call.Body) - p.promptSize.Bytes)
 	}
 }
 
-// reserve holds what the call can cost at most.
+// reserve holds the call's maximum cost in the family's budget. If the journal
+// has not reserved that much yet, the call waits for it in waitBudget.
 func (o *Owner) reserve(now time.Time, r *run) result.Result {
 	if r.call.Kind == call.Service {
 		return result.Result{}
@@ -279,65 +287,66 @@
 	if n := r.call.MaxTokens; n > 0 && (limit == 0 || n < limit) {
 		limit = n
 	}
-	room := root.budget.Free() - r.prompt
+	room := root.budget.Free() - r.promptBound
 	if room < 1 {
-		return result.Refuse(result.CodeBudget, "the call may cost %d tokens and more; the budget has %d left", r.prompt+1, root.budget.Free())
+		return result.Refuse(result.CodeBudget, "the call may cost %d tokens and more; the budget has %d left", r.promptBound+1, root.budget.Free())
 	}
 	r.max = int(min(int64(limit), room))
-	r.hold = r.prompt + int64(r.max)
+	r.hold = r.promptBound + int64(r.max)
 	if !root.budget.Fits(r.hold) {
 		if o.stalled() {
 			r.hold = 0
-			return o.down()
+			return o.storeDownResult()
 		}
-		r.seq = o.ahead(root, r.hold)
+		r.seq = o.requestReservation(root, r.hold)
 		r.phase = waitBudget
-		r.deadline = now.Add(journalWait)
+		r.deadline = now.Add(journalTimeout)
 	}
 	root.budget = root.budget.WithHold(r.hold)
 	return result.Result{}
 }
 
-// ahead asks the journal for n more tokens and a block, and returns the
-// sequence number of the reservation that covers them.
-func (o *Owner) ahead(root *program, n int64) uint64 {
-	total, more := root.budget.NextReservation(n, o.block())
+// requestReservation adds a record that reserves n more tokens and a budget block
+// in advance, unless an earlier one covers them. It returns the sequence number
+// up to which the journal must be committed.
+func (o *Owner) requestReservation(root *program, n int64) uint64 {
+	total, more := root.budget.NextReservation(n, o.budgetBlock())
 	if more {
 		root.budget = root.budget.WithRequested(total)
 		return o.add(record.Reserved{Program: root.id, Total: total})
 	}
-	return o.newest()
+	return o.newestSeq()
 }
 
-func (o *Owner) block() int64 {
+func (o *Owner) budgetBlock() int64 {
 	if o.cfg.Limits.BudgetBlock > 0 {
 		return o.cfg.Limits.BudgetBlock
 	}
-	return defaultBlock
+	return defaultBudgetBlock
 }
 
-// ready goes on with a call whose budget is held: a non-idempotent one commits
-// its intent first.
-func (o *Owner) ready(now time.Time, r *run) {
+// startReserved continues a call whose budget is held. A non-idempotent call
+// commits its intent before it asks for an upstream.
+func (o *Owner) startReserved(now time.Time, r *run) {
 	if o.idempotent(r) {
-		o.ask(now, r)
+		o.requestPlacement(now, r)
 		return
 	}
 	r.phase = waitIntent
-	r.deadline = now.Add(journalWait)
-	r.seq = o.add(record.Intent{Program: r.prog.id, Call: o.history(r)})
+	r.deadline = now.Add(journalTimeout)
+	r.seq = o.add(record.Intent{Program: r.prog.id, Call: o.callRecord(r)})
 }
 
-// history is the call as the journal tells it.
-func (o *Owner) history(r *run) hist.Call {
-	target, asked, size := r.call.Model, "", len(r.call.Body)
+// callRecord returns the call in the form in which the journal stores it.
+func (o *Owner) callRecord(r *run) hist.Call {
+	target, bodyText, bodySize := r.call.Model, "", len(r.call.Body)
 	if r.call.Kind == call.Service {
 		target = r.call.Service + r.call.Path
 	}
 	if r.moved {
-		target, asked, size = r.target, r.asked, r.size
+		target, bodyText, bodySize = r.target, r.bodyText, r.bodySize
 	} else {
-		asked = added(r.call, r.shared)
+		bodyText = recordedBody(r.call, r.shared)
 	}
 	return hist.Call{
 		Request:      r.call.Request,
@@ -345,12 +354,12 @@
 		Kind:         r.call.Kind,
 		Target:       target,
 		Digest:       r.digest,
-		Size:         size,
+		Size:         bodySize,
 		Shared:       r.shared,
-		Asked:        asked,
-		Tries:        append([]hist.Try(nil), r.tries...),
+		Asked:        bodyText,
+		Tries:        append([]hist.Try(nil), r.attempts...),
 		Result:       r.result,
-		BudgetBefore: r.before,
+		BudgetBefore: r.budgetBefore,
 		BudgetAfter:  r.prog.root.budget.Free(),
 		Config:       o.cfg.Version,
 		Epoch:        o.Chain.Epoch,
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -14,42 +14,42 @@
 	"github.com/slaterock/slaterock/internal/shard/chain"
 )
 
-// finish gives a call its outcome. A refusal that did not run is told at once;
-// everything else is told when it is committed, so that whatever a caller saw
-// complete is in the history.
+// finish sets a call's outcome. The outcome of a call that did not run is sent
+// at once; any other only after it is committed, so that every answer that a
+// caller has received is in the history.
 func (o *Owner) finish(now time.Time, r *run, res result.Result) {
 	p := r.prog
-	if n := len(r.tries); n > 0 {
-		res.Upstream = r.tries[n-1].Upstream
+	if n := len(r.attempts); n > 0 {
+		res.Upstream = r.attempts[n-1].Upstream
 	}
 	r.result = res
 	r.final = res.OK() || !o.idempotent(r) && res.Ran != result.No
 	root := p.root
 	root.budget = root.budget.WithSettled(r.hold, r.cost)
-	root.attained += r.cost
-	h := o.history(r)
+	root.attainedTokens += r.cost
+	h := o.callRecord(r)
 	h.End = now
 	if res.Ran == result.No {
 		h.Asked = ""
 	}
-	o.remember(r, res)
-	if o.keep(now, r, h) {
+	o.savePrompt(r, res)
+	if o.offload(now, r, h) {
 		return
 	}
 	o.record(now, r, h)
 }
 
-// record writes the outcome down and lets the program's next call run.
+// record adds the outcome to the journal and starts the program's next call.
 func (o *Owner) record(now time.Time, r *run, h hist.Call) {
 	p, res := r.prog, r.result
 	head := p.current == r
 	r.seq = o.add(record.Ended{Program: p.id, Call: h, Tokens: r.cost, Final: r.final, InOrder: head})
 	r.phase = waitCommit
-	r.deadline = now.Add(commitWait)
+	r.deadline = now.Add(commitTimeout)
 	o.emit(Log{Account: p.open.Account, Program: p.id, Call: h})
-	o.reserveAhead(p.root, r)
+	o.reserveForNext(p.root, r)
 	if res.Ran == result.No {
-		o.answer(r)
+		o.replyCallers(r)
 		delete(o.runs, r.call.Request)
 	}
 	delete(p.early, r.call.Number)
@@ -59,31 +59,33 @@
 	if res.Ran != result.No {
 		p.turns++
 	}
-	p.active = now
+	p.lastActive = now
 	p.current = nil
 	p.order = p.order.WithEnded()
 	p.last = r
-	o.next(now, p)
+	o.startNext(now, p)
 }
 
-// reserveAhead asks for what the program's next call may cost while this one's
-// outcome is written, so that it need not wait for a write of its own.
-func (o *Owner) reserveAhead(root *program, r *run) {
+// reserveForNext reserves the estimated cost of the program's next call along with
+// this call's outcome, so that the next call seldom waits for a journal write of
+// its own.
+func (o *Owner) reserveForNext(root *program, r *run) {
 	if root.closed != "" || r.call.Kind != call.Model {
 		return
 	}
-	next := r.prompt + 2*int64(r.max) + int64(len(r.result.Body)) + o.block()/4
+	next := r.promptBound + 2*int64(r.max) + int64(len(r.result.Body)) + o.budgetBlock()/4
 	if root.budget.Fits(next) {
 		return
 	}
-	if total, more := root.budget.NextReservation(next, o.block()); more {
+	if total, more := root.budget.NextReservation(next, o.budgetBlock()); more {
 		root.budget = root.budget.WithRequested(total)
 		o.add(record.Reserved{Program: root.id, Total: total})
 	}
 }
 
-// remember keeps what the next call's prompt is measured against.
-func (o *Owner) remember(r *run, res result.Result) {
+// savePrompt stores the prompt's blocks and size, against which measurePrompt
+// measures the next call's prompt.
+func (o *Owner) savePrompt(r *run, res result.Result) {
 	if r.call.Kind != call.Model || !res.OK() {
 		return
 	}
@@ -92,11 +94,11 @@
 	for _, b := range r.blocks {
 		p.prefix = append(p.prefix, b.Hash)
 	}
-	p.size = state.Size{Prompt: res.Prompt, Output: res.Output, Bytes: len(r.call.Body)}
+	p.promptSize = state.Size{Prompt: res.Prompt, Output: res.Output, Bytes: len(r.call.Body)}
 }
 
-// next starts the call that waited for the one that ended.
-func (o *Owner) next(now time.Time, p *program) {
+// startNext starts the program's next call if it is waiting already.
+func (o *Owner) startNext(now time.Time, p *program) {
 	r := p.early[p.order.Next]
 	if r == nil || p.closed != "" {
 		return
@@ -105,8 +107,8 @@
 	o.begin(now, r)
 }
 
-// answer tells all waiting callers.
-func (o *Owner) answer(r *run) {
+// replyCallers sends the result to all waiting callers.
+func (o *Owner) replyCallers(r *run) {
 	for _, t := range r.tickets {
 		delete(o.tickets, t)
 		o.reply(t, r.call.Request, r.result)
@@ -114,7 +116,9 @@
 	r.tickets = nil
 }
 
-// close ends a program and its sub-agents, and stops what they have under way.
+// close ends a program, and with a root its sub-agents, and abandons their
+// calls under way. It returns the sequence number of the program's Closed
+// record.
 func (o *Owner) close(now time.Time, p *program, code string) uint64 {
 	if p.root == p {
 		for _, q := range p.family {
@@ -147,7 +151,8 @@
 	return seq
 }
 
-// engines returns those that ran the program's calls, as far as the journal has them.
+// engines returns the engines that ran the program's model calls, as far as they
+// are in the journal.
 func (o *Owner) engines(program string) []string {
 	if d := o.Fold.Programs[program]; d != nil {
 		return slices.Clone(d.Engines)
@@ -157,35 +162,37 @@
 
 func (o *Owner) refuse(now time.Time, r *run, res result.Result) { o.finish(now, r, res) }
 
-// abandon gives up a call under way. A non-idempotent call that was sent goes
-// on: its outcome must be learnt, not cut.
+// abandon ends a call that has no outcome yet; one that waits in waitOffload is
+// recorded with its outcome. A non-idempotent call whose attempt is under way
+// continues, because its outcome must be recorded.
 func (o *Owner) abandon(now time.Time, r *run, code result.Code, why string) {
 	switch r.phase {
-	case waitAnswer:
+	case waitAttempt:
 		if !o.idempotent(r) {
 			return
 		}
-		o.stop(r)
-		r.cost = r.hold // covers this attempt and those before
-		for i := range r.tries {
-			if r.tries[i].Ended == "" {
-				r.tries[i].End, r.tries[i].Ended = now, endedWithdrawn
+		o.cancelAttempts(r)
+		r.cost = r.hold // covers this attempt and the earlier ones
+		for i := range r.attempts {
+			if r.attempts[i].Ended == "" {
+				r.attempts[i].End, r.attempts[i].Ended = now, endedCancelled
 			}
 		}
 		o.finish(now, r, result.Failed(code, r.ran(), "%s", why))
 		return
-	case waitPlace:
+	case waitPlacement:
 		o.emit(Place{Message: sched.Cancel{ID: r.call.Request}})
 	case waitIntent, waitBudget:
+		// An intent that no write to the store carries yet is taken back.
 		if r.phase == waitIntent && o.Chain.Drop(r.seq) {
 			o.queue = slices.DeleteFunc(o.queue, func(p pending) bool { return p.seq == r.seq })
 		}
-	case waitKeep:
-		o.inline(now, r)
+	case waitOffload:
+		o.recordInline(now, r)
 		return
 	case waitCommit:
 		return
-	case waitOrder, waitHold:
+	case waitOrder, waitTakeover:
 	}
 	if r.sent() {
 		o.finish(now, r, result.Failed(code, r.ran(), "%s", why))
@@ -194,35 +201,36 @@
 	o.finish(now, r, result.Refuse(code, "%s", why))
 }
 
-// stop cancels the attempts under way.
-func (o *Owner) stop(r *run) {
-	for _, u := range r.live {
-		o.emit(Stop{Request: r.call.Request, Upstream: u})
-		o.place(r, sched.Done{ID: r.call.Request, Upstream: u, Outcome: sched.Cancelled})
+// cancelAttempts cancels the attempts under way.
+func (o *Owner) cancelAttempts(r *run) {
+	for _, u := range r.inFlight {
+		o.emit(CancelAttempt{Request: r.call.Request, Upstream: u})
+		o.notifyPlacement(r, sched.Done{ID: r.call.Request, Upstream: u, Outcome: sched.Cancelled})
 	}
-	r.live = nil
+	r.inFlight = nil
 }
 
-// leave forgets a waiting caller. The call goes on for a moment: a caller whose
-// connection broke comes back and joins.
-func (o *Owner) leave(now time.Time, t Ticket) {
+// callerGone removes a waiting caller. An idempotent call without callers
+// continues for noCallerTimeout, so that a caller whose connection broke can
+// reconnect and join it.
+func (o *Owner) callerGone(now time.Time, t Ticket) {
 	r := o.tickets[t]
 	delete(o.tickets, t)
-	o.opening = slices.DeleteFunc(o.opening, func(w waiter) bool { return w.ticket == t })
+	o.waitingReplies = slices.DeleteFunc(o.waitingReplies, func(w waitingReply) bool { return w.ticket == t })
 	if r == nil {
 		return
 	}
 	r.tickets = slices.DeleteFunc(r.tickets, func(x Ticket) bool { return x == t })
 	if len(r.tickets) == 0 {
-		r.alone = now
+		r.noCallerSince = now
 	}
 }
 
-func (o *Owner) journal(now time.Time, m chain.Message) {
+func (o *Owner) stepChain(now time.Time, m chain.Message) {
 	for _, e := range o.Chain.Step(now, m) {
 		switch e := e.(type) {
 		case chain.Create, chain.Read:
-			o.emit(Write{Effect: e})
+			o.emit(StoreRequest{Effect: e})
 		case chain.Committed:
 			o.committed(now, e)
 		case chain.Fenced:
@@ -231,13 +239,14 @@
 	}
 }
 
-// committed applies what is durable now and tells whoever waited for it.
+// committed applies the records that are durable now, and continues the calls
+// and sends the replies that waited for them.
 func (o *Owner) committed(now time.Time, c chain.Committed) {
 	n := 0
 	for n < len(o.queue) && o.queue[n].seq <= c.Seq {
 		rec := o.queue[n].rec
 		if err := o.Fold.Apply(c.Number, rec); err != nil {
-			panic(err) // the record was made here from the same programs
+			panic(err) // unreachable: the record was built from the same programs
 		}
 		if r, ok := rec.(record.Reserved); ok {
 			o.reserved(r.Program, r.Total)
@@ -248,19 +257,19 @@
 		n++
 	}
 	o.queue = append([]pending(nil), o.queue[n:]...)
-	o.bySeq = max(o.bySeq, c.Seq)
+	o.committedSeq = max(o.committedSeq, c.Seq)
 	o.Fold.Upto = c.Number
-	o.stalledNow = false
-	o.release()
+	o.writeStalled = false
+	o.replyCommitted()
 	if o.verifySeq != 0 && c.Seq >= o.verifySeq {
 		o.verifySeq = 0
 		o.emit(Verified{})
 	}
-	for _, r := range o.waiting(c.Seq) {
+	for _, r := range o.committedRuns(c.Seq) {
 		o.proceed(now, r)
 	}
 	if c.Whole {
-		o.emit(Saving{})
+		o.emit(SnapshotAllowed{})
 	}
 }
 
@@ -270,8 +279,9 @@
 	}
 }
 
-// waiting returns the runs whose record is committed, oldest record first.
-func (o *Owner) waiting(seq uint64) []*run {
+// committedRuns returns the runs whose awaited record is committed, oldest
+// record first.
+func (o *Owner) committedRuns(seq uint64) []*run {
 	var rs []*run
 	for _, r := range o.runs {
 		waits := r.phase == waitBudget || r.phase == waitIntent || r.phase == waitCommit
@@ -280,7 +290,7 @@
 		}
 	}
 	slices.SortFunc(rs, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.seq, b.seq), byName(a, b))
+		return cmp.Or(cmp.Compare(a.seq, b.seq), compareRequests(a, b))
 	})
 	return rs
 }
@@ -288,24 +298,25 @@
 func (o *Owner) proceed(now time.Time, r *run) {
 	switch r.phase {
 	case waitBudget:
-		r.phase = waitOrder
-		o.ready(now, r)
+		r.phase = waitOrder // begun, and waits for nothing else yet
+		o.startReserved(now, r)
 	case waitIntent:
-		o.ask(now, r)
+		o.requestPlacement(now, r)
 	case waitCommit:
-		o.answer(r)
+		o.replyCallers(r)
 		delete(o.runs, r.call.Request)
 		if r.prog.last == r {
 			r.prog.last = nil
 		}
-	case waitOrder, waitHold, waitPlace, waitAnswer, waitKeep:
+	case waitOrder, waitTakeover, waitPlacement, waitAttempt, waitOffload:
 	}
 }
 
-// release answers the openings and ends that are committed.
-func (o *Owner) release() {
-	o.opening = slices.DeleteFunc(o.opening, func(w waiter) bool {
-		if w.seq > o.bySeq {
+// replyCommitted answers requests to open or end a program whose records are
+// committed.
+func (o *Owner) replyCommitted() {
+	o.waitingReplies = slices.DeleteFunc(o.waitingReplies, func(w waitingReply) bool {
+		if w.seq > o.committedSeq {
 			return false
 		}
 		o.reply(w.ticket, "", w.result)
@@ -313,15 +324,16 @@
 	})
 }
 
-// saved forgets families that have ended and stand in the snapshot's index.
-func (o *Owner) saved(m Saved) {
+// snapshotSaved drops from memory the texts that the snapshot lists and the
+// ended families that are in its index.
+func (o *Owner) snapshotSaved(m SnapshotSaved) {
 	o.Fold.DropTexts(m.Upto)
 	if o.Fold.Gone == nil {
 		o.Fold.Gone = map[uint64]uint32{}
 	}
 	for id, p := range o.progs {
 		at, ok := m.Gone[state.Hash(id)]
-		if !ok || p.root != p || !o.over(p, m.Upto) {
+		if !ok || p.root != p || !o.fullyEnded(p, m.Upto) {
 			continue
 		}
 		o.Fold.Gone[state.Hash(id)] = at
@@ -332,9 +344,9 @@
 	}
 }
 
-// over reports whether a family has ended for good, with all its records in
-// entries up to upto.
-func (o *Owner) over(root *program, upto uint64) bool {
+// fullyEnded reports whether all programs of a family are closed, without a
+// call under way, and have all their records in entries up to upto.
+func (o *Owner) fullyEnded(root *program, upto uint64) bool {
 	return !slices.ContainsFunc(root.family, func(p *program) bool {
 		d := o.Fold.Programs[p.id]
 		return p.closed == "" || p.current != nil || p.last != nil || d == nil || !d.CompleteUpTo(upto)
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -1,20 +1,23 @@
-// Package owner runs the programs of one shard: it alone puts their calls in
-// order, reserves their budgets, writes their journal and says how they ended.
+// Package owner runs the programs of one shard. A shard has one owner at a time,
+// which orders the programs' calls, reserves their budgets, writes their journal
+// and decides their outcomes.
 //
-// Owner is a state machine. Callers' requests, attempts' ends and the store's
-// answers come in as messages; what goes out are effects: journal writes,
-// requests for an upstream, dispatches and replies. Whoever drives it owns the
-// clock, the sockets and the texts on their way.
+// Owner is a state machine. Its messages are requests of callers, ends of
+// attempts and replies of the store; its effects are journal writes, requests to
+// placement, dispatches and replies to callers. Its driver owns the clock, the
+// sockets and the streamed pieces of answers.
 //
-// What waits for the journal and what does not:
+// What waits for the journal:
 //
-//   - A non-idempotent call is dispatched only after its intent is committed.
-//     Whoever recovers an intent without an outcome answers "unknown" and never
-//     dispatches it.
-//   - A model call waits for nothing but a reservation that covers the most it
-//     can cost, and that was mostly committed ahead.
-//   - No outcome is told to a caller before it is committed, except a refusal
-//     that is known not to have run.
+//   - A non-idempotent call is dispatched only after its intent is committed. An
+//     owner that recovers an intent without an outcome ends the call with
+//     result.CodeUnknown and never dispatches it, unless the former owner has
+//     handed the call over with its attempt under way.
+//   - A model call waits only for a reservation that covers its maximum cost,
+//     which is usually committed in advance.
+//   - An idempotent service call waits for nothing.
+//   - An outcome is sent to the caller only after it is committed, unless the
+//     call is known not to have run.
 package owner
 
 import (
@@ -32,53 +35,54 @@
 )
 
 type (
-	// Ticket names one waiting caller; it is chosen by the driver.
+	// Ticket identifies one waiting caller; the driver chooses it.
 	Ticket uint64
 
-	// Message is what Owner reacts to.
+	// Message is an input of Owner.
 	Message interface{ message() }
 
-	// Configure puts a configuration in force.
+	// Configure replaces the configuration.
 	Configure struct{ File file.File }
 
-	// Lease says until when no other daemon can own the shard. Outage is
-	// until when it may be taken for certain that nobody can reach the store,
-	// so that nobody can take the shard after Until.
+	// Lease replaces the times up to which the owner may dispatch. Before Until
+	// no other daemon can own the shard. Before OutageUntil it is certain that
+	// no daemon can reach the store, so that none can take over the shard even
+	// after Until.
 	Lease struct {
-		Until  time.Time
-		Outage time.Time
+		Until       time.Time
+		OutageUntil time.Time
 	}
 
-	// Open asks for a program.
+	// Open requests that a program be opened.
 	Open struct {
 		Ticket Ticket
 		Open   call.Open
 	}
 
-	// Call asks for a call of a program.
+	// Call submits a call of a program.
 	Call struct {
 		Ticket Ticket
 		Call   call.Call
 	}
 
-	// End asks for a program's end.
+	// End requests that a program be ended.
 	End struct {
 		Ticket Ticket
 		End    call.End
 	}
 
-	// Leave tells that a waiting caller is gone.
-	Leave struct{ Ticket Ticket }
+	// CallerGone reports that a waiting caller has disconnected.
+	CallerGone struct{ Ticket Ticket }
 
-	// Assigned tells that placement chose an upstream for a request.
+	// Assigned reports that placement chose an upstream for a request.
 	Assigned struct{ Assign sched.Assign }
 
-	// Refused tells that placement refused a request.
+	// Refused reports that placement refused a request.
 	Refused struct{ Refuse sched.Refuse }
 
-	// Tried tells how an attempt ended. Pieces is how many pieces of its
-	// answer callers have been given.
-	Tried struct {
+	// AttemptEnded reports how an attempt ended. Pieces is the number of pieces
+	// of its streamed answer that callers have received.
+	AttemptEnded struct {
 		Request     string        `json:"request"`
 		Upstream    string        `json:"upstream"`
 		Outcome     sched.Outcome `json:"outcome"`
@@ -87,65 +91,66 @@
 		Body        []byte        `json:"body"`
 		Usage       engine.Usage  `json:"usage"`
 		Pieces      int           `json:"pieces"`
-		Why         string        `json:"why"`
+		Reason      string        `json:"why"`
 	}
 
-	// Keeping tells whether there are data folders in two failure domains, so
-	// that a long text need not go into the journal.
-	Keeping struct{ On bool }
+	// OffloadEnabled reports whether data folders are up in two failure domains,
+	// so that long texts need not go into the journal.
+	OffloadEnabled struct{ On bool }
 
-	// Kept answers a Keep: where the texts are. A nil one goes into the
-	// journal itself.
-	Kept struct {
+	// Offloaded answers an Offload with the locations of the texts. A text with
+	// a nil location goes into the journal.
+	Offloaded struct {
 		ID            uint64
 		Request       string
 		Asked, Answer *hist.Blob
 	}
 
-	// Held tells that a text that the journal refers to has other holders now.
-	Held struct{ Blob hist.Blob }
+	// HoldersChanged reports new holders of a text that the journal refers to.
+	HoldersChanged struct{ Blob hist.Blob }
 
-	// Journal is the store's answer to a Write or a Read.
-	Journal struct{ Message chain.Message }
+	// StoreReply is the store's reply to a StoreRequest.
+	StoreReply struct{ Message chain.Message }
 
-	// Saved tells that a snapshot up to entry Upto is in force. Gone has, for
-	// the hash of each family that the snapshot left out because it has ended,
-	// the position of the index value that knows it.
-	Saved struct {
+	// SnapshotSaved reports that the snapshot up to journal entry Upto is the
+	// current one. Gone maps the hash of each ended family that it moved to the
+	// index to the position of the index value.
+	SnapshotSaved struct {
 		Upto uint64
 		Gone map[uint64]uint32
 	}
 
-	// Verify asks for proof that the journal is still this owner's, after its
-	// lease had lapsed; the answer is Verified once a record is committed.
+	// Verify requests proof that the owner still has the shard, after its lease
+	// had lapsed. Verified follows once a record is committed.
 	Verify struct{}
 
-	// Pace sets the least time between two journal writes.
-	Pace struct{ Interval time.Duration }
+	// WriteInterval sets the minimum time between two journal writes.
+	WriteInterval struct{ Interval time.Duration }
 
-	// Drain asks to give the shard up; the owner says Drained when the next
-	// owner can have it. Calls that are not sent yet are refused as not run,
-	// for their callers to repeat at the next owner. Attempts under way are
-	// not waited for: the next owner is told of them and goes on with them.
+	// Drain starts a handover; Drained follows when the next owner can take the
+	// shard. Calls that wait for their first or next attempt end, and their
+	// callers repeat them at the next owner; one that was never sent is refused
+	// as not run. Attempts under way are not waited for: they are recorded in
+	// the journal and the next owner takes them over.
 	Drain struct{}
 
-	// Tail tells that the daemon that owned the shard before is still busy
-	// with an attempt that it started.
-	Tail struct{ Request string }
+	// AttemptAlive reports that the former owner's daemon is still running an
+	// attempt that it started.
+	AttemptAlive struct{ Request string }
 
-	// Tick lets time pass; one is due every 20 ms or so.
+	// Tick advances time; send one about every 20 ms.
 	Tick struct{}
 
-	// Effect is what Owner wants done.
+	// Effect is an action that the driver must carry out.
 	Effect interface{ effect() }
 
-	// Write carries out the chain's effect, a Create or a Read.
-	Write struct{ Effect chain.Effect }
+	// StoreRequest carries out an effect of the chain: a Create or a Read.
+	StoreRequest struct{ Effect chain.Effect }
 
-	// Place gives a message to placement.
+	// Place sends a message to placement.
 	Place struct{ Message sched.Message }
 
-	// Dispatch sends one attempt. No more than MaxTokens may be generated.
+	// Dispatch sends one attempt. At most MaxTokens tokens may be generated.
 	Dispatch struct {
 		Request   string
 		Call      call.Call
@@ -153,93 +158,96 @@
 		Address   string
 		Priority  int
 		MaxTokens int
-		Fence     uint64
+		Fence     uint64 // fencing token: the owner's epoch
 		Timeout   time.Duration
-		Try       int
+		Try       int // number of the attempt, 1 for the first
 	}
 
-	// Stop cancels the attempt under way at the upstream.
-	Stop struct{ Request, Upstream string }
+	// CancelAttempt cancels the attempt under way at the upstream.
+	CancelAttempt struct{ Request, Upstream string }
 
-	// Join lets a waiting caller follow the pieces of a request under way.
-	Join struct {
+	// Subscribe streams the pieces of a request under way to a waiting caller.
+	Subscribe struct {
 		Ticket  Ticket
 		Request string
 	}
 
-	// Reply ends a waiting caller's request.
+	// Reply answers a waiting caller.
 	Reply struct {
 		Ticket  Ticket
-		Request string // whose outcome it is
+		Request string // whose outcome it is; empty for Open and End
 		Result  result.Result
 	}
 
-	// Keep has the texts of a call that ended put into data folders; nil is
-	// none. It ends with Kept, within KeepWait.
-	Keep struct {
+	// Offload stores the texts of a call that ended in data folders; a nil text
+	// needs no storing. The driver replies with Offloaded within OffloadTimeout.
+	Offload struct {
 		ID            uint64
 		Request       string
 		Asked, Answer []byte
 	}
 
-	// Unkeep gives a text up that was kept too late to be referred to.
-	Unkeep struct{ Blob hist.Blob }
+	// ReleaseBlob ends the reference to a stored text that the journal does not
+	// refer to, because it was stored too late.
+	ReleaseBlob struct{ Blob hist.Blob }
 
-	// Recall ends a waiting caller's request with an outcome that has left
-	// memory and stands in one of the journal's entries.
-	Recall struct {
+	// ReplyFromJournal answers a waiting caller with an outcome that is no longer
+	// in memory. It is in one of the given journal entries.
+	ReplyFromJournal struct {
 		Ticket  Ticket
 		Program string
 		Number  int
 		Entries []uint64
 	}
 
-	// Log tells of a request's end, for the log and the metrics.
+	// Log reports the end of a request, for logs and metrics.
 	Log struct {
 		Account, Program string
 		Call             hist.Call
 	}
 
-	// Saving tells that a snapshot may be taken now.
-	Saving struct{}
+	// SnapshotAllowed reports that a snapshot may be taken now.
+	SnapshotAllowed struct{}
 
-	// Verified tells that no other owner wrote to the journal up to now.
+	// Verified reports that no other owner has written to the journal so far.
 	Verified struct{}
 
-	// Fenced tells that the shard has another owner.
+	// Fenced reports that the shard has another owner.
 	Fenced struct{}
 
-	// Drained tells that nothing is under way and all is committed.
+	// Drained reports that all records are committed after a Drain. The owner
+	// ignores further messages.
 	Drained struct{}
 )
 
 type (
-	// Owner is the machine. Make it from a takeover with Fold and Chain set.
+	// Owner is the state machine. Set Fold, Chain and Hold from the takeover
+	// before the first Step.
 	Owner struct {
-		Fold  state.Fold  // as loaded; the machine goes on with it
+		Fold  state.Fold  // as loaded at the takeover; updated with every commit
 		Chain chain.Chain // ready to write the entry after Fold.Upto
-		Hold  time.Time   // no dispatch before: a former owner may still act
-
-		cfg        file.File
-		lease      Lease
-		progs      map[string]*program
-		runs       map[string]*run // by request id
-		tickets    map[Ticket]*run
-		opening    []waiter  // replies that wait for a sequence number
-		queue      []pending // records that wait to be committed, in order
-		bySeq      uint64    // newest committed sequence number
-		verifySeq  uint64    // of the record that proves ownership, zero for none
-		draining   bool
-		drained    bool
-		sweepAt    time.Time
-		effs       []Effect
-		accounts   map[string]*usage
-		stalledNow bool
-		keeping    bool
-		keeps      uint64 // number of the newest Keep
+		Hold  time.Time   // no dispatch before this time: a former owner may still dispatch
+
+		cfg            file.File
+		lease          Lease
+		progs          map[string]*program
+		runs           map[string]*run // by request id
+		tickets        map[Ticket]*run
+		waitingReplies []waitingReply // to requests to open or end a program
+		queue          []pending      // records that are not committed yet, in order
+		committedSeq   uint64         // newest committed sequence number
+		verifySeq      uint64         // of the record that proves ownership, zero for none
+		draining       bool
+		drained        bool
+		nextSweep      time.Time
+		effects        []Effect
+		accounts       map[string]*usage
+		writeStalled   bool
+		offloadEnabled bool
+		lastOffloadID  uint64 // ID of the newest Offload
 	}
 
-	waiter struct {
+	waitingReply struct {
 		seq    uint64
 		ticket Ticket
 		result result.Result
@@ -251,47 +259,47 @@
 	}
 )
 
-func (Configure) message() {}
-func (Lease) message()     {}
-func (Open) message()      {}
-func (Call) message()      {}
-func (End) message()       {}
-func (Leave) message()     {}
-func (Assigned) message()  {}
-func (Refused) message()   {}
-func (Tried) message()     {}
-func (Keeping) message()   {}
-func (Kept) message()      {}
-func (Held) message()      {}
-func (Journal) message()   {}
-func (Saved) message()     {}
-func (Verify) message()    {}
-func (Pace) message()      {}
-func (Drain) message()     {}
-func (Tail) message()      {}
-func (Tick) message()      {}
-
-func (Write) effect()    {}
-func (Place) effect()    {}
-func (Dispatch) effect() {}
-func (Stop) effect()     {}
-func (Join) effect()     {}
-func (Reply) effect()    {}
-func (Keep) effect()     {}
-func (Unkeep) effect()   {}
-func (Recall) effect()   {}
-func (Log) effect()      {}
-func (Saving) effect()   {}
-func (Verified) effect() {}
-func (Fenced) effect()   {}
-func (Drained) effect()  {}
+func (Configure) message()      {}
+func (Lease) message()          {}
+func (Open) message()           {}
+func (Call) message()           {}
+func (End) message()            {}
+func (CallerGone) message()     {}
+func (Assigned) message()       {}
+func (Refused) message()        {}
+func (AttemptEnded) message()   {}
+func (OffloadEnabled) message() {}
+func (Offloaded) message()      {}
+func (HoldersChanged) message() {}
+func (StoreReply) message()     {}
+func (SnapshotSaved) message()  {}
+func (Verify) message()         {}
+func (WriteInterval) message()  {}
+func (Drain) message()          {}
+func (AttemptAlive) message()   {}
+func (Tick) message()           {}
+
+func (StoreRequest) effect()     {}
+func (Place) effect()            {}
+func (Dispatch) effect()         {}
+func (CancelAttempt) effect()    {}
+func (Subscribe) effect()        {}
+func (Reply) effect()            {}
+func (Offload) effect()          {}
+func (ReleaseBlob) effect()      {}
+func (ReplyFromJournal) effect() {}
+func (Log) effect()              {}
+func (SnapshotAllowed) effect()  {}
+func (Verified) effect()         {}
+func (Fenced) effect()           {}
+func (Drained) effect()          {}
 
 // Step applies one message and returns the effects in the order in which they
 // must be carried out.
 func (o *Owner) Step(now time.Time, m Message) []Effect {
 	o.init(now)
 	if o.drained {
-		return nil // the shard may be another's by now
+		return nil // the shard may have another owner by now
 	}
 	switch m := m.(type) {
 	case Configure:
@@ -304,53 +312,54 @@
 		o.call(now, m)
 	case End:
 		o.end(now, m)
-	case Leave:
-		o.leave(now, m.Ticket)
+	case CallerGone:
+		o.callerGone(now, m.Ticket)
 	case Assigned:
 		o.assigned(now, m.Assign)
 	case Refused:
 		o.refused(now, m.Refuse)
-	case Tried:
-		o.tried(now, m)
-	case Keeping:
-		o.keeping = m.On
-	case Kept:
-		o.kept(now, m)
-	case Held:
+	case AttemptEnded:
+		o.attemptEnded(now, m)
+	case OffloadEnabled:
+		o.offloadEnabled = m.On
+	case Offloaded:
+		o.offloaded(now, m)
+	case HoldersChanged:
 		o.add(record.Holders{Blob: m.Blob})
-	case Journal:
-		o.journal(now, m.Message)
-	case Saved:
-		o.saved(m)
+	case StoreReply:
+		o.stepChain(now, m.Message)
+	case SnapshotSaved:
+		o.snapshotSaved(m)
 	case Verify:
 		o.verifySeq = o.add(record.Acquired{Epoch: o.Chain.Epoch, Owner: o.Chain.Owner, At: now})
-	case Pace:
+	case WriteInterval:
 		o.Chain.Interval = m.Interval
 	case Drain:
 		o.drain(now)
-	case Tail:
-		o.tail(now, m.Request)
+	case AttemptAlive:
+		o.attemptAlive(now, m.Request)
 	case Tick:
 		o.tick(now)
 	}
-	o.journal(now, chain.Tick{})
+	o.stepChain(now, chain.Tick{})
 	o.checkDrained()
-	effs := o.effs
-	o.effs = nil
-	return effs
+	effects := o.effects
+	o.effects = nil
+	return effects
 }
 
-// Snapshot returns a copy of the durable state, to be written out. It is
-// meaningful right after a Committed that is Whole.
+// Snapshot returns a copy of the durable state, for writing out. Call it directly
+// after SnapshotAllowed, when no record is split between two entries.
 func (o *Owner) Snapshot() state.Fold { return o.Fold.Clone() }
 
 // MayDispatch reports whether an attempt may be sent now. An owner whose lease
-// is over can't know whether another has the shard; sending then could let two
-// owners run one program's calls at once. It may go on only while nobody can
-// reach the store, for then nobody can have taken the shard. What it heard of
-// an outage must be fresh: a process that was paused would act on old news.
+// has expired can't know whether another daemon owns the shard; dispatching
+// could then make two owners run one program's calls at once. It may continue
+// only while no daemon can reach the store, because then none can have taken
+// over the shard. OutageUntil is never far ahead of the last check of that, because
+// a process that was paused would otherwise act on an old check.
 func (o *Owner) MayDispatch(now time.Time) bool {
-	return now.Before(o.lease.Until) || now.Before(o.lease.Outage)
+	return now.Before(o.lease.Until) || now.Before(o.lease.OutageUntil)
 }
 
 func (o *Owner) init(now time.Time) {
@@ -361,10 +370,10 @@
 	o.runs = map[string]*run{}
 	o.tickets = map[Ticket]*run{}
 	o.accounts = map[string]*usage{}
-	o.adopt(now)
+	o.restore(now)
 }
 
-func (o *Owner) emit(e Effect) { o.effs = append(o.effs, e) }
+func (o *Owner) emit(e Effect) { o.effects = append(o.effects, e) }
 
 func (o *Owner) reply(t Ticket, request string, r result.Result) {
 	o.emit(Reply{Ticket: t, Request: request, Result: r})
@@ -374,8 +383,8 @@
 func (o *Owner) add(r record.Record) uint64 {
 	seq, err := o.Chain.Add(r)
 	if err != nil {
-		// Records are made of plain fields, so encoding can't fail on any
-		// input; going on without the record would lose history.
+		// Records consist of plain fields, so encoding can't fail on any
+		// input; continuing without the record would lose history.
 		panic(err)
 	}
 	o.queue = append(o.queue, pending{seq: seq, rec: r})
--- a/internal/shard/owner/refs.go
+++ b/internal/shard/owner/refs.go
@@ -8,22 +8,25 @@
 )
 
 type (
-	// Refs tells where the records of a family of programs are. Programs is
-	// nil if the family has ended and left memory; then the index value at
-	// position At knows it. Pending are records that the journal does not have
-	// yet; a caller that was refused a moment ago may ask for its history. Live
-	// has the calls under way that no record tells of.
+	// Refs locates the records of a family: a root program and its sub-agents.
+	// Programs maps each program's id to its journal entries; it is nil if the
+	// family has ended and is no longer in memory, and then the snapshot's index
+	// value at IndexPos has the entries. Pending holds the records that are not
+	// committed yet; they are included because a caller may read its history
+	// directly after a refusal. Unrecorded has the accepted calls with neither
+	// an intent nor an outcome among these records, by program id.
 	Refs struct {
-		Programs map[string][]uint64
-		Pending  []record.Record
-		Live     map[string][]hist.Call
-		At       uint32
+		Programs   map[string][]uint64
+		Pending    []record.Record
+		Unrecorded map[string][]hist.Call
+		IndexPos   uint32
 	}
 )
 
-// Refs finds the family whose root has the hash.
+// Refs locates the records of the family whose root has the given hash; false if
+// there is no such family.
 func (o *Owner) Refs(hash uint64) (Refs, bool) {
-	r := Refs{Programs: map[string][]uint64{}, Live: map[string][]hist.Call{}}
+	r := Refs{Programs: map[string][]uint64{}, Unrecorded: map[string][]hist.Call{}}
 	for id, d := range o.Fold.Programs {
 		if state.Hash(id) == hash {
 			r.Programs[id] = append([]uint64(nil), d.Entries...)
@@ -36,20 +39,21 @@
 	}
 	if len(r.Programs)+len(r.Pending) == 0 {
 		at, ok := o.Fold.Gone[hash]
-		return Refs{At: at}, ok
+		return Refs{IndexPos: at}, ok
 	}
 	for _, run := range o.runs {
-		if state.Hash(run.prog.id) == hash && run.phase != waitCommit && !o.intended(run) {
-			h := o.history(run)
-			h.Result = result.Result{} // one that waits for its texts to be kept is not recorded yet
-			r.Live[run.prog.id] = append(r.Live[run.prog.id], h)
+		if state.Hash(run.prog.id) == hash && run.phase != waitCommit && !o.hasIntent(run) {
+			h := o.callRecord(run)
+			h.Result = result.Result{} // in waitOffload it is set but not recorded yet
+			r.Unrecorded[run.prog.id] = append(r.Unrecorded[run.prog.id], h)
 		}
 	}
 	return r, true
 }
 
-// intended reports whether the journal tells of the call already.
-func (o *Owner) intended(r *run) bool {
+// hasIntent reports whether the call has an intent that is committed or waits to
+// be.
+func (o *Owner) hasIntent(r *run) bool {
 	if d := o.Fold.Programs[r.prog.id]; d != nil {
 		if _, ok := d.Intents[r.call.Number]; ok {
 			return true
