--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -41,7 +41,7 @@
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
 	"github.com/slaterock/slaterock/internal/plat/weight"
 	"github.com/slaterock/slaterock/internal/play/tape"
-	"github.com/slaterock/slaterock/internal/shard/shelf"
+	"github.com/slaterock/slaterock/internal/shard/xfer"
 )
 
 const (
@@ -75,7 +75,7 @@
 		gossip gossip.Gossip
 		link   link.Link
 		shards shards.Shards
-		shelf  shelf.Shelf
+		xfer   xfer.Endpoint
 		guard  guard.Guard
 		placer placer.Placer
 		server server.Server
@@ -312,7 +312,7 @@
 		Place:       func(h *host.Host, m sched.Message) { d.place(ctx, h, m) },
 		Ended:       d.ended,
 		Owned:       func(s []beat.Shard) { d.update(ctx, func(m *beat.Member) { m.Shards = s }) },
-		Peers:       &d.shelf,
+		Peers:       &d.xfer,
 		Domain:      d.self.FailureDomain,
 		Offer:       d.offer,
 		Tell:        d.report,
--- a/internal/node/daemon/folder.go
+++ b/internal/node/daemon/folder.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/slaterock/slaterock/internal/shard/blobs"
-	"github.com/slaterock/slaterock/internal/shard/shelf"
+	"github.com/slaterock/slaterock/internal/shard/xfer"
 )
 
 var errNoPeer = errors.New("daemon: no such daemon is known")
@@ -14,11 +14,11 @@
 // assembleFolder offers this daemon's data folder to the others, if it has one,
 // and reaches theirs.
 func (d *Daemon) assembleFolder() {
-	d.shelf = shelf.Shelf{Name: d.self.Name, Invoke: d.invoke}
+	d.xfer = xfer.Endpoint{Name: d.self.Name, Invoke: d.invoke}
 	if dir := d.Settings.Daemon.DataFolder; dir != "" {
-		d.shelf.Folder = &blobs.Folder{Dir: dir}
+		d.xfer.Folder = &blobs.Folder{Dir: dir}
 	}
-	d.link.Handle(shelf.Method, d.shelf.Serve)
+	d.link.Handle(xfer.Method, d.xfer.Serve)
 }
 
 // invoke calls a method at the daemon of that name.
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -24,9 +24,9 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/runner"
+	"github.com/slaterock/slaterock/internal/shard/blobio"
 	"github.com/slaterock/slaterock/internal/shard/boot"
-	"github.com/slaterock/slaterock/internal/shard/bulk"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
@@ -62,7 +62,7 @@
 		Rand    func() uint64
 		// Peers reaches the data folders; Domain is the daemon's own failure
 		// domain.
-		Peers  bulk.Peers
+		Peers  blobio.Peers
 		Domain string
 
 		machine  owner.Owner
@@ -83,7 +83,7 @@
 		savedAt  uint64
 		saving   bool
 		fenced   bool
-		bulk     *bulk.Bulk             // nil while no data folder is known
+		blobio   *blobio.BlobStore      // nil while no data folder is known
 		folders  map[string]beat.Member // daemons with a data folder
 		movedMu  sync.Mutex
 		moved    []hist.Blob // with new holders, for the journal
@@ -113,7 +113,7 @@
 	h.commits = map[string]trace.Span{}
 	h.savedAt = h.Taken.Snap.Head.Upto
 	h.machine = owner.Owner{Fold: h.Taken.Fold, Hold: h.Hold}
-	h.machine.Chain = chain.Chain{Shard: h.Shard, Epoch: h.Taken.Epoch, Owner: h.Name, Next: h.Taken.Next, Rand: h.Rand}
+	h.machine.Writer = jrnl.Writer{Shard: h.Shard, Epoch: h.Taken.Epoch, Owner: h.Name, Next: h.Taken.Next, Rand: h.Rand}
 	if len(h.machine.Fold.Older)+len(h.machine.Fold.Texts) > 0 {
 		h.mu.Lock()
 		h.startBulk()
@@ -287,46 +287,46 @@
 }
 
 // write carries out one step of the chain.
-func (h *Host) write(e chain.Effect) {
+func (h *Host) write(e jrnl.Effect) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
 	switch e := e.(type) {
-	case chain.Create:
+	case jrnl.Create:
 		_, err := h.Store.Put(ctx, e.Key, e.Data, 0, 0)
-		h.post(owner.Journal{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
-	case chain.Read:
+		h.post(owner.Journal{Message: jrnl.CreateDone{Number: e.Number, Outcome: outcome(err)}})
+	case jrnl.Read:
 		h.post(owner.Journal{Message: h.readBack(ctx, e)})
 	}
 }
 
 // outcome sorts the end of a creation. Whatever is not known to have had no
 // effect may have had it.
-func outcome(err error) chain.Outcome {
+func outcome(err error) jrnl.Outcome {
 	var c *store.ConflictError
 	switch {
 	case err == nil:
-		return chain.Created
+		return jrnl.Created
 	case errors.As(err, &c):
-		return chain.Exists
+		return jrnl.Exists
 	case errors.Is(err, store.ErrUnavailable):
-		return chain.Unavailable
+		return jrnl.Unavailable
 	}
-	return chain.Lost
+	return jrnl.Unknown
 }
 
-func (h *Host) readBack(ctx context.Context, r chain.Read) chain.Message {
+func (h *Host) readBack(ctx context.Context, r jrnl.Read) jrnl.Message {
 	v, err := h.Store.Get(ctx, r.Key)
 	if errors.Is(err, store.ErrNotFound) {
-		return chain.Absent{Number: r.Number}
+		return jrnl.Absent{Number: r.Number}
 	}
 	if err != nil {
-		return chain.Unread{Number: r.Number}
+		return jrnl.ReadFailed{Number: r.Number}
 	}
 	e, err := record.Decode(v.Data)
 	if err != nil {
-		return chain.Unread{Number: r.Number}
+		return jrnl.ReadFailed{Number: r.Number}
 	}
-	return chain.Found{Entry: e}
+	return jrnl.Found{Entry: e}
 }
 
 // save takes a snapshot when enough entries have come since the last one.
--- a/internal/node/host/keep.go
+++ b/internal/node/host/keep.go
@@ -5,8 +5,8 @@
 
 	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/prog/hist"
+	"github.com/slaterock/slaterock/internal/shard/blobio"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
-	"github.com/slaterock/slaterock/internal/shard/bulk"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 	"github.com/slaterock/slaterock/internal/shard/past"
 )
@@ -15,12 +15,12 @@
 // never is one, long texts cost nothing here.
 func (h *Host) Folders(ms []beat.Member) {
 	h.mu.Lock()
-	if h.bulk == nil && len(ms) == 0 {
+	if h.blobio == nil && len(ms) == 0 {
 		h.mu.Unlock()
 		return
 	}
 	h.startBulk()
-	b := h.bulk
+	b := h.blobio
 	gone := h.folders
 	h.folders = map[string]beat.Member{}
 	for _, m := range ms {
@@ -51,10 +51,10 @@
 
 // startBulk begins to look after the shard's texts; the caller holds the mutex.
 func (h *Host) startBulk() {
-	if h.bulk != nil {
+	if h.blobio != nil {
 		return
 	}
-	b := &bulk.Bulk{Peers: h.Peers, Shard: h.Shard, Epoch: h.Taken.Epoch, Changed: h.changed, Go: h.Go}
+	b := &blobio.BlobStore{Peers: h.Peers, Shard: h.Shard, Epoch: h.Taken.Epoch, HoldersChanged: h.changed, Go: h.Go}
 	go b.Run(h.ctx)
 	b.Tell(blobs.Self{FailureDomain: h.Domain})
 	h.Taken.Fold.Known(func(t hist.Blob) {
@@ -62,8 +62,8 @@
 			b.Tell(blobs.Known{Digest: d, Size: t.Size, Holders: t.Holders})
 		}
 	})
-	b.Tell(blobs.Ready{})
-	h.bulk = b
+	b.Tell(blobs.JournalLoaded{})
+	h.blobio = b
 }
 
 // keep puts a call's texts into data folders.
@@ -86,7 +86,7 @@
 	return &t
 }
 
-func blob(r bulk.Ref) hist.Blob {
+func blob(r blobio.Ref) hist.Blob {
 	return hist.Blob{Digest: r.Digest.String(), Size: r.Size, Holders: r.Holders}
 }
 
@@ -96,15 +96,15 @@
 	}
 }
 
-func (h *Host) texts() *bulk.Bulk {
+func (h *Host) texts() *blobio.BlobStore {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.bulk
+	return h.blobio
 }
 
 // changed notes new holders; it is called by bulk under its lock, so it must
 // not wait for the machine or for anything that waits for bulk.
-func (h *Host) changed(r bulk.Ref) {
+func (h *Host) changed(r blobio.Ref) {
 	h.movedMu.Lock()
 	defer h.movedMu.Unlock()
 	h.moved = append(h.moved, blob(r))
@@ -133,7 +133,7 @@
 	}
 	b := h.texts()
 	if b == nil {
-		return nil, bulk.ErrUnreadable
+		return nil, blobio.ErrUnreadable
 	}
 	return b.Read(ctx, d)
 }
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -88,7 +88,7 @@
 		case assign.Claim:
 			id := s.lease.ID()
 			s.Go(func() { s.take(ctx, e.Shard, id) })
-		case assign.Give:
+		case assign.HandOver:
 			s.give(ctx, e)
 		}
 	}
@@ -114,8 +114,8 @@
 	if err != nil {
 		return nil, err
 	}
-	b := boot.Boot{Store: s.Store, Shard: shard, Owner: s.Name, Rand: s.Rand, Now: time.Now}
-	taken, err := b.Take(ctx)
+	b := boot.Takeover{Store: s.Store, Shard: shard, Owner: s.Name, Rand: s.Rand, Now: time.Now}
+	taken, err := b.Acquire(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -186,7 +186,7 @@
 	s.mu.Lock()
 	s.hosts[m.shard] = m.w
 	s.mu.Unlock()
-	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.Read).Bool("clean", m.w.key.clean).Msg("shard taken")
+	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.EntriesRead).Bool("clean", m.w.key.clean).Msg("shard taken")
 	s.tellConfig()
 	m.w.Folders(s.folders)
 	s.adopt(m.w.open)
@@ -208,7 +208,7 @@
 	delete(s.hosts, m.shard)
 	s.mu.Unlock()
 	s.Log.Info().Int("shard", m.shard).Bool("fenced", m.w.Fenced()).Msg("shard left")
-	s.stepAssign(ctx, assign.Gone{Shard: m.shard})
+	s.stepAssign(ctx, assign.Released{Shard: m.shard})
 	s.Owned(s.List())
 }
 
@@ -247,7 +247,7 @@
 
 // give ends ownership, offers the shard, and goes on with the attempts under
 // way for the next owner.
-func (s *Shards) give(ctx context.Context, g assign.Give) {
+func (s *Shards) give(ctx context.Context, g assign.HandOver) {
 	w := s.hosts[g.Shard]
 	if w == nil || w.giving {
 		return
@@ -272,7 +272,7 @@
 
 // release leaves the shard's key behind marked as released, so that the next
 // owner need not wait for a lease to lapse.
-func (s *Shards) release(ctx context.Context, g assign.Give, c claimed) {
+func (s *Shards) release(ctx context.Context, g assign.HandOver, c claimed) {
 	call, stop := context.WithTimeout(ctx, giveTimeout)
 	defer stop()
 	_, err := s.Store.Put(call, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -23,7 +23,7 @@
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/shard/assign"
-	"github.com/slaterock/slaterock/internal/shard/bulk"
+	"github.com/slaterock/slaterock/internal/shard/blobio"
 	"github.com/slaterock/slaterock/internal/shard/lease"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
@@ -60,7 +60,7 @@
 		Ended       func(l owner.Log)
 		Owned       func(s []beat.Shard)
 		// Peers reaches data folders; Domain is this daemon's failure domain.
-		Peers  bulk.Peers
+		Peers  blobio.Peers
 		Domain string
 		Offer  func(ctx context.Context, to beat.Member, shard int) error
 		Guard  *guard.Guard // nil: accounts have no limits
@@ -69,7 +69,7 @@
 
 		mail    chan message
 		lease   lease.Lease
-		assign  assign.Assign
+		assign  assign.Assigner
 		session uint64    // tells this process's claims from those of an earlier one
 		reached time.Time // when this daemon last reached the store
 
@@ -284,7 +284,7 @@
 	members := s.Members()
 	s.stepAssign(ctx, assign.View{Members: members})
 	s.tellFolders(members)
-	if s.lease.ID() != 0 || s.assign.Wants(time.Now()) {
+	if s.lease.ID() != 0 || s.assign.NeedsLease(time.Now()) {
 		s.stepLease(ctx, lease.Tick{})
 	}
 	s.lapse(ctx)
@@ -295,7 +295,7 @@
 // lapse gives up a lease that nothing hangs on any more.
 func (s *Shards) lapse(ctx context.Context) {
 	id := s.lease.ID()
-	if id == 0 || len(s.hosts) > 0 || s.assign.Wants(time.Now()) {
+	if id == 0 || len(s.hosts) > 0 || s.assign.NeedsLease(time.Now()) {
 		return
 	}
 	s.stepLease(ctx, lease.Drop{})
--- a/internal/play/sizes/journal_test.go
+++ b/internal/play/sizes/journal_test.go
@@ -10,7 +10,7 @@
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/prog/call"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
@@ -33,7 +33,7 @@
 
 func newJournal() *journal {
 	j := &journal{rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1_800_000_000, 0)}
-	j.own.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { j.nonce++; return j.nonce }}
+	j.own.Writer = jrnl.Writer{Epoch: 1, Next: 1, Rand: func() uint64 { j.nonce++; return j.nonce }}
 	j.step(owner.Configure{File: file.File{
 		Limits: file.Limits{BudgetBlock: 1 << 16, JournalBuffer: 1 << 30},
 		Agents: map[string]file.Agent{"a": {Model: "m", Budget: 1 << 40}},
@@ -54,11 +54,11 @@
 // commit answers the writes until none is left.
 func (j *journal) commit() {
 	for len(j.wrote) > 0 {
-		c := j.wrote[0].Effect.(chain.Create)
+		c := j.wrote[0].Effect.(jrnl.Create)
 		j.wrote = j.wrote[1:]
 		j.bytes += len(c.Data)
 		j.writes++
-		j.step(owner.Journal{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
+		j.step(owner.Journal{Message: jrnl.CreateDone{Number: c.Number, Outcome: jrnl.Created}})
 	}
 }
 
--- a/internal/play/soak/drive.go
+++ b/internal/play/soak/drive.go
@@ -9,7 +9,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 	"github.com/slaterock/slaterock/internal/shard/past"
 )
@@ -72,17 +72,17 @@
 	}
 }
 
-func (n *node) write(own *owner.Owner, e chain.Effect) {
+func (n *node) write(own *owner.Owner, e jrnl.Effect) {
 	ctx := context.Background()
 	switch e := e.(type) {
-	case chain.Create:
+	case jrnl.Create:
 		n.storeCall(func() error {
 			_, err := n.w.st.Put(ctx, e.Key, e.Data, 0, 0)
 			return err
 		}, func(err error) {
-			n.tell(own, owner.Journal{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
+			n.tell(own, owner.Journal{Message: jrnl.CreateDone{Number: e.Number, Outcome: outcome(err)}})
 		})
-	case chain.Read:
+	case jrnl.Read:
 		var v store.Entry
 		n.storeCall(func() (err error) {
 			v, err = n.w.st.Get(ctx, e.Key)
@@ -91,31 +91,31 @@
 	}
 }
 
-func outcome(err error) chain.Outcome {
+func outcome(err error) jrnl.Outcome {
 	switch err.(type) { //nolint:errorlint // the fake returns it bare
 	case nil:
-		return chain.Created
+		return jrnl.Created
 	case *store.ConflictError:
-		return chain.Exists
+		return jrnl.Exists
 	}
 	if err == store.ErrUnavailable { //nolint:errorlint // the store's own value
-		return chain.Unavailable
+		return jrnl.Unavailable
 	}
-	return chain.Lost
+	return jrnl.Unknown
 }
 
-func readBack(number uint64, v store.Entry, err error) chain.Message {
+func readBack(number uint64, v store.Entry, err error) jrnl.Message {
 	switch {
 	case err == store.ErrNotFound: //nolint:errorlint // the store's own value
-		return chain.Absent{Number: number}
+		return jrnl.Absent{Number: number}
 	case err != nil:
-		return chain.Unread{Number: number}
+		return jrnl.ReadFailed{Number: number}
 	}
 	e, err := record.Decode(v.Data)
 	if err != nil {
-		return chain.Unread{Number: number}
+		return jrnl.ReadFailed{Number: number}
 	}
-	return chain.Found{Entry: e}
+	return jrnl.Found{Entry: e}
 }
 
 func (n *node) place(own *owner.Owner, m sched.Message) {
--- a/internal/play/soak/judge.go
+++ b/internal/play/soak/judge.go
@@ -10,7 +10,7 @@
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/record"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
@@ -53,7 +53,7 @@
 	var j record.Joiner
 	epoch := uint64(0)
 	for n := uint64(1); ; n++ {
-		v, err := w.st.Get(context.Background(), chain.Key(0, n))
+		v, err := w.st.Get(context.Background(), jrnl.Key(0, n))
 		if err != nil {
 			break
 		}
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -6,7 +6,7 @@
 
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 	"github.com/slaterock/slaterock/internal/plat/store"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/lease"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
@@ -187,7 +187,7 @@
 	if w.fault(300) {
 		v.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck, 2: keyval.LoseWrite})
 	}
-	t, err := n.boot(v).Take(ctx)
+	t, err := n.boot(v).Acquire(ctx)
 	v.Script(keyval.Writes, nil)
 	if err != nil {
 		w.note("%s can't take over: %v", n.name, err)
@@ -206,7 +206,7 @@
 		n.own.Hold = w.now.Add(graceTime)
 	}
 	w.clean = false
-	n.own.Chain = chain.Chain{Shard: 0, Epoch: t.Epoch, Owner: n.name, Next: t.Next, Rand: n.rand, Interval: 20 * time.Millisecond}
+	n.own.Writer = jrnl.Writer{Shard: 0, Epoch: t.Epoch, Owner: n.name, Next: t.Next, Rand: n.rand, Interval: 20 * time.Millisecond}
 	n.step(owner.Configure{File: w.cfg})
 	n.step(owner.Lease{Until: n.until()})
 	n.step(owner.Keeping{On: w.folders()})
--- a/internal/play/soak/texts.go
+++ b/internal/play/soak/texts.go
@@ -134,7 +134,7 @@
 // the same holders, as the whole journal: what a takeover didn't know would be
 // dropped.
 func (w *world) compare(refs map[string]hist.Blob) {
-	t, err := w.nodes[0].boot(w.st).Take(context.Background())
+	t, err := w.nodes[0].boot(w.st).Acquire(context.Background())
 	if err != nil {
 		w.breaks("the shard can't be taken over: %v", err)
 		return
@@ -146,6 +146,6 @@
 	}
 }
 
-func (n *node) boot(st store.Store) boot.Boot {
-	return boot.Boot{Store: st, Shard: 0, Owner: n.name, Rand: n.rand, Now: func() time.Time { return n.w.now }}
+func (n *node) boot(st store.Store) boot.Takeover {
+	return boot.Takeover{Store: st, Shard: 0, Owner: n.name, Rand: n.rand, Now: func() time.Time { return n.w.now }}
 }
--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	settleTime = 3 * time.Second        // before a shard is handed over
-	othersTime = 4 * time.Second        // before another than the preferred daemon claims
-	retryTime  = 500 * time.Millisecond // after a claim that failed
-	maxClaims  = 4                      // under way at a time
-	maxGives   = 2
+	handoverDelay = 3 * time.Second        // before a shard is handed over
+	fallbackDelay = 4 * time.Second        // before another than the preferred daemon claims
+	retryDelay    = 500 * time.Millisecond // after a claim that failed
+	maxClaims     = 4                      // under way at a time
+	maxHandovers  = 2
 )
 
 type (
 	// Assign is the machine. Set Self, Rand and Shards before the first Step.
-	Assign struct {
+	Assigner struct {
 		Self   string        // the daemon's name
 		Rand   func() uint64 // spreads the claims of several daemons
 		Shards int
 
-		members  []beat.Member
-		plan     []beat.Member // who should own each shard
-		planned  string        // the daemons that the plan was made for
-		owned    map[int]bool
-		claiming map[int]bool
-		giving   map[int]bool
-		notYet   map[int]time.Time // no claim of the shard before
-		orphan   map[int]time.Time // since when no owner is known
-		moved    map[int]time.Time // since when another should own our shard
-		draining bool
-		leased   bool
+		members       []beat.Member
+		plan          []beat.Member // who should own each shard
+		plannedFor    string        // the daemons that the plan was made for
+		owned         map[int]bool
+		claiming      map[int]bool
+		handingOver   map[int]bool
+		noClaimBefore map[int]time.Time // no claim of the shard before
+		ownerless     map[int]time.Time // since when no owner is known
+		movedSince    map[int]time.Time // since when another should own our shard
+		draining      bool
+		leased        bool
 	}
 
 	// Message is what Assign reacts to.
@@ -67,7 +67,7 @@
 
 	// Gone tells that the daemon owns the shard no more, whether it handed it
 	// over, lost it or failed.
-	Gone struct{ Shard int }
+	Released struct{ Shard int }
 
 	// Drain asks to hand over all shards and claim none.
 	Drain struct{}
@@ -84,49 +84,49 @@
 	// Give ends ownership of the shard once its calls have ended, and offers
 	// it to the daemon To; an empty Name leaves it to whoever claims it. The
 	// answer is Gone.
-	Give struct {
+	HandOver struct {
 		Shard int
 		To    beat.Member
 	}
 )
 
-func (View) message()    {}
-func (Leased) message()  {}
-func (Claimed) message() {}
-func (Offered) message() {}
-func (Gone) message()    {}
-func (Drain) message()   {}
-func (Tick) message()    {}
+func (View) message()     {}
+func (Leased) message()   {}
+func (Claimed) message()  {}
+func (Offered) message()  {}
+func (Released) message() {}
+func (Drain) message()    {}
+func (Tick) message()     {}
 
-func (Claim) effect() {}
-func (Give) effect()  {}
+func (Claim) effect()    {}
+func (HandOver) effect() {}
 
 // Step applies one message.
-func (a *Assign) Step(now time.Time, m Message) []Effect {
+func (a *Assigner) Step(now time.Time, m Message) []Effect {
 	a.init()
 	switch m := m.(type) {
 	case View:
-		a.view(m.Members)
+		a.setView(m.Members)
 	case Leased:
 		a.leased = m.OK
 	case Claimed:
 		delete(a.claiming, m.Shard)
 		if m.OK {
 			a.owned[m.Shard] = true
-			delete(a.orphan, m.Shard)
+			delete(a.ownerless, m.Shard)
 			return nil
 		}
-		a.notYet[m.Shard] = now.Add(retryTime + a.jitter(retryTime))
+		a.noClaimBefore[m.Shard] = now.Add(retryDelay + a.jitter(retryDelay))
 	case Offered:
 		if a.draining || !a.leased || a.owned[m.Shard] || a.claiming[m.Shard] {
 			return nil
 		}
 		return []Effect{a.claim(m.Shard)}
-	case Gone:
+	case Released:
 		delete(a.owned, m.Shard)
-		delete(a.giving, m.Shard)
-		delete(a.moved, m.Shard)
-		a.notYet[m.Shard] = now.Add(retryTime + a.jitter(retryTime))
+		delete(a.handingOver, m.Shard)
+		delete(a.movedSince, m.Shard)
+		a.noClaimBefore[m.Shard] = now.Add(retryDelay + a.jitter(retryDelay))
 	case Drain:
 		a.draining = true
 	case Tick:
@@ -135,21 +135,21 @@
 	return nil
 }
 
-func (a *Assign) init() {
+func (a *Assigner) init() {
 	if a.owned != nil {
 		return
 	}
 	a.owned = map[int]bool{}
 	a.claiming = map[int]bool{}
-	a.giving = map[int]bool{}
-	a.notYet = map[int]time.Time{}
-	a.orphan = map[int]time.Time{}
-	a.moved = map[int]time.Time{}
+	a.handingOver = map[int]bool{}
+	a.noClaimBefore = map[int]time.Time{}
+	a.ownerless = map[int]time.Time{}
+	a.movedSince = map[int]time.Time{}
 }
 
 // view takes a new picture in. Working the plan out costs a hash for each shard
 // and daemon, so it is done only when a daemon came, left or changed its state.
-func (a *Assign) view(members []beat.Member) {
+func (a *Assigner) setView(members []beat.Member) {
 	a.members = members
 	var b strings.Builder
 	for _, m := range members {
@@ -159,13 +159,13 @@
 		}
 	}
 	key := strconv.Itoa(a.Shards) + "/" + b.String()
-	if key != a.planned {
-		a.planned, a.plan = key, locate.Plan(members, a.Shards, a.Shards)
+	if key != a.plannedFor {
+		a.plannedFor, a.plan = key, locate.Plan(members, a.Shards, a.Shards)
 	}
 }
 
 // preferred is the daemon that should own the shard.
-func (a *Assign) preferred(shard int) (beat.Member, bool) {
+func (a *Assigner) preferred(shard int) (beat.Member, bool) {
 	if shard >= len(a.plan) {
 		return beat.Member{}, false
 	}
@@ -175,7 +175,7 @@
 // Wants reports whether the daemon has a use for a lease: it owns shards, should
 // own some, or may have to take one that nobody claims. A lease that is only
 // held costs the store three writes in its time to live, from each daemon.
-func (a *Assign) Wants(now time.Time) bool {
+func (a *Assigner) NeedsLease(now time.Time) bool {
 	if len(a.owned) > 0 || len(a.claiming) > 0 {
 		return true
 	}
@@ -184,32 +184,32 @@
 		if ok && to.Name == a.Self {
 			return true
 		}
-		if since, orphan := a.orphan[s]; orphan && now.Sub(since) >= othersTime {
+		if since, ownerless := a.ownerless[s]; ownerless && now.Sub(since) >= fallbackDelay {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Assign) jitter(d time.Duration) time.Duration {
+func (a *Assigner) jitter(d time.Duration) time.Duration {
 	return time.Duration(a.Rand() % uint64(d))
 }
 
-func (a *Assign) claim(shard int) Effect {
+func (a *Assigner) claim(shard int) Effect {
 	a.claiming[shard] = true
 	return Claim{Shard: shard}
 }
 
-func (a *Assign) tick(now time.Time) (effs []Effect) {
+func (a *Assigner) tick(now time.Time) (effs []Effect) {
 	for s := range a.Shards {
 		switch {
-		case a.giving[s] || a.claiming[s]:
+		case a.handingOver[s] || a.claiming[s]:
 		case a.owned[s]:
-			if to, ok := a.successor(now, s); ok && (a.draining || len(a.giving) < maxGives) {
-				a.giving[s] = true
-				effs = append(effs, Give{Shard: s, To: to})
+			if to, ok := a.handoverTarget(now, s); ok && (a.draining || len(a.handingOver) < maxHandovers) {
+				a.handingOver[s] = true
+				effs = append(effs, HandOver{Shard: s, To: to})
 			}
-		case !a.draining && a.wants(now, s) && a.leased && len(a.claiming) < maxClaims:
+		case !a.draining && a.shouldClaim(now, s) && a.leased && len(a.claiming) < maxClaims:
 			effs = append(effs, a.claim(s))
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // successor tells whether an owned shard should go to another daemon.
-func (a *Assign) successor(now time.Time, shard int) (beat.Member, bool) {
+func (a *Assigner) handoverTarget(now time.Time, shard int) (beat.Member, bool) {
 	to, ok := a.preferred(shard)
 	if a.draining {
 		if to.Name == a.Self {
@@ -226,40 +226,40 @@
 		return to, true
 	}
 	if !ok || to.Name == a.Self {
-		delete(a.moved, shard)
+		delete(a.movedSince, shard)
 		return beat.Member{}, false
 	}
-	since, known := a.moved[shard]
+	since, known := a.movedSince[shard]
 	if !known {
-		a.moved[shard] = now
+		a.movedSince[shard] = now
 		return beat.Member{}, false
 	}
-	return to, now.Sub(since) >= settleTime
+	return to, now.Sub(since) >= handoverDelay
 }
 
 // wants tells whether the daemon should claim the shard now. Where the
 // preferred daemon can't or won't, any other does after a while, so that no
 // shard stays without an owner because one daemon has a wrong picture.
-func (a *Assign) wants(now time.Time, shard int) bool {
+func (a *Assigner) shouldClaim(now time.Time, shard int) bool {
 	if _, owned := locate.Owner(a.members, shard); owned {
-		delete(a.orphan, shard)
+		delete(a.ownerless, shard)
 		return false
 	}
-	since, known := a.orphan[shard]
+	since, known := a.ownerless[shard]
 	if !known {
 		since = now
-		a.orphan[shard] = now
+		a.ownerless[shard] = now
 	}
-	if now.Before(a.notYet[shard]) {
+	if now.Before(a.noClaimBefore[shard]) {
 		return false
 	}
 	to, ok := a.preferred(shard)
 	if ok && to.Name == a.Self {
 		return true
 	}
-	if now.Sub(since) < othersTime {
+	if now.Sub(since) < fallbackDelay {
 		return false
 	}
-	a.notYet[shard] = now.Add(a.jitter(othersTime))
+	a.noClaimBefore[shard] = now.Add(a.jitter(fallbackDelay))
 	return a.Rand()%2 == 0
 }
--- a/internal/shard/assign/assign_test.go
+++ b/internal/shard/assign/assign_test.go
@@ -18,17 +18,17 @@
 
 // fleet is several daemons' machines with one picture, and who owns what.
 type fleet struct {
-	now     time.Time
-	members []beat.Member
-	all     map[string]*assign.Assign
-	owner   map[int]string
-	deaf    map[string]bool // claims of these fail
-	claims  int
-	gives   int
+	now         time.Time
+	members     []beat.Member
+	assigners   map[string]*assign.Assigner
+	owner       map[int]string
+	cannotClaim map[string]bool // claims of these fail
+	claims      int
+	handovers   int
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: start, all: map[string]*assign.Assign{}, owner: map[int]string{}, deaf: map[string]bool{}}
+	f := &fleet{now: start, assigners: map[string]*assign.Assigner{}, owner: map[int]string{}, cannotClaim: map[string]bool{}}
 	for i := range n {
 		f.join(fmt.Sprint("d", i))
 	}
@@ -36,16 +36,16 @@
 }
 
 func (f *fleet) join(name string) {
-	seed := uint64(len(f.all)+1) * 7919
-	f.all[name] = &assign.Assign{Self: name, Shards: shards, Rand: func() uint64 {
+	seed := uint64(len(f.assigners)+1) * 7919
+	f.assigners[name] = &assign.Assigner{Self: name, Shards: shards, Rand: func() uint64 {
 		seed = seed*6364136223846793005 + 1442695040888963407
 		return seed >> 33
 	}}
 	f.members = append(f.members, beat.Member{Name: name, State: beat.Alive})
-	f.all[name].Step(f.now, assign.Leased{OK: true})
+	f.assigners[name].Step(f.now, assign.Leased{OK: true})
 }
 
-func (f *fleet) state(name string, s beat.State) {
+func (f *fleet) setState(name string, s beat.State) {
 	for i := range f.members {
 		if f.members[i].Name == name {
 			f.members[i].State = s
@@ -55,7 +55,7 @@
 
 // pass lets time pass; claims and gifts take effect at once, and the pictures
 // show it.
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(100 * time.Millisecond) {
 		for i := range f.members {
 			f.members[i].Shards = nil
@@ -69,39 +69,39 @@
 			if m.State == beat.Down {
 				continue
 			}
-			a := f.all[m.Name]
+			a := f.assigners[m.Name]
 			a.Step(f.now, assign.View{Members: f.members})
 			for _, e := range a.Step(f.now, assign.Tick{}) {
-				f.carry(m.Name, e)
+				f.execute(m.Name, e)
 			}
 		}
 	}
 }
 
-func (f *fleet) carry(name string, e assign.Effect) {
-	a := f.all[name]
+func (f *fleet) execute(name string, e assign.Effect) {
+	a := f.assigners[name]
 	switch e := e.(type) {
 	case assign.Claim:
 		f.claims++
-		ok := f.owner[e.Shard] == "" && !f.deaf[name]
+		ok := f.owner[e.Shard] == "" && !f.cannotClaim[name]
 		if ok {
 			f.owner[e.Shard] = name
 		}
 		a.Step(f.now, assign.Claimed{Shard: e.Shard, OK: ok})
-	case assign.Give:
-		f.gives++
+	case assign.HandOver:
+		f.handovers++
 		delete(f.owner, e.Shard)
-		a.Step(f.now, assign.Gone{Shard: e.Shard})
-		if to := f.all[e.To.Name]; to != nil {
+		a.Step(f.now, assign.Released{Shard: e.Shard})
+		if to := f.assigners[e.To.Name]; to != nil {
 			for _, e := range to.Step(f.now, assign.Offered{Shard: e.Shard}) {
-				f.carry(to.Self, e)
+				f.execute(to.Self, e)
 			}
 		}
 	}
 }
 
-func (f *fleet) die(name string) {
-	f.state(name, beat.Down)
+func (f *fleet) kill(name string) {
+	f.setState(name, beat.Down)
 	for s, o := range f.owner {
 		if o == name {
 			delete(f.owner, s)
@@ -113,28 +113,31 @@
 // an owner, all load on one daemon, or shards that never rest.
 func TestShardsFindOwners(t *testing.T) {
 	tests := map[string]func(f *fleet){
-		"at start":    func(*fleet) {},
-		"one dies":    func(f *fleet) { f.die(f.owner[0]) },
-		"one drains":  func(f *fleet) { f.state(f.owner[0], beat.Draining); f.all[f.owner[0]].Step(f.now, assign.Drain{}) },
+		"at start": func(*fleet) {},
+		"one dies": func(f *fleet) { f.kill(f.owner[0]) },
+		"one drains": func(f *fleet) {
+			f.setState(f.owner[0], beat.Draining)
+			f.assigners[f.owner[0]].Step(f.now, assign.Drain{})
+		},
 		"one joins":   func(f *fleet) { f.join("new") },
-		"can't claim": func(f *fleet) { name := f.owner[0]; f.die(f.owner[1]); f.deaf[name] = true },
+		"can't claim": func(f *fleet) { name := f.owner[0]; f.kill(f.owner[1]); f.cannotClaim[name] = true },
 		"none can for a while": func(f *fleet) {
-			for n := range f.all {
-				f.deaf[n] = true
+			for n := range f.assigners {
+				f.cannotClaim[n] = true
 			}
-			f.die(f.owner[0])
-			f.pass(10 * time.Second)
-			clear(f.deaf)
+			f.kill(f.owner[0])
+			f.advance(10 * time.Second)
+			clear(f.cannotClaim)
 		},
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(4)
-			f.pass(10 * time.Second)
+			f.advance(10 * time.Second)
 			is.Equal(len(f.owner), shards)
 			change(f)
-			f.pass(40 * time.Second)
+			f.advance(40 * time.Second)
 			is.Equal(len(f.owner), shards) // each has an owner
 			per := map[string]int{}
 			for s, o := range f.owner {
@@ -144,14 +147,14 @@
 				}
 				want, ok := locate.Preferred(f.members, s, shards)
 				is.True(ok)
-				is.True(o == want.Name || f.deaf[want.Name])
+				is.True(o == want.Name || f.cannotClaim[want.Name])
 			}
 			for _, n := range per {
 				is.True(n <= 4)
 			}
-			claims, gives := f.claims, f.gives
-			f.pass(time.Minute)
-			is.Equal(f.gives, gives) // and rests there
+			claims, handovers := f.claims, f.handovers
+			f.advance(time.Minute)
+			is.Equal(f.handovers, handovers) // and rests there
 			is.True(f.claims-claims <= 0)
 		})
 	}
@@ -160,19 +163,19 @@
 // A daemon that should own nothing has no use for a lease, which would cost the
 // store a write every two seconds; it needs one as soon as a shard would be
 // without an owner.
-func TestWantsALease(t *testing.T) {
+func TestNeedsLease(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(12)
-	f.pass(10 * time.Second)
+	f.advance(10 * time.Second)
 	idle := ""
-	for name, a := range f.all {
+	for name, a := range f.assigners {
 		owns := 0
 		for _, o := range f.owner {
 			if o == name {
 				owns++
 			}
 		}
-		is.Equal(a.Wants(f.now), owns > 0)
+		is.Equal(a.NeedsLease(f.now), owns > 0)
 		if owns == 0 {
 			idle = name
 		}
@@ -180,17 +183,17 @@
 	is.True(idle != "") // 12 daemons, 8 shards
 	for _, m := range f.members {
 		if m.Name != idle {
-			f.die(m.Name)
+			f.kill(m.Name)
 		}
 	}
-	f.pass(200 * time.Millisecond)
-	is.True(f.all[idle].Wants(f.now))
+	f.advance(200 * time.Millisecond)
+	is.True(f.assigners[idle].NeedsLease(f.now))
 }
 
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{8, 80, 320} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
-			a := &assign.Assign{Self: "d0", Shards: 64, Rand: func() uint64 { return 1 }}
+			a := &assign.Assigner{Self: "d0", Shards: 64, Rand: func() uint64 { return 1 }}
 			members := make([]beat.Member, n)
 			for i := range members {
 				members[i] = beat.Member{Name: fmt.Sprint("d", i), State: beat.Alive}
--- a/internal/shard/bulk/bulk.go
+++ b/internal/shard/blobio/blobio.go
@@ -4,7 +4,7 @@
 // Store returns a Ref for the journal, or tells that the text must go into the
 // journal itself. Read brings a Ref's text back. Members, references and their
 // ends are told with Tell, in the order in which the owner learns them.
-package bulk
+package blobio
 
 import (
 	"context"
@@ -45,33 +45,33 @@
 	}
 
 	// Bulk is the shell of one shard's blobs.
-	Bulk struct {
+	BlobStore struct {
 		Peers Peers
 		Shard int
 		Epoch uint64
 		// Changed takes a Ref whose holders are others now. It is called in
 		// order and must neither block nor call Bulk.
-		Changed func(Ref)
+		HoldersChanged func(Ref)
 		// Go runs f beside the caller and must not block; nil starts a
 		// goroutine.
 		Go func(f func())
 
-		mu     sync.Mutex
-		ctx    context.Context //nolint:containedctx // Run's, for calls that Tell starts
-		h      blobs.Holders
-		texts  map[blobs.Digest][]byte
-		asking map[blobs.Digest][]*asker
+		mu      sync.Mutex
+		ctx     context.Context //nolint:containedctx // Run's, for calls that Tell starts
+		placer  blobs.Holders
+		texts   map[blobs.Digest][]byte
+		waiters map[blobs.Digest][]*waiter
 	}
 
 	// asker waits for the end of a Store.
-	asker struct {
-		end  chan end
-		left bool
+	waiter struct {
+		outcome   chan outcome
+		abandoned bool
 	}
 
-	end struct {
-		ref  Ref
-		kept bool
+	outcome struct {
+		ref    Ref
+		stored bool
 	}
 )
 
@@ -81,9 +81,9 @@
 // Run lets time pass for the machine until ctx ends, which also ends the calls
 // under way. It is started before the first Store: calls that began without it
 // end only with their own limits.
-func (b *Bulk) Run(ctx context.Context) {
+func (b *BlobStore) Run(ctx context.Context) {
 	b.mu.Lock()
-	b.prepare()
+	b.ensureInit()
 	b.ctx = ctx
 	b.mu.Unlock()
 	t := time.NewTicker(blobs.Interval)
@@ -99,7 +99,7 @@
 }
 
 // Tell passes a message on to the machine.
-func (b *Bulk) Tell(m blobs.Message) {
+func (b *BlobStore) Tell(m blobs.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.step(m)
@@ -108,14 +108,14 @@
 // Store keeps the text in two folders. Kept is false if it must go into the
 // journal itself. Where ctx ends first it is not kept, and a place that is
 // found later is given up again.
-func (b *Bulk) Store(ctx context.Context, text []byte) (ref Ref, kept bool) {
-	a := &asker{end: make(chan end, 1)}
-	b.ask(a, text)
+func (b *BlobStore) Store(ctx context.Context, text []byte) (ref Ref, stored bool) {
+	a := &waiter{outcome: make(chan outcome, 1)}
+	b.enqueue(a, text)
 	select {
-	case e := <-a.end:
-		return e.ref, e.kept
+	case e := <-a.outcome:
+		return e.ref, e.stored
 	case <-ctx.Done():
-		b.leave(a)
+		b.abandon(a)
 		return Ref{}, false
 	}
 }
@@ -123,11 +123,11 @@
 // Read brings the text, from one holder after the other. A holder that does not
 // have it, or has it spoilt, gets no further reader, and a copy is made
 // elsewhere.
-func (b *Bulk) Read(ctx context.Context, d blobs.Digest) (text []byte, err error) {
+func (b *BlobStore) Read(ctx context.Context, d blobs.Digest) (text []byte, err error) {
 	defer func() { err = errors.Wrap(err, "read bulk text") }()
 	var tried []string
 	for ctx.Err() == nil {
-		from, ok := b.source(d, tried)
+		from, ok := b.locate(d, tried)
 		if !ok {
 			return nil, ErrUnreadable
 		}
@@ -135,67 +135,67 @@
 		if err == nil && blobs.Sum(text) == d {
 			return text, nil
 		}
-		if gone(err) {
-			b.Tell(blobs.Gone{Digest: d, From: from})
+		if isMissing(err) {
+			b.Tell(blobs.CopyMissing{Digest: d, From: from})
 		}
 		tried = append(tried, from)
 	}
 	return nil, ctx.Err()
 }
 
-func (b *Bulk) get(ctx context.Context, from string, d blobs.Digest) ([]byte, error) {
+func (b *BlobStore) get(ctx context.Context, from string, d blobs.Digest) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return b.Peers.Get(ctx, from, b.Shard, d)
 }
 
-func (b *Bulk) source(d blobs.Digest, tried []string) (from string, ok bool) {
+func (b *BlobStore) locate(d blobs.Digest, tried []string) (from string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f, ok := b.h.Step(time.Now(), blobs.Read{Digest: d, Tried: tried})[0].(blobs.Fetch)
+	f, ok := b.placer.Step(time.Now(), blobs.Read{Digest: d, Tried: tried})[0].(blobs.Fetch)
 	return f.From, ok
 }
 
-func (b *Bulk) ask(a *asker, text []byte) {
+func (b *BlobStore) enqueue(a *waiter, text []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.prepare()
+	b.ensureInit()
 	d := blobs.Sum(text)
 	b.texts[d] = text
-	b.asking[d] = append(b.asking[d], a)
+	b.waiters[d] = append(b.waiters[d], a)
 	b.step(blobs.Store{Digest: d, Size: len(text)})
 }
 
 // leave gives up waiting. Its reference, if there is one by now or later, must
 // end, or the blob would be kept for nobody and for ever.
-func (b *Bulk) leave(a *asker) {
+func (b *BlobStore) abandon(a *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.left = true
+	a.abandoned = true
 	select {
-	case e := <-a.end:
-		b.drop(e)
+	case e := <-a.outcome:
+		b.releaseRef(e)
 	default:
 	}
 }
 
-func (b *Bulk) drop(e end) {
-	if e.kept {
+func (b *BlobStore) releaseRef(e outcome) {
+	if e.stored {
 		b.step(blobs.Release{Digest: e.ref.Digest})
 	}
 }
 
-func (b *Bulk) prepare() {
+func (b *BlobStore) ensureInit() {
 	if b.ctx == nil {
 		b.texts = map[blobs.Digest][]byte{}
-		b.asking = map[blobs.Digest][]*asker{}
+		b.waiters = map[blobs.Digest][]*waiter{}
 		b.ctx = context.Background()
 	}
 }
 
 // gone tells an answer that the blob is not there from no answer, and from none
 // at all: a wrong text counts as the former.
-func gone(err error) bool {
+func isMissing(err error) bool {
 	var corrupt *blobs.CorruptError
 	return err == nil || errors.Is(err, blobs.ErrNotFound) || errors.As(err, &corrupt)
 }
--- a/internal/shard/bulk/bulk_test.go
+++ b/internal/shard/blobio/blobio_test.go
@@ -1,4 +1,4 @@
-package bulk_test
+package blobio_test
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 
 	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/shard/blobio"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
-	"github.com/slaterock/slaterock/internal/shard/bulk"
 )
 
 type (
@@ -32,11 +32,11 @@
 	rig struct {
 		*is.I
 		*folders
-		*bulk.Bulk
+		*blobio.BlobStore
 		t   *testing.T
 		ctx context.Context //nolint:containedctx // the test's
 		mu  sync.Mutex
-		new []bulk.Ref
+		new []blobio.Ref
 	}
 )
 
@@ -108,12 +108,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &folders{dirs: map[string]*blobs.Folder{}, down: map[string]bool{}, hung: map[string]bool{}}
 		r := &rig{I: is.New(t), folders: f, t: t, ctx: ctx}
-		r.Bulk = &bulk.Bulk{Peers: f, Shard: 3, Epoch: 1, Changed: r.changed}
+		r.BlobStore = &blobio.BlobStore{Peers: f, Shard: 3, Epoch: 1, HoldersChanged: r.changed}
 		for _, name := range names {
 			f.dirs[name] = &blobs.Folder{Dir: filepath.Join(root, name)}
 			r.Tell(member(name, beat.Alive))
 		}
-		r.Tell(blobs.Ready{})
+		r.Tell(blobs.JournalLoaded{})
 		end := make(chan struct{})
 		go func() {
 			defer close(end)
@@ -126,7 +126,7 @@
 	})
 }
 
-func (r *rig) changed(ref bulk.Ref) {
+func (r *rig) changed(ref blobio.Ref) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.new = append(r.new, ref)
@@ -154,7 +154,7 @@
 	synctest.Wait()
 }
 
-func (r *rig) store(text string) bulk.Ref {
+func (r *rig) store(text string) blobio.Ref {
 	ref, kept := r.Store(r.ctx, []byte(text))
 	r.True(kept)
 	r.Equal(len(ref.Holders), 2)
@@ -162,7 +162,7 @@
 	return ref
 }
 
-func (r *rig) reads(ref bulk.Ref, text string) {
+func (r *rig) reads(ref blobio.Ref, text string) {
 	got, err := r.Read(r.ctx, ref.Digest)
 	r.NoErr(err)
 	r.Equal(string(got), text)
@@ -256,7 +256,7 @@
 			r.lose(ref.Holders[0])
 			r.lose(ref.Holders[1])
 			_, err := r.Read(r.ctx, ref.Digest)
-			r.True(errors.Is(err, bulk.ErrUnreadable))
+			r.True(errors.Is(err, blobio.ErrUnreadable))
 		}},
 		// A disk spoils the text. Its reader gets the right one from the other
 		// holder, and soon there are two again.
--- a/internal/shard/bulk/effect.go
+++ b/internal/shard/blobio/effect.go
@@ -1,4 +1,4 @@
-package bulk
+package blobio
 
 import (
 	"context"
@@ -8,34 +8,34 @@
 )
 
 // step takes one message and starts what follows; the caller holds the mutex.
-func (b *Bulk) step(m blobs.Message) {
-	b.prepare()
-	for _, e := range b.h.Step(time.Now(), m) {
-		b.carry(e)
+func (b *BlobStore) step(m blobs.Message) {
+	b.ensureInit()
+	for _, e := range b.placer.Step(time.Now(), m) {
+		b.execute(e)
 	}
 }
 
-func (b *Bulk) carry(e blobs.Effect) {
+func (b *BlobStore) execute(e blobs.Effect) {
 	switch e := e.(type) {
 	case blobs.Copy:
 		b.copy(e)
-	case blobs.Kept:
-		b.kept(e)
+	case blobs.Stored:
+		b.stored(e)
 	case blobs.Inline:
-		b.finish(e.Digest, end{})
+		b.deliver(e.Digest, outcome{})
 	case blobs.List:
-		b.call(func(ctx context.Context) { b.list(ctx, e) })
+		b.startCall(func(ctx context.Context) { b.list(ctx, e) })
 	case blobs.Drop:
-		b.call(func(ctx context.Context) {
+		b.startCall(func(ctx context.Context) {
 			// A drop that is lost shows in the holder's next list.
 			_ = b.Peers.Drop(ctx, e.To, b.Shard, b.Epoch, e.Digests)
 		})
 	}
 }
 
-func (b *Bulk) copy(c blobs.Copy) {
+func (b *BlobStore) copy(c blobs.Copy) {
 	text := b.texts[c.Digest]
-	b.call(func(ctx context.Context) {
+	b.startCall(func(ctx context.Context) {
 		var err error
 		if c.From == "" {
 			err = b.Peers.Put(ctx, c.To, b.Shard, text)
@@ -43,7 +43,7 @@
 			err = b.Peers.Copy(ctx, c.To, c.From, b.Shard, c.Digest)
 		}
 		if err != nil {
-			b.Tell(blobs.Failed{Digest: c.Digest, To: c.To})
+			b.Tell(blobs.CopyFailed{Digest: c.Digest, To: c.To})
 			return
 		}
 		b.Tell(blobs.Copied{Digest: c.Digest, To: c.To})
@@ -52,31 +52,31 @@
 
 // kept ends the Stores that wait for the blob. Where none waits, its holders
 // have changed.
-func (b *Bulk) kept(k blobs.Kept) {
+func (b *BlobStore) stored(k blobs.Stored) {
 	ref := Ref{Digest: k.Digest, Size: k.Size, Holders: k.Holders}
-	if len(b.asking[k.Digest]) > 0 {
-		b.finish(k.Digest, end{ref: ref, kept: true})
+	if len(b.waiters[k.Digest]) > 0 {
+		b.deliver(k.Digest, outcome{ref: ref, stored: true})
 		return
 	}
-	if b.Changed != nil {
-		b.Changed(ref)
+	if b.HoldersChanged != nil {
+		b.HoldersChanged(ref)
 	}
 }
 
-func (b *Bulk) finish(d blobs.Digest, e end) {
-	asking := b.asking[d]
-	delete(b.asking, d)
+func (b *BlobStore) deliver(d blobs.Digest, e outcome) {
+	waiters := b.waiters[d]
+	delete(b.waiters, d)
 	delete(b.texts, d)
-	for _, a := range asking {
-		if a.left {
-			b.drop(e)
+	for _, a := range waiters {
+		if a.abandoned {
+			b.releaseRef(e)
 			continue
 		}
-		a.end <- e
+		a.outcome <- e
 	}
 }
 
-func (b *Bulk) list(ctx context.Context, l blobs.List) {
+func (b *BlobStore) list(ctx context.Context, l blobs.List) {
 	page, err := b.Peers.List(ctx, l.To, b.Shard, l.After, pageSize)
 	if err != nil {
 		return // the machine asks again later
@@ -85,7 +85,7 @@
 }
 
 // call runs f beside the caller, within the time that the machine gives it.
-func (b *Bulk) call(f func(ctx context.Context)) {
+func (b *BlobStore) startCall(f func(ctx context.Context)) {
 	run := b.Go
 	if run == nil {
 		run = func(f func()) { go f() }
--- a/internal/shard/blobs/audit.go
+++ b/internal/shard/blobs/audit.go
@@ -9,30 +9,30 @@
 )
 
 // due queues a holder whose list is to be compared.
-func (h *Holders) due(name string) {
-	if !slices.Contains(h.audits, name) {
-		h.audits = append(h.audits, name)
+func (h *Holders) queueAudit(name string) {
+	if !slices.Contains(h.auditQueue, name) {
+		h.auditQueue = append(h.auditQueue, name)
 	}
 }
 
 // nextAudit starts the next comparison, one at a time: each keeps the digests
 // that it expects in memory.
-func (h *Holders) nextAudit(now time.Time) []Effect {
-	if !now.Before(h.nextAll) {
-		h.nextAll = now.Add(auditEvery)
+func (h *Holders) startNextAudit(now time.Time) []Effect {
+	if !now.Before(h.nextFullAudit) {
+		h.nextFullAudit = now.Add(auditInterval)
 		for _, name := range slices.Sorted(maps.Keys(h.members)) {
-			h.due(name)
+			h.queueAudit(name)
 		}
 	}
-	if h.audit != nil && now.Before(h.audit.until) {
+	if h.audit != nil && now.Before(h.audit.expires) {
 		return nil
 	}
 	h.audit = nil
-	for len(h.audits) > 0 {
-		name := h.audits[0]
-		h.audits = h.audits[1:]
+	for len(h.auditQueue) > 0 {
+		name := h.auditQueue[0]
+		h.auditQueue = h.auditQueue[1:]
 		if m := h.members[name]; m.Disk && m.State != beat.Down {
-			h.audit = &audit{holder: name, until: now.Add(auditTimeout), expect: h.at(name)}
+			h.audit = &audit{holder: name, expires: now.Add(auditTimeout), expected: h.at(name)}
 			return []Effect{List{To: name}}
 		}
 	}
@@ -47,12 +47,12 @@
 	}
 	for _, d := range h.missing(l) {
 		if b := h.blobs[d]; b != nil && slices.Contains(b.copies, l.From) {
-			h.gone(d, l.From)
+			h.removeCopy(d, l.From)
 		}
 	}
 	var extra []Digest
 	for _, d := range l.Digests {
-		kept, needless := h.found(d, l.From)
+		kept, needless := h.checkListed(d, l.From)
 		out = append(out, kept...)
 		if needless {
 			extra = append(extra, d)
@@ -65,7 +65,7 @@
 		h.audit = nil
 		return out
 	}
-	h.audit.until = now.Add(auditTimeout)
+	h.audit.expires = now.Add(auditTimeout)
 	h.audit.after = l.Digests[len(l.Digests)-1]
 	return append(out, List{To: l.From, After: h.audit.after})
 }
@@ -74,36 +74,36 @@
 // that are not on it.
 func (h *Holders) missing(l Listed) (out []Digest) {
 	a := h.audit
-	n := len(a.expect)
+	n := len(a.expected)
 	if !l.Last && len(l.Digests) > 0 {
 		end := l.Digests[len(l.Digests)-1]
-		n, _ = slices.BinarySearchFunc(a.expect, end, compare)
-		if n < len(a.expect) && a.expect[n] == end {
+		n, _ = slices.BinarySearchFunc(a.expected, end, compare)
+		if n < len(a.expected) && a.expected[n] == end {
 			n++
 		}
 	}
-	for _, d := range a.expect[:n] {
+	for _, d := range a.expected[:n] {
 		if _, ok := slices.BinarySearchFunc(l.Digests, d, compare); !ok {
 			out = append(out, d)
 		}
 	}
-	a.expect = a.expect[n:]
+	a.expected = a.expected[n:]
 	return out
 }
 
 // found takes note of a blob on a holder's list. A weak blob is glad of a copy
 // that was given up, such as that of a VM which is back after a long time.
-func (h *Holders) found(d Digest, from string) (out []Effect, needless bool) {
-	b, w := h.blobs[d], h.work[d]
+func (h *Holders) checkListed(d Digest, from string) (out []Effect, needless bool) {
+	b, w := h.blobs[d], h.placement[d]
 	if b == nil {
 		return nil, true
 	}
-	if slices.Contains(b.copies, from) || w != nil && len(w.tries) > 0 {
+	if slices.Contains(b.copies, from) || w != nil && len(w.attempts) > 0 {
 		return nil, false
 	}
-	if len(h.sound(b)) >= wanted {
+	if len(h.durableHolders(b)) >= replicas {
 		return nil, true
 	}
 	b.copies = append(b.copies, from)
-	return h.keep(d), false
+	return h.reportHolders(d), false
 }
--- a/internal/shard/blobs/audit_test.go
+++ b/internal/shard/blobs/audit_test.go
@@ -7,7 +7,7 @@
 )
 
 // audited lets ticks pass until the holder's list is asked for.
-func (b *bench) audited(name string) {
+func (b *harness) awaitList(name string) {
 	b.Helper()
 	for range 10 {
 		b.now = b.now.Add(Interval)
@@ -27,18 +27,18 @@
 func TestAudit(t *testing.T) {
 	all := []Digest{Sum([]byte("3")), Sum([]byte("4")), Sum([]byte("5")), Sum([]byte("6"))}
 	slices.SortFunc(all, compare)
-	tests := map[string]func(b *bench){
-		"nothing to do": func(b *bench) {
-			b.audited("a1")
+	tests := map[string]func(b *harness){
+		"nothing to do": func(b *harness) {
+			b.awaitList("a1")
 			b.want(Listed{From: "a1", Digests: all, Last: true})
-			b.Equal(len(b.pass(time.Minute)), 0)
+			b.Equal(len(b.advance(time.Minute)), 0)
 		},
 		// A VM was replaced so fast that nobody saw it down, and its folder
 		// is empty. Its list shows it, and all its blobs are copied again.
-		"a VM is back without its blobs": func(b *bench) {
-			b.audited("a1")
+		"a VM is back without its blobs": func(b *harness) {
+			b.awaitList("a1")
 			b.want(Listed{From: "a1", Last: true})
-			out := b.pass(Interval)
+			out := b.advance(Interval)
 			b.Equal(len(out), len(all))
 			for _, e := range out {
 				b.Equal(e.(Copy).From, "t1")
@@ -46,44 +46,44 @@
 		},
 		// A daemon died between storing a blob and writing down that it did.
 		// The list shows what nobody needs, and it is dropped.
-		"a blob without reference": func(b *bench) {
-			b.audited("a1")
+		"a blob without reference": func(b *harness) {
+			b.awaitList("a1")
 			with := append(slices.Clone(all), one)
 			slices.SortFunc(with, compare)
 			b.want(Listed{From: "a1", Digests: with, Last: true}, Drop{To: "a1", Digests: []Digest{one}})
 		},
 		// The list is long and comes in pages; one blob of the second page is
 		// missing.
-		"pages": func(b *bench) {
-			b.audited("a1")
+		"pages": func(b *harness) {
+			b.awaitList("a1")
 			b.want(Listed{From: "a1", Digests: all[:2]}, List{To: "a1", After: all[1]})
 			b.want(Listed{From: "a1", After: all[1], Digests: all[3:], Last: true})
-			out := b.pass(Interval)
+			out := b.advance(Interval)
 			b.Equal(len(out), 1)
 			b.Equal(out[0].(Copy).Digest, all[2])
 		},
 		// A page comes twice, because its first answer was slow. The second
 		// one is not compared with what the next page should have.
-		"a page comes twice": func(b *bench) {
-			b.audited("a1")
+		"a page comes twice": func(b *harness) {
+			b.awaitList("a1")
 			b.want(Listed{From: "a1", Digests: all[:2]}, List{To: "a1", After: all[1]})
 			b.want(Listed{From: "a1", Digests: all[:2]})
 			b.want(Listed{From: "a1", After: all[1], Digests: all[2:], Last: true})
-			b.Equal(len(b.pass(Interval)), 0)
+			b.Equal(len(b.advance(Interval)), 0)
 		},
 		// A blob is stored while the list is on its way. It is not on the
 		// list, and that means nothing.
-		"stored meanwhile": func(b *bench) {
-			b.audited("a1")
-			b.stored(one)
+		"stored meanwhile": func(b *harness) {
+			b.awaitList("a1")
+			b.storeBlob(one)
 			b.want(Listed{From: "a1", Digests: all, Last: true})
-			b.Equal(len(b.pass(Interval)), 0)
+			b.Equal(len(b.advance(Interval)), 0)
 		},
 		// A blob is on the holder's disk and on its list before its owner hears
 		// that it is stored. It is neither dropped nor taken for kept: its
 		// other copy is still on the way.
-		"stored meanwhile and on the list": func(b *bench) {
-			b.audited("a1")
+		"stored meanwhile and on the list": func(b *harness) {
+			b.awaitList("a1")
 			d, at := one, ""
 			for i := byte(0); at != "a1"; i++ {
 				d = Sum([]byte{i})
@@ -95,42 +95,42 @@
 		},
 		// A new owner does not know its journal yet. Nothing is compared, and
 		// so nothing dropped, before it does.
-		"not before the journal is known": func(b *bench) {
-			b.h.ready = false
+		"not before the journal is known": func(b *harness) {
+			b.h.journalLoaded = false
 			b.Equal(len(b.step(Tick{})), 0)
 		},
 		// The holder does not answer. Others are audited all the same.
-		"no answer": func(b *bench) {
-			b.audited("a1")
+		"no answer": func(b *harness) {
+			b.awaitList("a1")
 			b.now = b.now.Add(auditTimeout)
-			b.audited("t1")
+			b.awaitList("t1")
 		},
 		// A VM was away for so long that its blobs were copied elsewhere. It
 		// is back, and what it holds is not needed.
-		"back after the repair": func(b *bench) {
+		"back after the repair": func(b *harness) {
 			b.step(down(a1))
-			for _, e := range b.pass(grace) {
+			for _, e := range b.advance(lostAfter) {
 				b.step(Copied{Digest: e.(Copy).Digest, To: e.(Copy).To})
 			}
 			b.step(Member{Member: a1})
-			b.h.due("a1")
-			b.audited("a1")
+			b.h.queueAudit("a1")
+			b.awaitList("a1")
 			b.want(Listed{From: "a1", Digests: all, Last: true}, Drop{To: "a1", Digests: all})
 		},
-		"every hour": func(b *bench) {
+		"every hour": func(b *harness) {
 			for _, name := range []string{"a1", "t1", "u1"} {
-				b.audited(name)
+				b.awaitList(name)
 				b.step(Listed{From: name, Digests: b.h.at(name), Last: true})
 			}
-			b.pass(auditEvery - time.Minute)
+			b.advance(auditInterval - time.Minute)
 			b.Equal(b.h.audit, (*audit)(nil))
 			b.now = b.now.Add(time.Minute)
-			b.audited("a1")
+			b.awaitList("a1")
 		},
 	}
 	for name, run := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, a1, t1, u1)
+			b := newHarness(t, a1, t1, u1)
 			for _, d := range all {
 				b.step(Known{Digest: d, Size: 10, Holders: []string{"a1", "t1"}})
 			}
--- a/internal/shard/blobs/bench_test.go
+++ b/internal/shard/blobs/bench_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-const many = 100_000
+const blobCount = 100_000
 
 // crowd returns a machine that knows many blobs on three holders.
-func crowd() (*Holders, time.Time) {
+func manyBlobs() (*Holders, time.Time) {
 	var h Holders
 	now := time.Unix(0, 0)
 	for _, m := range []Member{{a1}, {t1}, {u1}} {
 		h.Step(now, m)
 	}
 	pairs := [][]string{{"a1", "t1"}, {"t1", "u1"}, {"u1", "a1"}}
-	for i := range many {
+	for i := range blobCount {
 		h.Step(now, Known{Digest: Sum(binary.AppendVarint(nil, int64(i))), Size: 20_000, Holders: pairs[i%3]})
 	}
-	h.Step(now, Ready{})
+	h.Step(now, JournalLoaded{})
 	return &h, now
 }
 
@@ -30,17 +30,17 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		h, _ := crowd()
+		h, _ := manyBlobs()
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "B/blob")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/blobCount, "B/blob")
 		runtime.KeepAlive(h)
 	}
 }
 
 // BenchmarkTick measures a round in which nothing happens.
 func BenchmarkTick(b *testing.B) {
-	h, now := crowd()
+	h, now := manyBlobs()
 	for b.Loop() {
 		h.Step(now, Tick{})
 	}
@@ -50,9 +50,9 @@
 func BenchmarkLost(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		h, now := crowd()
+		h, now := manyBlobs()
 		h.Step(now, down(a1))
 		b.StartTimer()
-		h.Step(now.Add(grace), Tick{})
+		h.Step(now.Add(lostAfter), Tick{})
 	}
 }
--- a/internal/shard/blobs/folder.go
+++ b/internal/shard/blobs/folder.go
@@ -46,8 +46,8 @@
 		MinAge   time.Duration // a blob younger than that is never dropped
 		Now      func() time.Time
 
-		once  sync.Once
-		ready error
+		once    sync.Once
+		openErr error
 
 		mu     sync.Mutex
 		used   int64
@@ -86,13 +86,13 @@
 		return d, ErrTooLarge
 	}
 	d = Sum(data)
-	if f.renew(f.path(shard, d), d) {
+	if f.refresh(f.path(shard, d), d) {
 		return d, nil
 	}
 	if err := f.reserve(int64(len(data))); err != nil {
 		return d, err
 	}
-	if err := f.place(f.path(shard, d), data); err != nil {
+	if err := f.writeBlob(f.path(shard, d), data); err != nil {
 		f.unreserve(int64(len(data)))
 		return d, err
 	}
@@ -135,14 +135,14 @@
 func (f *Folder) open() error {
 	f.once.Do(func() {
 		f.fences = map[int]uint64{}
-		if f.ready = os.MkdirAll(f.Dir, dirMode); f.ready == nil {
-			f.ready = filepath.WalkDir(f.Dir, f.scan)
+		if f.openErr = os.MkdirAll(f.Dir, dirMode); f.openErr == nil {
+			f.openErr = filepath.WalkDir(f.Dir, f.scanEntry)
 		}
 	})
-	return f.ready
+	return f.openErr
 }
 
-func (f *Folder) scan(path string, e fs.DirEntry, err error) error {
+func (f *Folder) scanEntry(path string, e fs.DirEntry, err error) error {
 	if err != nil || e.IsDir() {
 		return err
 	}
@@ -174,7 +174,7 @@
 // renew tells whether the blob is there and sound, and makes it young again: a
 // blob that nobody needed so far must not be dropped while its new user is
 // about to write down that it needs it.
-func (f *Folder) renew(path string, d Digest) bool {
+func (f *Folder) refresh(path string, d Digest) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	data, err := os.ReadFile(path) //nolint:gosec // below the data folder
@@ -208,8 +208,8 @@
 // place makes the file appear whole or not at all: a machine that fails in the
 // middle of a plain write would leave a blob under its final name that nobody
 // ever replaces.
-func (f *Folder) place(path string, data []byte) (err error) {
-	temp, err := f.stage(filepath.Dir(path), data)
+func (f *Folder) writeBlob(path string, data []byte) (err error) {
+	temp, err := f.writeTemp(filepath.Dir(path), data)
 	if err != nil {
 		return err
 	}
@@ -218,11 +218,11 @@
 	if info, err := os.Stat(path); err == nil {
 		f.used -= info.Size() // another caller was faster
 	}
-	return settle(temp, path)
+	return renameSynced(temp, path)
 }
 
 // stage writes data to a file that no reader sees yet.
-func (f *Folder) stage(dir string, data []byte) (temp string, err error) {
+func (f *Folder) writeTemp(dir string, data []byte) (temp string, err error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return "", err
 	}
@@ -230,7 +230,7 @@
 	if err != nil {
 		return "", err
 	}
-	err = fill(t, data)
+	err = writeAndSync(t, data)
 	if err == nil {
 		now := f.now()
 		err = os.Chtimes(t.Name(), now, now)
@@ -242,7 +242,7 @@
 }
 
 // settle gives a staged file its name.
-func settle(temp, path string) error {
+func renameSynced(temp, path string) error {
 	if err := os.Rename(temp, path); err != nil {
 		_ = os.Remove(temp)
 		return err
@@ -250,7 +250,7 @@
 	return synced.Dir(filepath.Dir(path))
 }
 
-func fill(t *os.File, data []byte) error {
+func writeAndSync(t *os.File, data []byte) error {
 	_, err := t.Write(data)
 	if err == nil {
 		err = t.Chmod(fileMode)
--- a/internal/shard/blobs/folder_test.go
+++ b/internal/shard/blobs/folder_test.go
@@ -12,80 +12,80 @@
 	"github.com/matryer/is"
 )
 
-type rig struct {
+type folderFixture struct {
 	*is.I
 	*Folder
 	now *time.Time
 }
 
-func newRig(t *testing.T) rig {
+func newFolderFixture(t *testing.T) folderFixture {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	r := rig{I: is.New(t), now: &now}
+	r := folderFixture{I: is.New(t), now: &now}
 	r.Folder = &Folder{Dir: t.TempDir(), Now: func() time.Time { return now }}
 	return r
 }
 
 // restart returns the folder as a new process finds it.
-func (r rig) restart() rig {
+func (r folderFixture) restart() folderFixture {
 	r.Folder = &Folder{Dir: r.Dir, Now: r.Now, Capacity: r.Capacity}
 	return r
 }
 
-func (r rig) put(text string) Digest {
+func (r folderFixture) put(text string) Digest {
 	d, err := r.Put(1, []byte(text))
 	r.NoErr(err)
 	return d
 }
 
-func (r rig) has(d Digest, text string) {
+func (r folderFixture) expectText(d Digest, text string) {
 	data, err := r.Get(1, d)
 	r.NoErr(err)
 	r.Equal(string(data), text)
 }
 
-func (r rig) lacks(d Digest) {
+func (r folderFixture) expectMissing(d Digest) {
 	_, err := r.Get(1, d)
 	r.True(errors.Is(err, ErrNotFound))
 }
 
-func (r rig) holds(want int64) {
+func (r folderFixture) expectUsed(want int64) {
 	used, err := r.Used()
 	r.NoErr(err)
 	r.Equal(used, want)
 }
 
-func (r rig) spoil(d Digest, text string) {
+func (r folderFixture) overwrite(d Digest, text string) {
 	r.NoErr(os.WriteFile(r.path(1, d), []byte(text), fileMode))
 }
 
 func TestFolder(t *testing.T) {
-	tests := map[string]func(r rig){
-		"what is stored is read, also after a restart": func(r rig) {
+	tests := map[string]func(r folderFixture){
+		"what is stored is read, also after a restart": func(r folderFixture) {
 			d := r.put("text")
-			r.has(d, "text")
-			r.restart().has(d, "text")
-			r.restart().holds(4)
+			r.expectText(d, "text")
+			r.restart().expectText(d, "text")
+			r.restart().expectUsed(4)
 		},
-		"shards are apart": func(r rig) {
+		"shards are apart": func(r folderFixture) {
 			d := r.put("text")
 			_, err := r.Get(2, d)
 			r.True(errors.Is(err, ErrNotFound))
 		},
-		"the same text twice counts once": func(r rig) {
+		"the same text twice counts once": func(r folderFixture) {
 			r.put("text")
 			r.put("text")
-			r.holds(4)
+			r.expectUsed(4)
 		},
-		"the same text by many at once counts once": func(r rig) {
+		"the same text by many at once counts once": func(r folderFixture) {
 			var all sync.WaitGroup
 			for range 16 {
 				all.Go(func() { r.put("text") })
 			}
 			all.Wait()
-			r.holds(4)
-			r.restart().holds(4)
+			r.expectUsed(4)
+			r.restart().expectUsed(4)
 		},
-		"list in pages": func(r rig) {
+		"list in pages": func(r folderFixture) {
 			want := map[Digest]bool{}
 			for _, c := range strings.Split("abcdefgh", "") {
 				want[r.put(c)] = true
@@ -106,81 +106,81 @@
 		// A disk returns other bytes than were written. The reader gets an
 		// error and never the wrong text, and the spoilt copy makes room for
 		// a good one.
-		"spoilt on the disk": func(r rig) {
+		"spoilt on the disk": func(r folderFixture) {
 			d := r.put("text")
-			r.spoil(d, "TEXT")
+			r.overwrite(d, "TEXT")
 			_, err := r.Get(1, d)
 			var corrupt *CorruptError
 			r.True(errors.As(err, &corrupt))
 			r.Equal(corrupt.Digest, d)
-			r.lacks(d)
-			r.holds(0)
+			r.expectMissing(d)
+			r.expectUsed(0)
 			r.Equal(r.put("text"), d)
-			r.has(d, "text")
+			r.expectText(d, "text")
 		},
 		// The copy is spoilt and nobody has read it yet when the same text is
 		// stored again. Taking it for stored would lose the text.
-		"spoilt, then stored again": func(r rig) {
+		"spoilt, then stored again": func(r folderFixture) {
 			d := r.put("text")
-			r.spoil(d, "TEXT")
+			r.overwrite(d, "TEXT")
 			r.put("text")
-			r.has(d, "text")
-			r.holds(4)
+			r.expectText(d, "text")
+			r.expectUsed(4)
 		},
 		// The machine fails while a blob is written. The half that is there
 		// is no blob, and the next start removes it.
-		"crash in the middle of a write": func(r rig) {
+		"crash in the middle of a write": func(r folderFixture) {
 			d := Sum([]byte("text"))
 			dir := filepath.Dir(r.path(1, d))
 			r.NoErr(os.MkdirAll(dir, dirMode))
 			r.NoErr(os.WriteFile(filepath.Join(dir, tempPrefix+"1"), []byte("te"), fileMode))
-			r.lacks(d)
+			r.expectMissing(d)
 			left, err := os.ReadDir(dir)
 			r.NoErr(err)
 			r.Equal(len(left), 0)
-			r.holds(0)
+			r.expectUsed(0)
 		},
 		// The disk is small. What does not fit is refused, so that its owner
 		// puts it elsewhere, and what is there stays.
-		"full": func(r rig) {
+		"full": func(r folderFixture) {
 			r.Capacity = 6
 			d := r.put("text")
 			_, err := r.Put(1, []byte("more"))
 			r.True(errors.Is(err, ErrFull))
-			r.has(d, "text")
+			r.expectText(d, "text")
 			r.put("2b")
 		},
-		"too large": func(r rig) {
+		"too large": func(r folderFixture) {
 			r.MaxSize = 3
 			_, err := r.Put(1, []byte("text"))
 			r.True(errors.Is(err, ErrTooLarge))
 		},
-		"old ones are dropped, young ones stay": func(r rig) {
+		"old ones are dropped, young ones stay": func(r folderFixture) {
 			old := r.put("old")
 			*r.now = r.now.Add(defaultMinAge)
 			young := r.put("young")
 			n, err := r.Drop(1, 1, []Digest{old, young, Sum(nil)})
 			r.NoErr(err)
 			r.Equal(n, 1)
-			r.lacks(old)
-			r.has(young, "young")
-			r.holds(5)
+			r.expectMissing(old)
+			r.expectText(young, "young")
+			r.expectUsed(5)
 		},
 		// A blob that nobody needs is about to be dropped when the same text
 		// is stored again. The second user must find it later.
-		"stored again before it is dropped": func(r rig) {
+		"stored again before it is dropped": func(r folderFixture) {
 			d := r.put("text")
 			*r.now = r.now.Add(defaultMinAge)
 			r.put("text")
 			n, err := r.Drop(1, 1, []Digest{d})
 			r.NoErr(err)
 			r.Equal(n, 0)
-			r.has(d, "text")
+			r.expectText(d, "text")
 		},
 		// A daemon that lost its shard without noticing drops what it does
 		// not know. The new owner's text must stay, also if the folder's own
 		// process was started again in between.
-		"dropped by a former owner": func(r rig) {
+		"dropped by a former owner": func(r folderFixture) {
 			d := r.put("text")
 			*r.now = r.now.Add(defaultMinAge)
 			_, err := r.Drop(1, 5, nil)
@@ -190,13 +190,13 @@
 			r = r.restart()
 			_, err = r.Drop(1, 4, []Digest{d})
 			r.True(errors.Is(err, ErrFenced))
-			r.has(d, "text")
+			r.expectText(d, "text")
 			_, err = r.Drop(2, 4, nil)
 			r.NoErr(err)
 		},
 	}
 	for name, tt := range tests {
-		t.Run(name, func(t *testing.T) { tt(newRig(t)) })
+		t.Run(name, func(t *testing.T) { tt(newFolderFixture(t)) })
 	}
 }
 
--- a/internal/shard/blobs/holders.go
+++ b/internal/shard/blobs/holders.go
@@ -10,16 +10,16 @@
 	// Interval is how often a Tick is due.
 	Interval = time.Second
 
-	wanted       = 2 // copies, each in a failure domain of its own
-	storeTimeout = 2 * time.Second
-	storeLimit   = 5 * time.Second // of all tries to place a text
-	copyTimeout  = 30 * time.Second
-	grace        = 2 * time.Minute // a restart is over by then
-	retryAfter   = time.Minute
-	auditEvery   = time.Hour
-	auditTimeout = 30 * time.Second
-	maxRepairs   = 4  // copies made again at a time
-	maxLook      = 64 // weak blobs looked at in a tick
+	replicas      = 2 // copies, each in a failure domain of its own
+	storeTimeout  = 2 * time.Second
+	placeTimeout  = 5 * time.Second // of all tries to place a text
+	copyTimeout   = 30 * time.Second
+	lostAfter     = 2 * time.Minute // a restart is over by then
+	retryAfter    = time.Minute
+	auditInterval = time.Hour
+	auditTimeout  = 30 * time.Second
+	maxRepairs    = 4  // copies made again at a time
+	maxRepairScan = 64 // weak blobs looked at in a tick
 )
 
 type (
@@ -28,23 +28,23 @@
 	// Store with Inline. It is driven by Step and is not safe for concurrent
 	// use.
 	Holders struct {
-		domain  string // the owner's own failure domain
-		ready   bool
-		members map[string]*member // those with a folder, and holders not met yet
-		blobs   map[Digest]*blob
-		work    map[Digest]*work // blobs that are being placed
-		repairs []Digest         // weak blobs, in the order in which they are tried
-		flying  int              // repairs under way
-		audits  []string         // holders whose list is due
-		audit   *audit
-		nextAll time.Time // when all lists are due again
+		ownDomain     string // the owner's own failure domain
+		journalLoaded bool
+		members       map[string]*member // those with a folder, and holders not met yet
+		blobs         map[Digest]*blob
+		placement     map[Digest]*placement // blobs that are being placed
+		repairQueue   []Digest              // weak blobs, in the order in which they are tried
+		activeRepairs int                   // repairs under way
+		auditQueue    []string              // holders whose list is due
+		audit         *audit
+		nextFullAudit time.Time // when all lists are due again
 	}
 
 	member struct {
 		beat.Member
-		since   time.Time // when it went down; zero while it is up
-		lost    bool      // it has been down for longer than a restart takes
-		leaving bool
+		downSince time.Time // when it went down; zero while it is up
+		lost      bool      // it has been down for longer than a restart takes
+		leaving   bool
 	}
 
 	// blob is small, since an owner knows many.
@@ -56,26 +56,26 @@
 	}
 
 	// work is the placing of one blob.
-	work struct {
-		stores int       // askers that wait for Kept or Inline; 0 in a repair
-		limit  time.Time // when they are told Inline
-		tries  []try
-		failed []string  // holders not to be tried before again
-		again  time.Time // when failed is forgotten
+	placement struct {
+		pendingStores int       // askers that wait for Kept or Inline; 0 in a repair
+		deadline      time.Time // when they are told Inline
+		attempts      []attempt
+		failed        []string  // holders not to be tried before again
+		retryAt       time.Time // when failed is forgotten
 	}
 
-	try struct {
-		to     string
-		until  time.Time
-		repair bool
+	attempt struct {
+		to      string
+		expires time.Time
+		repair  bool
 	}
 
 	// audit compares one holder's list with what it should have.
 	audit struct {
-		holder string
-		after  Digest
-		until  time.Time
-		expect []Digest // sorted; what has not been compared yet
+		holder   string
+		after    Digest
+		expires  time.Time
+		expected []Digest // sorted; what has not been compared yet
 	}
 
 	// Message is what Holders reacts to.
@@ -100,7 +100,7 @@
 
 	// Ready tells that all blobs of the journal are known. Before it nothing
 	// is dropped: a blob not known yet looks like one that nobody needs.
-	Ready struct{}
+	JournalLoaded struct{}
 
 	// Store asks for places for a text that the owner has in memory. The
 	// answer is Kept or Inline; where the same text is asked for again before
@@ -117,7 +117,7 @@
 	}
 
 	// Failed tells that a copy did not come about.
-	Failed struct {
+	CopyFailed struct {
 		Digest Digest
 		To     string
 	}
@@ -129,7 +129,7 @@
 	}
 
 	// Gone tells that a holder does not have the blob, or has it spoilt.
-	Gone struct {
+	CopyMissing struct {
 		Digest Digest
 		From   string
 	}
@@ -164,7 +164,7 @@
 
 	// Kept tells where the blob is: the journal may refer to it now, or must
 	// be told of the new holders.
-	Kept struct {
+	Stored struct {
 		Digest  Digest
 		Size    int
 		Holders []string
@@ -196,22 +196,22 @@
 	}
 )
 
-func (Self) message()    {}
-func (Member) message()  {}
-func (Leaving) message() {}
-func (Known) message()   {}
-func (Ready) message()   {}
-func (Store) message()   {}
-func (Copied) message()  {}
-func (Failed) message()  {}
-func (Read) message()    {}
-func (Gone) message()    {}
-func (Listed) message()  {}
-func (Release) message() {}
-func (Tick) message()    {}
+func (Self) message()          {}
+func (Member) message()        {}
+func (Leaving) message()       {}
+func (Known) message()         {}
+func (JournalLoaded) message() {}
+func (Store) message()         {}
+func (Copied) message()        {}
+func (CopyFailed) message()    {}
+func (Read) message()          {}
+func (CopyMissing) message()   {}
+func (Listed) message()        {}
+func (Release) message()       {}
+func (Tick) message()          {}
 
 func (Copy) effect()       {}
-func (Kept) effect()       {}
+func (Stored) effect()     {}
 func (Inline) effect()     {}
 func (Fetch) effect()      {}
 func (Unreadable) effect() {}
@@ -223,31 +223,31 @@
 func (h *Holders) Step(now time.Time, m Message) []Effect {
 	if h.blobs == nil {
 		h.blobs = map[Digest]*blob{}
-		h.work = map[Digest]*work{}
+		h.placement = map[Digest]*placement{}
 		h.members = map[string]*member{}
 	}
 	switch m := m.(type) {
 	case Self:
-		h.domain = m.FailureDomain
+		h.ownDomain = m.FailureDomain
 	case Member:
-		h.meet(now, m.Member)
+		h.updateMember(now, m.Member)
 	case Leaving:
-		h.leave(m.Name)
+		h.markLeaving(m.Name)
 	case Known:
-		h.known(now, m)
-	case Ready:
-		h.ready = true
-		h.nextAll = now.Add(auditEvery)
+		h.addReference(now, m)
+	case JournalLoaded:
+		h.journalLoaded = true
+		h.nextFullAudit = now.Add(auditInterval)
 	case Store:
 		return h.store(now, m)
 	case Copied:
 		return h.copied(now, m)
-	case Failed:
-		return h.fail(now, m.Digest, m.To)
+	case CopyFailed:
+		return h.copyFailed(now, m.Digest, m.To)
 	case Read:
 		return h.read(m)
-	case Gone:
-		h.gone(m.Digest, m.From)
+	case CopyMissing:
+		h.removeCopy(m.Digest, m.From)
 	case Listed:
 		return h.listed(now, m)
 	case Release:
--- a/internal/shard/blobs/world_test.go
+++ b/internal/shard/blobs/model_test.go
@@ -15,7 +15,7 @@
 
 // world plays the folders and the journal around the machine. A step of it
 // may lose, spoil, delay or refuse; heal ends all that.
-type world struct {
+type model struct {
 	*rapid.T
 	h       Holders
 	now     time.Time
@@ -23,34 +23,34 @@
 	disks   map[string]map[Digest]bool
 	journal map[Digest][]string
 	refs    map[Digest]int
-	flying  []Copy
+	copying []Copy
 	healed  bool
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{T: t, now: time.Unix(0, 0), journal: map[Digest][]string{}, refs: map[Digest]int{}}
+func newModel(t *rapid.T) *model {
+	w := &model{T: t, now: time.Unix(0, 0), journal: map[Digest][]string{}, refs: map[Digest]int{}}
 	w.vms, w.disks = map[string]beat.Member{}, map[string]map[Digest]bool{}
 	for _, domain := range []string{"d0", "d0", "d1", "d2", "d2"} {
 		name := fmt.Sprintf("v%d", len(w.vms))
 		w.vms[name], w.disks[name] = vm(name, domain), map[Digest]bool{}
 		w.do(Member{Member: w.vms[name]})
 	}
-	w.do(Ready{})
+	w.do(JournalLoaded{})
 	return w
 }
 
-func (w *world) do(m Message) {
+func (w *model) do(m Message) {
 	for _, e := range w.h.Step(w.now, m) {
-		w.carry(e)
+		w.execute(e)
 	}
 }
 
-func (w *world) carry(e Effect) {
+func (w *model) execute(e Effect) {
 	switch e := e.(type) {
 	case Copy:
-		w.flying = append(w.flying, e)
-	case Kept:
-		w.kept(e)
+		w.copying = append(w.copying, e)
+	case Stored:
+		w.stored(e)
 	case Drop:
 		w.drop(e)
 	case List:
@@ -60,7 +60,7 @@
 
 // kept checks that a text which leaves the owner's memory for the first time
 // is on two disks in two failure domains.
-func (w *world) kept(k Kept) {
+func (w *model) stored(k Stored) {
 	if w.refs[k.Digest] == 0 {
 		domains := map[string]bool{}
 		for _, name := range k.Holders {
@@ -68,7 +68,7 @@
 				domains[w.vms[name].FailureDomain] = true
 			}
 		}
-		if len(domains) < wanted {
+		if len(domains) < replicas {
 			w.Fatalf("kept at %v, domains %v", k.Holders, domains)
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // drop checks that nothing is dropped where the journal says that it is.
-func (w *world) drop(e Drop) {
+func (w *model) drop(e Drop) {
 	for _, d := range e.Digests {
 		if w.refs[d] > 0 && slices.Contains(w.journal[d], e.To) {
 			w.Fatalf("dropped a needed copy at %s", e.To)
@@ -85,7 +85,7 @@
 	}
 }
 
-func (w *world) list(e List) {
+func (w *model) list(e List) {
 	if w.vms[e.To].State == beat.Down {
 		return
 	}
@@ -94,52 +94,52 @@
 }
 
 // land ends the i-th copy under way.
-func (w *world) land(i int, ok bool) {
-	c := w.flying[i]
-	w.flying = slices.Delete(w.flying, i, i+1)
+func (w *model) endCopy(i int, ok bool) {
+	c := w.copying[i]
+	w.copying = slices.Delete(w.copying, i, i+1)
 	there := c.From == "" || w.disks[c.From][c.Digest] && w.vms[c.From].State != beat.Down
 	if !ok || !there || w.vms[c.To].State == beat.Down {
-		w.do(Failed{Digest: c.Digest, To: c.To})
+		w.do(CopyFailed{Digest: c.Digest, To: c.To})
 		return
 	}
 	w.disks[c.To][c.Digest] = true
 	w.do(Copied{Digest: c.Digest, To: c.To})
 }
 
-func (w *world) pass(n int) {
+func (w *model) advance(n int) {
 	for range n {
 		w.now = w.now.Add(Interval)
 		w.do(Tick{})
-		for w.healed && len(w.flying) > 0 {
-			w.land(0, true)
+		for w.healed && len(w.copying) > 0 {
+			w.endCopy(0, true)
 		}
 	}
 }
 
-func (w *world) pick() string {
+func (w *model) drawVM() string {
 	return rapid.SampledFrom([]string{"v0", "v1", "v2", "v3", "v4"}).Draw(w.T, "vm")
 }
 
-func (w *world) digest() Digest {
+func (w *model) drawDigest() Digest {
 	return Sum([]byte{rapid.Byte().Draw(w.T, "text") % 8})
 }
 
 // store waits for its answer, as an owner does.
-func (w *world) store() {
-	d := w.digest()
+func (w *model) store() {
+	d := w.drawDigest()
 	had := w.refs[d]
 	kept := len(w.journal[d]) > 0 && had > 0
 	w.do(Store{Digest: d, Size: 1})
-	for i := 0; w.h.work[d] != nil && w.h.work[d].stores > 0; i++ {
+	for i := 0; w.h.placement[d] != nil && w.h.placement[d].pendingStores > 0; i++ {
 		if i > 100 {
 			w.Fatalf("store of %s has no answer", d)
 		}
-		j := slices.IndexFunc(w.flying, func(c Copy) bool { return c.Digest == d })
+		j := slices.IndexFunc(w.copying, func(c Copy) bool { return c.Digest == d })
 		if j < 0 || rapid.IntRange(0, 9).Draw(w.T, "hang") == 0 {
-			w.pass(1)
+			w.advance(1)
 			continue
 		}
-		w.land(j, rapid.IntRange(0, 3).Draw(w.T, "refuse") > 0)
+		w.endCopy(j, rapid.IntRange(0, 3).Draw(w.T, "refuse") > 0)
 	}
 	if b := w.h.blobs[d]; b != nil && b.refs > had {
 		w.refs[d]++
@@ -148,15 +148,15 @@
 	}
 }
 
-func (w *world) release() {
-	d := w.digest()
+func (w *model) release() {
+	d := w.drawDigest()
 	if w.refs[d] > 0 {
 		w.refs[d]--
 		w.do(Release{Digest: d})
 	}
 }
 
-func (w *world) set(name string, s beat.State) {
+func (w *model) setState(name string, s beat.State) {
 	m := w.vms[name]
 	if m.State == beat.Down && s != beat.Down {
 		m.Incarnation++
@@ -168,18 +168,18 @@
 
 // heal starts all VMs again, so that none is leaving, and lets the machine work for two audits: the first
 // may find a copy that a repair then makes needless.
-func (w *world) heal() {
+func (w *model) heal() {
 	w.healed = true
 	for _, name := range slices.Sorted(maps.Keys(w.vms)) {
-		w.set(name, beat.Down)
-		w.set(name, beat.Alive)
+		w.setState(name, beat.Down)
+		w.setState(name, beat.Alive)
 	}
-	w.pass(2*int(auditEvery/Interval) + 300)
+	w.advance(2*int(auditInterval/Interval) + 300)
 }
 
 // check is what must hold once everything is well for a while: what was read
 // at least once somewhere is on two disks, and disks hold nothing else.
-func (w *world) check() {
+func (w *model) check() {
 	for d, n := range w.refs {
 		at := 0
 		for _, name := range w.journal[d] {
@@ -188,7 +188,7 @@
 			}
 		}
 		lost := !slices.ContainsFunc(slices.Collect(maps.Values(w.disks)), func(m map[Digest]bool) bool { return m[d] })
-		if n > 0 && at < wanted && !lost {
+		if n > 0 && at < replicas && !lost {
 			w.Fatalf("%s is on %d disks, journal %v", d, at, w.journal[d])
 		}
 	}
@@ -199,13 +199,13 @@
 			}
 		}
 	}
-	if w.h.flying != 0 || len(w.h.work) != 0 {
-		w.Fatalf("work is left: %d repairs, %d blobs", w.h.flying, len(w.h.work))
+	if w.h.activeRepairs != 0 || len(w.h.placement) != 0 {
+		w.Fatalf("work is left: %d repairs, %d blobs", w.h.activeRepairs, len(w.h.placement))
 	}
 }
 
 // fixed makes every run draw the same cases, unless a seed is asked for.
-func fixed(t *testing.T) {
+func useFixedSeed(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"} {
 		f := flag.Lookup(name)
 		if f.Value.String() != f.DefValue {
@@ -221,35 +221,35 @@
 // any order. Texts that the journal refers to are never dropped, and when all
 // is well again each that any disk still has is on two.
 func TestAnyOrderOfFailures(t *testing.T) {
-	fixed(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"store":   func(*rapid.T) { w.store() },
 			"release": func(*rapid.T) { w.release() },
-			"down":    func(*rapid.T) { w.set(w.pick(), beat.Down) },
-			"up":      func(*rapid.T) { w.set(w.pick(), beat.Alive) },
-			"suspect": func(*rapid.T) { w.set(w.pick(), beat.Suspect) },
-			"leaving": func(*rapid.T) { w.do(Leaving{Name: w.pick()}) },
+			"down":    func(*rapid.T) { w.setState(w.drawVM(), beat.Down) },
+			"up":      func(*rapid.T) { w.setState(w.drawVM(), beat.Alive) },
+			"suspect": func(*rapid.T) { w.setState(w.drawVM(), beat.Suspect) },
+			"leaving": func(*rapid.T) { w.do(Leaving{Name: w.drawVM()}) },
 			"replaced": func(*rapid.T) {
-				name := w.pick()
-				w.set(name, beat.Down)
+				name := w.drawVM()
+				w.setState(name, beat.Down)
 				w.disks[name] = map[Digest]bool{}
 			},
 			"spoilt": func(*rapid.T) {
-				name, d := w.pick(), w.digest()
+				name, d := w.drawVM(), w.drawDigest()
 				if w.disks[name][d] {
 					delete(w.disks[name], d)
-					w.do(Gone{Digest: d, From: name})
+					w.do(CopyMissing{Digest: d, From: name})
 				}
 			},
 			"land": func(t *rapid.T) {
-				if len(w.flying) > 0 {
-					w.land(rapid.IntRange(0, len(w.flying)-1).Draw(t, "copy"), rapid.Bool().Draw(t, "ok"))
+				if len(w.copying) > 0 {
+					w.endCopy(rapid.IntRange(0, len(w.copying)-1).Draw(t, "copy"), rapid.Bool().Draw(t, "ok"))
 				}
 			},
-			"pass":      func(t *rapid.T) { w.pass(rapid.IntRange(1, 5).Draw(t, "ticks")) },
-			"pass long": func(*rapid.T) { w.pass(150) },
+			"pass":      func(t *rapid.T) { w.advance(rapid.IntRange(1, 5).Draw(t, "ticks")) },
+			"pass long": func(*rapid.T) { w.advance(150) },
 		})
 		w.heal()
 		w.check()
--- a/internal/shard/blobs/sweep.go
+++ b/internal/shard/blobs/sweep.go
@@ -19,7 +19,7 @@
 	if err := f.open(); err != nil {
 		return nil, err
 	}
-	parts, err := names(f.shardDir(shard))
+	parts, err := listNames(f.shardDir(shard))
 	if err != nil {
 		return nil, err
 	}
@@ -28,7 +28,7 @@
 		if part < from[:2] || part == fenceFile {
 			continue
 		}
-		files, err := names(filepath.Join(f.shardDir(shard), part))
+		files, err := listNames(filepath.Join(f.shardDir(shard), part))
 		if err != nil {
 			return nil, err
 		}
@@ -59,7 +59,7 @@
 		return 0, err
 	}
 	for _, d := range digests {
-		ok, err := f.dropOld(f.path(shard, d))
+		ok, err := f.dropIfOld(f.path(shard, d))
 		if err != nil {
 			return dropped, err
 		}
@@ -79,18 +79,18 @@
 		return nil
 	}
 	raw := binary.BigEndian.AppendUint64(nil, epoch)
-	temp, err := f.stage(f.shardDir(shard), raw)
+	temp, err := f.writeTemp(f.shardDir(shard), raw)
 	if err != nil {
 		return err
 	}
-	if err := settle(temp, filepath.Join(f.shardDir(shard), fenceFile)); err != nil {
+	if err := renameSynced(temp, filepath.Join(f.shardDir(shard), fenceFile)); err != nil {
 		return err
 	}
 	f.fences[shard] = epoch
 	return nil
 }
 
-func (f *Folder) dropOld(path string) (bool, error) {
+func (f *Folder) dropIfOld(path string) (bool, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -122,7 +122,7 @@
 	return f.MinAge
 }
 
-func names(dir string) (out []string, err error) {
+func listNames(dir string) (out []string, err error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/internal/shard/boot/bench_test.go
+++ b/internal/shard/boot/bench_test.go
@@ -13,11 +13,11 @@
 )
 
 // tail is about what a takeover finds behind the newest snapshot at the most.
-const tail = 256
+const tailEntries = 256
 
 // BenchmarkTake measures a takeover with a snapshot of so many programs and a
 // journal behind it, over a store in memory.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkTakeover(b *testing.B) {
 	for _, n := range []int{100, 1000, 2500, 5000, 10000, 20000} {
 		b.Run(fmt.Sprintf("programs=%d", n), func(b *testing.B) {
 			is := is.New(b)
@@ -30,12 +30,12 @@
 			s := fold.Snap{Store: st, Shard: 2, Epoch: 1}
 			_, err := s.Save(ctx, f.Clone())
 			is.NoErr(err)
-			for i := range tail {
-				write(b, st, uint64(i+2), 1, ended(fmt.Sprint("p", i%n), 1), record.Reserved{Program: fmt.Sprint("p", i%n), Total: 60})
+			for i := range tailEntries {
+				writeEntry(b, st, uint64(i+2), 1, ended(fmt.Sprint("p", i%n), 1), record.Reserved{Program: fmt.Sprint("p", i%n), Total: 60})
 			}
 			before := st.Counts()
 			for b.Loop() {
-				_, err := taker(st, "a", uint64(b.N)).Take(ctx)
+				_, err := newTakeover(st, "a", uint64(b.N)).Acquire(ctx)
 				is.NoErr(err)
 			}
 			after := st.Counts()
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -16,18 +16,18 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
 	"github.com/slaterock/slaterock/internal/shard/fold"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 const (
-	maxRounds = 64
-	readAhead = 16
+	maxAttempts = 64
+	readAhead   = 16
 )
 
 type (
 	// Boot takes over one shard for one daemon.
-	Boot struct {
+	Takeover struct {
 		Store store.Store
 		Shard int
 		Owner string
@@ -37,54 +37,54 @@
 
 	// Taken is a shard that was taken over.
 	Taken struct {
-		Fold  state.Fold
-		Epoch uint64
-		Next  uint64 // the first entry to write
-		Read  int    // journal entries read
-		Snap  *fold.Snap
+		Fold        state.Fold
+		Epoch       uint64
+		Next        uint64 // the first entry to write
+		EntriesRead int    // journal entries read
+		Snap        *fold.Snap
 	}
 
-	reading struct {
+	readResult struct {
 		entry record.Entry
 		err   error
 	}
 )
 
-var errRaced = errors.New("boot: other daemons keep writing to the journal")
+var errContended = errors.New("boot: other daemons keep writing to the journal")
 
 // Take reads the shard and opens a new epoch. It may be repeated after any
 // error.
-func (b Boot) Take(ctx context.Context) (t Taken, err error) {
-	defer func() { err = errors.Wrapf(err, "boot: take shard %d", b.Shard) }()
-	t.Snap = &fold.Snap{Store: b.Store, Shard: b.Shard}
-	if t.Fold, err = t.Snap.Load(ctx); err != nil {
-		return t, err
+func (t Takeover) Acquire(ctx context.Context) (res Taken, err error) {
+	defer func() { err = errors.Wrapf(err, "boot: take shard %d", t.Shard) }()
+	res.Snap = &fold.Snap{Store: t.Store, Shard: t.Shard}
+	if res.Fold, err = res.Snap.Load(ctx); err != nil {
+		return res, err
 	}
-	t.Next = t.Fold.Upto + 1
+	res.Next = res.Fold.Upto + 1
 	var j record.Joiner
-	for range maxRounds {
-		if err = b.follow(ctx, &t, &j); err != nil {
-			return t, err
+	for range maxAttempts {
+		if err = t.replay(ctx, &res, &j); err != nil {
+			return res, err
 		}
-		won, err := b.claim(ctx, &t)
+		won, err := t.claim(ctx, &res)
 		if err != nil || won {
-			return t, err
+			return res, err
 		}
 	}
-	return t, errRaced
+	return res, errContended
 }
 
 // follow reads the journal up to its end.
-func (b Boot) follow(ctx context.Context, t *Taken, j *record.Joiner) error {
+func (t Takeover) replay(ctx context.Context, res *Taken, j *record.Joiner) error {
 	for {
-		for _, r := range b.ahead(ctx, t.Next) {
+		for _, r := range t.readBatch(ctx, res.Next) {
 			if errors.Is(r.err, store.ErrNotFound) {
 				return nil
 			}
 			if r.err != nil {
 				return r.err
 			}
-			if err := b.apply(t, j, r.entry); err != nil {
+			if err := t.apply(res, j, r.entry); err != nil {
 				return err
 			}
 		}
@@ -95,19 +95,19 @@
 // would cost a way to the store and back each, while the shard's programs wait.
 // Entries behind the first that is absent are not used: they were written since
 // it was looked for.
-func (b Boot) ahead(ctx context.Context, n uint64) []reading {
-	rs := make([]reading, readAhead)
+func (t Takeover) readBatch(ctx context.Context, n uint64) []readResult {
+	rs := make([]readResult, readAhead)
 	var work sync.WaitGroup
 	for i := range rs {
-		work.Go(func() { rs[i].entry, rs[i].err = b.read(ctx, n+uint64(i)) })
+		work.Go(func() { rs[i].entry, rs[i].err = t.read(ctx, n+uint64(i)) })
 	}
 	work.Wait()
 	return rs
 }
 
 // apply adds what an entry holds.
-func (b Boot) apply(t *Taken, j *record.Joiner, e record.Entry) error {
-	if e.Number != t.Next || e.Shard != b.Shard {
+func (t Takeover) apply(res *Taken, j *record.Joiner, e record.Entry) error {
+	if e.Number != res.Next || e.Shard != t.Shard {
 		return &record.CorruptError{Reason: "the entry belongs elsewhere"}
 	}
 	rs, err := j.Records(e)
@@ -115,18 +115,18 @@
 		return err
 	}
 	for _, r := range rs {
-		if err := t.Fold.Apply(e.Number, r); err != nil {
+		if err := res.Fold.Apply(e.Number, r); err != nil {
 			return err
 		}
 	}
-	t.Fold.Upto = e.Number
-	t.Next++
-	t.Read++
+	res.Fold.Upto = e.Number
+	res.Next++
+	res.EntriesRead++
 	return nil
 }
 
-func (b Boot) read(ctx context.Context, n uint64) (record.Entry, error) {
-	v, err := b.Store.Get(ctx, chain.Key(b.Shard, n))
+func (t Takeover) read(ctx context.Context, n uint64) (record.Entry, error) {
+	v, err := t.Store.Get(ctx, jrnl.Key(t.Shard, n))
 	if err != nil {
 		return record.Entry{}, err
 	}
@@ -135,19 +135,19 @@
 
 // claim creates the entry that opens the epoch. It returns false if another
 // entry stands there now.
-func (b Boot) claim(ctx context.Context, t *Taken) (won bool, err error) {
-	epoch := t.Fold.Epoch + 1
-	took := record.Took{Epoch: epoch, Owner: b.Owner, At: b.Now()}
+func (t Takeover) claim(ctx context.Context, res *Taken) (won bool, err error) {
+	epoch := res.Fold.Epoch + 1
+	took := record.Took{Epoch: epoch, Owner: t.Owner, At: t.Now()}
 	us, err := record.Units(took, 0)
 	if err != nil {
 		return false, err
 	}
-	e := record.Entry{Shard: b.Shard, Number: t.Next, Epoch: epoch, Nonce: b.Rand(), Owner: b.Owner, Units: us}
+	e := record.Entry{Shard: t.Shard, Number: res.Next, Epoch: epoch, Nonce: t.Rand(), Owner: t.Owner, Units: us}
 	data, err := e.Encode()
 	if err != nil {
 		return false, err
 	}
-	_, err = b.Store.Put(ctx, chain.Key(b.Shard, t.Next), data, 0, 0)
+	_, err = t.Store.Put(ctx, jrnl.Key(t.Shard, res.Next), data, 0, 0)
 	var c *store.ConflictError
 	switch {
 	case err == nil:
@@ -155,7 +155,7 @@
 		// The answer to an attempt that took effect may be the one that was
 		// lost. The nonce tells; a guess would give the shard two owners or
 		// leave an epoch without one.
-		own, rerr := b.read(ctx, t.Next)
+		own, rerr := t.read(ctx, res.Next)
 		if errors.Is(rerr, store.ErrNotFound) {
 			return false, err
 		}
@@ -168,10 +168,10 @@
 	default:
 		return false, err
 	}
-	if err := t.Fold.Apply(t.Next, took); err != nil {
+	if err := res.Fold.Apply(res.Next, took); err != nil {
 		return false, err
 	}
-	t.Epoch, t.Snap.Epoch = epoch, epoch
-	t.Next++
+	res.Epoch, res.Snap.Epoch = epoch, epoch
+	res.Next++
 	return true, nil
 }
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -17,8 +17,8 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
 	"github.com/slaterock/slaterock/internal/shard/boot"
-	"github.com/slaterock/slaterock/internal/shard/chain"
 	"github.com/slaterock/slaterock/internal/shard/fold"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/past"
 )
 
@@ -27,12 +27,12 @@
 	at  = time.Unix(1_800_000_000, 0).UTC()
 )
 
-func taker(st store.Store, name string, seed uint64) boot.Boot {
-	return boot.Boot{Store: st, Shard: 2, Owner: name, Rand: func() uint64 { seed++; return seed }, Now: func() time.Time { return at }}
+func newTakeover(st store.Store, name string, seed uint64) boot.Takeover {
+	return boot.Takeover{Store: st, Shard: 2, Owner: name, Rand: func() uint64 { seed++; return seed }, Now: func() time.Time { return at }}
 }
 
 // write appends an entry as the owner of an epoch would.
-func write(t testing.TB, st store.Store, n, epoch uint64, rs ...record.Record) {
+func writeEntry(t testing.TB, st store.Store, n, epoch uint64, rs ...record.Record) {
 	t.Helper()
 	is := is.New(t)
 	e := record.Entry{Shard: 2, Number: n, Epoch: epoch, Nonce: n * 1000}
@@ -43,7 +43,7 @@
 	}
 	data, err := e.Encode()
 	is.NoErr(err)
-	_, err = st.Put(ctx, chain.Key(2, n), data, 0, 0)
+	_, err = st.Put(ctx, jrnl.Key(2, n), data, 0, 0)
 	is.NoErr(err)
 }
 
@@ -63,7 +63,7 @@
 // A taker's creation of the first entry of its epoch can lose its answer or
 // meet another taker. Two daemons that both believe to own a shard would run
 // its programs twice; none at all would leave them without an answer.
-func TestTake(t *testing.T) {
+func TestTakeover(t *testing.T) {
 	tests := map[string]struct {
 		faults map[int]keyval.Fault // by write
 		fails  bool
@@ -78,17 +78,17 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			st := &keyval.Store{}
-			write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
+			writeEntry(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
 			v := st.Client("a")
 			v.Script(keyval.Writes, tt.faults)
-			got, err := taker(v, "a", 1).Take(ctx)
+			got, err := newTakeover(v, "a", 1).Acquire(ctx)
 			is.Equal(err != nil, tt.fails)
 			if err == nil {
 				is.Equal(got.Epoch, uint64(2))
 				is.Equal(got.Next, uint64(3))
 				is.Equal(got.Fold.Owner, "a")
 			}
-			second, err := taker(st.Client("b"), "b", 50).Take(ctx)
+			second, err := newTakeover(st.Client("b"), "b", 50).Acquire(ctx)
 			is.NoErr(err)
 			is.Equal(second.Next, tt.next)
 			is.Equal(second.Fold.Programs["p"].Reserved, int64(50))
@@ -101,22 +101,22 @@
 func TestFormerOwnerWritesLast(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
-	write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
-	race := &raced{Store: st, key: chain.Key(2, 2), do: func() { write(t, st, 2, 1, ended("p", 0)) }}
-	got, err := taker(race, "a", 1).Take(ctx)
+	writeEntry(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
+	race := &putHook{Store: st, key: jrnl.Key(2, 2), do: func() { writeEntry(t, st, 2, 1, ended("p", 0)) }}
+	got, err := newTakeover(race, "a", 1).Acquire(ctx)
 	is.NoErr(err)
 	is.Equal(got.Next, uint64(4))
 	is.Equal(got.Fold.Programs["p"].Next, 1)
 }
 
 // raced runs do just before the key is first written.
-type raced struct {
+type putHook struct {
 	store.Store
 	key string
 	do  func()
 }
 
-func (r *raced) Put(ctx context.Context, key string, data []byte, rev store.Rev, l store.Lease) (store.Rev, error) {
+func (r *putHook) Put(ctx context.Context, key string, data []byte, rev store.Rev, l store.Lease) (store.Rev, error) {
 	if key == r.key && r.do != nil {
 		do := r.do
 		r.do = nil
@@ -130,10 +130,10 @@
 func TestDamagedEntryStopsTheTakeover(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
-	write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
-	_, err := st.Put(ctx, chain.Key(2, 2), []byte("not an entry"), 0, 0)
+	writeEntry(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
+	_, err := st.Put(ctx, jrnl.Key(2, 2), []byte("not an entry"), 0, 0)
 	is.NoErr(err)
-	_, err = taker(st, "a", 1).Take(ctx)
+	_, err = newTakeover(st, "a", 1).Acquire(ctx)
 	var c *record.CorruptError
 	is.True(errors.As(err, &c))
 }
@@ -152,12 +152,12 @@
 			t.Run(fmt.Sprintf("fault %d at write %d", f.kind, f.at), func(t *testing.T) {
 				is := is.New(t)
 				st := &keyval.Store{}
-				write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "a"}, open("live"), open("gone"), open("gone/child"))
-				write(t, st, 2, 1, ended("live", 0), ended("gone/child", 0), closed("gone/child"), closed("gone"))
+				writeEntry(t, st, 1, 1, record.Took{Epoch: 1, Owner: "a"}, open("live"), open("gone"), open("gone/child"))
+				writeEntry(t, st, 2, 1, ended("live", 0), ended("gone/child", 0), closed("gone/child"), closed("gone"))
 				v := st.Client("a")
-				took, err := taker(v, "a", 1).Take(ctx)
+				took, err := newTakeover(v, "a", 1).Acquire(ctx)
 				is.NoErr(err)
-				write(t, st, 4, 2, ended("live", 1))
+				writeEntry(t, st, 4, 2, ended("live", 1))
 				v.Script(keyval.Writes, map[int]keyval.Fault{f.at: f.kind})
 				_, err = took.Snap.Save(ctx, took.Fold.Clone())
 				v.Script(keyval.Any, nil)
@@ -165,18 +165,18 @@
 					_, err = took.Snap.Save(ctx, took.Fold.Clone()) // the next one works
 					is.NoErr(err)
 				}
-				check(t, st)
+				checkTakeover(t, st)
 			})
 		}
 	}
 }
 
-func check(t *testing.T, st store.Store) {
+func checkTakeover(t *testing.T, st store.Store) {
 	t.Helper()
 	is := is.New(t)
-	got, err := taker(st, "b", 90).Take(ctx)
+	got, err := newTakeover(st, "b", 90).Acquire(ctx)
 	is.NoErr(err)
-	is.Equal(got.Read, 1) // the snapshot has the others
+	is.Equal(got.EntriesRead, 1) // the snapshot has the others
 	is.Equal(len(got.Fold.Programs), 1)
 	is.Equal(got.Fold.Programs["live"].Next, 2)
 	at, ok := got.Fold.Gone[state.Hash("gone")]
@@ -196,17 +196,17 @@
 func TestTwoSnapshotWriters(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
-	write(t, st, 1, 1, record.Took{Epoch: 1, Owner: "x"}, open("p"))
-	old, err := taker(st, "old", 1).Take(ctx)
+	writeEntry(t, st, 1, 1, record.Took{Epoch: 1, Owner: "x"}, open("p"))
+	old, err := newTakeover(st, "old", 1).Acquire(ctx)
 	is.NoErr(err)
-	fresh, err := taker(st, "fresh", 70).Take(ctx)
+	fresh, err := newTakeover(st, "fresh", 70).Acquire(ctx)
 	is.NoErr(err)
 	_, err = fresh.Snap.Save(ctx, fresh.Fold.Clone())
 	is.NoErr(err)
 	_, err = old.Snap.Save(ctx, old.Fold.Clone())
 	var c *store.ConflictError
 	is.True(errors.As(err, &c))
-	got, err := taker(st, "b", 90).Take(ctx)
+	got, err := newTakeover(st, "b", 90).Acquire(ctx)
 	is.NoErr(err)
 	is.Equal(got.Epoch, uint64(4))
 }
--- a/internal/shard/chain/chain.go
+++ b/internal/shard/jrnl/jrnl.go
@@ -11,7 +11,7 @@
 // Chain is a state machine: Step takes the time and one message and returns
 // effects. Creations are spaced by Interval, which is how a shard stays within
 // its share of the store's writes.
-package chain
+package jrnl
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 	// Unavailable is a creation that certainly had no effect.
 	Unavailable
 	// Lost is a creation that may have had its effect.
-	Lost
+	Unknown
 )
 
 type (
@@ -43,7 +43,7 @@
 	// Chain is the writer of one shard's journal in one epoch. Next is the
 	// number of the first entry to write. The zero value of everything else
 	// is ready.
-	Chain struct {
+	Writer struct {
 		Shard    int
 		Epoch    uint64
 		Owner    string
@@ -51,23 +51,23 @@
 		Interval time.Duration // least time between two creations
 		Rand     func() uint64 // for nonces and jitter
 
-		waiting []waiting
-		bytes   int    // of waiting and flight together
-		seq     uint64 // of the newest record added
-		id      uint64 // of the newest record that was cut into pieces
-		flight  *flight
-		last    time.Time // when the newest entry was created
-		retryAt time.Time
-		backoff time.Duration
-		since   time.Time // when the flight was first sent
-		fenced  bool
+		queued      []queued
+		bytes       int    // of waiting and flight together
+		seq         uint64 // of the newest record added
+		pieceID     uint64 // of the newest record that was cut into pieces
+		inFlight    *inFlight
+		lastCreated time.Time // when the newest entry was created
+		retryAt     time.Time
+		backoff     time.Duration
+		firstSent   time.Time // when the flight was first sent
+		fenced      bool
 	}
 
 	// Message is what Chain reacts to.
 	Message interface{ message() }
 
 	// Wrote tells how the creation of an entry ended.
-	Wrote struct {
+	CreateDone struct {
 		Number  uint64
 		Outcome Outcome
 	}
@@ -79,7 +79,7 @@
 	Absent struct{ Number uint64 }
 
 	// Unread tells that the entry could not be read back.
-	Unread struct{ Number uint64 }
+	ReadFailed struct{ Number uint64 }
 
 	// Tick lets time pass.
 	Tick struct{}
@@ -105,9 +105,9 @@
 	// Whole tells that no record is split between this entry and the next, so
 	// that a snapshot may be taken here.
 	Committed struct {
-		Number uint64
-		Seq    uint64
-		Whole  bool
+		Number         uint64
+		Seq            uint64
+		RecordBoundary bool
 	}
 
 	// Fenced tells that another owner has the shard. Nothing more is written.
@@ -117,28 +117,28 @@
 		Owner  string
 	}
 
-	waiting struct {
+	queued struct {
 		unit record.Unit
 		seq  uint64 // zero for all pieces but a record's last
 	}
 
-	flight struct {
-		number uint64
-		nonce  uint64
-		data   []byte
-		size   int
-		seq    uint64
-		whole  bool
-		busy   bool // a call to the store is under way
-		read   bool // the next call must read back
+	inFlight struct {
+		number         uint64
+		nonce          uint64
+		data           []byte
+		size           int
+		seq            uint64
+		recordBoundary bool
+		awaitingStore  bool // a call to the store is under way
+		readBack       bool // the next call must read back
 	}
 )
 
-func (Wrote) message()  {}
-func (Found) message()  {}
-func (Absent) message() {}
-func (Unread) message() {}
-func (Tick) message()   {}
+func (CreateDone) message() {}
+func (Found) message()      {}
+func (Absent) message()     {}
+func (ReadFailed) message() {}
+func (Tick) message()       {}
 
 func (Create) effect()    {}
 func (Read) effect()      {}
@@ -150,144 +150,144 @@
 
 // Add queues a record and returns its sequence number, which a Committed will
 // reach.
-func (c *Chain) Add(r record.Record) (seq uint64, err error) {
-	c.id++
-	us, err := record.Units(r, c.id)
+func (w *Writer) Add(r record.Record) (seq uint64, err error) {
+	w.pieceID++
+	us, err := record.Units(r, w.pieceID)
 	if err != nil {
 		return 0, err
 	}
-	c.seq++
+	w.seq++
 	for i, u := range us {
-		w := waiting{unit: u}
+		q := queued{unit: u}
 		if i == len(us)-1 {
-			w.seq = c.seq
+			q.seq = w.seq
 		}
-		c.waiting = append(c.waiting, w)
-		c.bytes += len(u)
+		w.queued = append(w.queued, q)
+		w.bytes += len(u)
 	}
-	return c.seq, nil
+	return w.seq, nil
 }
 
 // Drop takes back a record that no creation has carried yet, and reports
 // whether it could. What was dropped will certainly never be in the journal.
-func (c *Chain) Drop(seq uint64) bool {
-	for i, w := range c.waiting {
-		if w.seq != seq {
+func (w *Writer) Withdraw(seq uint64) bool {
+	for i, q := range w.queued {
+		if q.seq != seq {
 			continue
 		}
-		if i > 0 && c.waiting[i-1].seq == 0 || i == 0 && c.flight != nil && c.flight.seq == 0 {
+		if i > 0 && w.queued[i-1].seq == 0 || i == 0 && w.inFlight != nil && w.inFlight.seq == 0 {
 			return false // it has pieces, and some may be on their way
 		}
-		c.bytes -= len(w.unit)
-		c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
+		w.bytes -= len(q.unit)
+		w.queued = append(w.queued[:i], w.queued[i+1:]...)
 		return true
 	}
 	return false
 }
 
 // Bytes is the size of the records that wait for the store.
-func (c *Chain) Bytes() int { return c.bytes }
+func (w *Writer) QueuedBytes() int { return w.bytes }
 
 // Idle reports whether every record added is in the journal.
-func (c *Chain) Idle() bool { return len(c.waiting) == 0 && c.flight == nil }
+func (w *Writer) Idle() bool { return len(w.queued) == 0 && w.inFlight == nil }
 
 // Stalled is how long the entry in flight has been waiting for the store; zero
 // without one. It is how an owner notices that the store is down.
-func (c *Chain) Stalled(now time.Time) time.Duration {
-	if c.flight == nil {
+func (w *Writer) StalledFor(now time.Time) time.Duration {
+	if w.inFlight == nil {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(w.firstSent)
 }
 
 // Step applies one message. Call it with Tick after Add.
-func (c *Chain) Step(now time.Time, m Message) []Effect {
-	if c.fenced {
+func (w *Writer) Step(now time.Time, m Message) []Effect {
+	if w.fenced {
 		return nil
 	}
 	switch m := m.(type) {
-	case Wrote:
-		return c.wrote(now, m)
+	case CreateDone:
+		return w.createDone(now, m)
 	case Found:
-		return c.found(now, m.Entry)
+		return w.found(now, m.Entry)
 	case Absent:
-		if c.current(m.Number) {
-			c.flight.busy, c.flight.read = false, false
+		if w.awaiting(m.Number) {
+			w.inFlight.awaitingStore, w.inFlight.readBack = false, false
 		}
-	case Unread:
-		if c.current(m.Number) {
-			c.flight.busy = false
-			c.pause(now)
+	case ReadFailed:
+		if w.awaiting(m.Number) {
+			w.inFlight.awaitingStore = false
+			w.backOff(now)
 		}
 	}
-	return c.send(now)
+	return w.send(now)
 }
 
-func (c *Chain) current(n uint64) bool {
-	return c.flight != nil && c.flight.number == n && c.flight.busy
+func (w *Writer) awaiting(n uint64) bool {
+	return w.inFlight != nil && w.inFlight.number == n && w.inFlight.awaitingStore
 }
 
-func (c *Chain) wrote(now time.Time, m Wrote) []Effect {
-	if !c.current(m.Number) {
+func (w *Writer) createDone(now time.Time, m CreateDone) []Effect {
+	if !w.awaiting(m.Number) {
 		return nil
 	}
-	c.flight.busy = false
+	w.inFlight.awaitingStore = false
 	switch m.Outcome {
 	case Created:
-		return c.commit(now)
-	case Exists, Lost:
+		return w.commit(now)
+	case Exists, Unknown:
 		// Exists may be our own entry, created by an attempt whose answer was
 		// lost; taking it for another's would give up a shard that is ours.
-		c.flight.read = true
-		if m.Outcome == Lost {
-			c.pause(now)
+		w.inFlight.readBack = true
+		if m.Outcome == Unknown {
+			w.backOff(now)
 		}
 	case Unavailable:
-		c.pause(now)
+		w.backOff(now)
 	}
-	return c.send(now)
+	return w.send(now)
 }
 
-func (c *Chain) found(now time.Time, e record.Entry) []Effect {
-	if !c.current(e.Number) {
+func (w *Writer) found(now time.Time, e record.Entry) []Effect {
+	if !w.awaiting(e.Number) {
 		return nil
 	}
-	c.flight.busy = false
-	if e.Nonce == c.flight.nonce && e.Epoch == c.Epoch {
-		return c.commit(now)
+	w.inFlight.awaitingStore = false
+	if e.Nonce == w.inFlight.nonce && e.Epoch == w.Epoch {
+		return w.commit(now)
 	}
-	c.fenced = true
+	w.fenced = true
 	return []Effect{Fenced{Number: e.Number, Epoch: e.Epoch, Owner: e.Owner}}
 }
 
-func (c *Chain) commit(now time.Time) []Effect {
-	f := c.flight
-	c.flight = nil
-	c.bytes -= f.size
-	c.Next = f.number + 1
-	c.last, c.backoff, c.retryAt = now, 0, time.Time{}
-	effs := []Effect{Committed{Number: f.number, Seq: f.seq, Whole: f.whole}}
-	return append(effs, c.send(now)...)
+func (w *Writer) commit(now time.Time) []Effect {
+	f := w.inFlight
+	w.inFlight = nil
+	w.bytes -= f.size
+	w.Next = f.number + 1
+	w.lastCreated, w.backoff, w.retryAt = now, 0, time.Time{}
+	effs := []Effect{Committed{Number: f.number, Seq: f.seq, RecordBoundary: f.recordBoundary}}
+	return append(effs, w.send(now)...)
 }
 
 // pause backs off with jitter, so that the owners of all shards don't come
 // back to a recovering store at the same moment.
-func (c *Chain) pause(now time.Time) {
-	c.backoff = min(max(2*c.backoff, minBackoff), maxBackoff)
-	c.retryAt = now.Add(c.backoff/2 + time.Duration(c.Rand()%uint64(c.backoff)))
+func (w *Writer) backOff(now time.Time) {
+	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
+	w.retryAt = now.Add(w.backoff/2 + time.Duration(w.Rand()%uint64(w.backoff)))
 }
 
-func (c *Chain) send(now time.Time) []Effect {
-	if c.flight == nil && !c.load(now) {
+func (w *Writer) send(now time.Time) []Effect {
+	if w.inFlight == nil && !w.buildEntry(now) {
 		return nil
 	}
-	f := c.flight
-	if f.busy || now.Before(c.retryAt) {
+	f := w.inFlight
+	if f.awaitingStore || now.Before(w.retryAt) {
 		return nil
 	}
-	f.busy = true
-	key := Key(c.Shard, f.number)
-	if f.read {
+	f.awaitingStore = true
+	key := Key(w.Shard, f.number)
+	if f.readBack {
 		return []Effect{Read{Key: key, Number: f.number}}
 	}
 	return []Effect{Create{Key: key, Number: f.number, Data: f.data}}
@@ -295,24 +295,24 @@
 
 // load makes the next entry of what waits. Its bytes don't change any more: a
 // creation whose answer was lost may still take effect later.
-func (c *Chain) load(now time.Time) bool {
-	if len(c.waiting) == 0 || now.Before(c.last.Add(c.Interval)) {
+func (w *Writer) buildEntry(now time.Time) bool {
+	if len(w.queued) == 0 || now.Before(w.lastCreated.Add(w.Interval)) {
 		return false
 	}
-	f := &flight{number: c.Next, nonce: c.Rand()}
-	e := record.Entry{Shard: c.Shard, Number: c.Next, Epoch: c.Epoch, Nonce: f.nonce, Owner: c.Owner}
+	f := &inFlight{number: w.Next, nonce: w.Rand()}
+	e := record.Entry{Shard: w.Shard, Number: w.Next, Epoch: w.Epoch, Nonce: f.nonce, Owner: w.Owner}
 	n := 0
-	for n < len(c.waiting) && (n == 0 || f.size+len(c.waiting[n].unit) <= record.MaxUnits) {
-		w := c.waiting[n]
-		e.Units = append(e.Units, w.unit)
-		f.size += len(w.unit)
-		f.whole = w.seq != 0
-		if w.seq != 0 {
-			f.seq = w.seq
+	for n < len(w.queued) && (n == 0 || f.size+len(w.queued[n].unit) <= record.MaxUnits) {
+		q := w.queued[n]
+		e.Units = append(e.Units, q.unit)
+		f.size += len(q.unit)
+		f.recordBoundary = q.seq != 0
+		if q.seq != 0 {
+			f.seq = q.seq
 		}
 		n++
 	}
-	c.waiting = append([]waiting(nil), c.waiting[n:]...)
+	w.queued = append([]queued(nil), w.queued[n:]...)
 	data, err := e.Encode()
 	if err != nil {
 		// Units are valid CBOR by construction, so this can't be reached by
@@ -320,6 +320,6 @@
 		panic(err)
 	}
 	f.data = data
-	c.flight, c.since = f, now
+	w.inFlight, w.firstSent = f, now
 	return true
 }
--- a/internal/shard/chain/chain_test.go
+++ b/internal/shard/jrnl/jrnl_test.go
@@ -1,4 +1,4 @@
-package chain_test
+package jrnl_test
 
 import (
 	"strings"
@@ -11,27 +11,27 @@
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 var start = time.Unix(1_800_000_000, 0)
 
-func newChain() *chain.Chain {
+func newWriter() *jrnl.Writer {
 	seed := uint64(0)
-	return &chain.Chain{Shard: 3, Epoch: 7, Owner: "a", Next: 5, Rand: func() uint64 { seed++; return seed }}
+	return &jrnl.Writer{Shard: 3, Epoch: 7, Owner: "a", Next: 5, Rand: func() uint64 { seed++; return seed }}
 }
 
-func add(t *testing.T, c *chain.Chain, program string) uint64 {
+func add(t *testing.T, w *jrnl.Writer, program string) uint64 {
 	t.Helper()
-	seq, err := c.Add(record.Closed{Program: program, Code: "finished"})
+	seq, err := w.Add(record.Closed{Program: program, Code: "finished"})
 	is.New(t).NoErr(err)
 	return seq
 }
 
 // entry is what the chain would find if it read its own creation back.
-func entry(t *testing.T, e chain.Effect) record.Entry {
+func entry(t *testing.T, e jrnl.Effect) record.Entry {
 	t.Helper()
-	got, err := record.Decode(e.(chain.Create).Data)
+	got, err := record.Decode(e.(jrnl.Create).Data)
 	is.New(t).NoErr(err)
 	return got
 }
@@ -42,58 +42,58 @@
 func TestCreationEnds(t *testing.T) {
 	foreign := record.Entry{Shard: 3, Number: 5, Epoch: 8, Nonce: 99, Owner: "b"}
 	tests := map[string]struct {
-		answers func(own record.Entry) []chain.Message
+		answers func(own record.Entry) []jrnl.Message
 		want    string // kinds of the effects that follow, in order
 	}{
-		"created": {func(record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Created}}
+		"created": {func(record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Created}}
 		}, "committed"},
-		"acknowledgement lost, entry is ours": {func(own record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Lost}, chain.Tick{}, chain.Found{Entry: own}}
+		"acknowledgement lost, entry is ours": {func(own record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Unknown}, jrnl.Tick{}, jrnl.Found{Entry: own}}
 		}, "read committed"},
-		"acknowledgement lost, entry is another's": {func(record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Lost}, chain.Tick{}, chain.Found{Entry: foreign}}
+		"acknowledgement lost, entry is another's": {func(record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Unknown}, jrnl.Tick{}, jrnl.Found{Entry: foreign}}
 		}, "read fenced"},
-		"acknowledgement lost, entry is absent": {func(record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Lost}, chain.Tick{}, chain.Absent{Number: 5}}
+		"acknowledgement lost, entry is absent": {func(record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Unknown}, jrnl.Tick{}, jrnl.Absent{Number: 5}}
 		}, "read create"},
-		"reading back fails too": {func(own record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Lost}, chain.Tick{}, chain.Unread{Number: 5}, chain.Tick{}, chain.Found{Entry: own}}
+		"reading back fails too": {func(own record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Unknown}, jrnl.Tick{}, jrnl.ReadFailed{Number: 5}, jrnl.Tick{}, jrnl.Found{Entry: own}}
 		}, "read read committed"},
-		"an earlier attempt landed late": {func(own record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Exists}, chain.Found{Entry: own}}
+		"an earlier attempt landed late": {func(own record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Exists}, jrnl.Found{Entry: own}}
 		}, "read committed"},
-		"another owner was first": {func(record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Exists}, chain.Found{Entry: foreign}}
+		"another owner was first": {func(record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Exists}, jrnl.Found{Entry: foreign}}
 		}, "read fenced"},
-		"same nonce in another epoch": {func(own record.Entry) []chain.Message {
+		"same nonce in another epoch": {func(own record.Entry) []jrnl.Message {
 			own.Epoch++
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Exists}, chain.Found{Entry: own}}
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Exists}, jrnl.Found{Entry: own}}
 		}, "read fenced"},
-		"store down": {func(record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 5, Outcome: chain.Unavailable}, chain.Tick{}}
+		"store down": {func(record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 5, Outcome: jrnl.Unavailable}, jrnl.Tick{}}
 		}, "create"},
-		"an old answer comes late": {func(record.Entry) []chain.Message {
-			return []chain.Message{chain.Wrote{Number: 4, Outcome: chain.Created}, chain.Found{Entry: record.Entry{Number: 4}}}
+		"an old answer comes late": {func(record.Entry) []jrnl.Message {
+			return []jrnl.Message{jrnl.CreateDone{Number: 4, Outcome: jrnl.Created}, jrnl.Found{Entry: record.Entry{Number: 4}}}
 		}, ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := newChain()
-			add(t, c, "p")
+			w := newWriter()
+			add(t, w, "p")
 			now := start
-			effs := c.Step(now, chain.Tick{})
+			effs := w.Step(now, jrnl.Tick{})
 			is.Equal(kinds(effs), "create")
 			own := entry(t, effs[0])
 			var got []string
 			for _, m := range tt.answers(own) {
 				now = now.Add(5 * time.Second)
-				for _, e := range c.Step(now, m) {
-					if k, ok := e.(chain.Create); ok {
-						is.Equal(k.Data, effs[0].(chain.Create).Data) // the same bytes each time
+				for _, e := range w.Step(now, m) {
+					if k, ok := e.(jrnl.Create); ok {
+						is.Equal(k.Data, effs[0].(jrnl.Create).Data) // the same bytes each time
 					}
-					got = append(got, kinds([]chain.Effect{e}))
+					got = append(got, kinds([]jrnl.Effect{e}))
 				}
 			}
 			is.Equal(strings.Join(got, " "), tt.want)
@@ -101,17 +101,17 @@
 	}
 }
 
-func kinds(effs []chain.Effect) string {
+func kinds(effs []jrnl.Effect) string {
 	var out []string
 	for _, e := range effs {
 		switch e.(type) {
-		case chain.Create:
+		case jrnl.Create:
 			out = append(out, "create")
-		case chain.Read:
+		case jrnl.Read:
 			out = append(out, "read")
-		case chain.Committed:
+		case jrnl.Committed:
 			out = append(out, "committed")
-		case chain.Fenced:
+		case jrnl.Fenced:
 			out = append(out, "fenced")
 		}
 	}
@@ -123,18 +123,18 @@
 // budget.
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
-	c := newChain()
-	c.Interval = time.Second
-	add(t, c, "p0")
-	first := c.Step(start, chain.Tick{})
+	w := newWriter()
+	w.Interval = time.Second
+	add(t, w, "p0")
+	first := w.Step(start, jrnl.Tick{})
 	for _, p := range []string{"p1", "p2", "p3"} {
-		add(t, c, p)
-		is.Equal(len(c.Step(start, chain.Tick{})), 0) // one write in flight
+		add(t, w, p)
+		is.Equal(len(w.Step(start, jrnl.Tick{})), 0) // one write in flight
 	}
-	effs := c.Step(start, chain.Wrote{Number: 5, Outcome: chain.Created})
-	is.Equal(effs, []chain.Effect{chain.Committed{Number: 5, Seq: 1, Whole: true}})
-	is.Equal(len(c.Step(start.Add(999*time.Millisecond), chain.Tick{})), 0)
-	effs = c.Step(start.Add(time.Second), chain.Tick{})
+	effs := w.Step(start, jrnl.CreateDone{Number: 5, Outcome: jrnl.Created})
+	is.Equal(effs, []jrnl.Effect{jrnl.Committed{Number: 5, Seq: 1, RecordBoundary: true}})
+	is.Equal(len(w.Step(start.Add(999*time.Millisecond), jrnl.Tick{})), 0)
+	effs = w.Step(start.Add(time.Second), jrnl.Tick{})
 	is.Equal(kinds(effs), "create")
 	is.Equal(len(entry(t, first[0]).Units), 1)
 	is.Equal(len(entry(t, effs[0]).Units), 3)
@@ -145,7 +145,7 @@
 // pieces over several entries and must come out whole.
 func TestLargeRecord(t *testing.T) {
 	is := is.New(t)
-	c := newChain()
+	w := newWriter()
 	// Random bytes don't compress, as the worst of texts.
 	body := make([]byte, 3<<20)
 	x := uint64(1)
@@ -154,44 +154,44 @@
 		body[i] = byte(x >> 56)
 	}
 	big := record.Ended{Program: "p", Call: hist.Call{Kind: call.Service, Result: result.Result{Body: body}}}
-	_, err := c.Add(big)
+	_, err := w.Add(big)
 	is.NoErr(err)
-	add(t, c, "q")
+	add(t, w, "q")
 	var j record.Joiner
 	var got []record.Record
-	effs := c.Step(start, chain.Tick{})
+	effs := w.Step(start, jrnl.Tick{})
 	for n := 0; len(effs) > 0 && n < 20; n++ {
-		e := effs[len(effs)-1].(chain.Create)
+		e := effs[len(effs)-1].(jrnl.Create)
 		is.True(len(e.Data) <= 1<<20) // the store takes no larger value
 		ent, err := record.Decode(e.Data)
 		is.NoErr(err)
 		rs, err := j.Records(ent)
 		is.NoErr(err)
 		got = append(got, rs...)
-		effs = c.Step(start, chain.Wrote{Number: ent.Number, Outcome: chain.Created})
+		effs = w.Step(start, jrnl.CreateDone{Number: ent.Number, Outcome: jrnl.Created})
 		if kinds(effs) == "committed" {
 			break
 		}
 	}
 	is.Equal(len(got), 2)
 	is.Equal(got[0].(record.Ended).Call.Result.Body, body)
-	is.True(c.Idle())
+	is.True(w.Idle())
 }
 
 // A caller gives up on a call whose intent waits behind the write in flight. If
 // the intent could still be taken back, the call certainly never runs; once it
 // is on its way, that can't be said.
-func TestDrop(t *testing.T) {
+func TestWithdraw(t *testing.T) {
 	is := is.New(t)
-	c := newChain()
-	first := add(t, c, "p0")
-	c.Step(start, chain.Tick{})
-	second := add(t, c, "p1")
-	is.True(!c.Drop(first)) // on its way
-	is.True(c.Drop(second))
-	is.True(!c.Drop(second))
-	is.Equal(kinds(c.Step(start, chain.Wrote{Number: 5, Outcome: chain.Created})), "committed")
-	is.True(c.Idle())
+	w := newWriter()
+	first := add(t, w, "p0")
+	w.Step(start, jrnl.Tick{})
+	second := add(t, w, "p1")
+	is.True(!w.Withdraw(first)) // on its way
+	is.True(w.Withdraw(second))
+	is.True(!w.Withdraw(second))
+	is.Equal(kinds(w.Step(start, jrnl.CreateDone{Number: 5, Outcome: jrnl.Created})), "committed")
+	is.True(w.Idle())
 }
 
 // The store comes back after an outage. The owners of all shards must not write
@@ -201,20 +201,20 @@
 	seen := map[time.Duration]int{}
 	for shard := range 64 {
 		seed := uint64(shard) * 7919
-		c := &chain.Chain{Shard: shard, Next: 1, Rand: func() uint64 { seed = seed*6364136223846793005 + 1; return seed >> 20 }}
-		add(t, c, "p")
+		w := &jrnl.Writer{Shard: shard, Next: 1, Rand: func() uint64 { seed = seed*6364136223846793005 + 1; return seed >> 20 }}
+		add(t, w, "p")
 		now := start
-		effs := c.Step(now, chain.Tick{})
+		effs := w.Step(now, jrnl.Tick{})
 		for now.Sub(start) < time.Minute {
 			if len(effs) > 0 {
-				effs = c.Step(now, chain.Wrote{Number: 1, Outcome: chain.Unavailable})
+				effs = w.Step(now, jrnl.CreateDone{Number: 1, Outcome: jrnl.Unavailable})
 			}
 			now = now.Add(20 * time.Millisecond)
-			effs = append(effs, c.Step(now, chain.Tick{})...)
+			effs = append(effs, w.Step(now, jrnl.Tick{})...)
 		}
 		for len(effs) == 0 {
 			now = now.Add(20 * time.Millisecond)
-			effs = c.Step(now, chain.Tick{})
+			effs = w.Step(now, jrnl.Tick{})
 		}
 		seen[now.Sub(start).Truncate(100*time.Millisecond)]++
 		is.True(now.Sub(start) < time.Minute+4*time.Second)
--- a/internal/shard/owner/bench_test.go
+++ b/internal/shard/owner/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/prog/call"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
@@ -24,7 +24,7 @@
 
 func newBench(programs int) *bench {
 	b := &bench{now: time.Unix(1_800_000_000, 0)}
-	b.own.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { b.seed++; return b.seed }}
+	b.own.Writer = jrnl.Writer{Epoch: 1, Next: 1, Rand: func() uint64 { b.seed++; return b.seed }}
 	b.own.Step(b.now, owner.Configure{File: file.File{
 		Limits: file.Limits{BudgetBlock: 1 << 20, JournalBuffer: 1 << 30},
 		Agents: map[string]file.Agent{"a": {Model: "m", Budget: 1 << 40}},
@@ -44,8 +44,8 @@
 		var more []owner.Effect
 		for _, e := range effs {
 			if w, ok := e.(owner.Write); ok {
-				c := w.Effect.(chain.Create)
-				more = append(more, b.own.Step(b.now, owner.Journal{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})...)
+				c := w.Effect.(jrnl.Create)
+				more = append(more, b.own.Step(b.now, owner.Journal{Message: jrnl.CreateDone{Number: c.Number, Outcome: jrnl.Created}})...)
 			}
 		}
 		effs = more
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -353,7 +353,7 @@
 		Before:  r.before,
 		After:   r.prog.root.budget.Free(),
 		Config:  o.cfg.Version,
-		Epoch:   o.Chain.Epoch,
+		Epoch:   o.Writer.Epoch,
 		Start:   r.start,
 	}
 }
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 // finish gives a call its outcome. A refusal that did not run is told at once;
@@ -177,7 +177,7 @@
 	case waitPlace:
 		o.emit(Place{Message: sched.Cancel{ID: r.call.Request}})
 	case waitIntent, waitBudget:
-		if r.phase == waitIntent && o.Chain.Drop(r.seq) {
+		if r.phase == waitIntent && o.Writer.Withdraw(r.seq) {
 			o.queue = slices.DeleteFunc(o.queue, func(p pending) bool { return p.seq == r.seq })
 		}
 	case waitKeep:
@@ -218,21 +218,21 @@
 	}
 }
 
-func (o *Owner) journal(now time.Time, m chain.Message) {
-	for _, e := range o.Chain.Step(now, m) {
+func (o *Owner) journal(now time.Time, m jrnl.Message) {
+	for _, e := range o.Writer.Step(now, m) {
 		switch e := e.(type) {
-		case chain.Create, chain.Read:
+		case jrnl.Create, jrnl.Read:
 			o.emit(Write{Effect: e})
-		case chain.Committed:
+		case jrnl.Committed:
 			o.committed(now, e)
-		case chain.Fenced:
+		case jrnl.Fenced:
 			o.emit(Fenced{})
 		}
 	}
 }
 
 // committed applies what is durable now and tells whoever waited for it.
-func (o *Owner) committed(now time.Time, c chain.Committed) {
+func (o *Owner) committed(now time.Time, c jrnl.Committed) {
 	n := 0
 	for n < len(o.queue) && o.queue[n].seq <= c.Seq {
 		rec := o.queue[n].rec
@@ -259,7 +259,7 @@
 	for _, r := range o.waiting(c.Seq) {
 		o.proceed(now, r)
 	}
-	if c.Whole {
+	if c.RecordBoundary {
 		o.emit(Saving{})
 	}
 }
--- a/internal/shard/owner/move_test.go
+++ b/internal/shard/owner/move_test.go
@@ -16,8 +16,8 @@
 // successor is the next owner of a desk's shard, from the journal alone.
 func (d *desk) successor(is *is.I) *desk {
 	next := newDesk()
-	next.own = owner.Owner{Chain: next.own.Chain}
-	next.own.Chain.Epoch = 2
+	next.own = owner.Owner{Writer: next.own.Writer}
+	next.own.Writer.Epoch = 2
 	var j record.Joiner
 	for _, e := range d.journal {
 		rs, err := j.Records(e)
@@ -25,7 +25,7 @@
 		for _, r := range rs {
 			is.NoErr(next.own.Fold.Apply(e.Number, r))
 		}
-		next.own.Chain.Next = e.Number + 1
+		next.own.Writer.Next = e.Number + 1
 	}
 	next.now = d.now
 	next.step(owner.Configure{File: newDesk().config()})
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -14,7 +14,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 	"github.com/slaterock/slaterock/internal/shard/past"
 )
@@ -27,7 +27,7 @@
 	down    bool // the store gives no answer
 	full    bool // placement gives no answer
 	journal []record.Entry
-	held    []chain.Effect
+	held    []jrnl.Effect
 	replies map[owner.Ticket]result.Result
 	sent    []owner.Dispatch
 	places  []sched.Message
@@ -40,7 +40,7 @@
 func newDesk() *desk {
 	d := &desk{now: time.Unix(1_800_000_000, 0), replies: map[owner.Ticket]result.Result{}}
 	seed := uint64(0)
-	d.own.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { seed++; return seed }}
+	d.own.Writer = jrnl.Writer{Epoch: 1, Next: 1, Rand: func() uint64 { seed++; return seed }}
 	d.step(owner.Configure{File: d.config()})
 	d.step(owner.Lease{Until: d.now.Add(time.Hour)})
 	return d
@@ -84,13 +84,13 @@
 	for !d.down && len(d.held) > 0 {
 		e := d.held[0]
 		d.held = d.held[1:]
-		if c, ok := e.(chain.Create); ok {
+		if c, ok := e.(jrnl.Create); ok {
 			e, err := record.Decode(c.Data)
 			if err != nil {
 				panic(err)
 			}
 			d.journal = append(d.journal, e)
-			d.step(owner.Journal{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
+			d.step(owner.Journal{Message: jrnl.CreateDone{Number: c.Number, Outcome: jrnl.Created}})
 		}
 	}
 }
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -28,7 +28,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 type (
@@ -106,7 +106,7 @@
 	Held struct{ Blob hist.Blob }
 
 	// Journal is the store's answer to a Write or a Read.
-	Journal struct{ Message chain.Message }
+	Journal struct{ Message jrnl.Message }
 
 	// Saved tells that a snapshot up to entry Upto is in force. Gone has, for
 	// the hash of each family that the snapshot left out because it has ended,
@@ -140,7 +140,7 @@
 	Effect interface{ effect() }
 
 	// Write carries out the chain's effect, a Create or a Read.
-	Write struct{ Effect chain.Effect }
+	Write struct{ Effect jrnl.Effect }
 
 	// Place gives a message to placement.
 	Place struct{ Message sched.Message }
@@ -216,9 +216,9 @@
 type (
 	// Owner is the machine. Make it from a takeover with Fold and Chain set.
 	Owner struct {
-		Fold  state.Fold  // as loaded; the machine goes on with it
-		Chain chain.Chain // ready to write the entry after Fold.Upto
-		Hold  time.Time   // no dispatch before: a former owner may still act
+		Fold   state.Fold  // as loaded; the machine goes on with it
+		Writer jrnl.Writer // ready to write the entry after Fold.Upto
+		Hold   time.Time   // no dispatch before: a former owner may still act
 
 		cfg        file.File
 		lease      Lease
@@ -323,9 +323,9 @@
 	case Saved:
 		o.saved(m)
 	case Verify:
-		o.verifySeq = o.add(record.Took{Epoch: o.Chain.Epoch, Owner: o.Chain.Owner, At: now})
+		o.verifySeq = o.add(record.Took{Epoch: o.Writer.Epoch, Owner: o.Writer.Owner, At: now})
 	case Pace:
-		o.Chain.Interval = m.Interval
+		o.Writer.Interval = m.Interval
 	case Drain:
 		o.drain(now)
 	case Tail:
@@ -333,7 +333,7 @@
 	case Tick:
 		o.tick(now)
 	}
-	o.journal(now, chain.Tick{})
+	o.journal(now, jrnl.Tick{})
 	o.checkDrained()
 	effs := o.effs
 	o.effs = nil
@@ -372,7 +372,7 @@
 
 // add queues a record for the journal and returns its sequence number.
 func (o *Owner) add(r record.Record) uint64 {
-	seq, err := o.Chain.Add(r)
+	seq, err := o.Writer.Add(r)
 	if err != nil {
 		// Records are made of plain fields, so encoding can't fail on any
 		// input; going on without the record would lose history.
@@ -383,7 +383,7 @@
 }
 
 func (o *Owner) checkDrained() {
-	if !o.draining || o.drained || !o.Chain.Idle() {
+	if !o.draining || o.drained || !o.Writer.Idle() {
 		return
 	}
 	o.drained = true
--- a/internal/shard/owner/tick.go
+++ b/internal/shard/owner/tick.go
@@ -30,7 +30,7 @@
 )
 
 // stalled reports whether the store is taken for down.
-func (o *Owner) stalled() bool { return o.stalledNow || o.Chain.Bytes() > o.buffer() }
+func (o *Owner) stalled() bool { return o.stalledNow || o.Writer.QueuedBytes() > o.buffer() }
 
 func (o *Owner) buffer() int {
 	if o.cfg.Limits.JournalBuffer > 0 {
@@ -56,7 +56,7 @@
 }
 
 func (o *Owner) tick(now time.Time) {
-	o.stalledNow = o.Chain.Stalled(now) > stallTime
+	o.stalledNow = o.Writer.StalledFor(now) > stallTime
 	for _, r := range o.due(now) {
 		o.overdue(now, r)
 	}
--- a/internal/shard/owner/try.go
+++ b/internal/shard/owner/try.go
@@ -73,7 +73,7 @@
 		Address:   a.Address,
 		Priority:  r.prog.priority,
 		MaxTokens: r.max,
-		Fence:     o.Chain.Epoch,
+		Fence:     o.Writer.Epoch,
 		Timeout:   o.cfg.Services[r.call.Service].Timeout,
 		Try:       len(r.tries),
 	})
--- a/internal/shard/past/past.go
+++ b/internal/shard/past/past.go
@@ -17,7 +17,7 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/record"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 type (
@@ -169,7 +169,7 @@
 
 func (p Past) chained(ctx context.Context, n uint64) (es []record.Entry, err error) {
 	for {
-		v, err := p.Store.Get(ctx, chain.Key(p.Shard, n))
+		v, err := p.Store.Get(ctx, jrnl.Key(p.Shard, n))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/shard/past/past_test.go
+++ b/internal/shard/past/past_test.go
@@ -12,7 +12,7 @@
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/past"
 )
 
@@ -45,7 +45,7 @@
 			data, err := record.Entry{Number: 1, Epoch: 1, Units: us}.Encode()
 			is.NoErr(err)
 			st := &keyval.Store{}
-			_, err = st.Put(t.Context(), chain.Key(0, 1), data, 0, 0)
+			_, err = st.Put(t.Context(), jrnl.Key(0, 1), data, 0, 0)
 			is.NoErr(err)
 			p := past.Past{Store: st, Text: func(_ context.Context, b hist.Blob) ([]byte, error) {
 				if text, ok := tt.texts[b.Digest]; ok {
--- a/internal/shard/shelf/shelf.go
+++ b/internal/shard/xfer/xfer.go
@@ -5,7 +5,7 @@
 // at others. It implements bulk.Peers. One method carries all calls, and what
 // went wrong comes back as a code, since an error of the link is text only and
 // "not found" must not be mistaken for "not reached".
-package shelf
+package xfer
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 
 type (
 	// Shelf is one daemon's end. Its fields are set before the first call.
-	Shelf struct {
+	Endpoint struct {
 		Name   string        // this daemon
 		Folder *blobs.Folder // nil without a disk
 		// Invoke calls the method at the daemon of that name.
@@ -46,7 +46,7 @@
 	op   string
 	code string
 
-	ask struct {
+	request struct {
 		Op      op             `json:"op"`
 		Shard   int            `json:"shard"`
 		Epoch   uint64         `json:"epoch,omitempty"`
@@ -57,7 +57,7 @@
 		Digests []blobs.Digest `json:"digests,omitempty"`
 	}
 
-	answer struct {
+	response struct {
 		Code    code           `json:"code,omitempty"`
 		Message string         `json:"message,omitempty"`
 		Data    []byte         `json:"data,omitempty"`
@@ -69,115 +69,115 @@
 var ErrNoFolder = errors.New("shelf: no data folder")
 
 // Serve answers a peer's call.
-func (s *Shelf) Serve(ctx context.Context, params json.RawMessage) (any, error) {
-	var q ask
-	if err := json.Unmarshal(params, &q); err != nil {
+func (e *Endpoint) Serve(ctx context.Context, params json.RawMessage) (any, error) {
+	var req request
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "parameters of "+Method)
 	}
-	return s.do(ctx, q), nil
+	return e.handle(ctx, req), nil
 }
 
 // Put implements bulk.Peers.
-func (s *Shelf) Put(ctx context.Context, to string, shard int, data []byte) error {
-	_, err := s.call(ctx, to, ask{Op: opPut, Shard: shard, Data: data})
+func (e *Endpoint) Put(ctx context.Context, to string, shard int, data []byte) error {
+	_, err := e.call(ctx, to, request{Op: opPut, Shard: shard, Data: data})
 	return err
 }
 
 // Copy implements bulk.Peers.
-func (s *Shelf) Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error {
-	_, err := s.call(ctx, to, ask{Op: opCopy, Shard: shard, Digest: d, From: from})
+func (e *Endpoint) Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error {
+	_, err := e.call(ctx, to, request{Op: opCopy, Shard: shard, Digest: d, From: from})
 	return err
 }
 
 // Get implements bulk.Peers.
-func (s *Shelf) Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error) {
-	a, err := s.call(ctx, from, ask{Op: opGet, Shard: shard, Digest: d})
-	return a.Data, err
+func (e *Endpoint) Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error) {
+	resp, err := e.call(ctx, from, request{Op: opGet, Shard: shard, Digest: d})
+	return resp.Data, err
 }
 
 // List implements bulk.Peers.
-func (s *Shelf) List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error) {
-	a, err := s.call(ctx, from, ask{Op: opList, Shard: shard, Digest: after, Limit: limit})
-	return a.Digests, err
+func (e *Endpoint) List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error) {
+	resp, err := e.call(ctx, from, request{Op: opList, Shard: shard, Digest: after, Limit: limit})
+	return resp.Digests, err
 }
 
 // Drop implements bulk.Peers.
-func (s *Shelf) Drop(ctx context.Context, to string, shard int, epoch uint64, d []blobs.Digest) error {
-	_, err := s.call(ctx, to, ask{Op: opDrop, Shard: shard, Epoch: epoch, Digests: d})
+func (e *Endpoint) Drop(ctx context.Context, to string, shard int, epoch uint64, d []blobs.Digest) error {
+	_, err := e.call(ctx, to, request{Op: opDrop, Shard: shard, Epoch: epoch, Digests: d})
 	return err
 }
 
-func (s *Shelf) call(ctx context.Context, to string, q ask) (a answer, err error) {
-	defer func() { err = errors.Wrapf(err, "%s at %s", string(q.Op), to) }()
-	if to == s.Name {
-		a = s.do(ctx, q)
-	} else if err := s.Invoke(ctx, to, Method, q, &a); err != nil {
-		return a, err
+func (e *Endpoint) call(ctx context.Context, to string, req request) (resp response, err error) {
+	defer func() { err = errors.Wrapf(err, "%s at %s", string(req.Op), to) }()
+	if to == e.Name {
+		resp = e.handle(ctx, req)
+	} else if err := e.Invoke(ctx, to, Method, req, &resp); err != nil {
+		return resp, err
 	}
-	return a, a.err(q.Digest)
+	return resp, resp.err(req.Digest)
 }
 
-func (s *Shelf) do(ctx context.Context, q ask) (a answer) {
+func (e *Endpoint) handle(ctx context.Context, req request) (resp response) {
 	err := ErrNoFolder
-	if s.Folder != nil {
-		a, err = s.folder(ctx, q)
+	if e.Folder != nil {
+		resp, err = e.execute(ctx, req)
 	}
-	return a.with(err)
+	return resp.withError(err)
 }
 
-func (s *Shelf) folder(ctx context.Context, q ask) (a answer, err error) {
-	switch q.Op {
+func (e *Endpoint) execute(ctx context.Context, req request) (resp response, err error) {
+	switch req.Op {
 	case opPut:
-		_, err = s.Folder.Put(q.Shard, q.Data)
+		_, err = e.Folder.Put(req.Shard, req.Data)
 	case opCopy:
-		err = s.fetch(ctx, q)
+		err = e.fetch(ctx, req)
 	case opGet:
-		a.Data, err = s.Folder.Get(q.Shard, q.Digest)
+		resp.Data, err = e.Folder.Get(req.Shard, req.Digest)
 	case opList:
-		a.Digests, err = s.Folder.List(q.Shard, q.Digest, min(q.Limit, maxPage))
+		resp.Digests, err = e.Folder.List(req.Shard, req.Digest, min(req.Limit, maxPage))
 	case opDrop:
-		_, err = s.Folder.Drop(q.Shard, q.Epoch, q.Digests)
+		_, err = e.Folder.Drop(req.Shard, req.Epoch, req.Digests)
 	default:
-		err = errors.Newf("unknown operation %q", string(q.Op))
+		err = errors.Newf("unknown operation %q", string(req.Op))
 	}
-	return a, err
+	return resp, err
 }
 
 // fetch stores a blob of another daemon here. What that daemon sends is not
 // trusted: bytes with another digest would be stored under their own name, and
 // the owner would count a copy that is not there.
-func (s *Shelf) fetch(ctx context.Context, q ask) error {
-	data, err := s.Get(ctx, q.From, q.Shard, q.Digest)
+func (e *Endpoint) fetch(ctx context.Context, req request) error {
+	data, err := e.Get(ctx, req.From, req.Shard, req.Digest)
 	if err != nil {
 		return errors.Newf("fetch: %v", err) // the missing blob is there, not here
 	}
-	if blobs.Sum(data) != q.Digest {
-		return errors.Newf("fetch: %s sent another blob", q.From)
+	if blobs.Sum(data) != req.Digest {
+		return errors.Newf("fetch: %s sent another blob", req.From)
 	}
-	_, err = s.Folder.Put(q.Shard, data)
+	_, err = e.Folder.Put(req.Shard, data)
 	return err
 }
 
-func (a answer) with(err error) answer {
+func (resp response) withError(err error) response {
 	var corrupt *blobs.CorruptError
 	switch {
 	case err == nil:
-		return a
+		return resp
 	case errors.Is(err, blobs.ErrNotFound):
-		a.Code = codeNotFound
+		resp.Code = codeNotFound
 	case errors.As(err, &corrupt):
-		a.Code = codeCorrupt
+		resp.Code = codeCorrupt
 	case errors.Is(err, blobs.ErrFenced):
-		a.Code = codeFenced
+		resp.Code = codeFenced
 	default:
-		a.Code = codeFailed
+		resp.Code = codeFailed
 	}
-	a.Message = err.Error()
-	return a
+	resp.Message = err.Error()
+	return resp
 }
 
-func (a answer) err(d blobs.Digest) error {
-	switch a.Code {
+func (resp response) err(d blobs.Digest) error {
+	switch resp.Code {
 	case "":
 		return nil
 	case codeNotFound:
@@ -187,5 +187,5 @@
 	case codeFenced:
 		return blobs.ErrFenced
 	}
-	return errors.New(a.Message)
+	return errors.New(resp.Message)
 }
--- a/internal/shard/shelf/shelf_test.go
+++ b/internal/shard/xfer/xfer_test.go
@@ -1,4 +1,4 @@
-package shelf
+package xfer
 
 import (
 	"context"
@@ -11,20 +11,20 @@
 
 	"github.com/matryer/is"
 
+	"github.com/slaterock/slaterock/internal/shard/blobio"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
-	"github.com/slaterock/slaterock/internal/shard/bulk"
 )
 
 var (
-	_ bulk.Peers = (*Shelf)(nil)
+	_ blobio.Peers = (*Endpoint)(nil)
 
 	errUnreached = errors.New("link is down")
 )
 
 // fleet joins shelves as a link would: through JSON.
-type fleet map[string]*Shelf
+type network map[string]*Endpoint
 
-func (f fleet) invoke(ctx context.Context, to, method string, params, out any) error {
+func (f network) invoke(ctx context.Context, to, method string, params, out any) error {
 	s, ok := f[to]
 	if !ok || method != Method {
 		return errUnreached
@@ -44,10 +44,10 @@
 }
 
 // owner returns the shelf of a daemon without folder, beside a and b with one.
-func owner(t *testing.T) (*Shelf, fleet) {
-	f := fleet{}
+func newNetwork(t *testing.T) (*Endpoint, network) {
+	f := network{}
 	for _, name := range []string{"a", "b", "bare"} {
-		f[name] = &Shelf{Name: name, Invoke: f.invoke}
+		f[name] = &Endpoint{Name: name, Invoke: f.invoke}
 		if name != "bare" {
 			f[name].Folder = &blobs.Folder{Dir: t.TempDir()}
 		}
@@ -55,7 +55,7 @@
 	return f["bare"], f
 }
 
-func spoil(is *is.I, f *blobs.Folder, d blobs.Digest) {
+func overwrite(is *is.I, f *blobs.Folder, d blobs.Digest) {
 	is.NoErr(filepath.WalkDir(f.Dir, func(path string, e fs.DirEntry, err error) error {
 		if err == nil && e.Name() == d.String() {
 			err = os.WriteFile(path, []byte("TEXT"), 0o600)
@@ -64,11 +64,11 @@
 	}))
 }
 
-func TestShelf(t *testing.T) {
+func TestEndpoint(t *testing.T) {
 	text := []byte("text")
 	d := blobs.Sum(text)
-	tests := map[string]func(ctx context.Context, is *is.I, s *Shelf, f fleet){
-		"put, list, get": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
+	tests := map[string]func(ctx context.Context, is *is.I, s *Endpoint, f network){
+		"put, list, get": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
 			is.NoErr(s.Put(ctx, "a", 3, text))
 			list, err := s.List(ctx, "a", 3, blobs.Digest{}, 10)
 			is.NoErr(err)
@@ -77,12 +77,12 @@
 			is.NoErr(err)
 			is.Equal(got, text)
 		},
-		"own folder": func(ctx context.Context, is *is.I, _ *Shelf, f fleet) {
+		"own folder": func(ctx context.Context, is *is.I, _ *Endpoint, f network) {
 			is.NoErr(f["a"].Put(ctx, "a", 3, text))
 			_, err := f["a"].Get(ctx, "a", 3, d)
 			is.NoErr(err)
 		},
-		"copy": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
+		"copy": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
 			is.NoErr(s.Put(ctx, "a", 3, text))
 			is.NoErr(s.Copy(ctx, "b", "a", 3, d))
 			got, err := s.Get(ctx, "b", 3, d)
@@ -91,13 +91,13 @@
 		},
 		// The blob is not there, and its reader must learn just that: its copy
 		// is made again.
-		"not found": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
+		"not found": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
 			_, err := s.Get(ctx, "a", 3, d)
 			is.True(errors.Is(err, blobs.ErrNotFound))
 		},
-		"spoilt": func(ctx context.Context, is *is.I, s *Shelf, f fleet) {
+		"spoilt": func(ctx context.Context, is *is.I, s *Endpoint, f network) {
 			is.NoErr(s.Put(ctx, "a", 3, text))
-			spoil(is, f["a"].Folder, d)
+			overwrite(is, f["a"].Folder, d)
 			_, err := s.Get(ctx, "a", 3, d)
 			var corrupt *blobs.CorruptError
 			is.True(errors.As(err, &corrupt))
@@ -105,23 +105,23 @@
 		},
 		// The holder can't be reached. That tells nothing about its blobs;
 		// taken for "not found", each short break would copy all of them.
-		"not reached": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
+		"not reached": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
 			_, err := s.Get(ctx, "gone", 3, d)
 			is.True(errors.Is(err, errUnreached))
 			is.True(!errors.Is(err, blobs.ErrNotFound))
 		},
 		// The source of a copy lacks the blob. The taker's answer must not
 		// read as if the taker were asked for it.
-		"source lacks it": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
+		"source lacks it": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
 			err := s.Copy(ctx, "b", "a", 3, d)
 			is.True(err != nil)
 			is.True(!errors.Is(err, blobs.ErrNotFound))
 		},
 		// The source sends other bytes than it was asked for. They must not
 		// count as a copy.
-		"source sends another": func(ctx context.Context, is *is.I, s *Shelf, f fleet) {
+		"source sends another": func(ctx context.Context, is *is.I, s *Endpoint, f network) {
 			f["b"].Invoke = func(_ context.Context, _, _ string, _, out any) error {
-				*out.(*answer) = answer{Data: []byte("TEXT")}
+				*out.(*response) = response{Data: []byte("TEXT")}
 				return nil
 			}
 			is.True(s.Copy(ctx, "b", "a", 3, d) != nil)
@@ -129,22 +129,22 @@
 			is.NoErr(err)
 			is.Equal(used, int64(0))
 		},
-		"former owner's drop": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
+		"former owner's drop": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
 			is.NoErr(s.Drop(ctx, "a", 3, 5, nil))
 			is.True(errors.Is(s.Drop(ctx, "a", 3, 4, nil), blobs.ErrFenced))
 		},
-		"no folder": func(ctx context.Context, is *is.I, s *Shelf, f fleet) {
+		"no folder": func(ctx context.Context, is *is.I, s *Endpoint, f network) {
 			is.True(f["a"].Put(ctx, "bare", 3, text) != nil)
 			is.True(s.Put(ctx, "bare", 3, text) != nil)
 		},
-		"unknown operation": func(ctx context.Context, is *is.I, s *Shelf, _ fleet) {
-			_, err := s.call(ctx, "a", ask{Op: "burn"})
+		"unknown operation": func(ctx context.Context, is *is.I, s *Endpoint, _ network) {
+			_, err := s.call(ctx, "a", request{Op: "burn"})
 			is.True(err != nil)
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, f := owner(t)
+			s, f := newNetwork(t)
 			tt(t.Context(), is.New(t), s, f)
 		})
 	}
@@ -152,7 +152,7 @@
 
 func TestServeRefusesWhatIsNoCall(t *testing.T) {
 	is := is.New(t)
-	s, _ := owner(t)
+	s, _ := newNetwork(t)
 	_, err := s.Serve(t.Context(), json.RawMessage(`[]`))
 	is.True(err != nil)
 }
