--- a/internal/shard/assign/assign_test.go
+++ b/internal/shard/assign/assign_test.go
@@ -111,7 +111,7 @@
 
 // Daemons come, die, drain and can't claim. A user would notice a shard without
 // an owner, all load on one daemon, or shards that never rest.
-func TestShardsFindOwners(t *testing.T) {
+func TestEveryShardGetsOwner(t *testing.T) {
 	tests := map[string]func(f *fleet){
 		"at start": func(*fleet) {},
 		"one dies": func(f *fleet) { f.kill(f.owner[0]) },
--- a/internal/shard/blobio/blobio_test.go
+++ b/internal/shard/blobio/blobio_test.go
@@ -19,9 +19,9 @@
 
 type (
 	// folders are the daemons with a folder, by name.
-	folders struct {
-		dirs map[string]*blobs.Folder
-		slow time.Duration // before each answer
+	fakePeers struct {
+		dirs  map[string]*blobs.Folder
+		delay time.Duration // before each answer
 
 		mu   sync.Mutex
 		down map[string]bool
@@ -29,9 +29,9 @@
 	}
 
 	// rig is one owner before three folders.
-	rig struct {
+	fixture struct {
 		*is.I
-		*folders
+		*fakePeers
 		*blobio.BlobStore
 		t   *testing.T
 		ctx context.Context //nolint:containedctx // the test's
@@ -43,7 +43,7 @@
 var errDown = errors.New("connection refused")
 
 // at returns the daemon's folder if it answers.
-func (f *folders) at(ctx context.Context, name string) (*blobs.Folder, error) {
+func (f *fakePeers) reach(ctx context.Context, name string) (*blobs.Folder, error) {
 	f.mu.Lock()
 	down, hung := f.down[name], f.hung[name]
 	f.mu.Unlock()
@@ -54,19 +54,19 @@
 	if down {
 		return nil, errDown
 	}
-	<-time.After(f.slow)
+	<-time.After(f.delay)
 	return f.dirs[name], nil
 }
 
-func (f *folders) Put(ctx context.Context, to string, shard int, data []byte) error {
-	dir, err := f.at(ctx, to)
+func (f *fakePeers) Put(ctx context.Context, to string, shard int, data []byte) error {
+	dir, err := f.reach(ctx, to)
 	if err == nil {
 		_, err = dir.Put(shard, data)
 	}
 	return err
 }
 
-func (f *folders) Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error {
+func (f *fakePeers) Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error {
 	data, err := f.Get(ctx, from, shard, d)
 	if err != nil {
 		return err
@@ -74,24 +74,24 @@
 	return f.Put(ctx, to, shard, data)
 }
 
-func (f *folders) Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error) {
-	dir, err := f.at(ctx, from)
+func (f *fakePeers) Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error) {
+	dir, err := f.reach(ctx, from)
 	if err != nil {
 		return nil, err
 	}
 	return dir.Get(shard, d)
 }
 
-func (f *folders) List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error) {
-	dir, err := f.at(ctx, from)
+func (f *fakePeers) List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error) {
+	dir, err := f.reach(ctx, from)
 	if err != nil {
 		return nil, err
 	}
 	return dir.List(shard, after, limit)
 }
 
-func (f *folders) Drop(ctx context.Context, to string, shard int, epoch uint64, d []blobs.Digest) error {
-	dir, err := f.at(ctx, to)
+func (f *fakePeers) Drop(ctx context.Context, to string, shard int, epoch uint64, d []blobs.Digest) error {
+	dir, err := f.reach(ctx, to)
 	if err == nil {
 		_, err = dir.Drop(shard, epoch, d)
 	}
@@ -102,12 +102,12 @@
 	return blobs.Member{Member: beat.Member{Name: name, FailureDomain: "of " + name, Disk: true, State: s, Incarnation: 1}}
 }
 
-func run(t *testing.T, names []string, test func(r *rig)) {
+func run(t *testing.T, names []string, test func(r *fixture)) {
 	root := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &folders{dirs: map[string]*blobs.Folder{}, down: map[string]bool{}, hung: map[string]bool{}}
-		r := &rig{I: is.New(t), folders: f, t: t, ctx: ctx}
+		f := &fakePeers{dirs: map[string]*blobs.Folder{}, down: map[string]bool{}, hung: map[string]bool{}}
+		r := &fixture{I: is.New(t), fakePeers: f, t: t, ctx: ctx}
 		r.BlobStore = &blobio.BlobStore{Peers: f, Shard: 3, Epoch: 1, HoldersChanged: r.changed}
 		for _, name := range names {
 			f.dirs[name] = &blobs.Folder{Dir: filepath.Join(root, name)}
@@ -126,35 +126,35 @@
 	})
 }
 
-func (r *rig) changed(ref blobio.Ref) {
+func (r *fixture) changed(ref blobio.Ref) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.new = append(r.new, ref)
 }
 
-func (r *rig) lose(name string) {
-	r.folders.mu.Lock()
+func (r *fixture) lose(name string) {
+	r.fakePeers.mu.Lock()
 	r.down[name] = true
-	r.folders.mu.Unlock()
+	r.fakePeers.mu.Unlock()
 	r.Tell(member(name, beat.Down))
 }
 
 // hang makes these daemons give no answer, and all others answer.
-func (r *rig) hang(names ...string) {
-	r.folders.mu.Lock()
-	defer r.folders.mu.Unlock()
+func (r *fixture) hang(names ...string) {
+	r.fakePeers.mu.Lock()
+	defer r.fakePeers.mu.Unlock()
 	clear(r.hung)
 	for _, name := range names {
 		r.hung[name] = true
 	}
 }
 
-func (r *rig) pass(d time.Duration) {
+func (r *fixture) advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-func (r *rig) store(text string) blobio.Ref {
+func (r *fixture) store(text string) blobio.Ref {
 	ref, kept := r.Store(r.ctx, []byte(text))
 	r.True(kept)
 	r.Equal(len(ref.Holders), 2)
@@ -162,13 +162,13 @@
 	return ref
 }
 
-func (r *rig) reads(ref blobio.Ref, text string) {
+func (r *fixture) expectText(ref blobio.Ref, text string) {
 	got, err := r.Read(r.ctx, ref.Digest)
 	r.NoErr(err)
 	r.Equal(string(got), text)
 }
 
-func (r *rig) used() (sum int64) {
+func (r *fixture) usedBytes() (sum int64) {
 	for _, f := range r.dirs {
 		n, err := f.Used()
 		r.NoErr(err)
@@ -177,47 +177,47 @@
 	return sum
 }
 
-func TestBulk(t *testing.T) {
+func TestBlobStore(t *testing.T) {
 	three := []string{"a", "b", "c"}
 	tests := map[string]struct {
 		names []string
-		run   func(r *rig)
+		run   func(r *fixture)
 	}{
-		"stored, read, released": {three, func(r *rig) {
+		"stored, read, released": {three, func(r *fixture) {
 			ref := r.store("text")
-			r.reads(ref, "text")
-			r.pass(time.Hour)
-			r.Equal(r.used(), int64(8))
+			r.expectText(ref, "text")
+			r.advance(time.Hour)
+			r.Equal(r.usedBytes(), int64(8))
 			r.Tell(blobs.Release{Digest: ref.Digest})
-			r.pass(time.Second)
-			r.Equal(r.used(), int64(0))
+			r.advance(time.Second)
+			r.Equal(r.usedBytes(), int64(0))
 		}},
-		"the same text at once": {three, func(r *rig) {
+		"the same text at once": {three, func(r *fixture) {
 			var all sync.WaitGroup
 			for range 5 {
 				all.Go(func() { r.store("text") })
 			}
 			all.Wait()
-			r.Equal(r.used(), int64(8))
+			r.Equal(r.usedBytes(), int64(8))
 		}},
-		"no folder": {nil, func(r *rig) {
+		"no folder": {nil, func(r *fixture) {
 			_, kept := r.Store(r.ctx, []byte("text"))
 			r.True(!kept)
 		}},
 		// A daemon with a folder hangs. The text is kept by two others, and
 		// its program waits no more than two seconds longer.
-		"a holder hangs": {three, func(r *rig) {
+		"a holder hangs": {three, func(r *fixture) {
 			for _, name := range three {
 				r.hang(name)
 				start := time.Now()
 				ref := r.store("text of " + name)
 				r.True(time.Since(start) <= 3*time.Second)
 				r.hang()
-				r.reads(ref, "text of "+name)
+				r.expectText(ref, "text of "+name)
 			}
 		}},
 		// Two of three hang. The text goes into the journal.
-		"two holders hang": {three, func(r *rig) {
+		"two holders hang": {three, func(r *fixture) {
 			r.hang("a", "b")
 			start := time.Now()
 			_, kept := r.Store(r.ctx, []byte("text"))
@@ -226,19 +226,19 @@
 		}},
 		// One VM after the other is lost. The journal is told of the new
 		// holders, and the text stays readable.
-		"holders are lost one by one": {three, func(r *rig) {
+		"holders are lost one by one": {three, func(r *fixture) {
 			ref := r.store("text")
 			r.lose(ref.Holders[0])
-			r.reads(ref, "text")
-			r.pass(3 * time.Minute)
+			r.expectText(ref, "text")
+			r.advance(3 * time.Minute)
 			r.Equal(len(r.new), 1)
 			r.Equal(r.new[0].Size, 4)
 			r.lose(ref.Holders[1])
-			r.reads(r.new[0], "text")
+			r.expectText(r.new[0], "text")
 		}},
 		// A holder hangs and nobody has noticed yet. A reader gets the text
 		// from the other one before its own time is up.
-		"a holder hangs while it is read": {three, func(r *rig) {
+		"a holder hangs while it is read": {three, func(r *fixture) {
 			ref := r.store("text")
 			for _, name := range ref.Holders {
 				r.hang(name)
@@ -251,7 +251,7 @@
 				r.True(time.Since(start) <= 2*time.Second)
 			}
 		}},
-		"all holders are lost": {three, func(r *rig) {
+		"all holders are lost": {three, func(r *fixture) {
 			ref := r.store("text")
 			r.lose(ref.Holders[0])
 			r.lose(ref.Holders[1])
@@ -260,27 +260,27 @@
 		}},
 		// A disk spoils the text. Its reader gets the right one from the other
 		// holder, and soon there are two again.
-		"a copy is spoilt": {three, func(r *rig) {
+		"a copy is spoilt": {three, func(r *fixture) {
 			ref := r.store("text")
 			for _, name := range ref.Holders {
-				r.spoil(name, ref.Digest)
-				r.reads(ref, "text")
-				r.pass(2 * time.Second)
-				r.Equal(r.used(), int64(8))
+				r.overwrite(name, ref.Digest)
+				r.expectText(ref, "text")
+				r.advance(2 * time.Second)
+				r.Equal(r.usedBytes(), int64(8))
 			}
 		}},
 		// The caller gives up while its text is being placed. What was placed
 		// is needed by nobody and goes.
-		"the caller is gone": {three, func(r *rig) {
-			r.slow = 1500 * time.Millisecond
+		"the caller is gone": {three, func(r *fixture) {
+			r.delay = 1500 * time.Millisecond
 			ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 			defer cancel()
 			_, kept := r.Store(ctx, []byte("text"))
 			r.True(!kept)
-			r.pass(time.Second)
-			r.Equal(r.used(), int64(8))
-			r.pass(3 * time.Hour)
-			r.Equal(r.used(), int64(0))
+			r.advance(time.Second)
+			r.Equal(r.usedBytes(), int64(8))
+			r.advance(3 * time.Hour)
+			r.Equal(r.usedBytes(), int64(0))
 			r.store("text")
 		}},
 	}
@@ -290,7 +290,7 @@
 }
 
 // spoil overwrites the text on one disk.
-func (r *rig) spoil(name string, d blobs.Digest) {
+func (r *fixture) overwrite(name string, d blobs.Digest) {
 	hit := 0
 	r.NoErr(filepath.WalkDir(r.dirs[name].Dir, func(path string, e os.DirEntry, err error) error {
 		if err == nil && e.Name() == d.String() {
--- a/internal/shard/blobs/bench_test.go
+++ b/internal/shard/blobs/bench_test.go
@@ -47,7 +47,7 @@
 }
 
 // BenchmarkLost measures the round in which a holder is found lost.
-func BenchmarkLost(b *testing.B) {
+func BenchmarkHolderLost(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
 		h, now := manyBlobs()
--- a/internal/shard/blobs/model_test.go
+++ b/internal/shard/blobs/model_test.go
@@ -220,7 +220,7 @@
 // VMs fail, come back with and without their disks, copies fail and hang, in
 // any order. Texts that the journal refers to are never dropped, and when all
 // is well again each that any disk still has is on two.
-func TestAnyOrderOfFailures(t *testing.T) {
+func TestRandomFailures(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t)
--- a/internal/shard/jrnl/jrnl_test.go
+++ b/internal/shard/jrnl/jrnl_test.go
@@ -39,7 +39,7 @@
 // A creation's answer can be lost, refused or late. A user would notice a record
 // that is missing or doubled in a history, or a daemon that gives a shard up
 // which is its own.
-func TestCreationEnds(t *testing.T) {
+func TestCreateOutcomes(t *testing.T) {
 	foreign := record.Entry{Shard: 3, Number: 5, Epoch: 8, Nonce: 99, Owner: "b"}
 	tests := map[string]struct {
 		answers func(own record.Entry) []jrnl.Message
