--- a/internal/shard/blobs/audit.go
+++ b/internal/shard/blobs/audit.go
@@ -8,15 +8,16 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// due queues a holder whose list is to be compared.
+// queueAudit queues a holder whose blob list is to be compared with the expected
+// one.
 func (h *Holders) queueAudit(name string) {
 	if !slices.Contains(h.auditQueue, name) {
 		h.auditQueue = append(h.auditQueue, name)
 	}
 }
 
-// nextAudit starts the next comparison, one at a time: each keeps the digests
-// that it expects in memory.
+// startNextAudit starts the next queued audit. Audits run one at a time, since
+// each keeps the expected digests in memory.
 func (h *Holders) startNextAudit(now time.Time) []Effect {
 	if !now.Before(h.nextFullAudit) {
 		h.nextFullAudit = now.Add(auditInterval)
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// listed compares a page with what the holder should have: what is missing is
-// copied again, what nobody needs is dropped.
+// listed compares a page of a holder's list with the digests that it should
+// have: missing blobs are queued for repair, unneeded copies are dropped.
 func (h *Holders) listed(now time.Time, l Listed) (out []Effect) {
 	if h.audit == nil || h.audit.holder != l.From || h.audit.after != l.After {
 		return nil
@@ -70,8 +71,8 @@
 	return append(out, List{To: l.From, After: h.audit.after})
 }
 
-// missing takes the expected digests that the page covers and returns those
-// that are not on it.
+// missing removes from the audit the expected digests in the page's range and
+// returns those that are not on the page.
 func (h *Holders) missing(l Listed) (out []Digest) {
 	a := h.audit
 	n := len(a.expected)
@@ -91,8 +92,9 @@
 	return out
 }
 
-// found takes note of a blob on a holder's list. A weak blob is glad of a copy
-// that was given up, such as that of a VM which is back after a long time.
+// checkListed handles a digest on a holder's list. If the blob has too few
+// copies, one that was given up before counts again, such as that of a VM that
+// is up after a long outage. needless reports that the copy can be dropped.
 func (h *Holders) checkListed(d Digest, from string) (out []Effect, needless bool) {
 	b, w := h.blobs[d], h.placement[d]
 	if b == nil {
--- a/internal/shard/blobs/audit_test.go
+++ b/internal/shard/blobs/audit_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// audited lets ticks pass until the holder's list is asked for.
+// awaitList advances the clock until the list of the named holder is requested;
+// audits of other holders before it find nothing to do.
 func (b *harness) awaitList(name string) {
 	b.Helper()
 	for range 10 {
@@ -33,8 +34,8 @@
 			b.want(Listed{From: "a1", Digests: all, Last: true})
 			b.Equal(len(b.advance(time.Minute)), 0)
 		},
-		// A VM was replaced so fast that nobody saw it down, and its folder
-		// is empty. Its list shows it, and all its blobs are copied again.
+		// A VM was replaced before any daemon saw it down, and its folder is
+		// empty. The audit finds this, and all its blobs are copied again.
 		"a VM is back without its blobs": func(b *harness) {
 			b.awaitList("a1")
 			b.want(Listed{From: "a1", Last: true})
@@ -44,16 +45,15 @@
 				b.Equal(e.(Copy).From, "t1")
 			}
 		},
-		// A daemon died between storing a blob and writing down that it did.
-		// The list shows what nobody needs, and it is dropped.
+		// A daemon died between storing a blob and writing the reference to
+		// the journal. The audit finds the blob, and it is dropped.
 		"a blob without reference": func(b *harness) {
 			b.awaitList("a1")
 			with := append(slices.Clone(all), one)
 			slices.SortFunc(with, compare)
 			b.want(Listed{From: "a1", Digests: with, Last: true}, Drop{To: "a1", Digests: []Digest{one}})
 		},
-		// The list is long and comes in pages; one blob of the second page is
-		// missing.
+		// The list has two pages; one blob of the second is missing.
 		"pages": func(b *harness) {
 			b.awaitList("a1")
 			b.want(Listed{From: "a1", Digests: all[:2]}, List{To: "a1", After: all[1]})
@@ -62,8 +62,8 @@
 			b.Equal(len(out), 1)
 			b.Equal(out[0].(Copy).Digest, all[2])
 		},
-		// A page comes twice, because its first answer was slow. The second
-		// one is not compared with what the next page should have.
+		// A page arrives twice. The second one is ignored and not compared
+		// with the digests that are expected on the next page.
 		"a page comes twice": func(b *harness) {
 			b.awaitList("a1")
 			b.want(Listed{From: "a1", Digests: all[:2]}, List{To: "a1", After: all[1]})
@@ -71,17 +71,17 @@
 			b.want(Listed{From: "a1", After: all[1], Digests: all[2:], Last: true})
 			b.Equal(len(b.advance(Interval)), 0)
 		},
-		// A blob is stored while the list is on its way. It is not on the
-		// list, and that means nothing.
+		// A blob is stored while the list is in transit. That it is not on the
+		// list does not mean that the copy is missing.
 		"stored meanwhile": func(b *harness) {
 			b.awaitList("a1")
 			b.storeBlob(one)
 			b.want(Listed{From: "a1", Digests: all, Last: true})
 			b.Equal(len(b.advance(Interval)), 0)
 		},
-		// A blob is on the holder's disk and on its list before its owner hears
-		// that it is stored. It is neither dropped nor taken for kept: its
-		// other copy is still on the way.
+		// A blob is on the holder's disk and on its list before the owner has
+		// the acknowledgement. It is neither dropped nor counted as stored: its
+		// other copy is still in progress.
 		"stored meanwhile and on the list": func(b *harness) {
 			b.awaitList("a1")
 			d, at := one, ""
@@ -93,20 +93,20 @@
 			slices.SortFunc(with, compare)
 			b.want(Listed{From: "a1", Digests: with, Last: true})
 		},
-		// A new owner does not know its journal yet. Nothing is compared, and
-		// so nothing dropped, before it does.
+		// A new owner has not loaded its journal yet. No audit starts before,
+		// so nothing is dropped.
 		"not before the journal is known": func(b *harness) {
 			b.h.journalLoaded = false
 			b.Equal(len(b.step(Tick{})), 0)
 		},
-		// The holder does not answer. Others are audited all the same.
+		// The holder does not answer. The others are audited nevertheless.
 		"no answer": func(b *harness) {
 			b.awaitList("a1")
 			b.now = b.now.Add(auditTimeout)
 			b.awaitList("t1")
 		},
-		// A VM was away for so long that its blobs were copied elsewhere. It
-		// is back, and what it holds is not needed.
+		// A VM was down for so long that its blobs were copied elsewhere. Its
+		// copies are dropped after it is up again.
 		"back after the repair": func(b *harness) {
 			b.step(down(a1))
 			for _, e := range b.advance(lostAfter) {
--- a/internal/shard/blobs/bench_test.go
+++ b/internal/shard/blobs/bench_test.go
@@ -9,7 +9,7 @@
 
 const blobCount = 100_000
 
-// crowd returns a machine that knows many blobs on three holders.
+// manyBlobs returns a state machine with blobCount blobs on three holders.
 func manyBlobs() (*Holders, time.Time) {
 	var h Holders
 	now := time.Unix(0, 0)
@@ -24,7 +24,7 @@
 	return &h, now
 }
 
-// BenchmarkMemory measures the memory of one known blob.
+// BenchmarkMemory measures the memory per blob.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkTick measures a round in which nothing happens.
+// BenchmarkTick measures a tick in which nothing happens.
 func BenchmarkTick(b *testing.B) {
 	h, now := manyBlobs()
 	for b.Loop() {
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkLost measures the round in which a holder is found lost.
+// BenchmarkHolderLost measures the tick in which a holder counts as lost.
 func BenchmarkHolderLost(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
--- a/internal/shard/blobs/copies.go
+++ b/internal/shard/blobs/copies.go
@@ -9,8 +9,8 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// known takes over a reference from the journal. A holder that nobody has heard
-// of counts as down from now on.
+// addReference adds a reference from the journal. A holder whose state is not
+// known counts as down from now on.
 func (h *Holders) addReference(now time.Time, k Known) {
 	if b := h.blobs[k.Digest]; b != nil {
 		b.refs++
@@ -25,7 +25,8 @@
 	h.queueRepair(k.Digest)
 }
 
-// store places a text. One that is placed already needs no further copy.
+// store starts placing a text. One that has enough copies already is only
+// counted as referenced once more.
 func (h *Holders) store(now time.Time, s Store) []Effect {
 	b, w := h.blobs[s.Digest], h.placement[s.Digest]
 	if b != nil && len(h.durableHolders(b)) >= replicas {
@@ -48,9 +49,9 @@
 	return h.place(now, s.Digest)
 }
 
-// place starts the copies that a text still lacks. Where there are too few
-// folders the text goes into the journal: a single copy would be lost with its
-// VM, and some of those fail every day.
+// place starts the copies that a text still lacks. If too few folders are
+// available the text goes into the journal: a single copy would be lost with its
+// VM, and some VMs fail every day.
 func (h *Holders) place(now time.Time, d Digest) (out []Effect) {
 	b, w := h.blobs[d], h.placement[d]
 	for len(h.durableHolders(b))+len(w.attempts) < replicas {
@@ -64,9 +65,9 @@
 	return out
 }
 
-// inline gives up placing. A blob that the journal referred to before stays
-// known, since a holder that is lost now may come back with it, and the journal
-// is told of the copies that were made.
+// inline ends a placement that failed. A blob that the journal already refers to
+// stays known, since a holder that is lost now may return with a copy, and the
+// holders of the copies that were made are reported to the journal.
 func (h *Holders) inline(d Digest) []Effect {
 	h.endPlacement(d)
 	out := []Effect{Inline{Digest: d}}
@@ -77,8 +78,8 @@
 	return append(out, h.reportHolders(d)...)
 }
 
-// copied takes note of a copy. An answer to a try that was given up is ignored;
-// what it left on the disk shows in the holder's list.
+// copied records a finished copy. The result of an attempt that has ended is
+// ignored; an audit finds what it left on the disk.
 func (h *Holders) copied(now time.Time, c Copied) []Effect {
 	if !h.endAttempt(c.Digest, c.To) {
 		return nil
@@ -86,15 +87,15 @@
 	b, w := h.blobs[c.Digest], h.placement[c.Digest]
 	b.copies = append(b.copies, c.To)
 	if w.pendingStores > 0 && len(h.durableHolders(b)) < replicas {
-		return h.place(now, c.Digest) // the other copy's holder may be lost by now
+		return h.place(now, c.Digest) // the other copy's holder may have been lost since
 	}
 	b.refs += w.pendingStores
 	h.endPlacement(c.Digest)
 	return h.reportHolders(c.Digest)
 }
 
-// keep tells the journal of the holders. Those that are lost stay on the list
-// only while there are too few others.
+// reportHolders reports a blob's holders to the journal. Those that are lost or
+// leaving stay among them only while there are too few others.
 func (h *Holders) reportHolders(d Digest) []Effect {
 	b := h.blobs[d]
 	if durableHolders := h.durableHolders(b); len(durableHolders) >= replicas {
@@ -104,8 +105,8 @@
 	return []Effect{Stored{Digest: d, Size: b.size, Holders: slices.Clone(b.copies)}}
 }
 
-// fail gives up a copy: a text goes elsewhere at once, a repair waits for its
-// next turn.
+// copyFailed ends an attempt. A text that is being stored is copied to another
+// holder at once or goes into the journal; a repair is queued again.
 func (h *Holders) copyFailed(now time.Time, d Digest, to string) []Effect {
 	if !h.endAttempt(d, to) {
 		return nil
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// land ends the try at the holder and reports whether there was one.
+// endAttempt ends the attempt at the holder and reports whether there was one.
 func (h *Holders) endAttempt(d Digest, to string) bool {
 	w := h.placement[d]
 	if w == nil {
@@ -138,7 +139,7 @@
 	return true
 }
 
-// finish forgets the placing of a blob with the tries that are left.
+// endPlacement deletes a blob's placement with its remaining attempts.
 func (h *Holders) endPlacement(d Digest) {
 	w := h.placement[d]
 	if w == nil {
@@ -170,7 +171,7 @@
 	return out
 }
 
-// gone removes a copy that is certainly not there.
+// removeCopy removes a copy that is certainly missing or corrupt.
 func (h *Holders) removeCopy(d Digest, from string) {
 	b := h.blobs[d]
 	if b == nil {
@@ -180,8 +181,8 @@
 	h.queueRepair(d)
 }
 
-// read chooses the nearest holder that is up, then others that are up, then
-// those that are only suspected.
+// read chooses a holder in the owner's failure domain, then one in another, then
+// one that is suspected to be down.
 func (h *Holders) read(r Read) []Effect {
 	best, top := "", 0
 	if b := h.blobs[r.Digest]; b != nil {
@@ -197,7 +198,8 @@
 	return []Effect{Fetch{Digest: r.Digest, From: best}}
 }
 
-// rank orders holders for reading; 0 is one that can't be read.
+// readRank returns a holder's preference for reading, the highest first; 0 is
+// one that can't be read.
 func (h *Holders) readRank(name string) int {
 	m := h.members[name]
 	switch {
@@ -211,9 +213,9 @@
 	return 3
 }
 
-// choose returns the holder for a further copy: up, in a failure domain that
-// has none yet, and otherwise the one that the digest falls to, so that blobs
-// spread evenly.
+// chooseHolder returns the holder for a further copy: one that is up, in a
+// failure domain without a copy. Rendezvous hashing chooses between these, so
+// that blobs spread evenly.
 func (h *Holders) chooseHolder(d Digest) (best string, ok bool) {
 	b, w := h.blobs[d], h.placement[d]
 	taken := h.usedDomains(b, w)
@@ -233,7 +235,8 @@
 	return best, ok
 }
 
-// domains returns the failure domains in which the blob has or gets a copy.
+// usedDomains returns the failure domains in which the blob has a durable copy
+// or one in progress.
 func (h *Holders) usedDomains(b *blob, w *placement) (out []string) {
 	for _, name := range h.durableHolders(b) {
 		out = append(out, h.members[name].FailureDomain)
@@ -247,8 +250,8 @@
 	return out
 }
 
-// sound returns the holders whose copies count: all but those that are lost
-// or about to be.
+// durableHolders returns the holders whose copies count: all but those that have
+// no folder, are lost or are leaving.
 func (h *Holders) durableHolders(b *blob) (out []string) {
 	for _, name := range b.copies {
 		if m := h.members[name]; m != nil && m.Disk && !m.lost && !m.leaving {
--- a/internal/shard/blobs/digest.go
+++ b/internal/shard/blobs/digest.go
@@ -7,7 +7,7 @@
 )
 
 type (
-	// Digest is the SHA-256 of a blob's bytes, its name everywhere.
+	// Digest is the SHA-256 of a blob's bytes and the blob's only name.
 	Digest [sha256.Size]byte
 )
 
@@ -24,7 +24,7 @@
 	return d, nil
 }
 
-// String returns the text form.
+// String returns the digest as 64 hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/shard/blobs/folder.go
+++ b/internal/shard/blobs/folder.go
@@ -1,13 +1,12 @@
-// Package blobs keeps bulk text, such as long prompts and answers, outside the
+// Package blobs stores bulk text, such as long prompts and answers, outside the
 // journal: as immutable blobs named by their digest, in the data folders of the
-// few VMs that have one, two copies in two failure domains.
+// few VMs that have one, with two copies in two failure domains.
 //
 // Folder is one VM's data folder. Holders runs in a shard's owner: it chooses
-// where copies go, notices lost ones and has them made again, and tells when
-// text must stay in the journal because too few folders are up. A blob's text
-// is stored before the journal refers to it, and nothing but its digest is
-// trusted: what is read is checked against it, so a copy can be missing or
-// spoilt but never wrong.
+// the holders of copies, replaces lost copies, and reports when a text must be
+// written to the journal because too few folders are up. A blob is stored before
+// the journal refers to it. Reads are verified against the digest, so a copy can
+// be missing or corrupt, but wrong bytes are never returned.
 package blobs
 
 import (
@@ -36,14 +35,14 @@
 )
 
 type (
-	// Folder is a data folder; all methods are safe for concurrent use. It
-	// belongs to one process. Blobs of different shards are kept apart, so
-	// that a shard's owner can tell which ones nobody needs.
+	// Folder is a data folder; all methods are safe for concurrent use. Only
+	// one process may use it. Blobs are stored by shard, so that a shard's
+	// owner can find the unreferenced ones.
 	Folder struct {
 		Dir      string
 		MaxSize  int           // bytes of one blob
 		Capacity int64         // bytes of all blobs
-		MinAge   time.Duration // a blob younger than that is never dropped
+		MinAge   time.Duration // a younger blob is never dropped
 		Now      func() time.Time
 
 		once    sync.Once
@@ -54,8 +53,8 @@
 		fences map[int]uint64
 	}
 
-	// CorruptError reports a blob whose bytes are not what was stored. It has
-	// been removed, so that another copy can take its place.
+	// CorruptError reports a blob whose bytes do not match its digest. It has
+	// been removed, so that it can be stored again.
 	CorruptError struct {
 		Digest Digest
 	}
@@ -68,15 +67,14 @@
 	ErrTooLarge = errors.New("blobs: blob too large")
 	// ErrFull reports that the blob would exceed the folder's capacity.
 	ErrFull = errors.New("blobs: folder is full")
-	// ErrFenced reports an order from a former owner of the shard.
-	ErrFenced = errors.New("blobs: old epoch")
+	// ErrFenced reports a request from a former owner of the shard.
+	ErrFenced = errors.New("blobs: epoch of a former owner")
 )
 
-// Error names the blob.
 func (e *CorruptError) Error() string { return "blobs: corrupt: " + e.Digest.String() }
 
-// Put stores data and returns its digest once it is on the disk. Storing what
-// is there already renews its age.
+// Put stores data and returns its digest once it is on the disk. If the blob is
+// there already, its age starts again from zero.
 func (f *Folder) Put(shard int, data []byte) (d Digest, err error) {
 	defer func() { err = errors.Wrap(err, "put blob") }()
 	if err := f.open(); err != nil {
@@ -100,8 +98,7 @@
 }
 
 // Get reads a blob and checks it against its digest. Disks return wrong bytes
-// at times; without the check a program would go on from a history that it
-// never had.
+// at times; without the check a program would continue with a wrong history.
 func (f *Folder) Get(shard int, d Digest) (data []byte, err error) {
 	defer func() { err = errors.Wrap(err, "get blob") }()
 	if err := f.open(); err != nil {
@@ -122,7 +119,7 @@
 	return data, nil
 }
 
-// Used returns the bytes of all blobs.
+// Used returns the total size of all blobs in bytes.
 func (f *Folder) Used() (int64, error) {
 	err := f.open()
 	f.mu.Lock()
@@ -130,8 +127,8 @@
 	return f.used, err
 }
 
-// open prepares the folder at the first call: it removes what a crash left half
-// written and adds up what is there.
+// open prepares the folder at the first call: it removes temporary files that a
+// crash left, reads the fences and adds up the sizes of the blobs.
 func (f *Folder) open() error {
 	f.once.Do(func() {
 		f.fences = map[int]uint64{}
@@ -171,9 +168,9 @@
 	return err
 }
 
-// renew tells whether the blob is there and sound, and makes it young again: a
-// blob that nobody needed so far must not be dropped while its new user is
-// about to write down that it needs it.
+// refresh reports whether an intact copy of the blob is there, and sets its age
+// to zero: an unreferenced blob that is stored again must not be dropped before
+// the journal refers to it.
 func (f *Folder) refresh(path string, d Digest) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,9 +202,9 @@
 	f.used -= n
 }
 
-// place makes the file appear whole or not at all: a machine that fails in the
-// middle of a plain write would leave a blob under its final name that nobody
-// ever replaces.
+// writeBlob creates the file atomically: a machine that fails in the middle of a
+// plain write would leave a truncated blob under its final name, which the
+// shard's owner would count as a copy.
 func (f *Folder) writeBlob(path string, data []byte) (err error) {
 	temp, err := f.writeTemp(filepath.Dir(path), data)
 	if err != nil {
@@ -216,12 +213,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if info, err := os.Stat(path); err == nil {
-		f.used -= info.Size() // another caller was faster
+		f.used -= info.Size() // another caller stored it first
 	}
 	return renameSynced(temp, path)
 }
 
-// stage writes data to a file that no reader sees yet.
+// writeTemp writes data to a temporary file, which readers ignore.
 func (f *Folder) writeTemp(dir string, data []byte) (temp string, err error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return "", err
@@ -241,7 +238,7 @@
 	return t.Name(), err
 }
 
-// settle gives a staged file its name.
+// renameSynced gives a temporary file its final name and syncs the directory.
 func renameSynced(temp, path string) error {
 	if err := os.Rename(temp, path); err != nil {
 		_ = os.Remove(temp)
--- a/internal/shard/blobs/folder_test.go
+++ b/internal/shard/blobs/folder_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-// restart returns the folder as a new process finds it.
+// restart returns the fixture with the folder opened anew, as after a restart.
 func (r folderFixture) restart() folderFixture {
 	r.Folder = &Folder{Dir: r.Dir, Now: r.Now, Capacity: r.Capacity}
 	return r
@@ -104,8 +104,8 @@
 			r.Equal(len(want), 0)
 		},
 		// A disk returns other bytes than were written. The reader gets an
-		// error and never the wrong text, and the spoilt copy makes room for
-		// a good one.
+		// error instead of the wrong text, and the corrupt copy is removed, so
+		// that the text can be stored again.
 		"spoilt on the disk": func(r folderFixture) {
 			d := r.put("text")
 			r.overwrite(d, "TEXT")
@@ -118,8 +118,8 @@
 			r.Equal(r.put("text"), d)
 			r.expectText(d, "text")
 		},
-		// The copy is spoilt and nobody has read it yet when the same text is
-		// stored again. Taking it for stored would lose the text.
+		// The copy is corrupt and has not been read since when the same text
+		// is stored again. If it counted as stored, the text would be lost.
 		"spoilt, then stored again": func(r folderFixture) {
 			d := r.put("text")
 			r.overwrite(d, "TEXT")
@@ -127,8 +127,8 @@
 			r.expectText(d, "text")
 			r.expectUsed(4)
 		},
-		// The machine fails while a blob is written. The half that is there
-		// is no blob, and the next start removes it.
+		// The machine fails while a blob is written. The partial file is not a
+		// blob, and the next start removes it.
 		"crash in the middle of a write": func(r folderFixture) {
 			d := Sum([]byte("text"))
 			dir := filepath.Dir(r.path(1, d))
@@ -140,8 +140,8 @@
 			r.Equal(len(left), 0)
 			r.expectUsed(0)
 		},
-		// The disk is small. What does not fit is refused, so that its owner
-		// puts it elsewhere, and what is there stays.
+		// The folder reaches its capacity. A further blob is rejected, so that
+		// the owner stores it at another holder, and the existing ones stay.
 		"full": func(r folderFixture) {
 			r.Capacity = 6
 			d := r.put("text")
@@ -166,8 +166,8 @@
 			r.expectText(young, "young")
 			r.expectUsed(5)
 		},
-		// A blob that nobody needs is about to be dropped when the same text
-		// is stored again. The second user must find it later.
+		// The same text is stored again just before its unreferenced blob is
+		// dropped. The blob must stay for the second user.
 		"stored again before it is dropped": func(r folderFixture) {
 			d := r.put("text")
 			*r.now = r.now.Add(defaultMinAge)
@@ -177,9 +177,9 @@
 			r.Equal(n, 0)
 			r.expectText(d, "text")
 		},
-		// A daemon that lost its shard without noticing drops what it does
-		// not know. The new owner's text must stay, also if the folder's own
-		// process was started again in between.
+		// A daemon that lost its shard without noticing drops blobs that it
+		// does not know. The new owner's blobs must stay, also if the folder's
+		// process has restarted in between.
 		"dropped by a former owner": func(r folderFixture) {
 			d := r.put("text")
 			*r.now = r.now.Add(defaultMinAge)
@@ -221,7 +221,7 @@
 	}
 }
 
-// BenchmarkPut measures storing 64 KB with all that makes it last.
+// BenchmarkPut measures storing 64 KB, including the syncs of file and directory.
 func BenchmarkPut(b *testing.B) {
 	f := &Folder{Dir: b.TempDir()}
 	data := make([]byte, 64<<10)
@@ -235,7 +235,7 @@
 	}
 }
 
-// BenchmarkGet measures reading 64 KB with the check of its digest.
+// BenchmarkGet measures reading 64 KB, including the check of the digest.
 func BenchmarkGet(b *testing.B) {
 	f := &Folder{Dir: b.TempDir()}
 	d, err := f.Put(1, make([]byte, 64<<10))
--- a/internal/shard/blobs/holders.go
+++ b/internal/shard/blobs/holders.go
@@ -7,61 +7,61 @@
 )
 
 const (
-	// Interval is how often a Tick is due.
+	// Interval is the time between two Ticks.
 	Interval = time.Second
 
-	replicas      = 2 // copies, each in a failure domain of its own
-	storeTimeout  = 2 * time.Second
-	placeTimeout  = 5 * time.Second // of all tries to place a text
+	replicas      = 2               // copies of a blob, each in a failure domain of its own
+	storeTimeout  = 2 * time.Second // of one attempt
+	placeTimeout  = 5 * time.Second // of all attempts to place a text
 	copyTimeout   = 30 * time.Second
-	lostAfter     = 2 * time.Minute // a restart is over by then
-	retryAfter    = time.Minute
+	lostAfter     = 2 * time.Minute // longer than a restart takes
+	retryAfter    = time.Minute     // before a repair tries failed holders again
 	auditInterval = time.Hour
 	auditTimeout  = 30 * time.Second
-	maxRepairs    = 4  // copies made again at a time
-	maxRepairScan = 64 // weak blobs looked at in a tick
+	maxRepairs    = 4  // repair copies in progress at a time
+	maxRepairScan = 64 // queued repairs examined in a tick
 )
 
 type (
-	// Holders is the machine that places the blobs of one shard; it runs in
-	// the shard's owner. The zero value knows no folder and answers every
-	// Store with Inline. It is driven by Step and is not safe for concurrent
-	// use.
+	// Holders is the state machine that places the blobs of one shard; it
+	// runs in the shard's owner. The zero value knows no folder and answers
+	// every Store with Inline. It is driven by Step and is not safe for
+	// concurrent use.
 	Holders struct {
 		ownDomain     string // the owner's own failure domain
 		journalLoaded bool
-		members       map[string]*member // those with a folder, and holders not met yet
+		members       map[string]*member // those with a folder, and holders known only from the journal
 		blobs         map[Digest]*blob
-		placement     map[Digest]*placement // blobs that are being placed
-		repairQueue   []Digest              // weak blobs, in the order in which they are tried
-		activeRepairs int                   // repairs under way
-		auditQueue    []string              // holders whose list is due
+		placement     map[Digest]*placement // blobs that are being stored or repaired
+		repairQueue   []Digest              // blobs with too few copies, in the order of the attempts
+		activeRepairs int                   // repair copies in progress
+		auditQueue    []string              // holders to be audited
 		audit         *audit
-		nextFullAudit time.Time // when all lists are due again
+		nextFullAudit time.Time // when all holders are queued again
 	}
 
 	member struct {
 		beat.Member
 		downSince time.Time // when it went down; zero while it is up
-		lost      bool      // it has been down for longer than a restart takes
+		lost      bool      // it has been down for lostAfter
 		leaving   bool
 	}
 
-	// blob is small, since an owner knows many.
+	// blob is kept small, since an owner has many in memory.
 	blob struct {
 		size   int
 		refs   int      // references from the journal
-		copies []string // holders that have said so
-		queued bool     // for repair
+		copies []string // holders that confirmed a copy or are named by the journal
+		queued bool     // it is in repairQueue
 	}
 
-	// work is the placing of one blob.
+	// placement is the state of storing or repairing one blob.
 	placement struct {
-		pendingStores int       // askers that wait for Kept or Inline; 0 in a repair
-		deadline      time.Time // when they are told Inline
+		pendingStores int       // Stores that wait for Stored or Inline; 0 in a repair
+		deadline      time.Time // of the pending Stores; after it they get Inline
 		attempts      []attempt
-		failed        []string  // holders not to be tried before again
-		retryAt       time.Time // when failed is forgotten
+		failed        []string  // holders that are not chosen again
+		retryAt       time.Time // when a repair clears failed
 	}
 
 	attempt struct {
@@ -70,72 +70,75 @@
 		repair  bool
 	}
 
-	// audit compares one holder's list with what it should have.
+	// audit is the comparison of one holder's list with what it should have.
 	audit struct {
 		holder   string
 		after    Digest
 		expires  time.Time
-		expected []Digest // sorted; what has not been compared yet
+		expected []Digest // sorted; not yet compared
 	}
 
-	// Message is what Holders reacts to.
+	// Message is an input of Holders.
 	Message interface{ message() }
 
-	// Self tells the owner's own failure domain.
+	// Self gives the owner's own failure domain.
 	Self struct{ FailureDomain string }
 
-	// Member brings the picture of a daemon, as heartbeats change it.
+	// Member gives a daemon's current membership state, from heartbeats.
 	Member struct{ Member beat.Member }
 
-	// Leaving tells that a daemon's VM is going to be replaced. It is ignored
-	// before the daemon's Member and ends with its next start.
+	// Leaving reports that a daemon's VM is about to be replaced. It is
+	// ignored for daemons that are not known yet and ends with the daemon's
+	// next incarnation.
 	Leaving struct{ Name string }
 
-	// Known brings a reference from the journal to a blob.
+	// Known reports a reference from the journal to a blob.
 	Known struct {
 		Digest  Digest
 		Size    int
 		Holders []string
 	}
 
-	// Ready tells that all blobs of the journal are known. Before it nothing
-	// is dropped: a blob not known yet looks like one that nobody needs.
+	// JournalLoaded reports that all references of the journal have been given
+	// with Known. Audits and repairs start only after it: a blob whose
+	// reference has not been read yet looks unreferenced and would be dropped.
 	JournalLoaded struct{}
 
-	// Store asks for places for a text that the owner has in memory. The
-	// answer is Kept or Inline; where the same text is asked for again before
-	// it, one answer is for all. Kept counts a reference for each.
+	// Store asks for copies of a text that the owner has in memory. The answer
+	// is Stored or Inline; one answer is for all Stores of the same text that
+	// came before it. Stored counts a reference for each of them.
 	Store struct {
 		Digest Digest
 		Size   int
 	}
 
-	// Copied tells that a holder has the blob on its disk.
+	// Copied reports that a holder has the blob on its disk.
 	Copied struct {
 		Digest Digest
 		To     string
 	}
 
-	// Failed tells that a copy did not come about.
+	// CopyFailed reports that a copy was not made.
 	CopyFailed struct {
 		Digest Digest
 		To     string
 	}
 
-	// Read asks which holder to read from. Tried are those that failed.
+	// Read asks which holder to read from; Tried are those that failed. The
+	// answer is Fetch or Unreadable.
 	Read struct {
 		Digest Digest
 		Tried  []string
 	}
 
-	// Gone tells that a holder does not have the blob, or has it spoilt.
+	// CopyMissing reports that a holder has no copy of the blob or a corrupt one.
 	CopyMissing struct {
 		Digest Digest
 		From   string
 	}
 
-	// Listed is a page of a holder's list: its digests above After in order,
-	// up to the last one, or up to the end if Last is set.
+	// Listed is a page of a holder's list: its digests above After, sorted and
+	// without gaps. Last is set on the last page.
 	Listed struct {
 		From    string
 		After   Digest
@@ -149,12 +152,12 @@
 	// Tick is due every Interval.
 	Tick struct{}
 
-	// Effect is what Holders wants done.
+	// Effect is an action that Holders asks for.
 	Effect interface{ effect() }
 
 	// Copy has the blob stored at To: from the owner's memory if From is
-	// empty, otherwise To fetches it from From. It ends with Copied or
-	// Failed.
+	// empty, otherwise To fetches it from From. The answer is Copied or
+	// CopyFailed.
 	Copy struct {
 		Digest Digest
 		Size   int
@@ -162,34 +165,35 @@
 		To     string
 	}
 
-	// Kept tells where the blob is: the journal may refer to it now, or must
-	// be told of the new holders.
+	// Stored gives a blob's holders: the answer to Store, after which the
+	// journal may refer to the blob, or a change that the journal must record.
 	Stored struct {
 		Digest  Digest
 		Size    int
 		Holders []string
 	}
 
-	// Inline tells that the text must go into the journal itself.
+	// Inline reports that the text must be written to the journal itself.
 	Inline struct{ Digest Digest }
 
-	// Fetch tells where to read.
+	// Fetch names the holder to read from.
 	Fetch struct {
 		Digest Digest
 		From   string
 	}
 
-	// Unreadable tells that no holder is left to read from now.
+	// Unreadable reports that no untried holder can be read at present.
 	Unreadable struct{ Digest Digest }
 
-	// List asks a holder for the next page of its list; it ends with Listed.
+	// List asks a holder for the next page of its list. The answer is Listed;
+	// without one the audit times out.
 	List struct {
 		To    string
 		After Digest
 	}
 
-	// Drop tells a holder to remove blobs; it does so when they are old
-	// enough. It may be lost: what stays shows in the next list.
+	// Drop tells a holder to remove blobs; those younger than Folder.MinAge
+	// stay. It may be lost: the next audit finds what is still there.
 	Drop struct {
 		To      string
 		Digests []Digest
--- a/internal/shard/blobs/holders_test.go
+++ b/internal/shard/blobs/holders_test.go
@@ -9,7 +9,7 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// bench drives the machine with a clock of its own.
+// harness drives the state machine with a clock of its own.
 type harness struct {
 	*is.I
 	h   Holders
@@ -35,7 +35,7 @@
 	b.Equal(b.step(m), want)
 }
 
-// pass moves the clock in ticks and returns the effects but for those of
+// advance moves the clock tick by tick and returns the effects except those of
 // audits.
 func (b *harness) advance(d time.Duration) (out []Effect) {
 	for end := b.now.Add(d); b.now.Before(end); {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// stored places a blob at the two holders that the machine chooses.
+// storeBlob stores a blob at the two holders that the state machine chooses.
 func (b *harness) storeBlob(d Digest) (kept Stored) {
 	b.Helper()
 	var last []Effect
@@ -113,9 +113,8 @@
 			b.want(Release{Digest: one})
 			b.Equal(len(b.step(Release{Digest: one})), 2)
 		}},
-		// All VMs with a disk are in one failure domain, or there are none.
-		// One failure would take all copies, so the text goes into the
-		// journal at once.
+		// All VMs with a disk are in one failure domain. One failure could
+		// destroy all copies, so the text goes into the journal at once.
 		"one failure domain": {[]beat.Member{a1, a2, plain}, func(b *harness) {
 			b.want(Store{Digest: one, Size: 10}, Inline{Digest: one})
 		}},
@@ -138,9 +137,9 @@
 			b.want(Copied{Digest: one, To: out[0].(Copy).To})
 			b.want(CopyFailed{Digest: one, To: out[1].(Copy).To}, Inline{Digest: one})
 		}},
-		// A VM takes the copy and never answers, because its disk hangs. The
-		// program does not wait for it: the copy goes elsewhere, and in the
-		// end into the journal.
+		// A VM does not answer the copy request, because its disk hangs. The
+		// program does not wait for it: after a timeout the copy goes to another
+		// VM, and after a second timeout the text goes into the journal.
 		"one hangs": {[]beat.Member{a1, t1, u1}, func(b *harness) {
 			out := b.step(Store{Digest: one, Size: 10})
 			b.want(Copied{Digest: one, To: out[0].(Copy).To})
@@ -150,9 +149,9 @@
 			b.Equal(b.advance(storeTimeout), []Effect{Inline{Digest: one}})
 			b.want(Copied{Digest: one, To: next[0].(Copy).To})
 		}},
-		// The VM with the first copy is going to be replaced before the second
-		// copy is there. The text needs a third place, or its program waits
-		// for an answer that never comes.
+		// The VM with the first copy is about to be replaced before the second
+		// copy is made. The text needs a third holder; without one the Store
+		// would never be answered.
 		"the first holder leaves before the second copy": {[]beat.Member{a1, t1, u1}, func(b *harness) {
 			out := b.step(Store{Digest: one, Size: 10})
 			first, second := out[0].(Copy).To, out[1].(Copy).To
@@ -181,9 +180,9 @@
 	ab := Known{Digest: one, Size: 10, Holders: []string{"a1", "t1"}}
 	again := Copy{Digest: one, Size: 10, From: "t1", To: "u1"}
 	tests := map[string]func(b *harness){
-		// A VM with a disk is replaced, and its copies are gone with it. They
-		// are made again from the others, in a third failure domain, and the
-		// journal is told.
+		// A VM with a disk is replaced and its copies are lost. They are made
+		// again from the other ones, in a third failure domain, and the journal
+		// gets the new holders.
 		"a VM is lost": func(b *harness) {
 			b.step(ab)
 			b.step(down(a1))
@@ -199,8 +198,8 @@
 			b.step(Member{Member: a1})
 			b.Equal(len(b.advance(2*lostAfter)), 0)
 		},
-		// A VM is going to be replaced. Its blobs are copied while it can
-		// still be read.
+		// A VM is about to be replaced. Its blobs are copied while they can
+		// still be read from it.
 		"a VM is leaving": func(b *harness) {
 			b.step(Known{Digest: one, Size: 10, Holders: []string{"a1"}})
 			b.step(Leaving{Name: "a1"})
@@ -208,8 +207,8 @@
 			b.Equal(len(out), 1)
 			b.Equal(out[0].(Copy).From, "a1")
 		},
-		// The VM to which a lost blob is copied fails too. The copy goes to
-		// yet another one after a while.
+		// The VM to which a lost copy is written again fails too. The next
+		// attempt goes to another one.
 		"the repair fails": func(b *harness) {
 			b.step(Member{Member: vm("m1", "mikocheni")})
 			b.step(ab)
@@ -222,7 +221,8 @@
 			b.Equal(len(next), 1)
 			b.True(next[0].(Copy).To != to)
 		},
-		// The daemon that takes the copy hangs.
+		// The daemon that receives the copy hangs. The attempt times out and is
+		// repeated after retryAfter.
 		"the repair hangs": func(b *harness) {
 			b.step(ab)
 			b.step(down(a1))
@@ -231,7 +231,8 @@
 			b.Equal(b.h.activeRepairs, 0)
 			b.Equal(b.advance(retryAfter+2*Interval), []Effect{again})
 		},
-		// A VM with many blobs is lost. Only a few copies are made at a time.
+		// A VM with many blobs is lost. At most maxRepairs copies are made at a
+		// time.
 		"many are lost at once": func(b *harness) {
 			for i := range 100 {
 				b.step(Known{Digest: Sum([]byte{byte(i)}), Size: 10, Holders: []string{"a1", "t1"}})
@@ -247,7 +248,8 @@
 			}
 			b.Equal(copied, 100)
 		},
-		// Both VMs are lost together and one comes back after a long time.
+		// Both VMs are lost together and one is up again after a long time. Its
+		// copy is the source of a new one.
 		"both are lost, one is back": func(b *harness) {
 			b.step(ab)
 			b.step(down(a1))
@@ -257,7 +259,7 @@
 			b.step(Member{Member: t1})
 			b.Equal(b.advance(Interval), []Effect{again})
 		},
-		// A reader finds a copy missing or spoilt. It is made again.
+		// A reader finds a copy missing or corrupt. It is made again.
 		"a copy is spoilt": func(b *harness) {
 			b.step(ab)
 			b.step(CopyMissing{Digest: one, From: "t1"})
@@ -265,14 +267,14 @@
 			b.Equal(len(out), 1)
 			b.Equal(out[0].(Copy).From, "a1")
 		},
-		// The journal names a holder that nobody has heard of. Its copy is
-		// given up only when a restart would be over.
+		// The journal names a holder that is not a known daemon. Its copy
+		// counts as lost only after lostAfter, which is longer than a restart.
 		"a holder is unknown": func(b *harness) {
 			b.step(Known{Digest: one, Size: 10, Holders: []string{"x", "t1"}})
 			b.Equal(len(b.advance(lostAfter-Interval)), 0)
 			b.Equal(len(b.advance(Interval)), 1)
 		},
-		// A VM comes back without its disk.
+		// A VM no longer reports a data folder. Its blobs are copied at once.
 		"a folder is gone": func(b *harness) {
 			b.step(ab)
 			bare := a1
--- a/internal/shard/blobs/model_test.go
+++ b/internal/shard/blobs/model_test.go
@@ -13,8 +13,9 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// world plays the folders and the journal around the machine. A step of it
-// may lose, spoil, delay or refuse; heal ends all that.
+// model simulates the folders and the journal around the state machine. Its
+// steps inject faults: lost VMs and disks, corrupt copies, slow and failed
+// copies. heal ends them.
 type model struct {
 	*rapid.T
 	h       Holders
@@ -58,8 +59,8 @@
 	}
 }
 
-// kept checks that a text which leaves the owner's memory for the first time
-// is on two disks in two failure domains.
+// stored checks that a text that had no reference before is on two disks in two
+// failure domains.
 func (w *model) stored(k Stored) {
 	if w.refs[k.Digest] == 0 {
 		domains := map[string]bool{}
@@ -75,11 +76,11 @@
 	w.journal[k.Digest] = k.Holders
 }
 
-// drop checks that nothing is dropped where the journal says that it is.
+// drop checks that no copy is dropped that the journal refers to.
 func (w *model) drop(e Drop) {
 	for _, d := range e.Digests {
 		if w.refs[d] > 0 && slices.Contains(w.journal[d], e.To) {
-			w.Fatalf("dropped a needed copy at %s", e.To)
+			w.Fatalf("dropped a copy that the journal refers to at %s", e.To)
 		}
 		delete(w.disks[e.To], d)
 	}
@@ -93,7 +94,7 @@
 	w.do(Listed{From: e.To, Digests: all, Last: true})
 }
 
-// land ends the i-th copy under way.
+// endCopy ends the i-th copy in progress.
 func (w *model) endCopy(i int, ok bool) {
 	c := w.copying[i]
 	w.copying = slices.Delete(w.copying, i, i+1)
@@ -124,7 +125,7 @@
 	return Sum([]byte{rapid.Byte().Draw(w.T, "text") % 8})
 }
 
-// store waits for its answer, as an owner does.
+// store sends a Store and runs the model until it is answered, as an owner does.
 func (w *model) store() {
 	d := w.drawDigest()
 	had := w.refs[d]
@@ -132,7 +133,7 @@
 	w.do(Store{Digest: d, Size: 1})
 	for i := 0; w.h.placement[d] != nil && w.h.placement[d].pendingStores > 0; i++ {
 		if i > 100 {
-			w.Fatalf("store of %s has no answer", d)
+			w.Fatalf("store of %s was not answered", d)
 		}
 		j := slices.IndexFunc(w.copying, func(c Copy) bool { return c.Digest == d })
 		if j < 0 || rapid.IntRange(0, 9).Draw(w.T, "hang") == 0 {
@@ -166,8 +167,8 @@
 	w.do(Member{Member: m})
 }
 
-// heal starts all VMs again, so that none is leaving, and lets the machine work for two audits: the first
-// may find a copy that a repair then makes needless.
+// heal restarts all VMs, so that none is leaving, and advances the clock by two
+// audits: the first may find a copy that a repair then makes needless.
 func (w *model) heal() {
 	w.healed = true
 	for _, name := range slices.Sorted(maps.Keys(w.vms)) {
@@ -177,8 +178,8 @@
 	w.advance(2*int(auditInterval/Interval) + 300)
 }
 
-// check is what must hold once everything is well for a while: what was read
-// at least once somewhere is on two disks, and disks hold nothing else.
+// check verifies the state after heal: each referenced blob that any disk still
+// has is on two disks, the disks hold no other blobs, and no placement is left.
 func (w *model) check() {
 	for d, n := range w.refs {
 		at := 0
@@ -195,16 +196,16 @@
 	for name, disk := range w.disks {
 		for d := range disk {
 			if w.refs[d] == 0 || !slices.Contains(w.journal[d], name) {
-				w.Fatalf("%s holds %s needlessly", name, d)
+				w.Fatalf("%s holds %s without a reference in the journal", name, d)
 			}
 		}
 	}
 	if w.h.activeRepairs != 0 || len(w.h.placement) != 0 {
-		w.Fatalf("work is left: %d repairs, %d blobs", w.h.activeRepairs, len(w.h.placement))
+		w.Fatalf("placements are left: %d active repairs, %d blobs", w.h.activeRepairs, len(w.h.placement))
 	}
 }
 
-// fixed makes every run draw the same cases, unless a seed is asked for.
+// useFixedSeed makes every run draw the same cases unless a seed is set by flag.
 func useFixedSeed(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"} {
 		f := flag.Lookup(name)
@@ -217,9 +218,9 @@
 	}
 }
 
-// VMs fail, come back with and without their disks, copies fail and hang, in
-// any order. Texts that the journal refers to are never dropped, and when all
-// is well again each that any disk still has is on two.
+// VMs fail and restart with and without their disks, and copies fail and hang,
+// in any order. Blobs that the journal refers to must never be dropped, and once
+// the faults end, each one that any disk still has must be on two.
 func TestRandomFailures(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/shard/blobs/repair.go
+++ b/internal/shard/blobs/repair.go
@@ -9,9 +9,9 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// meet takes a daemon's new picture; only those that have a folder, or are
-// thought to have one, matter. One that was started again may have come back
-// without its blobs, so its list is compared soon.
+// updateMember applies a daemon's new membership state. A daemon without a data
+// folder is ignored unless it is known as a holder. One that has restarted may
+// have lost its blobs, so its list is audited soon.
 func (h *Holders) updateMember(now time.Time, p beat.Member) {
 	m := h.members[p.Name]
 	if m == nil && !p.Disk {
@@ -44,8 +44,8 @@
 	}
 }
 
-// weaken queues a blob that has too few sound copies. One without any copy
-// can't be repaired, only found again.
+// queueRepair queues a blob that has too few durable copies. One without any
+// copy can't be repaired; only an audit can find a copy of it.
 func (h *Holders) queueRepair(d Digest) {
 	b := h.blobs[d]
 	if b.refs == 0 || b.queued || len(b.copies) == 0 || len(h.durableHolders(b)) >= replicas {
@@ -55,7 +55,7 @@
 	h.repairQueue = append(h.repairQueue, d)
 }
 
-// weakenAll queues the blobs of a holder, in the order of their digests, so
+// queueRepairsAt queues the blobs of a holder, in the order of their digests, so
 // that the same messages always have the same effects.
 func (h *Holders) queueRepairsAt(name string) {
 	for _, d := range h.at(name) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// at returns the digests that should be at the holder, in order.
+// at returns the digests of the blobs that the holder should have, sorted.
 func (h *Holders) at(name string) (out []Digest) {
 	for d, b := range h.blobs {
 		if slices.Contains(b.copies, name) {
@@ -90,7 +90,7 @@
 	return append(out, h.startNextAudit(now)...)
 }
 
-// expire gives up copies whose holder does not answer.
+// expireAttempts fails the attempts whose holder has not answered in time.
 func (h *Holders) expireAttempts(now time.Time) (out []Effect) {
 	var late []CopyFailed
 	for d, w := range h.placement {
@@ -107,9 +107,9 @@
 	return out
 }
 
-// repair starts copies for weak blobs, a few at a time: when a VM with a large
-// folder is lost, all its blobs are weak at once, and copying them must not
-// take the network from the programs.
+// startRepairs starts queued repairs, at most maxRepairs at a time: when a VM
+// with a large folder is lost, all its blobs are queued at once, and copying them
+// must not use up the network bandwidth of the programs.
 func (h *Holders) startRepairs(now time.Time) (out []Effect) {
 	for range min(len(h.repairQueue), maxRepairScan) {
 		if h.activeRepairs >= maxRepairs {
@@ -132,8 +132,8 @@
 	return out
 }
 
-// settled forgets what a repair remembers where no repair is needed any more,
-// or none is possible.
+// forgetRepair deletes the placement that a repair keeps for its next attempt if
+// no repair is needed any more or none is possible.
 func (h *Holders) forgetRepair(d Digest) {
 	b, w := h.blobs[d], h.placement[d]
 	if w == nil || w.pendingStores > 0 || len(w.attempts) > 0 {
@@ -144,7 +144,8 @@
 	}
 }
 
-// mend makes one copy of a weak blob from a holder that can be read.
+// repairBlob starts one copy of a blob that has too few, from a holder that can
+// be read.
 func (h *Holders) repairBlob(now time.Time, d Digest, b *blob) (e Copy, ok bool) {
 	w := h.placement[d]
 	if len(h.durableHolders(b)) >= replicas || w != nil && len(w.attempts) > 0 {
--- a/internal/shard/blobs/sweep.go
+++ b/internal/shard/blobs/sweep.go
@@ -44,10 +44,11 @@
 	return out, nil
 }
 
-// Drop removes blobs that the shard's owner needs no more. Those younger than
-// MinAge stay, since whoever stored them may be about to refer to them. An
-// owner with an epoch below the highest seen has lost the shard, perhaps
-// without having noticed; what it drops may be needed by the next one.
+// Drop removes blobs that the shard's owner no longer needs and returns how many
+// were removed. Those younger than MinAge stay, since a reference to them may not
+// have been written yet. An owner with an epoch below the highest seen gets
+// ErrFenced: it has lost the shard, perhaps without having noticed, and the
+// blobs may be needed by the next owner.
 func (f *Folder) Drop(shard int, epoch uint64, digests []Digest) (dropped int, err error) {
 	defer func() { err = errors.Wrap(err, "drop blobs") }()
 	if err := f.open(); err != nil {
@@ -70,7 +71,7 @@
 	return dropped, nil
 }
 
-// fence keeps the highest epoch on the disk, so that it holds over a restart.
+// fence stores the highest epoch on the disk, so that it survives a restart.
 func (f *Folder) fence(shard int, epoch uint64) error {
 	if epoch < f.fences[shard] {
 		return ErrFenced
@@ -101,7 +102,7 @@
 	return true, f.remove(path)
 }
 
-// remove deletes a file and its share of the used bytes; the caller holds the
+// remove deletes a file and subtracts its size from used; the caller holds the
 // mutex.
 func (f *Folder) remove(path string) error {
 	info, err := os.Stat(path)
