--- a/internal/shard/boot/bench_test.go
+++ b/internal/shard/boot/bench_test.go
@@ -12,11 +12,11 @@
 	"github.com/slaterock/slaterock/internal/shard/fold"
 )
 
-// tail is about what a takeover finds behind the newest snapshot at the most.
+// tailEntries is about the most that a takeover finds after the newest snapshot.
 const tailEntries = 256
 
-// BenchmarkTake measures a takeover with a snapshot of so many programs and a
-// journal behind it, over a store in memory.
+// BenchmarkTakeover measures a takeover with a snapshot of n programs and
+// tailEntries journal entries after it, from a store in memory.
 func BenchmarkTakeover(b *testing.B) {
 	for _, n := range []int{100, 1000, 2500, 5000, 10000, 20000} {
 		b.Run(fmt.Sprintf("programs=%d", n), func(b *testing.B) {
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -1,9 +1,9 @@
 // Package boot takes a shard over: it reads the snapshot and the journal after
-// it, then creates an entry with an epoch of its own.
+// it, then creates the next journal entry with a new epoch.
 //
-// Creating that entry is the takeover. Whoever wrote the entry before it can't
-// write another, whatever it believes about its lease. If the former owner got
-// an entry in first, that one is read too and the next place is tried.
+// Creating that entry is the takeover. It fences the former owner, whose next
+// creation is refused whatever the state of its lease. If the former owner
+// creates the entry first, that one is read too and the next number is tried.
 package boot
 
 import (
@@ -26,7 +26,7 @@
 )
 
 type (
-	// Boot takes over one shard for one daemon.
+	// Takeover takes over one shard for one daemon.
 	Takeover struct {
 		Store store.Store
 		Shard int
@@ -35,11 +35,11 @@
 		Now   func() time.Time
 	}
 
-	// Taken is a shard that was taken over.
+	// Taken is the state of a shard after its takeover.
 	Taken struct {
 		Fold        state.Fold
 		Epoch       uint64
-		Next        uint64 // the first entry to write
+		Next        uint64 // number of the first entry to write
 		EntriesRead int    // journal entries read
 		Snap        *fold.Snap
 	}
@@ -52,10 +52,10 @@
 
 var errContended = errors.New("boot: other daemons keep writing to the journal")
 
-// Take reads the shard and opens a new epoch. It may be repeated after any
-// error.
+// Acquire reads the shard and opens a new epoch. It may be called again after
+// any error.
 func (t Takeover) Acquire(ctx context.Context) (res Taken, err error) {
-	defer func() { err = errors.Wrapf(err, "boot: take shard %d", t.Shard) }()
+	defer func() { err = errors.Wrapf(err, "boot: take over shard %d", t.Shard) }()
 	res.Snap = &fold.Snap{Store: t.Store, Shard: t.Shard}
 	if res.Fold, err = res.Snap.Load(ctx); err != nil {
 		return res, err
@@ -74,7 +74,7 @@
 	return res, errContended
 }
 
-// follow reads the journal up to its end.
+// replay reads the journal up to its end and applies it.
 func (t Takeover) replay(ctx context.Context, res *Taken, j *record.Joiner) error {
 	for {
 		for _, r := range t.readBatch(ctx, res.Next) {
@@ -91,10 +91,10 @@
 	}
 }
 
-// ahead reads several entries from n on at a time. One after the other they
-// would cost a way to the store and back each, while the shard's programs wait.
-// Entries behind the first that is absent are not used: they were written since
-// it was looked for.
+// readBatch reads readAhead entries from n on concurrently. One after the other
+// they would take a round trip to the store each, while the shard's programs
+// wait. Entries after the first absent one are not used: they were written after
+// it was read.
 func (t Takeover) readBatch(ctx context.Context, n uint64) []readResult {
 	rs := make([]readResult, readAhead)
 	var work sync.WaitGroup
@@ -105,7 +105,7 @@
 	return rs
 }
 
-// apply adds what an entry holds.
+// apply applies the records of an entry to the state.
 func (t Takeover) apply(res *Taken, j *record.Joiner, e record.Entry) error {
 	if e.Number != res.Next || e.Shard != t.Shard {
 		return &record.CorruptError{Reason: "the entry belongs elsewhere"}
@@ -134,7 +134,7 @@
 }
 
 // claim creates the entry that opens the epoch. It returns false if another
-// entry stands there now.
+// entry has that number now.
 func (t Takeover) claim(ctx context.Context, res *Taken) (won bool, err error) {
 	epoch := res.Fold.Epoch + 1
 	took := record.Took{Epoch: epoch, Owner: t.Owner, At: t.Now()}
@@ -152,9 +152,9 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &c), errors.Is(err, store.ErrUnknown):
-		// The answer to an attempt that took effect may be the one that was
-		// lost. The nonce tells; a guess would give the shard two owners or
-		// leave an epoch without one.
+		// An attempt may have taken effect although its answer was lost. The
+		// nonce shows whether the entry is this daemon's; a wrong guess would
+		// give the shard two owners or leave an epoch without one.
 		own, rerr := t.read(ctx, res.Next)
 		if errors.Is(rerr, store.ErrNotFound) {
 			return false, err
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -31,7 +31,7 @@
 	return boot.Takeover{Store: st, Shard: 2, Owner: name, Rand: func() uint64 { seed++; return seed }, Now: func() time.Time { return at }}
 }
 
-// write appends an entry as the owner of an epoch would.
+// writeEntry creates an entry as the owner of an epoch would.
 func writeEntry(t testing.TB, st store.Store, n, epoch uint64, rs ...record.Record) {
 	t.Helper()
 	is := is.New(t)
@@ -60,9 +60,9 @@
 	return record.Closed{Program: program, Code: "finished", At: at}
 }
 
-// A taker's creation of the first entry of its epoch can lose its answer or
-// meet another taker. Two daemons that both believe to own a shard would run
-// its programs twice; none at all would leave them without an answer.
+// The creation of an epoch's first entry can fail or lose its answer. Two owners
+// of a shard would run its programs twice; without an owner they would not be
+// answered.
 func TestTakeover(t *testing.T) {
 	tests := map[string]struct {
 		faults map[int]keyval.Fault // by write
@@ -96,8 +96,8 @@
 	}
 }
 
-// A former owner gets an entry in while the taker reads. Its records are in the
-// journal, so callers may have been told of them; the taker must have them too.
+// A former owner writes an entry during the takeover. Its records are in the
+// journal, so callers may have received them; the new owner must have them too.
 func TestFormerOwnerWritesLast(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
@@ -109,7 +109,7 @@
 	is.Equal(got.Fold.Programs["p"].Next, 1)
 }
 
-// raced runs do just before the key is first written.
+// putHook runs do just before the key is first written.
 type putHook struct {
 	store.Store
 	key string
@@ -125,8 +125,8 @@
 	return r.Store.Put(ctx, key, data, rev, l)
 }
 
-// A journal entry is damaged. The takeover must fail with what and where; a
-// shard that starts without some of its programs would look healthy.
+// A journal entry is damaged. The takeover must fail with a CorruptError; a shard
+// that starts without some of its programs would look healthy.
 func TestDamagedEntryStopsTakeover(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
@@ -138,9 +138,9 @@
 	is.True(errors.As(err, &c))
 }
 
-// A snapshot can be torn by a crash or lose answers at any of its writes, while
-// entries go on being written. After each, a takeover must find the same
-// programs as from the journal alone, and ended families must still be found.
+// Any write of a snapshot can fail or lose its answer, while further journal
+// entries are written. After each fault a takeover must find the same programs
+// as from the journal alone, and the histories of ended families must be found.
 func TestSnapshotFaults(t *testing.T) {
 	type fault struct {
 		at   int
@@ -162,7 +162,7 @@
 				_, err = took.Snap.Save(ctx, took.Fold.Clone())
 				v.Script(keyval.Any, nil)
 				if err != nil {
-					_, err = took.Snap.Save(ctx, took.Fold.Clone()) // the next one works
+					_, err = took.Snap.Save(ctx, took.Fold.Clone()) // a snapshot without faults
 					is.NoErr(err)
 				}
 				checkTakeover(t, st)
@@ -176,7 +176,7 @@
 	is := is.New(t)
 	got, err := newTakeover(st, "b", 90).Acquire(ctx)
 	is.NoErr(err)
-	is.Equal(got.EntriesRead, 1) // the snapshot has the others
+	is.Equal(got.EntriesRead, 1) // the snapshot covers the others
 	is.Equal(len(got.Fold.Programs), 1)
 	is.Equal(got.Fold.Programs["live"].Next, 2)
 	at, ok := got.Fold.Gone[state.Hash("gone")]
@@ -190,9 +190,9 @@
 	is.Equal(hs[1].Calls[0].Request, "gone/child-0")
 }
 
-// Two owners write a snapshot of one shard, since the former one has not
-// noticed yet. The later head must win and the other be refused, or a shard
-// would go back to an old state.
+// The former owner of a shard, which has not noticed the takeover, writes a
+// snapshot after the new owner's. It must be refused, or the shard would return
+// to an old state.
 func TestTwoSnapshotWriters(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
@@ -211,8 +211,8 @@
 	is.Equal(got.Epoch, uint64(4))
 }
 
-// Thousands of programs don't fit into one value. A snapshot must be cut so
-// that each value is one the store takes.
+// Thousands of programs don't fit into one value. A snapshot must be split into
+// values within the store's size limit.
 func TestSnapshotOfManyPrograms(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
