--- a/internal/shard/blobio/blobio.go
+++ b/internal/shard/blobio/blobio.go
@@ -1,9 +1,11 @@
-// Package bulk runs the blobs of one shard in its owner: it carries out what
-// blobs.Holders wants, over whatever reaches the folders of other daemons.
+// Package blobio stores and reads the blobs of one shard for its owner: it
+// carries out the effects of blobs.Holders through Peers, which reaches the data
+// folders of all daemons.
 //
-// Store returns a Ref for the journal, or tells that the text must go into the
-// journal itself. Read brings a Ref's text back. Members, references and their
-// ends are told with Tell, in the order in which the owner learns them.
+// Store returns a Ref for the journal, or reports that the text must be written
+// to the journal itself. Read returns the text of a Ref. Membership changes, new
+// references and released ones are passed to Tell, in the order in which the
+// owner learns them.
 package blobio
 
 import (
@@ -18,52 +20,55 @@
 
 const (
 	callTimeout = 30 * time.Second
-	// readTimeout is how long one holder may take to answer a reader. One that
-	// hangs must not use up the reader's time, as the other may have the text.
+	// readTimeout limits the read from one holder. One that hangs must not use
+	// up the caller's time, as the other holder may have the text.
 	readTimeout = 2 * time.Second
-	pageSize    = 1000 // digests of one page of a holder's list
+	pageSize    = 1000 // digests in one page of a holder's list
 )
 
 type (
-	// Peers reaches the folders of daemons, which it knows by name, its own
-	// one too. Get returns blobs.ErrNotFound or a *blobs.CorruptError where
-	// the holder says so; other errors tell nothing about the blob.
+	// Peers accesses the data folders of daemons by name, including the own
+	// one. Get returns blobs.ErrNotFound or a *blobs.CorruptError if the
+	// holder reports that; other errors don't say whether it has the blob.
 	Peers interface {
 		Put(ctx context.Context, to string, shard int, data []byte) error
-		// Copy has the daemon to fetch the blob from another and store it.
+		// Copy has the daemon named to fetch the blob from the daemon named
+		// from and store it.
 		Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error
 		Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error)
 		List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error)
 		Drop(ctx context.Context, to string, shard int, epoch uint64, d []blobs.Digest) error
 	}
 
-	// Ref is what the journal keeps of a text.
+	// Ref is the journal's reference to a stored text.
 	Ref struct {
 		Digest  blobs.Digest `json:"digest"`
 		Size    int          `json:"size"`
 		Holders []string     `json:"holders"`
 	}
 
-	// Bulk is the shell of one shard's blobs.
+	// BlobStore stores and reads the blobs of one shard. Its exported fields
+	// are set before the first call; all methods are safe for concurrent use.
 	BlobStore struct {
 		Peers Peers
 		Shard int
 		Epoch uint64
-		// Changed takes a Ref whose holders are others now. It is called in
-		// order and must neither block nor call Bulk.
+		// HoldersChanged receives a Ref whose holders have changed. It is called
+		// in order with the mutex held, so it must neither block nor call the
+		// BlobStore.
 		HoldersChanged func(Ref)
-		// Go runs f beside the caller and must not block; nil starts a
-		// goroutine.
+		// Go runs f concurrently with the caller and must not block; nil starts
+		// a goroutine.
 		Go func(f func())
 
 		mu      sync.Mutex
-		ctx     context.Context //nolint:containedctx // Run's, for calls that Tell starts
+		ctx     context.Context //nolint:containedctx // of Run, for calls that Tell starts
 		placer  blobs.Holders
 		texts   map[blobs.Digest][]byte
 		waiters map[blobs.Digest][]*waiter
 	}
 
-	// asker waits for the end of a Store.
+	// waiter is a Store call that waits for its outcome.
 	waiter struct {
 		outcome   chan outcome
 		abandoned bool
@@ -75,12 +80,12 @@
 	}
 )
 
-// ErrUnreadable reports a text that no holder has now.
+// ErrUnreadable reports a text that can't be read from any holder at present.
 var ErrUnreadable = errors.New("bulk: no holder can be read")
 
-// Run lets time pass for the machine until ctx ends, which also ends the calls
-// under way. It is started before the first Store: calls that began without it
-// end only with their own limits.
+// Run passes ticks to the state machine until ctx ends, which also cancels calls
+// to peers. It must be started before the first Store: calls that were started
+// without it end only at their own timeouts.
 func (b *BlobStore) Run(ctx context.Context) {
 	b.mu.Lock()
 	b.ensureInit()
@@ -98,16 +103,16 @@
 	}
 }
 
-// Tell passes a message on to the machine.
+// Tell passes a message to the state machine.
 func (b *BlobStore) Tell(m blobs.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.step(m)
 }
 
-// Store keeps the text in two folders. Kept is false if it must go into the
-// journal itself. Where ctx ends first it is not kept, and a place that is
-// found later is given up again.
+// Store stores the text in two folders. stored is false if the text must be
+// written to the journal itself. It is also false if ctx ends first; a reference
+// that the state machine counts later is then released.
 func (b *BlobStore) Store(ctx context.Context, text []byte) (ref Ref, stored bool) {
 	a := &waiter{outcome: make(chan outcome, 1)}
 	b.enqueue(a, text)
@@ -120,9 +125,8 @@
 	}
 }
 
-// Read brings the text, from one holder after the other. A holder that does not
-// have it, or has it spoilt, gets no further reader, and a copy is made
-// elsewhere.
+// Read returns the text, trying one holder after the other. A holder without an
+// intact copy is no longer read from, and a copy is made at another one.
 func (b *BlobStore) Read(ctx context.Context, d blobs.Digest) (text []byte, err error) {
 	defer func() { err = errors.Wrap(err, "read bulk text") }()
 	var tried []string
@@ -166,8 +170,8 @@
 	b.step(blobs.Store{Digest: d, Size: len(text)})
 }
 
-// leave gives up waiting. Its reference, if there is one by now or later, must
-// end, or the blob would be kept for nobody and for ever.
+// abandon ends the wait of a Store call. Its reference, whether counted already
+// or later, must be released, or the blob would never be dropped.
 func (b *BlobStore) abandon(a *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -193,8 +197,9 @@
 	}
 }
 
-// gone tells an answer that the blob is not there from no answer, and from none
-// at all: a wrong text counts as the former.
+// isMissing reports whether the result of a Get shows that the holder has no
+// intact copy. Without an error the text had a wrong digest, which counts as
+// missing; other errors, such as a timeout, don't show whether it has one.
 func isMissing(err error) bool {
 	var corrupt *blobs.CorruptError
 	return err == nil || errors.Is(err, blobs.ErrNotFound) || errors.As(err, &corrupt)
--- a/internal/shard/blobio/blobio_test.go
+++ b/internal/shard/blobio/blobio_test.go
@@ -18,7 +18,7 @@
 )
 
 type (
-	// folders are the daemons with a folder, by name.
+	// fakePeers are the daemons with a data folder, by name.
 	fakePeers struct {
 		dirs  map[string]*blobs.Folder
 		delay time.Duration // before each answer
@@ -28,7 +28,7 @@
 		hung map[string]bool
 	}
 
-	// rig is one owner before three folders.
+	// fixture is an owner's BlobStore over the folders of fakePeers.
 	fixture struct {
 		*is.I
 		*fakePeers
@@ -42,7 +42,7 @@
 
 var errDown = errors.New("connection refused")
 
-// at returns the daemon's folder if it answers.
+// reach returns the daemon's folder if the daemon answers.
 func (f *fakePeers) reach(ctx context.Context, name string) (*blobs.Folder, error) {
 	f.mu.Lock()
 	down, hung := f.down[name], f.hung[name]
@@ -139,7 +139,7 @@
 	r.Tell(member(name, beat.Down))
 }
 
-// hang makes these daemons give no answer, and all others answer.
+// hang makes exactly these daemons leave calls unanswered.
 func (r *fixture) hang(names ...string) {
 	r.fakePeers.mu.Lock()
 	defer r.fakePeers.mu.Unlock()
@@ -204,8 +204,8 @@
 			_, kept := r.Store(r.ctx, []byte("text"))
 			r.True(!kept)
 		}},
-		// A daemon with a folder hangs. The text is kept by two others, and
-		// its program waits no more than two seconds longer.
+		// A daemon with a folder hangs. The text is stored at two others, with
+		// a delay of at most three seconds.
 		"a holder hangs": {three, func(r *fixture) {
 			for _, name := range three {
 				r.hang(name)
@@ -216,7 +216,7 @@
 				r.expectText(ref, "text of "+name)
 			}
 		}},
-		// Two of three hang. The text goes into the journal.
+		// Two of three holders hang. The text must go into the journal.
 		"two holders hang": {three, func(r *fixture) {
 			r.hang("a", "b")
 			start := time.Now()
@@ -224,8 +224,8 @@
 			r.True(!kept)
 			r.True(time.Since(start) <= 6*time.Second)
 		}},
-		// One VM after the other is lost. The journal is told of the new
-		// holders, and the text stays readable.
+		// One VM after the other is lost. The new holders are reported, and the
+		// text stays readable.
 		"holders are lost one by one": {three, func(r *fixture) {
 			ref := r.store("text")
 			r.lose(ref.Holders[0])
@@ -236,8 +236,8 @@
 			r.lose(ref.Holders[1])
 			r.expectText(r.new[0], "text")
 		}},
-		// A holder hangs and nobody has noticed yet. A reader gets the text
-		// from the other one before its own time is up.
+		// A holder hangs and still counts as up. A reader gets the text from the
+		// other one before its own deadline.
 		"a holder hangs while it is read": {three, func(r *fixture) {
 			ref := r.store("text")
 			for _, name := range ref.Holders {
@@ -258,8 +258,8 @@
 			_, err := r.Read(r.ctx, ref.Digest)
 			r.True(errors.Is(err, blobio.ErrUnreadable))
 		}},
-		// A disk spoils the text. Its reader gets the right one from the other
-		// holder, and soon there are two again.
+		// A disk corrupts its copy. A reader gets the text from the other
+		// holder, and the copy is made again.
 		"a copy is spoilt": {three, func(r *fixture) {
 			ref := r.store("text")
 			for _, name := range ref.Holders {
@@ -269,8 +269,8 @@
 				r.Equal(r.usedBytes(), int64(8))
 			}
 		}},
-		// The caller gives up while its text is being placed. What was placed
-		// is needed by nobody and goes.
+		// The caller gives up while its text is being stored. The copies are
+		// unreferenced and are dropped.
 		"the caller is gone": {three, func(r *fixture) {
 			r.delay = 1500 * time.Millisecond
 			ctx, cancel := context.WithTimeout(r.ctx, time.Second)
@@ -289,7 +289,7 @@
 	}
 }
 
-// spoil overwrites the text on one disk.
+// overwrite replaces the text on one disk by another.
 func (r *fixture) overwrite(name string, d blobs.Digest) {
 	hit := 0
 	r.NoErr(filepath.WalkDir(r.dirs[name].Dir, func(path string, e os.DirEntry, err error) error {
--- a/internal/shard/blobio/effect.go
+++ b/internal/shard/blobio/effect.go
@@ -7,7 +7,7 @@
 	"github.com/slaterock/slaterock/internal/shard/blobs"
 )
 
-// step takes one message and starts what follows; the caller holds the mutex.
+// step applies one message and executes its effects; the caller holds the mutex.
 func (b *BlobStore) step(m blobs.Message) {
 	b.ensureInit()
 	for _, e := range b.placer.Step(time.Now(), m) {
@@ -27,7 +27,7 @@
 		b.startCall(func(ctx context.Context) { b.list(ctx, e) })
 	case blobs.Drop:
 		b.startCall(func(ctx context.Context) {
-			// A drop that is lost shows in the holder's next list.
+			// If the call fails, the next audit finds the blobs again.
 			_ = b.Peers.Drop(ctx, e.To, b.Shard, b.Epoch, e.Digests)
 		})
 	}
@@ -50,8 +50,8 @@
 	})
 }
 
-// kept ends the Stores that wait for the blob. Where none waits, its holders
-// have changed.
+// stored ends the Store calls that wait for the blob. If none waits, the blob's
+// holders have changed.
 func (b *BlobStore) stored(k blobs.Stored) {
 	ref := Ref{Digest: k.Digest, Size: k.Size, Holders: k.Holders}
 	if len(b.waiters[k.Digest]) > 0 {
@@ -79,12 +79,12 @@
 func (b *BlobStore) list(ctx context.Context, l blobs.List) {
 	page, err := b.Peers.List(ctx, l.To, b.Shard, l.After, pageSize)
 	if err != nil {
-		return // the machine asks again later
+		return // the audit times out and is repeated later
 	}
 	b.Tell(blobs.Listed{From: l.To, After: l.After, Digests: page, Last: len(page) < pageSize})
 }
 
-// call runs f beside the caller, within the time that the machine gives it.
+// startCall runs f concurrently with the caller, limited by callTimeout.
 func (b *BlobStore) startCall(f func(ctx context.Context)) {
 	run := b.Go
 	if run == nil {
