--- a/internal/shard/jrnl/jrnl.go
+++ b/internal/shard/jrnl/jrnl.go
@@ -1,16 +1,17 @@
-// Package chain writes a shard's journal: a chain of values in the store, each
-// created once, one write in flight, everything that waits in the next.
+// Package jrnl writes a shard's journal: a sequence of numbered entries in the
+// store, each created once. One write is in flight at a time; records added
+// meanwhile are committed together in the next entry.
 //
-// Whoever creates entry n decides what follows entry n-1. A new owner first
-// creates an entry with its own epoch; from then on the former owner's next
-// creation is refused, so it is fenced even if it never noticed that its lease
-// lapsed. When the answer to a creation is lost, the chain reads the entry
-// back and looks for its own nonce; if the entry is absent it creates the same
-// bytes again. It never assumes either way.
+// Each entry can be created only once. A new owner first creates an entry with
+// its own epoch; the former owner's next creation is then refused, so it is
+// fenced even if it never noticed that its lease expired. When the answer to a
+// creation is lost, the writer reads the entry back and compares the nonce with
+// its own; if the entry is absent it creates the same bytes again. It never
+// assumes that the creation succeeded or failed.
 //
-// Chain is a state machine: Step takes the time and one message and returns
-// effects. Creations are spaced by Interval, which is how a shard stays within
-// its share of the store's writes.
+// Writer is a state machine: Step takes the time and one message and returns
+// effects. Creations are spaced by Interval, so that a shard stays within its
+// share of the store's writes.
 package jrnl
 
 import (
@@ -26,91 +27,92 @@
 )
 
 const (
-	// Created is a creation that succeeded.
+	// Created reports a creation that succeeded.
 	Created Outcome = iota
-	// Exists is a creation refused because the entry exists.
+	// Exists reports a creation refused because the entry exists.
 	Exists
-	// Unavailable is a creation that certainly had no effect.
+	// Unavailable reports a creation that certainly had no effect.
 	Unavailable
-	// Lost is a creation that may have had its effect.
+	// Unknown reports a creation that may have taken effect.
 	Unknown
 )
 
 type (
-	// Outcome tells how a creation ended.
+	// Outcome is the result of a creation.
 	Outcome int
 
-	// Chain is the writer of one shard's journal in one epoch. Next is the
-	// number of the first entry to write. The zero value of everything else
-	// is ready.
+	// Writer writes one shard's journal in one epoch. Next is the number of
+	// the first entry to write. The zero value of the unexported fields is
+	// ready to use.
 	Writer struct {
 		Shard    int
 		Epoch    uint64
 		Owner    string
 		Next     uint64
-		Interval time.Duration // least time between two creations
+		Interval time.Duration // minimum time between two creations
 		Rand     func() uint64 // for nonces and jitter
 
 		queued      []queued
-		bytes       int    // of waiting and flight together
+		bytes       int    // size of the queued records and those in flight
 		seq         uint64 // of the newest record added
-		pieceID     uint64 // of the newest record that was cut into pieces
+		pieceID     uint64 // last id given to record.Units to join a record's pieces
 		inFlight    *inFlight
 		lastCreated time.Time // when the newest entry was created
 		retryAt     time.Time
 		backoff     time.Duration
-		firstSent   time.Time // when the flight was first sent
+		firstSent   time.Time // when the entry in flight was first sent
 		fenced      bool
 	}
 
-	// Message is what Chain reacts to.
+	// Message is an input of Writer.
 	Message interface{ message() }
 
-	// Wrote tells how the creation of an entry ended.
+	// CreateDone reports the outcome of a Create.
 	CreateDone struct {
 		Number  uint64
 		Outcome Outcome
 	}
 
-	// Found is the entry that was read back.
+	// Found reports the entry that was read back.
 	Found struct{ Entry record.Entry }
 
-	// Absent tells that the entry that was to be read back doesn't exist.
+	// Absent reports that the entry to be read back doesn't exist.
 	Absent struct{ Number uint64 }
 
-	// Unread tells that the entry could not be read back.
+	// ReadFailed reports that the entry could not be read back.
 	ReadFailed struct{ Number uint64 }
 
-	// Tick lets time pass.
+	// Tick has Step send what is due at its time.
 	Tick struct{}
 
-	// Effect is what Chain wants done.
+	// Effect is an action that Writer asks for.
 	Effect interface{ effect() }
 
-	// Create writes the entry if it doesn't exist; the answer is Wrote.
+	// Create writes the entry if it doesn't exist; the answer is CreateDone.
 	Create struct {
 		Key    string
 		Number uint64
 		Data   []byte
 	}
 
-	// Read reads the entry back; the answer is Found, Absent or Unread.
+	// Read reads the entry back; the answer is Found, Absent or ReadFailed.
 	Read struct {
 		Key    string
 		Number uint64
 	}
 
-	// Committed tells that all records up to Seq are in the journal. Number
-	// is the entry that holds those since the last Committed.
-	// Whole tells that no record is split between this entry and the next, so
-	// that a snapshot may be taken here.
+	// Committed reports that all records up to Seq are in the journal. Number
+	// is the entry that holds those since the last Committed. RecordBoundary
+	// reports that no record is split between this entry and the next, so that
+	// a snapshot may be taken here.
 	Committed struct {
 		Number         uint64
 		Seq            uint64
 		RecordBoundary bool
 	}
 
-	// Fenced tells that another owner has the shard. Nothing more is written.
+	// Fenced reports that another owner has taken the shard over, as seen in
+	// its entry. Nothing more is written.
 	Fenced struct {
 		Number uint64
 		Epoch  uint64
@@ -129,8 +131,8 @@
 		size           int
 		seq            uint64
 		recordBoundary bool
-		awaitingStore  bool // a call to the store is under way
-		readBack       bool // the next call must read back
+		awaitingStore  bool // a call to the store is in progress
+		readBack       bool // the next call must read the entry back
 	}
 )
 
@@ -145,11 +147,11 @@
 func (Committed) effect() {}
 func (Fenced) effect()    {}
 
-// Key is the store's key of a journal entry.
+// Key returns the store's key of a journal entry.
 func Key(shard int, n uint64) string { return fmt.Sprintf("journal/%04d/%016d", shard, n) }
 
-// Add queues a record and returns its sequence number, which a Committed will
-// reach.
+// Add queues a record and returns its sequence number. The record is in the
+// journal once a Committed has this Seq or a higher one.
 func (w *Writer) Add(r record.Record) (seq uint64, err error) {
 	w.pieceID++
 	us, err := record.Units(r, w.pieceID)
@@ -168,15 +170,15 @@
 	return w.seq, nil
 }
 
-// Drop takes back a record that no creation has carried yet, and reports
-// whether it could. What was dropped will certainly never be in the journal.
+// Withdraw removes a record that has not been sent to the store yet, and reports
+// whether it did. A withdrawn record will certainly never be in the journal.
 func (w *Writer) Withdraw(seq uint64) bool {
 	for i, q := range w.queued {
 		if q.seq != seq {
 			continue
 		}
 		if i > 0 && w.queued[i-1].seq == 0 || i == 0 && w.inFlight != nil && w.inFlight.seq == 0 {
-			return false // it has pieces, and some may be on their way
+			return false // the record has several pieces, and some may have been sent
 		}
 		w.bytes -= len(q.unit)
 		w.queued = append(w.queued[:i], w.queued[i+1:]...)
@@ -185,14 +187,14 @@
 	return false
 }
 
-// Bytes is the size of the records that wait for the store.
+// QueuedBytes returns the size of the records that are not committed yet.
 func (w *Writer) QueuedBytes() int { return w.bytes }
 
 // Idle reports whether every record added is in the journal.
 func (w *Writer) Idle() bool { return len(w.queued) == 0 && w.inFlight == nil }
 
-// Stalled is how long the entry in flight has been waiting for the store; zero
-// without one. It is how an owner notices that the store is down.
+// StalledFor returns how long the entry in flight has been waiting for the store,
+// or zero without one. An owner uses it to detect that the store is down.
 func (w *Writer) StalledFor(now time.Time) time.Duration {
 	if w.inFlight == nil {
 		return 0
@@ -236,8 +238,9 @@
 	case Created:
 		return w.commit(now)
 	case Exists, Unknown:
-		// Exists may be our own entry, created by an attempt whose answer was
-		// lost; taking it for another's would give up a shard that is ours.
+		// Exists may refer to the writer's own entry, created by an attempt
+		// whose answer was lost; treating it as another owner's would give up
+		// a shard that this daemon owns.
 		w.inFlight.readBack = true
 		if m.Outcome == Unknown {
 			w.backOff(now)
@@ -270,8 +273,8 @@
 	return append(effs, w.send(now)...)
 }
 
-// pause backs off with jitter, so that the owners of all shards don't come
-// back to a recovering store at the same moment.
+// backOff delays the next call, with jitter, so that the owners of all shards
+// don't retry at a recovering store at the same moment.
 func (w *Writer) backOff(now time.Time) {
 	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
 	w.retryAt = now.Add(w.backoff/2 + time.Duration(w.Rand()%uint64(w.backoff)))
@@ -293,8 +296,8 @@
 	return []Effect{Create{Key: key, Number: f.number, Data: f.data}}
 }
 
-// load makes the next entry of what waits. Its bytes don't change any more: a
-// creation whose answer was lost may still take effect later.
+// buildEntry makes the next entry from the queued records. Its bytes must not
+// change afterwards: a creation whose answer was lost may still take effect later.
 func (w *Writer) buildEntry(now time.Time) bool {
 	if len(w.queued) == 0 || now.Before(w.lastCreated.Add(w.Interval)) {
 		return false
@@ -315,8 +318,8 @@
 	w.queued = append([]queued(nil), w.queued[n:]...)
 	data, err := e.Encode()
 	if err != nil {
-		// Units are valid CBOR by construction, so this can't be reached by
-		// any input; losing records without a word would be worse than a stop.
+		// Units are valid CBOR by construction, so no input leads here; losing
+		// records silently would be worse than a crash.
 		panic(err)
 	}
 	f.data = data
--- a/internal/shard/jrnl/jrnl_test.go
+++ b/internal/shard/jrnl/jrnl_test.go
@@ -28,7 +28,7 @@
 	return seq
 }
 
-// entry is what the chain would find if it read its own creation back.
+// entry returns the entry that the writer would find if it read its Create back.
 func entry(t *testing.T, e jrnl.Effect) record.Entry {
 	t.Helper()
 	got, err := record.Decode(e.(jrnl.Create).Data)
@@ -36,9 +36,9 @@
 	return got
 }
 
-// A creation's answer can be lost, refused or late. A user would notice a record
-// that is missing or doubled in a history, or a daemon that gives a shard up
-// which is its own.
+// A creation can be refused, and its answer can be lost or late. Handled wrongly,
+// a record would be missing from a history or be there twice, or a daemon would
+// give up a shard that it owns.
 func TestCreateOutcomes(t *testing.T) {
 	foreign := record.Entry{Shard: 3, Number: 5, Epoch: 8, Nonce: 99, Owner: "b"}
 	tests := map[string]struct {
@@ -118,9 +118,9 @@
 	return strings.Join(out, " ")
 }
 
-// Many records wait while one write is in flight. They must all go with the
-// next one, in order, and never before the interval that keeps the store's
-// budget.
+// Records added while a write is in flight must all be in the next entry, in
+// order. It must not be sent before the interval has passed that keeps the shard
+// within its share of the store's writes.
 func TestGroupCommit(t *testing.T) {
 	is := is.New(t)
 	w := newWriter()
@@ -141,12 +141,12 @@
 	is.Equal(entry(t, effs[0]).Number, uint64(6))
 }
 
-// A record larger than an entry, such as a call with a long text, is cut into
-// pieces over several entries and must come out whole.
+// A record larger than an entry, such as a call with a long text, is split over
+// several entries and must be joined without change.
 func TestLargeRecord(t *testing.T) {
 	is := is.New(t)
 	w := newWriter()
-	// Random bytes don't compress, as the worst of texts.
+	// Random bytes don't compress, which is the worst case.
 	body := make([]byte, 3<<20)
 	x := uint64(1)
 	for i := range body {
@@ -162,7 +162,7 @@
 	effs := w.Step(start, jrnl.Tick{})
 	for n := 0; len(effs) > 0 && n < 20; n++ {
 		e := effs[len(effs)-1].(jrnl.Create)
-		is.True(len(e.Data) <= 1<<20) // the store takes no larger value
+		is.True(len(e.Data) <= 1<<20) // the size limit of the store's values
 		ent, err := record.Decode(e.Data)
 		is.NoErr(err)
 		rs, err := j.Records(ent)
@@ -178,24 +178,24 @@
 	is.True(w.Idle())
 }
 
-// A caller gives up on a call whose intent waits behind the write in flight. If
-// the intent could still be taken back, the call certainly never runs; once it
-// is on its way, that can't be said.
+// A caller gives up a call whose intent is queued behind the write in flight. If
+// the intent can be withdrawn, the call certainly never runs; once it has been
+// sent to the store, this is unknown.
 func TestWithdraw(t *testing.T) {
 	is := is.New(t)
 	w := newWriter()
 	first := add(t, w, "p0")
 	w.Step(start, jrnl.Tick{})
 	second := add(t, w, "p1")
-	is.True(!w.Withdraw(first)) // on its way
+	is.True(!w.Withdraw(first)) // sent already
 	is.True(w.Withdraw(second))
 	is.True(!w.Withdraw(second))
 	is.Equal(kinds(w.Step(start, jrnl.CreateDone{Number: 5, Outcome: jrnl.Created})), "committed")
 	is.True(w.Idle())
 }
 
-// The store comes back after an outage. The owners of all shards must not write
-// at the same moment, and none may wait much longer than needed.
+// The store recovers from an outage. The owners of all shards must not write at
+// the same moment, and none may wait much longer than needed.
 func TestBackoffSpreads(t *testing.T) {
 	is := is.New(t)
 	seen := map[time.Duration]int{}
