--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -1,12 +1,12 @@
-// Package assign decides which shards a daemon tries to own, and which it hands
-// to another.
+// Package assign decides which shards a daemon claims and which it hands over to
+// another daemon.
 //
-// Every daemon works out from its own picture of the others which of them
-// should own each shard. The pictures may differ; what settles a shard is the
-// store. So a daemon only claims a shard that no live daemon is known to own,
-// and hands one over only when the picture has been the same for a while.
+// Every daemon computes the preferred owner of each shard from its own membership
+// view. The views may differ; the store decides who owns a shard. So a daemon
+// claims only a shard without a known live owner, and hands one over only after
+// another daemon has been preferred for a while.
 //
-// Assign is a state machine: Step takes the time and one message and returns
+// Assigner is a state machine: Step takes the time and one message and returns
 // effects.
 package assign
 
@@ -21,69 +21,71 @@
 
 const (
 	handoverDelay = 3 * time.Second        // before a shard is handed over
-	fallbackDelay = 4 * time.Second        // before another than the preferred daemon claims
+	fallbackDelay = 4 * time.Second        // before a daemon that is not the preferred one claims
 	retryDelay    = 500 * time.Millisecond // after a claim that failed
-	maxClaims     = 4                      // under way at a time
+	maxClaims     = 4                      // in progress at a time
 	maxHandovers  = 2
 )
 
 type (
-	// Assign is the machine. Set Self, Rand and Shards before the first Step.
+	// Assigner is the state machine. Set Self, Rand and Shards before the
+	// first Step.
 	Assigner struct {
 		Self   string        // the daemon's name
 		Rand   func() uint64 // spreads the claims of several daemons
 		Shards int
 
 		members       []beat.Member
-		plan          []beat.Member // who should own each shard
-		plannedFor    string        // the daemons that the plan was made for
+		plan          []beat.Member // preferred owner of each shard
+		plannedFor    string        // shards and live daemons that the plan was made for
 		owned         map[int]bool
 		claiming      map[int]bool
 		handingOver   map[int]bool
-		noClaimBefore map[int]time.Time // no claim of the shard before
+		noClaimBefore map[int]time.Time // earliest next claim of the shard
 		ownerless     map[int]time.Time // since when no owner is known
-		movedSince    map[int]time.Time // since when another should own our shard
+		movedSince    map[int]time.Time // since when another daemon is preferred for an owned shard
 		draining      bool
 		leased        bool
 	}
 
-	// Message is what Assign reacts to.
+	// Message is an input of Assigner.
 	Message interface{ message() }
 
-	// View is the present picture of the daemons.
+	// View is the current membership view.
 	View struct{ Members []beat.Member }
 
-	// Leased tells whether the daemon holds a lease to claim under.
+	// Leased reports whether the daemon holds the lease that claims need.
 	Leased struct{ OK bool }
 
-	// Claimed tells how a claim ended.
+	// Claimed reports the outcome of a Claim.
 	Claimed struct {
 		Shard int
 		OK    bool
 	}
 
-	// Offered tells that the former owner has given the shard to this daemon.
+	// Offered reports that the former owner hands the shard over to this
+	// daemon.
 	Offered struct{ Shard int }
 
-	// Gone tells that the daemon owns the shard no more, whether it handed it
-	// over, lost it or failed.
+	// Released reports that the daemon no longer owns the shard, because it
+	// handed the shard over, lost it or failed to run it.
 	Released struct{ Shard int }
 
-	// Drain asks to hand over all shards and claim none.
+	// Drain asks to hand over all shards and claim no more.
 	Drain struct{}
 
-	// Tick lets time pass.
+	// Tick has Step return the claims and handovers that are due at its time.
 	Tick struct{}
 
-	// Effect is what Assign wants done.
+	// Effect is an action that Assigner asks for.
 	Effect interface{ effect() }
 
-	// Claim tries to own the shard; the answer is Claimed.
+	// Claim asks to take the shard over; the answer is Claimed.
 	Claim struct{ Shard int }
 
-	// Give ends ownership of the shard once its calls have ended, and offers
-	// it to the daemon To; an empty Name leaves it to whoever claims it. The
-	// answer is Gone.
+	// HandOver ends ownership of the shard once its calls have ended, and
+	// offers it to the daemon To; with an empty Name any daemon may claim it.
+	// The answer is Released.
 	HandOver struct {
 		Shard int
 		To    beat.Member
@@ -147,8 +149,8 @@
 	a.movedSince = map[int]time.Time{}
 }
 
-// view takes a new picture in. Working the plan out costs a hash for each shard
-// and daemon, so it is done only when a daemon came, left or changed its state.
+// setView sets the membership view. Computing the plan takes a hash for each
+// shard and daemon, so it is done only when the set of live daemons has changed.
 func (a *Assigner) setView(members []beat.Member) {
 	a.members = members
 	var b strings.Builder
@@ -164,7 +166,7 @@
 	}
 }
 
-// preferred is the daemon that should own the shard.
+// preferred returns the daemon that should own the shard.
 func (a *Assigner) preferred(shard int) (beat.Member, bool) {
 	if shard >= len(a.plan) {
 		return beat.Member{}, false
@@ -172,9 +174,10 @@
 	return a.plan[shard], true
 }
 
-// Wants reports whether the daemon has a use for a lease: it owns shards, should
-// own some, or may have to take one that nobody claims. A lease that is only
-// held costs the store three writes in its time to live, from each daemon.
+// NeedsLease reports whether the daemon needs a lease: it owns or claims shards,
+// is the preferred owner of one, or may have to claim one that has had no owner
+// for fallbackDelay. An unused lease costs the store three writes per time to
+// live, from each daemon.
 func (a *Assigner) NeedsLease(now time.Time) bool {
 	if len(a.owned) > 0 || len(a.claiming) > 0 {
 		return true
@@ -216,7 +219,8 @@
 	return effs
 }
 
-// successor tells whether an owned shard should go to another daemon.
+// handoverTarget reports whether an owned shard should be handed over now, and to
+// which daemon; while draining without another preferred daemon it is empty.
 func (a *Assigner) handoverTarget(now time.Time, shard int) (beat.Member, bool) {
 	to, ok := a.preferred(shard)
 	if a.draining {
@@ -237,9 +241,10 @@
 	return to, now.Sub(since) >= handoverDelay
 }
 
-// wants tells whether the daemon should claim the shard now. Where the
-// preferred daemon can't or won't, any other does after a while, so that no
-// shard stays without an owner because one daemon has a wrong picture.
+// shouldClaim reports whether the daemon should claim the shard now. If the shard
+// has had no owner for fallbackDelay, daemons other than the preferred one try at
+// random times, so that no shard stays without an owner because one daemon fails
+// or has a wrong view.
 func (a *Assigner) shouldClaim(now time.Time, shard int) bool {
 	if _, owned := locate.Owner(a.members, shard); owned {
 		delete(a.ownerless, shard)
--- a/internal/shard/assign/assign_test.go
+++ b/internal/shard/assign/assign_test.go
@@ -16,13 +16,14 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// fleet is several daemons' machines with one picture, and who owns what.
+// fleet is the state machines of several daemons with a common membership view,
+// and the owners of the shards.
 type fleet struct {
 	now         time.Time
 	members     []beat.Member
 	assigners   map[string]*assign.Assigner
 	owner       map[int]string
-	cannotClaim map[string]bool // claims of these fail
+	cannotClaim map[string]bool // daemons whose claims fail
 	claims      int
 	handovers   int
 }
@@ -53,8 +54,8 @@
 	}
 }
 
-// pass lets time pass; claims and gifts take effect at once, and the pictures
-// show it.
+// advance moves the clock; claims and handovers take effect at once and are in
+// the next membership view.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(100 * time.Millisecond) {
 		for i := range f.members {
@@ -109,8 +110,9 @@
 	}
 }
 
-// Daemons come, die, drain and can't claim. A user would notice a shard without
-// an owner, all load on one daemon, or shards that never rest.
+// Daemons join, die, drain or fail to claim. Afterwards each shard must have an
+// owner, no daemon may own more than four shards, and ownership must not change
+// any more.
 func TestEveryShardGetsOwner(t *testing.T) {
 	tests := map[string]func(f *fleet){
 		"at start": func(*fleet) {},
@@ -154,15 +156,15 @@
 			}
 			claims, handovers := f.claims, f.handovers
 			f.advance(time.Minute)
-			is.Equal(f.handovers, handovers) // and rests there
+			is.Equal(f.handovers, handovers) // ownership is stable
 			is.True(f.claims-claims <= 0)
 		})
 	}
 }
 
-// A daemon that should own nothing has no use for a lease, which would cost the
-// store a write every two seconds; it needs one as soon as a shard would be
-// without an owner.
+// A daemon that is not the preferred owner of any shard needs no lease, which
+// would cost the store a write every two seconds; it needs one as soon as a shard
+// would be without an owner.
 func TestNeedsLease(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(12)
