--- a/internal/shard/xfer/xfer.go
+++ b/internal/shard/xfer/xfer.go
@@ -1,10 +1,10 @@
-// Package shelf offers a daemon's data folder to the other daemons and reaches
-// theirs, over the link between them.
+// Package xfer transfers blobs between daemons: it serves a daemon's data folder
+// to the others and accesses theirs, over the link between them.
 //
-// Every daemon has one Shelf, also one without a folder: its owners' blobs are
-// at others. It implements bulk.Peers. One method carries all calls, and what
-// went wrong comes back as a code, since an error of the link is text only and
-// "not found" must not be mistaken for "not reached".
+// Every daemon has one Endpoint, also one without a folder, whose shards' blobs
+// are at other daemons. Endpoint implements blobio.Peers. All operations use one
+// method, and failures are returned as codes: an error of the link is text only,
+// and "not found" must be distinguishable from an unreachable daemon.
 package xfer
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/slaterock/slaterock/internal/shard/blobs"
 )
 
-// Method is the name under which Serve is offered to peers.
+// Method is the name under which Serve is registered at the link.
 const Method = "blobs.do"
 
 const (
@@ -35,11 +35,12 @@
 )
 
 type (
-	// Shelf is one daemon's end. Its fields are set before the first call.
+	// Endpoint is the client and server of one daemon. Its fields are set
+	// before the first call.
 	Endpoint struct {
 		Name   string        // this daemon
-		Folder *blobs.Folder // nil without a disk
-		// Invoke calls the method at the daemon of that name.
+		Folder *blobs.Folder // nil without a data folder
+		// Invoke calls the method at the daemon named to.
 		Invoke func(ctx context.Context, to, method string, params, out any) error
 	}
 
@@ -50,7 +51,7 @@
 		Op      op             `json:"op"`
 		Shard   int            `json:"shard"`
 		Epoch   uint64         `json:"epoch,omitempty"`
-		Digest  blobs.Digest   `json:"digest,omitzero"` // for list the one before
+		Digest  blobs.Digest   `json:"digest,omitzero"` // for list: the last one of the page before
 		From    string         `json:"from,omitempty"`
 		Limit   int            `json:"limit,omitempty"`
 		Data    []byte         `json:"data,omitempty"`
@@ -66,9 +67,9 @@
 )
 
 // ErrNoFolder reports a daemon without a data folder.
-var ErrNoFolder = errors.New("shelf: no data folder")
+var ErrNoFolder = errors.New("xfer: no data folder")
 
-// Serve answers a peer's call.
+// Serve handles a call from another daemon.
 func (e *Endpoint) Serve(ctx context.Context, params json.RawMessage) (any, error) {
 	var req request
 	if err := json.Unmarshal(params, &req); err != nil {
@@ -77,31 +78,31 @@
 	return e.handle(ctx, req), nil
 }
 
-// Put implements bulk.Peers.
+// Put implements blobio.Peers.
 func (e *Endpoint) Put(ctx context.Context, to string, shard int, data []byte) error {
 	_, err := e.call(ctx, to, request{Op: opPut, Shard: shard, Data: data})
 	return err
 }
 
-// Copy implements bulk.Peers.
+// Copy implements blobio.Peers.
 func (e *Endpoint) Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error {
 	_, err := e.call(ctx, to, request{Op: opCopy, Shard: shard, Digest: d, From: from})
 	return err
 }
 
-// Get implements bulk.Peers.
+// Get implements blobio.Peers.
 func (e *Endpoint) Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error) {
 	resp, err := e.call(ctx, from, request{Op: opGet, Shard: shard, Digest: d})
 	return resp.Data, err
 }
 
-// List implements bulk.Peers.
+// List implements blobio.Peers.
 func (e *Endpoint) List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error) {
 	resp, err := e.call(ctx, from, request{Op: opList, Shard: shard, Digest: after, Limit: limit})
 	return resp.Digests, err
 }
 
-// Drop implements bulk.Peers.
+// Drop implements blobio.Peers.
 func (e *Endpoint) Drop(ctx context.Context, to string, shard int, epoch uint64, d []blobs.Digest) error {
 	_, err := e.call(ctx, to, request{Op: opDrop, Shard: shard, Epoch: epoch, Digests: d})
 	return err
@@ -143,16 +144,16 @@
 	return resp, err
 }
 
-// fetch stores a blob of another daemon here. What that daemon sends is not
-// trusted: bytes with another digest would be stored under their own name, and
-// the owner would count a copy that is not there.
+// fetch copies a blob from another daemon into the own folder. The digest of the
+// received bytes is checked: other bytes would be stored under their own digest,
+// and the owner would count a copy that does not exist.
 func (e *Endpoint) fetch(ctx context.Context, req request) error {
 	data, err := e.Get(ctx, req.From, req.Shard, req.Digest)
 	if err != nil {
-		return errors.Newf("fetch: %v", err) // the missing blob is there, not here
+		return errors.Newf("fetch: %v", err) // not wrapped: ErrNotFound would refer to this folder
 	}
 	if blobs.Sum(data) != req.Digest {
-		return errors.Newf("fetch: %s sent another blob", req.From)
+		return errors.Newf("fetch: data from %s does not match the digest", req.From)
 	}
 	_, err = e.Folder.Put(req.Shard, data)
 	return err
--- a/internal/shard/xfer/xfer_test.go
+++ b/internal/shard/xfer/xfer_test.go
@@ -21,7 +21,7 @@
 	errUnreachable = errors.New("link is down")
 )
 
-// fleet joins shelves as a link would: through JSON.
+// network connects endpoints as a link would: through JSON.
 type network map[string]*Endpoint
 
 func (n network) invoke(ctx context.Context, to, method string, params, out any) error {
@@ -43,7 +43,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// owner returns the shelf of a daemon without folder, beside a and b with one.
+// newNetwork returns a network of the daemons a and b, with a folder, and bare,
+// without one, and the endpoint of bare.
 func newNetwork(t *testing.T) (*Endpoint, network) {
 	n := network{}
 	for _, name := range []string{"a", "b", "bare"} {
@@ -89,8 +90,8 @@
 			is.NoErr(err)
 			is.Equal(got, text)
 		},
-		// The blob is not there, and its reader must learn just that: its copy
-		// is made again.
+		// The holder does not have the blob. The reader must get ErrNotFound, so
+		// that the copy is made again.
 		"not found": func(ctx context.Context, is *is.I, e *Endpoint, _ network) {
 			_, err := e.Get(ctx, "a", 3, d)
 			is.True(errors.Is(err, blobs.ErrNotFound))
@@ -103,22 +104,22 @@
 			is.True(errors.As(err, &corrupt))
 			is.Equal(corrupt.Digest, d)
 		},
-		// The holder can't be reached. That tells nothing about its blobs;
-		// taken for "not found", each short break would copy all of them.
+		// The holder can't be reached, so it is unknown which blobs it has. If
+		// this counted as "not found", each short link failure would cause
+		// copies of all of them.
 		"not reached": func(ctx context.Context, is *is.I, e *Endpoint, _ network) {
 			_, err := e.Get(ctx, "gone", 3, d)
 			is.True(errors.Is(err, errUnreachable))
 			is.True(!errors.Is(err, blobs.ErrNotFound))
 		},
-		// The source of a copy lacks the blob. The taker's answer must not
-		// read as if the taker were asked for it.
+		// The source of a copy lacks the blob. The destination must not return
+		// ErrNotFound, which would refer to its own folder.
 		"source lacks it": func(ctx context.Context, is *is.I, e *Endpoint, _ network) {
 			err := e.Copy(ctx, "b", "a", 3, d)
 			is.True(err != nil)
 			is.True(!errors.Is(err, blobs.ErrNotFound))
 		},
-		// The source sends other bytes than it was asked for. They must not
-		// count as a copy.
+		// The source sends bytes with another digest. They must not be stored.
 		"source sends another": func(ctx context.Context, is *is.I, e *Endpoint, n network) {
 			n["b"].Invoke = func(_ context.Context, _, _ string, _, out any) error {
 				*out.(*response) = response{Data: []byte("TEXT")}
