--- a/internal/shard/blobs/model_test.go
+++ b/internal/shard/blobs/model_test.go
@@ -221,7 +221,7 @@
 // VMs fail and restart with and without their disks, and copies fail and hang,
 // in any order. Blobs that the journal refers to must never be dropped, and once
 // the faults end, each one that any disk still has must be on two.
-func TestRandomFailures(t *testing.T) {
+func TestAnyOrderOfFailures(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		w := newModel(t)
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -127,7 +127,7 @@
 
 // A journal entry is damaged. The takeover must fail with a CorruptError; a shard
 // that starts without some of its programs would look healthy.
-func TestDamagedEntryStopsTakeover(t *testing.T) {
+func TestDamagedEntryStopsTheTakeover(t *testing.T) {
 	is := is.New(t)
 	st := &keyval.Store{}
 	writeEntry(t, st, 1, 1, record.Took{Epoch: 1, Owner: "old"}, open("p"))
--- a/internal/shard/jrnl/jrnl_test.go
+++ b/internal/shard/jrnl/jrnl_test.go
@@ -39,7 +39,7 @@
 // A creation can be refused, and its answer can be lost or late. Handled wrongly,
 // a record would be missing from a history or be there twice, or a daemon would
 // give up a shard that it owns.
-func TestCreateOutcomes(t *testing.T) {
+func TestCreationEnds(t *testing.T) {
 	foreign := record.Entry{Shard: 3, Number: 5, Epoch: 8, Nonce: 99, Owner: "b"}
 	tests := map[string]struct {
 		answers func(own record.Entry) []jrnl.Message
