--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -35,17 +35,17 @@
 		Rand   func() uint64 // spreads the claims of several daemons
 		Shards int
 
-		members       []beat.Member
-		plan          []beat.Member // preferred owner of each shard
-		plannedFor    string        // shards and live daemons that the plan was made for
-		owned         map[int]bool
-		claiming      map[int]bool
-		handingOver   map[int]bool
-		noClaimBefore map[int]time.Time // earliest next claim of the shard
-		ownerless     map[int]time.Time // since when no owner is known
-		movedSince    map[int]time.Time // since when another daemon is preferred for an owned shard
-		draining      bool
-		leased        bool
+		members             []beat.Member
+		plan                []beat.Member // preferred owner of each shard
+		plannedFor          string        // shards and live daemons that the plan was made for
+		owned               map[int]bool
+		claiming            map[int]bool
+		handingOver         map[int]bool
+		noClaimBefore       map[int]time.Time // earliest next claim of the shard
+		ownerless           map[int]time.Time // since when no owner is known
+		otherPreferredSince map[int]time.Time // since when another daemon is preferred for an owned shard
+		draining            bool
+		leased              bool
 	}
 
 	// Message is an input of Assigner.
@@ -127,7 +127,7 @@
 	case Released:
 		delete(a.owned, m.Shard)
 		delete(a.handingOver, m.Shard)
-		delete(a.movedSince, m.Shard)
+		delete(a.otherPreferredSince, m.Shard)
 		a.noClaimBefore[m.Shard] = now.Add(retryDelay + a.jitter(retryDelay))
 	case Drain:
 		a.draining = true
@@ -146,7 +146,7 @@
 	a.handingOver = map[int]bool{}
 	a.noClaimBefore = map[int]time.Time{}
 	a.ownerless = map[int]time.Time{}
-	a.movedSince = map[int]time.Time{}
+	a.otherPreferredSince = map[int]time.Time{}
 }
 
 // setView sets the membership view. Computing the plan takes a hash for each
@@ -230,12 +230,12 @@
 		return to, true
 	}
 	if !ok || to.Name == a.Self {
-		delete(a.movedSince, shard)
+		delete(a.otherPreferredSince, shard)
 		return beat.Member{}, false
 	}
-	since, known := a.movedSince[shard]
+	since, known := a.otherPreferredSince[shard]
 	if !known {
-		a.movedSince[shard] = now
+		a.otherPreferredSince[shard] = now
 		return beat.Member{}, false
 	}
 	return to, now.Sub(since) >= handoverDelay
--- a/internal/shard/blobio/blobio.go
+++ b/internal/shard/blobio/blobio.go
@@ -63,7 +63,7 @@
 
 		mu      sync.Mutex
 		ctx     context.Context //nolint:containedctx // of Run, for calls that Tell starts
-		placer  blobs.Holders
+		holders blobs.Holders
 		texts   map[blobs.Digest][]byte
 		waiters map[blobs.Digest][]*waiter
 	}
@@ -114,13 +114,13 @@
 // written to the journal itself. It is also false if ctx ends first; a reference
 // that the state machine counts later is then released.
 func (b *BlobStore) Store(ctx context.Context, text []byte) (ref Ref, stored bool) {
-	a := &waiter{outcome: make(chan outcome, 1)}
-	b.enqueue(a, text)
+	w := &waiter{outcome: make(chan outcome, 1)}
+	b.enqueue(w, text)
 	select {
-	case e := <-a.outcome:
-		return e.ref, e.stored
+	case o := <-w.outcome:
+		return o.ref, o.stored
 	case <-ctx.Done():
-		b.abandon(a)
+		b.abandon(w)
 		return Ref{}, false
 	}
 }
@@ -139,7 +139,7 @@
 		if err == nil && blobs.Sum(text) == d {
 			return text, nil
 		}
-		if isMissing(err) {
+		if holderLacksCopy(err) {
 			b.Tell(blobs.CopyMissing{Digest: d, From: from})
 		}
 		tried = append(tried, from)
@@ -156,36 +156,36 @@
 func (b *BlobStore) locate(d blobs.Digest, tried []string) (from string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f, ok := b.placer.Step(time.Now(), blobs.Read{Digest: d, Tried: tried})[0].(blobs.Fetch)
+	f, ok := b.holders.Step(time.Now(), blobs.Read{Digest: d, Tried: tried})[0].(blobs.Fetch)
 	return f.From, ok
 }
 
-func (b *BlobStore) enqueue(a *waiter, text []byte) {
+func (b *BlobStore) enqueue(w *waiter, text []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ensureInit()
 	d := blobs.Sum(text)
 	b.texts[d] = text
-	b.waiters[d] = append(b.waiters[d], a)
+	b.waiters[d] = append(b.waiters[d], w)
 	b.step(blobs.Store{Digest: d, Size: len(text)})
 }
 
 // abandon ends the wait of a Store call. Its reference, whether counted already
 // or later, must be released, or the blob would never be dropped.
-func (b *BlobStore) abandon(a *waiter) {
+func (b *BlobStore) abandon(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.abandoned = true
+	w.abandoned = true
 	select {
-	case e := <-a.outcome:
-		b.releaseRef(e)
+	case o := <-w.outcome:
+		b.releaseRef(o)
 	default:
 	}
 }
 
-func (b *BlobStore) releaseRef(e outcome) {
-	if e.stored {
-		b.step(blobs.Release{Digest: e.ref.Digest})
+func (b *BlobStore) releaseRef(o outcome) {
+	if o.stored {
+		b.step(blobs.Release{Digest: o.ref.Digest})
 	}
 }
 
@@ -200,7 +200,7 @@
 // isMissing reports whether the result of a Get shows that the holder has no
 // intact copy. Without an error the text had a wrong digest, which counts as
 // missing; other errors, such as a timeout, don't show whether it has one.
-func isMissing(err error) bool {
+func holderLacksCopy(err error) bool {
 	var corrupt *blobs.CorruptError
 	return err == nil || errors.Is(err, blobs.ErrNotFound) || errors.As(err, &corrupt)
 }
--- a/internal/shard/blobio/blobio_test.go
+++ b/internal/shard/blobio/blobio_test.go
@@ -155,8 +155,8 @@
 }
 
 func (r *fixture) store(text string) blobio.Ref {
-	ref, kept := r.Store(r.ctx, []byte(text))
-	r.True(kept)
+	ref, stored := r.Store(r.ctx, []byte(text))
+	r.True(stored)
 	r.Equal(len(ref.Holders), 2)
 	r.Equal(ref.Size, len(text))
 	return ref
@@ -201,8 +201,8 @@
 			r.Equal(r.usedBytes(), int64(8))
 		}},
 		"no folder": {nil, func(r *fixture) {
-			_, kept := r.Store(r.ctx, []byte("text"))
-			r.True(!kept)
+			_, stored := r.Store(r.ctx, []byte("text"))
+			r.True(!stored)
 		}},
 		// A daemon with a folder hangs. The text is stored at two others, with
 		// a delay of at most three seconds.
@@ -220,8 +220,8 @@
 		"two holders hang": {three, func(r *fixture) {
 			r.hang("a", "b")
 			start := time.Now()
-			_, kept := r.Store(r.ctx, []byte("text"))
-			r.True(!kept)
+			_, stored := r.Store(r.ctx, []byte("text"))
+			r.True(!stored)
 			r.True(time.Since(start) <= 6*time.Second)
 		}},
 		// One VM after the other is lost. The new holders are reported, and the
@@ -275,8 +275,8 @@
 			r.delay = 1500 * time.Millisecond
 			ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 			defer cancel()
-			_, kept := r.Store(ctx, []byte("text"))
-			r.True(!kept)
+			_, stored := r.Store(ctx, []byte("text"))
+			r.True(!stored)
 			r.advance(time.Second)
 			r.Equal(r.usedBytes(), int64(8))
 			r.advance(3 * time.Hour)
--- a/internal/shard/blobio/effect.go
+++ b/internal/shard/blobio/effect.go
@@ -10,7 +10,7 @@
 // step applies one message and executes its effects; the caller holds the mutex.
 func (b *BlobStore) step(m blobs.Message) {
 	b.ensureInit()
-	for _, e := range b.placer.Step(time.Now(), m) {
+	for _, e := range b.holders.Step(time.Now(), m) {
 		b.execute(e)
 	}
 }
@@ -52,10 +52,10 @@
 
 // stored ends the Store calls that wait for the blob. If none waits, the blob's
 // holders have changed.
-func (b *BlobStore) stored(k blobs.Stored) {
-	ref := Ref{Digest: k.Digest, Size: k.Size, Holders: k.Holders}
-	if len(b.waiters[k.Digest]) > 0 {
-		b.deliver(k.Digest, outcome{ref: ref, stored: true})
+func (b *BlobStore) stored(s blobs.Stored) {
+	ref := Ref{Digest: s.Digest, Size: s.Size, Holders: s.Holders}
+	if len(b.waiters[s.Digest]) > 0 {
+		b.deliver(s.Digest, outcome{ref: ref, stored: true})
 		return
 	}
 	if b.HoldersChanged != nil {
@@ -63,16 +63,16 @@
 	}
 }
 
-func (b *BlobStore) deliver(d blobs.Digest, e outcome) {
+func (b *BlobStore) deliver(d blobs.Digest, o outcome) {
 	waiters := b.waiters[d]
 	delete(b.waiters, d)
 	delete(b.texts, d)
-	for _, a := range waiters {
-		if a.abandoned {
-			b.releaseRef(e)
+	for _, w := range waiters {
+		if w.abandoned {
+			b.releaseRef(o)
 			continue
 		}
-		a.outcome <- e
+		w.outcome <- o
 	}
 }
 
--- a/internal/shard/blobs/audit.go
+++ b/internal/shard/blobs/audit.go
@@ -33,7 +33,7 @@
 		name := h.auditQueue[0]
 		h.auditQueue = h.auditQueue[1:]
 		if m := h.members[name]; m.Disk && m.State != beat.Down {
-			h.audit = &audit{holder: name, expires: now.Add(auditTimeout), expected: h.at(name)}
+			h.audit = &audit{holder: name, expires: now.Add(auditTimeout), expected: h.heldAt(name)}
 			return []Effect{List{To: name}}
 		}
 	}
@@ -47,14 +47,14 @@
 		return nil
 	}
 	for _, d := range h.missing(l) {
-		if b := h.blobs[d]; b != nil && slices.Contains(b.copies, l.From) {
+		if b := h.blobs[d]; b != nil && slices.Contains(b.holders, l.From) {
 			h.removeCopy(d, l.From)
 		}
 	}
 	var extra []Digest
 	for _, d := range l.Digests {
-		kept, needless := h.checkListed(d, l.From)
-		out = append(out, kept...)
+		effects, needless := h.checkListed(d, l.From)
+		out = append(out, effects...)
 		if needless {
 			extra = append(extra, d)
 		}
@@ -96,16 +96,16 @@
 // copies, one that was given up before counts again, such as that of a VM that
 // is up after a long outage. needless reports that the copy can be dropped.
 func (h *Holders) checkListed(d Digest, from string) (out []Effect, needless bool) {
-	b, w := h.blobs[d], h.placement[d]
+	b, p := h.blobs[d], h.placement[d]
 	if b == nil {
 		return nil, true
 	}
-	if slices.Contains(b.copies, from) || w != nil && len(w.attempts) > 0 {
+	if slices.Contains(b.holders, from) || p != nil && len(p.attempts) > 0 {
 		return nil, false
 	}
 	if len(h.durableHolders(b)) >= replicas {
 		return nil, true
 	}
-	b.copies = append(b.copies, from)
+	b.holders = append(b.holders, from)
 	return h.reportHolders(d), false
 }
--- a/internal/shard/blobs/copies.go
+++ b/internal/shard/blobs/copies.go
@@ -21,31 +21,31 @@
 			h.members[name] = &member{Member: beat.Member{Name: name, Disk: true, State: beat.Down}, downSince: now}
 		}
 	}
-	h.blobs[k.Digest] = &blob{size: k.Size, refs: 1, copies: slices.Clone(k.Holders)}
+	h.blobs[k.Digest] = &blob{size: k.Size, refs: 1, holders: slices.Clone(k.Holders)}
 	h.queueRepair(k.Digest)
 }
 
 // store starts placing a text. One that has enough copies already is only
 // counted as referenced once more.
 func (h *Holders) store(now time.Time, s Store) []Effect {
-	b, w := h.blobs[s.Digest], h.placement[s.Digest]
+	b, p := h.blobs[s.Digest], h.placement[s.Digest]
 	if b != nil && len(h.durableHolders(b)) >= replicas {
 		b.refs++
-		return []Effect{Stored{Digest: s.Digest, Size: b.size, Holders: slices.Clone(b.copies)}}
+		return []Effect{Stored{Digest: s.Digest, Size: b.size, Holders: slices.Clone(b.holders)}}
 	}
 	if b == nil {
 		b = &blob{size: s.Size}
 		h.blobs[s.Digest] = b
 	}
-	if w == nil {
-		w = &placement{}
-		h.placement[s.Digest] = w
+	if p == nil {
+		p = &placement{}
+		h.placement[s.Digest] = p
 	}
-	w.pendingStores++
-	if w.pendingStores > 1 {
+	p.pendingStores++
+	if p.pendingStores > 1 {
 		return nil
 	}
-	w.deadline = now.Add(placeTimeout)
+	p.deadline = now.Add(placeTimeout)
 	return h.place(now, s.Digest)
 }
 
@@ -53,13 +53,13 @@
 // available the text goes into the journal: a single copy would be lost with its
 // VM, and some VMs fail every day.
 func (h *Holders) place(now time.Time, d Digest) (out []Effect) {
-	b, w := h.blobs[d], h.placement[d]
-	for len(h.durableHolders(b))+len(w.attempts) < replicas {
+	b, p := h.blobs[d], h.placement[d]
+	for len(h.durableHolders(b))+len(p.attempts) < replicas {
 		to, ok := h.chooseHolder(d)
-		if !ok || !now.Before(w.deadline) {
+		if !ok || !now.Before(p.deadline) {
 			return h.inline(d)
 		}
-		w.attempts = append(w.attempts, attempt{to: to, expires: now.Add(storeTimeout)})
+		p.attempts = append(p.attempts, attempt{to: to, expires: now.Add(storeTimeout)})
 		out = append(out, Copy{Digest: d, Size: b.size, To: to})
 	}
 	return out
@@ -84,12 +84,12 @@
 	if !h.endAttempt(c.Digest, c.To) {
 		return nil
 	}
-	b, w := h.blobs[c.Digest], h.placement[c.Digest]
-	b.copies = append(b.copies, c.To)
-	if w.pendingStores > 0 && len(h.durableHolders(b)) < replicas {
+	b, p := h.blobs[c.Digest], h.placement[c.Digest]
+	b.holders = append(b.holders, c.To)
+	if p.pendingStores > 0 && len(h.durableHolders(b)) < replicas {
 		return h.place(now, c.Digest) // the other copy's holder may have been lost since
 	}
-	b.refs += w.pendingStores
+	b.refs += p.pendingStores
 	h.endPlacement(c.Digest)
 	return h.reportHolders(c.Digest)
 }
@@ -99,10 +99,10 @@
 func (h *Holders) reportHolders(d Digest) []Effect {
 	b := h.blobs[d]
 	if durableHolders := h.durableHolders(b); len(durableHolders) >= replicas {
-		b.copies = durableHolders
+		b.holders = durableHolders
 	}
 	h.queueRepair(d)
-	return []Effect{Stored{Digest: d, Size: b.size, Holders: slices.Clone(b.copies)}}
+	return []Effect{Stored{Digest: d, Size: b.size, Holders: slices.Clone(b.holders)}}
 }
 
 // copyFailed ends an attempt. A text that is being stored is copied to another
@@ -111,10 +111,10 @@
 	if !h.endAttempt(d, to) {
 		return nil
 	}
-	w := h.placement[d]
-	w.failed = append(w.failed, to)
-	w.retryAt = now.Add(retryAfter)
-	if w.pendingStores > 0 {
+	p := h.placement[d]
+	p.failed = append(p.failed, to)
+	p.retryAt = now.Add(retryAfter)
+	if p.pendingStores > 0 {
 		return h.place(now, d)
 	}
 	h.forgetRepair(d)
@@ -124,28 +124,28 @@
 
 // endAttempt ends the attempt at the holder and reports whether there was one.
 func (h *Holders) endAttempt(d Digest, to string) bool {
-	w := h.placement[d]
-	if w == nil {
+	p := h.placement[d]
+	if p == nil {
 		return false
 	}
-	i := slices.IndexFunc(w.attempts, func(t attempt) bool { return t.to == to })
+	i := slices.IndexFunc(p.attempts, func(t attempt) bool { return t.to == to })
 	if i < 0 {
 		return false
 	}
-	if w.attempts[i].repair {
+	if p.attempts[i].repair {
 		h.activeRepairs--
 	}
-	w.attempts = slices.Delete(w.attempts, i, i+1)
+	p.attempts = slices.Delete(p.attempts, i, i+1)
 	return true
 }
 
 // endPlacement deletes a blob's placement with its remaining attempts.
 func (h *Holders) endPlacement(d Digest) {
-	w := h.placement[d]
-	if w == nil {
+	p := h.placement[d]
+	if p == nil {
 		return
 	}
-	for _, t := range w.attempts {
+	for _, t := range p.attempts {
 		if t.repair {
 			h.activeRepairs--
 		}
@@ -159,13 +159,13 @@
 		return nil
 	}
 	b.refs--
-	w := h.placement[d]
-	if b.refs > 0 || w != nil && w.pendingStores > 0 {
+	p := h.placement[d]
+	if b.refs > 0 || p != nil && p.pendingStores > 0 {
 		return nil
 	}
 	h.endPlacement(d)
 	delete(h.blobs, d)
-	for _, name := range b.copies {
+	for _, name := range b.holders {
 		out = append(out, Drop{To: name, Digests: []Digest{d}})
 	}
 	return out
@@ -177,7 +177,7 @@
 	if b == nil {
 		return
 	}
-	b.copies = slices.DeleteFunc(b.copies, func(n string) bool { return n == from })
+	b.holders = slices.DeleteFunc(b.holders, func(n string) bool { return n == from })
 	h.queueRepair(d)
 }
 
@@ -186,7 +186,7 @@
 func (h *Holders) read(r Read) []Effect {
 	best, top := "", 0
 	if b := h.blobs[r.Digest]; b != nil {
-		for _, name := range b.copies {
+		for _, name := range b.holders {
 			if n := h.readRank(name); n > top && !slices.Contains(r.Tried, name) {
 				best, top = name, n
 			}
@@ -217,14 +217,14 @@
 // failure domain without a copy. Rendezvous hashing chooses between these, so
 // that blobs spread evenly.
 func (h *Holders) chooseHolder(d Digest) (best string, ok bool) {
-	b, w := h.blobs[d], h.placement[d]
-	taken := h.usedDomains(b, w)
+	b, p := h.blobs[d], h.placement[d]
+	taken := h.usedDomains(b, p)
 	top := uint64(0)
 	for name, m := range h.members {
 		if !m.Disk || m.State != beat.Alive || m.leaving || slices.Contains(taken, m.FailureDomain) {
 			continue
 		}
-		if slices.Contains(b.copies, name) || w != nil && slices.Contains(w.failed, name) {
+		if slices.Contains(b.holders, name) || p != nil && slices.Contains(p.failed, name) {
 			continue
 		}
 		score := xxhash.Sum64(append(d[:], name...))
@@ -237,14 +237,14 @@
 
 // usedDomains returns the failure domains in which the blob has a durable copy
 // or one in progress.
-func (h *Holders) usedDomains(b *blob, w *placement) (out []string) {
+func (h *Holders) usedDomains(b *blob, p *placement) (out []string) {
 	for _, name := range h.durableHolders(b) {
 		out = append(out, h.members[name].FailureDomain)
 	}
-	if w == nil {
+	if p == nil {
 		return out
 	}
-	for _, t := range w.attempts {
+	for _, t := range p.attempts {
 		out = append(out, h.members[t.to].FailureDomain)
 	}
 	return out
@@ -253,7 +253,7 @@
 // durableHolders returns the holders whose copies count: all but those that have
 // no folder, are lost or are leaving.
 func (h *Holders) durableHolders(b *blob) (out []string) {
-	for _, name := range b.copies {
+	for _, name := range b.holders {
 		if m := h.members[name]; m != nil && m.Disk && !m.lost && !m.leaving {
 			out = append(out, name)
 		}
--- a/internal/shard/blobs/sweep.go
+++ b/internal/shard/blobs/drop.go
@@ -19,16 +19,16 @@
 	if err := f.open(); err != nil {
 		return nil, err
 	}
-	parts, err := listNames(f.shardDir(shard))
+	prefixes, err := listNames(f.shardDir(shard))
 	if err != nil {
 		return nil, err
 	}
 	from := after.String()
-	for _, part := range parts {
-		if part < from[:2] || part == fenceFile {
+	for _, prefix := range prefixes {
+		if prefix < from[:2] || prefix == fenceFile {
 			continue
 		}
-		files, err := listNames(filepath.Join(f.shardDir(shard), part))
+		files, err := listNames(filepath.Join(f.shardDir(shard), prefix))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/shard/blobs/holders.go
+++ b/internal/shard/blobs/holders.go
@@ -13,7 +13,7 @@
 	replicas      = 2               // copies of a blob, each in a failure domain of its own
 	storeTimeout  = 2 * time.Second // of one attempt
 	placeTimeout  = 5 * time.Second // of all attempts to place a text
-	copyTimeout   = 30 * time.Second
+	repairTimeout = 30 * time.Second
 	lostAfter     = 2 * time.Minute // longer than a restart takes
 	retryAfter    = time.Minute     // before a repair tries failed holders again
 	auditInterval = time.Hour
@@ -49,10 +49,10 @@
 
 	// blob is kept small, since an owner has many in memory.
 	blob struct {
-		size   int
-		refs   int      // references from the journal
-		copies []string // holders that confirmed a copy or are named by the journal
-		queued bool     // it is in repairQueue
+		size    int
+		refs    int      // references from the journal
+		holders []string // holders that confirmed a copy or are named by the journal
+		queued  bool     // it is in repairQueue
 	}
 
 	// placement is the state of storing or repairing one blob.
--- a/internal/shard/blobs/repair.go
+++ b/internal/shard/blobs/repair.go
@@ -48,7 +48,7 @@
 // copy can't be repaired; only an audit can find a copy of it.
 func (h *Holders) queueRepair(d Digest) {
 	b := h.blobs[d]
-	if b.refs == 0 || b.queued || len(b.copies) == 0 || len(h.durableHolders(b)) >= replicas {
+	if b.refs == 0 || b.queued || len(b.holders) == 0 || len(h.durableHolders(b)) >= replicas {
 		return
 	}
 	b.queued = true
@@ -58,15 +58,15 @@
 // queueRepairsAt queues the blobs of a holder, in the order of their digests, so
 // that the same messages always have the same effects.
 func (h *Holders) queueRepairsAt(name string) {
-	for _, d := range h.at(name) {
+	for _, d := range h.heldAt(name) {
 		h.queueRepair(d)
 	}
 }
 
 // at returns the digests of the blobs that the holder should have, sorted.
-func (h *Holders) at(name string) (out []Digest) {
+func (h *Holders) heldAt(name string) (out []Digest) {
 	for d, b := range h.blobs {
-		if slices.Contains(b.copies, name) {
+		if slices.Contains(b.holders, name) {
 			out = append(out, d)
 		}
 	}
@@ -93,8 +93,8 @@
 // expireAttempts fails the attempts whose holder has not answered in time.
 func (h *Holders) expireAttempts(now time.Time) (out []Effect) {
 	var late []CopyFailed
-	for d, w := range h.placement {
-		for _, t := range w.attempts {
+	for d, p := range h.placement {
+		for _, t := range p.attempts {
 			if !now.Before(t.expires) {
 				late = append(late, CopyFailed{Digest: d, To: t.to})
 			}
@@ -135,11 +135,11 @@
 // forgetRepair deletes the placement that a repair keeps for its next attempt if
 // no repair is needed any more or none is possible.
 func (h *Holders) forgetRepair(d Digest) {
-	b, w := h.blobs[d], h.placement[d]
-	if w == nil || w.pendingStores > 0 || len(w.attempts) > 0 {
+	b, p := h.blobs[d], h.placement[d]
+	if p == nil || p.pendingStores > 0 || len(p.attempts) > 0 {
 		return
 	}
-	if len(h.durableHolders(b)) >= replicas || len(b.copies) == 0 {
+	if len(h.durableHolders(b)) >= replicas || len(b.holders) == 0 {
 		delete(h.placement, d)
 	}
 }
@@ -147,12 +147,12 @@
 // repairBlob starts one copy of a blob that has too few, from a holder that can
 // be read.
 func (h *Holders) repairBlob(now time.Time, d Digest, b *blob) (e Copy, ok bool) {
-	w := h.placement[d]
-	if len(h.durableHolders(b)) >= replicas || w != nil && len(w.attempts) > 0 {
+	p := h.placement[d]
+	if len(h.durableHolders(b)) >= replicas || p != nil && len(p.attempts) > 0 {
 		return e, false
 	}
-	if w != nil && !now.Before(w.retryAt) {
-		w.failed = nil
+	if p != nil && !now.Before(p.retryAt) {
+		p.failed = nil
 	}
 	source, ok := h.read(Read{Digest: d})[0].(Fetch)
 	if !ok {
@@ -162,11 +162,11 @@
 	if !ok {
 		return e, false
 	}
-	if w == nil {
-		w = &placement{}
-		h.placement[d] = w
+	if p == nil {
+		p = &placement{}
+		h.placement[d] = p
 	}
-	w.attempts = append(w.attempts, attempt{to: to, expires: now.Add(copyTimeout), repair: true})
+	p.attempts = append(p.attempts, attempt{to: to, expires: now.Add(repairTimeout), repair: true})
 	h.activeRepairs++
 	return Copy{Digest: d, Size: b.size, From: source.From, To: to}, true
 }
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -155,14 +155,14 @@
 		// An attempt may have taken effect although its answer was lost. The
 		// nonce shows whether the entry is this daemon's; a wrong guess would
 		// give the shard two owners or leave an epoch without one.
-		own, rerr := t.read(ctx, res.Next)
+		found, rerr := t.read(ctx, res.Next)
 		if errors.Is(rerr, store.ErrNotFound) {
 			return false, err
 		}
 		if rerr != nil {
 			return false, rerr
 		}
-		if own.Nonce != e.Nonce || own.Epoch != epoch {
+		if found.Nonce != e.Nonce || found.Epoch != epoch {
 			return false, nil
 		}
 	default:
--- a/internal/shard/jrnl/jrnl.go
+++ b/internal/shard/jrnl/jrnl.go
@@ -52,16 +52,16 @@
 		Interval time.Duration // minimum time between two creations
 		Rand     func() uint64 // for nonces and jitter
 
-		queued      []queued
-		bytes       int    // size of the queued records and those in flight
-		seq         uint64 // of the newest record added
-		pieceID     uint64 // last id given to record.Units to join a record's pieces
-		inFlight    *inFlight
-		lastCreated time.Time // when the newest entry was created
-		retryAt     time.Time
-		backoff     time.Duration
-		firstSent   time.Time // when the entry in flight was first sent
-		fenced      bool
+		queued           []queued
+		uncommittedBytes int    // size of the queued records and those in flight
+		seq              uint64 // of the newest record added
+		pieceID          uint64 // last id given to record.Units to join a record's pieces
+		inFlight         *inFlight
+		lastCreated      time.Time // when the newest entry was created
+		retryAt          time.Time
+		backoff          time.Duration
+		firstSent        time.Time // when the entry in flight was first sent
+		fenced           bool
 	}
 
 	// Message is an input of Writer.
@@ -165,7 +165,7 @@
 			q.seq = w.seq
 		}
 		w.queued = append(w.queued, q)
-		w.bytes += len(u)
+		w.uncommittedBytes += len(u)
 	}
 	return w.seq, nil
 }
@@ -180,7 +180,7 @@
 		if i > 0 && w.queued[i-1].seq == 0 || i == 0 && w.inFlight != nil && w.inFlight.seq == 0 {
 			return false // the record has several pieces, and some may have been sent
 		}
-		w.bytes -= len(q.unit)
+		w.uncommittedBytes -= len(q.unit)
 		w.queued = append(w.queued[:i], w.queued[i+1:]...)
 		return true
 	}
@@ -188,7 +188,7 @@
 }
 
 // QueuedBytes returns the size of the records that are not committed yet.
-func (w *Writer) QueuedBytes() int { return w.bytes }
+func (w *Writer) UncommittedBytes() int { return w.uncommittedBytes }
 
 // Idle reports whether every record added is in the journal.
 func (w *Writer) Idle() bool { return len(w.queued) == 0 && w.inFlight == nil }
@@ -266,7 +266,7 @@
 func (w *Writer) commit(now time.Time) []Effect {
 	f := w.inFlight
 	w.inFlight = nil
-	w.bytes -= f.size
+	w.uncommittedBytes -= f.size
 	w.Next = f.number + 1
 	w.lastCreated, w.backoff, w.retryAt = now, 0, time.Time{}
 	effs := []Effect{Committed{Number: f.number, Seq: f.seq, RecordBoundary: f.recordBoundary}}
--- a/internal/shard/owner/tick.go
+++ b/internal/shard/owner/tick.go
@@ -30,7 +30,7 @@
 )
 
 // stalled reports whether the store is taken for down.
-func (o *Owner) stalled() bool { return o.stalledNow || o.Writer.QueuedBytes() > o.buffer() }
+func (o *Owner) stalled() bool { return o.stalledNow || o.Writer.UncommittedBytes() > o.buffer() }
 
 func (o *Owner) buffer() int {
 	if o.cfg.Limits.JournalBuffer > 0 {
