--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -3,8 +3,9 @@
 //
 // Every daemon computes the preferred owner of each shard from its own membership
 // view. The views may differ; the store decides who owns a shard. So a daemon
-// claims only a shard without a known live owner, and hands one over only after
-// another daemon has been preferred for a while.
+// claims a shard only if no live owner is known or the owner offers it, and hands
+// one over only after another daemon has been preferred for handoverDelay or when
+// it drains itself.
 //
 // Assigner is a state machine: Step takes the time and one message and returns
 // effects.
@@ -23,8 +24,8 @@
 	handoverDelay = 3 * time.Second        // before a shard is handed over
 	fallbackDelay = 4 * time.Second        // before a daemon that is not the preferred one claims
 	retryDelay    = 500 * time.Millisecond // after a claim that failed
-	maxClaims     = 4                      // in progress at a time
-	maxHandovers  = 2
+	maxClaims     = 4                      // in progress, then a tick starts no other; offered shards are claimed anyway
+	maxHandovers  = 2                      // in progress at a time, except while draining
 )
 
 type (
@@ -74,7 +75,7 @@
 	// Drain asks to hand over all shards and claim no more.
 	Drain struct{}
 
-	// Tick has Step return the claims and handovers that are due at its time.
+	// Tick makes Step return the claims and handovers that are due.
 	Tick struct{}
 
 	// Effect is an action that Assigner asks for.
@@ -176,8 +177,8 @@
 
 // NeedsLease reports whether the daemon needs a lease: it owns or claims shards,
 // is the preferred owner of one, or may have to claim one that has had no owner
-// for fallbackDelay. An unused lease costs the store three writes per time to
-// live, from each daemon.
+// for fallbackDelay. Renewing a lease costs the store three writes per lease
+// duration for each daemon, also if the lease is not used.
 func (a *Assigner) NeedsLease(now time.Time) bool {
 	if len(a.owned) > 0 || len(a.claiming) > 0 {
 		return true
@@ -220,7 +221,8 @@
 }
 
 // handoverTarget reports whether an owned shard should be handed over now, and to
-// which daemon; while draining without another preferred daemon it is empty.
+// which daemon. While draining, the daemon returned is empty if no other one is
+// preferred. It also updates otherPreferredSince.
 func (a *Assigner) handoverTarget(now time.Time, shard int) (beat.Member, bool) {
 	to, ok := a.preferred(shard)
 	if a.draining {
@@ -244,7 +246,7 @@
 // shouldClaim reports whether the daemon should claim the shard now. If the shard
 // has had no owner for fallbackDelay, daemons other than the preferred one try at
 // random times, so that no shard stays without an owner because one daemon fails
-// or has a wrong view.
+// or has a wrong view. It also updates ownerless and noClaimBefore.
 func (a *Assigner) shouldClaim(now time.Time, shard int) bool {
 	if _, owned := locate.Owner(a.members, shard); owned {
 		delete(a.ownerless, shard)
--- a/internal/shard/assign/assign_test.go
+++ b/internal/shard/assign/assign_test.go
@@ -163,8 +163,8 @@
 }
 
 // A daemon that is not the preferred owner of any shard needs no lease, which
-// would cost the store a write every two seconds; it needs one as soon as a shard
-// would be without an owner.
+// would cost the store a write every two seconds. It needs one as soon as it
+// becomes the preferred owner of a shard, here because all others die.
 func TestNeedsLease(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(12)
--- a/internal/shard/blobio/blobio.go
+++ b/internal/shard/blobio/blobio.go
@@ -3,9 +3,9 @@
 // folders of all daemons.
 //
 // Store returns a Ref for the journal, or reports that the text must be written
-// to the journal itself. Read returns the text of a Ref. Membership changes, new
-// references and released ones are passed to Tell, in the order in which the
-// owner learns them.
+// to the journal itself. Read returns the text of a Ref. Membership changes, the
+// references read from the journal, and references that ended are passed to Tell,
+// in the order in which the owner learns them.
 package blobio
 
 import (
@@ -27,13 +27,13 @@
 )
 
 type (
-	// Peers accesses the data folders of daemons by name, including the own
-	// one. Get returns blobs.ErrNotFound or a *blobs.CorruptError if the
+	// Peers accesses the data folders of daemons by name, including that of
+	// this daemon. Get returns blobs.ErrNotFound or a *blobs.CorruptError if the
 	// holder reports that; other errors don't say whether it has the blob.
 	Peers interface {
 		Put(ctx context.Context, to string, shard int, data []byte) error
-		// Copy has the daemon named to fetch the blob from the daemon named
-		// from and store it.
+		// Copy makes the daemon "to" fetch the blob from the daemon "from" and
+		// store it.
 		Copy(ctx context.Context, to, from string, shard int, d blobs.Digest) error
 		Get(ctx context.Context, from string, shard int, d blobs.Digest) ([]byte, error)
 		List(ctx context.Context, from string, shard int, after blobs.Digest, limit int) ([]blobs.Digest, error)
@@ -62,7 +62,7 @@
 		Go func(f func())
 
 		mu      sync.Mutex
-		ctx     context.Context //nolint:containedctx // of Run, for calls that Tell starts
+		ctx     context.Context //nolint:containedctx // given to Run; calls to peers end with it
 		holders blobs.Holders
 		texts   map[blobs.Digest][]byte
 		waiters map[blobs.Digest][]*waiter
@@ -126,7 +126,8 @@
 }
 
 // Read returns the text, trying one holder after the other. A holder without an
-// intact copy is no longer read from, and a copy is made at another one.
+// intact copy is no longer read from; a new copy is made, perhaps at the same
+// holder.
 func (b *BlobStore) Read(ctx context.Context, d blobs.Digest) (text []byte, err error) {
 	defer func() { err = errors.Wrap(err, "read bulk text") }()
 	var tried []string
@@ -197,9 +198,9 @@
 	}
 }
 
-// isMissing reports whether the result of a Get shows that the holder has no
-// intact copy. Without an error the text had a wrong digest, which counts as
-// missing; other errors, such as a timeout, don't show whether it has one.
+// holderLacksCopy reports whether a Get that returned no valid text shows that
+// the holder has no intact copy. A nil err means text with a wrong digest. Other
+// errors, such as a timeout, don't show whether the holder has one.
 func holderLacksCopy(err error) bool {
 	var corrupt *blobs.CorruptError
 	return err == nil || errors.Is(err, blobs.ErrNotFound) || errors.As(err, &corrupt)
--- a/internal/shard/blobs/audit.go
+++ b/internal/shard/blobs/audit.go
@@ -92,9 +92,10 @@
 	return out
 }
 
-// checkListed handles a digest on a holder's list. If the blob has too few
-// copies, one that was given up before counts again, such as that of a VM that
-// is up after a long outage. needless reports that the copy can be dropped.
+// checkListed decides what happens to a blob on a holder's list. If the blob has
+// too few durable copies, this copy counts again, for example after a long outage
+// of the holder's VM, and the new holders are returned as an effect. needless
+// reports that the copy can be dropped.
 func (h *Holders) checkListed(d Digest, from string) (out []Effect, needless bool) {
 	b, p := h.blobs[d], h.placement[d]
 	if b == nil {
--- a/internal/shard/blobs/copies.go
+++ b/internal/shard/blobs/copies.go
@@ -50,8 +50,8 @@
 }
 
 // place starts the copies that a text still lacks. If too few folders are
-// available the text goes into the journal: a single copy would be lost with its
-// VM, and some VMs fail every day.
+// available or the deadline has passed, the text goes into the journal: a single
+// copy would be lost with its VM, and some VMs fail every day.
 func (h *Holders) place(now time.Time, d Digest) (out []Effect) {
 	b, p := h.blobs[d], h.placement[d]
 	for len(h.durableHolders(b))+len(p.attempts) < replicas {
--- a/internal/shard/blobs/drop.go
+++ b/internal/shard/blobs/drop.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// List returns up to limit digests of the shard that sort after the digest
-// after, in order. The zero digest starts from the beginning.
+// List returns, sorted, up to limit digests of the shard that are greater than
+// after. The zero digest starts from the beginning.
 func (f *Folder) List(shard int, after Digest, limit int) (out []Digest, err error) {
 	defer func() { err = errors.Wrap(err, "list blobs") }()
 	if err := f.open(); err != nil {
@@ -71,7 +71,8 @@
 	return dropped, nil
 }
 
-// fence stores the highest epoch on the disk, so that it survives a restart.
+// fence returns ErrFenced if epoch is below the highest one seen for the shard.
+// A higher one is stored on the disk, so that it survives a restart.
 func (f *Folder) fence(shard int, epoch uint64) error {
 	if epoch < f.fences[shard] {
 		return ErrFenced
--- a/internal/shard/blobs/folder.go
+++ b/internal/shard/blobs/folder.go
@@ -50,11 +50,11 @@
 
 		mu     sync.Mutex
 		used   int64
-		fences map[int]uint64
+		fences map[int]uint64 // highest epoch seen of each shard
 	}
 
-	// CorruptError reports a blob whose bytes do not match its digest. It has
-	// been removed, so that it can be stored again.
+	// CorruptError reports a blob whose bytes do not match its digest. Get
+	// removes it, so that the blob can be stored again.
 	CorruptError struct {
 		Digest Digest
 	}
@@ -68,7 +68,7 @@
 	// ErrFull reports that the blob would exceed the folder's capacity.
 	ErrFull = errors.New("blobs: folder is full")
 	// ErrFenced reports a request from a former owner of the shard.
-	ErrFenced = errors.New("blobs: epoch of a former owner")
+	ErrFenced = errors.New("blobs: refused: the epoch is that of a former owner")
 )
 
 func (e *CorruptError) Error() string { return "blobs: corrupt: " + e.Digest.String() }
@@ -170,7 +170,7 @@
 
 // refresh reports whether an intact copy of the blob is there, and sets its age
 // to zero: an unreferenced blob that is stored again must not be dropped before
-// the journal refers to it.
+// the journal refers to it. A corrupt copy is removed.
 func (f *Folder) refresh(path string, d Digest) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/shard/blobs/holders.go
+++ b/internal/shard/blobs/holders.go
@@ -10,12 +10,12 @@
 	// Interval is the time between two Ticks.
 	Interval = time.Second
 
-	replicas      = 2               // copies of a blob, each in a failure domain of its own
-	storeTimeout  = 2 * time.Second // of one attempt
-	placeTimeout  = 5 * time.Second // of all attempts to place a text
-	repairTimeout = 30 * time.Second
-	lostAfter     = 2 * time.Minute // longer than a restart takes
-	retryAfter    = time.Minute     // before a repair tries failed holders again
+	replicas      = 2                // copies of a blob, each in a failure domain of its own
+	storeTimeout  = 2 * time.Second  // of one attempt
+	placeTimeout  = 5 * time.Second  // of all attempts to place a text
+	repairTimeout = 30 * time.Second // of one repair copy
+	lostAfter     = 2 * time.Minute  // longer than a restart takes
+	retryAfter    = time.Minute      // before a repair tries failed holders again
 	auditInterval = time.Hour
 	auditTimeout  = 30 * time.Second
 	maxRepairs    = 4  // repair copies in progress at a time
@@ -33,7 +33,7 @@
 		members       map[string]*member // those with a folder, and holders known only from the journal
 		blobs         map[Digest]*blob
 		placement     map[Digest]*placement // blobs that are being stored or repaired
-		repairQueue   []Digest              // blobs with too few copies, in the order of the attempts
+		repairQueue   []Digest              // blobs with too few durable copies; the first is tried next
 		activeRepairs int                   // repair copies in progress
 		auditQueue    []string              // holders to be audited
 		audit         *audit
@@ -60,8 +60,8 @@
 		pendingStores int       // Stores that wait for Stored or Inline; 0 in a repair
 		deadline      time.Time // of the pending Stores; after it they get Inline
 		attempts      []attempt
-		failed        []string  // holders that are not chosen again
-		retryAt       time.Time // when a repair clears failed
+		failed        []string // holders that are not chosen again; a repair clears them at retryAt
+		retryAt       time.Time
 	}
 
 	attempt struct {
--- a/internal/shard/blobs/holders_test.go
+++ b/internal/shard/blobs/holders_test.go
@@ -138,8 +138,8 @@
 			h.want(CopyFailed{Digest: one, To: out[1].(Copy).To}, Inline{Digest: one})
 		}},
 		// A VM does not answer the copy request, because its disk hangs. The
-		// program does not wait for it: after a timeout the copy goes to another
-		// VM, and after a second timeout the text goes into the journal.
+		// program waits only for the timeout: then the copy goes to another VM,
+		// and after a second timeout the text goes into the journal.
 		"one hangs": {[]beat.Member{a1, t1, u1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			h.want(Copied{Digest: one, To: out[0].(Copy).To})
@@ -150,8 +150,8 @@
 			h.want(Copied{Digest: one, To: next[0].(Copy).To})
 		}},
 		// The VM with the first copy is about to be replaced before the second
-		// copy is made. The text needs a third holder; without one the Store
-		// would never be answered.
+		// copy is made. The text then needs a third holder; if no further copy
+		// were started, the Store would never be answered.
 		"the first holder leaves before the second copy": {[]beat.Member{a1, t1, u1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			first, second := out[0].(Copy).To, out[1].(Copy).To
--- a/internal/shard/blobs/model_test.go
+++ b/internal/shard/blobs/model_test.go
@@ -70,7 +70,7 @@
 			}
 		}
 		if len(domains) < replicas {
-			md.Fatalf("kept at %v, domains %v", s.Holders, domains)
+			md.Fatalf("stored at %v, but on disk only in failure domains %v", s.Holders, domains)
 		}
 	}
 	md.journal[s.Digest] = s.Holders
--- a/internal/shard/blobs/repair.go
+++ b/internal/shard/blobs/repair.go
@@ -10,8 +10,8 @@
 )
 
 // updateMember applies a daemon's new membership state. A daemon without a data
-// folder is ignored unless it is known as a holder. One that has restarted may
-// have lost its blobs, so its list is audited soon.
+// folder is ignored unless it is known as a holder. A daemon that has restarted
+// may have lost its blobs, so its list is audited soon.
 func (h *Holders) updateMember(now time.Time, p beat.Member) {
 	m := h.members[p.Name]
 	if m == nil && !p.Disk {
@@ -63,7 +63,7 @@
 	}
 }
 
-// at returns the digests of the blobs that the holder should have, sorted.
+// heldAt returns the digests of the blobs that the holder should have, sorted.
 func (h *Holders) heldAt(name string) (out []Digest) {
 	for d, b := range h.blobs {
 		if slices.Contains(b.holders, name) {
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -40,7 +40,7 @@
 		Fold        state.Fold
 		Epoch       uint64
 		Next        uint64 // number of the first entry to write
-		EntriesRead int    // journal entries read
+		EntriesRead int    // journal entries after the snapshot, without the one that Acquire created
 		Snap        *fold.Snap
 	}
 
@@ -152,9 +152,10 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &c), errors.Is(err, store.ErrUnknown):
-		// An attempt may have taken effect although its answer was lost. The
-		// nonce shows whether the entry is this daemon's; a wrong guess would
-		// give the shard two owners or leave an epoch without one.
+		// An attempt of this Put may have taken effect although its answer was
+		// lost. The nonce shows whether the entry is this daemon's; a wrong
+		// guess would give the shard two owners or leave the epoch without an
+		// owner.
 		found, rerr := t.read(ctx, res.Next)
 		if errors.Is(rerr, store.ErrNotFound) {
 			return false, err
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -61,8 +61,8 @@
 }
 
 // The creation of an epoch's first entry can fail or lose its answer. Two owners
-// of a shard would run its programs twice; without an owner they would not be
-// answered.
+// of a shard would run its programs twice; without one, their callers would get no
+// answer.
 func TestTakeover(t *testing.T) {
 	tests := map[string]struct {
 		faults map[int]keyval.Fault // by write
@@ -138,9 +138,10 @@
 	is.True(errors.As(err, &c))
 }
 
-// Any write of a snapshot can fail or lose its answer, while further journal
-// entries are written. After each fault a takeover must find the same programs
-// as from the journal alone, and the histories of ended families must be found.
+// Any write of a snapshot can fail or lose its answer. An entry that is written
+// after the state was read is not in the snapshot. After each fault a takeover
+// must find the same programs as from the journal alone, and the histories of
+// ended programs and their children must be found.
 func TestSnapshotFaults(t *testing.T) {
 	type fault struct {
 		at   int
--- a/internal/shard/jrnl/jrnl.go
+++ b/internal/shard/jrnl/jrnl.go
@@ -42,8 +42,8 @@
 	Outcome int
 
 	// Writer writes one shard's journal in one epoch. Next is the number of
-	// the first entry to write. The zero value of the unexported fields is
-	// ready to use.
+	// the next entry to write; it is set before the first Step. The zero value
+	// of the unexported fields is ready to use.
 	Writer struct {
 		Shard    int
 		Epoch    uint64
@@ -82,7 +82,7 @@
 	// ReadFailed reports that the entry could not be read back.
 	ReadFailed struct{ Number uint64 }
 
-	// Tick has Step send what is due at its time.
+	// Tick makes Step send what is due.
 	Tick struct{}
 
 	// Effect is an action that Writer asks for.
@@ -101,10 +101,10 @@
 		Number uint64
 	}
 
-	// Committed reports that all records up to Seq are in the journal. Number
-	// is the entry that holds those since the last Committed. RecordBoundary
-	// reports that no record is split between this entry and the next, so that
-	// a snapshot may be taken here.
+	// Committed reports that entry Number is in the journal. Seq is the newest
+	// record that ends in it, or 0 if none does; all records up to Seq are in
+	// the journal. RecordBoundary reports that no record is split between this
+	// entry and the next, so that a snapshot may be taken here.
 	Committed struct {
 		Number         uint64
 		Seq            uint64
@@ -170,8 +170,9 @@
 	return w.seq, nil
 }
 
-// Withdraw removes a record that has not been sent to the store yet, and reports
-// whether it did. A withdrawn record will certainly never be in the journal.
+// Withdraw removes a queued record, so that it never becomes complete in the
+// journal, and reports whether it did. A record of several pieces is usually not
+// withdrawn; if it is, a piece may be in the journal already.
 func (w *Writer) Withdraw(seq uint64) bool {
 	for i, q := range w.queued {
 		if q.seq != seq {
@@ -187,7 +188,7 @@
 	return false
 }
 
-// QueuedBytes returns the size of the records that are not committed yet.
+// UncommittedBytes returns the size of the records that are not committed yet.
 func (w *Writer) UncommittedBytes() int { return w.uncommittedBytes }
 
 // Idle reports whether every record added is in the journal.
--- a/internal/shard/xfer/xfer.go
+++ b/internal/shard/xfer/xfer.go
@@ -1,10 +1,12 @@
 // Package xfer transfers blobs between daemons: it serves a daemon's data folder
-// to the others and accesses theirs, over the link between them.
+// to the others and accesses theirs, over the connections between daemons
+// (Invoke).
 //
-// Every daemon has one Endpoint, also one without a folder, whose shards' blobs
-// are at other daemons. Endpoint implements blobio.Peers. All operations use one
-// method, and failures are returned as codes: an error of the link is text only,
-// and "not found" must be distinguishable from an unreachable daemon.
+// Every daemon has an Endpoint. One without a data folder uses it to reach the
+// blobs of its shards at other daemons. Endpoint implements blobio.Peers. All
+// operations use one method, and failures are returned as codes: an error of the
+// connection is text only, and "not found" must be distinguishable from an
+// unreachable daemon.
 package xfer
 
 import (
@@ -16,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/shard/blobs"
 )
 
-// Method is the name under which Serve is registered at the link.
+// Method is the name under which Serve is registered for calls from other daemons.
 const Method = "blobs.do"
 
 const (
@@ -66,7 +68,8 @@
 	}
 )
 
-// ErrNoFolder reports a daemon without a data folder.
+// ErrNoFolder reports that this daemon has no data folder. From another daemon
+// only its text arrives.
 var ErrNoFolder = errors.New("xfer: no data folder")
 
 // Serve handles a call from another daemon.
@@ -144,8 +147,8 @@
 	return resp, err
 }
 
-// fetch copies a blob from another daemon into the own folder. The digest of the
-// received bytes is checked: other bytes would be stored under their own digest,
+// fetch copies a blob from another daemon into this daemon's folder. The digest of
+// the received bytes is checked: other bytes would be stored under their own digest,
 // and the owner would count a copy that does not exist.
 func (e *Endpoint) fetch(ctx context.Context, req request) error {
 	data, err := e.Get(ctx, req.From, req.Shard, req.Digest)
