--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -1,12 +1,13 @@
-// Package assign decides which shards a daemon tries to own, and which it hands
-// to another.
+// Package assign decides which shards a daemon claims and which it hands over to
+// another daemon.
 //
-// Every daemon works out from its own picture of the others which of them
-// should own each shard. The pictures may differ; what settles a shard is the
-// store. So a daemon only claims a shard that no live daemon is known to own,
-// and hands one over only when the picture has been the same for a while.
+// Every daemon computes the preferred owner of each shard from its own membership
+// view. The views may differ; the store decides who owns a shard. So a daemon
+// claims a shard only if no live owner is known or the owner offers it, and hands
+// one over only after another daemon has been preferred for handoverDelay or when
+// it drains itself.
 //
-// Assign is a state machine: Step takes the time and one message and returns
+// Assigner is a state machine: Step takes the time and one message and returns
 // effects.
 package assign
 
@@ -20,113 +21,115 @@
 )
 
 const (
-	settleTime = 3 * time.Second        // before a shard is handed over
-	othersTime = 4 * time.Second        // before another than the preferred daemon claims
-	retryTime  = 500 * time.Millisecond // after a claim that failed
-	maxClaims  = 4                      // under way at a time
-	maxGives   = 2
+	handoverDelay = 3 * time.Second        // before a shard is handed over
+	fallbackDelay = 4 * time.Second        // before a daemon that is not the preferred one claims
+	retryDelay    = 500 * time.Millisecond // after a claim that failed
+	maxClaims     = 4                      // in progress, then a tick starts no other; offered shards are claimed anyway
+	maxHandovers  = 2                      // in progress at a time, except while draining
 )
 
 type (
-	// Assign is the machine. Set Self, Rand and Shards before the first Step.
-	Assign struct {
+	// Assigner is the state machine. Set Self, Rand and Shards before the
+	// first Step.
+	Assigner struct {
 		Self   string        // the daemon's name
 		Rand   func() uint64 // spreads the claims of several daemons
 		Shards int
 
-		members  []beat.Member
-		plan     []beat.Member // who should own each shard
-		planned  string        // the daemons that the plan was made for
-		owned    map[int]bool
-		claiming map[int]bool
-		giving   map[int]bool
-		notYet   map[int]time.Time // no claim of the shard before
-		orphan   map[int]time.Time // since when no owner is known
-		moved    map[int]time.Time // since when another should own our shard
-		draining bool
-		leased   bool
+		members             []beat.Member
+		plan                []beat.Member // preferred owner of each shard
+		plannedFor          string        // shards and live daemons that the plan was made for
+		owned               map[int]bool
+		claiming            map[int]bool
+		handingOver         map[int]bool
+		noClaimBefore       map[int]time.Time // earliest next claim of the shard
+		ownerless           map[int]time.Time // since when no owner is known
+		otherPreferredSince map[int]time.Time // since when another daemon is preferred for an owned shard
+		draining            bool
+		leased              bool
 	}
 
-	// Message is what Assign reacts to.
+	// Message is an input of Assigner.
 	Message interface{ message() }
 
-	// View is the present picture of the daemons.
+	// View is the current membership view.
 	View struct{ Members []beat.Member }
 
-	// Leased tells whether the daemon holds a lease to claim under.
+	// Leased reports whether the daemon holds the lease that claims need.
 	Leased struct{ OK bool }
 
-	// Claimed tells how a claim ended.
+	// Claimed reports the outcome of a Claim.
 	Claimed struct {
 		Shard int
 		OK    bool
 	}
 
-	// Offered tells that the former owner has given the shard to this daemon.
+	// Offered reports that the former owner hands the shard over to this
+	// daemon.
 	Offered struct{ Shard int }
 
-	// Gone tells that the daemon owns the shard no more, whether it handed it
-	// over, lost it or failed.
-	Gone struct{ Shard int }
+	// Released reports that the daemon no longer owns the shard, because it
+	// handed the shard over, lost it or failed to run it.
+	Released struct{ Shard int }
 
-	// Drain asks to hand over all shards and claim none.
+	// Drain asks to hand over all shards and claim no more.
 	Drain struct{}
 
-	// Tick lets time pass.
+	// Tick makes Step return the claims and handovers that are due.
 	Tick struct{}
 
-	// Effect is what Assign wants done.
+	// Effect is an action that Assigner asks for.
 	Effect interface{ effect() }
 
-	// Claim tries to own the shard; the answer is Claimed.
+	// Claim asks to take the shard over; the answer is Claimed.
 	Claim struct{ Shard int }
 
-	// Give ends ownership of the shard once its calls have ended, and offers
-	// it to the daemon To; an empty Name leaves it to whoever claims it. The
-	// answer is Gone.
-	Give struct {
+	// HandOver ends ownership of the shard once its calls have ended, and
+	// offers it to the daemon To; with an empty Name any daemon may claim it.
+	// The answer is Released.
+	HandOver struct {
 		Shard int
 		To    beat.Member
 	}
 )
 
-func (View) message()    {}
-func (Leased) message()  {}
-func (Claimed) message() {}
-func (Offered) message() {}
-func (Gone) message()    {}
-func (Drain) message()   {}
-func (Tick) message()    {}
+func (View) message()     {}
+func (Leased) message()   {}
+func (Claimed) message()  {}
+func (Offered) message()  {}
+func (Released) message() {}
+func (Drain) message()    {}
+func (Tick) message()     {}
 
-func (Claim) effect() {}
-func (Give) effect()  {}
+func (Claim) effect()    {}
+func (HandOver) effect() {}
 
 // Step applies one message.
-func (a *Assign) Step(now time.Time, m Message) []Effect {
+func (a *Assigner) Step(now time.Time, m Message) []Effect {
 	a.init()
 	switch m := m.(type) {
 	case View:
-		a.view(m.Members)
+		a.setView(m.Members)
 	case Leased:
 		a.leased = m.OK
 	case Claimed:
 		delete(a.claiming, m.Shard)
 		if m.OK {
 			a.owned[m.Shard] = true
-			delete(a.orphan, m.Shard)
+			delete(a.ownerless, m.Shard)
 			return nil
 		}
-		a.notYet[m.Shard] = now.Add(retryTime + a.jitter(retryTime))
+		a.noClaimBefore[m.Shard] = now.Add(retryDelay + a.jitter(retryDelay))
 	case Offered:
 		if a.draining || !a.leased || a.owned[m.Shard] || a.claiming[m.Shard] {
 			return nil
 		}
 		return []Effect{a.claim(m.Shard)}
-	case Gone:
+	case Released:
 		delete(a.owned, m.Shard)
-		delete(a.giving, m.Shard)
-		delete(a.moved, m.Shard)
-		a.notYet[m.Shard] = now.Add(retryTime + a.jitter(retryTime))
+		delete(a.handingOver, m.Shard)
+		delete(a.otherPreferredSince, m.Shard)
+		a.noClaimBefore[m.Shard] = now.Add(retryDelay + a.jitter(retryDelay))
 	case Drain:
 		a.draining = true
 	case Tick:
@@ -135,21 +138,21 @@
 	return nil
 }
 
-func (a *Assign) init() {
+func (a *Assigner) init() {
 	if a.owned != nil {
 		return
 	}
 	a.owned = map[int]bool{}
 	a.claiming = map[int]bool{}
-	a.giving = map[int]bool{}
-	a.notYet = map[int]time.Time{}
-	a.orphan = map[int]time.Time{}
-	a.moved = map[int]time.Time{}
+	a.handingOver = map[int]bool{}
+	a.noClaimBefore = map[int]time.Time{}
+	a.ownerless = map[int]time.Time{}
+	a.otherPreferredSince = map[int]time.Time{}
 }
 
-// view takes a new picture in. Working the plan out costs a hash for each shard
-// and daemon, so it is done only when a daemon came, left or changed its state.
-func (a *Assign) view(members []beat.Member) {
+// setView sets the membership view. Computing the plan takes a hash for each
+// shard and daemon, so it is done only when the set of live daemons has changed.
+func (a *Assigner) setView(members []beat.Member) {
 	a.members = members
 	var b strings.Builder
 	for _, m := range members {
@@ -159,23 +162,24 @@
 		}
 	}
 	key := strconv.Itoa(a.Shards) + "/" + b.String()
-	if key != a.planned {
-		a.planned, a.plan = key, locate.Plan(members, a.Shards, a.Shards)
+	if key != a.plannedFor {
+		a.plannedFor, a.plan = key, locate.Plan(members, a.Shards, a.Shards)
 	}
 }
 
-// preferred is the daemon that should own the shard.
-func (a *Assign) preferred(shard int) (beat.Member, bool) {
+// preferred returns the daemon that should own the shard.
+func (a *Assigner) preferred(shard int) (beat.Member, bool) {
 	if shard >= len(a.plan) {
 		return beat.Member{}, false
 	}
 	return a.plan[shard], true
 }
 
-// Wants reports whether the daemon has a use for a lease: it owns shards, should
-// own some, or may have to take one that nobody claims. A lease that is only
-// held costs the store three writes in its time to live, from each daemon.
-func (a *Assign) Wants(now time.Time) bool {
+// NeedsLease reports whether the daemon needs a lease: it owns or claims shards,
+// is the preferred owner of one, or may have to claim one that has had no owner
+// for fallbackDelay. Renewing a lease costs the store three writes per lease
+// duration for each daemon, also if the lease is not used.
+func (a *Assigner) NeedsLease(now time.Time) bool {
 	if len(a.owned) > 0 || len(a.claiming) > 0 {
 		return true
 	}
@@ -184,40 +188,42 @@
 		if ok && to.Name == a.Self {
 			return true
 		}
-		if since, orphan := a.orphan[s]; orphan && now.Sub(since) >= othersTime {
+		if since, ownerless := a.ownerless[s]; ownerless && now.Sub(since) >= fallbackDelay {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Assign) jitter(d time.Duration) time.Duration {
+func (a *Assigner) jitter(d time.Duration) time.Duration {
 	return time.Duration(a.Rand() % uint64(d))
 }
 
-func (a *Assign) claim(shard int) Effect {
+func (a *Assigner) claim(shard int) Effect {
 	a.claiming[shard] = true
 	return Claim{Shard: shard}
 }
 
-func (a *Assign) tick(now time.Time) (effs []Effect) {
+func (a *Assigner) tick(now time.Time) (effs []Effect) {
 	for s := range a.Shards {
 		switch {
-		case a.giving[s] || a.claiming[s]:
+		case a.handingOver[s] || a.claiming[s]:
 		case a.owned[s]:
-			if to, ok := a.successor(now, s); ok && (a.draining || len(a.giving) < maxGives) {
-				a.giving[s] = true
-				effs = append(effs, Give{Shard: s, To: to})
+			if to, ok := a.handoverTarget(now, s); ok && (a.draining || len(a.handingOver) < maxHandovers) {
+				a.handingOver[s] = true
+				effs = append(effs, HandOver{Shard: s, To: to})
 			}
-		case !a.draining && a.wants(now, s) && a.leased && len(a.claiming) < maxClaims:
+		case !a.draining && a.shouldClaim(now, s) && a.leased && len(a.claiming) < maxClaims:
 			effs = append(effs, a.claim(s))
 		}
 	}
 	return effs
 }
 
-// successor tells whether an owned shard should go to another daemon.
-func (a *Assign) successor(now time.Time, shard int) (beat.Member, bool) {
+// handoverTarget reports whether an owned shard should be handed over now, and to
+// which daemon. While draining, the daemon returned is empty if no other one is
+// preferred. It also updates otherPreferredSince.
+func (a *Assigner) handoverTarget(now time.Time, shard int) (beat.Member, bool) {
 	to, ok := a.preferred(shard)
 	if a.draining {
 		if to.Name == a.Self {
@@ -226,40 +232,41 @@
 		return to, true
 	}
 	if !ok || to.Name == a.Self {
-		delete(a.moved, shard)
+		delete(a.otherPreferredSince, shard)
 		return beat.Member{}, false
 	}
-	since, known := a.moved[shard]
+	since, known := a.otherPreferredSince[shard]
 	if !known {
-		a.moved[shard] = now
+		a.otherPreferredSince[shard] = now
 		return beat.Member{}, false
 	}
-	return to, now.Sub(since) >= settleTime
+	return to, now.Sub(since) >= handoverDelay
 }
 
-// wants tells whether the daemon should claim the shard now. Where the
-// preferred daemon can't or won't, any other does after a while, so that no
-// shard stays without an owner because one daemon has a wrong picture.
-func (a *Assign) wants(now time.Time, shard int) bool {
+// shouldClaim reports whether the daemon should claim the shard now. If the shard
+// has had no owner for fallbackDelay, daemons other than the preferred one try at
+// random times, so that no shard stays without an owner because one daemon fails
+// or has a wrong view. It also updates ownerless and noClaimBefore.
+func (a *Assigner) shouldClaim(now time.Time, shard int) bool {
 	if _, owned := locate.Owner(a.members, shard); owned {
-		delete(a.orphan, shard)
+		delete(a.ownerless, shard)
 		return false
 	}
-	since, known := a.orphan[shard]
+	since, known := a.ownerless[shard]
 	if !known {
 		since = now
-		a.orphan[shard] = now
+		a.ownerless[shard] = now
 	}
-	if now.Before(a.notYet[shard]) {
+	if now.Before(a.noClaimBefore[shard]) {
 		return false
 	}
 	to, ok := a.preferred(shard)
 	if ok && to.Name == a.Self {
 		return true
 	}
-	if now.Sub(since) < othersTime {
+	if now.Sub(since) < fallbackDelay {
 		return false
 	}
-	a.notYet[shard] = now.Add(a.jitter(othersTime))
+	a.noClaimBefore[shard] = now.Add(a.jitter(fallbackDelay))
 	return a.Rand()%2 == 0
 }
--- a/internal/shard/blobs/copies.go
+++ b/internal/shard/blobs/copies.go
@@ -9,147 +9,148 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// known takes over a reference from the journal. A holder that nobody has heard
-// of counts as down from now on.
-func (h *Holders) known(now time.Time, k Known) {
+// addReference adds a reference from the journal. A holder whose state is not
+// known counts as down from now on.
+func (h *Holders) addReference(now time.Time, k Known) {
 	if b := h.blobs[k.Digest]; b != nil {
 		b.refs++
 		return
 	}
 	for _, name := range k.Holders {
 		if h.members[name] == nil {
-			h.members[name] = &member{Member: beat.Member{Name: name, Disk: true, State: beat.Down}, since: now}
+			h.members[name] = &member{Member: beat.Member{Name: name, Disk: true, State: beat.Down}, downSince: now}
 		}
 	}
-	h.blobs[k.Digest] = &blob{size: k.Size, refs: 1, copies: slices.Clone(k.Holders)}
-	h.weaken(k.Digest)
+	h.blobs[k.Digest] = &blob{size: k.Size, refs: 1, holders: slices.Clone(k.Holders)}
+	h.queueRepair(k.Digest)
 }
 
-// store places a text. One that is placed already needs no further copy.
+// store starts placing a text. One that has enough copies already is only
+// counted as referenced once more.
 func (h *Holders) store(now time.Time, s Store) []Effect {
-	b, w := h.blobs[s.Digest], h.work[s.Digest]
-	if b != nil && len(h.sound(b)) >= wanted {
+	b, p := h.blobs[s.Digest], h.placement[s.Digest]
+	if b != nil && len(h.durableHolders(b)) >= replicas {
 		b.refs++
-		return []Effect{Kept{Digest: s.Digest, Size: b.size, Holders: slices.Clone(b.copies)}}
+		return []Effect{Stored{Digest: s.Digest, Size: b.size, Holders: slices.Clone(b.holders)}}
 	}
 	if b == nil {
 		b = &blob{size: s.Size}
 		h.blobs[s.Digest] = b
 	}
-	if w == nil {
-		w = &work{}
-		h.work[s.Digest] = w
+	if p == nil {
+		p = &placement{}
+		h.placement[s.Digest] = p
 	}
-	w.stores++
-	if w.stores > 1 {
+	p.pendingStores++
+	if p.pendingStores > 1 {
 		return nil
 	}
-	w.limit = now.Add(storeLimit)
+	p.deadline = now.Add(placeTimeout)
 	return h.place(now, s.Digest)
 }
 
-// place starts the copies that a text still lacks. Where there are too few
-// folders the text goes into the journal: a single copy would be lost with its
-// VM, and some of those fail every day.
+// place starts the copies that a text still lacks. If too few folders are
+// available or the deadline has passed, the text goes into the journal: a single
+// copy would be lost with its VM, and some VMs fail every day.
 func (h *Holders) place(now time.Time, d Digest) (out []Effect) {
-	b, w := h.blobs[d], h.work[d]
-	for len(h.sound(b))+len(w.tries) < wanted {
-		to, ok := h.choose(d)
-		if !ok || !now.Before(w.limit) {
+	b, p := h.blobs[d], h.placement[d]
+	for len(h.durableHolders(b))+len(p.attempts) < replicas {
+		to, ok := h.chooseHolder(d)
+		if !ok || !now.Before(p.deadline) {
 			return h.inline(d)
 		}
-		w.tries = append(w.tries, try{to: to, until: now.Add(storeTimeout)})
+		p.attempts = append(p.attempts, attempt{to: to, expires: now.Add(storeTimeout)})
 		out = append(out, Copy{Digest: d, Size: b.size, To: to})
 	}
 	return out
 }
 
-// inline gives up placing. A blob that the journal referred to before stays
-// known, since a holder that is lost now may come back with it, and the journal
-// is told of the copies that were made.
+// inline ends a placement that failed. A blob that the journal already refers to
+// stays known, since a holder that is lost now may return with a copy, and the
+// holders of the copies that were made are reported to the journal.
 func (h *Holders) inline(d Digest) []Effect {
-	h.finish(d)
+	h.endPlacement(d)
 	out := []Effect{Inline{Digest: d}}
 	if h.blobs[d].refs == 0 {
 		delete(h.blobs, d)
 		return out
 	}
-	return append(out, h.keep(d)...)
+	return append(out, h.reportHolders(d)...)
 }
 
-// copied takes note of a copy. An answer to a try that was given up is ignored;
-// what it left on the disk shows in the holder's list.
+// copied records a finished copy. The result of an attempt that has ended is
+// ignored; an audit finds what it left on the disk.
 func (h *Holders) copied(now time.Time, c Copied) []Effect {
-	if !h.land(c.Digest, c.To) {
+	if !h.endAttempt(c.Digest, c.To) {
 		return nil
 	}
-	b, w := h.blobs[c.Digest], h.work[c.Digest]
-	b.copies = append(b.copies, c.To)
-	if w.stores > 0 && len(h.sound(b)) < wanted {
-		return h.place(now, c.Digest) // the other copy's holder may be lost by now
+	b, p := h.blobs[c.Digest], h.placement[c.Digest]
+	b.holders = append(b.holders, c.To)
+	if p.pendingStores > 0 && len(h.durableHolders(b)) < replicas {
+		return h.place(now, c.Digest) // the other copy's holder may have been lost since
 	}
-	b.refs += w.stores
-	h.finish(c.Digest)
-	return h.keep(c.Digest)
+	b.refs += p.pendingStores
+	h.endPlacement(c.Digest)
+	return h.reportHolders(c.Digest)
 }
 
-// keep tells the journal of the holders. Those that are lost stay on the list
-// only while there are too few others.
-func (h *Holders) keep(d Digest) []Effect {
+// reportHolders reports a blob's holders to the journal. Those that are lost or
+// leaving stay among them only while there are too few others.
+func (h *Holders) reportHolders(d Digest) []Effect {
 	b := h.blobs[d]
-	if sound := h.sound(b); len(sound) >= wanted {
-		b.copies = sound
+	if durableHolders := h.durableHolders(b); len(durableHolders) >= replicas {
+		b.holders = durableHolders
 	}
-	h.weaken(d)
-	return []Effect{Kept{Digest: d, Size: b.size, Holders: slices.Clone(b.copies)}}
+	h.queueRepair(d)
+	return []Effect{Stored{Digest: d, Size: b.size, Holders: slices.Clone(b.holders)}}
 }
 
-// fail gives up a copy: a text goes elsewhere at once, a repair waits for its
-// next turn.
-func (h *Holders) fail(now time.Time, d Digest, to string) []Effect {
-	if !h.land(d, to) {
+// copyFailed ends an attempt. A text that is being stored is copied to another
+// holder at once or goes into the journal; a repair is queued again.
+func (h *Holders) copyFailed(now time.Time, d Digest, to string) []Effect {
+	if !h.endAttempt(d, to) {
 		return nil
 	}
-	w := h.work[d]
-	w.failed = append(w.failed, to)
-	w.again = now.Add(retryAfter)
-	if w.stores > 0 {
+	p := h.placement[d]
+	p.failed = append(p.failed, to)
+	p.retryAt = now.Add(retryAfter)
+	if p.pendingStores > 0 {
 		return h.place(now, d)
 	}
-	h.settled(d)
-	h.weaken(d)
+	h.forgetRepair(d)
+	h.queueRepair(d)
 	return nil
 }
 
-// land ends the try at the holder and reports whether there was one.
-func (h *Holders) land(d Digest, to string) bool {
-	w := h.work[d]
-	if w == nil {
+// endAttempt ends the attempt at the holder and reports whether there was one.
+func (h *Holders) endAttempt(d Digest, to string) bool {
+	p := h.placement[d]
+	if p == nil {
 		return false
 	}
-	i := slices.IndexFunc(w.tries, func(t try) bool { return t.to == to })
+	i := slices.IndexFunc(p.attempts, func(t attempt) bool { return t.to == to })
 	if i < 0 {
 		return false
 	}
-	if w.tries[i].repair {
-		h.flying--
+	if p.attempts[i].repair {
+		h.activeRepairs--
 	}
-	w.tries = slices.Delete(w.tries, i, i+1)
+	p.attempts = slices.Delete(p.attempts, i, i+1)
 	return true
 }
 
-// finish forgets the placing of a blob with the tries that are left.
-func (h *Holders) finish(d Digest) {
-	w := h.work[d]
-	if w == nil {
+// endPlacement deletes a blob's placement with its remaining attempts.
+func (h *Holders) endPlacement(d Digest) {
+	p := h.placement[d]
+	if p == nil {
 		return
 	}
-	for _, t := range w.tries {
+	for _, t := range p.attempts {
 		if t.repair {
-			h.flying--
+			h.activeRepairs--
 		}
 	}
-	delete(h.work, d)
+	delete(h.placement, d)
 }
 
 func (h *Holders) release(d Digest) (out []Effect) {
@@ -158,35 +159,35 @@
 		return nil
 	}
 	b.refs--
-	w := h.work[d]
-	if b.refs > 0 || w != nil && w.stores > 0 {
+	p := h.placement[d]
+	if b.refs > 0 || p != nil && p.pendingStores > 0 {
 		return nil
 	}
-	h.finish(d)
+	h.endPlacement(d)
 	delete(h.blobs, d)
-	for _, name := range b.copies {
+	for _, name := range b.holders {
 		out = append(out, Drop{To: name, Digests: []Digest{d}})
 	}
 	return out
 }
 
-// gone removes a copy that is certainly not there.
-func (h *Holders) gone(d Digest, from string) {
+// removeCopy removes a copy that is certainly missing or corrupt.
+func (h *Holders) removeCopy(d Digest, from string) {
 	b := h.blobs[d]
 	if b == nil {
 		return
 	}
-	b.copies = slices.DeleteFunc(b.copies, func(n string) bool { return n == from })
-	h.weaken(d)
+	b.holders = slices.DeleteFunc(b.holders, func(n string) bool { return n == from })
+	h.queueRepair(d)
 }
 
-// read chooses the nearest holder that is up, then others that are up, then
-// those that are only suspected.
+// read chooses a holder in the owner's failure domain, then one in another, then
+// one that is suspected to be down.
 func (h *Holders) read(r Read) []Effect {
 	best, top := "", 0
 	if b := h.blobs[r.Digest]; b != nil {
-		for _, name := range b.copies {
-			if n := h.rank(name); n > top && !slices.Contains(r.Tried, name) {
+		for _, name := range b.holders {
+			if n := h.readRank(name); n > top && !slices.Contains(r.Tried, name) {
 				best, top = name, n
 			}
 		}
@@ -197,32 +198,33 @@
 	return []Effect{Fetch{Digest: r.Digest, From: best}}
 }
 
-// rank orders holders for reading; 0 is one that can't be read.
-func (h *Holders) rank(name string) int {
+// readRank returns a holder's preference for reading, the highest first; 0 is
+// one that can't be read.
+func (h *Holders) readRank(name string) int {
 	m := h.members[name]
 	switch {
 	case m == nil || !m.Disk || m.State == beat.Down:
 		return 0
 	case m.State == beat.Suspect:
 		return 1
-	case m.FailureDomain != h.domain:
+	case m.FailureDomain != h.ownDomain:
 		return 2
 	}
 	return 3
 }
 
-// choose returns the holder for a further copy: up, in a failure domain that
-// has none yet, and otherwise the one that the digest falls to, so that blobs
-// spread evenly.
-func (h *Holders) choose(d Digest) (best string, ok bool) {
-	b, w := h.blobs[d], h.work[d]
-	taken := h.domains(b, w)
+// chooseHolder returns the holder for a further copy: one that is up, in a
+// failure domain without a copy. Rendezvous hashing chooses between these, so
+// that blobs spread evenly.
+func (h *Holders) chooseHolder(d Digest) (best string, ok bool) {
+	b, p := h.blobs[d], h.placement[d]
+	taken := h.usedDomains(b, p)
 	top := uint64(0)
 	for name, m := range h.members {
 		if !m.Disk || m.State != beat.Alive || m.leaving || slices.Contains(taken, m.FailureDomain) {
 			continue
 		}
-		if slices.Contains(b.copies, name) || w != nil && slices.Contains(w.failed, name) {
+		if slices.Contains(b.holders, name) || p != nil && slices.Contains(p.failed, name) {
 			continue
 		}
 		score := xxhash.Sum64(append(d[:], name...))
@@ -233,24 +235,25 @@
 	return best, ok
 }
 
-// domains returns the failure domains in which the blob has or gets a copy.
-func (h *Holders) domains(b *blob, w *work) (out []string) {
-	for _, name := range h.sound(b) {
+// usedDomains returns the failure domains in which the blob has a durable copy
+// or one in progress.
+func (h *Holders) usedDomains(b *blob, p *placement) (out []string) {
+	for _, name := range h.durableHolders(b) {
 		out = append(out, h.members[name].FailureDomain)
 	}
-	if w == nil {
+	if p == nil {
 		return out
 	}
-	for _, t := range w.tries {
+	for _, t := range p.attempts {
 		out = append(out, h.members[t.to].FailureDomain)
 	}
 	return out
 }
 
-// sound returns the holders whose copies count: all but those that are lost
-// or about to be.
-func (h *Holders) sound(b *blob) (out []string) {
-	for _, name := range b.copies {
+// durableHolders returns the holders whose copies count: all but those that have
+// no folder, are lost or are leaving.
+func (h *Holders) durableHolders(b *blob) (out []string) {
+	for _, name := range b.holders {
 		if m := h.members[name]; m != nil && m.Disk && !m.lost && !m.leaving {
 			out = append(out, name)
 		}
--- a/internal/shard/blobs/sweep.go
+++ b/internal/shard/blobs/drop.go
@@ -12,23 +12,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// List returns up to limit digests of the shard that sort after the digest
-// after, in order. The zero digest starts from the beginning.
+// List returns, sorted, up to limit digests of the shard that are greater than
+// after. The zero digest starts from the beginning.
 func (f *Folder) List(shard int, after Digest, limit int) (out []Digest, err error) {
 	defer func() { err = errors.Wrap(err, "list blobs") }()
 	if err := f.open(); err != nil {
 		return nil, err
 	}
-	parts, err := names(f.shardDir(shard))
+	prefixes, err := listNames(f.shardDir(shard))
 	if err != nil {
 		return nil, err
 	}
 	from := after.String()
-	for _, part := range parts {
-		if part < from[:2] || part == fenceFile {
+	for _, prefix := range prefixes {
+		if prefix < from[:2] || prefix == fenceFile {
 			continue
 		}
-		files, err := names(filepath.Join(f.shardDir(shard), part))
+		files, err := listNames(filepath.Join(f.shardDir(shard), prefix))
 		if err != nil {
 			return nil, err
 		}
@@ -44,10 +44,11 @@
 	return out, nil
 }
 
-// Drop removes blobs that the shard's owner needs no more. Those younger than
-// MinAge stay, since whoever stored them may be about to refer to them. An
-// owner with an epoch below the highest seen has lost the shard, perhaps
-// without having noticed; what it drops may be needed by the next one.
+// Drop removes blobs that the shard's owner no longer needs and returns how many
+// were removed. Those younger than MinAge stay, since a reference to them may not
+// have been written yet. An owner with an epoch below the highest seen gets
+// ErrFenced: it has lost the shard, perhaps without having noticed, and the
+// blobs may be needed by the next owner.
 func (f *Folder) Drop(shard int, epoch uint64, digests []Digest) (dropped int, err error) {
 	defer func() { err = errors.Wrap(err, "drop blobs") }()
 	if err := f.open(); err != nil {
@@ -59,7 +60,7 @@
 		return 0, err
 	}
 	for _, d := range digests {
-		ok, err := f.dropOld(f.path(shard, d))
+		ok, err := f.dropIfOld(f.path(shard, d))
 		if err != nil {
 			return dropped, err
 		}
@@ -70,7 +71,8 @@
 	return dropped, nil
 }
 
-// fence keeps the highest epoch on the disk, so that it holds over a restart.
+// fence returns ErrFenced if epoch is below the highest one seen for the shard.
+// A higher one is stored on the disk, so that it survives a restart.
 func (f *Folder) fence(shard int, epoch uint64) error {
 	if epoch < f.fences[shard] {
 		return ErrFenced
@@ -79,18 +81,18 @@
 		return nil
 	}
 	raw := binary.BigEndian.AppendUint64(nil, epoch)
-	temp, err := f.stage(f.shardDir(shard), raw)
+	temp, err := f.writeTemp(f.shardDir(shard), raw)
 	if err != nil {
 		return err
 	}
-	if err := settle(temp, filepath.Join(f.shardDir(shard), fenceFile)); err != nil {
+	if err := renameSynced(temp, filepath.Join(f.shardDir(shard), fenceFile)); err != nil {
 		return err
 	}
 	f.fences[shard] = epoch
 	return nil
 }
 
-func (f *Folder) dropOld(path string) (bool, error) {
+func (f *Folder) dropIfOld(path string) (bool, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -101,7 +103,7 @@
 	return true, f.remove(path)
 }
 
-// remove deletes a file and its share of the used bytes; the caller holds the
+// remove deletes a file and subtracts its size from used; the caller holds the
 // mutex.
 func (f *Folder) remove(path string) error {
 	info, err := os.Stat(path)
@@ -122,7 +124,7 @@
 	return f.MinAge
 }
 
-func names(dir string) (out []string, err error) {
+func listNames(dir string) (out []string, err error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/internal/shard/blobs/folder.go
+++ b/internal/shard/blobs/folder.go
@@ -1,13 +1,12 @@
-// Package blobs keeps bulk text, such as long prompts and answers, outside the
+// Package blobs stores bulk text, such as long prompts and answers, outside the
 // journal: as immutable blobs named by their digest, in the data folders of the
-// few VMs that have one, two copies in two failure domains.
+// few VMs that have one, with two copies in two failure domains.
 //
 // Folder is one VM's data folder. Holders runs in a shard's owner: it chooses
-// where copies go, notices lost ones and has them made again, and tells when
-// text must stay in the journal because too few folders are up. A blob's text
-// is stored before the journal refers to it, and nothing but its digest is
-// trusted: what is read is checked against it, so a copy can be missing or
-// spoilt but never wrong.
+// the holders of copies, replaces lost copies, and reports when a text must be
+// written to the journal because too few folders are up. A blob is stored before
+// the journal refers to it. Reads are verified against the digest, so a copy can
+// be missing or corrupt, but wrong bytes are never returned.
 package blobs
 
 import (
@@ -36,26 +35,26 @@
 )
 
 type (
-	// Folder is a data folder; all methods are safe for concurrent use. It
-	// belongs to one process. Blobs of different shards are kept apart, so
-	// that a shard's owner can tell which ones nobody needs.
+	// Folder is a data folder; all methods are safe for concurrent use. Only
+	// one process may use it. Blobs are stored by shard, so that a shard's
+	// owner can find the unreferenced ones.
 	Folder struct {
 		Dir      string
 		MaxSize  int           // bytes of one blob
 		Capacity int64         // bytes of all blobs
-		MinAge   time.Duration // a blob younger than that is never dropped
+		MinAge   time.Duration // a younger blob is never dropped
 		Now      func() time.Time
 
-		once  sync.Once
-		ready error
+		once    sync.Once
+		openErr error
 
 		mu     sync.Mutex
 		used   int64
-		fences map[int]uint64
+		fences map[int]uint64 // highest epoch seen of each shard
 	}
 
-	// CorruptError reports a blob whose bytes are not what was stored. It has
-	// been removed, so that another copy can take its place.
+	// CorruptError reports a blob whose bytes do not match its digest. Get
+	// removes it, so that the blob can be stored again.
 	CorruptError struct {
 		Digest Digest
 	}
@@ -68,15 +67,14 @@
 	ErrTooLarge = errors.New("blobs: blob too large")
 	// ErrFull reports that the blob would exceed the folder's capacity.
 	ErrFull = errors.New("blobs: folder is full")
-	// ErrFenced reports an order from a former owner of the shard.
-	ErrFenced = errors.New("blobs: old epoch")
+	// ErrFenced reports a request from a former owner of the shard.
+	ErrFenced = errors.New("blobs: refused: the epoch is that of a former owner")
 )
 
-// Error names the blob.
 func (e *CorruptError) Error() string { return "blobs: corrupt: " + e.Digest.String() }
 
-// Put stores data and returns its digest once it is on the disk. Storing what
-// is there already renews its age.
+// Put stores data and returns its digest once it is on the disk. If the blob is
+// there already, its age starts again from zero.
 func (f *Folder) Put(shard int, data []byte) (d Digest, err error) {
 	defer func() { err = errors.Wrap(err, "put blob") }()
 	if err := f.open(); err != nil {
@@ -86,13 +84,13 @@
 		return d, ErrTooLarge
 	}
 	d = Sum(data)
-	if f.renew(f.path(shard, d), d) {
+	if f.refresh(f.path(shard, d), d) {
 		return d, nil
 	}
 	if err := f.reserve(int64(len(data))); err != nil {
 		return d, err
 	}
-	if err := f.place(f.path(shard, d), data); err != nil {
+	if err := f.writeBlob(f.path(shard, d), data); err != nil {
 		f.unreserve(int64(len(data)))
 		return d, err
 	}
@@ -100,8 +98,7 @@
 }
 
 // Get reads a blob and checks it against its digest. Disks return wrong bytes
-// at times; without the check a program would go on from a history that it
-// never had.
+// at times; without the check a program would continue with a wrong history.
 func (f *Folder) Get(shard int, d Digest) (data []byte, err error) {
 	defer func() { err = errors.Wrap(err, "get blob") }()
 	if err := f.open(); err != nil {
@@ -122,7 +119,7 @@
 	return data, nil
 }
 
-// Used returns the bytes of all blobs.
+// Used returns the total size of all blobs in bytes.
 func (f *Folder) Used() (int64, error) {
 	err := f.open()
 	f.mu.Lock()
@@ -130,19 +127,19 @@
 	return f.used, err
 }
 
-// open prepares the folder at the first call: it removes what a crash left half
-// written and adds up what is there.
+// open prepares the folder at the first call: it removes temporary files that a
+// crash left, reads the fences and adds up the sizes of the blobs.
 func (f *Folder) open() error {
 	f.once.Do(func() {
 		f.fences = map[int]uint64{}
-		if f.ready = os.MkdirAll(f.Dir, dirMode); f.ready == nil {
-			f.ready = filepath.WalkDir(f.Dir, f.scan)
+		if f.openErr = os.MkdirAll(f.Dir, dirMode); f.openErr == nil {
+			f.openErr = filepath.WalkDir(f.Dir, f.scanEntry)
 		}
 	})
-	return f.ready
+	return f.openErr
 }
 
-func (f *Folder) scan(path string, e fs.DirEntry, err error) error {
+func (f *Folder) scanEntry(path string, e fs.DirEntry, err error) error {
 	if err != nil || e.IsDir() {
 		return err
 	}
@@ -171,10 +168,10 @@
 	return err
 }
 
-// renew tells whether the blob is there and sound, and makes it young again: a
-// blob that nobody needed so far must not be dropped while its new user is
-// about to write down that it needs it.
-func (f *Folder) renew(path string, d Digest) bool {
+// refresh reports whether an intact copy of the blob is there, and sets its age
+// to zero: an unreferenced blob that is stored again must not be dropped before
+// the journal refers to it. A corrupt copy is removed.
+func (f *Folder) refresh(path string, d Digest) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	data, err := os.ReadFile(path) //nolint:gosec // below the data folder
@@ -205,24 +202,24 @@
 	f.used -= n
 }
 
-// place makes the file appear whole or not at all: a machine that fails in the
-// middle of a plain write would leave a blob under its final name that nobody
-// ever replaces.
-func (f *Folder) place(path string, data []byte) (err error) {
-	temp, err := f.stage(filepath.Dir(path), data)
+// writeBlob creates the file atomically: a machine that fails in the middle of a
+// plain write would leave a truncated blob under its final name, which the
+// shard's owner would count as a copy.
+func (f *Folder) writeBlob(path string, data []byte) (err error) {
+	temp, err := f.writeTemp(filepath.Dir(path), data)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if info, err := os.Stat(path); err == nil {
-		f.used -= info.Size() // another caller was faster
+		f.used -= info.Size() // another caller stored it first
 	}
-	return settle(temp, path)
+	return renameSynced(temp, path)
 }
 
-// stage writes data to a file that no reader sees yet.
-func (f *Folder) stage(dir string, data []byte) (temp string, err error) {
+// writeTemp writes data to a temporary file, which readers ignore.
+func (f *Folder) writeTemp(dir string, data []byte) (temp string, err error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return "", err
 	}
@@ -230,7 +227,7 @@
 	if err != nil {
 		return "", err
 	}
-	err = fill(t, data)
+	err = writeAndSync(t, data)
 	if err == nil {
 		now := f.now()
 		err = os.Chtimes(t.Name(), now, now)
@@ -241,8 +238,8 @@
 	return t.Name(), err
 }
 
-// settle gives a staged file its name.
-func settle(temp, path string) error {
+// renameSynced gives a temporary file its final name and syncs the directory.
+func renameSynced(temp, path string) error {
 	if err := os.Rename(temp, path); err != nil {
 		_ = os.Remove(temp)
 		return err
@@ -250,7 +247,7 @@
 	return fsync.Dir(filepath.Dir(path))
 }
 
-func fill(t *os.File, data []byte) error {
+func writeAndSync(t *os.File, data []byte) error {
 	_, err := t.Write(data)
 	if err == nil {
 		err = t.Chmod(fileMode)
--- a/internal/shard/boot/boot.go
+++ b/internal/shard/boot/boot.go
@@ -1,9 +1,9 @@
 // Package boot takes a shard over: it reads the snapshot and the journal after
-// it, then creates an entry with an epoch of its own.
+// it, then creates the next journal entry with a new epoch.
 //
-// Creating that entry is the takeover. Whoever wrote the entry before it can't
-// write another, whatever it believes about its lease. If the former owner got
-// an entry in first, that one is read too and the next place is tried.
+// Creating that entry is the takeover. It fences the former owner, whose next
+// creation is refused whatever the state of its lease. If the former owner
+// creates the entry first, that one is read too and the next number is tried.
 package boot
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/snapio"
 )
 
 const (
-	maxRounds = 64
-	readAhead = 16
+	maxAttempts = 64
+	readAhead   = 16
 )
 
 type (
-	// Boot takes over one shard for one daemon.
-	Boot struct {
+	// Takeover takes over one shard for one daemon.
+	Takeover struct {
 		Store store.Store
 		Shard int
 		Owner string
@@ -35,79 +35,79 @@
 		Now   func() time.Time
 	}
 
-	// Taken is a shard that was taken over.
+	// Taken is the state of a shard after its takeover.
 	Taken struct {
-		Fold  state.Fold
-		Epoch uint64
-		Next  uint64 // the first entry to write
-		Read  int    // journal entries read
-		Snap  *snapio.Snap
+		Fold        state.Fold
+		Epoch       uint64
+		Next        uint64 // number of the first entry to write
+		EntriesRead int    // journal entries after the snapshot, without the one that Acquire created
+		Snap        *snapio.Snap
 	}
 
-	reading struct {
+	readResult struct {
 		entry record.Entry
 		err   error
 	}
 )
 
-var errRaced = errors.New("boot: other daemons keep writing to the journal")
+var errContended = errors.New("boot: other daemons keep writing to the journal")
 
-// Take reads the shard and opens a new epoch. It may be repeated after any
-// error.
-func (b Boot) Take(ctx context.Context) (t Taken, err error) {
-	defer func() { err = errors.Wrapf(err, "boot: take shard %d", b.Shard) }()
-	t.Snap = &snapio.Snap{Store: b.Store, Shard: b.Shard}
-	if t.Fold, err = t.Snap.Load(ctx); err != nil {
-		return t, err
+// Acquire reads the shard and opens a new epoch. It may be called again after
+// any error.
+func (t Takeover) Acquire(ctx context.Context) (res Taken, err error) {
+	defer func() { err = errors.Wrapf(err, "boot: take over shard %d", t.Shard) }()
+	res.Snap = &snapio.Snap{Store: t.Store, Shard: t.Shard}
+	if res.Fold, err = res.Snap.Load(ctx); err != nil {
+		return res, err
 	}
-	t.Next = t.Fold.Upto + 1
+	res.Next = res.Fold.Upto + 1
 	var j record.Reassembler
-	for range maxRounds {
-		if err = b.follow(ctx, &t, &j); err != nil {
-			return t, err
+	for range maxAttempts {
+		if err = t.replay(ctx, &res, &j); err != nil {
+			return res, err
 		}
-		won, err := b.claim(ctx, &t)
+		won, err := t.claim(ctx, &res)
 		if err != nil || won {
-			return t, err
+			return res, err
 		}
 	}
-	return t, errRaced
+	return res, errContended
 }
 
-// follow reads the journal up to its end.
-func (b Boot) follow(ctx context.Context, t *Taken, j *record.Reassembler) error {
+// replay reads the journal up to its end and applies it.
+func (t Takeover) replay(ctx context.Context, res *Taken, j *record.Reassembler) error {
 	for {
-		for _, r := range b.ahead(ctx, t.Next) {
+		for _, r := range t.readBatch(ctx, res.Next) {
 			if errors.Is(r.err, store.ErrNotFound) {
 				return nil
 			}
 			if r.err != nil {
 				return r.err
 			}
-			if err := b.apply(t, j, r.entry); err != nil {
+			if err := t.apply(res, j, r.entry); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// ahead reads several entries from n on at a time. One after the other they
-// would cost a way to the store and back each, while the shard's programs wait.
-// Entries behind the first that is absent are not used: they were written since
-// it was looked for.
-func (b Boot) ahead(ctx context.Context, n uint64) []reading {
-	rs := make([]reading, readAhead)
+// readBatch reads readAhead entries from n on concurrently. One after the other
+// they would take a round trip to the store each, while the shard's programs
+// wait. Entries after the first absent one are not used: they were written after
+// it was read.
+func (t Takeover) readBatch(ctx context.Context, n uint64) []readResult {
+	rs := make([]readResult, readAhead)
 	var work sync.WaitGroup
 	for i := range rs {
-		work.Go(func() { rs[i].entry, rs[i].err = b.read(ctx, n+uint64(i)) })
+		work.Go(func() { rs[i].entry, rs[i].err = t.read(ctx, n+uint64(i)) })
 	}
 	work.Wait()
 	return rs
 }
 
-// apply adds what an entry holds.
-func (b Boot) apply(t *Taken, j *record.Reassembler, e record.Entry) error {
-	if e.Number != t.Next || e.Shard != b.Shard {
+// apply applies the records of an entry to the state.
+func (t Takeover) apply(res *Taken, j *record.Reassembler, e record.Entry) error {
+	if e.Number != res.Next || e.Shard != t.Shard {
 		return &record.CorruptError{Reason: "the entry belongs elsewhere"}
 	}
 	rs, err := j.Records(e)
@@ -115,18 +115,18 @@
 		return err
 	}
 	for _, r := range rs {
-		if err := t.Fold.Apply(e.Number, r); err != nil {
+		if err := res.Fold.Apply(e.Number, r); err != nil {
 			return err
 		}
 	}
-	t.Fold.Upto = e.Number
-	t.Next++
-	t.Read++
+	res.Fold.Upto = e.Number
+	res.Next++
+	res.EntriesRead++
 	return nil
 }
 
-func (b Boot) read(ctx context.Context, n uint64) (record.Entry, error) {
-	v, err := b.Store.Get(ctx, chain.Key(b.Shard, n))
+func (t Takeover) read(ctx context.Context, n uint64) (record.Entry, error) {
+	v, err := t.Store.Get(ctx, jrnl.Key(t.Shard, n))
 	if err != nil {
 		return record.Entry{}, err
 	}
@@ -134,44 +134,45 @@
 }
 
 // claim creates the entry that opens the epoch. It returns false if another
-// entry stands there now.
-func (b Boot) claim(ctx context.Context, t *Taken) (won bool, err error) {
-	epoch := t.Fold.Epoch + 1
-	took := record.Acquired{Epoch: epoch, Owner: b.Owner, At: b.Now()}
+// entry has that number now.
+func (t Takeover) claim(ctx context.Context, res *Taken) (won bool, err error) {
+	epoch := res.Fold.Epoch + 1
+	took := record.Acquired{Epoch: epoch, Owner: t.Owner, At: t.Now()}
 	us, err := record.Units(took, 0)
 	if err != nil {
 		return false, err
 	}
-	e := record.Entry{Shard: b.Shard, Number: t.Next, Epoch: epoch, Nonce: b.Rand(), Owner: b.Owner, Units: us}
+	e := record.Entry{Shard: t.Shard, Number: res.Next, Epoch: epoch, Nonce: t.Rand(), Owner: t.Owner, Units: us}
 	data, err := e.Encode()
 	if err != nil {
 		return false, err
 	}
-	_, err = b.Store.Put(ctx, chain.Key(b.Shard, t.Next), data, 0, 0)
+	_, err = t.Store.Put(ctx, jrnl.Key(t.Shard, res.Next), data, 0, 0)
 	var c *store.ConflictError
 	switch {
 	case err == nil:
 	case errors.As(err, &c), errors.Is(err, store.ErrUnknown):
-		// The answer to an attempt that took effect may be the one that was
-		// lost. The nonce tells; a guess would give the shard two owners or
-		// leave an epoch without one.
-		own, rerr := b.read(ctx, t.Next)
+		// An attempt of this Put may have taken effect although its answer was
+		// lost. The nonce shows whether the entry is this daemon's; a wrong
+		// guess would give the shard two owners or leave the epoch without an
+		// owner.
+		found, rerr := t.read(ctx, res.Next)
 		if errors.Is(rerr, store.ErrNotFound) {
 			return false, err
 		}
 		if rerr != nil {
 			return false, rerr
 		}
-		if own.Nonce != e.Nonce || own.Epoch != epoch {
+		if found.Nonce != e.Nonce || found.Epoch != epoch {
 			return false, nil
 		}
 	default:
 		return false, err
 	}
-	if err := t.Fold.Apply(t.Next, took); err != nil {
+	if err := res.Fold.Apply(res.Next, took); err != nil {
 		return false, err
 	}
-	t.Epoch, t.Snap.Epoch = epoch, epoch
-	t.Next++
+	res.Epoch, res.Snap.Epoch = epoch, epoch
+	res.Next++
 	return true, nil
 }
--- a/internal/shard/owner/call.go
+++ b/internal/shard/owner/call.go
@@ -362,7 +362,7 @@
 		BudgetBefore: r.budgetBefore,
 		BudgetAfter:  r.prog.root.budget.Free(),
 		Config:       o.cfg.Version,
-		Epoch:        o.Chain.Epoch,
+		Epoch:        o.Writer.Epoch,
 		Start:        r.start,
 	}
 }
--- a/internal/shard/owner/commit.go
+++ b/internal/shard/owner/commit.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 // finish sets a call's outcome. The outcome of a call that did not run is sent
@@ -184,7 +184,7 @@
 		o.emit(Place{Message: sched.Cancel{ID: r.call.Request}})
 	case waitIntent, waitBudget:
 		// An intent that no write to the store carries yet is taken back.
-		if r.phase == waitIntent && o.Chain.Drop(r.seq) {
+		if r.phase == waitIntent && o.Writer.Withdraw(r.seq) {
 			o.queue = slices.DeleteFunc(o.queue, func(p pending) bool { return p.seq == r.seq })
 		}
 	case waitOffload:
@@ -226,14 +226,14 @@
 	}
 }
 
-func (o *Owner) stepChain(now time.Time, m chain.Message) {
-	for _, e := range o.Chain.Step(now, m) {
+func (o *Owner) stepChain(now time.Time, m jrnl.Message) {
+	for _, e := range o.Writer.Step(now, m) {
 		switch e := e.(type) {
-		case chain.Create, chain.Read:
+		case jrnl.Create, jrnl.Read:
 			o.emit(StoreRequest{Effect: e})
-		case chain.Committed:
+		case jrnl.Committed:
 			o.committed(now, e)
-		case chain.Fenced:
+		case jrnl.Fenced:
 			o.emit(Fenced{})
 		}
 	}
@@ -241,7 +241,7 @@
 
 // committed applies the records that are durable now, and continues the calls
 // and sends the replies that waited for them.
-func (o *Owner) committed(now time.Time, c chain.Committed) {
+func (o *Owner) committed(now time.Time, c jrnl.Committed) {
 	n := 0
 	for n < len(o.queue) && o.queue[n].seq <= c.Seq {
 		rec := o.queue[n].rec
@@ -268,7 +268,7 @@
 	for _, r := range o.committedRuns(c.Seq) {
 		o.proceed(now, r)
 	}
-	if c.Whole {
+	if c.RecordBoundary {
 		o.emit(SnapshotAllowed{})
 	}
 }
--- a/internal/shard/owner/handover_test.go
+++ b/internal/shard/owner/handover_test.go
@@ -16,8 +16,8 @@
 // successor returns the shard's next owner, built from the journal alone.
 func (d *driver) successor(is *is.I) *driver {
 	next := newDriver()
-	next.machine = owner.Owner{Chain: next.machine.Chain}
-	next.machine.Chain.Epoch = 2
+	next.machine = owner.Owner{Writer: next.machine.Writer}
+	next.machine.Writer.Epoch = 2
 	var j record.Reassembler
 	for _, e := range d.journal {
 		rs, err := j.Records(e)
@@ -25,7 +25,7 @@
 		for _, r := range rs {
 			is.NoErr(next.machine.Fold.Apply(e.Number, r))
 		}
-		next.machine.Chain.Next = e.Number + 1
+		next.machine.Writer.Next = e.Number + 1
 	}
 	next.now = d.now
 	next.step(owner.Configure{File: newDriver().config()})
--- a/internal/shard/owner/outage_test.go
+++ b/internal/shard/owner/outage_test.go
@@ -14,8 +14,8 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
 	"github.com/slaterock/slaterock/internal/shard/histio"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
@@ -28,7 +28,7 @@
 	storeDown         bool // the store does not answer
 	noPlacement       bool // placement does not answer
 	journal           []record.Entry
-	storeRequests     []chain.Effect
+	storeRequests     []jrnl.Effect
 	replies           map[owner.Ticket]result.Result
 	sent              []owner.Dispatch
 	placementMessages []sched.Message
@@ -41,7 +41,7 @@
 func newDriver() *driver {
 	d := &driver{now: time.Unix(1_800_000_000, 0), replies: map[owner.Ticket]result.Result{}}
 	seed := uint64(0)
-	d.machine.Chain = chain.Chain{Epoch: 1, Next: 1, Rand: func() uint64 { seed++; return seed }}
+	d.machine.Writer = jrnl.Writer{Epoch: 1, Next: 1, Rand: func() uint64 { seed++; return seed }}
 	d.step(owner.Configure{File: d.config()})
 	d.step(owner.Lease{Until: d.now.Add(time.Hour)})
 	return d
@@ -85,13 +85,13 @@
 	for !d.storeDown && len(d.storeRequests) > 0 {
 		e := d.storeRequests[0]
 		d.storeRequests = d.storeRequests[1:]
-		if c, ok := e.(chain.Create); ok {
+		if c, ok := e.(jrnl.Create); ok {
 			e, err := record.Decode(c.Data)
 			if err != nil {
 				panic(err)
 			}
 			d.journal = append(d.journal, e)
-			d.step(owner.StoreReply{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
+			d.step(owner.StoreReply{Message: jrnl.CreateDone{Number: c.Number, Outcome: jrnl.Created}})
 		}
 	}
 }
--- a/internal/shard/owner/owner.go
+++ b/internal/shard/owner/owner.go
@@ -31,7 +31,7 @@
 	"github.com/slaterock/slaterock/internal/prog/record"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/state"
-	"github.com/slaterock/slaterock/internal/shard/chain"
+	"github.com/slaterock/slaterock/internal/shard/jrnl"
 )
 
 type (
@@ -110,7 +110,7 @@
 	HoldersChanged struct{ Blob hist.Blob }
 
 	// StoreReply is the store's reply to a StoreRequest.
-	StoreReply struct{ Message chain.Message }
+	StoreReply struct{ Message jrnl.Message }
 
 	// SnapshotSaved reports that the snapshot up to journal entry Upto is the
 	// current one. Gone maps the hash of each ended family that it moved to the
@@ -145,7 +145,7 @@
 	Effect interface{ effect() }
 
 	// StoreRequest carries out an effect of the chain: a Create or a Read.
-	StoreRequest struct{ Effect chain.Effect }
+	StoreRequest struct{ Effect jrnl.Effect }
 
 	// Place sends a message to placement.
 	Place struct{ Message sched.Message }
@@ -224,9 +224,9 @@
 	// Owner is the state machine. Set Fold, Chain and Hold from the takeover
 	// before the first Step.
 	Owner struct {
-		Fold  state.Fold  // as loaded at the takeover; updated with every commit
-		Chain chain.Chain // ready to write the entry after Fold.Upto
-		Hold  time.Time   // no dispatch before this time: a former owner may still dispatch
+		Fold   state.Fold  // as loaded at the takeover; updated with every commit
+		Writer jrnl.Writer // ready to write the entry after Fold.Upto
+		Hold   time.Time   // no dispatch before this time: a former owner may still dispatch
 
 		cfg            file.File
 		lease          Lease
@@ -331,9 +331,9 @@
 	case SnapshotSaved:
 		o.snapshotSaved(m)
 	case Verify:
-		o.verifySeq = o.add(record.Acquired{Epoch: o.Chain.Epoch, Owner: o.Chain.Owner, At: now})
+		o.verifySeq = o.add(record.Acquired{Epoch: o.Writer.Epoch, Owner: o.Writer.Owner, At: now})
 	case WriteInterval:
-		o.Chain.Interval = m.Interval
+		o.Writer.Interval = m.Interval
 	case Drain:
 		o.drain(now)
 	case AttemptAlive:
@@ -341,7 +341,7 @@
 	case Tick:
 		o.tick(now)
 	}
-	o.stepChain(now, chain.Tick{})
+	o.stepChain(now, jrnl.Tick{})
 	o.checkDrained()
 	effects := o.effects
 	o.effects = nil
@@ -381,7 +381,7 @@
 
 // add queues a record for the journal and returns its sequence number.
 func (o *Owner) add(r record.Record) uint64 {
-	seq, err := o.Chain.Add(r)
+	seq, err := o.Writer.Add(r)
 	if err != nil {
 		// Records consist of plain fields, so encoding can't fail on any
 		// input; continuing without the record would lose history.
@@ -392,7 +392,7 @@
 }
 
 func (o *Owner) checkDrained() {
-	if !o.draining || o.drained || !o.Chain.Idle() {
+	if !o.draining || o.drained || !o.Writer.Idle() {
 		return
 	}
 	o.drained = true
--- a/internal/shard/owner/tick.go
+++ b/internal/shard/owner/tick.go
@@ -31,7 +31,9 @@
 
 // stalled reports whether the store counts as down: an entry has waited for
 // longer than stallThreshold, or the records that wait exceed the buffer.
-func (o *Owner) stalled() bool { return o.writeStalled || o.Chain.Bytes() > o.bufferLimit() }
+func (o *Owner) stalled() bool {
+	return o.writeStalled || o.Writer.UncommittedBytes() > o.bufferLimit()
+}
 
 func (o *Owner) bufferLimit() int {
 	if o.cfg.Limits.JournalBuffer > 0 {
@@ -57,7 +59,7 @@
 }
 
 func (o *Owner) tick(now time.Time) {
-	o.writeStalled = o.Chain.Stalled(now) > stallThreshold
+	o.writeStalled = o.Writer.StalledFor(now) > stallThreshold
 	for _, r := range o.expiredRuns(now) {
 		o.handleTimeout(now, r)
 	}
