--- a/cmd/slaterock/folder_test.go
+++ b/cmd/slaterock/folder_test.go
@@ -42,7 +42,7 @@
 		var err error
 		answer, err = s.client(entry).Chat(s.ctx, program, number, 256, talk, nil)
 		is.NoErr(err)
-		is.True(answer.Whole)
+		is.True(answer.Complete)
 		h, err = s.client(entry).History(s.ctx, program)
 		is.NoErr(err)
 		return h.Calls[number].AnswerIn != nil && h.Calls[number].AskedIn != nil
--- a/cmd/slaterock/process_test.go
+++ b/cmd/slaterock/process_test.go
@@ -264,7 +264,7 @@
 	talk := []client.Message{{Role: "user", Content: "Tell me all about the route."}}
 	answer, err := c.Chat(s.ctx, program, 0, 1024, talk, func(string) { started() })
 	is.NoErr(err)
-	is.True(answer.Whole)
+	is.True(answer.Complete)
 	receipt, err := c.Service(s.ctx, program, 1, "receipts/issue", []byte(`{"kg":5}`))
 	is.NoErr(err)
 	h, err := c.History(s.ctx, program)
@@ -308,10 +308,10 @@
 	})
 	is.True(killed)
 	s.await("the call that was cut has a whole answer", func() bool {
-		if err != nil || !answer.Whole {
+		if err != nil || !answer.Complete {
 			answer, err = s.client(entry).Chat(s.ctx, program, 2, 512, talk, nil)
 		}
-		return err == nil && answer.Whole
+		return err == nil && answer.Complete
 	})
 	again, err := s.client(entry).Service(s.ctx, program, 1, "receipts/issue", []byte(`{"kg":120}`))
 	is.NoErr(err)
--- a/cmd/slaterock/rolling_test.go
+++ b/cmd/slaterock/rolling_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	if !a.Whole {
+	if !a.Complete {
 		return fmt.Errorf("%s: the answer is not whole", id)
 	}
 	r, err := s.entry(id).Service(s.ctx, id, 1, "receipts/issue", []byte(`{"kg":1}`))
--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -33,7 +33,7 @@
 	}
 
 	// running is the configuration in force.
-	running struct {
+	currentConfig struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
 	}
@@ -62,7 +62,7 @@
 func (a Admin) Drain(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "drain") }()
 	if err := a.Client.JSON(ctx, "POST", "/v1/drain", nil, nil); err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	_, err = fmt.Fprintf(a.Out, "%s drains: it takes no new work and ends when its requests have finished\n", a.Client.Address)
 	return err
@@ -72,9 +72,9 @@
 // comment at its head.
 func (a Admin) Show(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "read configuration") }()
-	var c running
+	var c currentConfig
 	if err := a.Client.JSON(ctx, "GET", "/v1/config", nil, &c); err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	if a.JSON {
 		return a.encode(c)
@@ -97,7 +97,7 @@
 	}
 	var out server.Applied
 	if err = json.Unmarshal(body, &out); err != nil || out.Version+out.Base == 0 && out.Message == "" {
-		return explain(&client.StatusError{Status: status, Body: string(body)})
+		return describeError(&client.StatusError{Status: status, Body: string(body)})
 	}
 	if a.JSON {
 		return errors.CombineErrors(a.encode(out), failure(out))
@@ -134,7 +134,7 @@
 // show asks for a value and writes it.
 func (a Admin) show(ctx context.Context, path string, v any, write func(*report.Report)) error {
 	if err := a.Client.JSON(ctx, "GET", path, nil, v); err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	if a.JSON {
 		return a.encode(v)
@@ -152,7 +152,7 @@
 
 // explain takes the words out of an error body, and says what a missing key
 // looks like from here.
-func explain(err error) error {
+func describeError(err error) error {
 	var s *client.StatusError
 	if !errors.As(err, &s) {
 		return err
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -29,9 +29,9 @@
 const key = "ops.secret"
 
 // past is a Runner that knows one program.
-type past struct{ runner.Runner }
+type fakeRunner struct{ runner.Runner }
 
-func (past) History(_ context.Context, _, program string) (hist.History, result.Result) {
+func (fakeRunner) History(_ context.Context, _, program string) (hist.History, result.Result) {
 	if program != "round-7/receipts" {
 		return hist.History{}, result.Refuse(result.CodeNotFound, "no program %s", program)
 	}
@@ -39,7 +39,7 @@
 	return h, result.Result{Code: result.CodeOK}
 }
 
-func (p past) Request(ctx context.Context, account, _ string) (hist.History, result.Result) {
+func (p fakeRunner) Request(ctx context.Context, account, _ string) (hist.History, result.Result) {
 	return p.History(ctx, account, "round-7/receipts")
 }
 
@@ -49,7 +49,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	s := &server.Server{
-		Runner:  past{},
+		Runner:  fakeRunner{},
 		Account: func(k string) (string, bool, bool) { return "ops", true, k == key },
 	}
 	change(s)
@@ -63,7 +63,7 @@
 	return Admin{Client: client.Client{Address: ln.Addr().String(), Key: key}, Out: out}, out
 }
 
-func TestShows(t *testing.T) {
+func TestTextOutput(t *testing.T) {
 	drained := make(chan struct{}, 1)
 	change := func(s *server.Server) {
 		s.Status = func(context.Context) any { return report.Status{Daemon: "vm1", Shards: 1} }
@@ -151,7 +151,7 @@
 				s.Apply = func(_ context.Context, text []byte, from uint64) server.Applied {
 					is.Equal(string(text), "[system]\n")
 					is.Equal(from, uint64(7))
-					return server.Told(from, tt.out, tt.err)
+					return server.NewApplied(from, tt.out, tt.err)
 				}
 			})
 			err := a.Apply(t.Context(), path, "7")
--- a/internal/edge/chat/chat.go
+++ b/internal/edge/chat/chat.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	objectWhole = "chat.completion"
-	objectChunk = "chat.completion.chunk"
-	assistant   = "assistant"
-	chunkAfter  = `},"finish_reason":null}]}`
+	objectCompletion = "chat.completion"
+	objectChunk      = "chat.completion.chunk"
+	assistant        = "assistant"
+	chunkSuffix      = `},"finish_reason":null}]}`
 )
 
 type (
@@ -39,7 +39,7 @@
 		Created int64 // seconds since 1970
 		Usage   bool  // a stream ends with Total
 
-		before []byte // what stands before the piece in each chunk of text
+		chunkPrefix []byte // what stands before the piece in each chunk of text
 	}
 
 	wireRequest struct {
@@ -112,9 +112,9 @@
 }
 
 // Whole returns the answer as one object.
-func (a Answer) Whole(r result.Result) []byte {
+func (a Answer) Completion(r result.Result) []byte {
 	text := string(r.Body)
-	w := a.wire(objectWhole)
+	w := a.wire(objectCompletion)
 	w.Choices = []wireChoice{{Message: &wireMessage{Role: assistant, Content: &text}, Finish: &r.Finish}}
 	w.Usage = usage(r)
 	return encode(w)
@@ -130,19 +130,19 @@
 // piece of every stream, so it does not go through the types: only the piece is
 // encoded, the rest is the same for each.
 func (a *Answer) Text(b []byte, piece string) []byte {
-	if a.before == nil {
-		a.frame()
+	if a.chunkPrefix == nil {
+		a.buildPrefix()
 	}
 	quoted, _ := json.Marshal(piece) // a string always can be
-	b = append(b, a.before...)
+	b = append(b, a.chunkPrefix...)
 	b = append(b, quoted...)
-	return append(b, chunkAfter...)
+	return append(b, chunkSuffix...)
 }
 
-func (a *Answer) frame() {
+func (a *Answer) buildPrefix() {
 	id, _ := json.Marshal("chatcmpl-" + a.ID)
 	model, _ := json.Marshal(a.Model)
-	a.before = fmt.Appendf(nil, `{"id":%s,"object":"%s","created":%d,"model":%s,"choices":[{"index":0,"delta":{"content":`,
+	a.chunkPrefix = fmt.Appendf(nil, `{"id":%s,"object":"%s","created":%d,"model":%s,"choices":[{"index":0,"delta":{"content":`,
 		id, objectChunk, a.Created, model)
 }
 
@@ -153,7 +153,7 @@
 
 // Total returns the chunk with the usage, which follows Finish where the caller
 // asked for it.
-func (a Answer) Total(r result.Result) []byte {
+func (a Answer) UsageChunk(r result.Result) []byte {
 	w := a.wire(objectChunk)
 	w.Choices = []wireChoice{}
 	w.Usage = usage(r)
--- a/internal/edge/chat/chat_test.go
+++ b/internal/edge/chat/chat_test.go
@@ -38,7 +38,7 @@
 
 // Text from an engine holds quotes, line breaks and broken characters. A chunk
 // that is not one line of JSON would end a client's stream in the middle.
-func TestAnyTextIsOneLine(t *testing.T) {
+func TestChunksAreSingleLines(t *testing.T) {
 	for name, text := range map[string]string{
 		"quotes":       `say "jambo"`,
 		"line breaks":  "a\nb\r\nc\u2028d",
@@ -50,7 +50,7 @@
 			is := is.New(t)
 			a := Answer{ID: "r-1", Model: "m", Created: 7}
 			r := result.Result{Body: []byte(text), Finish: "stop", Prompt: 4, Cached: 3, Output: 2}
-			for _, chunk := range [][]byte{a.Role(), a.Text(nil, text), a.Finish(r), a.Total(r), a.Whole(r)} {
+			for _, chunk := range [][]byte{a.Role(), a.Text(nil, text), a.Finish(r), a.UsageChunk(r), a.Completion(r)} {
 				var back map[string]any
 				is.NoErr(json.Unmarshal(chunk, &back))
 				is.Equal(back["id"], "chatcmpl-r-1")
@@ -64,7 +64,7 @@
 
 // Text is put together by hand for speed. It must not differ from what the types
 // would give.
-func TestTextIsAsTheTypesEncodeIt(t *testing.T) {
+func TestTextMatchesEncodedTypes(t *testing.T) {
 	is := is.New(t)
 	a := Answer{ID: `r"1`, Model: "m<1>", Created: 7}
 	for _, text := range []string{"jambo", `"`, "\n", "<b>&", "\xff", ""} {
--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -42,14 +42,14 @@
 
 	// Answer is a model's whole answer, or a service's response.
 	Answer struct {
-		Request string
-		Status  int
-		Text    string
-		Whole   bool // the end was sent
-		Pieces  int
-		Prompt  int // tokens, of a model's answer
-		Cached  int // of the prompt
-		Output  int
+		Request  string
+		Status   int
+		Text     string
+		Complete bool // the end was sent
+		Pieces   int
+		Prompt   int // tokens, of a model's answer
+		Cached   int // of the prompt
+		Output   int
 	}
 
 	// StatusError is a response that is no success.
@@ -166,7 +166,7 @@
 	identify(req, program, number)
 	resp, err := c.exchange(ctx, req)
 	if resp != nil {
-		a = Answer{Request: string(resp.Header.Peek(server.HeaderRequest)), Status: resp.StatusCode(), Text: string(resp.Body()), Whole: err == nil}
+		a = Answer{Request: string(resp.Header.Peek(server.HeaderRequest)), Status: resp.StatusCode(), Text: string(resp.Body()), Complete: err == nil}
 	}
 	return a, err
 }
@@ -178,7 +178,7 @@
 
 // Chat makes a streamed model call and hands its pieces to each, which may be
 // nil.
-func (c Client) Chat(ctx context.Context, program string, number, maxTokens int, ms []Message, each func(string)) (a Answer, err error) {
+func (c Client) Chat(ctx context.Context, program string, number, maxTokens int, ms []Message, onPiece func(string)) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	in := chatBody{Stream: true, Max: maxTokens, Messages: ms}
 	in.Options.Usage = true
@@ -198,12 +198,12 @@
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, maxLine))
 		return a, &StatusError{Status: a.Status, Body: string(b)}
 	}
-	return read(a, resp.Body, each)
+	return readEvents(a, resp.Body, onPiece)
 }
 
 // read takes in the events of an answer. One that ends without its end is not
 // whole.
-func read(a Answer, r io.Reader, each func(string)) (Answer, error) {
+func readEvents(a Answer, r io.Reader, onPiece func(string)) (Answer, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
 	failed := false
@@ -220,7 +220,7 @@
 		case failed:
 			return a, &StatusError{Status: a.Status, Body: string(data)}
 		case string(data) == eventDone:
-			a.Whole = true
+			a.Complete = true
 			return a, nil
 		}
 		var ch chatChunk
@@ -236,8 +236,8 @@
 			}
 			a.Pieces++
 			a.Text += x.Delta.Content
-			if each != nil {
-				each(x.Delta.Content)
+			if onPiece != nil {
+				onPiece(x.Delta.Content)
 			}
 		}
 	}
--- a/internal/edge/locate/locate.go
+++ b/internal/edge/locate/locate.go
@@ -44,8 +44,8 @@
 	candidate struct {
 		beat.Member
 
-		hash  uint64 // of its name
-		taken int    // shards dealt to it
+		hash     uint64 // of its name
+		assigned int    // shards dealt to it
 	}
 )
 
@@ -62,7 +62,7 @@
 	if err != nil {
 		return 0, false
 	}
-	return shardOf(id.Root, shards), true
+	return shardOf(id.RootHash, shards), true
 }
 
 // Owner returns the daemon that owns the shard as far as is known here: of all
@@ -101,11 +101,11 @@
 	if len(live) == 0 {
 		return nil
 	}
-	room := (shards+len(live)-1)/len(live) + 1
+	capacity := (shards+len(live)-1)/len(live) + 1
 	plan := make([]beat.Member, n)
 	for shard := range plan {
-		best := heaviest(live, mix(uint64(shard)), room)
-		live[best].taken++
+		best := highestWeight(live, mix(uint64(shard)), capacity)
+		live[best].assigned++
 		plan[shard] = live[best].Member
 	}
 	return plan
@@ -128,7 +128,7 @@
 		live = slices.DeleteFunc(live, func(c candidate) bool { return c.Name == owner.Name })
 	}
 	for len(live) > 0 && len(answer.Entries) < MaxEntries {
-		next := freshest(live, seed, used)
+		next := leastUsedDomain(live, seed, used)
 		used[live[next].FailureDomain]++
 		answer.Entries = append(answer.Entries, entry(live[next].Member, false))
 		live = slices.Delete(live, next, next+1)
@@ -166,10 +166,10 @@
 // heaviest returns the index of the daemon with the greatest weight among those
 // that have taken less than room. The total room exceeds the number of shards,
 // so there is always one.
-func heaviest(live []candidate, seed uint64, room int) int {
+func highestWeight(live []candidate, seed uint64, capacity int) int {
 	best, top := -1, uint64(0)
 	for i, c := range live {
-		if w := mix(c.hash ^ seed); c.taken < room && (best < 0 || w > top) {
+		if w := mix(c.hash ^ seed); c.assigned < capacity && (best < 0 || w > top) {
 			best, top = i, w
 		}
 	}
@@ -178,7 +178,7 @@
 
 // freshest returns the index of the daemon whose failure domain was used
 // least, and of several the one with the greatest weight.
-func freshest(live []candidate, seed uint64, used map[string]int) int {
+func leastUsedDomain(live []candidate, seed uint64, used map[string]int) int {
 	best, fewest, top := -1, 0, uint64(0)
 	for i, c := range live {
 		n, w := used[c.FailureDomain], mix(c.hash^seed)
--- a/internal/edge/locate/locate_test.go
+++ b/internal/edge/locate/locate_test.go
@@ -22,7 +22,7 @@
 	return members
 }
 
-func TestShardOfFamily(t *testing.T) {
+func TestSubAgentsShareShard(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Shard("round-7/receipts/b", 16), Shard("round-7", 16))
 	is.Equal(Shard("round-7", 0), 0)
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -30,7 +30,7 @@
 
 // DefaultPatience is how long a request waits for an owner that can be
 // reached. It covers a takeover after a lease has lapsed.
-const DefaultPatience = 20 * time.Second
+const DefaultRetryTimeout = 20 * time.Second
 
 type (
 	// Remote is another daemon's Runner. Try is Call, but an attempt whose
@@ -51,28 +51,28 @@
 		Peer func(address string) Remote
 		// Unsent reports whether an error of Try proves that the request did
 		// not reach the peer. Without it none does.
-		Unsent   func(err error) bool
-		Patience time.Duration
+		Unsent       func(err error) bool
+		RetryTimeout time.Duration
 	}
 
 	// local makes the daemon's own Runner look like a Remote.
-	local struct{ runner.Runner }
+	localRemote struct{ runner.Runner }
 
 	// ask makes one attempt at one daemon.
-	ask func(to Remote) (result.Result, error)
+	attemptFunc func(to Remote) (result.Result, error)
 )
 
 var _ runner.Runner = (*Relay)(nil)
 
 // Try calls the Runner, whose way can't break.
-func (l local) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
+func (l localRemote) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
 	return l.Call(ctx, c, sink), nil
 }
 
 // Open opens a program at its owner.
 func (r *Relay) Open(ctx context.Context, o call.Open) result.Result {
-	return r.follow(ctx, r.shard(o.Program), func(to Remote) (result.Result, error) {
-		return settled(to.Open(ctx, o))
+	return r.forward(ctx, r.shard(o.Program), func(to Remote) (result.Result, error) {
+		return unknownAsError(to.Open(ctx, o))
 	})
 }
 
@@ -80,25 +80,25 @@
 func (r *Relay) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	t := transcript{sink: sink, gone: stop}
-	res := r.follow(ctx, r.shard(c.Program), func(to Remote) (result.Result, error) {
-		return to.Try(ctx, c, t.begin())
+	t := transcript{sink: sink, cancel: stop}
+	res := r.forward(ctx, r.shard(c.Program), func(to Remote) (result.Result, error) {
+		return to.Try(ctx, c, t.nextSink())
 	})
 	return t.check(res)
 }
 
 // End ends a program at its owner.
 func (r *Relay) End(ctx context.Context, e call.End) result.Result {
-	return r.follow(ctx, r.shard(e.Program), func(to Remote) (result.Result, error) {
-		return settled(to.End(ctx, e))
+	return r.forward(ctx, r.shard(e.Program), func(to Remote) (result.Result, error) {
+		return unknownAsError(to.End(ctx, e))
 	})
 }
 
 // History returns a program's history from its owner.
 func (r *Relay) History(ctx context.Context, account, program string) (h hist.History, res result.Result) {
-	res = r.follow(ctx, r.shard(program), func(to Remote) (found result.Result, err error) {
+	res = r.forward(ctx, r.shard(program), func(to Remote) (found result.Result, err error) {
 		h, found = to.History(ctx, account, program)
-		return settled(found)
+		return unknownAsError(found)
 	})
 	return h, res
 }
@@ -109,33 +109,33 @@
 	if !ok {
 		return hist.History{}, result.Refuse(result.CodeNotFound, "no request %s", request)
 	}
-	res = r.follow(ctx, shard, func(to Remote) (found result.Result, err error) {
+	res = r.forward(ctx, shard, func(to Remote) (found result.Result, err error) {
 		h, found = to.Request(ctx, account, request)
-		return settled(found)
+		return unknownAsError(found)
 	})
 	return h, res
 }
 
 // follow makes attempts until one settles the request or patience is over.
-func (r *Relay) follow(ctx context.Context, shard int, do ask) result.Result {
-	s := search{patience: r.Patience}
+func (r *Relay) forward(ctx context.Context, shard int, do attemptFunc) result.Result {
+	s := retryState{timeout: r.RetryTimeout}
 	for {
 		if m, found := locate.Owner(r.Members(), shard); found {
-			s.begin(m, shard)
+			s.startAttempt(m, shard)
 			res, err := do(r.at(m))
-			if s.settles(ctx, res, err, r.unsent(err)) {
-				return s.honest(res)
+			if s.isFinal(ctx, res, err, r.unsent(err)) {
+				return s.adjustRan(res)
 			}
 		}
 		if !s.wait(ctx) {
-			return s.give(ctx)
+			return s.failure(ctx)
 		}
 	}
 }
 
 // settled turns an outcome that did not come back into an error. All requests
 // but calls can be repeated whatever became of them.
-func settled(res result.Result) (result.Result, error) {
+func unknownAsError(res result.Result) (result.Result, error) {
 	if res.Code == result.CodeUnknown && res.Ran == result.Unknown {
 		return res, errors.New(res.Message)
 	}
@@ -144,7 +144,7 @@
 
 func (r *Relay) at(m beat.Member) Remote {
 	if m.Name == r.Self {
-		return local{r.Local}
+		return localRemote{r.Local}
 	}
 	return r.Peer(m.Peer)
 }
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	program = "round-7"
-	shards  = 8
-	whole   = "karibu sana"
+	program  = "round-7"
+	shards   = 8
+	fullText = "karibu sana"
 )
 
 type (
 	// attempt is what one daemon does with one request.
 	attempt struct {
-		pieces []string
-		result result.Result
-		err    error
-		lasts  time.Duration
+		pieces   []string
+		result   result.Result
+		err      error
+		duration time.Duration
 	}
 
 	// daemon answers requests from a script; its last line is repeated.
-	daemon struct {
-		script []attempt
-		asked  int
+	fakeDaemon struct {
+		script   []attempt
+		attempts int
 	}
 
 	// world is what the Relay sees: owners[i] is the picture after i pauses.
-	world struct {
-		daemons map[string]*daemon
+	fakeCluster struct {
+		daemons map[string]*fakeDaemon
 		owners  []beat.Member
-		looks   int
+		lookups int
 	}
 )
 
@@ -52,20 +52,20 @@
 	errBroken = errors.New("link broke after the request was sent")
 	errUnsent = errors.New("no connection")
 
-	answered = result.Result{Code: result.CodeOK, Ran: result.Yes, Body: []byte(whole)}
+	answered = result.Result{Code: result.CodeOK, Ran: result.Yes, Body: []byte(fullText)}
 	notOwner = result.Refuse(result.CodeNotOwner, "not the owner")
-	movedOn  = result.Failed(result.CodeNotOwner, result.Unknown, "moved while it ran")
+	moved    = result.Failed(result.CodeNotOwner, result.Unknown, "moved while it ran")
 	refused  = result.Refuse(result.CodeOverloaded, "too much to do")
 	unknown  = result.Failed(result.CodeUnknown, result.Unknown, "nobody can tell")
 )
 
-func (d *daemon) next() attempt {
-	a := d.script[min(d.asked, len(d.script)-1)]
-	d.asked++
+func (d *fakeDaemon) next() attempt {
+	a := d.script[min(d.attempts, len(d.script)-1)]
+	d.attempts++
 	return a
 }
 
-func (d *daemon) Try(ctx context.Context, _ call.Call, sink runner.Sink) (result.Result, error) {
+func (d *fakeDaemon) Try(ctx context.Context, _ call.Call, sink runner.Sink) (result.Result, error) {
 	a := d.next()
 	for _, p := range a.pieces {
 		if err := sink(p); err != nil {
@@ -73,27 +73,27 @@
 		}
 	}
 	select {
-	case <-time.After(a.lasts):
+	case <-time.After(a.duration):
 		return a.result, a.err
 	case <-ctx.Done():
 		return result.Result{}, ctx.Err()
 	}
 }
 
-func (d *daemon) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
+func (d *fakeDaemon) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 	r, _ := d.Try(ctx, c, sink)
 	return r
 }
 
-func (d *daemon) Open(context.Context, call.Open) result.Result { return d.next().result }
-func (d *daemon) End(context.Context, call.End) result.Result   { return d.next().result }
+func (d *fakeDaemon) Open(context.Context, call.Open) result.Result { return d.next().result }
+func (d *fakeDaemon) End(context.Context, call.End) result.Result   { return d.next().result }
 
-func (d *daemon) History(context.Context, string, string) (hist.History, result.Result) {
+func (d *fakeDaemon) History(context.Context, string, string) (hist.History, result.Result) {
 	a := d.next()
 	return hist.History{Program: string(a.result.Body)}, a.result
 }
 
-func (d *daemon) Request(ctx context.Context, account, request string) (hist.History, result.Result) {
+func (d *fakeDaemon) Request(ctx context.Context, account, request string) (hist.History, result.Result) {
 	return d.History(ctx, account, request)
 }
 
@@ -103,23 +103,23 @@
 	return beat.Member{Name: name, Peer: name, State: beat.Alive, Shards: []beat.Shard{own}}
 }
 
-func (w *world) members() []beat.Member {
-	i := min(w.looks, len(w.owners)-1)
-	w.looks++
+func (w *fakeCluster) members() []beat.Member {
+	i := min(w.lookups, len(w.owners)-1)
+	w.lookups++
 	if i < 0 || w.owners[i].Name == "" {
 		return nil
 	}
 	return []beat.Member{w.owners[i]}
 }
 
-func (w *world) relay() *Relay {
+func (w *fakeCluster) relay() *Relay {
 	r := &Relay{
-		Self:     "here",
-		Members:  w.members,
-		Shards:   func() int { return shards },
-		Peer:     func(address string) Remote { return w.daemons[address] },
-		Unsent:   func(err error) bool { return errors.Is(err, errUnsent) },
-		Patience: 10 * time.Second,
+		Self:         "here",
+		Members:      w.members,
+		Shards:       func() int { return shards },
+		Peer:         func(address string) Remote { return w.daemons[address] },
+		Unsent:       func(err error) bool { return errors.Is(err, errUnsent) },
+		RetryTimeout: 10 * time.Second,
 	}
 	if d := w.daemons["here"]; d != nil {
 		r.Local = d
@@ -131,41 +131,41 @@
 // under way. A caller must get its own answer once and whole, or hear what is
 // true of it: that it did not run, or that nobody can tell.
 func TestCallFollowsOwner(t *testing.T) {
-	type script map[string]*daemon
+	type script map[string]*fakeDaemon
 	tests := map[string]struct {
-		daemons script
-		owners  []beat.Member
-		code    result.Code
-		ran     result.Ran
-		text    string         // sent to the caller
-		asked   map[string]int // attempts at each daemon
-		atMost  time.Duration
+		daemons  script
+		owners   []beat.Member
+		code     result.Code
+		ran      result.Ran
+		text     string         // sent to the caller
+		attempts map[string]int // at each daemon
+		atMost   time.Duration
 	}{
 		"owned here": {
-			script{"here": {script: []attempt{{pieces: []string{whole}, result: answered}}}},
+			script{"here": {script: []attempt{{pieces: []string{fullText}, result: answered}}}},
 			[]beat.Member{owner("here", 1)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"here": 1},
 			0,
 		},
 		"owned by a peer": {
 			script{"a": {script: []attempt{{pieces: []string{"karibu ", "sana"}, result: answered}}}},
 			[]beat.Member{owner("a", 1)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 1},
 			0,
 		},
 		"picture stale, owner moved": {
-			script{"a": {script: []attempt{{result: notOwner}}}, "b": {script: []attempt{{pieces: []string{whole}, result: answered}}}},
+			script{"a": {script: []attempt{{result: notOwner}}}, "b": {script: []attempt{{pieces: []string{fullText}, result: answered}}}},
 			[]beat.Member{owner("a", 1), owner("a", 1), owner("b", 2)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 2, "b": 1},
 			time.Second,
 		},
 		"owner not known at first": {
-			script{"b": {script: []attempt{{pieces: []string{whole}, result: answered}}}},
+			script{"b": {script: []attempt{{pieces: []string{fullText}, result: answered}}}},
 			[]beat.Member{{}, {}, owner("b", 2)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"b": 1},
 			time.Second,
 		},
@@ -185,7 +185,7 @@
 				{pieces: []string{"karibu", " sana"}, result: answered},
 			}}},
 			[]beat.Member{owner("a", 1)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 2},
 			time.Second,
 		},
@@ -196,7 +196,7 @@
 				{pieces: []string{"k", "aribu ", "sa", "na"}, result: answered},
 			}}},
 			[]beat.Member{owner("a", 1)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 3},
 			time.Second,
 		},
@@ -239,7 +239,7 @@
 			time.Second,
 		},
 		"moved while it ran, then nobody": {
-			script{"here": {script: []attempt{{result: movedOn}}}},
+			script{"here": {script: []attempt{{result: moved}}}},
 			[]beat.Member{owner("here", 1), {}},
 			result.CodeNotOwner, result.Unknown, "",
 			map[string]int{"here": 1},
@@ -255,11 +255,11 @@
 		"broke after a long run": { // patience counts from the break
 			script{"a": {script: []attempt{
 				{pieces: []string{"kar"}, err: errBroken},
-				{pieces: []string{"karibu"}, err: errBroken, lasts: time.Minute},
-				{pieces: []string{whole}, result: answered},
+				{pieces: []string{"karibu"}, err: errBroken, duration: time.Minute},
+				{pieces: []string{fullText}, result: answered},
 			}}},
 			[]beat.Member{owner("a", 1)},
-			result.CodeOK, result.Yes, whole,
+			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 3},
 			time.Minute + time.Second,
 		},
@@ -268,7 +268,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := world{daemons: tt.daemons, owners: tt.owners}
+				w := fakeCluster{daemons: tt.daemons, owners: tt.owners}
 				sent := ""
 				began := time.Now()
 				res := w.relay().Call(t.Context(), call.Call{Program: program}, func(text string) error {
@@ -279,8 +279,8 @@
 				is.Equal(res.Ran, tt.ran)
 				is.Equal(sent, tt.text)
 				is.True(time.Since(began) <= tt.atMost)
-				for name, n := range tt.asked {
-					is.Equal(tt.daemons[name].asked, n)
+				for name, n := range tt.attempts {
+					is.Equal(tt.daemons[name].attempts, n)
 				}
 				is.True(res.Code != result.CodeNotOwner || res.RetryAfter > 0)
 			})
@@ -290,20 +290,20 @@
 
 // A caller hangs up while its owner can't be reached. Without an end to the
 // search, abandoned requests pile up for as long as the owner is away.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	tests := map[string]struct {
 		attempt attempt
 		ran     result.Ran
 	}{
 		"while looking":   {attempt{err: errUnsent}, result.No},
-		"while it runs":   {attempt{lasts: time.Hour}, result.Unknown},
-		"sink has failed": {attempt{pieces: []string{"k"}, lasts: time.Hour}, result.Unknown},
+		"while it runs":   {attempt{duration: time.Hour}, result.Unknown},
+		"sink has failed": {attempt{pieces: []string{"k"}, duration: time.Hour}, result.Unknown},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := world{daemons: map[string]*daemon{"a": {script: []attempt{tt.attempt}}}, owners: []beat.Member{owner("a", 1)}}
+				w := fakeCluster{daemons: map[string]*fakeDaemon{"a": {script: []attempt{tt.attempt}}}, owners: []beat.Member{owner("a", 1)}}
 				ctx, stop := context.WithTimeout(t.Context(), time.Second)
 				defer stop()
 				began := time.Now()
@@ -318,7 +318,7 @@
 
 // The link breaks under a request that is no call. All of these may be
 // repeated, so that a caller need not hear of it.
-func TestOthersAreRepeated(t *testing.T) {
+func TestOtherRequestsAreRetried(t *testing.T) {
 	found := result.Result{Code: result.CodeOK, Body: []byte(program)}
 	tests := map[string]func(r *Relay) result.Result{
 		"open": func(r *Relay) result.Result { return r.Open(context.Background(), call.Open{Program: program}) },
@@ -336,31 +336,31 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				a := &daemon{script: []attempt{{result: unknown}, {result: notOwner}, {result: found}}}
-				w := world{daemons: map[string]*daemon{"a": a}, owners: []beat.Member{owner("a", 1)}}
+				a := &fakeDaemon{script: []attempt{{result: unknown}, {result: notOwner}, {result: found}}}
+				w := fakeCluster{daemons: map[string]*fakeDaemon{"a": a}, owners: []beat.Member{owner("a", 1)}}
 				is.Equal(do(w.relay()).Code, result.CodeOK)
-				is.Equal(a.asked, 3)
+				is.Equal(a.attempts, 3)
 			})
 		})
 	}
 }
 
 // A support engineer mistypes a request's name. No daemon need be asked.
-func TestRequestUnreadable(t *testing.T) {
+func TestMalformedRequestID(t *testing.T) {
 	is := is.New(t)
-	w := world{owners: []beat.Member{owner("a", 1)}}
+	w := fakeCluster{owners: []beat.Member{owner("a", 1)}}
 	_, res := w.relay().Request(t.Context(), "", "receipt 12")
 	is.Equal(res.Code, result.CodeNotFound)
-	is.Equal(w.looks, 0)
+	is.Equal(w.lookups, 0)
 }
 
 // Many requests meet the same absent owner. If they all came back together the
 // new owner would meet them as one burst.
-func TestPausesGrowAndDiffer(t *testing.T) {
+func TestBackoffGrowsWithJitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var pauses []time.Duration
-		for s := (search{patience: 10 * time.Second}); ; {
+		for s := (retryState{timeout: 10 * time.Second}); ; {
 			before := time.Now()
 			if !s.wait(t.Context()) {
 				break
@@ -368,8 +368,8 @@
 			pauses = append(pauses, time.Since(before))
 		}
 		is.True(len(pauses) >= 10_000/375 && len(pauses) < 200)
-		is.True(pauses[0] < 2*firstPause)
-		is.True(slices.Max(pauses) <= maxPause*3/2)
+		is.True(pauses[0] < 2*minBackoff)
+		is.True(slices.Max(pauses) <= maxBackoff*3/2)
 		is.True(len(slices.Compact(slices.Clone(pauses))) == len(pauses))
 	})
 }
--- a/internal/edge/relay/transcript.go
+++ b/internal/edge/relay/transcript.go
@@ -16,40 +16,40 @@
 // outcome is recorded, and the caller is told to repeat the call.
 type transcript struct {
 	sink    runner.Sink
-	gone    func() // ends all attempts when the caller is gone
+	cancel  func() // ends all attempts when the caller is gone
 	text    strings.Builder
-	at      int // bytes of text that the attempt under way repeated
+	offset  int // bytes of text that the attempt under way repeated
 	differs bool
 }
 
 // begin returns the sink of the next attempt.
-func (t *transcript) begin() runner.Sink {
+func (t *transcript) nextSink() runner.Sink {
 	if t.sink == nil {
 		return nil
 	}
-	t.at = 0
+	t.offset = 0
 	return t.add
 }
 
 func (t *transcript) add(piece string) error {
-	sent := t.text.String()[t.at:]
-	known := min(len(sent), len(piece))
-	if sent[:known] != piece[:known] {
+	sent := t.text.String()[t.offset:]
+	overlap := min(len(sent), len(piece))
+	if sent[:overlap] != piece[:overlap] {
 		t.differs = true
 	}
 	if t.differs {
 		return nil
 	}
-	t.at += known
-	fresh := piece[known:]
-	if fresh == "" {
+	t.offset += overlap
+	added := piece[overlap:]
+	if added == "" {
 		return nil
 	}
-	t.text.WriteString(fresh)
-	t.at += len(fresh)
-	err := t.sink(fresh)
+	t.text.WriteString(added)
+	t.offset += len(added)
+	err := t.sink(added)
 	if err != nil {
-		t.gone()
+		t.cancel()
 	}
 	return err
 }
--- a/internal/edge/report/report.go
+++ b/internal/edge/report/report.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	underWay = "under way"
-	none     = "-"
-	clock    = "2006-01-02 15:04:05.000"
+	underWay   = "under way"
+	none       = "-"
+	timeFormat = "2006-01-02 15:04:05.000"
 )
 
 // Report writes to Out and keeps its first error.
@@ -36,7 +36,7 @@
 	t := r.table("call", "kind", "target", "upstream", "attempts", "outcome", "ran", "tokens", "cached", "time")
 	for _, c := range h.Calls {
 		t.row(c.Number, c.Kind, c.Target, upstream(c), len(c.Tries), outcome(c), ran(c),
-			c.Result.Prompt+c.Result.Output, c.Result.Cached, took(c.Start, c.End))
+			c.Result.Prompt+c.Result.Output, c.Result.Cached, elapsed(c.Start, c.End))
 	}
 	t.flush()
 }
@@ -55,14 +55,14 @@
 	t.row("program", program(h))
 	t.row("call", c.Number)
 	t.row("asked", fmt.Sprintf("%s %s, sha256 %s", c.Kind, c.Target, c.Digest))
-	t.row("outcome", sentence(c))
+	t.row("outcome", describeOutcome(c))
 	t.row("ran", ran(c))
 	t.row("tokens", fmt.Sprintf("%d prompt (%d cached), %d output", c.Result.Prompt, c.Result.Cached, c.Result.Output))
 	t.row("budget", fmt.Sprintf("%d tokens before, %d after", c.Before, c.After))
 	t.row("configuration", fmt.Sprintf("version %d", c.Config))
 	t.row("owner's epoch", c.Epoch)
-	t.row("started", c.Start.UTC().Format(clock))
-	t.row("took", took(c.Start, c.End))
+	t.row("started", c.Start.UTC().Format(timeFormat))
+	t.row("took", elapsed(c.Start, c.End))
 	t.flush()
 	r.attempts(c)
 	r.text("asked", c.Asked)
@@ -78,7 +78,7 @@
 	r.printf("\n")
 	t := r.table("attempt", "upstream", "started", "took", "ended")
 	for i, a := range c.Tries {
-		t.row(i+1, a.Upstream, a.Start.UTC().Format(clock), took(a.Start, a.End), or(a.Ended, underWay))
+		t.row(i+1, a.Upstream, a.Start.UTC().Format(timeFormat), elapsed(a.Start, a.End), orDefault(a.Ended, underWay))
 	}
 	t.flush()
 }
@@ -91,7 +91,7 @@
 	}
 	r.printf("\n%s:\n", title)
 	for line := range strings.Lines(s) {
-		r.printf("    %s\n", printable(strings.TrimRight(line, "\r\n")))
+		r.printf("    %s\n", replaceControl(strings.TrimRight(line, "\r\n")))
 	}
 }
 
@@ -118,7 +118,7 @@
 func (t table) row(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, c := range cells {
-		texts[i] = printable(fmt.Sprint(c))
+		texts[i] = replaceControl(fmt.Sprint(c))
 	}
 	if t.r.Err == nil {
 		_, t.r.Err = fmt.Fprintln(t.w, strings.Join(texts, "\t"))
@@ -133,7 +133,7 @@
 
 // printable keeps what callers wrote from moving the reader's cursor or
 // breaking the table.
-func printable(s string) string {
+func replaceControl(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c == 0x7f {
 			return ' '
@@ -150,7 +150,7 @@
 	return s + ", " + ended(h)
 }
 
-func ended(h hist.History) string { return or(h.Ended, "open") }
+func ended(h hist.History) string { return orDefault(h.Ended, "open") }
 
 func upstream(c hist.Call) string {
 	if len(c.Tries) == 0 {
@@ -159,12 +159,12 @@
 	return c.Tries[len(c.Tries)-1].Upstream
 }
 
-func outcome(c hist.Call) string { return or(string(c.Result.Code), underWay) }
+func outcome(c hist.Call) string { return orDefault(string(c.Result.Code), underWay) }
 
-func ran(c hist.Call) string { return or(string(c.Result.Ran), none) }
+func ran(c hist.Call) string { return orDefault(string(c.Result.Ran), none) }
 
 // sentence tells an outcome with the words that a caller may be given.
-func sentence(c hist.Call) string {
+func describeOutcome(c hist.Call) string {
 	s := outcome(c)
 	if c.Result.Message != "" {
 		s += ": " + c.Result.Message
@@ -175,14 +175,14 @@
 	return s
 }
 
-func took(start, end time.Time) string {
+func elapsed(start, end time.Time) string {
 	if end.IsZero() {
 		return underWay
 	}
 	return end.Sub(start).Round(time.Millisecond).String()
 }
 
-func or(s, other string) string {
+func orDefault(s, other string) string {
 	if s == "" {
 		return other
 	}
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -121,13 +121,13 @@
 	}
 }
 
-type full struct{ err error }
+type failingWriter struct{ err error }
 
-func (f full) Write([]byte) (int, error) { return 0, f.err }
+func (f failingWriter) Write([]byte) (int, error) { return 0, f.err }
 
 func TestWriterFails(t *testing.T) {
 	is := is.New(t)
-	r := Report{Out: full{errors.New("disk full")}}
+	r := Report{Out: failingWriter{errors.New("disk full")}}
 	r.History(receipt())
 	r.Request(receipt())
 	is.Equal(r.Err.Error(), "disk full")
--- a/internal/edge/reqid/reqid.go
+++ b/internal/edge/reqid/reqid.go
@@ -30,9 +30,9 @@
 
 // ID is the name of one request.
 type ID struct {
-	Root   uint64 // Hash of the program
-	Number int    // of the call
-	Nonce  [nonceLength]byte
+	RootHash uint64 // Hash of the program
+	Number   int    // of the call
+	Nonce    [nonceLength]byte
 }
 
 // Hash returns the xxhash64 of the id of the program's root. A program and all
@@ -43,7 +43,7 @@
 
 // New returns a new name for a call of the program.
 func New(program string, number int) ID {
-	id := ID{Root: Hash(program), Number: number}
+	id := ID{RootHash: Hash(program), Number: number}
 	_, _ = rand.Read(id.Nonce[:]) // never fails, by its contract
 	return id
 }
@@ -55,7 +55,7 @@
 	if len(fields) != parts || len(fields[0]) != hashDigits {
 		return ID{}, errors.New("not of the form hash-number-nonce")
 	}
-	if id.Root, err = strconv.ParseUint(fields[0], 16, 64); err != nil {
+	if id.RootHash, err = strconv.ParseUint(fields[0], 16, 64); err != nil {
 		return ID{}, err
 	}
 	if id.Number, err = strconv.Atoi(fields[1]); err != nil {
@@ -73,5 +73,5 @@
 
 // String returns the name as callers see it.
 func (id ID) String() string {
-	return fmt.Sprintf("%016x-%d-%x", id.Root, id.Number, id.Nonce)
+	return fmt.Sprintf("%016x-%d-%x", id.RootHash, id.Number, id.Nonce)
 }
--- a/internal/edge/reqid/reqid_test.go
+++ b/internal/edge/reqid/reqid_test.go
@@ -9,7 +9,7 @@
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	id := New("round-7/receipts", 12)
-	is.Equal(id.Root, Hash("round-7"))
+	is.Equal(id.RootHash, Hash("round-7"))
 	back, err := Parse(id.String())
 	is.NoErr(err)
 	is.Equal(back, id)
--- a/internal/edge/server/answer.go
+++ b/internal/edge/server/answer.go
@@ -76,7 +76,7 @@
 // refuseMalformed answers what could not be read as a request; nothing ran.
 func refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	if c, ok := ctx.Conn().(*conn); ok {
-		c.linger = true
+		c.drainOnClose = true
 	}
 	x := &exchange{RequestCtx: ctx, start: time.Now()}
 	x.Response.Header.Set(HeaderRequest, reqid.New("", 0).String())
--- a/internal/edge/server/apply.go
+++ b/internal/edge/server/apply.go
@@ -34,14 +34,14 @@
 	}
 
 	// running is the configuration in force, as operators read it.
-	running struct {
+	currentConfig struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
 	}
 )
 
 // Told turns what came of applying a text into what its operator is told.
-func Told(base uint64, out apply.Outcome, err error) Applied {
+func NewApplied(base uint64, out apply.Outcome, err error) Applied {
 	var conflict *apply.ConflictError
 	var faults file.Errors
 	var unknown *apply.UnknownError
@@ -65,22 +65,22 @@
 // TextOf returns the text and version in force, as a daemon gives them to its
 // peers: a watch.Keeper's Answer, which holds some of the chunks at a time.
 // Nothing is returned before a configuration is in force.
-func TextOf(answer func(watch.Question) watch.Answer) (text []byte, version uint64) {
+func AssembleText(answer func(watch.Question) watch.Answer) (text []byte, version uint64) {
 	h := answer(watch.Question{}).Head
-	pieces := map[string][]byte{}
-	for missing := h.Chunks; len(missing) > 0; missing = without(missing, pieces) {
-		before := len(pieces)
+	chunks := map[string][]byte{}
+	for missing := h.Chunks; len(missing) > 0; missing = without(missing, chunks) {
+		before := len(chunks)
 		for _, c := range answer(watch.Question{Chunks: missing}).Chunks {
-			if piece, err := c.Unpack(); err == nil {
-				pieces[c.Digest] = piece
+			if data, err := c.Unpack(); err == nil {
+				chunks[c.Digest] = data
 			}
 		}
-		if len(pieces) == before {
+		if len(chunks) == before {
 			return nil, 0 // replaced meanwhile, or not to be read
 		}
 	}
 	for _, digest := range h.Chunks {
-		text = append(text, pieces[digest]...)
+		text = append(text, chunks[digest]...)
 	}
 	return text, h.Version
 }
--- a/internal/edge/server/text_test.go
+++ b/internal/edge/server/apply_test.go
@@ -13,12 +13,12 @@
 )
 
 // holder gives out one chunk at a time, as a daemon does of a large text.
-type holder struct {
+type chunkHolder struct {
 	head   head.Head
 	chunks []chunk.Chunk
 }
 
-func (h holder) answer(q watch.Question) watch.Answer {
+func (h chunkHolder) answer(q watch.Question) watch.Answer {
 	a := watch.Answer{Head: h.head}
 	for _, c := range h.chunks {
 		if slices.Contains(q.Chunks, c.Digest) && len(a.Chunks) == 0 {
@@ -29,9 +29,9 @@
 }
 
 // hold cuts a text of repeated pieces as a configuration is stored.
-func hold(t *testing.T, pieces ...string) holder {
+func packChunks(t *testing.T, pieces ...string) chunkHolder {
 	t.Helper()
-	h := holder{head: head.Head{Version: 7}}
+	h := chunkHolder{head: head.Head{Version: 7}}
 	for _, p := range pieces {
 		c, err := chunk.Pack([]byte(p))
 		is.New(t).NoErr(err)
@@ -43,27 +43,27 @@
 
 // An operator reads the text in force to make a change. A text with a piece
 // missing, or twice, would become the next configuration.
-func TestTextOf(t *testing.T) {
-	whole := hold(t, "[system]\n", "[model.a]\n", "[system]\n", "[model.b]\n")
-	lacking := whole
-	lacking.chunks = whole.chunks[:3]
-	damaged := hold(t, "[system]\n")
+func TestAssembleText(t *testing.T) {
+	whole := packChunks(t, "[system]\n", "[model.a]\n", "[system]\n", "[model.b]\n")
+	incomplete := whole
+	incomplete.chunks = whole.chunks[:3]
+	damaged := packChunks(t, "[system]\n")
 	damaged.chunks[0].Packed = []byte("not packed")
 	tests := map[string]struct {
-		from    holder
+		from    chunkHolder
 		text    string
 		version uint64
 	}{
 		"several pieces":  {whole, "[system]\n[model.a]\n[system]\n[model.b]\n", 7},
-		"one is gone":     {lacking, "", 0},
+		"one is gone":     {incomplete, "", 0},
 		"one is damaged":  {damaged, "", 0},
-		"none in force":   {holder{}, "", 0},
-		"one large piece": {hold(t, strings.Repeat("# x\n", 1000)), strings.Repeat("# x\n", 1000), 7},
+		"none in force":   {chunkHolder{}, "", 0},
+		"one large piece": {packChunks(t, strings.Repeat("# x\n", 1000)), strings.Repeat("# x\n", 1000), 7},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text, version := TextOf(tt.from.answer)
+			text, version := AssembleText(tt.from.answer)
 			is.Equal(string(text), tt.text)
 			is.Equal(version, tt.version)
 		})
--- a/internal/edge/server/bench_test.go
+++ b/internal/edge/server/bench_test.go
@@ -33,7 +33,7 @@
 	for _, p := range answer {
 		whole += p
 	}
-	f := &fake{call: answers(whole, answer...), ends: make(chan call.End)}
+	f := &fake{call: respondWith(whole, answer...), ends: make(chan call.End)}
 	s := &Server{Runner: f, Account: accounts, Logs: l, Trace: tr, Scope: metric.New().Scope()}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 
 // exchange sends the request again and again over one connection for each
 // goroutine, and reads each answer to its end.
-func exchanges(b *testing.B, addr net.Addr, body string) {
+func sendRequests(b *testing.B, addr net.Addr, body string) {
 	b.Helper()
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -86,7 +86,7 @@
 }
 
 func BenchmarkPlain(b *testing.B) {
-	exchanges(b, serve(b, "karibu"), plainBody)
+	sendRequests(b, serve(b, "karibu"), plainBody)
 }
 
 func BenchmarkStream(b *testing.B) {
@@ -94,6 +94,6 @@
 	for i := range answer {
 		answer[i] = " sana"
 	}
-	exchanges(b, serve(b, answer...), streamBody)
+	sendRequests(b, serve(b, answer...), streamBody)
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/pieces, "ns/piece")
 }
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	maxProgram  = 200 // bytes of a program's id
-	oncePrefix  = "once-"
-	onceLength  = 12
-	retryBusy   = time.Second
-	maxCallsKey = "max_calls"
+	maxProgramID      = 200 // bytes of a program's id
+	singleCallPrefix  = "once-"
+	singleCallIDBytes = 12
+	retryAfter        = time.Second
+	maxCallsKey       = "max_calls"
 )
 
 type (
 	// flight is a call under way, seen from the goroutine that answers. Its
 	// events come in order, the last is ended.
-	flight struct {
+	inflightCall struct {
 		ctx    context.Context //nolint:containedctx // ends the call when its caller is gone
 		cancel context.CancelFunc
 		events chan event
@@ -48,7 +48,7 @@
 
 // chat runs a chat completion.
 func (s *Server) chat(x *exchange) {
-	x.told.path = pathChat
+	x.telemetry.path = pathChat
 	c, problem := x.call(call.Model)
 	if problem != "" {
 		x.badRequest("%s", problem)
@@ -63,19 +63,19 @@
 		req.Model = onlyModel(s.config())
 	}
 	c.Model, c.MaxTokens = req.Model, req.MaxTokens
-	once := c.Program == ""
-	if once {
-		c.Program = onceProgram()
+	singleCall := c.Program == ""
+	if singleCall {
+		c.Program = newSingleCallID()
 	}
-	s.begin(x, &c)
-	f, ok := s.launch(c, once)
+	s.setCall(x, &c)
+	f, ok := s.launch(c, singleCall)
 	if !ok {
-		x.busy()
+		x.refuseOverloaded()
 		return
 	}
 	answer := chat.Answer{ID: c.Request, Model: req.Model, Created: x.start.Unix(), Usage: req.Usage}
 	if req.Stream {
-		x.told.path = pathStream
+		x.telemetry.path = pathStream
 		s.stream(x, f, answer)
 		return
 	}
@@ -85,14 +85,14 @@
 		return
 	}
 	x.outcome = r
-	x.raw(fasthttp.StatusOK, jsonType, answer.Whole(r))
+	x.raw(fasthttp.StatusOK, jsonType, answer.Completion(r))
 }
 
 // service runs a call to a plain service. It needs a program and a number,
 // because without them a repeat could not be told from a new call, and a call
 // that may not be repeated would run twice.
 func (s *Server) service(x *exchange) {
-	x.told.path = pathService
+	x.telemetry.path = pathService
 	c, problem := x.call(call.Service)
 	if problem == "" && c.Program == "" {
 		problem = "a call to a service needs the header " + HeaderProgram
@@ -106,10 +106,10 @@
 	if query := x.URI().QueryString(); len(query) > 0 {
 		c.Path += "?" + string(query)
 	}
-	s.begin(x, &c)
+	s.setCall(x, &c)
 	f, ok := s.launch(c, false)
 	if !ok {
-		x.busy()
+		x.refuseOverloaded()
 		return
 	}
 	r := f.outcome()
@@ -151,25 +151,25 @@
 }
 
 // begin names the request after its program and call.
-func (s *Server) begin(x *exchange, c *call.Call) {
-	x.name(c.Program, c.Number)
+func (s *Server) setCall(x *exchange, c *call.Call) {
+	x.assignID(c.Program, c.Number)
 	x.Response.Header.Set(HeaderProgram, c.Program)
-	x.told.Kind, x.told.Program, x.told.Call = c.Kind, c.Program, c.Number
+	x.telemetry.Kind, x.telemetry.Program, x.telemetry.Call = c.Kind, c.Program, c.Number
 	c.Request = x.id.String()
-	c.TraceParent = x.told.span.Traceparent()
+	c.TraceParent = x.telemetry.span.Traceparent()
 }
 
 // launch starts the call, or reports that too many are under way.
-func (s *Server) launch(c call.Call, once bool) (f *flight, ok bool) {
-	s.tune()
-	f = &flight{events: make(chan event)}
+func (s *Server) launch(c call.Call, singleCall bool) (f *inflightCall, ok bool) {
+	s.resizePool()
+	f = &inflightCall{events: make(chan event)}
 	f.ctx, f.cancel = context.WithCancel(s.base)
 	s.calls.Add(1)
 	err := s.pool.Submit(func() {
 		defer s.calls.Done()
-		defer s.busier(-1)
-		s.busier(1)
-		s.run(f, c, once)
+		defer s.addInFlight(-1)
+		s.addInFlight(1)
+		s.run(f, c, singleCall)
 	})
 	if err != nil {
 		s.calls.Done()
@@ -179,18 +179,18 @@
 }
 
 // tune puts the configured bound on calls in force.
-func (s *Server) tune() {
+func (s *Server) resizePool() {
 	if n := lower(s.config().Limits.MaxCalls, s.MaxCalls, DefaultMaxCalls); n != s.pool.Cap() {
 		s.pool.Tune(n)
 	}
 }
 
-func (s *Server) run(f *flight, c call.Call, once bool) {
+func (s *Server) run(f *inflightCall, c call.Call, singleCall bool) {
 	if s.Runner == nil {
-		f.end(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryBusy))
+		f.end(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
 		return
 	}
-	if !once {
+	if !singleCall {
 		f.end(s.Runner.Call(f.ctx, c, f.sink))
 		return
 	}
@@ -201,12 +201,12 @@
 	}
 	r := s.Runner.Call(f.ctx, c, f.sink)
 	f.end(r)
-	s.endOnce(c, r)
+	s.endSingleCall(c, r)
 }
 
 // endOnce ends the program that was opened for one call. The caller has its
 // answer by then and does not wait; a program that can't be ended now expires.
-func (s *Server) endOnce(c call.Call, r result.Result) {
+func (s *Server) endSingleCall(c call.Call, r result.Result) {
 	ctx, cancel := context.WithTimeout(s.base, endTimeout)
 	defer cancel()
 	kind := call.Finish
@@ -216,18 +216,18 @@
 	s.Runner.End(ctx, call.End{Account: c.Account, Program: c.Program, Kind: kind})
 }
 
-func (f *flight) sink(text string) error {
+func (f *inflightCall) sink(text string) error {
 	return f.send(piece{text})
 }
 
 // end hands over the outcome. Where nobody waits for it any more it is in the
 // history all the same.
-func (f *flight) end(r result.Result) {
+func (f *inflightCall) end(r result.Result) {
 	_ = f.send(ended{r})
 }
 
 // send hands an event to the goroutine that answers, which may be gone.
-func (f *flight) send(e event) error {
+func (f *inflightCall) send(e event) error {
 	select {
 	case f.events <- e:
 		return nil
@@ -238,7 +238,7 @@
 
 // outcome waits for the end of the call and leaves its pieces aside: the
 // result has the whole answer.
-func (f *flight) outcome() result.Result {
+func (f *inflightCall) outcome() result.Result {
 	defer f.cancel()
 	for {
 		select {
@@ -247,34 +247,34 @@
 				return e.result
 			}
 		case <-f.ctx.Done():
-			return cutOff()
+			return stoppedResult()
 		}
 	}
 }
 
 // cutOff is told to a caller whose call was still under way when the time for
 // a graceful stop was over.
-func cutOff() result.Result {
+func stoppedResult() result.Result {
 	return result.Failed(result.CodeUnknown, result.Unknown, "the daemon stopped; repeat the call with the same number")
 }
 
 // callerGone is logged for a stream that its caller left. What becomes of the
 // call is in the history.
-func callerGone() result.Result {
+func disconnectedResult() result.Result {
 	return result.Failed(result.CodeCancelled, result.Unknown, "the caller is gone")
 }
 
-func (x *exchange) busy() {
+func (x *exchange) refuseOverloaded() {
 	r := result.Refuse(result.CodeOverloaded, "this daemon has as many calls under way as %s allows", maxCallsKey)
-	x.refuse(r.WithRetryAfter(retryBusy))
+	x.refuse(r.WithRetryAfter(retryAfter))
 }
 
 func checkProgram(id string) (problem string) {
 	switch {
 	case id == "":
 		return "the header " + HeaderProgram + " is missing"
-	case len(id) > maxProgram:
-		return "the program's id is longer than " + strconv.Itoa(maxProgram) + " bytes"
+	case len(id) > maxProgramID:
+		return "the program's id is longer than " + strconv.Itoa(maxProgramID) + " bytes"
 	case strings.HasPrefix(id, "/") || strings.HasSuffix(id, "/") || strings.Contains(id, "//"):
 		return "the program's id has an empty part"
 	case strings.ContainsFunc(id, func(r rune) bool { return !unicode.IsPrint(r) || r == ' ' }):
@@ -283,10 +283,10 @@
 	return ""
 }
 
-func onceProgram() string {
-	var b [onceLength]byte
+func newSingleCallID() string {
+	var b [singleCallIDBytes]byte
 	_, _ = rand.Read(b[:]) // never fails, by its contract
-	return oncePrefix + hex.EncodeToString(b[:])
+	return singleCallPrefix + hex.EncodeToString(b[:])
 }
 
 // onlyModel is the one model that is declared, so that an answer can name it
--- a/internal/edge/server/site_test.go
+++ b/internal/edge/server/helpers_test.go
@@ -27,29 +27,29 @@
 type (
 	// fake is a Runner whose calls are scripted and recorded.
 	fake struct {
-		call   func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
-		opens  chan call.Open
-		ends   chan call.End
-		viewer chan string
+		call           func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
+		opens          chan call.Open
+		ends           chan call.End
+		accountFilters chan string
 	}
 
-	reply struct {
+	response struct {
 		status int
 		header http.Header
 		body   string
 	}
 
-	site struct {
+	testServer struct {
 		*Server
-		t      *testing.T
-		client *http.Client
-		fake   *fake
-		beats  chan time.Time
-		closed chan struct{} // the listener is
+		t          *testing.T
+		client     *http.Client
+		fake       *fake
+		heartbeats chan time.Time
+		closed     chan struct{} // the listener is
 	}
 
 	// door is a listener that tells when it is closed.
-	door struct {
+	closeNotifier struct {
 		*fasthttputil.InmemoryListener
 		closed chan struct{}
 	}
@@ -70,7 +70,7 @@
 }
 
 func (f *fake) History(_ context.Context, account, program string) (hist.History, result.Result) {
-	f.viewer <- account
+	f.accountFilters <- account
 	if account != "mafuta" && account != "" {
 		return hist.History{}, result.Refuse(result.CodeNotFound, "no program %s", program)
 	}
@@ -93,22 +93,22 @@
 	return "", false, false
 }
 
-func (d door) Close() error {
+func (d closeNotifier) Close() error {
 	close(d.closed)
 	return d.InmemoryListener.Close()
 }
 
 // start runs a server on a listener in memory.
-func start(t *testing.T, limits file.Limits) *site {
+func start(t *testing.T, limits file.Limits) *testServer {
 	t.Helper()
 	return startWith(t, limits, func(*Server) {})
 }
 
-func startWith(t *testing.T, limits file.Limits, change func(*Server)) *site {
+func startWith(t *testing.T, limits file.Limits, change func(*Server)) *testServer {
 	t.Helper()
 	t.Parallel() // the library takes a tenth of a second to shut down
-	f := &fake{opens: make(chan call.Open, 1), ends: make(chan call.End, 1), viewer: make(chan string, 1)}
-	st := &site{t: t, fake: f, beats: make(chan time.Time), closed: make(chan struct{})}
+	f := &fake{opens: make(chan call.Open, 1), ends: make(chan call.End, 1), accountFilters: make(chan string, 1)}
+	st := &testServer{t: t, fake: f, heartbeats: make(chan time.Time), closed: make(chan struct{})}
 	st.Server = &Server{
 		Runner:  f,
 		Account: accounts,
@@ -116,10 +116,10 @@
 		Entries: func(program string) locate.Answer {
 			return locate.Answer{Entries: []locate.Entry{{Address: "127.0.0.1:1", FailureDomain: program}}, TTLSeconds: 5}
 		},
-		ticker: func(time.Duration) (<-chan time.Time, func()) { return st.beats, func() {} },
+		ticker: func(time.Duration) (<-chan time.Time, func()) { return st.heartbeats, func() {} },
 	}
 	change(st.Server)
-	ln := door{InmemoryListener: fasthttputil.NewInmemoryListener(), closed: st.closed}
+	ln := closeNotifier{InmemoryListener: fasthttputil.NewInmemoryListener(), closed: st.closed}
 	served := make(chan error, 1)
 	go func() { served <- st.Serve(ln) }()
 	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return ln.Dial() }}
@@ -137,7 +137,7 @@
 }
 
 // do sends a request and returns the answer as it begins.
-func (st *site) do(method, path, key, body string, headers map[string]string) *http.Response {
+func (st *testServer) do(method, path, key, body string, headers map[string]string) *http.Response {
 	st.t.Helper()
 	req, err := http.NewRequest(method, "http://slaterock"+path, strings.NewReader(body))
 	if err != nil {
@@ -157,14 +157,14 @@
 }
 
 // send sends a request and returns the whole answer.
-func (st *site) send(method, path, key, body string, headers map[string]string) reply {
+func (st *testServer) send(method, path, key, body string, headers map[string]string) response {
 	st.t.Helper()
 	res := st.do(method, path, key, body, headers)
 	defer func() { _ = res.Body.Close() }()
-	return reply{status: res.StatusCode, header: res.Header, body: rest(st.t, res)}
+	return response{status: res.StatusCode, header: res.Header, body: readBody(st.t, res)}
 }
 
-func rest(t *testing.T, res *http.Response) string {
+func readBody(t *testing.T, res *http.Response) string {
 	t.Helper()
 	data, err := io.ReadAll(res.Body)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return string(data)
 }
 
-func answers(body string, pieces ...string) func(context.Context, call.Call, runner.Sink) result.Result {
+func respondWith(body string, pieces ...string) func(context.Context, call.Call, runner.Sink) result.Result {
 	return func(_ context.Context, _ call.Call, sink runner.Sink) result.Result {
 		for _, p := range pieces {
 			if err := sink(p); err != nil {
@@ -189,12 +189,12 @@
 	streamBody = `{"messages":[{"role":"user","content":"hi"}],"stream":true,"stream_options":{"include_usage":true}}`
 )
 
-func numbered(program, number string) map[string]string {
+func callHeaders(program, number string) map[string]string {
 	return map[string]string{HeaderProgram: program, HeaderCall: number}
 }
 
 // content puts the pieces of a stream together.
-func content(t *testing.T, body string) string {
+func joinDeltas(t *testing.T, body string) string {
 	t.Helper()
 	var b strings.Builder
 	for line := range strings.Lines(body) {
--- a/internal/edge/server/listen.go
+++ b/internal/edge/server/listen.go
@@ -22,13 +22,13 @@
 
 	conn struct {
 		net.Conn
-		timeout time.Duration
-		linger  bool // its request was refused before it was read to its end
+		timeout      time.Duration
+		drainOnClose bool // its request was refused before it was read to its end
 	}
 
 	// silent drops the HTTP library's own log, which tells of broken
 	// connections only.
-	silent struct{}
+	discardLogger struct{}
 )
 
 // Accept waits for the next connection.
@@ -53,7 +53,7 @@
 // was just written would be lost with it: the caller would see a broken
 // connection and not why.
 func (c *conn) Close() error {
-	if c.linger {
+	if c.drainOnClose {
 		if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 			_ = w.CloseWrite()
 		}
@@ -64,4 +64,4 @@
 }
 
 // Printf drops the line.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/edge/server/ports.go
+++ b/internal/edge/server/listeners.go
@@ -9,34 +9,34 @@
 	// ports are the listeners that are served. The HTTP library closes those that it
 	// knows when it shuts down. One that it is given a moment later, while the daemon
 	// is still starting, it would serve for ever, and the daemon would never end.
-	ports struct {
-		mu   sync.Mutex
-		list []*port
-		shut bool
+	listeners struct {
+		mu     sync.Mutex
+		list   []*onceListener
+		closed bool
 	}
 
 	// port is a listener that may be closed twice.
-	port struct {
+	onceListener struct {
 		net.Listener
 		once sync.Once
 	}
 )
 
 // open keeps a listener, and is false if there is nothing to be served any more.
-func (p *ports) open(l *port) bool {
+func (p *listeners) add(l *onceListener) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.shut {
+	if !p.closed {
 		p.list = append(p.list, l)
 	}
-	return !p.shut
+	return !p.closed
 }
 
 // close closes all listeners, those that come later, too.
-func (p *ports) close() (err error) {
+func (p *listeners) close() (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut = true
+	p.closed = true
 	for _, l := range p.list {
 		if failed := l.Close(); err == nil {
 			err = failed
@@ -46,7 +46,7 @@
 }
 
 // Close refuses new connections.
-func (p *port) Close() (err error) {
+func (p *onceListener) Close() (err error) {
 	p.once.Do(func() { err = p.Listener.Close() })
 	return err
 }
--- a/internal/edge/server/open_test.go
+++ b/internal/edge/server/open_test.go
@@ -35,25 +35,25 @@
 	}
 }
 
-type opened struct {
-	n     int
-	send  []chan string
-	taken chan struct{}
+type streamSet struct {
+	n        int
+	send     []chan string
+	received chan struct{}
 }
 
 // piece sends one piece to each stream and waits until all have it.
-func (o *opened) piece() {
+func (o *streamSet) piece() {
 	for _, c := range o.send {
 		c <- " karibu"
 	}
 	for range o.n {
-		<-o.taken
+		<-o.received
 	}
 }
 
-func openStreams(b *testing.B, n int) *opened {
+func openStreams(b *testing.B, n int) *streamSet {
 	b.Helper()
-	o := &opened{n: n, taken: make(chan struct{}, n)}
+	o := &streamSet{n: n, received: make(chan struct{}, n)}
 	var mu sync.Mutex
 	free := make([]chan string, n)
 	for i := range free {
@@ -81,14 +81,14 @@
 	go func() { _ = s.Serve(ln) }()
 	b.Cleanup(func() { _ = ln.Close() })
 	for range n {
-		go o.follow(b, ln)
+		go o.readStream(b, ln)
 	}
 	o.piece()
 	return o
 }
 
 // follow is one caller: it reads its stream and tells of each piece.
-func (o *opened) follow(b *testing.B, ln *fasthttputil.InmemoryListener) {
+func (o *streamSet) readStream(b *testing.B, ln *fasthttputil.InmemoryListener) {
 	c, err := ln.Dial()
 	if err != nil {
 		b.Error(err)
@@ -108,7 +108,7 @@
 	lines := bufio.NewScanner(c)
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), "karibu") {
-			o.taken <- struct{}{}
+			o.received <- struct{}{}
 		}
 	}
 }
--- a/internal/edge/server/operate.go
+++ b/internal/edge/server/operator.go
@@ -5,7 +5,7 @@
 )
 
 // operate answers operators. To other accounts these paths do not exist.
-func (s *Server) operate(x *exchange) {
+func (s *Server) routeOperator(x *exchange) {
 	switch {
 	case !x.operator:
 		x.notFound()
@@ -18,7 +18,7 @@
 		}{true})
 	case x.is("GET", pathConfig) && s.Text != nil:
 		text, version := s.Text()
-		x.json(fasthttp.StatusOK, running{Version: version, Text: string(text)})
+		x.json(fasthttp.StatusOK, currentConfig{Version: version, Text: string(text)})
 	case x.is("POST", pathConfig) && s.Apply != nil:
 		s.apply(x)
 	default:
--- a/internal/edge/server/operate_test.go
+++ b/internal/edge/server/operator_test.go
@@ -67,7 +67,7 @@
 				s.Apply = func(_ context.Context, text []byte, from uint64) Applied {
 					got = text
 					is.True(from == 4 || from == apply.Newest)
-					return Told(from, tt.out, tt.err)
+					return NewApplied(from, tt.out, tt.err)
 				}
 			})
 			res := st.send("POST", "/v1/config?from="+tt.from, operator, "[system]", nil)
@@ -101,7 +101,7 @@
 			st := startWith(t, file.Limits{MaxBody: 1000}, func(s *Server) {
 				s.Apply = func(_ context.Context, got []byte, from uint64) Applied {
 					is.Equal(string(got), text)
-					return Told(from, apply.Outcome{Head: head.Head{Version: 5}}, nil)
+					return NewApplied(from, apply.Outcome{Head: head.Head{Version: 5}}, nil)
 				}
 			})
 			is.Equal(st.send("POST", "/v1/config?from=4", tt.key, text, nil).status, tt.status)
--- a/internal/edge/server/program.go
+++ b/internal/edge/server/program.go
@@ -30,8 +30,8 @@
 		x.badRequest("%s", problem)
 		return
 	}
-	x.name(b.Program, 0)
-	if !s.started(x) {
+	x.assignID(b.Program, 0)
+	if !s.requireRunner(x) {
 		return
 	}
 	r := s.Runner.Open(s.base, call.Open{
@@ -42,7 +42,7 @@
 		Priority: b.Priority,
 		Budget:   b.Budget,
 	})
-	x.done(b.Program, r)
+	x.answerProgram(b.Program, r)
 }
 
 // program ends a program or returns its history. The last part of the path
@@ -59,8 +59,8 @@
 		x.badRequest("%s", problem)
 		return
 	}
-	x.name(id, 0)
-	if !s.started(x) {
+	x.assignID(id, 0)
+	if !s.requireRunner(x) {
 		return
 	}
 	switch string(x.Method()) + " " + verb {
@@ -76,7 +76,7 @@
 }
 
 func (s *Server) history(x *exchange, id string) {
-	h, r := s.Runner.History(s.base, x.viewer(), id)
+	h, r := s.Runner.History(s.base, x.accountFilter(), id)
 	if !r.OK() {
 		x.refuse(r)
 		return
@@ -85,16 +85,16 @@
 }
 
 func (s *Server) end(x *exchange, id string, kind call.EndKind) {
-	x.done(id, s.Runner.End(s.base, call.End{Account: x.account, Program: id, Kind: kind}))
+	x.answerProgram(id, s.Runner.End(s.base, call.End{Account: x.account, Program: id, Kind: kind}))
 }
 
 // request returns what became of one request.
 func (s *Server) request(x *exchange) {
-	if !s.started(x) {
+	if !s.requireRunner(x) {
 		return
 	}
 	id := unescape(strings.TrimPrefix(x.path, pathRequests))
-	h, r := s.Runner.Request(s.base, x.viewer(), id)
+	h, r := s.Runner.Request(s.base, x.accountFilter(), id)
 	if !r.OK() {
 		x.refuse(r)
 		return
@@ -103,7 +103,7 @@
 }
 
 // done answers with the program's id where the Runner has nothing to add.
-func (x *exchange) done(program string, r result.Result) {
+func (x *exchange) answerProgram(program string, r result.Result) {
 	switch {
 	case !r.OK():
 		x.refuse(r)
@@ -116,9 +116,9 @@
 	}
 }
 
-func (s *Server) started(x *exchange) bool {
+func (s *Server) requireRunner(x *exchange) bool {
 	if s.Runner == nil {
-		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryBusy))
+		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
 	}
 	return s.Runner != nil
 }
--- a/internal/edge/server/route.go
+++ b/internal/edge/server/route.go
@@ -32,18 +32,18 @@
 type exchange struct {
 	*fasthttp.RequestCtx
 
-	id       reqid.ID
-	path     string // not decoded
-	account  string
-	operator bool
-	start    time.Time
-	told     *told
-	outcome  result.Result // zero is a success with nothing to tell
-	detached bool          // the answer goes on after the handler has returned
+	id        reqid.ID
+	path      string // not decoded
+	account   string
+	operator  bool
+	start     time.Time
+	telemetry *telemetry
+	outcome   result.Result // zero is a success with nothing to tell
+	detached  bool          // the answer goes on after the handler has returned
 }
 
 // viewer is the account whose programs the caller may read; empty is all.
-func (x *exchange) viewer() string {
+func (x *exchange) accountFilter() string {
 	if x.operator {
 		return ""
 	}
@@ -55,18 +55,18 @@
 	if s.draining.Load() {
 		ctx.SetConnectionClose()
 	}
-	x.name("", 0)
+	x.assignID("", 0)
 	if s.probe(x) {
 		return
 	}
-	x.told = s.tell(x)
+	x.telemetry = s.newTelemetry(x)
 	if s.authenticate(x) {
 		s.route(x)
 	} else {
 		x.refuse(result.Refuse(result.CodeUnauthorized, "the Bearer key is missing or not known"))
 	}
 	if !x.detached {
-		x.told.end(x.outcome, x.Response.StatusCode())
+		x.telemetry.end(x.outcome, x.Response.StatusCode())
 	}
 }
 
@@ -89,7 +89,7 @@
 	switch {
 	case x.is("POST", "/v1/chat/completions"):
 		s.chat(x)
-	case strings.HasPrefix(x.path, pathServices) && callMethod(string(x.Method())):
+	case strings.HasPrefix(x.path, pathServices) && isServiceMethod(string(x.Method())):
 		s.service(x)
 	case x.is("POST", pathPrograms):
 		s.open(x)
@@ -100,19 +100,19 @@
 	case x.is("GET", "/v1/entries"):
 		s.entries(x)
 	default:
-		s.operate(x)
+		s.routeOperator(x)
 	}
 }
 
 func (s *Server) authenticate(x *exchange) bool {
 	var ok bool
-	x.account, x.operator, ok = s.whose(&x.Request.Header)
-	x.told.Account = x.account
+	x.account, x.operator, ok = s.accountOf(&x.Request.Header)
+	x.telemetry.Account = x.account
 	return ok
 }
 
 // whose returns the account that the request's key belongs to.
-func (s *Server) whose(h *fasthttp.RequestHeader) (account string, operator, ok bool) {
+func (s *Server) accountOf(h *fasthttp.RequestHeader) (account string, operator, ok bool) {
 	key, found := strings.CutPrefix(string(h.Peek(fasthttp.HeaderAuthorization)), bearerPrefix)
 	if !found || key == "" || s.Account == nil {
 		return "", false, false
@@ -127,11 +127,11 @@
 	case s.Runner == nil:
 		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting"))
 	default:
-		s.askReady(x)
+		s.checkReady(x)
 	}
 }
 
-func (s *Server) askReady(x *exchange) {
+func (s *Server) checkReady(x *exchange) {
 	if s.Ready == nil {
 		x.text("ready\n")
 		return
@@ -164,7 +164,7 @@
 }
 
 // callMethod reports whether a service can be called with the method.
-func callMethod(m string) bool {
+func isServiceMethod(m string) bool {
 	switch m {
 	case "GET", "POST", "PUT", "PATCH", "DELETE":
 		return true
@@ -173,11 +173,11 @@
 }
 
 // name gives the request its name, which the answer carries from now on.
-func (x *exchange) name(program string, number int) {
+func (x *exchange) assignID(program string, number int) {
 	x.id = reqid.New(program, number)
 	x.Response.Header.Set(HeaderRequest, x.id.String())
-	if x.told != nil {
-		x.told.ID = x.id.String()
+	if x.telemetry != nil {
+		x.telemetry.ID = x.id.String()
 	}
 }
 
--- a/internal/edge/server/server.go
+++ b/internal/edge/server/server.go
@@ -84,17 +84,17 @@
 		IdleTimeout time.Duration // between requests
 		Heartbeat   time.Duration // between signs of life in a waiting stream
 
-		once     sync.Once
-		http     fasthttp.Server
-		ports    ports
-		pool     *ants.Pool
-		calls    sync.WaitGroup  // under way in the pool
-		base     context.Context //nolint:containedctx // ends with the server, not with a call
-		stop     context.CancelFunc
-		draining atomic.Bool
-		underWay atomic.Int64
-		meters   meters
-		ticker   func(time.Duration) (<-chan time.Time, func()) // replaced in tests
+		once      sync.Once
+		http      fasthttp.Server
+		listeners listeners
+		pool      *ants.Pool
+		calls     sync.WaitGroup  // under way in the pool
+		base      context.Context //nolint:containedctx // ends with the server, not with a call
+		stop      context.CancelFunc
+		draining  atomic.Bool
+		inFlight  atomic.Int64
+		meters    meters
+		ticker    func(time.Duration) (<-chan time.Time, func()) // replaced in tests
 	}
 )
 
@@ -103,8 +103,8 @@
 func (s *Server) Serve(ln net.Listener) (err error) {
 	defer func() { err = errors.Wrap(err, "serve callers") }()
 	s.once.Do(s.setup)
-	l := &port{Listener: ln}
-	if !s.ports.open(l) {
+	l := &onceListener{Listener: ln}
+	if !s.listeners.add(l) {
 		return l.Close()
 	}
 	return s.http.Serve(listener{Listener: l, timeout: orDefault(s.SendTimeout, DefaultSendTimeout)})
@@ -125,7 +125,7 @@
 	s.StartDraining()
 	defer s.pool.Release()
 	defer s.stop()
-	if err := s.ports.close(); err != nil {
+	if err := s.listeners.close(); err != nil {
 		return err
 	}
 	if err := s.http.ShutdownWithContext(ctx); err != nil {
@@ -170,7 +170,7 @@
 		NoDefaultContentType:  true,
 		CloseOnShutdown:       true,
 		SecureErrorLogMessage: true, // keys and bodies stay out of the log
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 }
 
@@ -180,7 +180,7 @@
 // system with many accounts from being configured.
 func (s *Server) limitBody(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if bytes.HasPrefix(h.RequestURI(), []byte(pathConfig)) {
-		if _, operator, ok := s.whose(h); ok && operator {
+		if _, operator, ok := s.accountOf(h); ok && operator {
 			return fasthttp.RequestConfig{MaxRequestBodySize: maxConfig}
 		}
 	}
--- a/internal/edge/server/server_test.go
+++ b/internal/edge/server/server_test.go
@@ -22,9 +22,9 @@
 	var got call.Call
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		got = c
-		return answers("karibu", "kari", "bu")(ctx, c, sink)
+		return respondWith("karibu", "kari", "bu")(ctx, c, sink)
 	}
-	res := st.send("POST", "/v1/chat/completions", tenant, plainBody, numbered("round-7", "4"))
+	res := st.send("POST", "/v1/chat/completions", tenant, plainBody, callHeaders("round-7", "4"))
 	body := res.body
 	is.Equal(res.status, 200)
 	is.True(strings.Contains(body, `"content":"karibu"`))
@@ -51,11 +51,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			st := start(t, file.Limits{})
-			st.fake.call = answers("karibu", tt.pieces...)
-			res := st.send("POST", "/v1/chat/completions", tenant, streamBody, numbered("round-7", "0"))
+			st.fake.call = respondWith("karibu", tt.pieces...)
+			res := st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0"))
 			body := res.body
 			is.Equal(res.header.Get("Content-Type"), "text/event-stream")
-			is.Equal(content(t, body), "karibu")
+			is.Equal(joinDeltas(t, body), "karibu")
 			is.True(strings.HasSuffix(body, "data: [DONE]\n\n"))
 			is.True(strings.Contains(body, `"choices":[],"usage":{"prompt_tokens":3`))
 			is.Equal(strings.Count(body, `"role":"assistant"`), 1)
@@ -66,7 +66,7 @@
 // The engine dies in the middle of an answer, or a second attempt words it
 // differently. The caller has part of a text; if the stream ended as usual, it
 // would take that part for the whole answer.
-func TestStreamCutShortNeverLooksWhole(t *testing.T) {
+func TestFailedStreamHasNoEndMarker(t *testing.T) {
 	tests := map[string]struct {
 		outcome result.Result
 		code    string
@@ -83,7 +83,7 @@
 				is.NoErr(sink("kari"))
 				return tt.outcome
 			}
-			body := st.send("POST", "/v1/chat/completions", tenant, streamBody, numbered("round-7", "0")).body
+			body := st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0")).body
 			is.True(strings.Contains(body, "event: error\ndata: {\"error\":{\"code\":\""+tt.code))
 			is.True(!strings.Contains(body, "[DONE]"))
 			is.True(!strings.Contains(body, `"finish_reason":"`))
@@ -93,7 +93,7 @@
 
 // A caller hangs up in the middle of a long answer. Unless that is noticed the
 // engine goes on generating for nobody.
-func TestCallerHangsUp(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
 	gone := make(chan error, 1)
@@ -103,7 +103,7 @@
 		gone <- ctx.Err()
 		return result.Failed(result.CodeCancelled, result.Yes, "caller gone")
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("round-7", "0"))
+	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0"))
 	defer func() { _ = res.Body.Close() }()
 	buf := make([]byte, 10)
 	_, err := io.ReadFull(res.Body, buf)
@@ -111,7 +111,7 @@
 	is.NoErr(res.Body.Close())
 	for {
 		select {
-		case st.beats <- time.Time{}: // heartbeats go out until one can't be written
+		case st.heartbeats <- time.Time{}: // heartbeats go out until one can't be written
 		case err := <-gone:
 			is.True(errors.Is(err, context.Canceled))
 			return
@@ -122,13 +122,13 @@
 // A caller hangs up and its connection's memory serves others while the call's
 // end is being recorded. A body that still lay there would put one caller's
 // question into another's history.
-func TestBodyOutlivesItsCaller(t *testing.T) {
+func TestBodyIsCopied(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
 	gone, proceed, kept := make(chan struct{}), make(chan struct{}), make(chan string, 1)
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		if c.Program != "p" {
-			return answers("karibu")(ctx, c, sink)
+			return respondWith("karibu")(ctx, c, sink)
 		}
 		is.NoErr(sink("kari"))
 		<-ctx.Done()
@@ -137,18 +137,18 @@
 		kept <- string(c.Body)
 		return result.Failed(result.CodeCancelled, result.Yes, "caller gone")
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
 	is.NoErr(res.Body.Close())
 	other := strings.ReplaceAll(streamBody, "hi", "yo")
 	for beating := true; beating; {
 		select {
-		case st.beats <- time.Time{}: // heartbeats go out until one can't be written
+		case st.heartbeats <- time.Time{}: // heartbeats go out until one can't be written
 		case <-gone:
 			beating = false
 		}
 	}
 	for range 20 {
-		st.send("POST", "/v1/chat/completions", tenant, other, numbered("q", "0"))
+		st.send("POST", "/v1/chat/completions", tenant, other, callHeaders("q", "0"))
 	}
 	close(proceed)
 	is.Equal(<-kept, streamBody)
@@ -162,22 +162,22 @@
 	proceed := make(chan struct{})
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		<-proceed
-		return answers("karibu")(ctx, c, sink)
+		return respondWith("karibu")(ctx, c, sink)
 	}
 	go func() {
-		st.beats <- time.Time{}
-		st.beats <- time.Time{}
+		st.heartbeats <- time.Time{}
+		st.heartbeats <- time.Time{}
 		close(proceed)
 	}()
-	body := st.send("POST", "/v1/chat/completions", tenant, streamBody, numbered("round-7", "0")).body
+	body := st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0")).body
 	is.Equal(strings.Count(body, ": waiting\n\n"), 2)
-	is.Equal(content(t, body), "karibu")
+	is.Equal(joinDeltas(t, body), "karibu")
 }
 
 func TestCallWithoutProgram(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
-	st.fake.call = answers("karibu")
+	st.fake.call = respondWith("karibu")
 	res := st.send("POST", "/v1/chat/completions", tenant, plainBody, nil)
 	is.Equal(res.status, 200)
 	opened, ended := <-st.fake.opens, <-st.fake.ends
@@ -197,10 +197,10 @@
 		"wrong key":          {"GET", "/v1/status", "nope", "", nil, 401, "unauthorized"},
 		"no call number":     {"POST", "/v1/chat/completions", tenant, plainBody, map[string]string{HeaderProgram: "p"}, 400, "bad_request"},
 		"no program":         {"POST", "/v1/chat/completions", tenant, plainBody, map[string]string{HeaderCall: "0"}, 400, "bad_request"},
-		"negative number":    {"POST", "/v1/chat/completions", tenant, plainBody, numbered("p", "-1"), 400, "bad_request"},
-		"no JSON":            {"POST", "/v1/chat/completions", tenant, "{", numbered("p", "0"), 400, "bad_request"},
+		"negative number":    {"POST", "/v1/chat/completions", tenant, plainBody, callHeaders("p", "-1"), 400, "bad_request"},
+		"no JSON":            {"POST", "/v1/chat/completions", tenant, "{", callHeaders("p", "0"), 400, "bad_request"},
 		"service, no number": {"POST", "/v1/services/receipts/issue", tenant, "{}", nil, 400, "bad_request"},
-		"body too large":     {"POST", "/v1/chat/completions", tenant, strings.Repeat("x", 2000), numbered("p", "0"), 413, "bad_request"},
+		"body too large":     {"POST", "/v1/chat/completions", tenant, strings.Repeat("x", 2000), callHeaders("p", "0"), 413, "bad_request"},
 		"headers too large":  {"GET", "/v1/entries", tenant, "", map[string]string{"X": strings.Repeat("x", 20<<10)}, 431, "bad_request"},
 		"other's history":    {"GET", "/v1/programs/p/history", "key-of-kexanh", "", nil, 404, "not_found"},
 		"other's request":    {"GET", "/v1/requests/r", "key-of-kexanh", "", nil, 404, "not_found"},
@@ -232,16 +232,16 @@
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		is.NoErr(sink("kari"))
 		<-proceed
-		return answers("karibu")(ctx, c, sink)
+		return respondWith("karibu")(ctx, c, sink)
 	}
-	first := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
+	first := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
 	defer func() { _ = first.Body.Close() }()
-	second := st.send("POST", "/v1/chat/completions", tenant, plainBody, numbered("q", "0"))
+	second := st.send("POST", "/v1/chat/completions", tenant, plainBody, callHeaders("q", "0"))
 	is.Equal(second.status, 429)
 	is.Equal(second.header.Get("Retry-After"), "1")
 	is.True(strings.Contains(second.body, `"ran":"no"`))
 	close(proceed)
-	is.Equal(content(t, rest(t, first)), "karibu")
+	is.Equal(joinDeltas(t, readBody(t, first)), "karibu")
 }
 
 func TestService(t *testing.T) {
@@ -252,7 +252,7 @@
 		got = c
 		return result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 201, ContentType: "text/csv", Body: []byte("a,b")}
 	}
-	res := st.send("POST", "/v1/services/receipts/issue/now?copy=2", tenant, "kg=4", numbered("round-7", "1"))
+	res := st.send("POST", "/v1/services/receipts/issue/now?copy=2", tenant, "kg=4", callHeaders("round-7", "1"))
 	is.Equal(res.body, "a,b")
 	is.Equal(res.status, 201)
 	is.Equal(res.header.Get("Content-Type"), "text/csv")
@@ -272,5 +272,5 @@
 	is.Equal(<-st.fake.ends, call.End{Account: "mafuta", Program: "a/b", Kind: call.Cancel})
 	history := st.send("GET", "/v1/programs/a/b/history", operator, "", nil)
 	is.True(strings.Contains(history.body, `"program":"a/b"`))
-	is.Equal(<-st.fake.viewer, "") // the operator sees all
+	is.Equal(<-st.fake.accountFilters, "") // the operator sees all
 }
--- a/internal/edge/server/stop_test.go
+++ b/internal/edge/server/shutdown_test.go
@@ -28,23 +28,23 @@
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		is.NoErr(sink("kari"))
 		<-proceed
-		return answers("karibu")(ctx, c, sink)
+		return respondWith("karibu")(ctx, c, sink)
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
 	defer func() { _ = res.Body.Close() }()
 	stopped := make(chan error, 1)
 	go func() { stopped <- st.Shutdown(context.Background()) }()
 	<-st.closed // nobody new comes in
 	close(proceed)
-	body := rest(t, res)
-	is.Equal(content(t, body), "karibu")
+	body := readBody(t, res)
+	is.Equal(joinDeltas(t, body), "karibu")
 	is.True(strings.HasSuffix(body, "[DONE]\n\n"))
 	is.NoErr(<-stopped)
 }
 
 // The time for a graceful stop is over and a call still hangs. The caller is
 // told that nobody knows, instead of seeing its connection cut.
-func TestShutdownOverdue(t *testing.T) {
+func TestShutdownTimeout(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
 	st.fake.call = func(ctx context.Context, _ call.Call, sink runner.Sink) result.Result {
@@ -52,12 +52,12 @@
 		<-ctx.Done()
 		return result.Result{}
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
 	defer func() { _ = res.Body.Close() }()
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.True(errors.Is(st.Shutdown(over), context.Canceled))
-	body := rest(t, res)
+	body := readBody(t, res)
 	is.True(strings.Contains(body, `"code":"outcome_unknown"`))
 	is.True(strings.Contains(body, `"ran":"unknown"`))
 	is.True(!strings.Contains(body, "[DONE]"))
@@ -68,12 +68,12 @@
 func TestDrainingClosesConnections(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
-	st.fake.call = answers("karibu")
+	st.fake.call = respondWith("karibu")
 	before := st.do("GET", "/v1/entries", tenant, "", nil)
 	is.NoErr(before.Body.Close())
 	is.True(!before.Close)
 	st.StartDraining()
-	after := st.do("POST", "/v1/chat/completions", tenant, plainBody, numbered("p", "0"))
+	after := st.do("POST", "/v1/chat/completions", tenant, plainBody, callHeaders("p", "0"))
 	defer func() { _ = after.Body.Close() }()
 	is.Equal(after.StatusCode, 200)
 	is.True(after.Close)
@@ -81,7 +81,7 @@
 
 // A caller stops reading but keeps its connection open. Without a bound on
 // writes its answer would hold a call, and the upstream behind it, for ever.
-func TestWriteToSilentCaller(t *testing.T) {
+func TestWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := net.Pipe()
@@ -95,7 +95,7 @@
 
 // A daemon is stopped while it starts: it is told to stop before it serves. It served
 // callers for ever then, and whoever waited for its end waited for ever.
-func TestStopBeforeServe(t *testing.T) {
+func TestShutdownBeforeServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var n pipe.Net
--- a/internal/edge/server/stream.go
+++ b/internal/edge/server/stream.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	streamType   = "text/event-stream"
-	streamDone   = "data: [DONE]\n\n"
-	streamBeat   = ": waiting\n\n"
-	streamError  = "event: error\n"
-	dataPrefix   = "data: "
-	eventEnd     = "\n\n"
-	headerBuffer = "X-Accel-Buffering" // keeps intermediaries from holding pieces back
+	streamType       = "text/event-stream"
+	streamDone       = "data: [DONE]\n\n"
+	heartbeatComment = ": waiting\n\n"
+	streamError      = "event: error\n"
+	dataPrefix       = "data: "
+	eventEnd         = "\n\n"
+	headerBuffering  = "X-Accel-Buffering" // keeps intermediaries from holding pieces back
 )
 
 // stream writes one answer as server-sent events. Text holds what was sent.
 type stream struct {
-	w      *bufio.Writer
-	f      *flight
-	answer chat.Answer
-	text   strings.Builder
-	opened bool
-	line   []byte // reused for each piece
-	told   *told
+	w         *bufio.Writer
+	f         *inflightCall
+	answer    chat.Answer
+	text      strings.Builder
+	opened    bool
+	buf       []byte // reused for each piece
+	telemetry *telemetry
 }
 
 // stream answers with server-sent events. A call that fails before its first
 // piece, and before the first heartbeat is due, is refused by status instead.
-func (s *Server) stream(x *exchange, f *flight, answer chat.Answer) {
-	beats, stop := s.ticker(orDefault(s.Heartbeat, DefaultHeartbeat))
-	first := f.next(beats)
+func (s *Server) stream(x *exchange, f *inflightCall, answer chat.Answer) {
+	heartbeats, stop := s.ticker(orDefault(s.Heartbeat, DefaultHeartbeat))
+	first := f.next(heartbeats)
 	if e, ok := first.(ended); ok && !e.result.OK() {
 		stop()
 		f.cancel()
@@ -46,20 +46,20 @@
 	x.Response.SetStatusCode(fasthttp.StatusOK)
 	x.Response.Header.SetContentType(streamType)
 	x.Response.Header.Set(fasthttp.HeaderCacheControl, "no-cache")
-	x.Response.Header.Set(headerBuffer, "no")
+	x.Response.Header.Set(headerBuffering, "no")
 	x.Response.ImmediateHeaderFlush = true
 	x.detached = true
-	told := x.told
+	telemetry := x.telemetry
 	x.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer f.cancel() // also when the caller is gone: a write failed
 		defer stop()
-		st := stream{w: w, f: f, answer: answer, told: told}
-		told.end(st.run(first, beats), fasthttp.StatusOK)
+		st := stream{w: w, f: f, answer: answer, telemetry: telemetry}
+		telemetry.end(st.run(first, heartbeats), fasthttp.StatusOK)
 	})
 }
 
 // ready returns an event that waits already, or nil.
-func (f *flight) ready() event {
+func (f *inflightCall) ready() event {
 	select {
 	case e := <-f.events:
 		return e
@@ -69,19 +69,19 @@
 }
 
 // next returns the next event, or nil when a heartbeat is due first.
-func (f *flight) next(beats <-chan time.Time) event {
+func (f *inflightCall) next(heartbeats <-chan time.Time) event {
 	select {
 	case e := <-f.events:
 		return e
-	case <-beats:
+	case <-heartbeats:
 		return nil
 	case <-f.ctx.Done():
-		return ended{cutOff()}
+		return ended{stoppedResult()}
 	}
 }
 
 // run returns the outcome as the caller was told it.
-func (st *stream) run(e event, beats <-chan time.Time) result.Result {
+func (st *stream) run(e event, heartbeats <-chan time.Time) result.Result {
 	for {
 		var err error
 		switch e := e.(type) {
@@ -90,18 +90,18 @@
 		case ended:
 			return st.end(e.result)
 		default:
-			err = st.write([]byte(streamBeat))
+			err = st.write([]byte(heartbeatComment))
 		}
 		if err != nil {
-			return callerGone()
+			return disconnectedResult()
 		}
 		if e = st.f.ready(); e != nil {
 			continue // goes out with the piece before it
 		}
 		if err := st.w.Flush(); err != nil {
-			return callerGone()
+			return disconnectedResult()
 		}
-		e = st.f.next(beats)
+		e = st.f.next(heartbeats)
 	}
 }
 
@@ -110,10 +110,10 @@
 		return err
 	}
 	st.text.WriteString(text)
-	st.line = append(st.line[:0], dataPrefix...)
-	st.line = st.answer.Text(st.line, text)
-	st.line = append(st.line, eventEnd...)
-	return st.write(st.line)
+	st.buf = append(st.buf[:0], dataPrefix...)
+	st.buf = st.answer.Text(st.buf, text)
+	st.buf = append(st.buf, eventEnd...)
+	return st.write(st.buf)
 }
 
 // end finishes the stream. What was sent must be a beginning of the recorded
@@ -129,7 +129,7 @@
 			"the recorded answer differs from what was sent; repeat the call with the same number"))
 	}
 	if err := st.finish(rest, r); err != nil {
-		return callerGone()
+		return disconnectedResult()
 	}
 	return r
 }
@@ -143,20 +143,20 @@
 	if err := st.open(); err != nil {
 		return err
 	}
-	if err := st.data(st.answer.Finish(r)); err != nil {
+	if err := st.writeData(st.answer.Finish(r)); err != nil {
 		return err
 	}
 	if st.answer.Usage {
-		if err := st.data(st.answer.Total(r)); err != nil {
+		if err := st.writeData(st.answer.UsageChunk(r)); err != nil {
 			return err
 		}
 	}
-	return st.last(streamDone)
+	return st.writeLast(streamDone)
 }
 
 func (st *stream) fail(r result.Result) result.Result {
-	if err := st.last(streamError + dataPrefix + string(encodeError(r)) + eventEnd); err != nil {
-		return callerGone()
+	if err := st.writeLast(streamError + dataPrefix + string(encodeError(r)) + eventEnd); err != nil {
+		return disconnectedResult()
 	}
 	return r
 }
@@ -166,11 +166,11 @@
 		return nil
 	}
 	st.opened = true
-	st.told.first()
-	return st.data(st.answer.Role())
+	st.telemetry.firstPiece()
+	return st.writeData(st.answer.Role())
 }
 
-func (st *stream) data(chunk []byte) error {
+func (st *stream) writeData(chunk []byte) error {
 	return st.write([]byte(dataPrefix + string(chunk) + eventEnd))
 }
 
@@ -181,7 +181,7 @@
 }
 
 // last writes the end of the stream.
-func (st *stream) last(s string) error {
+func (st *stream) writeLast(s string) error {
 	if err := st.write([]byte(s)); err != nil {
 		return err
 	}
--- a/internal/edge/server/told.go
+++ b/internal/edge/server/telemetry.go
@@ -27,12 +27,12 @@
 	// meters are counted for all requests.
 	meters struct {
 		scope    tally.Scope
-		underWay tally.Gauge
+		inFlight tally.Gauge
 	}
 
 	// told is what is told of one request at its end: a line in the log, a
 	// span and metrics. It holds no body and no key.
-	told struct {
+	telemetry struct {
 		logs.Request
 
 		server *Server
@@ -47,26 +47,26 @@
 		scope = tally.NoopScope
 	}
 	scope = scope.SubScope("edge")
-	return meters{scope: scope, underWay: scope.Gauge("calls_under_way")}
+	return meters{scope: scope, inFlight: scope.Gauge("calls_under_way")}
 }
 
 // tell begins what is told of a request.
-func (s *Server) tell(x *exchange) *told {
+func (s *Server) newTelemetry(x *exchange) *telemetry {
 	parent := string(x.Request.Header.Peek(headerTrace))
 	_, span := s.Trace.Start(context.Background(), trace.Edge, parent)
-	t := &told{server: s, span: span, start: x.start, path: pathOther}
+	t := &telemetry{server: s, span: span, start: x.start, path: pathOther}
 	t.ID = x.id.String()
 	t.Hop = string(trace.Edge)
 	return t
 }
 
 // first notes that the caller gets the first piece of a stream.
-func (t *told) first() {
+func (t *telemetry) firstPiece() {
 	t.server.meters.scope.Timer("first_piece_seconds").Record(time.Since(t.start))
 }
 
 // end tells of the request.
-func (t *told) end(r result.Result, status int) {
+func (t *telemetry) end(r result.Result, status int) {
 	if r.Code == "" {
 		r.Code, r.Ran = result.CodeOK, result.Yes
 	}
@@ -87,6 +87,6 @@
 }
 
 // busier counts the calls under way.
-func (s *Server) busier(n int64) {
-	s.meters.underWay.Update(float64(s.underWay.Add(n)))
+func (s *Server) addInFlight(n int64) {
+	s.meters.inFlight.Update(float64(s.inFlight.Add(n)))
 }
--- a/internal/edge/server/told_test.go
+++ b/internal/edge/server/telemetry_test.go
@@ -24,7 +24,7 @@
 
 // Logs and traces are read by more people than may read a customer's talk. A
 // key in them would let any of these people act as the customer.
-func TestNoSecretsAreTold(t *testing.T) {
+func TestNoSecretsInLogsOrTraces(t *testing.T) {
 	is := is.New(t)
 	var log, spans bytes.Buffer
 	l, err := logs.Open(&log, "debug", logs.JSON)
@@ -38,9 +38,9 @@
 	var seen []string
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		seen = append(seen, c.TraceParent)
-		return answers("the-answer", "the-")(ctx, c, sink)
+		return respondWith("the-answer", "the-")(ctx, c, sink)
 	}
-	headers := numbered("round-7", "3")
+	headers := callHeaders("round-7", "3")
 	headers["traceparent"] = parent
 	ask := strings.Replace(plainBody, "hi", "the-question", 1)
 	is.Equal(st.send("POST", "/v1/chat/completions", tenant, ask, headers).status, 200)
@@ -70,9 +70,9 @@
 	is := is.New(t)
 	m := metric.New()
 	st := startWith(t, file.Limits{}, func(s *Server) { s.Scope, s.Metrics = m.Scope(), m.Serve })
-	st.fake.call = answers("karibu", "ka")
-	st.send("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
-	st.send("POST", "/v1/chat/completions", tenant, "{", numbered("p", "0"))
+	st.fake.call = respondWith("karibu", "ka")
+	st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
+	st.send("POST", "/v1/chat/completions", tenant, "{", callHeaders("p", "0"))
 	st.calls.Wait()
 	is.NoErr(m.Close())
 	body := st.send("GET", "/metrics", "", "", nil).body
--- a/internal/edge/server/silent_test.go
+++ b/internal/edge/server/timeout_test.go
@@ -31,12 +31,12 @@
 // Callers connect and then say nothing, or say it very slowly, because they are
 // broken or mean harm. Each holds a connection; unless it is cut, callers who
 // have something to say find none left.
-func TestSilentCallersAreCut(t *testing.T) {
+func TestSlowCallersAreDisconnected(t *testing.T) {
 	const head = "POST /v1/programs HTTP/1.1\r\nHost: s\r\nAuthorization: Bearer " + tenant + "\r\n"
 	tests := map[string]struct {
-		send   []string // one piece every second
-		status int      // of the answer
-		lasts  time.Duration
+		send    []string // one piece every second
+		status  int      // of the answer
+		timeout time.Duration
 	}{
 		"says nothing":       {nil, 408, DefaultReadTimeout},
 		"stops in the head":  {[]string{head}, 408, DefaultReadTimeout},
@@ -66,7 +66,7 @@
 				is.NoErr(res.Body.Close())
 				_, err = r.ReadByte()
 				is.True(err != nil) // cut
-				is.True(time.Since(began) <= tt.lasts+time.Second)
+				is.True(time.Since(began) <= tt.timeout+time.Second)
 				is.NoErr(s.Shutdown(t.Context()))
 				is.NoErr(<-done)
 				<-time.After(poolLinger)
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -61,7 +61,7 @@
 		Status:      func(context.Context) any { return d.Status() },
 		Drain:       d.Drain,
 		Apply:       d.apply,
-		Text:        func() ([]byte, uint64) { return server.TextOf(d.keeper.Answer) },
+		Text:        func() ([]byte, uint64) { return server.AssembleText(d.keeper.Answer) },
 		MaxHeader:   b.HeaderBytes,
 		MaxConns:    b.Connections,
 		ReadTimeout: t.Read,
@@ -105,7 +105,7 @@
 
 func (d *Daemon) apply(ctx context.Context, text []byte, from uint64) server.Applied {
 	out, err := d.keeper.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: from, By: operatorName})
-	return server.Told(from, out, err)
+	return server.NewApplied(from, out, err)
 }
 
 // ended notes how a call ended at its owner. The line that tells support
--- a/internal/play/load/check.go
+++ b/internal/play/load/check.go
@@ -74,7 +74,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := callName(program, number)
-	if !a.Whole {
+	if !a.Complete {
 		c.fault("%s: the answer has no end, and no error said so", name)
 		return
 	}
@@ -124,7 +124,7 @@
 func (c *check) owner(program string, number int, request string) {
 	name := callName(program, number)
 	id, err := reqid.Parse(request)
-	if err != nil || id.Root != reqid.Hash(program) || id.Number != number {
+	if err != nil || id.RootHash != reqid.Hash(program) || id.Number != number {
 		c.fault("%s: got the answer of request %s", name, request)
 		return
 	}
