--- a/internal/edge/server/answer.go
+++ b/internal/edge/server/answer.go
@@ -14,7 +14,7 @@
 )
 
 type (
-	// errorBody is the body of every answer that is not a success.
+	// errorBody is the body of every error response.
 	errorBody struct {
 		Error errorFields `json:"error"`
 	}
@@ -27,7 +27,7 @@
 	}
 )
 
-// refuse answers with a failure.
+// refuse answers with the error r and keeps it as the outcome for telemetry.
 func (x *exchange) refuse(r result.Result) {
 	status := r.Status
 	if status == 0 {
@@ -69,11 +69,12 @@
 
 func encodeError(r result.Result) []byte {
 	fields := errorFields{Code: r.Code, Message: r.Message, Ran: r.Ran, RetryAfter: r.RetryAfter.Seconds()}
-	data, _ := json.Marshal(errorBody{Error: fields}) // holds nothing that JSON lacks
+	data, _ := json.Marshal(errorBody{Error: fields}) // can't fail for these field types
 	return data
 }
 
-// refuseMalformed answers what could not be read as a request; nothing ran.
+// refuseMalformed answers a request that could not be read or parsed; nothing
+// ran.
 func refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	if c, ok := ctx.Conn().(*conn); ok {
 		c.drainOnClose = true
--- a/internal/edge/server/apply.go
+++ b/internal/edge/server/apply.go
@@ -13,17 +13,18 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// FromNewest as the base of a text applies it whatever version is in force.
+// FromNewest as the base version applies a text whatever version is in force.
 const FromNewest = "newest"
 
 type (
-	// Applied is the outcome of applying a configuration. Version is in force
-	// now, or was when another operator was first: then Conflict is set, and
-	// Base is what this operator started from. Faults name file, line and key
-	// of a text that was not taken. Ran tells whether the text is in force.
+	// Applied is the outcome of applying a configuration. Version is the one in
+	// force. If another operator applied a version in between, Conflict is set,
+	// Version is that operator's, and Base is the version that this operator
+	// started from. Faults give file, line and key of the errors in a rejected
+	// text. Ran says whether the text is in force.
 	Applied struct {
 		Version   uint64      `json:"version"`
-		Unchanged bool        `json:"unchanged,omitempty"` // the text was in force before
+		Unchanged bool        `json:"unchanged,omitempty"` // the text was in force already
 		Conflict  bool        `json:"conflict,omitempty"`
 		Base      uint64      `json:"base,omitempty"`
 		By        string      `json:"by,omitempty"` // who applied the version in force
@@ -33,14 +34,15 @@
 		Ran       result.Ran  `json:"ran"`
 	}
 
-	// running is the configuration in force, as operators read it.
+	// currentConfig is the configuration in force, as operators read it.
 	currentConfig struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
 	}
 )
 
-// Told turns what came of applying a text into what its operator is told.
+// NewApplied converts the outcome or error of applying a text into the operator's
+// answer.
 func NewApplied(base uint64, out apply.Outcome, err error) Applied {
 	var conflict *apply.ConflictError
 	var faults file.Errors
@@ -62,9 +64,10 @@
 	return Applied{Base: base, Message: err.Error(), Ran: result.No}
 }
 
-// TextOf returns the text and version in force, as a daemon gives them to its
-// peers: a watch.Keeper's Answer, which holds some of the chunks at a time.
-// Nothing is returned before a configuration is in force.
+// AssembleText returns the text and version in force. Its parameter is a
+// watch.Keeper's Answer, which returns only some of the requested chunks at a
+// time. Before a configuration is in force, and if a chunk is not available, the
+// text is nil.
 func AssembleText(answer func(watch.Question) watch.Answer) (text []byte, version uint64) {
 	h := answer(watch.Question{}).Head
 	chunks := map[string][]byte{}
@@ -76,7 +79,7 @@
 			}
 		}
 		if len(chunks) == before {
-			return nil, 0 // replaced meanwhile, or not to be read
+			return nil, 0 // configuration replaced meanwhile, or a chunk unreadable
 		}
 	}
 	for _, digest := range h.Chunks {
@@ -94,9 +97,9 @@
 	return rest
 }
 
-// apply puts the body in force as the next configuration. The operator names
-// the version that the text was made from, so that nobody undoes another's
-// change unseen.
+// apply applies the body as the next configuration. The query parameter from
+// names the version that the text was made from, so that an operator can't
+// overwrite another's change unknowingly.
 func (s *Server) apply(x *exchange) {
 	from, ok := base(string(x.QueryArgs().Peek("from")))
 	if !ok {
--- a/internal/edge/server/apply_test.go
+++ b/internal/edge/server/apply_test.go
@@ -12,7 +12,7 @@
 	"github.com/slaterock/slaterock/internal/conf/watch"
 )
 
-// holder gives out one chunk at a time, as a daemon does of a large text.
+// chunkHolder returns one chunk per answer, as a daemon does for a large text.
 type chunkHolder struct {
 	head   head.Head
 	chunks []chunk.Chunk
@@ -28,7 +28,7 @@
 	return a
 }
 
-// hold cuts a text of repeated pieces as a configuration is stored.
+// packChunks packs each piece as a chunk of a stored configuration.
 func packChunks(t *testing.T, pieces ...string) chunkHolder {
 	t.Helper()
 	h := chunkHolder{head: head.Head{Version: 7}}
@@ -41,8 +41,8 @@
 	return h
 }
 
-// An operator reads the text in force to make a change. A text with a piece
-// missing, or twice, would become the next configuration.
+// An operator reads the text in force, edits it and applies the result. A missing
+// or repeated chunk would get into the next configuration.
 func TestAssembleText(t *testing.T) {
 	whole := packChunks(t, "[system]\n", "[model.a]\n", "[system]\n", "[model.b]\n")
 	incomplete := whole
--- a/internal/edge/server/bench_test.go
+++ b/internal/edge/server/bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/slaterock/slaterock/internal/prog/call"
 )
 
-// pieces is a typical answer's length.
+// pieces is the number of pieces of a typical answer.
 const pieces = 200
 
-// serve runs a server on loopback, with log, metrics and untaken traces, as a
-// daemon has them.
+// serve runs a server on loopback with logs, metrics and a tracer that exports
+// nothing, as in a daemon.
 func serve(b *testing.B, answer ...string) net.Addr {
 	b.Helper()
 	l, err := logs.Open(io.Discard, "", logs.JSON)
@@ -44,8 +44,8 @@
 	return ln.Addr()
 }
 
-// exchange sends the request again and again over one connection for each
-// goroutine, and reads each answer to its end.
+// sendRequests repeats the request over one connection per goroutine and reads
+// each response completely.
 func sendRequests(b *testing.B, addr net.Addr, body string) {
 	b.Helper()
 	b.ReportAllocs()
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxProgramID      = 200 // bytes of a program's id
+	maxProgramID      = 200 // bytes
 	singleCallPrefix  = "once-"
 	singleCallIDBytes = 12
 	retryAfter        = time.Second
@@ -26,27 +26,27 @@
 )
 
 type (
-	// flight is a call under way, seen from the goroutine that answers. Its
-	// events come in order, the last is ended.
+	// inflightCall connects a call that runs in the pool to the goroutine that
+	// writes the response. Events arrive in order; the last one is ended.
 	inflightCall struct {
-		ctx    context.Context //nolint:containedctx // ends the call when its caller is gone
+		ctx    context.Context //nolint:containedctx // cancelled when a stream's caller disconnects or the server stops
 		cancel context.CancelFunc
 		events chan event
 	}
 
 	event interface{ event() }
 
-	// piece is a part of the answer's text.
+	// piece is a fragment of the answer's text.
 	piece struct{ text string }
 
-	// ended is the committed outcome.
+	// ended carries the committed outcome.
 	ended struct{ result result.Result }
 )
 
 func (piece) event() {}
 func (ended) event() {}
 
-// chat runs a chat completion.
+// chat answers a chat completion request, as one object or as a stream.
 func (s *Server) chat(x *exchange) {
 	x.telemetry.path = pathChat
 	c, problem := x.call(call.Model)
@@ -88,9 +88,9 @@
 	x.raw(fasthttp.StatusOK, jsonType, answer.Completion(r))
 }
 
-// service runs a call to a plain service. It needs a program and a number,
-// because without them a repeat could not be told from a new call, and a call
-// that may not be repeated would run twice.
+// service runs a call to a plain service. It requires a program and a call
+// number: without them a retry could not be distinguished from a new call, and a
+// non-idempotent call would run twice.
 func (s *Server) service(x *exchange) {
 	x.telemetry.path = pathService
 	c, problem := x.call(call.Service)
@@ -121,8 +121,8 @@
 	x.raw(orDefault(r.Status, fasthttp.StatusOK), r.ContentType, r.Body)
 }
 
-// call reads what all kinds of calls have in common. The body is copied,
-// because the library uses its memory again once the request is answered.
+// call reads the headers and body that all kinds of calls share. The body is
+// copied because fasthttp reuses its buffer once the request is answered.
 func (x *exchange) call(kind call.Kind) (c call.Call, problem string) {
 	c = call.Call{
 		Account:     x.account,
@@ -150,7 +150,7 @@
 	return c, ""
 }
 
-// begin names the request after its program and call.
+// setCall assigns the request id of the call and records the call in telemetry.
 func (s *Server) setCall(x *exchange, c *call.Call) {
 	x.assignID(c.Program, c.Number)
 	x.Response.Header.Set(HeaderProgram, c.Program)
@@ -159,7 +159,7 @@
 	c.TraceParent = x.telemetry.span.Traceparent()
 }
 
-// launch starts the call, or reports that too many are under way.
+// launch starts the call in the pool; ok is false if the pool is full.
 func (s *Server) launch(c call.Call, singleCall bool) (f *inflightCall, ok bool) {
 	s.resizePool()
 	f = &inflightCall{events: make(chan event)}
@@ -178,7 +178,7 @@
 	return f, err == nil
 }
 
-// tune puts the configured bound on calls in force.
+// resizePool applies the configured limit of concurrent calls.
 func (s *Server) resizePool() {
 	if n := lower(s.config().Limits.MaxCalls, s.MaxCalls, DefaultMaxCalls); n != s.pool.Cap() {
 		s.pool.Tune(n)
@@ -204,8 +204,9 @@
 	s.endSingleCall(c, r)
 }
 
-// endOnce ends the program that was opened for one call. The caller has its
-// answer by then and does not wait; a program that can't be ended now expires.
+// endSingleCall ends the program that was opened for a single call. It runs after
+// the outcome was sent, so the caller does not wait for it. A program that can't
+// be ended now expires later.
 func (s *Server) endSingleCall(c call.Call, r result.Result) {
 	ctx, cancel := context.WithTimeout(s.base, endTimeout)
 	defer cancel()
@@ -220,13 +221,14 @@
 	return f.send(piece{text})
 }
 
-// end hands over the outcome. Where nobody waits for it any more it is in the
-// history all the same.
+// end sends the outcome. If the receiving goroutine has stopped, the outcome is
+// dropped here; the history has it in any case.
 func (f *inflightCall) end(r result.Result) {
 	_ = f.send(ended{r})
 }
 
-// send hands an event to the goroutine that answers, which may be gone.
+// send passes an event to the goroutine that writes the response. It fails once
+// the call's context is cancelled.
 func (f *inflightCall) send(e event) error {
 	select {
 	case f.events <- e:
@@ -236,8 +238,8 @@
 	}
 }
 
-// outcome waits for the end of the call and leaves its pieces aside: the
-// result has the whole answer.
+// outcome waits for the end of the call and discards its pieces: the result
+// holds the whole answer.
 func (f *inflightCall) outcome() result.Result {
 	defer f.cancel()
 	for {
@@ -252,14 +254,14 @@
 	}
 }
 
-// cutOff is told to a caller whose call was still under way when the time for
-// a graceful stop was over.
+// stoppedResult is the answer to a call that was still in flight when the grace
+// period of Shutdown ended.
 func stoppedResult() result.Result {
 	return result.Failed(result.CodeUnknown, result.Unknown, "the daemon stopped; repeat the call with the same number")
 }
 
-// callerGone is logged for a stream that its caller left. What becomes of the
-// call is in the history.
+// disconnectedResult is the outcome in telemetry of a stream whose caller
+// disconnected. The outcome of the call itself is in the history.
 func disconnectedResult() result.Result {
 	return result.Failed(result.CodeCancelled, result.Unknown, "the caller is gone")
 }
@@ -285,12 +287,12 @@
 
 func newSingleCallID() string {
 	var b [singleCallIDBytes]byte
-	_, _ = rand.Read(b[:]) // never fails, by its contract
+	_, _ = rand.Read(b[:]) // crypto/rand documents that Read never fails
 	return singleCallPrefix + hex.EncodeToString(b[:])
 }
 
-// onlyModel is the one model that is declared, so that an answer can name it
-// where its request did not; empty if there are several.
+// onlyModel returns the model's name if exactly one is configured, so that the
+// answer to a request without a model can name it; otherwise it is empty.
 func onlyModel(f file.File) string {
 	if len(f.Models) != 1 {
 		return ""
--- a/internal/edge/server/helpers_test.go
+++ b/internal/edge/server/helpers_test.go
@@ -25,7 +25,8 @@
 )
 
 type (
-	// fake is a Runner whose calls are scripted and recorded.
+	// fake is a Runner with a scripted Call. It sends the arguments of the other
+	// methods to channels.
 	fake struct {
 		call           func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
 		opens          chan call.Open
@@ -45,10 +46,10 @@
 		client     *http.Client
 		fake       *fake
 		heartbeats chan time.Time
-		closed     chan struct{} // the listener is
+		closed     chan struct{} // closed with the listener
 	}
 
-	// door is a listener that tells when it is closed.
+	// closeNotifier is a listener that closes the channel closed in Close.
 	closeNotifier struct {
 		*fasthttputil.InmemoryListener
 		closed chan struct{}
@@ -98,7 +99,7 @@
 	return d.InmemoryListener.Close()
 }
 
-// start runs a server on a listener in memory.
+// start runs a server on an in-memory listener.
 func start(t *testing.T, limits file.Limits) *testServer {
 	t.Helper()
 	return startWith(t, limits, func(*Server) {})
@@ -106,7 +107,7 @@
 
 func startWith(t *testing.T, limits file.Limits, change func(*Server)) *testServer {
 	t.Helper()
-	t.Parallel() // the library takes a tenth of a second to shut down
+	t.Parallel() // fasthttp takes 0.1 s to shut down
 	f := &fake{opens: make(chan call.Open, 1), ends: make(chan call.End, 1), accountFilters: make(chan string, 1)}
 	st := &testServer{t: t, fake: f, heartbeats: make(chan time.Time), closed: make(chan struct{})}
 	st.Server = &Server{
@@ -136,7 +137,7 @@
 	return st
 }
 
-// do sends a request and returns the answer as it begins.
+// do sends a request and returns the response with its body unread.
 func (st *testServer) do(method, path, key, body string, headers map[string]string) *http.Response {
 	st.t.Helper()
 	req, err := http.NewRequest(method, "http://slaterock"+path, strings.NewReader(body))
@@ -156,7 +157,7 @@
 	return res
 }
 
-// send sends a request and returns the whole answer.
+// send sends a request and returns the complete response.
 func (st *testServer) send(method, path, key, body string, headers map[string]string) response {
 	st.t.Helper()
 	res := st.do(method, path, key, body, headers)
@@ -193,7 +194,7 @@
 	return map[string]string{HeaderProgram: program, HeaderCall: number}
 }
 
-// content puts the pieces of a stream together.
+// joinDeltas returns the concatenated text of a stream's chunks.
 func joinDeltas(t *testing.T, body string) string {
 	t.Helper()
 	var b strings.Builder
--- a/internal/edge/server/listen.go
+++ b/internal/edge/server/listen.go
@@ -12,9 +12,10 @@
 )
 
 type (
-	// listener bounds each write to a caller. The HTTP library bounds a whole
-	// answer instead, which would cut a healthy stream that lasts long; without
-	// any bound a caller that stopped reading would hold its call for ever.
+	// listener sets a deadline for each write to a caller. fasthttp's write
+	// timeout covers a whole response instead and would cut a long healthy
+	// stream. Without any deadline a caller that stopped reading would block its
+	// call forever.
 	listener struct {
 		net.Listener
 		timeout time.Duration
@@ -23,15 +24,15 @@
 	conn struct {
 		net.Conn
 		timeout      time.Duration
-		drainOnClose bool // its request was refused before it was read to its end
+		drainOnClose bool // its request was refused before it was read completely
 	}
 
-	// silent drops the HTTP library's own log, which tells of broken
-	// connections only.
+	// discardLogger drops fasthttp's own log, which only reports broken
+	// connections.
 	discardLogger struct{}
 )
 
-// Accept waits for the next connection.
+// Accept returns the next connection, with a deadline on each of its writes.
 func (l listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -40,7 +41,8 @@
 	return &conn{Conn: c, timeout: l.timeout}, nil
 }
 
-// Write fails if the other end does not take the data in time.
+// Write fails with os.ErrDeadlineExceeded if the peer does not accept the data
+// within the timeout.
 func (c *conn) Write(p []byte) (n int, err error) {
 	if err := c.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
@@ -48,10 +50,10 @@
 	return c.Conn.Write(p)
 }
 
-// Close takes in, for a moment, what the other end is still sending. Closing
-// with data unread makes the system reset the connection, and the refusal that
-// was just written would be lost with it: the caller would see a broken
-// connection and not why.
+// Close first reads and discards what the peer is still sending, up to lingerTime
+// and lingerBytes, if the request was refused early. Closing a socket with unread
+// data makes the kernel send a reset, which can destroy the error response that
+// was just written: the caller would see a broken connection without the reason.
 func (c *conn) Close() error {
 	if c.drainOnClose {
 		if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
--- a/internal/edge/server/listeners.go
+++ b/internal/edge/server/listeners.go
@@ -6,23 +6,24 @@
 )
 
 type (
-	// ports are the listeners that are served. The HTTP library closes those that it
-	// knows when it shuts down. One that it is given a moment later, while the daemon
-	// is still starting, it would serve for ever, and the daemon would never end.
+	// listeners are the listeners being served. fasthttp's shutdown closes only the
+	// listeners that it already has. One passed to Serve after the shutdown, by a
+	// daemon stopped during its start, would be served forever and the daemon would
+	// never exit.
 	listeners struct {
 		mu     sync.Mutex
 		list   []*onceListener
 		closed bool
 	}
 
-	// port is a listener that may be closed twice.
+	// onceListener is a listener whose Close may be called more than once.
 	onceListener struct {
 		net.Listener
 		once sync.Once
 	}
 )
 
-// open keeps a listener, and is false if there is nothing to be served any more.
+// add registers a listener; false means that the server has shut down.
 func (p *listeners) add(l *onceListener) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +33,7 @@
 	return !p.closed
 }
 
-// close closes all listeners, those that come later, too.
+// close closes all listeners and makes add refuse further ones.
 func (p *listeners) close() (err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +46,7 @@
 	return err
 }
 
-// Close refuses new connections.
+// Close closes the listener on the first call.
 func (p *onceListener) Close() (err error) {
 	p.once.Do(func() { err = p.Listener.Close() })
 	return err
--- a/internal/edge/server/open_test.go
+++ b/internal/edge/server/open_test.go
@@ -18,8 +18,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// BenchmarkOpenStreams keeps many streams open at one server, over connections
-// in memory, and sends a piece to all of them again and again.
+// BenchmarkOpenStreams keeps n streams open at one server over in-memory
+// connections and measures sending a piece to each of them.
 func BenchmarkOpenStreams(b *testing.B) {
 	for _, n := range []int{1000, 2500, 5000, 7500, 10000} {
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
@@ -41,7 +41,7 @@
 	received chan struct{}
 }
 
-// piece sends one piece to each stream and waits until all have it.
+// piece sends one piece to each stream and waits until all callers have it.
 func (o *streamSet) piece() {
 	for _, c := range o.send {
 		c <- " karibu"
@@ -87,7 +87,7 @@
 	return o
 }
 
-// follow is one caller: it reads its stream and tells of each piece.
+// readStream is one caller: it reads its stream and signals each piece.
 func (o *streamSet) readStream(b *testing.B, ln *fasthttputil.InmemoryListener) {
 	c, err := ln.Dial()
 	if err != nil {
--- a/internal/edge/server/operator.go
+++ b/internal/edge/server/operator.go
@@ -4,7 +4,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// operate answers operators. To other accounts these paths do not exist.
+// routeOperator dispatches the operators' paths. Other accounts get a 404 for
+// them.
 func (s *Server) routeOperator(x *exchange) {
 	switch {
 	case !x.operator:
--- a/internal/edge/server/operator_test.go
+++ b/internal/edge/server/operator_test.go
@@ -17,8 +17,8 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// Two operators apply at the same time, or the store fails half-way. Each must
-// learn what is in force now, or one undoes the other's change unseen.
+// Two operators apply at the same time, or the store fails half-way. Each must be
+// told which version is in force, or one overwrites the other's change unknowingly.
 func TestApply(t *testing.T) {
 	at := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	tests := map[string]struct {
@@ -82,8 +82,8 @@
 	}
 }
 
-// A system with many accounts has a configuration larger than any caller's body
-// may be. Its operator must get it applied, and nobody else may send as much.
+// With many accounts the configuration is larger than callers' bodies may be. The
+// operator must be able to apply it; all others keep the usual limit.
 func TestLargeConfiguration(t *testing.T) {
 	tests := map[string]struct {
 		key    string
@@ -140,7 +140,7 @@
 			is.Equal(other.status, 404) // does not exist for other accounts
 		})
 	}
-	t.Cleanup(func() { is.New(t).Equal(len(drained), 1) }) // once all have run
+	t.Cleanup(func() { is.New(t).Equal(len(drained), 1) }) // after all subtests
 }
 
 func TestProbes(t *testing.T) {
--- a/internal/edge/server/program.go
+++ b/internal/edge/server/program.go
@@ -10,7 +10,7 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// openBody is what a caller sends to open a program.
+// openBody is the request body that opens a program.
 type openBody struct {
 	Program  string `json:"program"`
 	Agent    string `json:"agent"`
@@ -45,8 +45,8 @@
 	x.answerProgram(b.Program, r)
 }
 
-// program ends a program or returns its history. The last part of the path
-// tells which; what is between belongs to the program's id.
+// program ends a program or returns its history. The last path segment is the
+// action; everything before it is the program's id, which may contain slashes.
 func (s *Server) program(x *exchange) {
 	rest := strings.TrimPrefix(x.path, pathPrograms+"/")
 	cut := strings.LastIndexByte(rest, '/')
@@ -88,7 +88,7 @@
 	x.answerProgram(id, s.Runner.End(s.base, call.End{Account: x.account, Program: id, Kind: kind}))
 }
 
-// request returns what became of one request.
+// request answers with the history entry of one request.
 func (s *Server) request(x *exchange) {
 	if !s.requireRunner(x) {
 		return
@@ -102,7 +102,8 @@
 	x.json(fasthttp.StatusOK, h)
 }
 
-// done answers with the program's id where the Runner has nothing to add.
+// answerProgram answers with the result's body, or with the program's id if the
+// Runner returned no body.
 func (x *exchange) answerProgram(program string, r result.Result) {
 	switch {
 	case !r.OK():
@@ -116,6 +117,7 @@
 	}
 }
 
+// requireRunner reports whether there is a Runner, and refuses the request if not.
 func (s *Server) requireRunner(x *exchange) bool {
 	if s.Runner == nil {
 		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
--- a/internal/edge/server/route.go
+++ b/internal/edge/server/route.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// Headers of the callers' interface.
+// HTTP headers of requests and responses.
 const (
 	HeaderRequest = "Slaterock-Request"
 	HeaderProgram = "Slaterock-Program"
@@ -28,21 +28,22 @@
 	pathRequests = "/v1/requests/"
 )
 
-// exchange is one request and its answer.
+// exchange is one request and its response.
 type exchange struct {
 	*fasthttp.RequestCtx
 
 	id        reqid.ID
-	path      string // not decoded
+	path      string // still percent-encoded
 	account   string
 	operator  bool
 	start     time.Time
 	telemetry *telemetry
-	outcome   result.Result // zero is a success with nothing to tell
-	detached  bool          // the answer goes on after the handler has returned
+	outcome   result.Result // the zero value is a success without details
+	detached  bool          // a stream continues after the handler has returned
 }
 
-// viewer is the account whose programs the caller may read; empty is all.
+// accountFilter returns the account whose programs the caller may read; empty
+// means all accounts.
 func (x *exchange) accountFilter() string {
 	if x.operator {
 		return ""
@@ -70,7 +71,7 @@
 	}
 }
 
-// probe answers what needs no key.
+// probe answers the paths that need no key; false if the path is none of them.
 func (s *Server) probe(x *exchange) bool {
 	switch x.path {
 	case "/healthz":
@@ -111,7 +112,7 @@
 	return ok
 }
 
-// whose returns the account that the request's key belongs to.
+// accountOf returns the account of the request's Bearer key.
 func (s *Server) accountOf(h *fasthttp.RequestHeader) (account string, operator, ok bool) {
 	key, found := strings.CutPrefix(string(h.Peek(fasthttp.HeaderAuthorization)), bearerPrefix)
 	if !found || key == "" || s.Account == nil {
@@ -163,7 +164,7 @@
 	return x.path == path && string(x.Method()) == method
 }
 
-// callMethod reports whether a service can be called with the method.
+// isServiceMethod reports whether a service may be called with the method.
 func isServiceMethod(m string) bool {
 	switch m {
 	case "GET", "POST", "PUT", "PATCH", "DELETE":
@@ -172,7 +173,8 @@
 	return false
 }
 
-// name gives the request its name, which the answer carries from now on.
+// assignID makes a new request id and sets it in the response header and in
+// telemetry.
 func (x *exchange) assignID(program string, number int) {
 	x.id = reqid.New(program, number)
 	x.Response.Header.Set(HeaderRequest, x.id.String())
@@ -181,8 +183,8 @@
 	}
 }
 
-// unescape decodes a part of the path; a program's id may hold slashes, which
-// callers may send as they are or as %2F.
+// unescape decodes a part of the path. A program's id may contain slashes, which
+// callers send either literally or as %2F.
 func unescape(part string) string {
 	plain, err := url.PathUnescape(part)
 	if err != nil {
--- a/internal/edge/server/server.go
+++ b/internal/edge/server/server.go
@@ -1,15 +1,15 @@
-// Package server meets callers and operators over HTTP.
+// Package server is the HTTP interface for callers and operators.
 //
-// It authenticates them, names their requests, hands what they ask to a
-// runner.Runner and brings back the outcome. It decides nothing about
-// programs: whether a call runs, where, and what it costs is the business of
-// the Runner, which may be another daemon's.
+// It authenticates requests, assigns request ids, passes the requests to a
+// runner.Runner and returns the outcome. It decides nothing about programs:
+// whether and where a call runs and what it costs is decided by the Runner, which
+// may forward to another daemon.
 //
-// Its own care is that a caller is never misled. Each answer carries the
-// request's name; each refusal says whether the request ran; the end of a
-// streamed answer is sent only when its outcome is committed, so that an answer
-// which was cut off never looks whole. Silent and slow callers, large bodies
-// and floods of calls are bounded before they cost anything.
+// Each response carries the request id, and each error response says whether the
+// request ran. The end marker of a stream is sent only after the outcome is
+// committed, so that a client never takes an interrupted answer for a complete
+// one. Timeouts bound idle and slow callers, and limits bound the size of headers
+// and bodies and the number of connections and concurrent calls.
 package server
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// Bounds that hold where the fields of Server leave them open.
+// Defaults for fields of Server that are zero. Sizes are in bytes.
 const (
 	DefaultMaxBody     = 4 << 20
 	DefaultMaxHeader   = 8 << 10
@@ -43,53 +43,54 @@
 	DefaultIdleTimeout = 75 * time.Second
 	DefaultHeartbeat   = 5 * time.Second
 
-	// maxConfig bounds a configuration, in bytes.
+	// maxConfig is the largest configuration that an operator may send, in bytes.
 	maxConfig = 64 << 20
 
-	// endTimeout bounds the end of a program that was opened for one call.
+	// endTimeout bounds ending a program that was opened for a single call.
 	endTimeout = 10 * time.Second
 )
 
 type (
 	// Server is the callers' and operators' HTTP interface. Its fields are set
-	// before Serve. Those that are nil turn off what needs them: without a
-	// Runner it is not ready and refuses all calls.
+	// before Serve. A nil field disables what depends on it: without a Runner the
+	// server is not ready and refuses all calls.
 	Server struct {
 		Runner  runner.Runner
-		Config  func() file.File                                       // in force now
-		Account func(key string) (name string, operator bool, ok bool) // owner of a Bearer key
+		Config  func() file.File                                       // in force
+		Account func(key string) (name string, operator bool, ok bool) // looks up a Bearer key
 		Entries func(program string) locate.Answer
 		Ready   func() error
 		Metrics fasthttp.RequestHandler
 
-		// What is told of requests; each may be left out.
+		// Telemetry of requests; each is optional.
 		Logs  logs.Logs
 		Trace *trace.Trace
 		Scope tally.Scope
 
-		// Operators' part. Status returns what is encoded as JSON.
+		// For operators. The value that Status returns is encoded as JSON. Text
+		// returns the configuration in force, Apply applies a new one.
 		Status func(ctx context.Context) any
 		Drain  func()
 		Text   func() (text []byte, version uint64)
 		Apply  func(ctx context.Context, text []byte, from uint64) Applied
 
-		// Bounds of this daemon; the lower of these and of the configuration's
-		// holds for bodies and calls.
+		// Limits of this daemon. For bodies and calls the lower of these and the
+		// configuration's applies.
 		MaxBody     int // bytes
-		MaxCalls    int // under way
+		MaxCalls    int // in flight
 		MaxHeader   int // bytes
 		MaxConns    int
-		ReadTimeout time.Duration // for a whole request
+		ReadTimeout time.Duration // for reading a whole request
 		SendTimeout time.Duration // for each write to a caller
 		IdleTimeout time.Duration // between requests
-		Heartbeat   time.Duration // between signs of life in a waiting stream
+		Heartbeat   time.Duration // interval of heartbeats in an idle stream
 
 		once      sync.Once
 		http      fasthttp.Server
 		listeners listeners
 		pool      *ants.Pool
-		calls     sync.WaitGroup  // under way in the pool
-		base      context.Context //nolint:containedctx // ends with the server, not with a call
+		calls     sync.WaitGroup  // in flight in the pool
+		base      context.Context //nolint:containedctx // cancelled at the end of Shutdown
 		stop      context.CancelFunc
 		draining  atomic.Bool
 		inFlight  atomic.Int64
@@ -101,7 +102,7 @@
 // Serve answers requests on the listener until Shutdown. It may be called for
 // several listeners.
 func (s *Server) Serve(ln net.Listener) (err error) {
-	defer func() { err = errors.Wrap(err, "serve callers") }()
+	defer func() { err = errors.Wrap(err, "serve HTTP") }()
 	s.once.Do(s.setup)
 	l := &onceListener{Listener: ln}
 	if !s.listeners.add(l) {
@@ -110,17 +111,17 @@
 	return s.http.Serve(listener{Listener: l, timeout: orDefault(s.SendTimeout, DefaultSendTimeout)})
 }
 
-// StartDraining makes callers leave: each answer from now on closes its
-// connection, and the server is not ready. Requests are served as before.
+// StartDraining makes the server unready and closes each connection after its
+// next response. Requests are still served.
 func (s *Server) StartDraining() {
 	s.draining.Store(true)
 }
 
-// Shutdown stops the server. Calls and streams under way are finished, idle
-// connections are closed, new ones are refused by the system. When ctx ends
-// first, what is still under way is cut and the context's error returned.
+// Shutdown stops the server. It closes the listeners and idle connections and
+// waits for calls and streams in flight. If ctx ends first, the remaining calls
+// are cancelled and the context's error is returned.
 func (s *Server) Shutdown(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "shut down callers' server") }()
+	defer func() { err = errors.Wrap(err, "shut down HTTP server") }()
 	s.once.Do(s.setup)
 	s.StartDraining()
 	defer s.pool.Release()
@@ -134,8 +135,8 @@
 	return s.waitIdle(ctx)
 }
 
-// waitIdle waits until the programs that were opened for one call are ended,
-// which happens after their callers were answered.
+// waitIdle waits for all goroutines of the pool: programs that were opened for a
+// single call are ended after their callers were answered.
 func (s *Server) waitIdle(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
@@ -169,15 +170,15 @@
 		MaxRequestBodySize:    DefaultMaxBody,
 		NoDefaultContentType:  true,
 		CloseOnShutdown:       true,
-		SecureErrorLogMessage: true, // keys and bodies stay out of the log
+		SecureErrorLogMessage: true, // keeps keys and bodies out of the log
 		Logger:                discardLogger{},
 	}
 }
 
-// limitBody takes the bound of a request's body from the configuration in
-// force, so that a new bound holds for the next request. An operator's
-// configuration has a bound of its own: that of callers' bodies would keep a
-// system with many accounts from being configured.
+// limitBody takes the size limit of a request's body from the configuration in
+// force, so that a new limit applies to the next request. Configurations sent by
+// operators have a limit of their own: with many accounts they are larger than
+// callers' bodies may be.
 func (s *Server) limitBody(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if bytes.HasPrefix(h.RequestURI(), []byte(pathConfig)) {
 		if _, operator, ok := s.accountOf(h); ok && operator {
@@ -194,14 +195,14 @@
 	return s.Config()
 }
 
-// newPool returns a pool that refuses work rather than queue it: a call that
-// waits for a free goroutine here would be late without anybody knowing. A
-// panic must end the process, because a goroutine that vanished would leave its
-// caller waiting for ever.
+// newPool returns a pool that refuses work instead of queueing it: a call queued
+// here would be delayed without its caller knowing, while a refused one can be
+// sent to another daemon at once. A panic must end the process: if only the
+// goroutine ended, its caller would wait forever.
 func newPool(size int) *ants.Pool {
 	pool, err := ants.NewPool(size, ants.WithNonblocking(true), ants.WithPanicHandler(func(v any) { panic(v) }))
 	if err != nil {
-		panic(err) // only for options that contradict each other
+		panic(err) // only for invalid options
 	}
 	return pool
 }
@@ -211,7 +212,8 @@
 	return t.C, t.Stop
 }
 
-// lower returns the lower of two bounds, of which 0 is none.
+// lower returns the lower of two limits, where 0 means none, or other if both
+// are 0.
 func lower(a, b, other int) int {
 	if a > 0 && b > 0 {
 		return min(a, b)
--- a/internal/edge/server/server_test.go
+++ b/internal/edge/server/server_test.go
@@ -30,7 +30,7 @@
 	is.True(strings.Contains(body, `"content":"karibu"`))
 	is.True(strings.Contains(body, `"finish_reason":"stop"`))
 	is.True(strings.Contains(body, `"total_tokens":5`))
-	is.Equal(string(got.Body), plainBody) // untouched
+	is.Equal(string(got.Body), plainBody) // unchanged
 	is.Equal(got.Account, "mafuta")
 	is.Equal(got.Number, 4)
 	is.Equal(got.MaxTokens, 9)
@@ -63,9 +63,9 @@
 	}
 }
 
-// The engine dies in the middle of an answer, or a second attempt words it
-// differently. The caller has part of a text; if the stream ended as usual, it
-// would take that part for the whole answer.
+// The engine fails in the middle of an answer, or the recorded answer differs from
+// what was sent. If the stream ended with the usual marker, the caller would take
+// the partial text for the complete answer.
 func TestFailedStreamHasNoEndMarker(t *testing.T) {
 	tests := map[string]struct {
 		outcome result.Result
@@ -91,8 +91,8 @@
 	}
 }
 
-// A caller hangs up in the middle of a long answer. Unless that is noticed the
-// engine goes on generating for nobody.
+// A caller disconnects in the middle of a long answer. Unless the server notices,
+// the engine keeps generating an answer that no client reads.
 func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -119,9 +119,9 @@
 	}
 }
 
-// A caller hangs up and its connection's memory serves others while the call's
-// end is being recorded. A body that still lay there would put one caller's
-// question into another's history.
+// A caller disconnects, and fasthttp reuses its buffers for other requests while
+// the call's end is being recorded. If the call referred to the buffer instead of
+// a copy, one caller's prompt would get into another's history.
 func TestBodyIsCopied(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -154,8 +154,8 @@
 	is.Equal(<-kept, streamBody)
 }
 
-// A call waits long for its turn. Without signs of life something between the
-// two ends may drop the connection.
+// A call is queued for long. Without heartbeats an intermediary may drop the idle
+// connection.
 func TestHeartbeatWhileWaiting(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -223,8 +223,8 @@
 	}
 }
 
-// More calls come than a daemon may have under way. One that waited unseen
-// would be late; one that is refused can go elsewhere at once.
+// More calls arrive than a daemon may have in flight. A queued call would be
+// delayed; a refused one can be sent to another daemon at once.
 func TestTooManyCalls(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{MaxCalls: 1})
@@ -272,5 +272,5 @@
 	is.Equal(<-st.fake.ends, call.End{Account: "mafuta", Program: "a/b", Kind: call.Cancel})
 	history := st.send("GET", "/v1/programs/a/b/history", operator, "", nil)
 	is.True(strings.Contains(history.body, `"program":"a/b"`))
-	is.Equal(<-st.fake.accountFilters, "") // the operator sees all
+	is.Equal(<-st.fake.accountFilters, "") // the operator may read all accounts
 }
--- a/internal/edge/server/shutdown_test.go
+++ b/internal/edge/server/shutdown_test.go
@@ -19,8 +19,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// A daemon is stopped on purpose in the middle of an answer. Its caller must
-// get the rest of it, and must not send its next request to a closed door.
+// A daemon is shut down gracefully in the middle of an answer. The caller must
+// still receive the rest of the stream.
 func TestShutdownFinishesStreams(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -34,7 +34,7 @@
 	defer func() { _ = res.Body.Close() }()
 	stopped := make(chan error, 1)
 	go func() { stopped <- st.Shutdown(context.Background()) }()
-	<-st.closed // nobody new comes in
+	<-st.closed // no new connections
 	close(proceed)
 	body := readBody(t, res)
 	is.Equal(joinDeltas(t, body), "karibu")
@@ -42,8 +42,8 @@
 	is.NoErr(<-stopped)
 }
 
-// The time for a graceful stop is over and a call still hangs. The caller is
-// told that nobody knows, instead of seeing its connection cut.
+// A call still hangs when the grace period of the shutdown ends. The caller must
+// get an error event with an unknown outcome instead of a broken connection.
 func TestShutdownTimeout(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -63,8 +63,8 @@
 	is.True(!strings.Contains(body, "[DONE]"))
 }
 
-// A draining daemon goes on answering callers that still hold its address, but
-// sends them away.
+// A draining daemon still answers callers that have cached its address, but closes
+// their connections so that they look up another.
 func TestDrainingClosesConnections(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -79,8 +79,8 @@
 	is.True(after.Close)
 }
 
-// A caller stops reading but keeps its connection open. Without a bound on
-// writes its answer would hold a call, and the upstream behind it, for ever.
+// A caller stops reading but keeps its connection open. Without a write deadline
+// its response would block the call, and the upstream behind it, forever.
 func TestWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -93,8 +93,8 @@
 	})
 }
 
-// A daemon is stopped while it starts: it is told to stop before it serves. It served
-// callers for ever then, and whoever waited for its end waited for ever.
+// A daemon is stopped during its start, so that Shutdown runs before Serve. The
+// server used to serve forever then, and the process never exited.
 func TestShutdownBeforeServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -108,10 +108,10 @@
 		case err := <-served:
 			is.NoErr(err)
 		case <-time.After(time.Minute):
-			t.Error("it serves on")
+			t.Error("Serve still runs one minute after Shutdown")
 			is.NoErr(ln.Close())
 		}
 		_, err := n.Connect(t.Context(), "a:1")
-		is.True(err != nil) // nobody is left waiting at a door behind which nobody is
+		is.True(err != nil) // the listener is closed, so that callers are refused instead of left waiting
 	})
 }
--- a/internal/edge/server/stream.go
+++ b/internal/edge/server/stream.go
@@ -18,10 +18,11 @@
 	streamError      = "event: error\n"
 	dataPrefix       = "data: "
 	eventEnd         = "\n\n"
-	headerBuffering  = "X-Accel-Buffering" // keeps intermediaries from holding pieces back
+	headerBuffering  = "X-Accel-Buffering" // tells proxies not to buffer the stream
 )
 
-// stream writes one answer as server-sent events. Text holds what was sent.
+// stream writes one answer as server-sent events. The field text holds what was
+// sent so far.
 type stream struct {
 	w         *bufio.Writer
 	f         *inflightCall
@@ -33,7 +34,7 @@
 }
 
 // stream answers with server-sent events. A call that fails before its first
-// piece, and before the first heartbeat is due, is refused by status instead.
+// piece and before the first heartbeat is due gets an HTTP error status instead.
 func (s *Server) stream(x *exchange, f *inflightCall, answer chat.Answer) {
 	heartbeats, stop := s.ticker(orDefault(s.Heartbeat, DefaultHeartbeat))
 	first := f.next(heartbeats)
@@ -51,14 +52,14 @@
 	x.detached = true
 	telemetry := x.telemetry
 	x.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer f.cancel() // also when the caller is gone: a write failed
+		defer f.cancel() // also after a failed write: the caller disconnected
 		defer stop()
 		st := stream{w: w, f: f, answer: answer, telemetry: telemetry}
 		telemetry.end(st.run(first, heartbeats), fasthttp.StatusOK)
 	})
 }
 
-// ready returns an event that waits already, or nil.
+// ready returns an event that is already available, or nil.
 func (f *inflightCall) ready() event {
 	select {
 	case e := <-f.events:
@@ -80,7 +81,8 @@
 	}
 }
 
-// run returns the outcome as the caller was told it.
+// run writes events until the last and returns the outcome that the caller
+// received, or disconnectedResult if a write failed.
 func (st *stream) run(e event, heartbeats <-chan time.Time) result.Result {
 	for {
 		var err error
@@ -96,7 +98,7 @@
 			return disconnectedResult()
 		}
 		if e = st.f.ready(); e != nil {
-			continue // goes out with the piece before it
+			continue // flushed together with the previous event
 		}
 		if err := st.w.Flush(); err != nil {
 			return disconnectedResult()
@@ -116,9 +118,9 @@
 	return st.write(st.buf)
 }
 
-// end finishes the stream. What was sent must be a beginning of the recorded
-// answer: if an answer were put together from two attempts, the caller would
-// have text that is in no history, so it is told of an error instead.
+// end finishes the stream. The text sent so far must be a prefix of the recorded
+// answer. Otherwise it comes from another attempt, the complete text would be in
+// no history, and the stream ends with an error event instead.
 func (st *stream) end(r result.Result) result.Result {
 	if !r.OK() {
 		return st.fail(r)
@@ -174,13 +176,13 @@
 	return st.write([]byte(dataPrefix + string(chunk) + eventEnd))
 }
 
-// write leaves what it writes to be flushed when nothing more is ready.
+// write only buffers; run flushes when no further event is available.
 func (st *stream) write(b []byte) error {
 	_, err := st.w.Write(b)
 	return err
 }
 
-// last writes the end of the stream.
+// writeLast writes the last event of the stream and flushes.
 func (st *stream) writeLast(s string) error {
 	if err := st.write([]byte(s)); err != nil {
 		return err
--- a/internal/edge/server/telemetry.go
+++ b/internal/edge/server/telemetry.go
@@ -12,7 +12,7 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// The kinds of requests that metrics tell apart.
+// Values of the metric tag path, and the tags' names.
 const (
 	pathOther   = "other"
 	pathChat    = "chat"
@@ -24,14 +24,14 @@
 )
 
 type (
-	// meters are counted for all requests.
+	// meters are the metrics of all requests.
 	meters struct {
 		scope    tally.Scope
 		inFlight tally.Gauge
 	}
 
-	// told is what is told of one request at its end: a line in the log, a
-	// span and metrics. It holds no body and no key.
+	// telemetry collects the log line, span and metrics of one request, which are
+	// emitted at its end. It holds no body and no key.
 	telemetry struct {
 		logs.Request
 
@@ -50,7 +50,8 @@
 	return meters{scope: scope, inFlight: scope.Gauge("calls_under_way")}
 }
 
-// tell begins what is told of a request.
+// newTelemetry starts the span of a request, as a child of the caller's if the
+// request has a trace header.
 func (s *Server) newTelemetry(x *exchange) *telemetry {
 	parent := string(x.Request.Header.Peek(headerTrace))
 	_, span := s.Trace.Start(context.Background(), trace.Edge, parent)
@@ -60,12 +61,12 @@
 	return t
 }
 
-// first notes that the caller gets the first piece of a stream.
+// firstPiece records the time from the request to the first piece of a stream.
 func (t *telemetry) firstPiece() {
 	t.server.meters.scope.Timer("first_piece_seconds").Record(time.Since(t.start))
 }
 
-// end tells of the request.
+// end emits the span, metrics and log line of the request.
 func (t *telemetry) end(r result.Result, status int) {
 	if r.Code == "" {
 		r.Code, r.Ran = result.CodeOK, result.Yes
@@ -86,7 +87,7 @@
 	t.server.Logs.Request(t.Request)
 }
 
-// busier counts the calls under way.
+// addInFlight changes the number of calls in flight by n.
 func (s *Server) addInFlight(n int64) {
 	s.meters.inFlight.Update(float64(s.inFlight.Add(n)))
 }
--- a/internal/edge/server/telemetry_test.go
+++ b/internal/edge/server/telemetry_test.go
@@ -22,8 +22,8 @@
 	parent  = "00-" + traceID + "-00f067aa0ba902b7-01"
 )
 
-// Logs and traces are read by more people than may read a customer's talk. A
-// key in them would let any of these people act as the customer.
+// Logs and traces are read by people who may not read a customer's conversations.
+// A key in them would also let these people act as the customer.
 func TestNoSecretsInLogsOrTraces(t *testing.T) {
 	is := is.New(t)
 	var log, spans bytes.Buffer
@@ -58,7 +58,7 @@
 	is.Equal(len(seen), 3)
 	for _, p := range seen {
 		is.Equal(trace.Parse(p).TraceID().String(), traceID)
-		is.True(p != parent) // the next hop's parent is this hop's span
+		is.True(p != parent) // the next hop's parent is the span of this one
 	}
 	for _, secret := range []string{tenant, "wrong-secret", "the-question", "the-answer"} {
 		is.True(!strings.Contains(log.String(), secret))
@@ -79,5 +79,5 @@
 	is.True(strings.Contains(body, `slaterock_edge_requests{code="bad_request",path="chat"} 1`))
 	is.True(strings.Contains(body, "slaterock_edge_first_piece_seconds_count 1"))
 	is.True(strings.Contains(body, "slaterock_edge_calls_under_way 0"))
-	is.True(!strings.Contains(body, "mafuta")) // accounts would grow it without bound
+	is.True(!strings.Contains(body, "mafuta")) // a label per account would be unbounded
 }
--- a/internal/edge/server/timeout_test.go
+++ b/internal/edge/server/timeout_test.go
@@ -17,20 +17,20 @@
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 )
 
-// poolLinger is how long the HTTP library's pool outlives its server.
+// poolLinger is how long fasthttp's worker pool outlives its server.
 const poolLinger = 11 * time.Second
 
-// TestMain lets the HTTP library start the goroutine that keeps its date, which
-// never ends, outside all bubbles.
+// TestMain makes fasthttp start the goroutine that updates its cached date outside
+// all synctest bubbles, because that goroutine never ends.
 func TestMain(m *testing.M) {
 	var h fasthttp.ResponseHeader
 	_ = h.Header()
 	os.Exit(m.Run())
 }
 
-// Callers connect and then say nothing, or say it very slowly, because they are
-// broken or mean harm. Each holds a connection; unless it is cut, callers who
-// have something to say find none left.
+// Broken or malicious callers connect and send nothing, or send very slowly. Each
+// occupies a connection; unless the server closes them, it runs out of connections
+// for other callers.
 func TestSlowCallersAreDisconnected(t *testing.T) {
 	const head = "POST /v1/programs HTTP/1.1\r\nHost: s\r\nAuthorization: Bearer " + tenant + "\r\n"
 	tests := map[string]struct {
@@ -65,7 +65,7 @@
 				is.NoErr(err)
 				is.NoErr(res.Body.Close())
 				_, err = r.ReadByte()
-				is.True(err != nil) // cut
+				is.True(err != nil) // closed by the server
 				is.True(time.Since(began) <= tt.timeout+time.Second)
 				is.NoErr(s.Shutdown(t.Context()))
 				is.NoErr(<-done)
