--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -163,7 +163,7 @@
 func (c Client) Service(ctx context.Context, program string, number int, path string, body []byte) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	req := c.request(fasthttp.MethodPost, "/v1/services/"+path, body)
-	identify(req, program, number)
+	setCallHeaders(req, program, number)
 	resp, err := c.exchange(ctx, req)
 	if resp != nil {
 		a = Answer{Request: string(resp.Header.Peek(server.HeaderRequest)), Status: resp.StatusCode(), Text: string(resp.Body()), Complete: err == nil}
@@ -171,7 +171,7 @@
 	return a, err
 }
 
-func identify(req *fasthttp.Request, program string, number int) {
+func setCallHeaders(req *fasthttp.Request, program string, number int) {
 	req.Header.Set(server.HeaderProgram, program)
 	req.Header.Set(server.HeaderCall, strconv.Itoa(number))
 }
@@ -187,7 +187,7 @@
 		return a, err
 	}
 	req := c.request(fasthttp.MethodPost, "/v1/chat/completions", body)
-	identify(req, program, number)
+	setCallHeaders(req, program, number)
 	resp, err := (line.Line{Address: c.Address}).Open(ctx, req)
 	if err != nil {
 		return a, err
--- a/internal/edge/locate/locate_test.go
+++ b/internal/edge/locate/locate_test.go
@@ -166,14 +166,14 @@
 		before[s] = m.Name
 	}
 	worst := 0
-	for gone := range members {
-		left := fleet(40, 10)
-		left[gone].State = beat.Draining
+	for leaving := range members {
+		changed := fleet(40, 10)
+		changed[leaving].State = beat.Draining
 		moved := 0
 		for s := range shards {
-			m, _ := Preferred(left, s, shards)
-			is.True(m.Name != members[gone].Name)
-			if m.Name != before[s] && before[s] != members[gone].Name {
+			m, _ := Preferred(changed, s, shards)
+			is.True(m.Name != members[leaving].Name)
+			if m.Name != before[s] && before[s] != members[leaving].Name {
 				moved++
 			}
 		}
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -78,9 +78,9 @@
 
 // Call runs a call at its program's owner.
 func (r *Relay) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	t := transcript{sink: sink, cancel: stop}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	t := transcript{sink: sink, cancel: cancel}
 	res := r.forward(ctx, r.shard(c.Program), func(to Remote) (result.Result, error) {
 		return to.Try(ctx, c, t.nextSink())
 	})
--- a/internal/edge/reqid/reqid.go
+++ b/internal/edge/reqid/reqid.go
@@ -25,7 +25,7 @@
 const (
 	hashDigits  = 16
 	nonceLength = 6
-	parts       = 3
+	fieldCount  = 3
 )
 
 // ID is the name of one request.
@@ -52,7 +52,7 @@
 func Parse(s string) (id ID, err error) {
 	defer func() { err = errors.Wrapf(err, "request id %q", s) }()
 	fields := strings.Split(s, "-")
-	if len(fields) != parts || len(fields[0]) != hashDigits {
+	if len(fields) != fieldCount || len(fields[0]) != hashDigits {
 		return ID{}, errors.New("not of the form hash-number-nonce")
 	}
 	if id.RootHash, err = strconv.ParseUint(fields[0], 16, 64); err != nil {
--- a/internal/edge/server/answer.go
+++ b/internal/edge/server/answer.go
@@ -77,7 +77,7 @@
 // ran.
 func refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	if c, ok := ctx.Conn().(*conn); ok {
-		c.drainOnClose = true
+		c.lingerOnClose = true
 	}
 	x := &exchange{RequestCtx: ctx, start: time.Now()}
 	x.Response.Header.Set(HeaderRequest, reqid.New("", 0).String())
--- a/internal/edge/server/bench_test.go
+++ b/internal/edge/server/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // pieces is the number of pieces of a typical answer.
-const pieces = 200
+const piecesPerAnswer = 200
 
 // serve runs a server on loopback with logs, metrics and a tracer that exports
 // nothing, as in a daemon.
@@ -90,10 +90,10 @@
 }
 
 func BenchmarkStream(b *testing.B) {
-	answer := make([]string, pieces)
+	answer := make([]string, piecesPerAnswer)
 	for i := range answer {
 		answer[i] = " sana"
 	}
 	sendRequests(b, serve(b, answer...), streamBody)
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/pieces, "ns/piece")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/piecesPerAnswer, "ns/piece")
 }
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -180,7 +180,7 @@
 
 // resizePool applies the configured limit of concurrent calls.
 func (s *Server) resizePool() {
-	if n := lower(s.config().Limits.MaxCalls, s.MaxCalls, DefaultMaxCalls); n != s.pool.Cap() {
+	if n := lowerLimit(s.config().Limits.MaxCalls, s.MaxCalls, DefaultMaxCalls); n != s.pool.Cap() {
 		s.pool.Tune(n)
 	}
 }
--- a/internal/edge/server/listen.go
+++ b/internal/edge/server/listen.go
@@ -16,15 +16,15 @@
 	// timeout covers a whole response instead and would cut a long healthy
 	// stream. Without any deadline a caller that stopped reading would block its
 	// call forever.
-	listener struct {
+	deadlineListener struct {
 		net.Listener
 		timeout time.Duration
 	}
 
 	conn struct {
 		net.Conn
-		timeout      time.Duration
-		drainOnClose bool // its request was refused before it was read completely
+		timeout       time.Duration
+		lingerOnClose bool // its request was refused before it was read completely
 	}
 
 	// discardLogger drops fasthttp's own log, which only reports broken
@@ -33,7 +33,7 @@
 )
 
 // Accept returns the next connection, with a deadline on each of its writes.
-func (l listener) Accept() (net.Conn, error) {
+func (l deadlineListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 // data makes the kernel send a reset, which can destroy the error response that
 // was just written: the caller would see a broken connection without the reason.
 func (c *conn) Close() error {
-	if c.drainOnClose {
+	if c.lingerOnClose {
 		if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 			_ = w.CloseWrite()
 		}
--- a/internal/edge/server/server.go
+++ b/internal/edge/server/server.go
@@ -108,7 +108,7 @@
 	if !s.listeners.add(l) {
 		return l.Close()
 	}
-	return s.http.Serve(listener{Listener: l, timeout: orDefault(s.SendTimeout, DefaultSendTimeout)})
+	return s.http.Serve(deadlineListener{Listener: l, timeout: orDefault(s.SendTimeout, DefaultSendTimeout)})
 }
 
 // StartDraining makes the server unready and closes each connection after its
@@ -185,7 +185,7 @@
 			return fasthttp.RequestConfig{MaxRequestBodySize: maxConfig}
 		}
 	}
-	return fasthttp.RequestConfig{MaxRequestBodySize: lower(s.config().Limits.MaxBody, s.MaxBody, DefaultMaxBody)}
+	return fasthttp.RequestConfig{MaxRequestBodySize: lowerLimit(s.config().Limits.MaxBody, s.MaxBody, DefaultMaxBody)}
 }
 
 func (s *Server) config() file.File {
@@ -214,7 +214,7 @@
 
 // lower returns the lower of two limits, where 0 means none, or other if both
 // are 0.
-func lower(a, b, other int) int {
+func lowerLimit(a, b, other int) int {
 	if a > 0 && b > 0 {
 		return min(a, b)
 	}
--- a/internal/edge/server/server_test.go
+++ b/internal/edge/server/server_test.go
@@ -96,11 +96,11 @@
 func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
-	gone := make(chan error, 1)
+	cancelled := make(chan error, 1)
 	st.fake.call = func(ctx context.Context, _ call.Call, sink runner.Sink) result.Result {
 		is.NoErr(sink("kari"))
 		<-ctx.Done()
-		gone <- ctx.Err()
+		cancelled <- ctx.Err()
 		return result.Failed(result.CodeCancelled, result.Yes, "caller gone")
 	}
 	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0"))
@@ -112,7 +112,7 @@
 	for {
 		select {
 		case st.heartbeats <- time.Time{}: // heartbeats go out until one can't be written
-		case err := <-gone:
+		case err := <-cancelled:
 			is.True(errors.Is(err, context.Canceled))
 			return
 		}
@@ -125,33 +125,33 @@
 func TestBodyIsCopied(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
-	gone, proceed, kept := make(chan struct{}), make(chan struct{}), make(chan string, 1)
+	cancelled, proceed, recorded := make(chan struct{}), make(chan struct{}), make(chan string, 1)
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		if c.Program != "p" {
 			return respondWith("karibu")(ctx, c, sink)
 		}
 		is.NoErr(sink("kari"))
 		<-ctx.Done()
-		close(gone)
+		close(cancelled)
 		<-proceed
-		kept <- string(c.Body)
+		recorded <- string(c.Body)
 		return result.Failed(result.CodeCancelled, result.Yes, "caller gone")
 	}
 	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
 	is.NoErr(res.Body.Close())
-	other := strings.ReplaceAll(streamBody, "hi", "yo")
-	for beating := true; beating; {
+	otherBody := strings.ReplaceAll(streamBody, "hi", "yo")
+	for connected := true; connected; {
 		select {
 		case st.heartbeats <- time.Time{}: // heartbeats go out until one can't be written
-		case <-gone:
-			beating = false
+		case <-cancelled:
+			connected = false
 		}
 	}
 	for range 20 {
-		st.send("POST", "/v1/chat/completions", tenant, other, callHeaders("q", "0"))
+		st.send("POST", "/v1/chat/completions", tenant, otherBody, callHeaders("q", "0"))
 	}
 	close(proceed)
-	is.Equal(<-kept, streamBody)
+	is.Equal(<-recorded, streamBody)
 }
 
 // A call is queued for long. Without heartbeats an intermediary may drop the idle
--- a/internal/edge/server/timeout_test.go
+++ b/internal/edge/server/timeout_test.go
@@ -56,7 +56,7 @@
 				c, err := n.Connect(t.Context(), "s")
 				is.NoErr(err)
 				began := time.Now()
-				go trickle(c, tt.send)
+				go sendSlowly(c, tt.send)
 				r := bufio.NewReader(c)
 				res, err := http.ReadResponse(r, nil)
 				is.NoErr(err)
@@ -75,7 +75,7 @@
 	}
 }
 
-func trickle(c net.Conn, pieces []string) {
+func sendSlowly(c net.Conn, pieces []string) {
 	for _, p := range pieces {
 		if _, err := c.Write([]byte(p)); err != nil {
 			return
