--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -1,17 +1,17 @@
-// Package relay takes requests to the daemon that owns their program.
+// Package relay forwards requests to the daemon that owns their program.
 //
-// A Relay is the runner.Runner behind the callers' server. If the program's
-// shard is owned here it hands the request to the local Runner, else to the
-// owner's, one hop away: what arrives from another daemon is given to the local
-// Runner by whoever receives it, never to a Relay, so that no request can go in
-// circles while pictures of ownership differ.
+// A Relay is the runner.Runner behind the HTTP server. If this daemon owns the
+// program's shard it passes the request to the local Runner, otherwise to the
+// Runner of the owner, at most one hop away: a daemon passes requests that it
+// receives from a peer to its local Runner, never to a Relay, so that requests
+// can't loop while daemons disagree about ownership.
 //
-// Owners move. When an owner says that it is not the owner any more, or the way
-// to it breaks, the Relay looks again and repeats the request, for a bounded
-// time and with growing, jittered pauses. That is safe because an owner joins a
-// call that is under way and answers a recorded one from the journal: the call
-// number makes the repeat idempotent. What the caller was already sent of a
-// streamed answer is not sent twice.
+// Ownership moves. If a daemon answers that it is not the owner, or the link to it
+// breaks, the Relay looks up the owner again and retries, for a bounded time and
+// with exponential, jittered backoff. Retries are safe because the call number
+// makes them idempotent: an owner attaches a repeated call to the one in flight,
+// and answers a completed one from the journal. Text of a stream that was already
+// sent to the caller is not sent again.
 package relay
 
 import (
@@ -28,20 +28,20 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// DefaultPatience is how long a request waits for an owner that can be
-// reached. It covers a takeover after a lease has lapsed.
+// DefaultRetryTimeout is how long a request is retried until an owner can be
+// reached. It is long enough for a takeover after a lease has expired.
 const DefaultRetryTimeout = 20 * time.Second
 
 type (
-	// Remote is another daemon's Runner. Try is Call, but an attempt whose
-	// outcome did not come back is an error instead of a result.
+	// Remote is another daemon's Runner. Try is Call, except that it returns an
+	// error if the outcome of the attempt was not received.
 	Remote interface {
 		runner.Runner
 		Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error)
 	}
 
-	// Relay finds the owner of each request's program. Local and Members are
-	// set before use.
+	// Relay forwards each request to the owner of its program. Its fields are set
+	// before use; only Unsent and RetryTimeout may be zero.
 	Relay struct {
 		Self    string // this daemon's name
 		Local   runner.Runner
@@ -50,21 +50,21 @@
 		// Peer returns the Runner of the daemon with the peer address.
 		Peer func(address string) Remote
 		// Unsent reports whether an error of Try proves that the request did
-		// not reach the peer. Without it none does.
+		// not reach the peer. If nil, no error does.
 		Unsent       func(err error) bool
-		RetryTimeout time.Duration
+		RetryTimeout time.Duration // 0 is DefaultRetryTimeout
 	}
 
-	// local makes the daemon's own Runner look like a Remote.
+	// localRemote adapts the local Runner to Remote.
 	localRemote struct{ runner.Runner }
 
-	// ask makes one attempt at one daemon.
+	// attemptFunc makes one attempt of a request at one daemon.
 	attemptFunc func(to Remote) (result.Result, error)
 )
 
 var _ runner.Runner = (*Relay)(nil)
 
-// Try calls the Runner, whose way can't break.
+// Try calls the Runner and never fails: there is no link to lose.
 func (l localRemote) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
 	return l.Call(ctx, c, sink), nil
 }
@@ -78,9 +78,9 @@
 
 // Call runs a call at its program's owner.
 func (r *Relay) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	t := transcript{sink: sink, cancel: cancel}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	t := transcript{sink: sink, cancel: stop}
 	res := r.forward(ctx, r.shard(c.Program), func(to Remote) (result.Result, error) {
 		return to.Try(ctx, c, t.nextSink())
 	})
@@ -103,7 +103,7 @@
 	return h, res
 }
 
-// Request returns what became of one request, whose name leads to its shard.
+// Request returns the history entry of one request, whose id determines its shard.
 func (r *Relay) Request(ctx context.Context, account, request string) (h hist.History, res result.Result) {
 	shard, ok := locate.RequestShard(request, r.Shards())
 	if !ok {
@@ -116,7 +116,8 @@
 	return h, res
 }
 
-// follow makes attempts until one settles the request or patience is over.
+// forward makes attempts at the shard's current owner until one is final or the
+// retry timeout is over.
 func (r *Relay) forward(ctx context.Context, shard int, do attemptFunc) result.Result {
 	s := retryState{timeout: r.RetryTimeout}
 	for {
@@ -133,8 +134,8 @@
 	}
 }
 
-// settled turns an outcome that did not come back into an error. All requests
-// but calls can be repeated whatever became of them.
+// unknownAsError turns an unknown outcome into an error, so that the request is
+// retried. All requests except calls can be repeated whatever their outcome was.
 func unknownAsError(res result.Result) (result.Result, error) {
 	if res.Code == result.CodeUnknown && res.Ran == result.Unknown {
 		return res, errors.New(res.Message)
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -26,7 +26,7 @@
 )
 
 type (
-	// attempt is what one daemon does with one request.
+	// attempt scripts one daemon's handling of one request.
 	attempt struct {
 		pieces   []string
 		result   result.Result
@@ -34,13 +34,14 @@
 		duration time.Duration
 	}
 
-	// daemon answers requests from a script; its last line is repeated.
+	// fakeDaemon answers requests from a script and repeats its last entry.
 	fakeDaemon struct {
 		script   []attempt
 		attempts int
 	}
 
-	// world is what the Relay sees: owners[i] is the picture after i pauses.
+	// fakeCluster is the Relay's view of the daemons: owners[i] is the owner at the
+	// lookup i, the last one from then on, and one without a name is none.
 	fakeCluster struct {
 		daemons map[string]*fakeDaemon
 		owners  []beat.Member
@@ -49,7 +50,7 @@
 )
 
 var (
-	errBroken = errors.New("link broke after the request was sent")
+	errBroken = errors.New("link broken after the request was sent")
 	errUnsent = errors.New("no connection")
 
 	answered = result.Result{Code: result.CodeOK, Ran: result.Yes, Body: []byte(fullText)}
@@ -97,7 +98,7 @@
 	return d.History(ctx, account, request)
 }
 
-// owner is a daemon that claims the program's shard.
+// owner returns a daemon that claims the program's shard.
 func owner(name string, epoch uint64) beat.Member {
 	own := beat.Shard{Shard: locate.Shard(program, shards), Epoch: epoch}
 	return beat.Member{Name: name, Peer: name, State: beat.Alive, Shards: []beat.Shard{own}}
@@ -127,9 +128,9 @@
 	return r
 }
 
-// Owners of a program move, die and become unreachable while its calls are
-// under way. A caller must get its own answer once and whole, or hear what is
-// true of it: that it did not run, or that nobody can tell.
+// Owners of a program move, crash and become unreachable while its calls are in
+// flight. A caller must get the complete answer exactly once, or an error that says
+// correctly whether the call did not run or its outcome is unknown.
 func TestCallFollowsOwner(t *testing.T) {
 	type script map[string]*fakeDaemon
 	tests := map[string]struct {
@@ -210,14 +211,14 @@
 			map[string]int{"a": 1, "b": 1},
 			time.Second,
 		},
-		"owner died, new owner refuses": { // its "no" can't speak for the first
+		"owner died, new owner refuses": { // it can't know whether the call ran at a
 			script{"a": {script: []attempt{{err: errBroken}}}, "b": {script: []attempt{{result: refused}}}},
 			[]beat.Member{owner("a", 1), owner("b", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 1, "b": 1},
 			time.Second,
 		},
-		"link broke, same owner refuses": { // it knows that nothing ran
+		"link broke, same owner refuses": { // it knows that the call did not run
 			script{"a": {script: []attempt{{err: errBroken}, {result: refused}}}},
 			[]beat.Member{owner("a", 1)},
 			result.CodeOverloaded, result.No, "",
@@ -245,14 +246,14 @@
 			map[string]int{"here": 1},
 			10 * time.Second,
 		},
-		"unknown outcome on record": { // final, however often one asks
+		"unknown outcome on record": { // recorded, so final
 			script{"a": {script: []attempt{{result: unknown}}}},
 			[]beat.Member{owner("a", 1)},
 			result.CodeUnknown, result.Unknown, "",
 			map[string]int{"a": 1},
 			0,
 		},
-		"broke after a long run": { // patience counts from the break
+		"broke after a long run": { // the timeout starts at the break
 			script{"a": {script: []attempt{
 				{pieces: []string{"kar"}, err: errBroken},
 				{pieces: []string{"karibu"}, err: errBroken, duration: time.Minute},
@@ -288,8 +289,8 @@
 	}
 }
 
-// A caller hangs up while its owner can't be reached. Without an end to the
-// search, abandoned requests pile up for as long as the owner is away.
+// A caller disconnects while the owner can't be reached. If the retries went on,
+// abandoned requests would pile up for the time of the outage.
 func TestCallerDisconnects(t *testing.T) {
 	tests := map[string]struct {
 		attempt attempt
@@ -316,8 +317,8 @@
 	}
 }
 
-// The link breaks under a request that is no call. All of these may be
-// repeated, so that a caller need not hear of it.
+// The link breaks during a request other than a call. All of these are safe to
+// repeat, so that the caller need not see the failure.
 func TestOtherRequestsAreRetried(t *testing.T) {
 	found := result.Result{Code: result.CodeOK, Body: []byte(program)}
 	tests := map[string]func(r *Relay) result.Result{
@@ -345,7 +346,7 @@
 	}
 }
 
-// A support engineer mistypes a request's name. No daemon need be asked.
+// A support engineer mistypes a request id. The Relay rejects it without a lookup.
 func TestMalformedRequestID(t *testing.T) {
 	is := is.New(t)
 	w := fakeCluster{owners: []beat.Member{owner("a", 1)}}
@@ -354,8 +355,8 @@
 	is.Equal(w.lookups, 0)
 }
 
-// Many requests meet the same absent owner. If they all came back together the
-// new owner would meet them as one burst.
+// Many requests wait for the same missing owner. If all were retried at the same
+// time, the new owner would get them as one burst.
 func TestBackoffGrowsWithJitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/edge/relay/retry.go
+++ b/internal/edge/relay/retry.go
@@ -12,26 +12,26 @@
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 250 * time.Millisecond
-	retryAfter = time.Second // told to callers when no owner was found
+	retryAfter = time.Second // suggested to callers when no owner was reached
 )
 
 type (
-	// tenure is one daemon's ownership of a shard.
+	// ownership identifies one daemon's ownership of a shard.
 	ownership struct {
 		name  string
 		epoch uint64
 	}
 
-	// search is the state of one request on its way to an owner.
+	// retryState is the state of one request over its attempts.
 	retryState struct {
 		timeout         time.Duration
-		current         ownership // asked by the attempt under way
+		current         ownership // owner in the current attempt
 		started         time.Time
 		deadline        time.Time // zero before the first failure
 		backoff         time.Duration
-		mayHaveRun      bool      // an attempt may have run
-		firstUnknown    ownership // where that was first
-		multipleUnknown bool      // it may have run elsewhere too
+		mayHaveRun      bool      // an attempt has an unknown outcome
+		firstUnknown    ownership // owner in the first such attempt
+		multipleUnknown bool      // such attempts at more than one ownership
 		lastError       string    // why the last attempt failed
 	}
 )
@@ -46,8 +46,8 @@
 	s.started = time.Now()
 }
 
-// settles reports whether the attempt ended the request, and remembers what is
-// unknown about one that did not.
+// isFinal reports whether the attempt's result is final. If not, it records the
+// error and whether the attempt may have run.
 func (s *retryState) isFinal(ctx context.Context, res result.Result, err error, unsent bool) bool {
 	if err == nil && !isNotOwner(res) {
 		return true
@@ -60,7 +60,7 @@
 		s.recordUnknown()
 	}
 	if ctx.Err() == nil && time.Since(s.started) > s.limit() {
-		s.deadline = time.Time{} // it was with an owner for long: a new failure
+		s.deadline = time.Time{} // a long attempt that failed now: restart the timeout
 	}
 	return false
 }
@@ -73,16 +73,16 @@
 	s.mayHaveRun = true
 }
 
-// lost tells a result that says nothing final: the daemon asked was not the
-// owner, or stopped being it. An outcome that is recorded as unknown is final.
+// isNotOwner reports whether the daemon was not the owner or lost ownership during
+// the request. Any other result is final, a recorded unknown outcome as well.
 func isNotOwner(res result.Result) bool {
 	return res.Code == result.CodeNotOwner
 }
 
-// honest takes back the word "no" of an owner that can't know. An earlier
-// attempt may have run under another owner, and a model call that ran there
-// need not be in the journal; its caller, told that nothing ran, would count on
-// budget that is spent.
+// adjustRan changes Ran from No to Unknown if an earlier attempt may have run
+// under another ownership. A model call that ran there need not be in the journal,
+// so this owner can't rule it out, and the caller would rely on budget that is
+// already spent.
 func (s *retryState) adjustRan(res result.Result) result.Result {
 	elsewhere := s.multipleUnknown || s.firstUnknown != s.current
 	if s.mayHaveRun && elsewhere && res.Ran == result.No {
@@ -91,13 +91,13 @@
 	return res
 }
 
-// wait pauses before the next look, and reports whether there is one.
+// wait sleeps for the backoff and reports whether to make another attempt.
 func (s *retryState) wait(ctx context.Context) bool {
 	if s.deadline.IsZero() {
 		s.deadline = time.Now().Add(s.limit())
 		s.backoff = minBackoff
 	}
-	// Jitter keeps the requests of a shard that moved from coming back at once.
+	// Jitter keeps the retries for a moved shard from arriving all at once.
 	backoff := s.backoff/2 + rand.N(s.backoff)
 	s.backoff = min(2*s.backoff, maxBackoff)
 	if time.Now().Add(backoff).After(s.deadline) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// give is the answer when no owner could be reached.
+// failure returns the result when the request is given up.
 func (s *retryState) failure(ctx context.Context) result.Result {
 	ran := result.No
 	if s.mayHaveRun {
--- a/internal/edge/relay/transcript.go
+++ b/internal/edge/relay/transcript.go
@@ -7,22 +7,22 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// transcript is the text that a caller was sent, over all attempts.
+// transcript is the text sent to the caller over all attempts of a call.
 //
-// A repeated call streams its answer again from the start. Without the
-// transcript the caller would get the beginning twice, or, where a second
-// attempt words the answer differently, a mixture that is in no history. On the
-// first difference nothing more is sent; the attempt goes on so that its
-// outcome is recorded, and the caller is told to repeat the call.
+// A repeated call streams its answer again from the start. Without the transcript
+// the caller would get the beginning twice or, if a second attempt generates a
+// different answer, a mixture that is in no history. After the first difference
+// nothing more is sent. The attempt continues so that its outcome is recorded, and
+// the call fails with an error that asks the caller to repeat it.
 type transcript struct {
 	sink    runner.Sink
-	cancel  func() // ends all attempts when the caller is gone
+	cancel  func() // cancels the call when the caller has disconnected
 	text    strings.Builder
-	offset  int // bytes of text that the attempt under way repeated
+	offset  int // bytes of text that the current attempt has repeated or added
 	differs bool
 }
 
-// begin returns the sink of the next attempt.
+// nextSink returns the sink of the next attempt.
 func (t *transcript) nextSink() runner.Sink {
 	if t.sink == nil {
 		return nil
@@ -31,6 +31,7 @@
 	return t.add
 }
 
+// add forwards the part of a piece that the caller was not sent yet.
 func (t *transcript) add(piece string) error {
 	sent := t.text.String()[t.offset:]
 	overlap := min(len(sent), len(piece))
@@ -54,8 +55,8 @@
 	return err
 }
 
-// check returns the outcome, unless its answer is not the one that the caller
-// was sent the beginning of.
+// check returns the outcome, or an error if its answer differs from the text
+// already sent.
 func (t *transcript) check(res result.Result) result.Result {
 	if !res.OK() || !t.differs {
 		return res
