--- a/internal/edge/locate/locate.go
+++ b/internal/edge/locate/locate.go
@@ -1,10 +1,10 @@
-// Package locate answers where a program lives: which shard it belongs to,
-// which daemon owns that shard, which should, and which addresses its caller
-// had best use.
+// Package locate maps programs to daemons: the shard of a program, the daemon that
+// owns the shard, the daemon that should own it, and the addresses that a caller
+// of the program should use.
 //
-// All functions are pure and work on a picture of the daemons that may be
-// stale. A wrong answer costs a relayed request or a second look, never a
-// request that runs twice: the owner itself checks that it owns the shard.
+// All functions are pure and work on a member list that may be stale. A wrong
+// result costs a relayed request or another lookup, never a request that runs
+// twice: the owner itself checks that it owns the shard.
 package locate
 
 import (
@@ -17,12 +17,12 @@
 )
 
 const (
-	// TTLSeconds is how long a caller may keep an answer. A draining daemon
-	// goes on serving for at least as long, so that callers who still hold
-	// its address are not cut.
+	// TTLSeconds is how long a caller may cache an answer. A draining daemon
+	// keeps serving for at least as long, so that callers with a cached
+	// address are not disconnected.
 	TTLSeconds = 5
-	// MaxEntries bounds the addresses in one answer: enough to get past a
-	// failure domain that is lost, few enough for hundreds of daemons.
+	// MaxEntries bounds the addresses in one answer: enough to reach a daemon
+	// when a failure domain is lost, and small with hundreds of daemons.
 	MaxEntries = 6
 )
 
@@ -34,29 +34,29 @@
 		Owner         bool   `json:"owner,omitempty"` // owns the program's shard
 	}
 
-	// Answer is what a caller is told, best address first.
+	// Answer is the response body for a caller, best address first.
 	Answer struct {
 		Entries    []Entry `json:"entries"`
 		TTLSeconds int     `json:"ttl_seconds"`
 	}
 
-	// candidate is a daemon that may be chosen.
+	// candidate is an alive daemon.
 	candidate struct {
 		beat.Member
 
 		hash     uint64 // of its name
-		assigned int    // shards dealt to it
+		assigned int    // number of shards assigned to it
 	}
 )
 
-// Shard returns the shard of a program and of all its sub-agents. Without
-// shards it is 0.
+// Shard returns the shard of a program and of all its sub-agents. If shards is 0
+// it returns 0.
 func Shard(program string, shards int) int {
 	return shardOf(reqid.Hash(program), shards)
 }
 
 // RequestShard returns the shard of the program that a request belongs to, or
-// false if the name is not one of ours.
+// false if the request id is malformed.
 func RequestShard(request string, shards int) (int, bool) {
 	id, err := reqid.Parse(request)
 	if err != nil {
@@ -65,9 +65,9 @@
 	return shardOf(id.RootHash, shards), true
 }
 
-// Owner returns the daemon that owns the shard as far as is known here: of all
-// claims the one with the highest epoch. A daemon that is down is no owner even
-// if nobody claimed its shard since, because nothing reaches it.
+// Owner returns the daemon that owns the shard according to members: the one whose
+// claim has the highest epoch. If that daemon is down, found is false even if there
+// is no later claim, because it can't be reached.
 func Owner(members []beat.Member, shard int) (owner beat.Member, found bool) {
 	epoch := uint64(0)
 	for _, m := range members {
@@ -82,10 +82,10 @@
 	return owner, found
 }
 
-// Preferred returns the daemon that should own the shard, by rendezvous
-// hashing over those that are alive and not draining. It deals the shards out
-// in order, each to its best daemon with room, so that no daemon of n gets
-// more than ceil(shards/n)+1.
+// Preferred returns the daemon that should own the shard, by rendezvous hashing
+// over the daemons that are alive and not draining. Shards are assigned in order,
+// each to the daemon of highest weight with free capacity, so that none of n
+// daemons gets more than ceil(shards/n)+1.
 func Preferred(members []beat.Member, shard, shards int) (beat.Member, bool) {
 	plan := Plan(members, shard+1, shards)
 	if len(plan) == 0 {
@@ -94,8 +94,8 @@
 	return plan[shard], true
 }
 
-// Plan returns the daemons that should own the first n of the shards, or none
-// if no daemon is alive.
+// Plan returns the daemons that should own the first n of the shards, by shard, or
+// nil if no daemon is alive.
 func Plan(members []beat.Member, n, shards int) []beat.Member {
 	live := alive(members)
 	if len(live) == 0 {
@@ -111,11 +111,10 @@
 	return plan
 }
 
-// Entries returns the addresses that a caller of the program should use: the
-// owner first, then daemons that are alive, one failure domain after another,
-// beginning with those that the owner is not in. Without a program it spreads
-// callers over all. Daemons that drain, do not answer or are down are never
-// named.
+// Entries returns the addresses that a caller of the program should use: the owner
+// first, then alive daemons in turn over the failure domains, starting with those
+// other than the owner's. If program is empty, no entry is marked as owner.
+// Draining, suspect and down daemons are never included.
 func Entries(members []beat.Member, program string, shards int) Answer {
 	live := alive(members)
 	seed := mix(xxhash.Sum64String(program))
@@ -152,7 +151,7 @@
 	return 0, false
 }
 
-// alive returns the daemons that take new work.
+// alive returns the daemons that accept new work.
 func alive(members []beat.Member) []candidate {
 	live := make([]candidate, 0, len(members))
 	for _, m := range members {
@@ -163,9 +162,9 @@
 	return live
 }
 
-// heaviest returns the index of the daemon with the greatest weight among those
-// that have taken less than room. The total room exceeds the number of shards,
-// so there is always one.
+// highestWeight returns the index of the daemon with the highest weight among those
+// with fewer shards than capacity. The total capacity exceeds the number of shards,
+// so there always is one.
 func highestWeight(live []candidate, seed uint64, capacity int) int {
 	best, top := -1, uint64(0)
 	for i, c := range live {
@@ -176,8 +175,8 @@
 	return best
 }
 
-// freshest returns the index of the daemon whose failure domain was used
-// least, and of several the one with the greatest weight.
+// leastUsedDomain returns the index of a daemon in the failure domain with the
+// fewest entries so far; ties go to the highest weight.
 func leastUsedDomain(live []candidate, seed uint64, used map[string]int) int {
 	best, fewest, top := -1, 0, uint64(0)
 	for i, c := range live {
@@ -189,8 +188,8 @@
 	return best
 }
 
-// mix spreads the bits of v over the whole word (the finalizer of
-// splitmix64), so that a daemon's hash need be taken only once.
+// mix is the finalizer of splitmix64. It mixes a daemon's hash with the seed of a
+// shard or program, so that each daemon's name is hashed only once.
 func mix(v uint64) uint64 {
 	v += 0x9e3779b97f4a7c15
 	v = (v ^ v>>30) * 0xbf58476d1ce4e5b9
--- a/internal/edge/locate/locate_test.go
+++ b/internal/edge/locate/locate_test.go
@@ -36,9 +36,9 @@
 	is.True(!ok)
 }
 
-// A daemon that was paused still claims a shard that another took over since,
-// or it is leaving, or nothing is known of it. A request sent to the wrong one
-// comes back as not run, so a caller waits longer but is not misled.
+// A daemon that was paused still claims a shard that another has taken over, or the
+// owner is draining or down. Owner must return the latest claim, and no daemon that
+// is down: a request sent to the wrong daemon is refused and has to be retried.
 func TestOwner(t *testing.T) {
 	own := func(epoch uint64) beat.Shard { return beat.Shard{Shard: 3, Epoch: epoch} }
 	tests := map[string]struct {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Daemons drain, hang or die in every combination. A caller who is sent to one
-// of them loses a connection timeout before it tries the next address.
+// Daemons drain, hang or crash in any combination. A caller with the address of
+// such a daemon waits for a connection timeout before it tries the next address.
 func TestEntries(t *testing.T) {
 	const shards = 8
 	program := "round-7"
@@ -114,8 +114,8 @@
 	}
 }
 
-// Callers that ask for different programs must not all be sent to the same
-// daemon, or that one is overloaded while the others idle.
+// Callers of different programs must get different first addresses, or one daemon
+// is overloaded while the others are idle.
 func TestEntriesSpread(t *testing.T) {
 	is := is.New(t)
 	members := fleet(8, 4)
@@ -131,7 +131,7 @@
 		is.Equal(len(domains), 4)
 	}
 	for _, n := range count {
-		is.True(n > programs/8*8/10 && n < programs/8*12/10) // within a fifth of even
+		is.True(n > programs/8*8/10 && n < programs/8*12/10) // within 20 % of an even spread
 	}
 	is.Equal(len(count), 8)
 }
@@ -154,8 +154,8 @@
 	}
 }
 
-// A daemon leaves. Every shard that moves although its owner stayed costs a
-// takeover, during which its programs wait.
+// A daemon leaves. Each shard that moves although its owner is still alive costs a
+// needless takeover, during which its programs wait.
 func TestPreferredMovesLittle(t *testing.T) {
 	is := is.New(t)
 	const shards = 64
@@ -179,7 +179,7 @@
 		}
 		worst = max(worst, moved)
 	}
-	is.True(worst <= 3) // of 64 shards, beside those of the daemon that left
+	is.True(worst <= 3) // of 64 shards, besides those of the daemon that left
 	_, ok := Preferred([]beat.Member{member("a", "x", beat.Draining)}, 0, shards)
 	is.True(!ok)
 }
