--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -1,6 +1,5 @@
-// Package admin is what the operators' and support engineers' commands do: they
-// ask one daemon over HTTP and write its answer as text, or as JSON for
-// programs.
+// Package admin implements the commands for operators and support engineers. Each
+// sends a request to one daemon over HTTP and writes the answer as text or JSON.
 package admin
 
 import (
@@ -21,11 +20,11 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// ErrNotApplied reports that why was written to the operator.
+// ErrNotApplied is returned by Apply after the reason was written to Out.
 var ErrNotApplied = errors.New("the configuration was not applied")
 
 type (
-	// Admin asks the daemon that Client names and writes to Out.
+	// Admin sends requests with Client and writes the answers to Out.
 	Admin struct {
 		Client client.Client
 		Out    io.Writer
@@ -52,7 +51,7 @@
 	return a.show(ctx, path, &h, func(r *report.Report) { r.History(h) })
 }
 
-// Request writes what became of one request.
+// Request writes the details of one request.
 func (a Admin) Request(ctx context.Context, id string) error {
 	var h hist.History
 	return a.show(ctx, "/v1/requests/"+url.PathEscape(id), &h, func(r *report.Report) { r.Request(h) })
@@ -68,8 +67,8 @@
 	return err
 }
 
-// Show writes the text of the configuration in force, and its version into a
-// comment at its head.
+// Show writes the text of the configuration in force, preceded by a comment with
+// its version.
 func (a Admin) Show(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "read configuration") }()
 	var c currentConfig
@@ -83,8 +82,9 @@
 	return err
 }
 
-// Apply puts the file in force as the version after from, which the operator
-// has read; 0 is none, and server.FromNewest any.
+// Apply applies the file as a new configuration. From is the version that the
+// operator started from; 0 means none and server.FromNewest any. It returns
+// ErrNotApplied if the daemon did not confirm that the text is in force.
 func (a Admin) Apply(ctx context.Context, path, from string) (err error) {
 	defer func() { err = errors.Wrapf(err, "apply %s", path) }()
 	text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// show asks for a value and writes it.
+// show fetches a value and writes it.
 func (a Admin) show(ctx context.Context, path string, v any, write func(*report.Report)) error {
 	if err := a.Client.JSON(ctx, "GET", path, nil, v); err != nil {
 		return describeError(err)
@@ -150,8 +150,8 @@
 	return e.Encode(v)
 }
 
-// explain takes the words out of an error body, and says what a missing key
-// looks like from here.
+// describeError returns the code and message of an error response, with a hint on
+// how to pass a key if the daemon did not accept it. Other errors are unchanged.
 func describeError(err error) error {
 	var s *client.StatusError
 	if !errors.As(err, &s) {
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -28,7 +28,7 @@
 
 const key = "ops.secret"
 
-// past is a Runner that knows one program.
+// fakeRunner is a Runner with the history of one program.
 type fakeRunner struct{ runner.Runner }
 
 func (fakeRunner) History(_ context.Context, _, program string) (hist.History, result.Result) {
@@ -43,7 +43,7 @@
 	return p.History(ctx, account, "round-7/receipts")
 }
 
-// start runs a daemon's interface and returns an Admin of it and its output.
+// start runs a daemon's HTTP server and returns an Admin for it and its output.
 func start(t *testing.T, change func(*server.Server)) (Admin, *strings.Builder) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,11 +121,11 @@
 		})
 	}
 	a := Admin{Client: client.Client{Address: "127.0.0.1:1"}}
-	is.New(t).True(a.Status(t.Context()) != nil) // nobody there
+	is.New(t).True(a.Status(t.Context()) != nil) // connection refused
 }
 
-// Operators race, a file has faults, the store stops answering. What the
-// operator reads must say which version is in force and what to do.
+// Two operators apply at once, a file has errors, or the store stops answering. The
+// output must say which version is in force and what to do next.
 func TestApply(t *testing.T) {
 	at := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	fault := check.Error{File: "configuration", Line: 3, Section: "system", Key: "shards", Message: "is missing"}
