--- a/internal/edge/chat/chat.go
+++ b/internal/edge/chat/chat.go
@@ -1,9 +1,9 @@
-// Package chat speaks the usual chat completion protocol towards callers: it
-// reads the few fields of a request that concern the system, and forms answers
-// as one JSON object or as the chunks of a stream.
+// Package chat implements the server side of the chat completion API: it parses the
+// request fields that the system needs, and encodes answers as one JSON object or as
+// the chunks of a stream.
 //
-// The request itself is passed on untouched, so that fields which only the
-// engine understands keep working.
+// Request bodies are forwarded to the engine unchanged, so that fields known only to
+// the engine keep working.
 package chat
 
 import (
@@ -23,23 +23,23 @@
 )
 
 type (
-	// Request is what concerns the system in a caller's request. MaxTokens is
-	// 0 where the caller set no bound.
+	// Request holds the fields that the system needs. MaxTokens is 0 if the
+	// caller set no limit.
 	Request struct {
 		Model     string
 		MaxTokens int
 		Stream    bool
-		Usage     bool // the caller of a stream wants the usage at its end
+		Usage     bool // the stream should end with the token usage
 	}
 
-	// Answer forms the answer to one request.
+	// Answer encodes the answer to one request.
 	Answer struct {
-		ID      string // the request's name
+		ID      string // request id
 		Model   string
 		Created int64 // seconds since 1970
-		Usage   bool  // a stream ends with Total
+		Usage   bool  // the stream ends with UsageChunk
 
-		chunkPrefix []byte // what stands before the piece in each chunk of text
+		chunkPrefix []byte // constant start of each text chunk, built on first use
 	}
 
 	wireRequest struct {
@@ -87,8 +87,8 @@
 	}
 )
 
-// Parse reads a caller's request. It refuses more than one choice, because the
-// history keeps one answer for one call.
+// Parse parses a request. It rejects n above 1 because the history holds one answer
+// per call.
 func Parse(body []byte) (r Request, err error) {
 	defer func() { err = errors.Wrap(err, "chat request") }()
 	var w wireRequest
@@ -111,7 +111,7 @@
 	return r, nil
 }
 
-// Whole returns the answer as one object.
+// Completion returns the complete answer as one object.
 func (a Answer) Completion(r result.Result) []byte {
 	text := string(r.Body)
 	w := a.wire(objectCompletion)
@@ -120,20 +120,20 @@
 	return encode(w)
 }
 
-// Role returns the first chunk of a stream.
+// Role returns the first chunk of a stream, which holds the role only.
 func (a Answer) Role() []byte {
 	empty := ""
 	return a.chunk(wireChoice{Delta: &wireMessage{Role: assistant, Content: &empty}})
 }
 
-// Text appends a chunk with a piece of the answer to b. It is called for every
-// piece of every stream, so it does not go through the types: only the piece is
-// encoded, the rest is the same for each.
+// Text appends a chunk with a piece of the answer to b. It runs for every piece of
+// every stream, so it encodes only the piece and takes the rest of the chunk, which
+// never changes, from a prepared prefix and suffix.
 func (a *Answer) Text(b []byte, piece string) []byte {
 	if a.chunkPrefix == nil {
 		a.buildPrefix()
 	}
-	quoted, _ := json.Marshal(piece) // a string always can be
+	quoted, _ := json.Marshal(piece) // never fails for a string
 	b = append(b, a.chunkPrefix...)
 	b = append(b, quoted...)
 	return append(b, chunkSuffix...)
@@ -146,13 +146,13 @@
 		id, objectChunk, a.Created, model)
 }
 
-// Finish returns the chunk that tells why the answer ended.
+// Finish returns the chunk with the finish reason.
 func (a Answer) Finish(r result.Result) []byte {
 	return a.chunk(wireChoice{Delta: &wireMessage{}, Finish: &r.Finish})
 }
 
-// Total returns the chunk with the usage, which follows Finish where the caller
-// asked for it.
+// UsageChunk returns the chunk with the token usage, which follows Finish if the
+// caller asked for it.
 func (a Answer) UsageChunk(r result.Result) []byte {
 	w := a.wire(objectChunk)
 	w.Choices = []wireChoice{}
@@ -179,7 +179,7 @@
 	}
 }
 
-// encode can't fail: the types hold nothing that JSON lacks.
+// encode ignores the error because these types can always be encoded.
 func encode(w wireAnswer) []byte {
 	data, _ := json.Marshal(w)
 	return data
--- a/internal/edge/chat/chat_test.go
+++ b/internal/edge/chat/chat_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Text from an engine holds quotes, line breaks and broken characters. A chunk
-// that is not one line of JSON would end a client's stream in the middle.
+// Text from an engine contains quotes, line breaks and invalid UTF-8. A chunk that
+// is not one line of JSON would break the client's event stream.
 func TestChunksAreSingleLines(t *testing.T) {
 	for name, text := range map[string]string{
 		"quotes":       `say "jambo"`,
@@ -62,8 +62,8 @@
 	}
 }
 
-// Text is put together by hand for speed. It must not differ from what the types
-// would give.
+// Text builds its JSON by hand for speed. The result must equal the encoding of the
+// types.
 func TestTextMatchesEncodedTypes(t *testing.T) {
 	is := is.New(t)
 	a := Answer{ID: `r"1`, Model: "m<1>", Created: 7}
