--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a caller of the system over HTTP, for the commands that act
-// as one and for tests.
+// Package client is an HTTP client of a daemon's interface for callers and
+// operators, for the commands and for tests.
 package client
 
 import (
@@ -28,7 +28,7 @@
 )
 
 type (
-	// Client calls one daemon with one account's key.
+	// Client sends requests to the daemon at Address (host:port) with an account's key.
 	Client struct {
 		Address string
 		Key     string
@@ -40,19 +40,20 @@
 		Content string `json:"content"`
 	}
 
-	// Answer is a model's whole answer, or a service's response.
+	// Answer is a model's complete answer or a service's response.
 	Answer struct {
 		Request  string
 		Status   int
 		Text     string
-		Complete bool // the end was sent
+		Complete bool // the end marker was received
 		Pieces   int
-		Prompt   int // tokens, of a model's answer
-		Cached   int // of the prompt
+		Prompt   int // tokens of the prompt, for a model call
+		Cached   int // prompt tokens from the prefix cache
 		Output   int
 	}
 
-	// StatusError is a response that is no success.
+	// StatusError is a response with a status other than 2xx, or the error event of a
+	// stream.
 	StatusError struct {
 		Status int
 		Body   string
@@ -84,7 +85,7 @@
 	}
 )
 
-// Error gives the status and the response's body.
+// Error returns the status and the response's body.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, strings.TrimSpace(e.Body))
 }
@@ -112,7 +113,7 @@
 	return resp, nil
 }
 
-// JSON makes an exchange with JSON in and out; in or out may be nil.
+// JSON sends in as JSON and decodes the response into out; either may be nil.
 func (c Client) JSON(ctx context.Context, method, path string, in, out any) (err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", method, path) }()
 	var body []byte
@@ -128,8 +129,8 @@
 	return json.Unmarshal(resp.Body(), out)
 }
 
-// Send makes an exchange with any body and returns the response's, whatever
-// its status is.
+// Send sends a body and returns the response's status and body. A status other than
+// 2xx is not an error here.
 func (c Client) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", method, path) }()
 	resp, err := c.exchange(ctx, c.request(method, path, body))
@@ -159,7 +160,8 @@
 	return h, err
 }
 
-// Service calls a plain service.
+// Service calls a plain service. An error status gives the Answer with a
+// StatusError.
 func (c Client) Service(ctx context.Context, program string, number int, path string, body []byte) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	req := c.request(fasthttp.MethodPost, "/v1/services/"+path, body)
@@ -176,8 +178,8 @@
 	req.Header.Set(server.HeaderCall, strconv.Itoa(number))
 }
 
-// Chat makes a streamed model call and hands its pieces to each, which may be
-// nil.
+// Chat makes a streamed model call and passes its pieces to onPiece, which may be
+// nil. On an error the Answer holds what was received before it.
 func (c Client) Chat(ctx context.Context, program string, number, maxTokens int, ms []Message, onPiece func(string)) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	in := chatBody{Stream: true, Max: maxTokens, Messages: ms}
@@ -201,8 +203,8 @@
 	return readEvents(a, resp.Body, onPiece)
 }
 
-// read takes in the events of an answer. One that ends without its end is not
-// whole.
+// readEvents reads the events of a streamed answer. A stream that ends without its
+// end marker gives the read error or io.ErrUnexpectedEOF.
 func readEvents(a Answer, r io.Reader, onPiece func(string)) (Answer, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
