--- a/internal/edge/report/report.go
+++ b/internal/edge/report/report.go
@@ -1,9 +1,5 @@
-// Package report lays out what the system knows as text for people: the
-// history of a program, what became of one request, and the state of the
-// daemons.
-//
-// Each function writes one value; where it came from is its caller's business.
-// The first error of the writer is returned.
+// Package report formats a program's history, the details of one request and the
+// status of the daemons as text for people.
 package report
 
 import (
@@ -24,13 +20,14 @@
 	timeFormat = "2006-01-02 15:04:05.000"
 )
 
-// Report writes to Out and keeps its first error.
+// Report writes to Out. After the first write error, which it keeps in Err, it
+// writes nothing more.
 type Report struct {
 	Out io.Writer
 	Err error
 }
 
-// History writes a program's history, one line for each call.
+// History writes a program's history, one line per call.
 func (r *Report) History(h hist.History) {
 	r.printf("program %s of %s: %s, %d of %d tokens\n", h.Program, h.Account, ended(h), h.Spent, h.Budget)
 	t := r.table("call", "kind", "target", "upstream", "attempts", "outcome", "ran", "tokens", "cached", "time")
@@ -41,7 +38,7 @@
 	t.flush()
 }
 
-// Request writes what became of the one call that h holds.
+// Request writes the details of the call that h holds.
 func (r *Report) Request(h hist.History) {
 	for _, c := range h.Calls {
 		r.call(h, c)
@@ -83,8 +80,8 @@
 	t.flush()
 }
 
-// text writes a block of text, indented so that its lines can't be taken for
-// those of the report.
+// text writes a titled block of text, indented so that its lines can't be mistaken
+// for lines of the report.
 func (r *Report) text(title, s string) {
 	if s == "" {
 		return
@@ -131,8 +128,8 @@
 	}
 }
 
-// printable keeps what callers wrote from moving the reader's cursor or
-// breaking the table.
+// replaceControl replaces control characters by spaces, so that callers' text can't
+// move the terminal's cursor or break the table.
 func replaceControl(s string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c == 0x7f {
@@ -163,7 +160,8 @@
 
 func ran(c hist.Call) string { return orDefault(string(c.Result.Ran), none) }
 
-// sentence tells an outcome with the words that a caller may be given.
+// describeOutcome returns the outcome with its message, and the HTTP status of a
+// successful service call.
 func describeOutcome(c hist.Call) string {
 	s := outcome(c)
 	if c.Result.Message != "" {
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -16,7 +16,8 @@
 
 var start = time.Date(2026, 12, 2, 8, 30, 0, 0, time.UTC)
 
-// receipt is a call whose worker died after it had the request.
+// receipt is a history whose call failed because its worker died after it received
+// the request.
 func receipt() hist.History {
 	return hist.History{
 		Program: "round-7", Account: "mafuta", Agent: "pickup", Budget: 900, Spent: 120,
@@ -30,8 +31,8 @@
 	}
 }
 
-// A worker takes a receipt's request and dies. The engineer who is asked about
-// it must read whether it ran, where it was sent, and under which rules.
+// A worker receives the request for a receipt and dies. The report must show a
+// support engineer whether it ran, where it was sent, and under which configuration.
 func TestRequest(t *testing.T) {
 	is := is.New(t)
 	var b strings.Builder
@@ -76,8 +77,8 @@
 `)
 }
 
-// A shard has lost its owner, and one daemon does not hear of the new
-// configuration. Rows of numbers hide both; an operator must be told.
+// A shard has lost its owner, or a daemon still runs an old configuration. Both are
+// easy to overlook in the table, so that the report must have a warning.
 func TestStatusWarns(t *testing.T) {
 	member := func(name string, state beat.State, version uint64, shards ...beat.Shard) beat.Member {
 		return beat.Member{Name: name, Address: name + ":1", FailureDomain: "x", State: state, Config: version, Shards: shards}
--- a/internal/edge/report/status.go
+++ b/internal/edge/report/status.go
@@ -11,17 +11,17 @@
 	"github.com/slaterock/slaterock/internal/plat/meter"
 )
 
-// Status is what one daemon knows of the system.
+// Status is the state of the system as one daemon knows it.
 type Status struct {
 	Daemon  string        `json:"daemon"`
 	Version uint64        `json:"config_version"`
 	Shards  int           `json:"shards"`
 	Members []beat.Member `json:"members"`
 	Store   meter.Counts  `json:"store"`
-	Age     time.Duration `json:"store_age"` // since anybody reached the store, negative is never
+	Age     time.Duration `json:"store_age"` // since any daemon last reached the store; negative if never
 }
 
-// Status writes the daemons, who owns which shard, and what needs a look.
+// Status writes the daemons with the shards they own, and warnings.
 func (r *Report) Status(s Status) {
 	r.printf("as seen by %s: configuration version %d, %d shards, store reached %s\n", s.Daemon, s.Version, s.Shards, age(s.Age))
 	r.printf("store calls of this daemon: %d reads, %d writes, %d watches, %d failed, %s waited\n\n",
@@ -35,8 +35,8 @@
 	r.warnings(s, members)
 }
 
-// warnings names what an operator would otherwise have to find by comparing
-// rows: shards without an owner, and daemons that run another configuration.
+// warnings lists what is hard to see in the table: shards without an owner, and
+// alive daemons that run an older configuration.
 func (r *Report) warnings(s Status, members []beat.Member) {
 	for shard := range s.Shards {
 		if _, found := locate.Owner(members, shard); !found {
