--- a/internal/edge/reqid/reqid.go
+++ b/internal/edge/reqid/reqid.go
@@ -1,10 +1,10 @@
-// Package reqid forms the names of requests.
+// Package reqid defines request ids.
 //
-// A name is made where the caller is met and goes back to it on every
-// response, so that a support engineer can ask any daemon what became of it.
-// It therefore carries the hash of the program's family, from which each
-// daemon finds the shard without asking anyone, and the call's number, by
-// which a repeat of a call finds the call that it repeats:
+// The daemon that receives a request creates its id and returns it in every
+// response, so that a support engineer can query any daemon for the request. The id
+// therefore contains the hash of the program's root, from which each daemon
+// computes the shard locally, and the call's number, which links a repeated request
+// to the call that it repeats:
 //
 //	<16 hex digits of the hash>-<call number>-<12 hex digits, random>
 package reqid
@@ -28,7 +28,7 @@
 	fieldCount  = 3
 )
 
-// ID is the name of one request.
+// ID identifies one request.
 type ID struct {
 	RootHash uint64 // Hash of the program
 	Number   int    // of the call
@@ -41,14 +41,14 @@
 	return xxhash.Sum64String(call.Root(program))
 }
 
-// New returns a new name for a call of the program.
+// New returns a new id for a call of the program.
 func New(program string, number int) ID {
 	id := ID{RootHash: Hash(program), Number: number}
-	_, _ = rand.Read(id.Nonce[:]) // never fails, by its contract
+	_, _ = rand.Read(id.Nonce[:]) // crypto/rand documents that Read never fails
 	return id
 }
 
-// Parse reads a name as String writes it.
+// Parse parses an id in the form that String returns.
 func Parse(s string) (id ID, err error) {
 	defer func() { err = errors.Wrapf(err, "request id %q", s) }()
 	fields := strings.Split(s, "-")
@@ -71,7 +71,7 @@
 	return id, nil
 }
 
-// String returns the name as callers see it.
+// String returns the id as callers see it.
 func (id ID) String() string {
 	return fmt.Sprintf("%016x-%d-%x", id.RootHash, id.Number, id.Nonce)
 }
--- a/internal/edge/reqid/reqid_test.go
+++ b/internal/edge/reqid/reqid_test.go
@@ -14,7 +14,7 @@
 	is.NoErr(err)
 	is.Equal(back, id)
 	repeat := New("round-7/receipts", 12)
-	is.True(repeat != id) // the repeat of a call is a request of its own
+	is.True(repeat != id) // a repeated call is a request of its own
 }
 
 func TestMalformed(t *testing.T) {
