--- a/internal/edge/server/bench_test.go
+++ b/internal/edge/server/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/slaterock/slaterock/internal/prog/call"
 )
 
-// pieces is the number of pieces of a typical answer.
+// piecesPerAnswer is the number of pieces of a typical answer.
 const piecesPerAnswer = 200
 
 // serve runs a server on loopback with logs, metrics and a tracer that exports
--- a/internal/edge/server/listen.go
+++ b/internal/edge/server/listen.go
@@ -12,7 +12,7 @@
 )
 
 type (
-	// listener sets a deadline for each write to a caller. fasthttp's write
+	// deadlineListener sets a deadline for each write to a caller. fasthttp's write
 	// timeout covers a whole response instead and would cut a long healthy
 	// stream. Without any deadline a caller that stopped reading would block its
 	// call forever.
--- a/internal/edge/server/server.go
+++ b/internal/edge/server/server.go
@@ -212,7 +212,7 @@
 	return t.C, t.Stop
 }
 
-// lower returns the lower of two limits, where 0 means none, or other if both
+// lowerLimit returns the lower of two limits, where 0 means none, or other if both
 // are 0.
 func lowerLimit(a, b, other int) int {
 	if a > 0 && b > 0 {
