--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -31,7 +31,7 @@
 		JSON   bool
 	}
 
-	// running is the configuration in force.
+	// currentConfig is the configuration in force.
 	currentConfig struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
--- a/internal/edge/server/shutdown_test.go
+++ b/internal/edge/server/shutdown_test.go
@@ -19,8 +19,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// A daemon is shut down gracefully in the middle of an answer. The caller must
-// still receive the rest of the stream.
+// A daemon is shut down gracefully in the middle of an answer. The listener must
+// close, and the caller must still receive the rest of the stream.
 func TestShutdownFinishesStreams(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
