--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -21,7 +21,7 @@
 )
 
 // ErrNotApplied is returned by Apply after the reason was written to Out.
-var ErrNotApplied = errors.New("the configuration was not applied")
+var ErrNotConfirmed = errors.New("the configuration was not applied")
 
 type (
 	// Admin sends requests with Client and writes the answers to Out.
@@ -126,7 +126,7 @@
 
 func failure(out server.Applied) error {
 	if out.Message != "" {
-		return ErrNotApplied
+		return ErrNotConfirmed
 	}
 	return nil
 }
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -156,7 +156,7 @@
 			})
 			err := a.Apply(t.Context(), path, "7")
 			is.Equal(err == nil, tt.ok)
-			is.True(tt.ok || errors.Is(err, ErrNotApplied))
+			is.True(tt.ok || errors.Is(err, ErrNotConfirmed))
 			is.True(strings.Contains(out.String(), tt.want))
 		})
 	}
--- a/internal/edge/locate/locate.go
+++ b/internal/edge/locate/locate.go
@@ -127,7 +127,7 @@
 		live = slices.DeleteFunc(live, func(c candidate) bool { return c.Name == owner.Name })
 	}
 	for len(live) > 0 && len(answer.Entries) < MaxEntries {
-		next := leastUsedDomain(live, seed, used)
+		next := inLeastUsedDomain(live, seed, used)
 		used[live[next].FailureDomain]++
 		answer.Entries = append(answer.Entries, entry(live[next].Member, false))
 		live = slices.Delete(live, next, next+1)
@@ -177,7 +177,7 @@
 
 // leastUsedDomain returns the index of a daemon in the failure domain with the
 // fewest entries so far; ties go to the highest weight.
-func leastUsedDomain(live []candidate, seed uint64, used map[string]int) int {
+func inLeastUsedDomain(live []candidate, seed uint64, used map[string]int) int {
 	best, fewest, top := -1, 0, uint64(0)
 	for i, c := range live {
 		n, w := used[c.FailureDomain], mix(c.hash^seed)
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -124,7 +124,7 @@
 		if m, found := locate.Owner(r.Members(), shard); found {
 			s.startAttempt(m, shard)
 			res, err := do(r.at(m))
-			if s.isFinal(ctx, res, err, r.unsent(err)) {
+			if s.endAttempt(ctx, res, err, r.unsent(err)) {
 				return s.adjustRan(res)
 			}
 		}
--- a/internal/edge/relay/retry.go
+++ b/internal/edge/relay/retry.go
@@ -48,7 +48,7 @@
 
 // isFinal reports whether the attempt's result is final. If not, it records the
 // error and whether the attempt may have run.
-func (s *retryState) isFinal(ctx context.Context, res result.Result, err error, unsent bool) bool {
+func (s *retryState) endAttempt(ctx context.Context, res result.Result, err error, unsent bool) bool {
 	if err == nil && !isNotOwner(res) {
 		return true
 	}
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -18,7 +18,7 @@
 
 // receipt is a history whose call failed because its worker died after it received
 // the request.
-func receipt() hist.History {
+func receiptHistory() hist.History {
 	return hist.History{
 		Program: "round-7", Account: "mafuta", Agent: "pickup", Budget: 900, Spent: 120,
 		Calls: []hist.Call{{
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	var b strings.Builder
 	r := Report{Out: &b}
-	r.Request(receipt())
+	r.Request(receiptHistory())
 	is.NoErr(r.Err)
 	is.Equal(b.String(), `request        0123456789abcdef-3-000000000001
 account        mafuta
@@ -64,7 +64,7 @@
 
 func TestHistory(t *testing.T) {
 	is := is.New(t)
-	h := receipt()
+	h := receiptHistory()
 	h.Calls = append(h.Calls, hist.Call{Number: 4, Kind: call.Model, Target: "chat\x1b[2J", Start: start})
 	var b strings.Builder
 	r := Report{Out: &b}
@@ -129,7 +129,7 @@
 func TestWriterFails(t *testing.T) {
 	is := is.New(t)
 	r := Report{Out: failingWriter{errors.New("disk full")}}
-	r.History(receipt())
-	r.Request(receipt())
+	r.History(receiptHistory())
+	r.Request(receiptHistory())
 	is.Equal(r.Err.Error(), "disk full")
 }
--- a/internal/edge/server/answer.go
+++ b/internal/edge/server/answer.go
@@ -28,7 +28,7 @@
 )
 
 // refuse answers with the error r and keeps it as the outcome for telemetry.
-func (x *exchange) refuse(r result.Result) {
+func (x *exchange) answerError(r result.Result) {
 	status := r.Status
 	if status == 0 {
 		status = fasthttp.StatusInternalServerError
@@ -41,11 +41,11 @@
 }
 
 func (x *exchange) notFound() {
-	x.refuse(result.Refuse(result.CodeNotFound, "no such resource: %s %s", x.Method(), x.path))
+	x.answerError(result.Refuse(result.CodeNotFound, "no such resource: %s %s", x.Method(), x.path))
 }
 
 func (x *exchange) badRequest(format string, args ...any) {
-	x.refuse(result.Refuse(result.CodeBadRequest, format, args...))
+	x.answerError(result.Refuse(result.CodeBadRequest, format, args...))
 }
 
 func (x *exchange) text(s string) {
@@ -55,7 +55,7 @@
 func (x *exchange) json(status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		x.refuse(result.Failed(result.CodeUnknown, result.Unknown, "the answer can't be encoded"))
+		x.answerError(result.Failed(result.CodeUnknown, result.Unknown, "the answer can't be encoded"))
 		return
 	}
 	x.raw(status, jsonType, append(data, '\n'))
@@ -95,5 +95,5 @@
 		r = result.Refuse(result.CodeTimeout, "the request did not arrive in time")
 		r.Status = fasthttp.StatusRequestTimeout
 	}
-	x.refuse(r)
+	x.answerError(r)
 }
--- a/internal/edge/server/bench_test.go
+++ b/internal/edge/server/bench_test.go
@@ -61,7 +61,7 @@
 		var res fasthttp.Response
 		req.Header.SetMethod("POST")
 		req.SetRequestURI("http://" + addr.String() + "/v1/chat/completions")
-		req.Header.Set("Authorization", "Bearer "+tenant)
+		req.Header.Set("Authorization", "Bearer "+accountKey)
 		req.Header.Set(HeaderProgram, "round-7")
 		req.Header.Set(HeaderCall, "0")
 		req.SetBodyString(body)
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -48,7 +48,7 @@
 
 // chat answers a chat completion request, as one object or as a stream.
 func (s *Server) chat(x *exchange) {
-	x.telemetry.path = pathChat
+	x.telemetry.path = tagPathChat
 	c, problem := x.call(call.Model)
 	if problem != "" {
 		x.badRequest("%s", problem)
@@ -67,7 +67,7 @@
 	if singleCall {
 		c.Program = newSingleCallID()
 	}
-	s.setCall(x, &c)
+	s.identifyCall(x, &c)
 	f, ok := s.launch(c, singleCall)
 	if !ok {
 		x.refuseOverloaded()
@@ -75,13 +75,13 @@
 	}
 	answer := chat.Answer{ID: c.Request, Model: req.Model, Created: x.start.Unix(), Usage: req.Usage}
 	if req.Stream {
-		x.telemetry.path = pathStream
+		x.telemetry.path = tagPathStream
 		s.stream(x, f, answer)
 		return
 	}
 	r := f.outcome()
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.outcome = r
@@ -92,7 +92,7 @@
 // number: without them a retry could not be distinguished from a new call, and a
 // non-idempotent call would run twice.
 func (s *Server) service(x *exchange) {
-	x.telemetry.path = pathService
+	x.telemetry.path = tagPathService
 	c, problem := x.call(call.Service)
 	if problem == "" && c.Program == "" {
 		problem = "a call to a service needs the header " + HeaderProgram
@@ -106,7 +106,7 @@
 	if query := x.URI().QueryString(); len(query) > 0 {
 		c.Path += "?" + string(query)
 	}
-	s.setCall(x, &c)
+	s.identifyCall(x, &c)
 	f, ok := s.launch(c, false)
 	if !ok {
 		x.refuseOverloaded()
@@ -114,7 +114,7 @@
 	}
 	r := f.outcome()
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.outcome = r
@@ -151,7 +151,7 @@
 }
 
 // setCall assigns the request id of the call and records the call in telemetry.
-func (s *Server) setCall(x *exchange, c *call.Call) {
+func (s *Server) identifyCall(x *exchange, c *call.Call) {
 	x.assignID(c.Program, c.Number)
 	x.Response.Header.Set(HeaderProgram, c.Program)
 	x.telemetry.Kind, x.telemetry.Program, x.telemetry.Call = c.Kind, c.Program, c.Number
@@ -268,7 +268,7 @@
 
 func (x *exchange) refuseOverloaded() {
 	r := result.Refuse(result.CodeOverloaded, "this daemon has as many calls under way as %s allows", maxCallsKey)
-	x.refuse(r.WithRetryAfter(retryAfter))
+	x.answerError(r.WithRetryAfter(retryAfter))
 }
 
 func checkProgram(id string) (problem string) {
--- a/internal/edge/server/helpers_test.go
+++ b/internal/edge/server/helpers_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	tenant   = "key-of-mafuta"
-	operator = "key-of-operator"
+	accountKey  = "key-of-mafuta"
+	operatorKey = "key-of-operator"
 )
 
 type (
@@ -84,11 +84,11 @@
 
 func accounts(key string) (name string, isOperator, ok bool) {
 	switch key {
-	case tenant:
+	case accountKey:
 		return "mafuta", false, true
 	case "key-of-kexanh":
 		return "kexanh", false, true
-	case operator:
+	case operatorKey:
 		return "ops", true, true
 	}
 	return "", false, false
--- a/internal/edge/server/open_test.go
+++ b/internal/edge/server/open_test.go
@@ -97,7 +97,7 @@
 	var req fasthttp.Request
 	req.Header.SetMethod("POST")
 	req.SetRequestURI("http://daemon/v1/chat/completions")
-	req.Header.Set("Authorization", "Bearer "+tenant)
+	req.Header.Set("Authorization", "Bearer "+accountKey)
 	req.Header.Set(HeaderProgram, "round-7")
 	req.Header.Set(HeaderCall, "0")
 	req.SetBodyString(streamBody)
--- a/internal/edge/server/operator_test.go
+++ b/internal/edge/server/operator_test.go
@@ -70,7 +70,7 @@
 					return NewApplied(from, tt.out, tt.err)
 				}
 			})
-			res := st.send("POST", "/v1/config?from="+tt.from, operator, "[system]", nil)
+			res := st.send("POST", "/v1/config?from="+tt.from, operatorKey, "[system]", nil)
 			is.Equal(res.status, tt.status)
 			var a Applied
 			is.NoErr(json.Unmarshal([]byte(res.body), &a))
@@ -89,8 +89,8 @@
 		key    string
 		status int
 	}{
-		"operator":  {operator, 200},
-		"account":   {tenant, 413},
+		"operator":  {operatorKey, 200},
+		"account":   {accountKey, 413},
 		"nobody":    {"", 413},
 		"wrong key": {"nope", 413},
 	}
@@ -133,10 +133,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			st := startWith(t, file.Limits{}, change)
-			res := st.send(tt.method, tt.path, operator, "", nil)
+			res := st.send(tt.method, tt.path, operatorKey, "", nil)
 			is.Equal(res.status, tt.status)
 			is.True(strings.Contains(res.body, tt.body))
-			other := st.send(tt.method, tt.path, tenant, "", nil)
+			other := st.send(tt.method, tt.path, accountKey, "", nil)
 			is.Equal(other.status, 404) // does not exist for other accounts
 		})
 	}
--- a/internal/edge/server/program.go
+++ b/internal/edge/server/program.go
@@ -78,7 +78,7 @@
 func (s *Server) history(x *exchange, id string) {
 	h, r := s.Runner.History(s.base, x.accountFilter(), id)
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.json(fasthttp.StatusOK, h)
@@ -96,7 +96,7 @@
 	id := unescape(strings.TrimPrefix(x.path, pathRequests))
 	h, r := s.Runner.Request(s.base, x.accountFilter(), id)
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.json(fasthttp.StatusOK, h)
@@ -107,7 +107,7 @@
 func (x *exchange) answerProgram(program string, r result.Result) {
 	switch {
 	case !r.OK():
-		x.refuse(r)
+		x.answerError(r)
 	case len(r.Body) > 0:
 		x.raw(fasthttp.StatusOK, jsonType, r.Body)
 	default:
@@ -120,7 +120,7 @@
 // requireRunner reports whether there is a Runner, and refuses the request if not.
 func (s *Server) requireRunner(x *exchange) bool {
 	if s.Runner == nil {
-		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
+		x.answerError(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
 	}
 	return s.Runner != nil
 }
--- a/internal/edge/server/route.go
+++ b/internal/edge/server/route.go
@@ -64,7 +64,7 @@
 	if s.authenticate(x) {
 		s.route(x)
 	} else {
-		x.refuse(result.Refuse(result.CodeUnauthorized, "the Bearer key is missing or not known"))
+		x.answerError(result.Refuse(result.CodeUnauthorized, "the Bearer key is missing or not known"))
 	}
 	if !x.detached {
 		x.telemetry.end(x.outcome, x.Response.StatusCode())
@@ -124,9 +124,9 @@
 func (s *Server) ready(x *exchange) {
 	switch {
 	case s.draining.Load():
-		x.refuse(result.Refuse(result.CodeDraining, "this daemon is shutting down"))
+		x.answerError(result.Refuse(result.CodeDraining, "this daemon is shutting down"))
 	case s.Runner == nil:
-		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting"))
+		x.answerError(result.Refuse(result.CodeNotOwner, "this daemon is starting"))
 	default:
 		s.checkReady(x)
 	}
@@ -138,7 +138,7 @@
 		return
 	}
 	if err := s.Ready(); err != nil {
-		x.refuse(result.Refuse(result.CodeNotOwner, "not ready: %v", err))
+		x.answerError(result.Refuse(result.CodeNotOwner, "not ready: %v", err))
 		return
 	}
 	x.text("ready\n")
--- a/internal/edge/server/server_test.go
+++ b/internal/edge/server/server_test.go
@@ -24,7 +24,7 @@
 		got = c
 		return respondWith("karibu", "kari", "bu")(ctx, c, sink)
 	}
-	res := st.send("POST", "/v1/chat/completions", tenant, plainBody, callHeaders("round-7", "4"))
+	res := st.send("POST", "/v1/chat/completions", accountKey, plainBody, callHeaders("round-7", "4"))
 	body := res.body
 	is.Equal(res.status, 200)
 	is.True(strings.Contains(body, `"content":"karibu"`))
@@ -52,7 +52,7 @@
 			is := is.New(t)
 			st := start(t, file.Limits{})
 			st.fake.call = respondWith("karibu", tt.pieces...)
-			res := st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0"))
+			res := st.send("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("round-7", "0"))
 			body := res.body
 			is.Equal(res.header.Get("Content-Type"), "text/event-stream")
 			is.Equal(joinDeltas(t, body), "karibu")
@@ -83,7 +83,7 @@
 				is.NoErr(sink("kari"))
 				return tt.outcome
 			}
-			body := st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0")).body
+			body := st.send("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("round-7", "0")).body
 			is.True(strings.Contains(body, "event: error\ndata: {\"error\":{\"code\":\""+tt.code))
 			is.True(!strings.Contains(body, "[DONE]"))
 			is.True(!strings.Contains(body, `"finish_reason":"`))
@@ -103,7 +103,7 @@
 		cancelled <- ctx.Err()
 		return result.Failed(result.CodeCancelled, result.Yes, "caller gone")
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0"))
+	res := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("round-7", "0"))
 	defer func() { _ = res.Body.Close() }()
 	buf := make([]byte, 10)
 	_, err := io.ReadFull(res.Body, buf)
@@ -137,7 +137,7 @@
 		recorded <- string(c.Body)
 		return result.Failed(result.CodeCancelled, result.Yes, "caller gone")
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
 	is.NoErr(res.Body.Close())
 	otherBody := strings.ReplaceAll(streamBody, "hi", "yo")
 	for connected := true; connected; {
@@ -148,7 +148,7 @@
 		}
 	}
 	for range 20 {
-		st.send("POST", "/v1/chat/completions", tenant, otherBody, callHeaders("q", "0"))
+		st.send("POST", "/v1/chat/completions", accountKey, otherBody, callHeaders("q", "0"))
 	}
 	close(proceed)
 	is.Equal(<-recorded, streamBody)
@@ -169,7 +169,7 @@
 		st.heartbeats <- time.Time{}
 		close(proceed)
 	}()
-	body := st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("round-7", "0")).body
+	body := st.send("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("round-7", "0")).body
 	is.Equal(strings.Count(body, ": waiting\n\n"), 2)
 	is.Equal(joinDeltas(t, body), "karibu")
 }
@@ -178,7 +178,7 @@
 	is := is.New(t)
 	st := start(t, file.Limits{})
 	st.fake.call = respondWith("karibu")
-	res := st.send("POST", "/v1/chat/completions", tenant, plainBody, nil)
+	res := st.send("POST", "/v1/chat/completions", accountKey, plainBody, nil)
 	is.Equal(res.status, 200)
 	opened, ended := <-st.fake.opens, <-st.fake.ends
 	is.Equal(opened.Account, "mafuta")
@@ -195,19 +195,19 @@
 	}{
 		"no key":             {"POST", "/v1/chat/completions", "", plainBody, nil, 401, "unauthorized"},
 		"wrong key":          {"GET", "/v1/status", "nope", "", nil, 401, "unauthorized"},
-		"no call number":     {"POST", "/v1/chat/completions", tenant, plainBody, map[string]string{HeaderProgram: "p"}, 400, "bad_request"},
-		"no program":         {"POST", "/v1/chat/completions", tenant, plainBody, map[string]string{HeaderCall: "0"}, 400, "bad_request"},
-		"negative number":    {"POST", "/v1/chat/completions", tenant, plainBody, callHeaders("p", "-1"), 400, "bad_request"},
-		"no JSON":            {"POST", "/v1/chat/completions", tenant, "{", callHeaders("p", "0"), 400, "bad_request"},
-		"service, no number": {"POST", "/v1/services/receipts/issue", tenant, "{}", nil, 400, "bad_request"},
-		"body too large":     {"POST", "/v1/chat/completions", tenant, strings.Repeat("x", 2000), callHeaders("p", "0"), 413, "bad_request"},
-		"headers too large":  {"GET", "/v1/entries", tenant, "", map[string]string{"X": strings.Repeat("x", 20<<10)}, 431, "bad_request"},
+		"no call number":     {"POST", "/v1/chat/completions", accountKey, plainBody, map[string]string{HeaderProgram: "p"}, 400, "bad_request"},
+		"no program":         {"POST", "/v1/chat/completions", accountKey, plainBody, map[string]string{HeaderCall: "0"}, 400, "bad_request"},
+		"negative number":    {"POST", "/v1/chat/completions", accountKey, plainBody, callHeaders("p", "-1"), 400, "bad_request"},
+		"no JSON":            {"POST", "/v1/chat/completions", accountKey, "{", callHeaders("p", "0"), 400, "bad_request"},
+		"service, no number": {"POST", "/v1/services/receipts/issue", accountKey, "{}", nil, 400, "bad_request"},
+		"body too large":     {"POST", "/v1/chat/completions", accountKey, strings.Repeat("x", 2000), callHeaders("p", "0"), 413, "bad_request"},
+		"headers too large":  {"GET", "/v1/entries", accountKey, "", map[string]string{"X": strings.Repeat("x", 20<<10)}, 431, "bad_request"},
 		"other's history":    {"GET", "/v1/programs/p/history", "key-of-kexanh", "", nil, 404, "not_found"},
 		"other's request":    {"GET", "/v1/requests/r", "key-of-kexanh", "", nil, 404, "not_found"},
-		"operator only":      {"GET", "/v1/status", tenant, "", nil, 404, "not_found"},
-		"open, no program":   {"POST", "/v1/programs", tenant, "{}", nil, 400, "bad_request"},
-		"open, foreign id":   {"POST", "/v1/programs", tenant, `{"program":"a/b","parent":"c"}`, nil, 400, "bad_request"},
-		"unknown path":       {"GET", "/v2/x", tenant, "", nil, 404, "not_found"},
+		"operator only":      {"GET", "/v1/status", accountKey, "", nil, 404, "not_found"},
+		"open, no program":   {"POST", "/v1/programs", accountKey, "{}", nil, 400, "bad_request"},
+		"open, foreign id":   {"POST", "/v1/programs", accountKey, `{"program":"a/b","parent":"c"}`, nil, 400, "bad_request"},
+		"unknown path":       {"GET", "/v2/x", accountKey, "", nil, 404, "not_found"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -234,9 +234,9 @@
 		<-proceed
 		return respondWith("karibu")(ctx, c, sink)
 	}
-	first := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
+	first := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
 	defer func() { _ = first.Body.Close() }()
-	second := st.send("POST", "/v1/chat/completions", tenant, plainBody, callHeaders("q", "0"))
+	second := st.send("POST", "/v1/chat/completions", accountKey, plainBody, callHeaders("q", "0"))
 	is.Equal(second.status, 429)
 	is.Equal(second.header.Get("Retry-After"), "1")
 	is.True(strings.Contains(second.body, `"ran":"no"`))
@@ -252,7 +252,7 @@
 		got = c
 		return result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 201, ContentType: "text/csv", Body: []byte("a,b")}
 	}
-	res := st.send("POST", "/v1/services/receipts/issue/now?copy=2", tenant, "kg=4", callHeaders("round-7", "1"))
+	res := st.send("POST", "/v1/services/receipts/issue/now?copy=2", accountKey, "kg=4", callHeaders("round-7", "1"))
 	is.Equal(res.body, "a,b")
 	is.Equal(res.status, 201)
 	is.Equal(res.header.Get("Content-Type"), "text/csv")
@@ -264,13 +264,13 @@
 func TestProgramPaths(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
-	is.Equal(st.send("POST", "/v1/programs", tenant, `{"program":"a/b","parent":"a","budget_tokens":5}`, nil).status, 200)
+	is.Equal(st.send("POST", "/v1/programs", accountKey, `{"program":"a/b","parent":"a","budget_tokens":5}`, nil).status, 200)
 	is.Equal(<-st.fake.opens, call.Open{Account: "mafuta", Program: "a/b", Parent: "a", Budget: 5})
-	is.Equal(st.send("POST", "/v1/programs/a%2Fb/finish", tenant, "", nil).status, 200)
+	is.Equal(st.send("POST", "/v1/programs/a%2Fb/finish", accountKey, "", nil).status, 200)
 	is.Equal(<-st.fake.ends, call.End{Account: "mafuta", Program: "a/b", Kind: call.Finish})
-	is.Equal(st.send("POST", "/v1/programs/a/b/cancel", tenant, "", nil).status, 200)
+	is.Equal(st.send("POST", "/v1/programs/a/b/cancel", accountKey, "", nil).status, 200)
 	is.Equal(<-st.fake.ends, call.End{Account: "mafuta", Program: "a/b", Kind: call.Cancel})
-	history := st.send("GET", "/v1/programs/a/b/history", operator, "", nil)
+	history := st.send("GET", "/v1/programs/a/b/history", operatorKey, "", nil)
 	is.True(strings.Contains(history.body, `"program":"a/b"`))
 	is.Equal(<-st.fake.accountFilters, "") // the operator may read all accounts
 }
--- a/internal/edge/server/shutdown_test.go
+++ b/internal/edge/server/shutdown_test.go
@@ -30,7 +30,7 @@
 		<-proceed
 		return respondWith("karibu")(ctx, c, sink)
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
 	defer func() { _ = res.Body.Close() }()
 	stopped := make(chan error, 1)
 	go func() { stopped <- st.Shutdown(context.Background()) }()
@@ -52,7 +52,7 @@
 		<-ctx.Done()
 		return result.Result{}
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
 	defer func() { _ = res.Body.Close() }()
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -69,11 +69,11 @@
 	is := is.New(t)
 	st := start(t, file.Limits{})
 	st.fake.call = respondWith("karibu")
-	before := st.do("GET", "/v1/entries", tenant, "", nil)
+	before := st.do("GET", "/v1/entries", accountKey, "", nil)
 	is.NoErr(before.Body.Close())
 	is.True(!before.Close)
 	st.StartDraining()
-	after := st.do("POST", "/v1/chat/completions", tenant, plainBody, callHeaders("p", "0"))
+	after := st.do("POST", "/v1/chat/completions", accountKey, plainBody, callHeaders("p", "0"))
 	defer func() { _ = after.Body.Close() }()
 	is.Equal(after.StatusCode, 200)
 	is.True(after.Close)
--- a/internal/edge/server/stream.go
+++ b/internal/edge/server/stream.go
@@ -41,7 +41,7 @@
 	if e, ok := first.(ended); ok && !e.result.OK() {
 		stop()
 		f.cancel()
-		x.refuse(e.result)
+		x.answerError(e.result)
 		return
 	}
 	x.Response.SetStatusCode(fasthttp.StatusOK)
--- a/internal/edge/server/telemetry.go
+++ b/internal/edge/server/telemetry.go
@@ -14,10 +14,10 @@
 
 // Values of the metric tag path, and the tags' names.
 const (
-	pathOther   = "other"
-	pathChat    = "chat"
-	pathStream  = "stream"
-	pathService = "service"
+	tagPathOther   = "other"
+	tagPathChat    = "chat"
+	tagPathStream  = "stream"
+	tagPathService = "service"
 
 	tagPath = "path"
 	tagCode = "code"
@@ -55,7 +55,7 @@
 func (s *Server) newTelemetry(x *exchange) *telemetry {
 	parent := string(x.Request.Header.Peek(headerTrace))
 	_, span := s.Trace.Start(context.Background(), trace.Edge, parent)
-	t := &telemetry{server: s, span: span, start: x.start, path: pathOther}
+	t := &telemetry{server: s, span: span, start: x.start, path: tagPathOther}
 	t.ID = x.id.String()
 	t.Hop = string(trace.Edge)
 	return t
--- a/internal/edge/server/telemetry_test.go
+++ b/internal/edge/server/telemetry_test.go
@@ -43,9 +43,9 @@
 	headers := callHeaders("round-7", "3")
 	headers["traceparent"] = parent
 	ask := strings.Replace(plainBody, "hi", "the-question", 1)
-	is.Equal(st.send("POST", "/v1/chat/completions", tenant, ask, headers).status, 200)
-	is.Equal(st.send("POST", "/v1/chat/completions", tenant, streamBody, headers).status, 200)
-	is.Equal(st.send("POST", "/v1/services/receipts/issue", tenant, "the-question", headers).status, 200)
+	is.Equal(st.send("POST", "/v1/chat/completions", accountKey, ask, headers).status, 200)
+	is.Equal(st.send("POST", "/v1/chat/completions", accountKey, streamBody, headers).status, 200)
+	is.Equal(st.send("POST", "/v1/services/receipts/issue", accountKey, "the-question", headers).status, 200)
 	is.Equal(st.send("POST", "/v1/programs", "wrong-secret", "{}", nil).status, 401)
 	is.NoErr(st.Shutdown(context.Background()))
 	is.NoErr(tr.Close(context.Background()))
@@ -60,7 +60,7 @@
 		is.Equal(trace.Parse(p).TraceID().String(), traceID)
 		is.True(p != parent) // the next hop's parent is the span of this one
 	}
-	for _, secret := range []string{tenant, "wrong-secret", "the-question", "the-answer"} {
+	for _, secret := range []string{accountKey, "wrong-secret", "the-question", "the-answer"} {
 		is.True(!strings.Contains(log.String(), secret))
 		is.True(!strings.Contains(spans.String(), secret))
 	}
@@ -71,8 +71,8 @@
 	m := metric.New()
 	st := startWith(t, file.Limits{}, func(s *Server) { s.Scope, s.Metrics = m.Scope(), m.Serve })
 	st.fake.call = respondWith("karibu", "ka")
-	st.send("POST", "/v1/chat/completions", tenant, streamBody, callHeaders("p", "0"))
-	st.send("POST", "/v1/chat/completions", tenant, "{", callHeaders("p", "0"))
+	st.send("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
+	st.send("POST", "/v1/chat/completions", accountKey, "{", callHeaders("p", "0"))
 	st.calls.Wait()
 	is.NoErr(m.Close())
 	body := st.send("GET", "/metrics", "", "", nil).body
--- a/internal/edge/server/timeout_test.go
+++ b/internal/edge/server/timeout_test.go
@@ -32,7 +32,7 @@
 // occupies a connection; unless the server closes them, it runs out of connections
 // for other callers.
 func TestSlowCallersAreDisconnected(t *testing.T) {
-	const head = "POST /v1/programs HTTP/1.1\r\nHost: s\r\nAuthorization: Bearer " + tenant + "\r\n"
+	const head = "POST /v1/programs HTTP/1.1\r\nHost: s\r\nAuthorization: Bearer " + accountKey + "\r\n"
 	tests := map[string]struct {
 		send    []string // one piece every second
 		status  int      // of the answer
