--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -1,5 +1,6 @@
 // Package admin implements the commands for operators and support engineers. Each
-// sends a request to one daemon over HTTP and writes the answer as text or JSON.
+// sends a request to one daemon over HTTP and writes the answer as text or, except
+// for Drain, as JSON if Admin.JSON is set.
 package admin
 
 import (
@@ -20,8 +21,9 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// ErrNotApplied is returned by Apply after the reason was written to Out.
-var ErrNotConfirmed = errors.New("the configuration was not applied")
+// ErrNotConfirmed is returned by Apply after the reason was written to Out. It also
+// covers an unknown outcome, when the text may be in force.
+var ErrNotConfirmed = errors.New("the daemon did not confirm that the configuration is in force")
 
 type (
 	// Admin sends requests with Client and writes the answers to Out.
@@ -84,7 +86,7 @@
 
 // Apply applies the file as a new configuration. From is the version that the
 // operator started from; 0 means none and server.FromNewest any. It returns
-// ErrNotApplied if the daemon did not confirm that the text is in force.
+// ErrNotConfirmed if the daemon did not confirm that the text is in force.
 func (a Admin) Apply(ctx context.Context, path, from string) (err error) {
 	defer func() { err = errors.Wrapf(err, "apply %s", path) }()
 	text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
@@ -96,6 +98,8 @@
 		return err
 	}
 	var out server.Applied
+	// An error response without these fields also decodes, as the zero Applied: the
+	// server rejected the request before it applied anything.
 	if err = json.Unmarshal(body, &out); err != nil || out.Version+out.Base == 0 && out.Message == "" {
 		return describeError(&client.StatusError{Status: status, Body: string(body)})
 	}
--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -45,7 +45,7 @@
 		Request  string
 		Status   int
 		Text     string
-		Complete bool // the end marker was received
+		Complete bool // a stream's end marker was received, or a service answered with status 2xx
 		Pieces   int
 		Prompt   int // tokens of the prompt, for a model call
 		Cached   int // prompt tokens from the prefix cache
@@ -113,7 +113,8 @@
 	return resp, nil
 }
 
-// JSON sends in as JSON and decodes the response into out; either may be nil.
+// JSON sends a request with the value in, encoded as JSON, and decodes the response
+// into out; in and out may be nil.
 func (c Client) JSON(ctx context.Context, method, path string, in, out any) (err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", method, path) }()
 	var body []byte
@@ -160,8 +161,8 @@
 	return h, err
 }
 
-// Service calls a plain service. An error status gives the Answer with a
-// StatusError.
+// Service calls a plain service. If the status is not 2xx, it returns both the Answer
+// and a StatusError.
 func (c Client) Service(ctx context.Context, program string, number int, path string, body []byte) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	req := c.request(fasthttp.MethodPost, "/v1/services/"+path, body)
--- a/internal/edge/locate/locate.go
+++ b/internal/edge/locate/locate.go
@@ -22,7 +22,8 @@
 	// address are not disconnected.
 	TTLSeconds = 5
 	// MaxEntries bounds the addresses in one answer: enough to reach a daemon
-	// when a failure domain is lost, and small with hundreds of daemons.
+	// if a failure domain fails. The limit keeps the answer small if there are
+	// hundreds of daemons.
 	MaxEntries = 6
 )
 
@@ -66,8 +67,9 @@
 }
 
 // Owner returns the daemon that owns the shard according to members: the one whose
-// claim has the highest epoch. If that daemon is down, found is false even if there
-// is no later claim, because it can't be reached.
+// claim has the highest epoch. If that daemon is down, found is false, even if another
+// daemon has a claim with a lower epoch: only the latest owner may run the shard's
+// programs.
 func Owner(members []beat.Member, shard int) (owner beat.Member, found bool) {
 	epoch := uint64(0)
 	for _, m := range members {
@@ -112,9 +114,9 @@
 }
 
 // Entries returns the addresses that a caller of the program should use: the owner
-// first, then alive daemons in turn over the failure domains, starting with those
-// other than the owner's. If program is empty, no entry is marked as owner.
-// Draining, suspect and down daemons are never included.
+// first if it is alive, then other alive daemons, each from the failure domain with
+// the fewest entries so far, up to MaxEntries addresses. If program is empty, no
+// entry is marked as owner. Draining, suspect and down daemons are never included.
 func Entries(members []beat.Member, program string, shards int) Answer {
 	live := alive(members)
 	seed := mix(xxhash.Sum64String(program))
@@ -175,7 +177,7 @@
 	return best
 }
 
-// leastUsedDomain returns the index of a daemon in the failure domain with the
+// inLeastUsedDomain returns the index of a daemon in the failure domain with the
 // fewest entries so far; ties go to the highest weight.
 func inLeastUsedDomain(live []candidate, seed uint64, used map[string]int) int {
 	best, fewest, top := -1, 0, uint64(0)
@@ -188,8 +190,8 @@
 	return best
 }
 
-// mix is the finalizer of splitmix64. It mixes a daemon's hash with the seed of a
-// shard or program, so that each daemon's name is hashed only once.
+// mix is one step of splitmix64. The weight of a daemon for a shard or program is
+// mix(hash of its name XOR seed), so that each name is hashed only once.
 func mix(v uint64) uint64 {
 	v += 0x9e3779b97f4a7c15
 	v = (v ^ v>>30) * 0xbf58476d1ce4e5b9
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -40,8 +40,9 @@
 		attempts int
 	}
 
-	// fakeCluster is the Relay's view of the daemons: owners[i] is the owner at the
-	// lookup i, the last one from then on, and one without a name is none.
+	// fakeCluster is the Relay's view of the daemons. Lookup i returns owners[i];
+	// later lookups return the last entry. An entry without a name means that no
+	// owner is known.
 	fakeCluster struct {
 		daemons map[string]*fakeDaemon
 		owners  []beat.Member
--- a/internal/edge/relay/retry.go
+++ b/internal/edge/relay/retry.go
@@ -27,7 +27,7 @@
 		timeout         time.Duration
 		current         ownership // owner in the current attempt
 		started         time.Time
-		deadline        time.Time // zero before the first failure
+		deadline        time.Time // set by the first wait; zero again after an attempt longer than the timeout
 		backoff         time.Duration
 		mayHaveRun      bool      // an attempt has an unknown outcome
 		firstUnknown    ownership // owner in the first such attempt
@@ -46,8 +46,9 @@
 	s.started = time.Now()
 }
 
-// isFinal reports whether the attempt's result is final. If not, it records the
-// error and whether the attempt may have run.
+// endAttempt reports whether the attempt's result is final. If not, it records the
+// error and whether the attempt may have run; after an attempt that took longer than
+// the timeout, the timeout starts anew.
 func (s *retryState) endAttempt(ctx context.Context, res result.Result, err error, unsent bool) bool {
 	if err == nil && !isNotOwner(res) {
 		return true
@@ -60,7 +61,7 @@
 		s.recordUnknown()
 	}
 	if ctx.Err() == nil && time.Since(s.started) > s.limit() {
-		s.deadline = time.Time{} // a long attempt that failed now: restart the timeout
+		s.deadline = time.Time{} // the attempt itself took longer than the timeout: give the retries a new one
 	}
 	return false
 }
@@ -80,9 +81,9 @@
 }
 
 // adjustRan changes Ran from No to Unknown if an earlier attempt may have run
-// under another ownership. A model call that ran there need not be in the journal,
-// so this owner can't rule it out, and the caller would rely on budget that is
-// already spent.
+// under another ownership. The journal may lack a model call that ran there, so this
+// owner does not know whether it ran. With No the caller would believe that its
+// budget is unspent.
 func (s *retryState) adjustRan(res result.Result) result.Result {
 	elsewhere := s.multipleUnknown || s.firstUnknown != s.current
 	if s.mayHaveRun && elsewhere && res.Ran == result.No {
--- a/internal/edge/relay/transcript.go
+++ b/internal/edge/relay/transcript.go
@@ -55,8 +55,8 @@
 	return err
 }
 
-// check returns the outcome, or an error if its answer differs from the text
-// already sent.
+// check returns the outcome, or a failure if it is OK but an attempt streamed a piece
+// that differs from the text already sent.
 func (t *transcript) check(res result.Result) result.Result {
 	if !res.OK() || !t.differs {
 		return res
--- a/internal/edge/report/report.go
+++ b/internal/edge/report/report.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// replaceControl replaces control characters by spaces, so that callers' text can't
+// replaceControl replaces ASCII control characters by spaces, so that callers' text can't
 // move the terminal's cursor or break the table.
 func replaceControl(s string) string {
 	return strings.Map(func(c rune) rune {
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Date(2026, 12, 2, 8, 30, 0, 0, time.UTC)
 
-// receipt is a history whose call failed because its worker died after it received
-// the request.
+// receiptHistory is a history whose call has an unknown outcome, because the upstream
+// crashed after it received the request.
 func receiptHistory() hist.History {
 	return hist.History{
 		Program: "round-7", Account: "mafuta", Agent: "pickup", Budget: 900, Spent: 120,
@@ -31,7 +31,7 @@
 	}
 }
 
-// A worker receives the request for a receipt and dies. The report must show a
+// An upstream receives the request for a receipt and crashes. The report must show a
 // support engineer whether it ran, where it was sent, and under which configuration.
 func TestRequest(t *testing.T) {
 	is := is.New(t)
--- a/internal/edge/server/answer.go
+++ b/internal/edge/server/answer.go
@@ -27,7 +27,8 @@
 	}
 )
 
-// refuse answers with the error r and keeps it as the outcome for telemetry.
+// answerError answers with the error r, a refusal or a failure, and keeps it as the
+// outcome for telemetry.
 func (x *exchange) answerError(r result.Result) {
 	status := r.Status
 	if status == 0 {
--- a/internal/edge/server/apply.go
+++ b/internal/edge/server/apply.go
@@ -18,10 +18,11 @@
 
 type (
 	// Applied is the outcome of applying a configuration. Version is the one in
-	// force. If another operator applied a version in between, Conflict is set,
-	// Version is that operator's, and Base is the version that this operator
-	// started from. Faults give file, line and key of the errors in a rejected
-	// text. Ran says whether the text is in force.
+	// force, or 0 if that is not known. Base is the version that this operator
+	// started from; it is set whenever the text was not confirmed as applied. If
+	// another operator applied a version in between, Conflict is set and Version
+	// is that operator's. Faults give file, line and key of the errors in a
+	// rejected text. Ran says whether the text is in force.
 	Applied struct {
 		Version   uint64      `json:"version"`
 		Unchanged bool        `json:"unchanged,omitempty"` // the text was in force already
--- a/internal/edge/server/apply_test.go
+++ b/internal/edge/server/apply_test.go
@@ -41,8 +41,9 @@
 	return h
 }
 
-// An operator reads the text in force, edits it and applies the result. A missing
-// or repeated chunk would get into the next configuration.
+// An operator reads the text in force, edits it and applies the result. If a chunk
+// were missing or repeated in the text, the next configuration would have the same
+// fault.
 func TestAssembleText(t *testing.T) {
 	whole := packChunks(t, "[system]\n", "[model.a]\n", "[system]\n", "[model.b]\n")
 	incomplete := whole
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -39,7 +39,7 @@
 	// piece is a fragment of the answer's text.
 	piece struct{ text string }
 
-	// ended carries the committed outcome.
+	// ended carries the outcome of the call. If it is OK, it is committed.
 	ended struct{ result result.Result }
 )
 
@@ -150,7 +150,8 @@
 	return c, ""
 }
 
-// setCall assigns the request id of the call and records the call in telemetry.
+// identifyCall gives the call its request id and trace parent, and puts the request
+// id and program into the response headers and telemetry.
 func (s *Server) identifyCall(x *exchange, c *call.Call) {
 	x.assignID(c.Program, c.Number)
 	x.Response.Header.Set(HeaderProgram, c.Program)
@@ -222,7 +223,7 @@
 }
 
 // end sends the outcome. If the receiving goroutine has stopped, the outcome is
-// dropped here; the history has it in any case.
+// dropped here; if the call ran, its history holds it.
 func (f *inflightCall) end(r result.Result) {
 	_ = f.send(ended{r})
 }
--- a/internal/edge/server/helpers_test.go
+++ b/internal/edge/server/helpers_test.go
@@ -49,7 +49,7 @@
 		closed     chan struct{} // closed with the listener
 	}
 
-	// closeNotifier is a listener that closes the channel closed in Close.
+	// closeNotifier is a listener whose Close also closes a channel.
 	closeNotifier struct {
 		*fasthttputil.InmemoryListener
 		closed chan struct{}
--- a/internal/edge/server/listeners.go
+++ b/internal/edge/server/listeners.go
@@ -6,10 +6,10 @@
 )
 
 type (
-	// listeners are the listeners being served. fasthttp's shutdown closes only the
-	// listeners that it already has. One passed to Serve after the shutdown, by a
-	// daemon stopped during its start, would be served forever and the daemon would
-	// never exit.
+	// listeners are the listeners being served. After close, add refuses new ones:
+	// fasthttp's shutdown closes only the listeners that it already has, so one that
+	// is passed to Serve later, when a daemon is stopped during its start, would be
+	// served forever and the daemon would never exit.
 	listeners struct {
 		mu     sync.Mutex
 		list   []*onceListener
--- a/internal/edge/server/route.go
+++ b/internal/edge/server/route.go
@@ -17,7 +17,9 @@
 	HeaderProgram = "Slaterock-Program"
 	HeaderCall    = "Slaterock-Call"
 
-	headerTrace  = "traceparent"
+	headerTrace = "traceparent"
+
+	// Key prefix, content types and paths.
 	bearerPrefix = "Bearer "
 	jsonType     = "application/json"
 	textType     = "text/plain; charset=utf-8"
--- a/internal/edge/server/server.go
+++ b/internal/edge/server/server.go
@@ -1,9 +1,10 @@
 // Package server is the HTTP interface for callers and operators.
 //
 // It authenticates requests, assigns request ids, passes the requests to a
-// runner.Runner and returns the outcome. It decides nothing about programs:
-// whether and where a call runs and what it costs is decided by the Runner, which
-// may forward to another daemon.
+// runner.Runner and returns the outcome. Apart from its limits it decides nothing
+// about calls: where a call runs and what it costs is decided by the Runner, which may
+// forward to another daemon. For a chat request without a program it opens one and
+// ends it afterwards.
 //
 // Each response carries the request id, and each error response says whether the
 // request ran. The end marker of a stream is sent only after the outcome is
@@ -32,7 +33,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// Defaults for fields of Server that are zero. Sizes are in bytes.
+// Defaults for fields of Server that are zero; for MaxBody and MaxCalls they apply
+// only if the configuration has no limit either. Sizes are in bytes.
 const (
 	DefaultMaxBody     = 4 << 20
 	DefaultMaxHeader   = 8 << 10
@@ -135,8 +137,8 @@
 	return s.waitIdle(ctx)
 }
 
-// waitIdle waits for all goroutines of the pool: programs that were opened for a
-// single call are ended after their callers were answered.
+// waitIdle waits for all goroutines of the pool. Some still run after all responses
+// were sent: they end programs that were opened for a single call.
 func (s *Server) waitIdle(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
@@ -170,7 +172,7 @@
 		MaxRequestBodySize:    DefaultMaxBody,
 		NoDefaultContentType:  true,
 		CloseOnShutdown:       true,
-		SecureErrorLogMessage: true, // keeps keys and bodies out of the log
+		SecureErrorLogMessage: true, // keeps keys and bodies out of the text of fasthttp's errors
 		Logger:                discardLogger{},
 	}
 }
--- a/internal/edge/server/shutdown_test.go
+++ b/internal/edge/server/shutdown_test.go
@@ -93,8 +93,9 @@
 	})
 }
 
-// A daemon is stopped during its start, so that Shutdown runs before Serve. The
-// server used to serve forever then, and the process never exited.
+// A daemon is stopped during its start, so that Shutdown runs before Serve. If Serve
+// did not notice the shutdown, it would serve forever and the process would never
+// exit.
 func TestShutdownBeforeServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/edge/server/stream.go
+++ b/internal/edge/server/stream.go
@@ -119,8 +119,8 @@
 }
 
 // end finishes the stream. The text sent so far must be a prefix of the recorded
-// answer. Otherwise it comes from another attempt, the complete text would be in
-// no history, and the stream ends with an error event instead.
+// answer. If it is not, the text came from another attempt, and completing it would
+// give an answer that no history holds. The stream then ends with an error event.
 func (st *stream) end(r result.Result) result.Result {
 	if !r.OK() {
 		return st.fail(r)
