--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is what the operators' and support engineers' commands do: they
-// ask one daemon over HTTP and write its answer as text, or as JSON for
-// programs.
+// Package admin implements the commands for operators and support engineers. Each
+// sends a request to one daemon over HTTP and writes the answer as text or, except
+// for Drain, as JSON if Admin.JSON is set.
 package admin
 
 import (
@@ -21,19 +21,20 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// ErrNotApplied reports that why was written to the operator.
-var ErrNotApplied = errors.New("the configuration was not applied")
+// ErrNotConfirmed is returned by Apply after the reason was written to Out. It also
+// covers an unknown outcome, when the text may be in force.
+var ErrNotConfirmed = errors.New("the daemon did not confirm that the configuration is in force")
 
 type (
-	// Admin asks the daemon that Client names and writes to Out.
+	// Admin sends requests with Client and writes the answers to Out.
 	Admin struct {
 		Client client.Client
 		Out    io.Writer
 		JSON   bool
 	}
 
-	// running is the configuration in force.
-	running struct {
+	// currentConfig is the configuration in force.
+	currentConfig struct {
 		Version uint64 `json:"version"`
 		Text    string `json:"text"`
 	}
@@ -52,7 +53,7 @@
 	return a.show(ctx, path, &h, func(r *report.Report) { r.History(h) })
 }
 
-// Request writes what became of one request.
+// Request writes the details of one request.
 func (a Admin) Request(ctx context.Context, id string) error {
 	var h hist.History
 	return a.show(ctx, "/v1/requests/"+url.PathEscape(id), &h, func(r *report.Report) { r.Request(h) })
@@ -62,19 +63,19 @@
 func (a Admin) Drain(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "drain") }()
 	if err := a.Client.JSON(ctx, "POST", "/v1/drain", nil, nil); err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	_, err = fmt.Fprintf(a.Out, "%s drains: it takes no new work and ends when its requests have finished\n", a.Client.Address)
 	return err
 }
 
-// Show writes the text of the configuration in force, and its version into a
-// comment at its head.
+// Show writes the text of the configuration in force, preceded by a comment with
+// its version.
 func (a Admin) Show(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "read configuration") }()
-	var c running
+	var c currentConfig
 	if err := a.Client.JSON(ctx, "GET", "/v1/config", nil, &c); err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	if a.JSON {
 		return a.encode(c)
@@ -83,8 +84,9 @@
 	return err
 }
 
-// Apply puts the file in force as the version after from, which the operator
-// has read; 0 is none, and server.FromNewest any.
+// Apply applies the file as a new configuration. From is the version that the
+// operator started from; 0 means none and server.FromNewest any. It returns
+// ErrNotConfirmed if the daemon did not confirm that the text is in force.
 func (a Admin) Apply(ctx context.Context, path, from string) (err error) {
 	defer func() { err = errors.Wrapf(err, "apply %s", path) }()
 	text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
@@ -96,8 +98,10 @@
 		return err
 	}
 	var out server.Applied
+	// An error response without these fields also decodes, as the zero Applied: the
+	// server rejected the request before it applied anything.
 	if err = json.Unmarshal(body, &out); err != nil || out.Version+out.Base == 0 && out.Message == "" {
-		return explain(&client.StatusError{Status: status, Body: string(body)})
+		return describeError(&client.StatusError{Status: status, Body: string(body)})
 	}
 	if a.JSON {
 		return errors.CombineErrors(a.encode(out), failure(out))
@@ -126,15 +130,15 @@
 
 func failure(out server.Applied) error {
 	if out.Message != "" {
-		return ErrNotApplied
+		return ErrNotConfirmed
 	}
 	return nil
 }
 
-// show asks for a value and writes it.
+// show fetches a value and writes it.
 func (a Admin) show(ctx context.Context, path string, v any, write func(*report.Report)) error {
 	if err := a.Client.JSON(ctx, "GET", path, nil, v); err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	if a.JSON {
 		return a.encode(v)
@@ -150,9 +154,9 @@
 	return e.Encode(v)
 }
 
-// explain takes the words out of an error body, and says what a missing key
-// looks like from here.
-func explain(err error) error {
+// describeError returns the code and message of an error response, with a hint on
+// how to pass a key if the daemon did not accept it. Other errors are unchanged.
+func describeError(err error) error {
 	var s *client.StatusError
 	if !errors.As(err, &s) {
 		return err
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -28,10 +28,10 @@
 
 const key = "ops.secret"
 
-// past is a Runner that knows one program.
-type past struct{ runner.Runner }
+// fakeRunner is a Runner with the history of one program.
+type fakeRunner struct{ runner.Runner }
 
-func (past) History(_ context.Context, _, program string) (hist.History, result.Result) {
+func (fakeRunner) History(_ context.Context, _, program string) (hist.History, result.Result) {
 	if program != "round-7/receipts" {
 		return hist.History{}, result.Refuse(result.CodeNotFound, "no program %s", program)
 	}
@@ -39,17 +39,17 @@
 	return h, result.Result{Code: result.CodeOK}
 }
 
-func (p past) Request(ctx context.Context, account, _ string) (hist.History, result.Result) {
+func (p fakeRunner) Request(ctx context.Context, account, _ string) (hist.History, result.Result) {
 	return p.History(ctx, account, "round-7/receipts")
 }
 
-// start runs a daemon's interface and returns an Admin of it and its output.
+// start runs a daemon's HTTP server and returns an Admin for it and its output.
 func start(t *testing.T, change func(*server.Server)) (Admin, *strings.Builder) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	s := &server.Server{
-		Runner:  past{},
+		Runner:  fakeRunner{},
 		Account: func(k string) (string, bool, bool) { return "ops", true, k == key },
 	}
 	change(s)
@@ -63,7 +63,7 @@
 	return Admin{Client: client.Client{Address: ln.Addr().String(), Key: key}, Out: out}, out
 }
 
-func TestShows(t *testing.T) {
+func TestTextOutput(t *testing.T) {
 	drained := make(chan struct{}, 1)
 	change := func(s *server.Server) {
 		s.Status = func(context.Context) any { return report.Status{Daemon: "vm1", Shards: 1} }
@@ -121,11 +121,11 @@
 		})
 	}
 	a := Admin{Client: client.Client{Address: "127.0.0.1:1"}}
-	is.New(t).True(a.Status(t.Context()) != nil) // nobody there
+	is.New(t).True(a.Status(t.Context()) != nil) // connection refused
 }
 
-// Operators race, a file has faults, the store stops answering. What the
-// operator reads must say which version is in force and what to do.
+// Two operators apply at once, a file has errors, or the store stops answering. The
+// output must say which version is in force and what to do next.
 func TestApply(t *testing.T) {
 	at := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	fault := check.Error{File: "configuration", Line: 3, Section: "system", Key: "shards", Message: "is missing"}
@@ -151,12 +151,12 @@
 				s.Apply = func(_ context.Context, text []byte, from uint64) server.Applied {
 					is.Equal(string(text), "[system]\n")
 					is.Equal(from, uint64(7))
-					return server.Told(from, tt.out, tt.err)
+					return server.NewApplied(from, tt.out, tt.err)
 				}
 			})
 			err := a.Apply(t.Context(), path, "7")
 			is.Equal(err == nil, tt.ok)
-			is.True(tt.ok || errors.Is(err, ErrNotApplied))
+			is.True(tt.ok || errors.Is(err, ErrNotConfirmed))
 			is.True(strings.Contains(out.String(), tt.want))
 		})
 	}
--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a caller of the system over HTTP, for the commands that act
-// as one and for tests.
+// Package client is an HTTP client of a daemon's interface for callers and
+// operators, for the commands and for tests.
 package client
 
 import (
@@ -28,7 +28,7 @@
 )
 
 type (
-	// Client calls one daemon with one account's key.
+	// Client sends requests to the daemon at Address (host:port) with an account's key.
 	Client struct {
 		Address string
 		Key     string
@@ -40,19 +40,20 @@
 		Content string `json:"content"`
 	}
 
-	// Answer is a model's whole answer, or a service's response.
+	// Answer is a model's complete answer or a service's response.
 	Answer struct {
-		Request string
-		Status  int
-		Text    string
-		Whole   bool // the end was sent
-		Pieces  int
-		Prompt  int // tokens, of a model's answer
-		Cached  int // of the prompt
-		Output  int
-	}
-
-	// StatusError is a response that is no success.
+		Request  string
+		Status   int
+		Text     string
+		Complete bool // a stream's end marker was received, or a service answered with status 2xx
+		Pieces   int
+		Prompt   int // tokens of the prompt, for a model call
+		Cached   int // prompt tokens from the prefix cache
+		Output   int
+	}
+
+	// StatusError is a response with a status other than 2xx, or the error event of a
+	// stream.
 	StatusError struct {
 		Status int
 		Body   string
@@ -84,7 +85,7 @@
 	}
 )
 
-// Error gives the status and the response's body.
+// Error returns the status and the response's body.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("status %d: %s", e.Status, strings.TrimSpace(e.Body))
 }
@@ -112,7 +113,8 @@
 	return resp, nil
 }
 
-// JSON makes an exchange with JSON in and out; in or out may be nil.
+// JSON sends a request with the value in, encoded as JSON, and decodes the response
+// into out; in and out may be nil.
 func (c Client) JSON(ctx context.Context, method, path string, in, out any) (err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", method, path) }()
 	var body []byte
@@ -128,8 +130,8 @@
 	return json.Unmarshal(resp.Body(), out)
 }
 
-// Send makes an exchange with any body and returns the response's, whatever
-// its status is.
+// Send sends a body and returns the response's status and body. A status other than
+// 2xx is not an error here.
 func (c Client) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "%s %s", method, path) }()
 	resp, err := c.exchange(ctx, c.request(method, path, body))
@@ -159,26 +161,27 @@
 	return h, err
 }
 
-// Service calls a plain service.
+// Service calls a plain service. If the status is not 2xx, it returns both the Answer
+// and a StatusError.
 func (c Client) Service(ctx context.Context, program string, number int, path string, body []byte) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	req := c.request(fasthttp.MethodPost, "/v1/services/"+path, body)
-	identify(req, program, number)
+	setCallHeaders(req, program, number)
 	resp, err := c.exchange(ctx, req)
 	if resp != nil {
-		a = Answer{Request: string(resp.Header.Peek(server.HeaderRequest)), Status: resp.StatusCode(), Text: string(resp.Body()), Whole: err == nil}
+		a = Answer{Request: string(resp.Header.Peek(server.HeaderRequest)), Status: resp.StatusCode(), Text: string(resp.Body()), Complete: err == nil}
 	}
 	return a, err
 }
 
-func identify(req *fasthttp.Request, program string, number int) {
+func setCallHeaders(req *fasthttp.Request, program string, number int) {
 	req.Header.Set(server.HeaderProgram, program)
 	req.Header.Set(server.HeaderCall, strconv.Itoa(number))
 }
 
-// Chat makes a streamed model call and hands its pieces to each, which may be
-// nil.
-func (c Client) Chat(ctx context.Context, program string, number, maxTokens int, ms []Message, each func(string)) (a Answer, err error) {
+// Chat makes a streamed model call and passes its pieces to onPiece, which may be
+// nil. On an error the Answer holds what was received before it.
+func (c Client) Chat(ctx context.Context, program string, number, maxTokens int, ms []Message, onPiece func(string)) (a Answer, err error) {
 	defer func() { err = errors.Wrapf(err, "call %d of %s", number, program) }()
 	in := chatBody{Stream: true, Max: maxTokens, Messages: ms}
 	in.Options.Usage = true
@@ -187,7 +190,7 @@
 		return a, err
 	}
 	req := c.request(fasthttp.MethodPost, "/v1/chat/completions", body)
-	identify(req, program, number)
+	setCallHeaders(req, program, number)
 	resp, err := (httpc.Endpoint{Address: c.Address}).Open(ctx, req)
 	if err != nil {
 		return a, err
@@ -198,12 +201,12 @@
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, maxLine))
 		return a, &StatusError{Status: a.Status, Body: string(b)}
 	}
-	return read(a, resp.Body, each)
+	return readEvents(a, resp.Body, onPiece)
 }
 
-// read takes in the events of an answer. One that ends without its end is not
-// whole.
-func read(a Answer, r io.Reader, each func(string)) (Answer, error) {
+// readEvents reads the events of a streamed answer. A stream that ends without its
+// end marker gives the read error or io.ErrUnexpectedEOF.
+func readEvents(a Answer, r io.Reader, onPiece func(string)) (Answer, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
 	failed := false
@@ -220,7 +223,7 @@
 		case failed:
 			return a, &StatusError{Status: a.Status, Body: string(data)}
 		case string(data) == eventDone:
-			a.Whole = true
+			a.Complete = true
 			return a, nil
 		}
 		var ch chatChunk
@@ -236,8 +239,8 @@
 			}
 			a.Pieces++
 			a.Text += x.Delta.Content
-			if each != nil {
-				each(x.Delta.Content)
+			if onPiece != nil {
+				onPiece(x.Delta.Content)
 			}
 		}
 	}
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -16,8 +16,9 @@
 
 var start = time.Date(2026, 12, 2, 8, 30, 0, 0, time.UTC)
 
-// receipt is a call whose worker died after it had the request.
-func receipt() hist.History {
+// receiptHistory is a history whose call has an unknown outcome, because the upstream
+// crashed after it received the request.
+func receiptHistory() hist.History {
 	return hist.History{
 		Program: "round-7", Account: "mafuta", Agent: "pickup", Budget: 900, Spent: 120,
 		Calls: []hist.Call{{
@@ -30,13 +31,13 @@
 	}
 }
 
-// A worker takes a receipt's request and dies. The engineer who is asked about
-// it must read whether it ran, where it was sent, and under which rules.
+// An upstream receives the request for a receipt and crashes. The report must show a
+// support engineer whether it ran, where it was sent, and under which configuration.
 func TestRequest(t *testing.T) {
 	is := is.New(t)
 	var b strings.Builder
 	r := Report{Out: &b}
-	r.Request(receipt())
+	r.Request(receiptHistory())
 	is.NoErr(r.Err)
 	is.Equal(b.String(), `request        0123456789abcdef-3-000000000001
 account        mafuta
@@ -63,7 +64,7 @@
 
 func TestHistory(t *testing.T) {
 	is := is.New(t)
-	h := receipt()
+	h := receiptHistory()
 	h.Calls = append(h.Calls, hist.Call{Number: 4, Kind: call.Model, Target: "chat\x1b[2J", Start: start})
 	var b strings.Builder
 	r := Report{Out: &b}
@@ -76,8 +77,8 @@
 `)
 }
 
-// A shard has lost its owner, and one daemon does not hear of the new
-// configuration. Rows of numbers hide both; an operator must be told.
+// A shard has lost its owner, or a daemon still runs an old configuration. Both are
+// easy to overlook in the table, so that the report must have a warning.
 func TestStatusWarns(t *testing.T) {
 	member := func(name string, state beat.State, version uint64, shards ...beat.Shard) beat.Member {
 		return beat.Member{Name: name, Address: name + ":1", FailureDomain: "x", State: state, Config: version, Shards: shards}
@@ -121,14 +122,14 @@
 	}
 }
 
-type full struct{ err error }
+type failingWriter struct{ err error }
 
-func (f full) Write([]byte) (int, error) { return 0, f.err }
+func (f failingWriter) Write([]byte) (int, error) { return 0, f.err }
 
 func TestWriterFails(t *testing.T) {
 	is := is.New(t)
-	r := Report{Out: full{errors.New("disk full")}}
-	r.History(receipt())
-	r.Request(receipt())
+	r := Report{Out: failingWriter{errors.New("disk full")}}
+	r.History(receiptHistory())
+	r.Request(receiptHistory())
 	is.Equal(r.Err.Error(), "disk full")
 }
--- a/internal/edge/reqid/reqid_test.go
+++ b/internal/edge/reqid/reqid_test.go
@@ -9,12 +9,12 @@
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	id := New("round-7/receipts", 12)
-	is.Equal(id.Root, Hash("round-7"))
+	is.Equal(id.RootHash, Hash("round-7"))
 	back, err := Parse(id.String())
 	is.NoErr(err)
 	is.Equal(back, id)
 	repeat := New("round-7/receipts", 12)
-	is.True(repeat != id) // the repeat of a call is a request of its own
+	is.True(repeat != id) // a repeated call is a request of its own
 }
 
 func TestMalformed(t *testing.T) {
--- a/internal/edge/server/answer.go
+++ b/internal/edge/server/answer.go
@@ -14,7 +14,7 @@
 )
 
 type (
-	// errorBody is the body of every answer that is not a success.
+	// errorBody is the body of every error response.
 	errorBody struct {
 		Error errorFields `json:"error"`
 	}
@@ -27,8 +27,9 @@
 	}
 )
 
-// refuse answers with a failure.
-func (x *exchange) refuse(r result.Result) {
+// answerError answers with the error r, a refusal or a failure, and keeps it as the
+// outcome for telemetry.
+func (x *exchange) answerError(r result.Result) {
 	status := r.Status
 	if status == 0 {
 		status = fasthttp.StatusInternalServerError
@@ -41,11 +42,11 @@
 }
 
 func (x *exchange) notFound() {
-	x.refuse(result.Refuse(result.CodeNotFound, "no such resource: %s %s", x.Method(), x.path))
+	x.answerError(result.Refuse(result.CodeNotFound, "no such resource: %s %s", x.Method(), x.path))
 }
 
 func (x *exchange) badRequest(format string, args ...any) {
-	x.refuse(result.Refuse(result.CodeBadRequest, format, args...))
+	x.answerError(result.Refuse(result.CodeBadRequest, format, args...))
 }
 
 func (x *exchange) text(s string) {
@@ -55,7 +56,7 @@
 func (x *exchange) json(status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		x.refuse(result.Failed(result.CodeUnknown, result.Unknown, "the answer can't be encoded"))
+		x.answerError(result.Failed(result.CodeUnknown, result.Unknown, "the answer can't be encoded"))
 		return
 	}
 	x.raw(status, jsonType, append(data, '\n'))
@@ -69,14 +70,15 @@
 
 func encodeError(r result.Result) []byte {
 	fields := errorFields{Code: r.Code, Message: r.Message, Ran: r.Ran, RetryAfter: r.RetryAfter.Seconds()}
-	data, _ := json.Marshal(errorBody{Error: fields}) // holds nothing that JSON lacks
+	data, _ := json.Marshal(errorBody{Error: fields}) // can't fail for these field types
 	return data
 }
 
-// refuseMalformed answers what could not be read as a request; nothing ran.
+// refuseMalformed answers a request that could not be read or parsed; nothing
+// ran.
 func refuseMalformed(ctx *fasthttp.RequestCtx, err error) {
 	if c, ok := ctx.Conn().(*conn); ok {
-		c.linger = true
+		c.lingerOnClose = true
 	}
 	x := &exchange{RequestCtx: ctx, start: time.Now()}
 	x.Response.Header.Set(HeaderRequest, reqid.New("", 0).String())
@@ -94,5 +96,5 @@
 		r = result.Refuse(result.CodeTimeout, "the request did not arrive in time")
 		r.Status = fasthttp.StatusRequestTimeout
 	}
-	x.refuse(r)
+	x.answerError(r)
 }
--- a/internal/edge/server/bench_test.go
+++ b/internal/edge/server/bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/slaterock/slaterock/internal/prog/call"
 )
 
-// pieces is a typical answer's length.
-const pieces = 200
+// piecesPerAnswer is the number of pieces of a typical answer.
+const piecesPerAnswer = 200
 
-// serve runs a server on loopback, with log, metrics and untaken traces, as a
-// daemon has them.
+// serve runs a server on loopback with logs, metrics and a tracer that exports
+// nothing, as in a daemon.
 func serve(b *testing.B, answer ...string) net.Addr {
 	b.Helper()
 	l, err := logs.Open(io.Discard, "", logs.JSON)
@@ -33,7 +33,7 @@
 	for _, p := range answer {
 		whole += p
 	}
-	f := &fake{call: answers(whole, answer...), ends: make(chan call.End)}
+	f := &fake{call: respondWith(whole, answer...), ends: make(chan call.End)}
 	s := &Server{Runner: f, Account: accounts, Logs: l, Trace: tr, Scope: metric.New().Scope()}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,9 +44,9 @@
 	return ln.Addr()
 }
 
-// exchange sends the request again and again over one connection for each
-// goroutine, and reads each answer to its end.
-func exchanges(b *testing.B, addr net.Addr, body string) {
+// sendRequests repeats the request over one connection per goroutine and reads
+// each response completely.
+func sendRequests(b *testing.B, addr net.Addr, body string) {
 	b.Helper()
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -61,7 +61,7 @@
 		var res fasthttp.Response
 		req.Header.SetMethod("POST")
 		req.SetRequestURI("http://" + addr.String() + "/v1/chat/completions")
-		req.Header.Set("Authorization", "Bearer "+tenant)
+		req.Header.Set("Authorization", "Bearer "+accountKey)
 		req.Header.Set(HeaderProgram, "round-7")
 		req.Header.Set(HeaderCall, "0")
 		req.SetBodyString(body)
@@ -86,14 +86,14 @@
 }
 
 func BenchmarkPlain(b *testing.B) {
-	exchanges(b, serve(b, "karibu"), plainBody)
+	sendRequests(b, serve(b, "karibu"), plainBody)
 }
 
 func BenchmarkStream(b *testing.B) {
-	answer := make([]string, pieces)
+	answer := make([]string, piecesPerAnswer)
 	for i := range answer {
 		answer[i] = " sana"
 	}
-	exchanges(b, serve(b, answer...), streamBody)
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/pieces, "ns/piece")
+	sendRequests(b, serve(b, answer...), streamBody)
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/piecesPerAnswer, "ns/piece")
 }
--- a/internal/edge/server/call.go
+++ b/internal/edge/server/call.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	maxProgram  = 200 // bytes of a program's id
-	oncePrefix  = "once-"
-	onceLength  = 12
-	retryBusy   = time.Second
-	maxCallsKey = "max_calls"
+	maxProgramID      = 200 // bytes
+	singleCallPrefix  = "once-"
+	singleCallIDBytes = 12
+	retryAfter        = time.Second
+	maxCallsKey       = "max_calls"
 )
 
 type (
-	// flight is a call under way, seen from the goroutine that answers. Its
-	// events come in order, the last is ended.
-	flight struct {
-		ctx    context.Context //nolint:containedctx // ends the call when its caller is gone
+	// inflightCall connects a call that runs in the pool to the goroutine that
+	// writes the response. Events arrive in order; the last one is ended.
+	inflightCall struct {
+		ctx    context.Context //nolint:containedctx // cancelled when a stream's caller disconnects or the server stops
 		cancel context.CancelFunc
 		events chan event
 	}
 
 	event interface{ event() }
 
-	// piece is a part of the answer's text.
+	// piece is a fragment of the answer's text.
 	piece struct{ text string }
 
-	// ended is the committed outcome.
+	// ended carries the outcome of the call. If it is OK, it is committed.
 	ended struct{ result result.Result }
 )
 
 func (piece) event() {}
 func (ended) event() {}
 
-// chat runs a chat completion.
+// chat answers a chat completion request, as one object or as a stream.
 func (s *Server) chat(x *exchange) {
-	x.told.path = pathChat
+	x.telemetry.path = tagPathChat
 	c, problem := x.call(call.Model)
 	if problem != "" {
 		x.badRequest("%s", problem)
@@ -63,36 +63,36 @@
 		req.Model = onlyModel(s.config())
 	}
 	c.Model, c.MaxTokens = req.Model, req.MaxTokens
-	once := c.Program == ""
-	if once {
-		c.Program = onceProgram()
+	singleCall := c.Program == ""
+	if singleCall {
+		c.Program = newSingleCallID()
 	}
-	s.begin(x, &c)
-	f, ok := s.launch(c, once)
+	s.identifyCall(x, &c)
+	f, ok := s.launch(c, singleCall)
 	if !ok {
-		x.busy()
+		x.refuseOverloaded()
 		return
 	}
 	answer := chat.Answer{ID: c.Request, Model: req.Model, Created: x.start.Unix(), Usage: req.Usage}
 	if req.Stream {
-		x.told.path = pathStream
+		x.telemetry.path = tagPathStream
 		s.stream(x, f, answer)
 		return
 	}
 	r := f.outcome()
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.outcome = r
-	x.raw(fasthttp.StatusOK, jsonType, answer.Whole(r))
+	x.raw(fasthttp.StatusOK, jsonType, answer.Completion(r))
 }
 
-// service runs a call to a plain service. It needs a program and a number,
-// because without them a repeat could not be told from a new call, and a call
-// that may not be repeated would run twice.
+// service runs a call to a plain service. It requires a program and a call
+// number: without them a retry could not be distinguished from a new call, and a
+// non-idempotent call would run twice.
 func (s *Server) service(x *exchange) {
-	x.told.path = pathService
+	x.telemetry.path = tagPathService
 	c, problem := x.call(call.Service)
 	if problem == "" && c.Program == "" {
 		problem = "a call to a service needs the header " + HeaderProgram
@@ -106,23 +106,23 @@
 	if query := x.URI().QueryString(); len(query) > 0 {
 		c.Path += "?" + string(query)
 	}
-	s.begin(x, &c)
+	s.identifyCall(x, &c)
 	f, ok := s.launch(c, false)
 	if !ok {
-		x.busy()
+		x.refuseOverloaded()
 		return
 	}
 	r := f.outcome()
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.outcome = r
 	x.raw(orDefault(r.Status, fasthttp.StatusOK), r.ContentType, r.Body)
 }
 
-// call reads what all kinds of calls have in common. The body is copied,
-// because the library uses its memory again once the request is answered.
+// call reads the headers and body that all kinds of calls share. The body is
+// copied because fasthttp reuses its buffer once the request is answered.
 func (x *exchange) call(kind call.Kind) (c call.Call, problem string) {
 	c = call.Call{
 		Account:     x.account,
@@ -150,26 +150,27 @@
 	return c, ""
 }
 
-// begin names the request after its program and call.
-func (s *Server) begin(x *exchange, c *call.Call) {
-	x.name(c.Program, c.Number)
+// identifyCall gives the call its request id and trace parent, and puts the request
+// id and program into the response headers and telemetry.
+func (s *Server) identifyCall(x *exchange, c *call.Call) {
+	x.assignID(c.Program, c.Number)
 	x.Response.Header.Set(HeaderProgram, c.Program)
-	x.told.Kind, x.told.Program, x.told.Call = c.Kind, c.Program, c.Number
+	x.telemetry.Kind, x.telemetry.Program, x.telemetry.Call = c.Kind, c.Program, c.Number
 	c.Request = x.id.String()
-	c.TraceParent = x.told.span.Traceparent()
+	c.TraceParent = x.telemetry.span.Traceparent()
 }
 
-// launch starts the call, or reports that too many are under way.
-func (s *Server) launch(c call.Call, once bool) (f *flight, ok bool) {
-	s.tune()
-	f = &flight{events: make(chan event)}
+// launch starts the call in the pool; ok is false if the pool is full.
+func (s *Server) launch(c call.Call, singleCall bool) (f *inflightCall, ok bool) {
+	s.resizePool()
+	f = &inflightCall{events: make(chan event)}
 	f.ctx, f.cancel = context.WithCancel(s.base)
 	s.calls.Add(1)
 	err := s.pool.Submit(func() {
 		defer s.calls.Done()
-		defer s.busier(-1)
-		s.busier(1)
-		s.run(f, c, once)
+		defer s.addInFlight(-1)
+		s.addInFlight(1)
+		s.run(f, c, singleCall)
 	})
 	if err != nil {
 		s.calls.Done()
@@ -178,19 +179,19 @@
 	return f, err == nil
 }
 
-// tune puts the configured bound on calls in force.
-func (s *Server) tune() {
-	if n := lower(s.config().Limits.MaxCalls, s.MaxCalls, DefaultMaxCalls); n != s.pool.Cap() {
+// resizePool applies the configured limit of concurrent calls.
+func (s *Server) resizePool() {
+	if n := lowerLimit(s.config().Limits.MaxCalls, s.MaxCalls, DefaultMaxCalls); n != s.pool.Cap() {
 		s.pool.Tune(n)
 	}
 }
 
-func (s *Server) run(f *flight, c call.Call, once bool) {
+func (s *Server) run(f *inflightCall, c call.Call, singleCall bool) {
 	if s.Runner == nil {
-		f.end(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryBusy))
+		f.end(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
 		return
 	}
-	if !once {
+	if !singleCall {
 		f.end(s.Runner.Call(f.ctx, c, f.sink))
 		return
 	}
@@ -201,12 +202,13 @@
 	}
 	r := s.Runner.Call(f.ctx, c, f.sink)
 	f.end(r)
-	s.endOnce(c, r)
+	s.endSingleCall(c, r)
 }
 
-// endOnce ends the program that was opened for one call. The caller has its
-// answer by then and does not wait; a program that can't be ended now expires.
-func (s *Server) endOnce(c call.Call, r result.Result) {
+// endSingleCall ends the program that was opened for a single call. It runs after
+// the outcome was sent, so the caller does not wait for it. A program that can't
+// be ended now expires later.
+func (s *Server) endSingleCall(c call.Call, r result.Result) {
 	ctx, cancel := context.WithTimeout(s.base, endTimeout)
 	defer cancel()
 	kind := call.Finish
@@ -216,18 +218,19 @@
 	s.Runner.End(ctx, call.End{Account: c.Account, Program: c.Program, Kind: kind})
 }
 
-func (f *flight) sink(text string) error {
+func (f *inflightCall) sink(text string) error {
 	return f.send(piece{text})
 }
 
-// end hands over the outcome. Where nobody waits for it any more it is in the
-// history all the same.
-func (f *flight) end(r result.Result) {
+// end sends the outcome. If the receiving goroutine has stopped, the outcome is
+// dropped here; if the call ran, its history holds it.
+func (f *inflightCall) end(r result.Result) {
 	_ = f.send(ended{r})
 }
 
-// send hands an event to the goroutine that answers, which may be gone.
-func (f *flight) send(e event) error {
+// send passes an event to the goroutine that writes the response. It fails once
+// the call's context is cancelled.
+func (f *inflightCall) send(e event) error {
 	select {
 	case f.events <- e:
 		return nil
@@ -236,9 +239,9 @@
 	}
 }
 
-// outcome waits for the end of the call and leaves its pieces aside: the
-// result has the whole answer.
-func (f *flight) outcome() result.Result {
+// outcome waits for the end of the call and discards its pieces: the result
+// holds the whole answer.
+func (f *inflightCall) outcome() result.Result {
 	defer f.cancel()
 	for {
 		select {
@@ -247,34 +250,34 @@
 				return e.result
 			}
 		case <-f.ctx.Done():
-			return cutOff()
+			return stoppedResult()
 		}
 	}
 }
 
-// cutOff is told to a caller whose call was still under way when the time for
-// a graceful stop was over.
-func cutOff() result.Result {
+// stoppedResult is the answer to a call that was still in flight when the grace
+// period of Shutdown ended.
+func stoppedResult() result.Result {
 	return result.Failed(result.CodeUnknown, result.Unknown, "the daemon stopped; repeat the call with the same number")
 }
 
-// callerGone is logged for a stream that its caller left. What becomes of the
-// call is in the history.
-func callerGone() result.Result {
+// disconnectedResult is the outcome in telemetry of a stream whose caller
+// disconnected. The outcome of the call itself is in the history.
+func disconnectedResult() result.Result {
 	return result.Failed(result.CodeCancelled, result.Unknown, "the caller is gone")
 }
 
-func (x *exchange) busy() {
+func (x *exchange) refuseOverloaded() {
 	r := result.Refuse(result.CodeOverloaded, "this daemon has as many calls under way as %s allows", maxCallsKey)
-	x.refuse(r.WithRetryAfter(retryBusy))
+	x.answerError(r.WithRetryAfter(retryAfter))
 }
 
 func checkProgram(id string) (problem string) {
 	switch {
 	case id == "":
 		return "the header " + HeaderProgram + " is missing"
-	case len(id) > maxProgram:
-		return "the program's id is longer than " + strconv.Itoa(maxProgram) + " bytes"
+	case len(id) > maxProgramID:
+		return "the program's id is longer than " + strconv.Itoa(maxProgramID) + " bytes"
 	case strings.HasPrefix(id, "/") || strings.HasSuffix(id, "/") || strings.Contains(id, "//"):
 		return "the program's id has an empty part"
 	case strings.ContainsFunc(id, func(r rune) bool { return !unicode.IsPrint(r) || r == ' ' }):
@@ -283,14 +286,14 @@
 	return ""
 }
 
-func onceProgram() string {
-	var b [onceLength]byte
-	_, _ = rand.Read(b[:]) // never fails, by its contract
-	return oncePrefix + hex.EncodeToString(b[:])
+func newSingleCallID() string {
+	var b [singleCallIDBytes]byte
+	_, _ = rand.Read(b[:]) // crypto/rand documents that Read never fails
+	return singleCallPrefix + hex.EncodeToString(b[:])
 }
 
-// onlyModel is the one model that is declared, so that an answer can name it
-// where its request did not; empty if there are several.
+// onlyModel returns the model's name if exactly one is configured, so that the
+// answer to a request without a model can name it; otherwise it is empty.
 func onlyModel(f file.File) string {
 	if len(f.Models) != 1 {
 		return ""
--- a/internal/edge/server/site_test.go
+++ b/internal/edge/server/helpers_test.go
@@ -20,36 +20,37 @@
 )
 
 const (
-	tenant   = "key-of-mafuta"
-	operator = "key-of-operator"
+	accountKey  = "key-of-mafuta"
+	operatorKey = "key-of-operator"
 )
 
 type (
-	// fake is a Runner whose calls are scripted and recorded.
+	// fake is a Runner with a scripted Call. It sends the arguments of the other
+	// methods to channels.
 	fake struct {
-		call   func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
-		opens  chan call.Open
-		ends   chan call.End
-		viewer chan string
+		call           func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
+		opens          chan call.Open
+		ends           chan call.End
+		accountFilters chan string
 	}
 
-	reply struct {
+	response struct {
 		status int
 		header http.Header
 		body   string
 	}
 
-	site struct {
+	testServer struct {
 		*Server
-		t      *testing.T
-		client *http.Client
-		fake   *fake
-		beats  chan time.Time
-		closed chan struct{} // the listener is
+		t          *testing.T
+		client     *http.Client
+		fake       *fake
+		heartbeats chan time.Time
+		closed     chan struct{} // closed with the listener
 	}
 
-	// door is a listener that tells when it is closed.
-	door struct {
+	// closeNotifier is a listener whose Close also closes a channel.
+	closeNotifier struct {
 		*fasthttputil.InmemoryListener
 		closed chan struct{}
 	}
@@ -70,7 +71,7 @@
 }
 
 func (f *fake) History(_ context.Context, account, program string) (hist.History, result.Result) {
-	f.viewer <- account
+	f.accountFilters <- account
 	if account != "mafuta" && account != "" {
 		return hist.History{}, result.Refuse(result.CodeNotFound, "no program %s", program)
 	}
@@ -83,32 +84,32 @@
 
 func accounts(key string) (name string, isOperator, ok bool) {
 	switch key {
-	case tenant:
+	case accountKey:
 		return "mafuta", false, true
 	case "key-of-kexanh":
 		return "kexanh", false, true
-	case operator:
+	case operatorKey:
 		return "ops", true, true
 	}
 	return "", false, false
 }
 
-func (d door) Close() error {
+func (d closeNotifier) Close() error {
 	close(d.closed)
 	return d.InmemoryListener.Close()
 }
 
-// start runs a server on a listener in memory.
-func start(t *testing.T, limits file.Limits) *site {
+// start runs a server on an in-memory listener.
+func start(t *testing.T, limits file.Limits) *testServer {
 	t.Helper()
 	return startWith(t, limits, func(*Server) {})
 }
 
-func startWith(t *testing.T, limits file.Limits, change func(*Server)) *site {
+func startWith(t *testing.T, limits file.Limits, change func(*Server)) *testServer {
 	t.Helper()
-	t.Parallel() // the library takes a tenth of a second to shut down
-	f := &fake{opens: make(chan call.Open, 1), ends: make(chan call.End, 1), viewer: make(chan string, 1)}
-	st := &site{t: t, fake: f, beats: make(chan time.Time), closed: make(chan struct{})}
+	t.Parallel() // fasthttp takes 0.1 s to shut down
+	f := &fake{opens: make(chan call.Open, 1), ends: make(chan call.End, 1), accountFilters: make(chan string, 1)}
+	st := &testServer{t: t, fake: f, heartbeats: make(chan time.Time), closed: make(chan struct{})}
 	st.Server = &Server{
 		Runner:  f,
 		Account: accounts,
@@ -116,10 +117,10 @@
 		Entries: func(program string) locate.Answer {
 			return locate.Answer{Entries: []locate.Entry{{Address: "127.0.0.1:1", FailureDomain: program}}, TTLSeconds: 5}
 		},
-		ticker: func(time.Duration) (<-chan time.Time, func()) { return st.beats, func() {} },
+		ticker: func(time.Duration) (<-chan time.Time, func()) { return st.heartbeats, func() {} },
 	}
 	change(st.Server)
-	ln := door{InmemoryListener: fasthttputil.NewInmemoryListener(), closed: st.closed}
+	ln := closeNotifier{InmemoryListener: fasthttputil.NewInmemoryListener(), closed: st.closed}
 	served := make(chan error, 1)
 	go func() { served <- st.Serve(ln) }()
 	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return ln.Dial() }}
@@ -136,8 +137,8 @@
 	return st
 }
 
-// do sends a request and returns the answer as it begins.
-func (st *site) do(method, path, key, body string, headers map[string]string) *http.Response {
+// do sends a request and returns the response with its body unread.
+func (st *testServer) do(method, path, key, body string, headers map[string]string) *http.Response {
 	st.t.Helper()
 	req, err := http.NewRequest(method, "http://slaterock"+path, strings.NewReader(body))
 	if err != nil {
@@ -156,15 +157,15 @@
 	return res
 }
 
-// send sends a request and returns the whole answer.
-func (st *site) send(method, path, key, body string, headers map[string]string) reply {
+// send sends a request and returns the complete response.
+func (st *testServer) send(method, path, key, body string, headers map[string]string) response {
 	st.t.Helper()
 	res := st.do(method, path, key, body, headers)
 	defer func() { _ = res.Body.Close() }()
-	return reply{status: res.StatusCode, header: res.Header, body: rest(st.t, res)}
+	return response{status: res.StatusCode, header: res.Header, body: readBody(st.t, res)}
 }
 
-func rest(t *testing.T, res *http.Response) string {
+func readBody(t *testing.T, res *http.Response) string {
 	t.Helper()
 	data, err := io.ReadAll(res.Body)
 	if err != nil {
@@ -173,7 +174,7 @@
 	return string(data)
 }
 
-func answers(body string, pieces ...string) func(context.Context, call.Call, runner.Sink) result.Result {
+func respondWith(body string, pieces ...string) func(context.Context, call.Call, runner.Sink) result.Result {
 	return func(_ context.Context, _ call.Call, sink runner.Sink) result.Result {
 		for _, p := range pieces {
 			if err := sink(p); err != nil {
@@ -189,12 +190,12 @@
 	streamBody = `{"messages":[{"role":"user","content":"hi"}],"stream":true,"stream_options":{"include_usage":true}}`
 )
 
-func numbered(program, number string) map[string]string {
+func callHeaders(program, number string) map[string]string {
 	return map[string]string{HeaderProgram: program, HeaderCall: number}
 }
 
-// content puts the pieces of a stream together.
-func content(t *testing.T, body string) string {
+// joinDeltas returns the concatenated text of a stream's chunks.
+func joinDeltas(t *testing.T, body string) string {
 	t.Helper()
 	var b strings.Builder
 	for line := range strings.Lines(body) {
--- a/internal/edge/server/listen.go
+++ b/internal/edge/server/listen.go
@@ -12,27 +12,28 @@
 )
 
 type (
-	// listener bounds each write to a caller. The HTTP library bounds a whole
-	// answer instead, which would cut a healthy stream that lasts long; without
-	// any bound a caller that stopped reading would hold its call for ever.
-	listener struct {
+	// deadlineListener sets a deadline for each write to a caller. fasthttp's write
+	// timeout covers a whole response instead and would cut a long healthy
+	// stream. Without any deadline a caller that stopped reading would block its
+	// call forever.
+	deadlineListener struct {
 		net.Listener
 		timeout time.Duration
 	}
 
 	conn struct {
 		net.Conn
-		timeout time.Duration
-		linger  bool // its request was refused before it was read to its end
+		timeout       time.Duration
+		lingerOnClose bool // its request was refused before it was read completely
 	}
 
-	// silent drops the HTTP library's own log, which tells of broken
-	// connections only.
-	silent struct{}
+	// discardLogger drops fasthttp's own log, which only reports broken
+	// connections.
+	discardLogger struct{}
 )
 
-// Accept waits for the next connection.
-func (l listener) Accept() (net.Conn, error) {
+// Accept returns the next connection, with a deadline on each of its writes.
+func (l deadlineListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -40,7 +41,8 @@
 	return &conn{Conn: c, timeout: l.timeout}, nil
 }
 
-// Write fails if the other end does not take the data in time.
+// Write fails with os.ErrDeadlineExceeded if the peer does not accept the data
+// within the timeout.
 func (c *conn) Write(p []byte) (n int, err error) {
 	if err := c.SetWriteDeadline(time.Now().Add(c.timeout)); err != nil {
 		return 0, err
@@ -48,12 +50,12 @@
 	return c.Conn.Write(p)
 }
 
-// Close takes in, for a moment, what the other end is still sending. Closing
-// with data unread makes the system reset the connection, and the refusal that
-// was just written would be lost with it: the caller would see a broken
-// connection and not why.
+// Close first reads and discards what the peer is still sending, up to lingerTime
+// and lingerBytes, if the request was refused early. Closing a socket with unread
+// data makes the kernel send a reset, which can destroy the error response that
+// was just written: the caller would see a broken connection without the reason.
 func (c *conn) Close() error {
-	if c.linger {
+	if c.lingerOnClose {
 		if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 			_ = w.CloseWrite()
 		}
@@ -64,4 +66,4 @@
 }
 
 // Printf drops the line.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/edge/server/operate_test.go
+++ b/internal/edge/server/operator_test.go
@@ -17,8 +17,8 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// Two operators apply at the same time, or the store fails half-way. Each must
-// learn what is in force now, or one undoes the other's change unseen.
+// Two operators apply at the same time, or the store fails half-way. Each must be
+// told which version is in force, or one overwrites the other's change unknowingly.
 func TestApply(t *testing.T) {
 	at := time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	tests := map[string]struct {
@@ -67,10 +67,10 @@
 				s.Apply = func(_ context.Context, text []byte, from uint64) Applied {
 					got = text
 					is.True(from == 4 || from == apply.Newest)
-					return Told(from, tt.out, tt.err)
+					return NewApplied(from, tt.out, tt.err)
 				}
 			})
-			res := st.send("POST", "/v1/config?from="+tt.from, operator, "[system]", nil)
+			res := st.send("POST", "/v1/config?from="+tt.from, operatorKey, "[system]", nil)
 			is.Equal(res.status, tt.status)
 			var a Applied
 			is.NoErr(json.Unmarshal([]byte(res.body), &a))
@@ -82,15 +82,15 @@
 	}
 }
 
-// A system with many accounts has a configuration larger than any caller's body
-// may be. Its operator must get it applied, and nobody else may send as much.
+// With many accounts the configuration is larger than callers' bodies may be. The
+// operator must be able to apply it; all others keep the usual limit.
 func TestLargeConfiguration(t *testing.T) {
 	tests := map[string]struct {
 		key    string
 		status int
 	}{
-		"operator":  {operator, 200},
-		"account":   {tenant, 413},
+		"operator":  {operatorKey, 200},
+		"account":   {accountKey, 413},
 		"nobody":    {"", 413},
 		"wrong key": {"nope", 413},
 	}
@@ -101,7 +101,7 @@
 			st := startWith(t, file.Limits{MaxBody: 1000}, func(s *Server) {
 				s.Apply = func(_ context.Context, got []byte, from uint64) Applied {
 					is.Equal(string(got), text)
-					return Told(from, apply.Outcome{Head: head.Head{Version: 5}}, nil)
+					return NewApplied(from, apply.Outcome{Head: head.Head{Version: 5}}, nil)
 				}
 			})
 			is.Equal(st.send("POST", "/v1/config?from=4", tt.key, text, nil).status, tt.status)
@@ -133,14 +133,14 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			st := startWith(t, file.Limits{}, change)
-			res := st.send(tt.method, tt.path, operator, "", nil)
+			res := st.send(tt.method, tt.path, operatorKey, "", nil)
 			is.Equal(res.status, tt.status)
 			is.True(strings.Contains(res.body, tt.body))
-			other := st.send(tt.method, tt.path, tenant, "", nil)
+			other := st.send(tt.method, tt.path, accountKey, "", nil)
 			is.Equal(other.status, 404) // does not exist for other accounts
 		})
 	}
-	t.Cleanup(func() { is.New(t).Equal(len(drained), 1) }) // once all have run
+	t.Cleanup(func() { is.New(t).Equal(len(drained), 1) }) // after all subtests
 }
 
 func TestProbes(t *testing.T) {
--- a/internal/edge/server/program.go
+++ b/internal/edge/server/program.go
@@ -10,7 +10,7 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// openBody is what a caller sends to open a program.
+// openBody is the request body that opens a program.
 type openBody struct {
 	Program  string `json:"program"`
 	Agent    string `json:"agent"`
@@ -30,8 +30,8 @@
 		x.badRequest("%s", problem)
 		return
 	}
-	x.name(b.Program, 0)
-	if !s.started(x) {
+	x.assignID(b.Program, 0)
+	if !s.requireRunner(x) {
 		return
 	}
 	r := s.Runner.Open(s.base, call.Open{
@@ -42,11 +42,11 @@
 		Priority: b.Priority,
 		Budget:   b.Budget,
 	})
-	x.done(b.Program, r)
+	x.answerProgram(b.Program, r)
 }
 
-// program ends a program or returns its history. The last part of the path
-// tells which; what is between belongs to the program's id.
+// program ends a program or returns its history. The last path segment is the
+// action; everything before it is the program's id, which may contain slashes.
 func (s *Server) program(x *exchange) {
 	rest := strings.TrimPrefix(x.path, pathPrograms+"/")
 	cut := strings.LastIndexByte(rest, '/')
@@ -59,8 +59,8 @@
 		x.badRequest("%s", problem)
 		return
 	}
-	x.name(id, 0)
-	if !s.started(x) {
+	x.assignID(id, 0)
+	if !s.requireRunner(x) {
 		return
 	}
 	switch string(x.Method()) + " " + verb {
@@ -76,37 +76,38 @@
 }
 
 func (s *Server) history(x *exchange, id string) {
-	h, r := s.Runner.History(s.base, x.viewer(), id)
+	h, r := s.Runner.History(s.base, x.accountFilter(), id)
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.json(fasthttp.StatusOK, h)
 }
 
 func (s *Server) end(x *exchange, id string, kind call.EndKind) {
-	x.done(id, s.Runner.End(s.base, call.End{Account: x.account, Program: id, Kind: kind}))
+	x.answerProgram(id, s.Runner.End(s.base, call.End{Account: x.account, Program: id, Kind: kind}))
 }
 
-// request returns what became of one request.
+// request answers with the history entry of one request.
 func (s *Server) request(x *exchange) {
-	if !s.started(x) {
+	if !s.requireRunner(x) {
 		return
 	}
 	id := unescape(strings.TrimPrefix(x.path, pathRequests))
-	h, r := s.Runner.Request(s.base, x.viewer(), id)
+	h, r := s.Runner.Request(s.base, x.accountFilter(), id)
 	if !r.OK() {
-		x.refuse(r)
+		x.answerError(r)
 		return
 	}
 	x.json(fasthttp.StatusOK, h)
 }
 
-// done answers with the program's id where the Runner has nothing to add.
-func (x *exchange) done(program string, r result.Result) {
+// answerProgram answers with the result's body, or with the program's id if the
+// Runner returned no body.
+func (x *exchange) answerProgram(program string, r result.Result) {
 	switch {
 	case !r.OK():
-		x.refuse(r)
+		x.answerError(r)
 	case len(r.Body) > 0:
 		x.raw(fasthttp.StatusOK, jsonType, r.Body)
 	default:
@@ -116,9 +117,10 @@
 	}
 }
 
-func (s *Server) started(x *exchange) bool {
+// requireRunner reports whether there is a Runner, and refuses the request if not.
+func (s *Server) requireRunner(x *exchange) bool {
 	if s.Runner == nil {
-		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryBusy))
+		x.answerError(result.Refuse(result.CodeNotOwner, "this daemon is starting").WithRetryAfter(retryAfter))
 	}
 	return s.Runner != nil
 }
--- a/internal/edge/server/route.go
+++ b/internal/edge/server/route.go
@@ -11,13 +11,15 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// Headers of the callers' interface.
+// HTTP headers of requests and responses.
 const (
 	HeaderRequest = "Slaterock-Request"
 	HeaderProgram = "Slaterock-Program"
 	HeaderCall    = "Slaterock-Call"
 
-	headerTrace  = "traceparent"
+	headerTrace = "traceparent"
+
+	// Key prefix, content types and paths.
 	bearerPrefix = "Bearer "
 	jsonType     = "application/json"
 	textType     = "text/plain; charset=utf-8"
@@ -28,22 +30,23 @@
 	pathRequests = "/v1/requests/"
 )
 
-// exchange is one request and its answer.
+// exchange is one request and its response.
 type exchange struct {
 	*fasthttp.RequestCtx
 
-	id       reqid.ID
-	path     string // not decoded
-	account  string
-	operator bool
-	start    time.Time
-	told     *told
-	outcome  result.Result // zero is a success with nothing to tell
-	detached bool          // the answer goes on after the handler has returned
+	id        reqid.ID
+	path      string // still percent-encoded
+	account   string
+	operator  bool
+	start     time.Time
+	telemetry *telemetry
+	outcome   result.Result // the zero value is a success without details
+	detached  bool          // a stream continues after the handler has returned
 }
 
-// viewer is the account whose programs the caller may read; empty is all.
-func (x *exchange) viewer() string {
+// accountFilter returns the account whose programs the caller may read; empty
+// means all accounts.
+func (x *exchange) accountFilter() string {
 	if x.operator {
 		return ""
 	}
@@ -55,22 +58,22 @@
 	if s.draining.Load() {
 		ctx.SetConnectionClose()
 	}
-	x.name("", 0)
+	x.assignID("", 0)
 	if s.probe(x) {
 		return
 	}
-	x.told = s.tell(x)
+	x.telemetry = s.newTelemetry(x)
 	if s.authenticate(x) {
 		s.route(x)
 	} else {
-		x.refuse(result.Refuse(result.CodeUnauthorized, "the Bearer key is missing or not known"))
+		x.answerError(result.Refuse(result.CodeUnauthorized, "the Bearer key is missing or not known"))
 	}
 	if !x.detached {
-		x.told.end(x.outcome, x.Response.StatusCode())
+		x.telemetry.end(x.outcome, x.Response.StatusCode())
 	}
 }
 
-// probe answers what needs no key.
+// probe answers the paths that need no key; false if the path is none of them.
 func (s *Server) probe(x *exchange) bool {
 	switch x.path {
 	case "/healthz":
@@ -89,7 +92,7 @@
 	switch {
 	case x.is("POST", "/v1/chat/completions"):
 		s.chat(x)
-	case strings.HasPrefix(x.path, pathServices) && callMethod(string(x.Method())):
+	case strings.HasPrefix(x.path, pathServices) && isServiceMethod(string(x.Method())):
 		s.service(x)
 	case x.is("POST", pathPrograms):
 		s.open(x)
@@ -100,19 +103,19 @@
 	case x.is("GET", "/v1/entries"):
 		s.entries(x)
 	default:
-		s.operate(x)
+		s.routeOperator(x)
 	}
 }
 
 func (s *Server) authenticate(x *exchange) bool {
 	var ok bool
-	x.account, x.operator, ok = s.whose(&x.Request.Header)
-	x.told.Account = x.account
+	x.account, x.operator, ok = s.accountOf(&x.Request.Header)
+	x.telemetry.Account = x.account
 	return ok
 }
 
-// whose returns the account that the request's key belongs to.
-func (s *Server) whose(h *fasthttp.RequestHeader) (account string, operator, ok bool) {
+// accountOf returns the account of the request's Bearer key.
+func (s *Server) accountOf(h *fasthttp.RequestHeader) (account string, operator, ok bool) {
 	key, found := strings.CutPrefix(string(h.Peek(fasthttp.HeaderAuthorization)), bearerPrefix)
 	if !found || key == "" || s.Account == nil {
 		return "", false, false
@@ -123,21 +126,21 @@
 func (s *Server) ready(x *exchange) {
 	switch {
 	case s.draining.Load():
-		x.refuse(result.Refuse(result.CodeDraining, "this daemon is shutting down"))
+		x.answerError(result.Refuse(result.CodeDraining, "this daemon is shutting down"))
 	case s.Runner == nil:
-		x.refuse(result.Refuse(result.CodeNotOwner, "this daemon is starting"))
+		x.answerError(result.Refuse(result.CodeNotOwner, "this daemon is starting"))
 	default:
-		s.askReady(x)
+		s.checkReady(x)
 	}
 }
 
-func (s *Server) askReady(x *exchange) {
+func (s *Server) checkReady(x *exchange) {
 	if s.Ready == nil {
 		x.text("ready\n")
 		return
 	}
 	if err := s.Ready(); err != nil {
-		x.refuse(result.Refuse(result.CodeNotOwner, "not ready: %v", err))
+		x.answerError(result.Refuse(result.CodeNotOwner, "not ready: %v", err))
 		return
 	}
 	x.text("ready\n")
@@ -163,8 +166,8 @@
 	return x.path == path && string(x.Method()) == method
 }
 
-// callMethod reports whether a service can be called with the method.
-func callMethod(m string) bool {
+// isServiceMethod reports whether a service may be called with the method.
+func isServiceMethod(m string) bool {
 	switch m {
 	case "GET", "POST", "PUT", "PATCH", "DELETE":
 		return true
@@ -172,17 +175,18 @@
 	return false
 }
 
-// name gives the request its name, which the answer carries from now on.
-func (x *exchange) name(program string, number int) {
+// assignID makes a new request id and sets it in the response header and in
+// telemetry.
+func (x *exchange) assignID(program string, number int) {
 	x.id = reqid.New(program, number)
 	x.Response.Header.Set(HeaderRequest, x.id.String())
-	if x.told != nil {
-		x.told.ID = x.id.String()
+	if x.telemetry != nil {
+		x.telemetry.ID = x.id.String()
 	}
 }
 
-// unescape decodes a part of the path; a program's id may hold slashes, which
-// callers may send as they are or as %2F.
+// unescape decodes a part of the path. A program's id may contain slashes, which
+// callers send either literally or as %2F.
 func unescape(part string) string {
 	plain, err := url.PathUnescape(part)
 	if err != nil {
--- a/internal/edge/server/stop_test.go
+++ b/internal/edge/server/shutdown_test.go
@@ -19,8 +19,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// A daemon is stopped on purpose in the middle of an answer. Its caller must
-// get the rest of it, and must not send its next request to a closed door.
+// A daemon is shut down gracefully in the middle of an answer. The listener must
+// close, and the caller must still receive the rest of the stream.
 func TestShutdownFinishesStreams(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
@@ -28,23 +28,23 @@
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		is.NoErr(sink("kari"))
 		<-proceed
-		return answers("karibu")(ctx, c, sink)
+		return respondWith("karibu")(ctx, c, sink)
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
 	defer func() { _ = res.Body.Close() }()
 	stopped := make(chan error, 1)
 	go func() { stopped <- st.Shutdown(context.Background()) }()
-	<-st.closed // nobody new comes in
+	<-st.closed // no new connections
 	close(proceed)
-	body := rest(t, res)
-	is.Equal(content(t, body), "karibu")
+	body := readBody(t, res)
+	is.Equal(joinDeltas(t, body), "karibu")
 	is.True(strings.HasSuffix(body, "[DONE]\n\n"))
 	is.NoErr(<-stopped)
 }
 
-// The time for a graceful stop is over and a call still hangs. The caller is
-// told that nobody knows, instead of seeing its connection cut.
-func TestShutdownOverdue(t *testing.T) {
+// A call still hangs when the grace period of the shutdown ends. The caller must
+// get an error event with an unknown outcome instead of a broken connection.
+func TestShutdownTimeout(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
 	st.fake.call = func(ctx context.Context, _ call.Call, sink runner.Sink) result.Result {
@@ -52,36 +52,36 @@
 		<-ctx.Done()
 		return result.Result{}
 	}
-	res := st.do("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
+	res := st.do("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
 	defer func() { _ = res.Body.Close() }()
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.True(errors.Is(st.Shutdown(over), context.Canceled))
-	body := rest(t, res)
+	body := readBody(t, res)
 	is.True(strings.Contains(body, `"code":"outcome_unknown"`))
 	is.True(strings.Contains(body, `"ran":"unknown"`))
 	is.True(!strings.Contains(body, "[DONE]"))
 }
 
-// A draining daemon goes on answering callers that still hold its address, but
-// sends them away.
+// A draining daemon still answers callers that have cached its address, but closes
+// their connections so that they look up another.
 func TestDrainingClosesConnections(t *testing.T) {
 	is := is.New(t)
 	st := start(t, file.Limits{})
-	st.fake.call = answers("karibu")
-	before := st.do("GET", "/v1/entries", tenant, "", nil)
+	st.fake.call = respondWith("karibu")
+	before := st.do("GET", "/v1/entries", accountKey, "", nil)
 	is.NoErr(before.Body.Close())
 	is.True(!before.Close)
 	st.StartDraining()
-	after := st.do("POST", "/v1/chat/completions", tenant, plainBody, numbered("p", "0"))
+	after := st.do("POST", "/v1/chat/completions", accountKey, plainBody, callHeaders("p", "0"))
 	defer func() { _ = after.Body.Close() }()
 	is.Equal(after.StatusCode, 200)
 	is.True(after.Close)
 }
 
-// A caller stops reading but keeps its connection open. Without a bound on
-// writes its answer would hold a call, and the upstream behind it, for ever.
-func TestWriteToSilentCaller(t *testing.T) {
+// A caller stops reading but keeps its connection open. Without a write deadline
+// its response would block the call, and the upstream behind it, forever.
+func TestWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := net.Pipe()
@@ -93,9 +93,10 @@
 	})
 }
 
-// A daemon is stopped while it starts: it is told to stop before it serves. It served
-// callers for ever then, and whoever waited for its end waited for ever.
-func TestStopBeforeServe(t *testing.T) {
+// A daemon is stopped during its start, so that Shutdown runs before Serve. If Serve
+// did not notice the shutdown, it would serve forever and the process would never
+// exit.
+func TestShutdownBeforeServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var n pipe.Net
@@ -108,10 +109,10 @@
 		case err := <-served:
 			is.NoErr(err)
 		case <-time.After(time.Minute):
-			t.Error("it serves on")
+			t.Error("Serve still runs one minute after Shutdown")
 			is.NoErr(ln.Close())
 		}
 		_, err := n.Connect(t.Context(), "a:1")
-		is.True(err != nil) // nobody is left waiting at a door behind which nobody is
+		is.True(err != nil) // the listener is closed, so that callers are refused instead of left waiting
 	})
 }
--- a/internal/edge/server/stream.go
+++ b/internal/edge/server/stream.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	streamType   = "text/event-stream"
-	streamDone   = "data: [DONE]\n\n"
-	streamBeat   = ": waiting\n\n"
-	streamError  = "event: error\n"
-	dataPrefix   = "data: "
-	eventEnd     = "\n\n"
-	headerBuffer = "X-Accel-Buffering" // keeps intermediaries from holding pieces back
+	streamType       = "text/event-stream"
+	streamDone       = "data: [DONE]\n\n"
+	heartbeatComment = ": waiting\n\n"
+	streamError      = "event: error\n"
+	dataPrefix       = "data: "
+	eventEnd         = "\n\n"
+	headerBuffering  = "X-Accel-Buffering" // tells proxies not to buffer the stream
 )
 
-// stream writes one answer as server-sent events. Text holds what was sent.
+// stream writes one answer as server-sent events. The field text holds what was
+// sent so far.
 type stream struct {
-	w      *bufio.Writer
-	f      *flight
-	answer chat.Answer
-	text   strings.Builder
-	opened bool
-	line   []byte // reused for each piece
-	told   *told
+	w         *bufio.Writer
+	f         *inflightCall
+	answer    chat.Answer
+	text      strings.Builder
+	opened    bool
+	buf       []byte // reused for each piece
+	telemetry *telemetry
 }
 
 // stream answers with server-sent events. A call that fails before its first
-// piece, and before the first heartbeat is due, is refused by status instead.
-func (s *Server) stream(x *exchange, f *flight, answer chat.Answer) {
-	beats, stop := s.ticker(orDefault(s.Heartbeat, DefaultHeartbeat))
-	first := f.next(beats)
+// piece and before the first heartbeat is due gets an HTTP error status instead.
+func (s *Server) stream(x *exchange, f *inflightCall, answer chat.Answer) {
+	heartbeats, stop := s.ticker(orDefault(s.Heartbeat, DefaultHeartbeat))
+	first := f.next(heartbeats)
 	if e, ok := first.(ended); ok && !e.result.OK() {
 		stop()
 		f.cancel()
-		x.refuse(e.result)
+		x.answerError(e.result)
 		return
 	}
 	x.Response.SetStatusCode(fasthttp.StatusOK)
 	x.Response.Header.SetContentType(streamType)
 	x.Response.Header.Set(fasthttp.HeaderCacheControl, "no-cache")
-	x.Response.Header.Set(headerBuffer, "no")
+	x.Response.Header.Set(headerBuffering, "no")
 	x.Response.ImmediateHeaderFlush = true
 	x.detached = true
-	told := x.told
+	telemetry := x.telemetry
 	x.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer f.cancel() // also when the caller is gone: a write failed
+		defer f.cancel() // also after a failed write: the caller disconnected
 		defer stop()
-		st := stream{w: w, f: f, answer: answer, told: told}
-		told.end(st.run(first, beats), fasthttp.StatusOK)
+		st := stream{w: w, f: f, answer: answer, telemetry: telemetry}
+		telemetry.end(st.run(first, heartbeats), fasthttp.StatusOK)
 	})
 }
 
-// ready returns an event that waits already, or nil.
-func (f *flight) ready() event {
+// ready returns an event that is already available, or nil.
+func (f *inflightCall) ready() event {
 	select {
 	case e := <-f.events:
 		return e
@@ -69,19 +70,20 @@
 }
 
 // next returns the next event, or nil when a heartbeat is due first.
-func (f *flight) next(beats <-chan time.Time) event {
+func (f *inflightCall) next(heartbeats <-chan time.Time) event {
 	select {
 	case e := <-f.events:
 		return e
-	case <-beats:
+	case <-heartbeats:
 		return nil
 	case <-f.ctx.Done():
-		return ended{cutOff()}
+		return ended{stoppedResult()}
 	}
 }
 
-// run returns the outcome as the caller was told it.
-func (st *stream) run(e event, beats <-chan time.Time) result.Result {
+// run writes events until the last and returns the outcome that the caller
+// received, or disconnectedResult if a write failed.
+func (st *stream) run(e event, heartbeats <-chan time.Time) result.Result {
 	for {
 		var err error
 		switch e := e.(type) {
@@ -90,18 +92,18 @@
 		case ended:
 			return st.end(e.result)
 		default:
-			err = st.write([]byte(streamBeat))
+			err = st.write([]byte(heartbeatComment))
 		}
 		if err != nil {
-			return callerGone()
+			return disconnectedResult()
 		}
 		if e = st.f.ready(); e != nil {
-			continue // goes out with the piece before it
+			continue // flushed together with the previous event
 		}
 		if err := st.w.Flush(); err != nil {
-			return callerGone()
+			return disconnectedResult()
 		}
-		e = st.f.next(beats)
+		e = st.f.next(heartbeats)
 	}
 }
 
@@ -110,15 +112,15 @@
 		return err
 	}
 	st.text.WriteString(text)
-	st.line = append(st.line[:0], dataPrefix...)
-	st.line = st.answer.Text(st.line, text)
-	st.line = append(st.line, eventEnd...)
-	return st.write(st.line)
+	st.buf = append(st.buf[:0], dataPrefix...)
+	st.buf = st.answer.Text(st.buf, text)
+	st.buf = append(st.buf, eventEnd...)
+	return st.write(st.buf)
 }
 
-// end finishes the stream. What was sent must be a beginning of the recorded
-// answer: if an answer were put together from two attempts, the caller would
-// have text that is in no history, so it is told of an error instead.
+// end finishes the stream. The text sent so far must be a prefix of the recorded
+// answer. If it is not, the text came from another attempt, and completing it would
+// give an answer that no history holds. The stream then ends with an error event.
 func (st *stream) end(r result.Result) result.Result {
 	if !r.OK() {
 		return st.fail(r)
@@ -129,7 +131,7 @@
 			"the recorded answer differs from what was sent; repeat the call with the same number"))
 	}
 	if err := st.finish(rest, r); err != nil {
-		return callerGone()
+		return disconnectedResult()
 	}
 	return r
 }
@@ -143,20 +145,20 @@
 	if err := st.open(); err != nil {
 		return err
 	}
-	if err := st.data(st.answer.Finish(r)); err != nil {
+	if err := st.writeData(st.answer.Finish(r)); err != nil {
 		return err
 	}
 	if st.answer.Usage {
-		if err := st.data(st.answer.Total(r)); err != nil {
+		if err := st.writeData(st.answer.UsageChunk(r)); err != nil {
 			return err
 		}
 	}
-	return st.last(streamDone)
+	return st.writeLast(streamDone)
 }
 
 func (st *stream) fail(r result.Result) result.Result {
-	if err := st.last(streamError + dataPrefix + string(encodeError(r)) + eventEnd); err != nil {
-		return callerGone()
+	if err := st.writeLast(streamError + dataPrefix + string(encodeError(r)) + eventEnd); err != nil {
+		return disconnectedResult()
 	}
 	return r
 }
@@ -166,22 +168,22 @@
 		return nil
 	}
 	st.opened = true
-	st.told.first()
-	return st.data(st.answer.Role())
+	st.telemetry.firstPiece()
+	return st.writeData(st.answer.Role())
 }
 
-func (st *stream) data(chunk []byte) error {
+func (st *stream) writeData(chunk []byte) error {
 	return st.write([]byte(dataPrefix + string(chunk) + eventEnd))
 }
 
-// write leaves what it writes to be flushed when nothing more is ready.
+// write only buffers; run flushes when no further event is available.
 func (st *stream) write(b []byte) error {
 	_, err := st.w.Write(b)
 	return err
 }
 
-// last writes the end of the stream.
-func (st *stream) last(s string) error {
+// writeLast writes the last event of the stream and flushes.
+func (st *stream) writeLast(s string) error {
 	if err := st.write([]byte(s)); err != nil {
 		return err
 	}
--- a/internal/edge/server/told_test.go
+++ b/internal/edge/server/telemetry_test.go
@@ -22,9 +22,9 @@
 	parent  = "00-" + traceID + "-00f067aa0ba902b7-01"
 )
 
-// Logs and traces are read by more people than may read a customer's talk. A
-// key in them would let any of these people act as the customer.
-func TestNoSecretsAreTold(t *testing.T) {
+// Logs and traces are read by people who may not read a customer's conversations.
+// A key in them would also let these people act as the customer.
+func TestNoSecretsInLogsOrTraces(t *testing.T) {
 	is := is.New(t)
 	var log, spans bytes.Buffer
 	l, err := logs.Open(&log, "debug", logs.JSON)
@@ -38,14 +38,14 @@
 	var seen []string
 	st.fake.call = func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 		seen = append(seen, c.TraceParent)
-		return answers("the-answer", "the-")(ctx, c, sink)
+		return respondWith("the-answer", "the-")(ctx, c, sink)
 	}
-	headers := numbered("round-7", "3")
+	headers := callHeaders("round-7", "3")
 	headers["traceparent"] = parent
 	ask := strings.Replace(plainBody, "hi", "the-question", 1)
-	is.Equal(st.send("POST", "/v1/chat/completions", tenant, ask, headers).status, 200)
-	is.Equal(st.send("POST", "/v1/chat/completions", tenant, streamBody, headers).status, 200)
-	is.Equal(st.send("POST", "/v1/services/receipts/issue", tenant, "the-question", headers).status, 200)
+	is.Equal(st.send("POST", "/v1/chat/completions", accountKey, ask, headers).status, 200)
+	is.Equal(st.send("POST", "/v1/chat/completions", accountKey, streamBody, headers).status, 200)
+	is.Equal(st.send("POST", "/v1/services/receipts/issue", accountKey, "the-question", headers).status, 200)
 	is.Equal(st.send("POST", "/v1/programs", "wrong-secret", "{}", nil).status, 401)
 	is.NoErr(st.Shutdown(context.Background()))
 	is.NoErr(tr.Close(context.Background()))
@@ -58,9 +58,9 @@
 	is.Equal(len(seen), 3)
 	for _, p := range seen {
 		is.Equal(trace.Parse(p).TraceID().String(), traceID)
-		is.True(p != parent) // the next hop's parent is this hop's span
+		is.True(p != parent) // the next hop's parent is the span of this one
 	}
-	for _, secret := range []string{tenant, "wrong-secret", "the-question", "the-answer"} {
+	for _, secret := range []string{accountKey, "wrong-secret", "the-question", "the-answer"} {
 		is.True(!strings.Contains(log.String(), secret))
 		is.True(!strings.Contains(spans.String(), secret))
 	}
@@ -70,14 +70,14 @@
 	is := is.New(t)
 	m := metric.New()
 	st := startWith(t, file.Limits{}, func(s *Server) { s.Scope, s.Metrics = m.Scope(), m.Serve })
-	st.fake.call = answers("karibu", "ka")
-	st.send("POST", "/v1/chat/completions", tenant, streamBody, numbered("p", "0"))
-	st.send("POST", "/v1/chat/completions", tenant, "{", numbered("p", "0"))
+	st.fake.call = respondWith("karibu", "ka")
+	st.send("POST", "/v1/chat/completions", accountKey, streamBody, callHeaders("p", "0"))
+	st.send("POST", "/v1/chat/completions", accountKey, "{", callHeaders("p", "0"))
 	st.calls.Wait()
 	is.NoErr(m.Close())
 	body := st.send("GET", "/metrics", "", "", nil).body
 	is.True(strings.Contains(body, `slaterock_edge_requests{code="bad_request",path="chat"} 1`))
 	is.True(strings.Contains(body, "slaterock_edge_first_piece_seconds_count 1"))
 	is.True(strings.Contains(body, "slaterock_edge_calls_under_way 0"))
-	is.True(!strings.Contains(body, "mafuta")) // accounts would grow it without bound
+	is.True(!strings.Contains(body, "mafuta")) // a label per account would be unbounded
 }
--- a/internal/edge/server/silent_test.go
+++ b/internal/edge/server/timeout_test.go
@@ -17,26 +17,26 @@
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 )
 
-// poolLinger is how long the HTTP library's pool outlives its server.
+// poolLinger is how long fasthttp's worker pool outlives its server.
 const poolLinger = 11 * time.Second
 
-// TestMain lets the HTTP library start the goroutine that keeps its date, which
-// never ends, outside all bubbles.
+// TestMain makes fasthttp start the goroutine that updates its cached date outside
+// all synctest bubbles, because that goroutine never ends.
 func TestMain(m *testing.M) {
 	var h fasthttp.ResponseHeader
 	_ = h.Header()
 	os.Exit(m.Run())
 }
 
-// Callers connect and then say nothing, or say it very slowly, because they are
-// broken or mean harm. Each holds a connection; unless it is cut, callers who
-// have something to say find none left.
-func TestSilentCallersAreCut(t *testing.T) {
-	const head = "POST /v1/programs HTTP/1.1\r\nHost: s\r\nAuthorization: Bearer " + tenant + "\r\n"
+// Broken or malicious callers connect and send nothing, or send very slowly. Each
+// occupies a connection; unless the server closes them, it runs out of connections
+// for other callers.
+func TestSlowCallersAreDisconnected(t *testing.T) {
+	const head = "POST /v1/programs HTTP/1.1\r\nHost: s\r\nAuthorization: Bearer " + accountKey + "\r\n"
 	tests := map[string]struct {
-		send   []string // one piece every second
-		status int      // of the answer
-		lasts  time.Duration
+		send    []string // one piece every second
+		status  int      // of the answer
+		timeout time.Duration
 	}{
 		"says nothing":       {nil, 408, DefaultReadTimeout},
 		"stops in the head":  {[]string{head}, 408, DefaultReadTimeout},
@@ -56,7 +56,7 @@
 				c, err := n.Connect(t.Context(), "s")
 				is.NoErr(err)
 				began := time.Now()
-				go trickle(c, tt.send)
+				go sendSlowly(c, tt.send)
 				r := bufio.NewReader(c)
 				res, err := http.ReadResponse(r, nil)
 				is.NoErr(err)
@@ -65,8 +65,8 @@
 				is.NoErr(err)
 				is.NoErr(res.Body.Close())
 				_, err = r.ReadByte()
-				is.True(err != nil) // cut
-				is.True(time.Since(began) <= tt.lasts+time.Second)
+				is.True(err != nil) // closed by the server
+				is.True(time.Since(began) <= tt.timeout+time.Second)
 				is.NoErr(s.Shutdown(t.Context()))
 				is.NoErr(<-done)
 				<-time.After(poolLinger)
@@ -75,7 +75,7 @@
 	}
 }
 
-func trickle(c net.Conn, pieces []string) {
+func sendSlowly(c net.Conn, pieces []string) {
 	for _, p := range pieces {
 		if _, err := c.Write([]byte(p)); err != nil {
 			return
