--- a/cmd/slaterock/dev.go
+++ b/cmd/slaterock/dev.go
@@ -5,12 +5,12 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/slaterock/slaterock/internal/node/trial"
+	"github.com/slaterock/slaterock/internal/node/devenv"
 	"github.com/slaterock/slaterock/internal/obs/logs"
 )
 
 func devCommand() *cobra.Command {
-	var t trial.Trial
+	var t devenv.Env
 	var once, verbose bool
 	c := &cobra.Command{
 		Use:   "dev",
--- a/internal/node/daemon/connect.go
+++ b/internal/node/daemon/connect.go
@@ -29,7 +29,7 @@
 		d.Weights = &wtnet.Client{Line: line.Line{Address: s.Platform.Weights}}
 	}
 	d.Engine = func(address string) engine.Engine {
-		first := d.keeper.Current().Limits.UpstreamTimeout
+		first := d.config.Current().Limits.UpstreamTimeout
 		return &chat.Client{Line: line.Line{Address: address, First: first}}
 	}
 	d.Tool = func(address string) tool.Tool {
@@ -44,19 +44,19 @@
 func (d *Daemon) Apply(ctx context.Context, text []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon: apply") }()
 	select {
-	case <-d.whole:
+	case <-d.assembled:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	_, err = d.keeper.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: apply.Newest, By: operatorName})
+	_, err = d.config.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: apply.Newest, By: operatorName})
 	return err
 }
 
 // Settled reports whether a configuration is in force here and each shard is
 // known to have an owner.
-func (d *Daemon) Settled() bool {
+func (d *Daemon) Converged() bool {
 	select {
-	case <-d.whole:
+	case <-d.assembled:
 	default:
 		return false
 	}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -21,10 +21,10 @@
 	"github.com/slaterock/slaterock/internal/conf/watch"
 	"github.com/slaterock/slaterock/internal/edge/relay"
 	"github.com/slaterock/slaterock/internal/edge/server"
-	"github.com/slaterock/slaterock/internal/node/guard"
 	"github.com/slaterock/slaterock/internal/node/host"
+	"github.com/slaterock/slaterock/internal/node/invoke"
 	"github.com/slaterock/slaterock/internal/node/placer"
-	"github.com/slaterock/slaterock/internal/node/send"
+	"github.com/slaterock/slaterock/internal/node/quotas"
 	"github.com/slaterock/slaterock/internal/node/setup"
 	"github.com/slaterock/slaterock/internal/node/shards"
 	"github.com/slaterock/slaterock/internal/obs/logs"
@@ -45,9 +45,9 @@
 )
 
 const (
-	poolSize     = 16 << 10
-	leaveTime    = 6 * time.Second // a caller may keep an answer of locate for 5 s
-	drainTimeout = 10 * time.Minute
+	poolSize          = 16 << 10
+	defaultDrainGrace = 6 * time.Second // a caller may keep an answer of locate for 5 s
+	drainTimeout      = 10 * time.Minute
 )
 
 type (
@@ -65,27 +65,27 @@
 		Tape     *tape.Tape // records what programs do; nil records nothing
 		// Listen and Peers replace listening on the addresses of the settings.
 		Listen, Peers net.Listener
-		Leave         time.Duration // how long a draining daemon goes on serving; zero is six seconds
+		DrainGrace    time.Duration // how long a draining daemon goes on serving; zero is six seconds
 
-		log    zerolog.Logger
-		scope  tally.Scope
-		pool   *ants.Pool
-		meter  meter.Meter
-		keeper watch.Keeper
-		gossip gossip.Gossip
-		link   link.Link
-		shards shards.Shards
-		shelf  shelf.Shelf
-		guard  guard.Guard
-		placer placer.Placer
-		server server.Server
-		relay  relay.Relay
-		self   beat.Member
-		mu     sync.Mutex
-		drain  chan struct{}
-		once   sync.Once
-		ready  chan struct{}
-		whole  chan struct{} // closed once the parts know each other
+		log       zerolog.Logger
+		scope     tally.Scope
+		pool      *ants.Pool
+		meter     meter.Meter
+		config    watch.Keeper
+		gossip    gossip.Gossip
+		link      link.Link
+		shards    shards.Shards
+		shelf     shelf.Shelf
+		quotas    quotas.Limiter
+		placer    placer.Placer
+		server    server.Server
+		relay     relay.Relay
+		self      beat.Member
+		mu        sync.Mutex
+		drain     chan struct{}
+		once      sync.Once
+		ready     chan struct{}
+		assembled chan struct{} // closed once the parts know each other
 	}
 )
 
@@ -115,11 +115,11 @@
 	d.scope = d.Metric.Scope().SubScope("owner")
 	d.drain = make(chan struct{})
 	d.ready = make(chan struct{})
-	d.whole = make(chan struct{})
+	d.assembled = make(chan struct{})
 	d.self = beat.Member{
 		Name:          d.Settings.Daemon.Name,
-		Address:       either(d.Settings.Daemon.Advertise, d.Listen.Addr().String()),
-		Peer:          either(d.Settings.Peers.Advertise, d.Peers.Addr().String()),
+		Address:       firstNonEmpty(d.Settings.Daemon.Advertise, d.Listen.Addr().String()),
+		Peer:          firstNonEmpty(d.Settings.Peers.Advertise, d.Peers.Addr().String()),
 		FailureDomain: d.Settings.Daemon.FailureDomain,
 		Disk:          d.Settings.Daemon.DataFolder != "",
 		State:         beat.Alive,
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func either(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -151,18 +151,18 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer d.pool.Release()
 	d.assemble(ctx)
-	close(d.whole)
+	close(d.assembled)
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	work.Go(func() { d.measure(ctx) })
+	work.Go(func() { d.reportGauges(ctx) })
 	work.Go(func() { d.placer.Serve(ctx) })
 	work.Go(func() { d.gossip.Run(ctx, beat.Self{Member: d.self, Seeds: d.Settings.Peers.Seeds}) })
-	work.Go(func() { d.failed(stop, d.link.Serve(ctx, d.Peers)) })
-	work.Go(func() { _ = d.keeper.Serve(ctx) })
+	work.Go(func() { d.stopOnError(stop, d.link.Serve(ctx, d.Peers)) })
+	work.Go(func() { _ = d.config.Serve(ctx) })
 	work.Go(func() { d.shards.Serve(ctx) })
-	work.Go(func() { d.guard.Serve(ctx) })
-	work.Go(func() { d.failed(stop, d.server.Serve(d.Listen)) })
+	work.Go(func() { d.quotas.Serve(ctx) })
+	work.Go(func() { d.stopOnError(stop, d.server.Serve(d.Listen)) })
 	select {
 	case <-ctx.Done():
 		cut, done := context.WithCancel(context.Background())
@@ -174,7 +174,7 @@
 	}
 }
 
-func (d *Daemon) failed(stop func(), err error) {
+func (d *Daemon) stopOnError(stop func(), err error) {
 	if err != nil {
 		d.log.Error().Err(err).Msg("daemon stops")
 		stop()
@@ -188,15 +188,15 @@
 	d.log.Info().Msg("draining")
 	d.server.StartDraining()
 	d.update(ctx, func(m *beat.Member) { m.State = beat.Draining })
-	limit := d.keeper.Current().Limits.DrainTimeout
+	limit := d.config.Current().Limits.DrainTimeout
 	if limit <= 0 {
 		limit = drainTimeout
 	}
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	leave := d.Leave
+	leave := d.DrainGrace
 	if leave == 0 {
-		leave = leaveTime
+		leave = defaultDrainGrace
 	}
 	start := time.Now()
 	if err := d.shards.Drain(ctx); err != nil {
@@ -213,7 +213,7 @@
 
 // run runs f on the pool, or on a goroutine of its own when the pool is full:
 // work that waited for a free worker could be what a worker waits for.
-func (d *Daemon) run(f func()) {
+func (d *Daemon) spawn(f func()) {
 	if d.pool.Submit(f) != nil {
 		go f()
 	}
@@ -231,29 +231,29 @@
 func (d *Daemon) assemble(ctx context.Context) {
 	d.meter.Store = d.Store
 	d.meter.OnSuccess = func(at time.Time) {
-		d.run(func() {
+		d.spawn(func() {
 			d.gossip.Reached(ctx, at)
 			d.shards.Reached(ctx, at)
 		})
 	}
 	d.assemblePeers(ctx)
 	d.assembleFolder()
-	d.assembleGuard()
+	d.assembleQuotas()
 	d.assembleShards(ctx)
 	d.assembleEdge(ctx)
-	d.keeper.Self = watch.Member{Name: d.self.Name, Peer: d.self.Peer}
-	d.keeper.Seeds = d.Settings.Peers.Seeds
-	d.keeper.Store = &d.meter
-	d.keeper.Fetch = func(ctx context.Context, peer string, q watch.Question) (a watch.Answer, err error) {
+	d.config.Self = watch.Member{Name: d.self.Name, Peer: d.self.Peer}
+	d.config.Seeds = d.Settings.Peers.Seeds
+	d.config.Store = &d.meter
+	d.config.Fetch = func(ctx context.Context, peer string, q watch.Question) (a watch.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodConfig, q, &a)
 		return a, err
 	}
-	d.keeper.OnChange = func(f file.File) { d.configure(ctx, f) }
+	d.config.OnChange = func(f file.File) { d.configure(ctx, f) }
 }
 
 func (d *Daemon) configure(ctx context.Context, f file.File) {
 	d.log.Info().Uint64("version", f.Version).Msg("configuration in force")
-	d.share()
+	d.allotStore()
 	d.Tape.Configure(f)
 	d.shards.Configure(ctx, f)
 	d.placer.Tell(ctx, nil, sched.Configure{File: f})
@@ -266,7 +266,7 @@
 }
 
 // share gives this daemon its part of the calls that the store takes.
-func (d *Daemon) share() {
+func (d *Daemon) allotStore() {
 	n := 0
 	for _, m := range d.gossip.Members() {
 		if m.State != beat.Down {
@@ -274,7 +274,7 @@
 		}
 	}
 	n = max(n, 1)
-	sys := d.keeper.Current().System
+	sys := d.config.Current().System
 	// Owners write and read more than others, so a share is twice the mean.
 	d.meter.Allow(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
 }
@@ -289,47 +289,47 @@
 func (d *Daemon) assembleShards(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	var mu sync.Mutex
-	draw := func() uint64 {
+	randUint64 := func() uint64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return random.Uint64()
 	}
-	tries := send.Send{Trace: d.Trace, Engine: d.Engine, Tool: d.Tool, First: func(request, upstream string) {
+	invoker := invoke.Invoker{Trace: d.Trace, Engine: d.Engine, Tool: d.Tool, First: func(request, upstream string) {
 		d.placer.Tell(ctx, nil, sched.First{ID: request, Upstream: upstream})
 	}}
 	d.shards = shards.Shards{
 		Name:        d.self.Name,
 		Store:       &d.meter,
-		Rand:        draw,
-		Go:          d.run,
+		Rand:        randUint64,
+		Go:          d.spawn,
 		Log:         d.log,
 		Members:     d.gossip.Members,
 		StoreAge:    d.gossip.StoreAge,
 		Alone:       d.gossip.Alone,
-		Attempt:     tries.Attempt,
+		Attempt:     invoker.Attempt,
 		Trace:       d.Trace,
 		MaxPrograms: d.Settings.Bounds.Programs,
 		Place:       func(h *host.Host, m sched.Message) { d.place(ctx, h, m) },
-		Ended:       d.ended,
-		Owned:       func(s []beat.Shard) { d.update(ctx, func(m *beat.Member) { m.Shards = s }) },
+		OnCallEnd:   d.recordCall,
+		OnOwned:     func(s []beat.Shard) { d.update(ctx, func(m *beat.Member) { m.Shards = s }) },
 		Peers:       &d.shelf,
 		Domain:      d.self.FailureDomain,
 		Offer:       d.offer,
 		Tell:        d.report,
-		Guard:       &d.guard,
+		Limiter:     &d.quotas,
 	}
 	d.shards.Init()
 	d.placer = placer.Placer{
-		Seed:    draw(),
+		Seed:    randUint64(),
 		Engine:  d.Engine,
 		VMs:     d.VMs,
 		Weights: d.Weights,
-		Go:      d.run,
+		Go:      d.spawn,
 		Log:     d.log,
 		Fence:   d.fence,
 		Forward: d.forward,
 		Live:    d.live,
-		Loaded:  d.Tape.Load,
+		OnLoad:  d.Tape.Load,
 	}
 	d.placer.Init()
 }
--- a/internal/node/daemon/daemon_test.go
+++ b/internal/node/daemon/daemon_test.go
@@ -21,5 +21,5 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	is.True(errors.Is(d.Apply(ctx, []byte(examples.Dev)), context.Canceled))
-	is.True(!d.Settled())
+	is.True(!d.Converged())
 }
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -46,8 +46,8 @@
 	b, t := d.Settings.Bounds, d.Settings.Timeouts
 	d.server = server.Server{
 		Runner:  &d.relay,
-		Config:  d.keeper.Current,
-		Account: d.account,
+		Config:  d.config.Current,
+		Account: d.authenticate,
 		Entries: func(program string) locate.Answer {
 			return locate.Entries(d.gossip.Members(), program, d.shardCount())
 		},
@@ -61,7 +61,7 @@
 		Status:      func(context.Context) any { return d.Status() },
 		Drain:       d.Drain,
 		Apply:       d.apply,
-		Text:        func() ([]byte, uint64) { return server.TextOf(d.keeper.Answer) },
+		Text:        func() ([]byte, uint64) { return server.TextOf(d.config.Answer) },
 		MaxHeader:   b.HeaderBytes,
 		MaxConns:    b.Connections,
 		ReadTimeout: t.Read,
@@ -72,11 +72,11 @@
 
 // account finds who a key belongs to. The operator's key of the settings works
 // before any configuration is in force.
-func (d *Daemon) account(key string) (name string, operator, ok bool) {
+func (d *Daemon) authenticate(key string) (name string, operator, ok bool) {
 	if k := d.Settings.Daemon.OperatorKey; k != "" && subtle.ConstantTimeCompare([]byte(k), []byte(key)) == 1 {
 		return operatorName, true, true
 	}
-	name, a, ok := d.keeper.Current().Authenticate(key)
+	name, a, ok := d.config.Current().Authenticate(key)
 	return name, a.Operator, ok
 }
 
@@ -95,7 +95,7 @@
 func (d *Daemon) Status() Status {
 	return Status{
 		Daemon:  d.self.Name,
-		Version: d.keeper.Current().Version,
+		Version: d.config.Current().Version,
 		Shards:  d.shardCount(),
 		Members: d.gossip.Members(),
 		Store:   d.meter.Counts(),
@@ -104,13 +104,13 @@
 }
 
 func (d *Daemon) apply(ctx context.Context, text []byte, from uint64) server.Applied {
-	out, err := d.keeper.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: from, By: operatorName})
+	out, err := d.config.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: from, By: operatorName})
 	return server.Told(from, out, err)
 }
 
 // ended notes how a call ended at its owner. The line that tells support
 // engineers of it is written where the caller was met.
-func (d *Daemon) ended(l owner.Log) {
+func (d *Daemon) recordCall(l owner.Log) {
 	c := l.Call
 	d.Tape.Call(l.Account, l.Program, c)
 	scope := d.scope.Tagged(map[string]string{"kind": string(c.Kind), "code": string(c.Result.Code)})
--- a/internal/node/daemon/gauge.go
+++ b/internal/node/daemon/gauges.go
@@ -7,11 +7,11 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-const measureEvery = time.Second
+const gaugeInterval = time.Second
 
 // measure keeps the gauges that tell how this daemon and the system stand.
-func (d *Daemon) measure(ctx context.Context) {
-	t := time.NewTicker(measureEvery)
+func (d *Daemon) reportGauges(ctx context.Context) {
+	t := time.NewTicker(gaugeInterval)
 	defer t.Stop()
 	scope := d.Metric.Scope().SubScope("node")
 	last := d.meter.Counts()
@@ -29,7 +29,7 @@
 			scope.Tagged(map[string]string{"state": string(s)}).Gauge("daemons").Update(float64(states[s]))
 		}
 		scope.Gauge("shards_owned").Update(float64(len(d.shards.List())))
-		scope.Gauge("config_version").Update(float64(d.keeper.Current().Version))
+		scope.Gauge("config_version").Update(float64(d.config.Current().Version))
 		scope.Gauge("store_age_seconds").Update(d.gossip.StoreAge().Seconds())
 		now := d.meter.Counts()
 		scope.Counter("store_reads").Inc(int64(now.Reads - last.Reads))
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -43,7 +43,7 @@
 		Order    engine.Order `json:"order"`
 	}
 
-	liveness struct {
+	programList struct {
 		Programs []string `json:"programs"`
 	}
 )
@@ -53,43 +53,43 @@
 func (d *Daemon) assemblePeers(ctx context.Context) {
 	d.gossip.Seed = d.self.Incarnation
 	d.gossip.Send = func(to string, p beat.Packet) { d.link.Peer(to).Send(p) }
-	d.gossip.Changed = func(beat.Member) { d.run(func() { d.picture(ctx) }) }
-	d.gossip.Newer = func(version uint64, from string) { d.run(func() { d.keeper.Newer(version, from) }) }
+	d.gossip.Changed = func(beat.Member) { d.spawn(func() { d.membersChanged(ctx) }) }
+	d.gossip.Newer = func(version uint64, from string) { d.spawn(func() { d.config.Newer(version, from) }) }
 	d.link.Address = d.self.Peer
 	d.link.Key = []byte(d.Settings.Peers.Key)
 	d.link.Runner = &d.shards
 	d.link.OnPacket = d.gossip.Take
 	handle(&d.link, methodConfig, func(_ context.Context, q watch.Question) (any, error) {
-		return d.keeper.Answer(q), nil
+		return d.config.Answer(q), nil
 	})
 	handle(&d.link, methodOffer, func(_ context.Context, o offer) (any, error) {
 		d.shards.Offered(ctx, o.Shard)
 		return nil, nil
 	})
 	handle(&d.link, methodOrder, func(ctx context.Context, o order) (any, error) {
-		return nil, d.give(ctx, o.Upstream, o.Order)
+		return nil, d.sendOrder(ctx, o.Upstream, o.Order)
 	})
 	handle(&d.link, methodReport, func(ctx context.Context, r host.Report) (any, error) {
 		return d.shards.Report(ctx, r)
 	})
 	handle(&d.link, methodQuota, func(_ context.Context, a quota.Ask) (any, error) {
-		return d.guard.Answer(a), nil
+		return d.quotas.Answer(a), nil
 	})
-	handle(&d.link, methodLive, func(_ context.Context, l liveness) (any, error) {
-		return liveness{Programs: d.shards.Live(l.Programs)}, nil
+	handle(&d.link, methodLive, func(_ context.Context, l programList) (any, error) {
+		return programList{Programs: d.shards.Live(l.Programs)}, nil
 	})
 }
 
-func (d *Daemon) assembleGuard() {
-	d.guard.Self = d.self.Name
-	d.guard.Members = d.gossip.Members
-	d.guard.Config = d.keeper.Current
-	d.guard.Live = d.shards.Has
-	d.guard.Send = func(ctx context.Context, peer string, a quota.Ask) (r quota.Answer, err error) {
+func (d *Daemon) assembleQuotas() {
+	d.quotas.Self = d.self.Name
+	d.quotas.Members = d.gossip.Members
+	d.quotas.Config = d.config.Current
+	d.quotas.Live = d.shards.Has
+	d.quotas.Send = func(ctx context.Context, peer string, a quota.Ask) (r quota.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodQuota, a, &r)
 		return r, err
 	}
-	d.guard.Init(time.Now())
+	d.quotas.Init(time.Now())
 }
 
 // handle offers a method with typed parameters.
@@ -104,15 +104,15 @@
 }
 
 // picture passes on what changed among the daemons.
-func (d *Daemon) picture(context.Context) {
+func (d *Daemon) membersChanged(context.Context) {
 	var list []watch.Member
 	for _, m := range d.gossip.Members() {
 		if m.State == beat.Alive {
 			list = append(list, watch.Member{Name: m.Name, Peer: m.Peer})
 		}
 	}
-	d.keeper.Members(list)
-	d.share()
+	d.config.Members(list)
+	d.allotStore()
 }
 
 func (d *Daemon) offer(ctx context.Context, to beat.Member, shard int) error {
@@ -120,7 +120,7 @@
 }
 
 // report tells a shard's present owner of an attempt that goes on here.
-func (d *Daemon) report(ctx context.Context, r host.Report) (a host.Receipt, err error) {
+func (d *Daemon) report(ctx context.Context, r host.Report) (a host.ReportReply, err error) {
 	m, ok := locate.Owner(d.gossip.Members(), r.Shard)
 	if !ok {
 		return a, errNoOwner
@@ -138,13 +138,13 @@
 // have sent have run out; it would take them in any sequence.
 func (d *Daemon) fence(upstream string) (uint64, bool) {
 	epoch, since, here := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
-	if !d.keeper.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
+	if !d.config.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
 		here = false
 	}
 	return epoch, here
 }
 
-func (d *Daemon) shardCount() int { return d.keeper.Current().System.Shards }
+func (d *Daemon) shardCount() int { return d.config.Current().System.Shards }
 
 // forward has an order given by the daemon that all orders to the engine go
 // through.
@@ -157,9 +157,9 @@
 }
 
 // give gives an order to an engine on behalf of another daemon.
-func (d *Daemon) give(ctx context.Context, upstream string, o engine.Order) error {
+func (d *Daemon) sendOrder(ctx context.Context, upstream string, o engine.Order) error {
 	fence, here := d.fence(upstream)
-	u, known := d.keeper.Current().Upstreams[upstream]
+	u, known := d.config.Current().Upstreams[upstream]
 	if !here || !known {
 		return errNoOwner
 	}
@@ -184,8 +184,8 @@
 			out = append(out, d.shards.Live(ps)...)
 			continue
 		}
-		var l liveness
-		if err := d.link.Peer(peer).Invoke(ctx, methodLive, liveness{Programs: ps}, &l); err != nil {
+		var l programList
+		if err := d.link.Peer(peer).Invoke(ctx, methodLive, programList{Programs: ps}, &l); err != nil {
 			out = append(out, ps...)
 			continue
 		}
@@ -195,13 +195,13 @@
 }
 
 // hop is the way to another daemon's Runner, with a span for each relayed call.
-type hop struct {
+type tracedRemote struct {
 	relay.Remote
 	trace   *trace.Trace
 	address string
 }
 
-func (h hop) Try(ctx context.Context, c call.Call, sink runner.Sink) (r result.Result, err error) {
+func (h tracedRemote) Try(ctx context.Context, c call.Call, sink runner.Sink) (r result.Result, err error) {
 	ctx, span := h.trace.Start(ctx, trace.Relay, c.TraceParent, attribute.String("request", c.Request), attribute.String("peer", h.address))
 	c.TraceParent = span.Parent()
 	defer func() { span.End(err) }()
@@ -209,5 +209,5 @@
 }
 
 func (d *Daemon) peer(address string) relay.Remote {
-	return hop{Remote: d.link.Peer(address), trace: d.Trace, address: address}
+	return tracedRemote{Remote: d.link.Peer(address), trace: d.Trace, address: address}
 }
--- a/internal/node/trial/trial.go
+++ b/internal/node/devenv/devenv.go
@@ -3,7 +3,7 @@
 //
 // It is what `slaterock dev` starts. The daemons are the real ones and talk over
 // loopback, to each other as to the stand-ins.
-package trial
+package devenv
 
 import (
 	"context"
@@ -28,18 +28,18 @@
 	// Key is the development account's key in examples/dev.ini.
 	Key = "dev.secret"
 
-	peerKey   = "development-peer-key"
-	daemons   = 3
-	firstPort = 7400
-	firstPeer = 7410
-	anyPort   = "127.0.0.1:0"
-	startTime = 30 * time.Second
-	pollEvery = 20 * time.Millisecond
+	peerKey       = "development-peer-key"
+	daemons       = 3
+	firstPort     = 7400
+	firstPeerPort = 7410
+	anyPort       = "127.0.0.1:0"
+	startTimeout  = 30 * time.Second
+	pollInterval  = 20 * time.Millisecond
 )
 
 type (
 	// Trial is the system. Start it, use Address, then Stop.
-	Trial struct {
+	Env struct {
 		AnyPorts bool // listen on ports that the system chooses
 		Speed    float64
 		Logs     logs.Logs
@@ -61,104 +61,104 @@
 
 // Start starts everything and applies the development configuration. It
 // returns when each shard has an owner.
-func (t *Trial) Start(ctx context.Context) (err error) {
+func (e *Env) Start(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "start development system") }()
-	ctx, t.cancel = context.WithCancel(ctx)
-	if !t.AnyPorts {
-		t.Site.Listen = upstreams
+	ctx, e.cancel = context.WithCancel(ctx)
+	if !e.AnyPorts {
+		e.Site.Listen = upstreams
 	}
-	t.Site.Speed = t.Speed
-	if err = t.Site.Start(ctx); err != nil {
+	e.Site.Speed = e.Speed
+	if err = e.Site.Start(ctx); err != nil {
 		return err
 	}
-	t.errs = make(chan error, daemons)
+	e.errs = make(chan error, daemons)
 	for i := range daemons {
-		if err = t.startDaemon(ctx, i); err != nil {
+		if err = e.startDaemon(ctx, i); err != nil {
 			return err
 		}
 	}
-	wait, stop := context.WithTimeout(ctx, startTime)
+	wait, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
-	if err = t.apply(wait); err != nil {
+	if err = e.apply(wait); err != nil {
 		return err
 	}
-	return t.settle(wait)
+	return e.waitConverged(wait)
 }
 
-func (t *Trial) startDaemon(ctx context.Context, i int) error {
-	d := &daemon.Daemon{Settings: t.settings(i)}
+func (e *Env) startDaemon(ctx context.Context, i int) error {
+	d := &daemon.Daemon{Settings: e.settings(i)}
 	d.Connect()
-	d.Logs = t.Logs.WithDaemon(d.Settings.Daemon.Name)
+	d.Logs = e.Logs.WithDaemon(d.Settings.Daemon.Name)
 	d.Metric = metric.New()
 	if err := d.Init(ctx); err != nil {
 		return err
 	}
-	t.daemons = append(t.daemons, d)
-	t.work.Go(func() {
+	e.daemons = append(e.daemons, d)
+	e.work.Go(func() {
 		if err := d.Run(ctx); err != nil {
-			t.errs <- err
+			e.errs <- err
 		}
 	})
 	return nil
 }
 
-func (t *Trial) settings(i int) setup.Settings {
+func (e *Env) settings(i int) setup.Settings {
 	s := setup.Settings{}
 	s.Daemon = setup.Daemon{
 		Name:          string(rune('a' + i)),
 		FailureDomain: string(rune('a' + i)),
-		Listen:        t.address(firstPort + i),
+		Listen:        e.address(firstPort + i),
 	}
-	s.Peers = setup.Peers{Listen: t.address(firstPeer + i), Key: peerKey}
+	s.Peers = setup.Peers{Listen: e.address(firstPeerPort + i), Key: peerKey}
 	if i > 0 {
-		s.Peers.Seeds = []string{t.daemons[0].Peer()}
+		s.Peers.Seeds = []string{e.daemons[0].Peer()}
 	}
 	s.Platform = setup.Platform{
-		Store:   t.Site.Address(site.Store),
-		VMList:  t.Site.Address(site.VMs),
-		Weights: t.Site.Address(site.Weights),
+		Store:   e.Site.Address(site.Store),
+		VMList:  e.Site.Address(site.VMs),
+		Weights: e.Site.Address(site.Weights),
 	}
 	return s
 }
 
-func (t *Trial) address(port int) string {
-	if t.AnyPorts {
+func (e *Env) address(port int) string {
+	if e.AnyPorts {
 		return anyPort
 	}
 	return fmt.Sprintf("127.0.0.1:%d", port)
 }
 
 // Client returns a caller of the i-th daemon with the development key.
-func (t *Trial) Client(i int) client.Client {
-	return client.Client{Address: t.daemons[i].Address(), Key: Key}
+func (e *Env) Client(i int) client.Client {
+	return client.Client{Address: e.daemons[i].Address(), Key: Key}
 }
 
 // Address is where callers reach the first daemon.
-func (t *Trial) Address() string { return t.daemons[0].Address() }
+func (e *Env) Address() string { return e.daemons[0].Address() }
 
-func (t *Trial) apply(ctx context.Context) error {
+func (e *Env) apply(ctx context.Context) error {
 	text := examples.Dev
 	for p, address := range upstreams {
-		text = strings.ReplaceAll(text, address, t.Site.Address(p))
+		text = strings.ReplaceAll(text, address, e.Site.Address(p))
 	}
-	return t.daemons[0].Apply(ctx, []byte(text))
+	return e.daemons[0].Apply(ctx, []byte(text))
 }
 
 // settle waits until every daemon runs the configuration and every shard has an
 // owner that all know.
-func (t *Trial) settle(ctx context.Context) error {
-	tick := time.NewTicker(pollEvery)
+func (e *Env) waitConverged(ctx context.Context) error {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		ready := true
-		for _, d := range t.daemons {
-			ready = ready && d.Settled()
+		for _, d := range e.daemons {
+			ready = ready && d.Converged()
 		}
 		if ready {
 			return nil
 		}
 		select {
-		case err := <-t.errs:
+		case err := <-e.errs:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
@@ -168,9 +168,9 @@
 }
 
 // Wait returns when a daemon fails or ctx ends.
-func (t *Trial) Wait(ctx context.Context) error {
+func (e *Env) Wait(ctx context.Context) error {
 	select {
-	case err := <-t.errs:
+	case err := <-e.errs:
 		return err
 	case <-ctx.Done():
 		return nil
@@ -178,24 +178,24 @@
 }
 
 // Stop ends everything.
-func (t *Trial) Stop() {
-	if t.cancel != nil {
-		t.cancel()
+func (e *Env) Stop() {
+	if e.cancel != nil {
+		e.cancel()
 	}
-	t.work.Wait()
-	t.Site.Close()
+	e.work.Wait()
+	e.Site.Close()
 }
 
 // Dev starts the system, says where it is, and runs until ctx ends. With once it
 // runs one program and reports its history instead.
-func (t *Trial) Dev(ctx context.Context, w io.Writer, once bool) error {
-	defer t.Stop()
-	if err := t.Start(ctx); err != nil {
+func (e *Env) Dev(ctx context.Context, w io.Writer, runOnce bool) error {
+	defer e.Stop()
+	if err := e.Start(ctx); err != nil {
 		return err
 	}
-	if once {
-		return t.once(ctx, w)
+	if runOnce {
+		return e.runOnce(ctx, w)
 	}
-	_, _ = fmt.Fprintf(w, "ready http://%s\n", t.Address())
-	return t.Wait(ctx)
+	_, _ = fmt.Fprintf(w, "ready http://%s\n", e.Address())
+	return e.Wait(ctx)
 }
--- a/internal/node/trial/once.go
+++ b/internal/node/devenv/once.go
@@ -1,4 +1,4 @@
-package trial
+package devenv
 
 import (
 	"context"
@@ -19,65 +19,65 @@
 )
 
 const (
-	onceProgram = "pickup-1"
-	onceTokens  = 64
-	releaseTime = 10 * time.Second
+	onceProgram    = "pickup-1"
+	onceTokens     = 64
+	releaseTimeout = 10 * time.Second
 )
 
 // once runs one agent program: a model call, a receipt that may be issued once,
 // and a model call that has the receipt. Each call goes to another daemon, as a
 // caller's would whose addresses changed.
-func (t *Trial) once(ctx context.Context, w io.Writer) (err error) {
+func (e *Env) runOnce(ctx context.Context, w io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "run one program") }()
-	if err = t.Client(0).Open(ctx, call.Open{Program: onceProgram, Agent: "pickup"}); err != nil {
+	if err = e.Client(0).Open(ctx, call.Open{Program: onceProgram, Agent: "pickup"}); err != nil {
 		return err
 	}
-	talk := []client.Message{{Role: "user", Content: "Arrange the pickup of two drums at the hotel's kitchen."}}
-	first, err := t.Client(0).Chat(ctx, onceProgram, 0, onceTokens, talk, nil)
+	messages := []client.Message{{Role: "user", Content: "Arrange the pickup of two drums at the hotel's kitchen."}}
+	first, err := e.Client(0).Chat(ctx, onceProgram, 0, onceTokens, messages, nil)
 	if err != nil {
 		return err
 	}
-	receipt, err := t.Client(1).Service(ctx, onceProgram, 1, "receipts/issue", []byte(`{"drums":2,"kg":310}`))
+	receipt, err := e.Client(1).Service(ctx, onceProgram, 1, "receipts/issue", []byte(`{"drums":2,"kg":310}`))
 	if err != nil {
 		return err
 	}
-	again, err := t.Client(2).Service(ctx, onceProgram, 1, "receipts/issue", []byte(`{"drums":2,"kg":310}`))
+	again, err := e.Client(2).Service(ctx, onceProgram, 1, "receipts/issue", []byte(`{"drums":2,"kg":310}`))
 	if err != nil {
 		return err
 	}
-	talk = append(talk,
+	messages = append(messages,
 		client.Message{Role: "assistant", Content: first.Text},
 		client.Message{Role: "tool", Content: receipt.Text})
-	last, err := t.Client(2).Chat(ctx, onceProgram, 2, onceTokens, talk, nil)
+	last, err := e.Client(2).Chat(ctx, onceProgram, 2, onceTokens, messages, nil)
 	if err != nil {
 		return err
 	}
-	if err = t.Client(1).End(ctx, onceProgram, call.Finish); err != nil {
+	if err = e.Client(1).End(ctx, onceProgram, call.Finish); err != nil {
 		return err
 	}
-	h, err := t.Client(2).History(ctx, onceProgram)
+	h, err := e.Client(2).History(ctx, onceProgram)
 	if err != nil {
 		return err
 	}
 	(&report.Report{Out: w}).History(h)
-	if err = t.released(ctx); err != nil {
+	if err = e.waitReleased(ctx); err != nil {
 		return err
 	}
-	return t.check(h, first, receipt, again, last)
+	return e.verify(h, first, receipt, again, last)
 }
 
 // released waits until the engines hold nothing for the program that ended.
-func (t *Trial) released(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, releaseTime)
+func (e *Env) waitReleased(ctx context.Context) error {
+	ctx, stop := context.WithTimeout(ctx, releaseTimeout)
 	defer stop()
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		first, err := t.Site.E1.Held(ctx)
+		first, err := e.Site.E1.Held(ctx)
 		if err != nil {
 			return err
 		}
-		second, err := t.Site.E2.Held(ctx)
+		second, err := e.Site.E2.Held(ctx)
 		if err != nil || len(first)+len(second) == 0 {
 			return err
 		}
@@ -91,16 +91,16 @@
 
 // check compares what the caller saw, what the upstreams saw and what the
 // history says.
-func (t *Trial) check(h hist.History, first, receipt, again, last client.Answer) error {
-	var broken []string
+func (e *Env) verify(h hist.History, first, receipt, again, last client.Answer) error {
+	var violations []string
 	note := func(bad bool, format string, args ...any) {
 		if bad {
-			broken = append(broken, fmt.Sprintf(format, args...))
+			violations = append(violations, fmt.Sprintf(format, args...))
 		}
 	}
 	note(receipt.Text != again.Text, "a repeated call got another answer")
-	note(len(t.Site.Ledger.Calls()) != 1, "the receipt ran %d times", len(t.Site.Ledger.Calls()))
-	note(!t.loaded(), "the engine was not ordered to load its model")
+	note(len(e.Site.Ledger.Calls()) != 1, "the receipt ran %d times", len(e.Site.Ledger.Calls()))
+	note(!e.loaded(), "the engine was not ordered to load its model")
 	note(len(h.Calls) != 3, "the history has %d calls, not 3", len(h.Calls))
 	note(h.Ended != string(call.Finish), "the program ended as %q", h.Ended)
 	note(h.Spent > h.Budget, "spent %d of %d tokens", h.Spent, h.Budget)
@@ -110,15 +110,15 @@
 			note(h.Calls[i].Number != i, "call %d stands at place %d", h.Calls[i].Number, i)
 		}
 	}
-	if len(broken) > 0 {
-		return errors.Newf("broken promises: %s", strings.Join(broken, "; "))
+	if len(violations) > 0 {
+		return errors.Newf("broken promises: %s", strings.Join(violations, "; "))
 	}
 	return nil
 }
 
 // loaded reports whether the first engine took the order to load its model.
-func (t *Trial) loaded() bool {
-	return slices.ContainsFunc(t.Site.E1.Orders(), func(o model.Taken) bool {
+func (e *Env) loaded() bool {
+	return slices.ContainsFunc(e.Site.E1.Orders(), func(o model.Taken) bool {
 		return o.Kind == engine.OrderLoad && o.Target == "chat" && !o.Refused
 	})
 }
--- a/internal/node/host/tail.go
+++ b/internal/node/host/handover.go
@@ -12,7 +12,7 @@
 type (
 	// Tail is an attempt under way. After a handover the daemon that started
 	// it goes on with it and reports to the shard's next owner.
-	Tail struct {
+	RunningAttempt struct {
 		Request  string
 		Upstream string
 		Feed     *feed.Feed
@@ -25,16 +25,16 @@
 	Report struct {
 		Shard   int          `json:"shard"`
 		Request string       `json:"request"`
-		At      int          `json:"at"`
+		Offset  int          `json:"at"`
 		Text    string       `json:"text,omitempty"`
 		Ended   *owner.Tried `json:"ended,omitempty"`
 	}
 
 	// Receipt answers a Report. Known false tells that nobody waits for the
 	// attempt any more. Have is how much of the text has arrived.
-	Receipt struct {
-		Known bool `json:"known"`
-		Have  int  `json:"have"`
+	ReportReply struct {
+		Known    bool `json:"known"`
+		Received int  `json:"have"`
 	}
 )
 
@@ -43,8 +43,8 @@
 
 // Tails returns the attempts that were under way when the host was drained.
 // Call it after Drained and Done.
-func (h *Host) Tails() []*Tail {
-	var ts []*Tail
+func (h *Host) RunningAttempts() []*RunningAttempt {
+	var ts []*RunningAttempt
 	for _, by := range h.attempts {
 		for _, t := range by {
 			ts = append(ts, t)
@@ -55,36 +55,36 @@
 
 // stopAttempts cancels what is under way, unless it was handed over.
 func (h *Host) stopAttempts() {
-	if h.tailing {
+	if h.handedOver {
 		return
 	}
-	for _, t := range h.Tails() {
+	for _, t := range h.RunningAttempts() {
 		t.Cancel()
 	}
 }
 
 // Report takes in what the shard's former owner tells of an attempt.
-func (h *Host) Report(ctx context.Context, r Report) (Receipt, error) {
-	ch := make(chan Receipt, 1)
-	h.post(look{f: func() { ch <- h.report(r) }})
+func (h *Host) Report(ctx context.Context, r Report) (ReportReply, error) {
+	ch := make(chan ReportReply, 1)
+	h.post(task{f: func() { ch <- h.report(r) }})
 	select {
 	case a := <-ch:
 		return a, nil
 	case <-ctx.Done():
-		return Receipt{}, ctx.Err()
+		return ReportReply{}, ctx.Err()
 	case <-h.done:
-		return Receipt{}, ErrNotOwner
+		return ReportReply{}, ErrNotOwner
 	}
 }
 
-func (h *Host) report(r Report) Receipt {
+func (h *Host) report(r Report) ReportReply {
 	if !h.machine.Knows(r.Request) {
-		return Receipt{}
+		return ReportReply{}
 	}
-	have := h.feed(r.Request).Extend(r.At, r.Text)
+	have := h.feed(r.Request).Extend(r.Offset, r.Text)
 	h.step(owner.Tail{Request: r.Request})
 	if r.Ended != nil {
 		h.step(*r.Ended)
 	}
-	return Receipt{Known: true, Have: have}
+	return ReportReply{Known: true, Received: have}
 }
--- a/internal/node/host/look.go
+++ b/internal/node/host/history.go
@@ -17,7 +17,7 @@
 
 type (
 	// follower hands the pieces of a feed to a sink, from the start.
-	follower struct {
+	feedReader struct {
 		sink runner.Sink
 		feed *feed.Feed
 		at   int
@@ -26,7 +26,7 @@
 )
 
 // deliver hands on what is new; false tells that the caller is gone.
-func (f *follower) deliver() bool {
+func (f *feedReader) deliver() bool {
 	text, more := f.feed.After(f.at)
 	f.more = more
 	if text == "" || f.sink == nil {
@@ -37,7 +37,7 @@
 }
 
 // recall answers a repeat from the journal.
-func (h *Host) recall(e owner.Recall) {
+func (h *Host) answerRecorded(e owner.Recall) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
 	c, ok, err := h.journal().Call(ctx, e.Program, e.Number, e.Entries)
@@ -52,7 +52,7 @@
 }
 
 // past reads a family's histories and picks one.
-func (h *Host) past(ctx context.Context, account string, hash uint64, choose func([]hist.History) (hist.History, bool)) (hist.History, result.Result) {
+func (h *Host) readHistory(ctx context.Context, account string, hash uint64, choose func([]hist.History) (hist.History, bool)) (hist.History, result.Result) {
 	refs, ok := h.refs(ctx, hash)
 	if !ok {
 		return hist.History{}, notFound()
@@ -60,13 +60,13 @@
 	if refs.Programs == nil {
 		g, err := fold.Find(ctx, h.Store, h.Shard, refs.At, hash)
 		if err != nil {
-			return hist.History{}, unread(err)
+			return hist.History{}, readFailed(err)
 		}
 		refs.Programs = g.Programs
 	}
 	hs, err := h.journal().Family(ctx, refs.Programs, refs.Pending)
 	if err != nil {
-		return hist.History{}, unread(err)
+		return hist.History{}, readFailed(err)
 	}
 	for i := range hs {
 		hs[i].Calls = append(hs[i].Calls, refs.Live[hs[i].Program]...)
@@ -88,7 +88,7 @@
 		ok   bool
 	}
 	ch := make(chan answer, 1)
-	h.post(look{f: func() {
+	h.post(task{f: func() {
 		r, ok := h.machine.Refs(hash)
 		ch <- answer{r, ok}
 	}})
@@ -105,11 +105,11 @@
 	return result.Refuse(result.CodeNotFound, "no such program or request")
 }
 
-func unread(err error) result.Result {
+func readFailed(err error) result.Result {
 	return result.Refuse(result.CodeStoreDown, "the history can't be read now: %s", errors.UnwrapAll(err)).WithRetryAfter(storeTimeout)
 }
 
-func pick(hs []hist.History, i int) (hist.History, bool) {
+func historyAt(hs []hist.History, i int) (hist.History, bool) {
 	if i < 0 {
 		return hist.History{}, false
 	}
@@ -119,21 +119,21 @@
 // only returns the program that has the request, with that call alone. A repeat
 // of a call has a name of its own that no record has; its call's number leads to
 // the call that it repeated, if just one program of the family has that number.
-func only(hs []hist.History, request string) (hist.History, bool) {
-	if p, n := having(hs, func(c hist.Call) bool { return c.Request == request }); n > 0 {
+func findRequest(hs []hist.History, request string) (hist.History, bool) {
+	if p, n := findCall(hs, func(c hist.Call) bool { return c.Request == request }); n > 0 {
 		return p, true
 	}
 	number, ok := requestNumber(request)
 	if !ok {
 		return hist.History{}, false
 	}
-	p, n := having(hs, func(c hist.Call) bool { return c.Number == number && c.Result.Ran != result.No })
+	p, n := findCall(hs, func(c hist.Call) bool { return c.Number == number && c.Result.Ran != result.No })
 	return p, n == 1
 }
 
 // having returns the last program that has such a call, with the last such call
 // alone, and how many programs have one.
-func having(hs []hist.History, is func(hist.Call) bool) (found hist.History, n int) {
+func findCall(hs []hist.History, is func(hist.Call) bool) (found hist.History, n int) {
 	for _, p := range hs {
 		for i := len(p.Calls) - 1; i >= 0; i-- {
 			if is(p.Calls[i]) {
@@ -170,7 +170,7 @@
 // Live reports whether the program is open, as far as can be told.
 func (h *Host) Live(program string) bool {
 	ch := make(chan bool, 1)
-	h.post(look{f: func() { ch <- h.machine.Live(program) }})
+	h.post(task{f: func() { ch <- h.machine.Live(program) }})
 	select {
 	case live := <-ch:
 		return live
--- a/internal/node/host/look_test.go
+++ b/internal/node/host/history_test.go
@@ -12,7 +12,7 @@
 // A support engineer has the name that a response carried. It may be a repeat's,
 // which joined a call or was answered from the journal and has no record of its
 // own.
-func TestOnly(t *testing.T) {
+func TestFindRequest(t *testing.T) {
 	call := func(request string, number int, ran result.Ran) hist.Call {
 		return hist.Call{Request: request, Number: number, Result: result.Result{Ran: ran}}
 	}
@@ -34,7 +34,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, ok := only(family, tt.request)
+			h, ok := findRequest(family, tt.request)
 			is.Equal(ok, tt.found != "")
 			if ok {
 				is.Equal(h.Program, tt.program)
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -31,12 +31,12 @@
 )
 
 const (
-	mailbox      = 1024
-	tickEvery    = 20 * time.Millisecond
+	mailboxSize  = 1024
+	tickInterval = 20 * time.Millisecond
 	storeTimeout = 5 * time.Second
 	// saveEvery is after how many journal entries a snapshot is taken. It
 	// bounds what a takeover reads.
-	saveEvery = 256
+	snapshotEntries = 256
 )
 
 type (
@@ -48,70 +48,70 @@
 	// Host owns one shard from Start until its context ends, it is fenced, or
 	// it is drained.
 	Host struct {
-		Taken   boot.Taken
-		Shard   int
-		Name    string // of the daemon
-		Store   store.Store
-		Hold    time.Time // no dispatch before
-		Attempt Attempt
-		Place   func(h *Host, m sched.Message)
-		Log     func(l owner.Log)
-		Proved  func(h *Host) // a Verify was answered
-		Trace   *trace.Trace
-		Go      func(f func()) // runs f on the daemon's pool, or at once elsewhere
-		Rand    func() uint64
+		Taken      boot.Taken
+		Shard      int
+		Name       string // of the daemon
+		Store      store.Store
+		Hold       time.Time // no dispatch before
+		Attempt    Attempt
+		Place      func(h *Host, m sched.Message)
+		Log        func(l owner.Log)
+		OnVerified func(h *Host) // a Verify was answered
+		Trace      *trace.Trace
+		Go         func(f func()) // runs f on the daemon's pool, or at once elsewhere
+		Rand       func() uint64
 		// Peers reaches the data folders; Domain is the daemon's own failure
 		// domain.
 		Peers  bulk.Peers
 		Domain string
 
-		machine  owner.Owner
-		mail     chan any
-		done     chan struct{}
-		drained  chan struct{}
-		cancel   context.CancelFunc
-		ctx      context.Context //nolint:containedctx // ends all work of the host
-		life     context.Context //nolint:containedctx // ends all attempts
-		tailing  bool
-		mu       sync.Mutex
-		tickets  map[owner.Ticket]*ticket
-		next     owner.Ticket
-		attempts map[string]map[string]*Tail // request, upstream
-		feeds    map[string]*feed.Feed
-		parents  map[string]string     // traceparent by request, until its outcome is known
-		commits  map[string]trace.Span // outcomes on their way to the journal
-		savedAt  uint64
-		saving   bool
-		fenced   bool
-		bulk     *bulk.Bulk             // nil while no data folder is known
-		folders  map[string]beat.Member // daemons with a data folder
-		movedMu  sync.Mutex
-		moved    []hist.Blob // with new holders, for the journal
+		machine    owner.Owner
+		inbox      chan any
+		done       chan struct{}
+		drained    chan struct{}
+		cancel     context.CancelFunc
+		ctx        context.Context //nolint:containedctx // ends all work of the host
+		attemptCtx context.Context //nolint:containedctx // ends all attempts
+		handedOver bool
+		mu         sync.Mutex
+		waiters    map[owner.Ticket]*waiter
+		next       owner.Ticket
+		attempts   map[string]map[string]*RunningAttempt // request, upstream
+		feeds      map[string]*feed.Feed
+		parents    map[string]string     // traceparent by request, until its outcome is known
+		commits    map[string]trace.Span // outcomes on their way to the journal
+		savedUpto  uint64
+		saving     bool
+		fenced     bool
+		bulk       *bulk.Bulk             // nil while no data folder is known
+		folders    map[string]beat.Member // daemons with a data folder
+		movedMu    sync.Mutex
+		moved      []hist.Blob // with new holders, for the journal
 	}
 
-	ticket struct {
+	waiter struct {
 		reply chan result.Result
 		feed  chan *feed.Feed
 	}
 
-	look struct{ f func() }
+	task struct{ f func() }
 )
 
 var _ runner.Runner = (*Host)(nil)
 
 // Start begins to own the shard. The host ends with ctx.
 func (h *Host) Start(ctx context.Context) {
-	h.life = ctx
+	h.attemptCtx = ctx
 	h.ctx, h.cancel = context.WithCancel(ctx)
-	h.mail = make(chan any, mailbox)
+	h.inbox = make(chan any, mailboxSize)
 	h.done = make(chan struct{})
 	h.drained = make(chan struct{})
-	h.tickets = map[owner.Ticket]*ticket{}
-	h.attempts = map[string]map[string]*Tail{}
+	h.waiters = map[owner.Ticket]*waiter{}
+	h.attempts = map[string]map[string]*RunningAttempt{}
 	h.feeds = map[string]*feed.Feed{}
 	h.parents = map[string]string{}
 	h.commits = map[string]trace.Span{}
-	h.savedAt = h.Taken.Snap.Head.Upto
+	h.savedUpto = h.Taken.Snap.Head.Upto
 	h.machine = owner.Owner{Fold: h.Taken.Fold, Hold: h.Hold}
 	h.machine.Chain = chain.Chain{Shard: h.Shard, Epoch: h.Taken.Epoch, Owner: h.Name, Next: h.Taken.Next, Rand: h.Rand}
 	if len(h.machine.Fold.Older)+len(h.machine.Fold.Texts) > 0 {
@@ -149,7 +149,7 @@
 
 func (h *Host) post(m any) bool {
 	select {
-	case h.mail <- m:
+	case h.inbox <- m:
 		return true
 	case <-h.ctx.Done():
 		return false
@@ -160,16 +160,16 @@
 	defer close(h.done)
 	defer h.stopAttempts()
 	defer h.cancel()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
-		case m := <-h.mail:
+		case m := <-h.inbox:
 			h.handle(m)
 		case <-t.C:
-			h.tellMoved()
+			h.journalMoved()
 			h.step(owner.Tick{})
 		}
 	}
@@ -182,18 +182,18 @@
 			h.parents[c.Call.Request] = c.Call.TraceParent
 		}
 		h.step(m)
-	case look:
+	case task:
 		m.f()
 	}
 }
 
 func (h *Host) step(m owner.Message) {
 	for _, e := range h.machine.Step(time.Now(), m) {
-		h.carry(e)
+		h.apply(e)
 	}
 }
 
-func (h *Host) carry(e owner.Effect) {
+func (h *Host) apply(e owner.Effect) {
 	switch e := e.(type) {
 	case owner.Write:
 		h.Go(func() { h.write(e.Effect) })
@@ -206,44 +206,44 @@
 			a.Cancel()
 		}
 	case owner.Join:
-		if t := h.ticket(e.Ticket); t != nil {
+		if t := h.waiter(e.Ticket); t != nil {
 			t.feed <- h.feed(e.Request)
 		}
 	case owner.Reply:
-		h.recorded(e.Request)
+		h.endCommitSpan(e.Request)
 		h.reply(e.Ticket, e.Result)
 	case owner.Keep:
-		h.Go(func() { h.keep(e) })
+		h.Go(func() { h.storeTexts(e) })
 	case owner.Unkeep:
-		h.unkeep(e.Blob)
+		h.releaseText(e.Blob)
 	case owner.Recall:
-		h.Go(func() { h.recall(e) })
+		h.Go(func() { h.answerRecorded(e) })
 	case owner.Log:
 		delete(h.feeds, e.Call.Request)
-		h.recording(e.Call.Request)
+		h.startCommitSpan(e.Call.Request)
 		h.Log(e)
 	case owner.Saving:
 		h.save()
 	case owner.Verified:
-		h.Proved(h)
+		h.OnVerified(h)
 	case owner.Fenced:
 		h.fenced = true
 		h.cancel()
 	case owner.Drained:
-		h.tailing = true
+		h.handedOver = true
 		close(h.drained)
 	}
 }
 
 // recording begins the hop in which a request's outcome goes to the store.
-func (h *Host) recording(request string) {
+func (h *Host) startCommitSpan(request string) {
 	if parent, ok := h.parents[request]; ok {
 		delete(h.parents, request)
 		_, h.commits[request] = h.Trace.Start(h.ctx, trace.Store, parent, attribute.String("request", request))
 	}
 }
 
-func (h *Host) recorded(request string) {
+func (h *Host) endCommitSpan(request string) {
 	if span, ok := h.commits[request]; ok {
 		delete(h.commits, request)
 		span.End(nil)
@@ -261,22 +261,22 @@
 }
 
 func (h *Host) dispatch(d owner.Dispatch) {
-	ctx, stop := context.WithCancel(h.life)
+	ctx, stop := context.WithCancel(h.attemptCtx)
 	if h.attempts[d.Request] == nil {
-		h.attempts[d.Request] = map[string]*Tail{}
+		h.attempts[d.Request] = map[string]*RunningAttempt{}
 	}
-	a := &Tail{Request: d.Request, Upstream: d.Upstream, Feed: h.feed(d.Request), Cancel: stop, Done: make(chan owner.Tried, 1)}
+	a := &RunningAttempt{Request: d.Request, Upstream: d.Upstream, Feed: h.feed(d.Request), Cancel: stop, Done: make(chan owner.Tried, 1)}
 	h.attempts[d.Request][d.Upstream] = a
 	h.Go(func() {
 		t := h.Attempt(ctx, d, a.Feed)
 		stop()
 		a.Done <- t
-		h.post(look{f: func() { h.tried(t) }})
+		h.post(task{f: func() { h.attemptEnded(t) }})
 	})
 }
 
-func (h *Host) tried(t owner.Tried) {
-	if h.tailing {
+func (h *Host) attemptEnded(t owner.Tried) {
+	if h.handedOver {
 		return // the next owner is told
 	}
 	delete(h.attempts[t.Request], t.Upstream)
@@ -331,7 +331,7 @@
 
 // save takes a snapshot when enough entries have come since the last one.
 func (h *Host) save() {
-	if h.saving || h.machine.Fold.Upto < h.savedAt+saveEvery {
+	if h.saving || h.machine.Fold.Upto < h.savedUpto+snapshotEntries {
 		return
 	}
 	h.saving = true
@@ -340,13 +340,13 @@
 		ctx, stop := context.WithTimeout(h.ctx, 10*storeTimeout)
 		defer stop()
 		gone, err := h.Taken.Snap.Save(ctx, f)
-		h.post(look{f: func() { h.saved(f.Upto, gone, err) }})
+		h.post(task{f: func() { h.saved(f.Upto, gone, err) }})
 	})
 }
 
 func (h *Host) saved(upto uint64, gone map[uint64]uint32, err error) {
 	h.saving = false
-	h.savedAt = upto // after a failure the next one waits as long
+	h.savedUpto = upto // after a failure the next one waits as long
 	if err == nil {
 		h.step(owner.Saved{Upto: upto, Gone: gone})
 	}
--- a/internal/node/host/ask.go
+++ b/internal/node/host/runner.go
@@ -17,46 +17,46 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-func (h *Host) ticket(t owner.Ticket) *ticket {
+func (h *Host) waiter(t owner.Ticket) *waiter {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.tickets[t]
+	return h.waiters[t]
 }
 
 func (h *Host) reply(t owner.Ticket, r result.Result) {
 	h.mu.Lock()
-	w := h.tickets[t]
-	delete(h.tickets, t)
+	w := h.waiters[t]
+	delete(h.waiters, t)
 	h.mu.Unlock()
 	if w != nil {
 		w.reply <- r
 	}
 }
 
-func (h *Host) enter() (owner.Ticket, *ticket) {
+func (h *Host) addWaiter() (owner.Ticket, *waiter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.next++
-	t := &ticket{reply: make(chan result.Result, 1), feed: make(chan *feed.Feed, 4)}
-	h.tickets[h.next] = t
+	t := &waiter{reply: make(chan result.Result, 1), feed: make(chan *feed.Feed, 4)}
+	h.waiters[h.next] = t
 	return h.next, t
 }
 
-func (h *Host) leave(t owner.Ticket) {
+func (h *Host) removeWaiter(t owner.Ticket) {
 	h.mu.Lock()
-	delete(h.tickets, t)
+	delete(h.waiters, t)
 	h.mu.Unlock()
 	h.post(owner.Leave{Ticket: t})
 }
 
 // Open implements runner.Runner.
 func (h *Host) Open(ctx context.Context, o call.Open) result.Result {
-	return h.ask(ctx, nil, func(t owner.Ticket) owner.Message { return owner.Open{Ticket: t, Open: o} })
+	return h.submit(ctx, nil, func(t owner.Ticket) owner.Message { return owner.Open{Ticket: t, Open: o} })
 }
 
 // End implements runner.Runner.
 func (h *Host) End(ctx context.Context, e call.End) result.Result {
-	return h.ask(ctx, nil, func(t owner.Ticket) owner.Message { return owner.End{Ticket: t, End: e} })
+	return h.submit(ctx, nil, func(t owner.Ticket) owner.Message { return owner.End{Ticket: t, End: e} })
 }
 
 // Call implements runner.Runner.
@@ -64,17 +64,17 @@
 	ctx, span := h.Trace.Start(ctx, trace.Owner, c.TraceParent, attribute.String("request", c.Request))
 	c.TraceParent = span.Parent()
 	defer func() { span.Result(r) }()
-	return h.ask(ctx, sink, func(t owner.Ticket) owner.Message { return owner.Call{Ticket: t, Call: c} })
+	return h.submit(ctx, sink, func(t owner.Ticket) owner.Message { return owner.Call{Ticket: t, Call: c} })
 }
 
 // ask gives the machine a request and waits for its reply.
-func (h *Host) ask(ctx context.Context, sink runner.Sink, m func(owner.Ticket) owner.Message) result.Result {
-	id, t := h.enter()
+func (h *Host) submit(ctx context.Context, sink runner.Sink, m func(owner.Ticket) owner.Message) result.Result {
+	id, t := h.addWaiter()
 	if !h.post(m(id)) {
-		h.leave(id)
-		return gone()
+		h.removeWaiter(id)
+		return notOwner()
 	}
-	var follow follower
+	var follow feedReader
 	follow.sink = sink
 	for {
 		select {
@@ -83,48 +83,48 @@
 		case f := <-t.feed:
 			follow.feed, follow.at = f, 0
 			if !follow.deliver() {
-				h.leave(id)
-				return left()
+				h.removeWaiter(id)
+				return cancelled()
 			}
 		case <-follow.more:
 			if !follow.deliver() {
-				h.leave(id)
-				return left()
+				h.removeWaiter(id)
+				return cancelled()
 			}
 		case <-ctx.Done():
-			h.leave(id)
-			return left()
+			h.removeWaiter(id)
+			return cancelled()
 		case <-h.done:
-			return h.last(t)
+			return h.finalReply(t)
 		}
 	}
 }
 
 // last returns a reply that was given just before the host ended.
-func (h *Host) last(t *ticket) result.Result {
+func (h *Host) finalReply(t *waiter) result.Result {
 	select {
 	case r := <-t.reply:
 		return r
 	default:
-		return gone()
+		return notOwner()
 	}
 }
 
 // gone tells the daemon that met the caller to look for the new owner, which
 // joins or repeats the call by its number.
-func gone() result.Result {
+func notOwner() result.Result {
 	return result.Failed(result.CodeNotOwner, result.Unknown, "the program has moved to another daemon")
 }
 
-func left() result.Result {
+func cancelled() result.Result {
 	return result.Failed(result.CodeCancelled, result.Unknown, "the caller is gone")
 }
 
 // History implements runner.Runner.
 func (h *Host) History(ctx context.Context, account, program string) (hist.History, result.Result) {
-	return h.past(ctx, account, state.Hash(program), func(hs []hist.History) (hist.History, bool) {
+	return h.readHistory(ctx, account, state.Hash(program), func(hs []hist.History) (hist.History, bool) {
 		i := slices.IndexFunc(hs, func(p hist.History) bool { return p.Program == program })
-		return pick(hs, i)
+		return historyAt(hs, i)
 	})
 }
 
@@ -134,7 +134,7 @@
 	if !ok {
 		return hist.History{}, notFound()
 	}
-	return h.past(ctx, account, hash, func(hs []hist.History) (hist.History, bool) { return only(hs, request) })
+	return h.readHistory(ctx, account, hash, func(hs []hist.History) (hist.History, bool) { return findRequest(hs, request) })
 }
 
 // Answer implements placer.Asker. It never waits: placement serves all shards,
@@ -150,7 +150,7 @@
 		return
 	}
 	select {
-	case h.mail <- m:
+	case h.inbox <- m:
 	default:
 		h.Go(func() { h.post(m) })
 	}
--- a/internal/node/host/keep.go
+++ b/internal/node/host/texts.go
@@ -13,7 +13,7 @@
 
 // Folders tells which daemons have a data folder, and how they are. Where there
 // never is one, long texts cost nothing here.
-func (h *Host) Folders(ms []beat.Member) {
+func (h *Host) UpdateFolders(ms []beat.Member) {
 	h.mu.Lock()
 	if h.bulk == nil && len(ms) == 0 {
 		h.mu.Unlock()
@@ -35,11 +35,11 @@
 		m.State = beat.Down
 		b.Tell(blobs.Member{Member: m})
 	}
-	h.Tell(owner.Keeping{On: enough(ms)})
+	h.Tell(owner.Keeping{On: twoDomainsUp(ms)})
 }
 
 // enough reports whether two failure domains have a folder that is up.
-func enough(ms []beat.Member) bool {
+func twoDomainsUp(ms []beat.Member) bool {
 	domains := map[string]bool{}
 	for _, m := range ms {
 		if m.Disk && m.State == beat.Alive {
@@ -67,14 +67,14 @@
 }
 
 // keep puts a call's texts into data folders.
-func (h *Host) keep(k owner.Keep) {
+func (h *Host) storeTexts(k owner.Keep) {
 	ctx, stop := context.WithTimeout(h.ctx, owner.KeepWait)
 	defer stop()
-	h.post(owner.Kept{ID: k.ID, Request: k.Request, Asked: h.store(ctx, k.Asked), Answer: h.store(ctx, k.Answer)})
+	h.post(owner.Kept{ID: k.ID, Request: k.Request, Asked: h.storeText(ctx, k.Asked), Answer: h.storeText(ctx, k.Answer)})
 }
 
-func (h *Host) store(ctx context.Context, text []byte) *hist.Blob {
-	b := h.texts()
+func (h *Host) storeText(ctx context.Context, text []byte) *hist.Blob {
+	b := h.bulkStore()
 	if text == nil || b == nil {
 		return nil
 	}
@@ -90,13 +90,13 @@
 	return hist.Blob{Digest: r.Digest.String(), Size: r.Size, Holders: r.Holders}
 }
 
-func (h *Host) unkeep(t hist.Blob) {
+func (h *Host) releaseText(t hist.Blob) {
 	if d, err := blobs.Parse(t.Digest); err == nil {
-		h.texts().Tell(blobs.Release{Digest: d})
+		h.bulkStore().Tell(blobs.Release{Digest: d})
 	}
 }
 
-func (h *Host) texts() *bulk.Bulk {
+func (h *Host) bulkStore() *bulk.Bulk {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bulk
@@ -111,7 +111,7 @@
 }
 
 // tellMoved has new holders written down.
-func (h *Host) tellMoved() {
+func (h *Host) journalMoved() {
 	h.movedMu.Lock()
 	moved := h.moved
 	h.moved = nil
@@ -123,15 +123,15 @@
 
 // journal reads the shard's journal and texts.
 func (h *Host) journal() past.Past {
-	return past.Past{Store: h.Store, Shard: h.Shard, Text: h.text}
+	return past.Past{Store: h.Store, Shard: h.Shard, Text: h.readText}
 }
 
-func (h *Host) text(ctx context.Context, t hist.Blob) ([]byte, error) {
+func (h *Host) readText(ctx context.Context, t hist.Blob) ([]byte, error) {
 	d, err := blobs.Parse(t.Digest)
 	if err != nil {
 		return nil, err
 	}
-	b := h.texts()
+	b := h.bulkStore()
 	if b == nil {
 		return nil, bulk.ErrUnreadable
 	}
--- a/internal/node/send/send.go
+++ b/internal/node/invoke/invoke.go
@@ -3,7 +3,7 @@
 //
 // What it reports decides whether anybody may try again, so it says Unsent only
 // if no byte of the request left.
-package send
+package invoke
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 type (
 	// Send makes attempts. The funcs give the client of the upstream at an
 	// address.
-	Send struct {
+	Invoker struct {
 		Engine func(address string) engine.Engine
 		Tool   func(address string) tool.Tool
 		First  func(request, upstream string) // the first piece came
@@ -40,8 +40,8 @@
 var errOverrun = errors.New("send: the engine generated more than it was asked for")
 
 // Attempt implements host.Attempt.
-func (s Send) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.Tried) {
-	ctx, span := s.Trace.Start(ctx, trace.Upstream, d.Call.TraceParent,
+func (i Invoker) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.Tried) {
+	ctx, span := i.Trace.Start(ctx, trace.Upstream, d.Call.TraceParent,
 		attribute.String("request", d.Request), attribute.String("upstream", d.Upstream), attribute.Int("attempt", d.Try))
 	d.Call.TraceParent = span.Parent()
 	defer func() {
@@ -52,12 +52,12 @@
 		span.End(err)
 	}()
 	if d.Call.Kind == call.Model {
-		return s.model(ctx, d, f)
+		return i.model(ctx, d, f)
 	}
-	return s.service(ctx, d)
+	return i.service(ctx, d)
 }
 
-func (s Send) model(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.Tried {
+func (i Invoker) model(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.Tried {
 	t := owner.Tried{Request: d.Request, Upstream: d.Upstream, ContentType: contentText, Status: http.StatusOK}
 	tokens, last := 0, 0
 	first := true
@@ -73,7 +73,7 @@
 	sink := func(p engine.Delta) error {
 		if first {
 			first = false
-			s.First(d.Request, d.Upstream)
+			i.First(d.Request, d.Upstream)
 		}
 		last = p.ID
 		// An engine that ignores its bound would spend beyond the program's
@@ -85,7 +85,7 @@
 		f.Add(p.Text)
 		return nil
 	}
-	u, err := s.Engine(d.Address).Chat(ctx, r, sink)
+	u, err := i.Engine(d.Address).Chat(ctx, r, sink)
 	for range maxResumes {
 		if err == nil || ctx.Err() != nil || last == 0 || errors.Is(err, errOverrun) {
 			break
@@ -93,7 +93,7 @@
 		// The connection broke, not the engine: callers have seen a part of
 		// the answer, so only the engine that gave it can go on with it.
 		r.Resume = last
-		u, err = s.Engine(d.Address).Chat(ctx, r, sink)
+		u, err = i.Engine(d.Address).Chat(ctx, r, sink)
 	}
 	t.Usage, t.Pieces = u, f.Pieces()
 	if errors.Is(err, errOverrun) {
@@ -102,7 +102,7 @@
 	if err != nil {
 		// What a resumption didn't reach was sent before.
 		var e *engine.Error
-		t.Outcome, t.Why = s.failed(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
+		t.Outcome, t.Why = i.classify(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
 		return t
 	}
 	t.Outcome = sched.Succeeded
@@ -110,14 +110,14 @@
 	return t
 }
 
-func (s Send) service(ctx context.Context, d owner.Dispatch) owner.Tried {
+func (i Invoker) service(ctx context.Context, d owner.Dispatch) owner.Tried {
 	t := owner.Tried{Request: d.Request, Upstream: d.Upstream}
 	if d.Timeout > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, d.Timeout)
 		defer stop()
 	}
-	r, err := s.Tool(d.Address).Do(ctx, tool.Request{
+	r, err := i.Tool(d.Address).Do(ctx, tool.Request{
 		ID:          d.Request,
 		Method:      d.Call.Method,
 		Path:        d.Call.Path,
@@ -127,7 +127,7 @@
 	})
 	if err != nil {
 		var e *tool.Error
-		t.Outcome, t.Why = s.failed(ctx, err, errors.As(err, &e) && !e.Sent)
+		t.Outcome, t.Why = i.classify(ctx, err, errors.As(err, &e) && !e.Sent)
 		return t
 	}
 	t.Outcome = sched.Succeeded
@@ -137,7 +137,7 @@
 
 // failed sorts an error. A cancelled attempt is Withdrawn even if it was never
 // sent: nobody will make another.
-func (s Send) failed(ctx context.Context, err error, unsent bool) (sched.Outcome, string) {
+func (i Invoker) classify(ctx context.Context, err error, unsent bool) (sched.Outcome, string) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return sched.Cancelled, "cancelled"
--- a/internal/node/send/send_test.go
+++ b/internal/node/invoke/invoke_test.go
@@ -1,4 +1,4 @@
-package send_test
+package invoke_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/slaterock/slaterock/internal/fake/model"
 	"github.com/slaterock/slaterock/internal/node/feed"
-	"github.com/slaterock/slaterock/internal/node/send"
+	"github.com/slaterock/slaterock/internal/node/invoke"
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/prog/call"
@@ -23,7 +23,7 @@
 // has seen the beginning must get the rest of that answer, not another one's,
 // and a failure after that must never count as not sent: it would be run again
 // elsewhere, and the caller would get two beginnings.
-func TestBrokenAnswers(t *testing.T) {
+func TestInterruptedAnswers(t *testing.T) {
 	tests := map[string]struct {
 		script  map[int]model.Fault
 		outcome sched.Outcome
@@ -42,7 +42,7 @@
 				is := is.New(t)
 				e := &model.Engine{Name: "e", Output: tokens}
 				e.Script(tt.script)
-				s := send.Send{Engine: func(string) engine.Engine { return e }, First: func(string, string) {}}
+				s := invoke.Invoker{Engine: func(string) engine.Engine { return e }, First: func(string, string) {}}
 				f := &feed.Feed{}
 				d := owner.Dispatch{Request: "r-0", Upstream: "e", MaxTokens: 2 * tokens}
 				d.Call = call.Call{Kind: call.Model, Program: "p", Body: []byte(`{"messages":[{"role":"user","content":"hello"}]}`)}
--- a/internal/node/placer/load.go
+++ b/internal/node/placer/model.go
@@ -16,17 +16,17 @@
 
 // declare tells which models engines are to have loaded. Engines that name none
 // serve all that their group does and are not ordered.
-func (p *Placer) declare(ctx context.Context, f file.File) {
+func (p *Placer) declareModels(ctx context.Context, f file.File) {
 	models := map[string][]string{}
 	for name, u := range f.Upstreams {
 		if f.Groups[u.Group].Kind == file.Engines && len(u.Models) > 0 {
 			models[name] = u.Models
 		}
 	}
-	p.stockStep(ctx, loader.Declare{Models: models})
+	p.stepLoader(ctx, loader.Declare{Models: models})
 }
 
-func (p *Placer) stockStep(ctx context.Context, m loader.Message) {
+func (p *Placer) stepLoader(ctx context.Context, m loader.Message) {
 	for _, e := range p.loader.Step(time.Now(), m) {
 		switch e := e.(type) {
 		case loader.Admit:
@@ -44,7 +44,7 @@
 		defer stop()
 		m.Wait, m.Err = p.Weights.Admit(call, e.Model)
 	}
-	p.do(ctx, func() { p.stockStep(ctx, m) })
+	p.runInLoop(ctx, func() { p.stepLoader(ctx, m) })
 }
 
 func (p *Placer) load(ctx context.Context, e loader.Load) {
@@ -53,23 +53,23 @@
 	m := loader.LoadResult{Upstream: e.Upstream, Model: e.Model}
 	fence, here := p.Fence(e.Upstream)
 	if !here {
-		m.Err = errElsewhere
+		m.Err = errNotResponsible
 	} else {
 		address := p.address(ctx, e.Upstream)
 		m.Err = p.Engine(address).Order(call, engine.Order{Kind: engine.OrderLoad, Target: e.Model, Fence: fence})
 	}
-	p.do(ctx, func() {
+	p.runInLoop(ctx, func() {
 		if m.Err != nil {
 			p.Log.Warn().Err(m.Err).Str("upstream", e.Upstream).Str("model", e.Model).Msg("model not loaded")
 		}
-		p.stockStep(ctx, m)
+		p.stepLoader(ctx, m)
 	})
 }
 
 // address asks the placer's own goroutine where the upstream is now.
 func (p *Placer) address(ctx context.Context, upstream string) string {
 	ch := make(chan string, 1)
-	p.do(ctx, func() { ch <- p.cfg.Upstreams[upstream].Address })
+	p.runInLoop(ctx, func() { ch <- p.cfg.Upstreams[upstream].Address })
 	select {
 	case a := <-ch:
 		return a
--- a/internal/node/placer/order.go
+++ b/internal/node/placer/order.go
@@ -15,8 +15,8 @@
 
 	// releaseTries and releasePause have a release given again for longer than that.
 	// What none of them frees is found by the sweep.
-	releaseTries = 4
-	releasePause = 2 * time.Second
+	releaseAttempts   = 4
+	releaseRetryDelay = 2 * time.Second
 )
 
 // order gives an order to an engine, or has it given by the daemon that all
@@ -25,26 +25,26 @@
 func (p *Placer) order(ctx context.Context, upstream string, o engine.Order) {
 	tries := 1
 	if o.Kind == engine.OrderRelease {
-		tries = releaseTries // it is idempotent, and its program has ended for good
+		tries = releaseAttempts // it is idempotent, and its program has ended for good
 	}
-	p.repeat(ctx, upstream, p.cfg.Upstreams[upstream].Address, o, tries)
+	p.tryOrder(ctx, upstream, p.cfg.Upstreams[upstream].Address, o, tries)
 }
 
 // repeat gives an order until it is taken, so many times at most.
-func (p *Placer) repeat(ctx context.Context, upstream, address string, o engine.Order, tries int) {
+func (p *Placer) tryOrder(ctx context.Context, upstream, address string, o engine.Order, tries int) {
 	p.Go(func() {
-		err := p.give(ctx, upstream, address, o)
+		err := p.sendOrder(ctx, upstream, address, o)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		p.Log.Debug().Err(err).Str("upstream", upstream).Str("order", string(o.Kind)).Int("tries_left", tries-1).Msg("order failed")
 		if tries > 1 {
-			time.AfterFunc(releasePause, func() { p.repeat(ctx, upstream, address, o, tries-1) })
+			time.AfterFunc(releaseRetryDelay, func() { p.tryOrder(ctx, upstream, address, o, tries-1) })
 		}
 	})
 }
 
-func (p *Placer) give(ctx context.Context, upstream, address string, o engine.Order) error {
+func (p *Placer) sendOrder(ctx context.Context, upstream, address string, o engine.Order) error {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
 	fence, here := p.Fence(upstream)
--- a/internal/node/placer/order_test.go
+++ b/internal/node/placer/order_test.go
@@ -17,11 +17,11 @@
 // A program ends just after another daemon has become the one through which all orders to
 // its engine go. That one gives none for five seconds, and the release was dropped: the
 // engine held the program's memory until a sweep came by.
-func TestReleaseIsGivenAgain(t *testing.T) {
+func TestReleaseIsRetried(t *testing.T) {
 	cases := map[string]struct {
-		kind engine.OrderKind
-		away time.Duration
-		want int // orders that the engine takes
+		kind        engine.OrderKind
+		unavailable time.Duration
+		want        int // orders that the engine takes
 	}{
 		"a release, at once":         {engine.OrderRelease, 0, 1},
 		"a release in a change":      {engine.OrderRelease, OrderTimeout, 1},
@@ -37,7 +37,7 @@
 					Go: func(f func()) { go f() }, Log: zerolog.Nop(),
 					Fence: func(string) (uint64, bool) { return 0, false },
 					Forward: func(ctx context.Context, _ string, o engine.Order) error {
-						if time.Since(began) < c.away {
+						if time.Since(began) < c.unavailable {
 							return errors.New("nobody gives orders to it")
 						}
 						return e.Order(ctx, o)
--- a/internal/node/placer/placer.go
+++ b/internal/node/placer/placer.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	mailbox     = 4096
-	tickEvery   = 50 * time.Millisecond
-	pollEvery   = 500 * time.Millisecond
-	pollTimeout = 2 * time.Second
+	mailboxSize  = 4096
+	tickInterval = 50 * time.Millisecond
+	pollInterval = 500 * time.Millisecond
+	pollTimeout  = 2 * time.Second
 )
 
 type (
 	// Asker gets the answers to what it asked: a sched.Assign or a
 	// sched.Refuse.
-	Asker interface {
+	Requester interface {
 		Answer(e sched.Effect)
 	}
 
@@ -47,57 +47,57 @@
 		Fence   func(upstream string) (uint64, bool) // the epoch for orders; false if another daemon gives them
 		Forward func(ctx context.Context, upstream string, o engine.Order) error
 		Live    func(ctx context.Context, programs []string) ([]string, error)
-		Loaded  func(upstream string, l engine.Load) // told each load report; may be nil
-
-		sched  sched.Sched
-		loader loader.Loader
-		cfg    file.File
-		mail   chan letter
-		askers map[string]Asker
-		live   map[string]int    // attempts under way by request; a hedge is a second one
-		seen   map[string]uint64 // newest cache event by upstream
-		loads  map[string]uint64 // newest load report by upstream
-		poll   map[string]bool   // upstreams with a poll under way
-		polled time.Time
+		OnLoad  func(upstream string, l engine.Load) // told each load report; may be nil
+
+		sched      sched.Sched
+		loader     loader.Loader
+		cfg        file.File
+		inbox      chan envelope
+		requesters map[string]Requester
+		running    map[string]int    // attempts under way by request; a hedge is a second one
+		lastEvent  map[string]uint64 // newest cache event by upstream
+		lastLoad   map[string]uint64 // newest load report by upstream
+		poll       map[string]bool   // upstreams with a poll under way
+		lastPoll   time.Time
 	}
 
-	letter struct {
-		from Asker
+	envelope struct {
+		from Requester
 		m    sched.Message
 		f    func()
 	}
 )
 
-var errElsewhere = errors.New("placer: another daemon gives the engine its orders")
+var errNotResponsible = errors.New("placer: another daemon gives the engine its orders")
 
 // Init makes the placer ready to be told messages.
 func (p *Placer) Init() {
-	p.mail = make(chan letter, mailbox)
-	p.askers = map[string]Asker{}
-	p.live = map[string]int{}
-	p.seen = map[string]uint64{}
-	p.loads = map[string]uint64{}
+	p.inbox = make(chan envelope, mailboxSize)
+	p.requesters = map[string]Requester{}
+	p.running = map[string]int{}
+	p.lastEvent = map[string]uint64{}
+	p.lastLoad = map[string]uint64{}
 	p.poll = map[string]bool{}
 	p.sched.Seed = p.Seed
 }
 
 // Tell gives placement a message. The answers to an Ask go to from.
-func (p *Placer) Tell(ctx context.Context, from Asker, m sched.Message) {
+func (p *Placer) Tell(ctx context.Context, from Requester, m sched.Message) {
 	select {
-	case p.mail <- letter{from: from, m: m}:
+	case p.inbox <- envelope{from: from, m: m}:
 	case <-ctx.Done():
 	}
 }
 
 // Serve runs until ctx ends.
 func (p *Placer) Serve(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-p.mail:
+		case l := <-p.inbox:
 			if l.f != nil {
 				l.f()
 				continue
@@ -105,46 +105,46 @@
 			p.step(ctx, l.from, l.m)
 		case now := <-t.C:
 			p.step(ctx, nil, sched.Tick{})
-			if now.Sub(p.polled) >= pollEvery {
-				p.polled = now
+			if now.Sub(p.lastPoll) >= pollInterval {
+				p.lastPoll = now
 				p.pollAll(ctx)
-				p.stockUp(ctx)
+				p.updateLoader(ctx)
 			}
 		}
 	}
 }
 
-func (p *Placer) step(ctx context.Context, from Asker, m sched.Message) {
+func (p *Placer) step(ctx context.Context, from Requester, m sched.Message) {
 	switch m := m.(type) {
 	case sched.Configure:
 		p.cfg = m.File
-		p.declare(ctx, m.File)
+		p.declareModels(ctx, m.File)
 	case sched.Submit:
-		p.askers[m.ID] = from
+		p.requesters[m.ID] = from
 	case sched.Cancel:
-		delete(p.askers, m.ID)
+		delete(p.requesters, m.ID)
 	case sched.Done:
-		p.live[m.ID]--
-		if p.live[m.ID] <= 0 {
-			delete(p.live, m.ID)
-			delete(p.askers, m.ID)
+		p.running[m.ID]--
+		if p.running[m.ID] <= 0 {
+			delete(p.running, m.ID)
+			delete(p.requesters, m.ID)
 		}
 	}
 	for _, e := range p.sched.Step(time.Now(), m) {
-		p.carry(ctx, e)
+		p.apply(ctx, e)
 	}
 }
 
-func (p *Placer) carry(ctx context.Context, e sched.Effect) {
+func (p *Placer) apply(ctx context.Context, e sched.Effect) {
 	switch e := e.(type) {
 	case sched.Assign:
-		if a := p.askers[e.ID]; a != nil {
-			p.live[e.ID]++
+		if a := p.requesters[e.ID]; a != nil {
+			p.running[e.ID]++
 			a.Answer(e)
 		}
 	case sched.Refuse:
-		if a := p.askers[e.ID]; a != nil {
-			delete(p.askers, e.ID)
+		if a := p.requesters[e.ID]; a != nil {
+			delete(p.requesters, e.ID)
 			a.Answer(e)
 		}
 	case sched.Release:
@@ -153,13 +153,13 @@
 		target := p.cfg.Upstreams[e.To].Address
 		p.order(ctx, e.Upstream, engine.Order{Kind: engine.OrderExport, Program: e.Program, Target: target})
 	case sched.List:
-		p.list(ctx, e.Upstream)
+		p.reconcileHeld(ctx, e.Upstream)
 	}
 }
 
 // list compares what an engine holds with what some owner still knows. Only the
 // daemon that gives the engine its orders does so.
-func (p *Placer) list(ctx context.Context, upstream string) {
+func (p *Placer) reconcileHeld(ctx context.Context, upstream string) {
 	if _, here := p.Fence(upstream); !here {
 		return
 	}
@@ -183,7 +183,7 @@
 	for name, u := range p.cfg.Upstreams {
 		if p.cfg.Groups[u.Group].Kind == file.Engines && !p.poll[name] {
 			p.poll[name] = true
-			p.pollOne(ctx, name, u.Address, p.seen[name])
+			p.pollOne(ctx, name, u.Address, p.lastEvent[name])
 		}
 	}
 	if p.VMs == nil || p.poll[""] {
@@ -194,7 +194,7 @@
 		poll, stop := context.WithTimeout(ctx, pollTimeout)
 		defer stop()
 		list, err := p.VMs.VMs(poll)
-		p.do(ctx, func() {
+		p.runInLoop(ctx, func() {
 			p.poll[""] = false
 			if err == nil {
 				p.step(ctx, nil, sched.VMs{List: list})
@@ -205,7 +205,7 @@
 
 func (p *Placer) pollOne(ctx context.Context, name, address string, after uint64) {
 	p.Go(func() {
-		jitter := time.Duration(rand.Int64N(int64(pollEvery / 4)))
+		jitter := time.Duration(rand.Int64N(int64(pollInterval / 4)))
 		if !pause.For(ctx, jitter) { // many daemons poll one engine
 			return
 		}
@@ -213,23 +213,23 @@
 		defer stop()
 		load, lerr := p.Engine(address).Load(poll)
 		events, eerr := p.Engine(address).Events(poll, after)
-		p.do(ctx, func() {
+		p.runInLoop(ctx, func() {
 			p.poll[name] = false
 			if lerr == nil {
-				if load.Seq < p.loads[name] {
+				if load.Seq < p.lastLoad[name] {
 					// The engine started anew and counts from one again; its
 					// events would stay unseen until they pass the old number.
-					p.seen[name] = 0
-					p.stockStep(ctx, loader.Restarted{Upstream: name})
+					p.lastEvent[name] = 0
+					p.stepLoader(ctx, loader.Restarted{Upstream: name})
 				}
-				p.loads[name] = load.Seq
-				if p.Loaded != nil {
-					p.Loaded(name, load)
+				p.lastLoad[name] = load.Seq
+				if p.OnLoad != nil {
+					p.OnLoad(name, load)
 				}
 				p.step(ctx, nil, sched.Load{Upstream: name, Report: load})
 			}
 			if eerr == nil && len(events) > 0 {
-				p.seen[name] = max(p.seen[name], events[len(events)-1].Seq)
+				p.lastEvent[name] = max(p.lastEvent[name], events[len(events)-1].Seq)
 				p.step(ctx, nil, sched.Cache{Upstream: name, Events: events})
 			}
 		})
@@ -237,19 +237,19 @@
 }
 
 // stockUp tells which engines get their orders here, and lets loads begin.
-func (p *Placer) stockUp(ctx context.Context) {
+func (p *Placer) updateLoader(ctx context.Context) {
 	for name, u := range p.cfg.Upstreams {
 		if len(u.Models) > 0 {
 			_, here := p.Fence(name)
-			p.stockStep(ctx, loader.Responsible{Upstream: name, OK: here})
+			p.stepLoader(ctx, loader.Responsible{Upstream: name, OK: here})
 		}
 	}
-	p.stockStep(ctx, loader.Tick{})
+	p.stepLoader(ctx, loader.Tick{})
 }
 
-func (p *Placer) do(ctx context.Context, f func()) {
+func (p *Placer) runInLoop(ctx context.Context, f func()) {
 	select {
-	case p.mail <- letter{f: f}:
+	case p.inbox <- envelope{f: f}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/node/guard/guard.go
+++ b/internal/node/quotas/quotas.go
@@ -6,7 +6,7 @@
 // messages. A call waits for a home at most WaitHome; without an answer it is
 // refused with a hint when to come back, so that a home that died or hangs never
 // makes a caller wait.
-package guard
+package quotas
 
 import (
 	"context"
@@ -24,16 +24,16 @@
 
 const (
 	// WaitHome is the longest wait for the home's answer.
-	WaitHome = 300 * time.Millisecond
+	HomeTimeout = 300 * time.Millisecond
 	// retrySilent is the hint after a home did not answer: by then the others
 	// have mostly noticed, and the account has a new home.
-	retrySilent = time.Second
+	retryUnreachable = time.Second
 
 	homePrefix = "account:"
 )
 
 // Guard holds accounts to their limits. Set the fields before Init.
-type Guard struct {
+type Limiter struct {
 	Self    string
 	Members func() []beat.Member
 	Config  func() file.File
@@ -48,142 +48,142 @@
 }
 
 // Init makes the guard ready.
-func (g *Guard) Init(now time.Time) {
-	g.local = quota.Local{Daemon: g.Self, Serial: now.UnixNano()}
+func (l *Limiter) Init(now time.Time) {
+	l.local = quota.Local{Daemon: l.Self, Serial: now.UnixNano()}
 }
 
 // Answer answers another daemon, or this one, as the home of the account.
-func (g *Guard) Answer(a quota.Ask) quota.Answer {
-	acct := g.Config().Accounts[a.Account]
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.home.Ask(time.Now(), a, quota.Limit{Tokens: acct.TokensPerMinute, Programs: acct.MaxPrograms})
+func (l *Limiter) Answer(a quota.Ask) quota.Answer {
+	acct := l.Config().Accounts[a.Account]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.home.Ask(time.Now(), a, quota.Limit{Tokens: acct.TokensPerMinute, Programs: acct.MaxPrograms})
 }
 
 // Open asks for room for a program. A result with a code refuses it; else
 // Opened must follow.
-func (g *Guard) Open(ctx context.Context, o call.Open) result.Result {
-	g.mu.Lock()
-	ask, fresh := g.local.Opening(time.Now(), o.Account, o.Program)
-	g.mu.Unlock()
+func (l *Limiter) Open(ctx context.Context, o call.Open) result.Result {
+	l.mu.Lock()
+	ask, fresh := l.local.Opening(time.Now(), o.Account, o.Program)
+	l.mu.Unlock()
 	if !fresh {
 		return result.Result{}
 	}
-	a, err := g.ask(ctx, ask)
+	a, err := l.ask(ctx, ask)
 	if err == nil && a.OK {
 		return result.Result{}
 	}
-	g.Closed(o.Program)
+	l.Closed(o.Program)
 	if err != nil {
-		return silent(retrySilent)
+		return homeUnreachable(retryUnreachable)
 	}
 	return result.Refuse(result.CodeLimited, "the account has as many programs open as it may").WithRetryAfter(a.Retry)
 }
 
 // Opened tells how an opening ended. One that failed may have been written all
 // the same, so whether the program is open decides.
-func (g *Guard) Opened(o call.Open, r result.Result) {
-	if !r.OK() && !g.Live(o.Program) {
-		g.Closed(o.Program)
+func (l *Limiter) Opened(o call.Open, r result.Result) {
+	if !r.OK() && !l.Live(o.Program) {
+		l.Closed(o.Program)
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.local.Opened(o.Program)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.local.Opened(o.Program)
 }
 
 // Closed tells that a program is open here no more.
-func (g *Guard) Closed(program string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.local.Closed(program)
+func (l *Limiter) Closed(program string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.local.Closed(program)
 }
 
 // Adopt tells of a program that was taken over. Its calls below next count as
 // charged.
-func (g *Guard) Adopt(account, program string, next int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.local.Adopt(account, program, next)
+func (l *Limiter) Adopt(account, program string, next int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.local.Adopt(account, program, next)
 }
 
 // Call charges a call of a model. A result with a code refuses it.
-func (g *Guard) Call(ctx context.Context, c call.Call) result.Result {
-	cost := g.cost(c)
-	if !g.known(c.Program) && !g.Live(c.Program) {
+func (l *Limiter) Call(ctx context.Context, c call.Call) result.Result {
+	cost := l.cost(c)
+	if !l.known(c.Program) && !l.Live(c.Program) {
 		return result.Result{} // the owner answers from the records, or refuses
 	}
-	if r, done := g.spend(c, cost); done {
+	if r, done := l.tryLocal(c, cost); done {
 		return r
 	}
 	sent := time.Now()
-	g.mu.Lock()
-	ask := g.local.Ask(sent, c.Account, cost)
-	g.mu.Unlock()
-	a, err := g.ask(ctx, ask)
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	l.mu.Lock()
+	ask := l.local.Ask(sent, c.Account, cost)
+	l.mu.Unlock()
+	a, err := l.ask(ctx, ask)
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err != nil && ctx.Err() != nil:
 		// The caller left, which tells nothing of the home. To take it for
 		// silence would refuse the account's other callers.
-		return silent(retrySilent)
+		return homeUnreachable(retryUnreachable)
 	case err != nil:
-		g.local.Silent(now, c.Account, retrySilent)
-		return silent(retrySilent)
+		l.local.Silent(now, c.Account, retryUnreachable)
+		return homeUnreachable(retryUnreachable)
 	case !a.OK:
-		g.local.Deny(now, c.Account, cost, a.Retry)
-		return spent(cost, a.Retry)
-	case !g.local.Take(now, sent, ask, a):
-		return silent(retrySilent)
+		l.local.Deny(now, c.Account, cost, a.Retry)
+		return overLimit(cost, a.Retry)
+	case !l.local.Take(now, sent, ask, a):
+		return homeUnreachable(retryUnreachable)
 	}
-	g.local.Charge(c.Account, c.Program, c.Number)
+	l.local.Charge(c.Account, c.Program, c.Number)
 	return result.Result{}
 }
 
 // Called tells how a call ended. A model call that failed runs again when it is
 // repeated, and is charged again.
-func (g *Guard) Called(c call.Call, r result.Result) {
+func (l *Limiter) Called(c call.Call, r result.Result) {
 	if r.Ran == result.No || r.Code != result.CodeUpstreamFailed && r.Code != result.CodeTimeout {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.local.Uncharge(c.Program, c.Number)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.local.Uncharge(c.Program, c.Number)
 }
 
-func (g *Guard) known(program string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.local.Knows(program)
+func (l *Limiter) known(program string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.local.Knows(program)
 }
 
 // spend decides what needs no message.
-func (g *Guard) spend(c call.Call, cost int64) (result.Result, bool) {
+func (l *Limiter) tryLocal(c call.Call, cost int64) (result.Result, bool) {
 	now := time.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.local.Charged(c.Account, c.Program, c.Number) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.local.Charged(c.Account, c.Program, c.Number) {
 		return result.Result{}, true
 	}
-	if g.local.Spend(now, c.Account, cost) {
-		g.local.Charge(c.Account, c.Program, c.Number)
+	if l.local.Spend(now, c.Account, cost) {
+		l.local.Charge(c.Account, c.Program, c.Number)
 		return result.Result{}, true
 	}
-	d, quiet := g.local.Denied(now, c.Account, cost)
+	d, quiet := l.local.Denied(now, c.Account, cost)
 	switch {
 	case d <= 0:
 		return result.Result{}, false
 	case quiet:
-		return silent(d), true
+		return homeUnreachable(d), true
 	}
-	return spent(cost, d), true
+	return overLimit(cost, d), true
 }
 
 // cost is the most that a call may use.
-func (g *Guard) cost(c call.Call) int64 {
-	most := g.Config().Models[c.Model].MaxTokens
+func (l *Limiter) cost(c call.Call) int64 {
+	most := l.Config().Models[c.Model].MaxTokens
 	if n := c.MaxTokens; n > 0 && (most == 0 || n < most) {
 		most = n
 	}
@@ -191,7 +191,7 @@
 }
 
 // Serve reports what is open and frees what is idle, until ctx ends.
-func (g *Guard) Serve(ctx context.Context) {
+func (l *Limiter) Serve(ctx context.Context) {
 	t := time.NewTicker(quota.ReportEvery)
 	defer t.Stop()
 	for {
@@ -199,41 +199,41 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			g.tick(ctx)
+			l.tick(ctx)
 		}
 	}
 }
 
-func (g *Guard) tick(ctx context.Context) {
-	g.mu.Lock()
-	programs := g.local.Programs()
-	g.mu.Unlock()
+func (l *Limiter) tick(ctx context.Context) {
+	l.mu.Lock()
+	programs := l.local.Programs()
+	l.mu.Unlock()
 	for _, p := range programs {
-		if !g.Live(p) {
-			g.Closed(p)
+		if !l.Live(p) {
+			l.Closed(p)
 		}
 	}
 	now := time.Now()
-	g.mu.Lock()
-	g.home.Trim(now)
-	reports := g.local.Reports(now)
-	g.mu.Unlock()
+	l.mu.Lock()
+	l.home.Trim(now)
+	reports := l.local.Reports(now)
+	l.mu.Unlock()
 	// A home that hangs must not keep the other homes from their reports.
 	var work sync.WaitGroup
 	for _, a := range reports {
-		work.Go(func() { _, _ = g.ask(ctx, a) })
+		work.Go(func() { _, _ = l.ask(ctx, a) })
 	}
 	work.Wait()
 }
 
-func (g *Guard) ask(ctx context.Context, a quota.Ask) (quota.Answer, error) {
-	m, ok := Home(g.Members(), a.Account, g.Config().System.Shards)
-	if !ok || m.Name == g.Self {
-		return g.Answer(a), nil
+func (l *Limiter) ask(ctx context.Context, a quota.Ask) (quota.Answer, error) {
+	m, ok := Home(l.Members(), a.Account, l.Config().System.Shards)
+	if !ok || m.Name == l.Self {
+		return l.Answer(a), nil
 	}
-	ctx, stop := context.WithTimeout(ctx, WaitHome)
+	ctx, stop := context.WithTimeout(ctx, HomeTimeout)
 	defer stop()
-	return g.Send(ctx, m.Peer, a)
+	return l.Send(ctx, m.Peer, a)
 }
 
 // Home returns the daemon that keeps an account's record: the owner of the
@@ -249,11 +249,11 @@
 	return locate.Preferred(members, shard, shards)
 }
 
-func silent(retry time.Duration) result.Result {
+func homeUnreachable(retry time.Duration) result.Result {
 	return result.Refuse(result.CodeLimited, "the account's limit could not be checked").WithRetryAfter(retry)
 }
 
-func spent(cost int64, retry time.Duration) result.Result {
+func overLimit(cost int64, retry time.Duration) result.Result {
 	if retry <= 0 {
 		return result.Refuse(result.CodeLimited, "the call may use %d tokens, more than the account may use in a minute", cost)
 	}
--- a/internal/node/guard/guard_test.go
+++ b/internal/node/quotas/quotas_test.go
@@ -1,4 +1,4 @@
-package guard
+package quotas
 
 import (
 	"context"
@@ -19,15 +19,15 @@
 )
 
 // fleet is three daemons, each with all members in its picture.
-type fleet struct {
-	members []beat.Member
-	guards  map[string]*Guard
-	down    map[string]bool // hangs
-	sent    int
+type cluster struct {
+	members  []beat.Member
+	limiters map[string]*Limiter
+	hung     map[string]bool // hangs
+	sent     int
 }
 
-func newFleet() *fleet {
-	f := &fleet{guards: map[string]*Guard{}, down: map[string]bool{}}
+func newCluster() *cluster {
+	f := &cluster{limiters: map[string]*Limiter{}, hung: map[string]bool{}}
 	cfg := file.File{
 		System:   file.System{Shards: 3},
 		Accounts: map[string]file.Account{"acct": {MaxPrograms: 4, TokensPerMinute: 6400}},
@@ -35,38 +35,38 @@
 	}
 	for i, name := range []string{"a", "b", "c"} {
 		f.members = append(f.members, beat.Member{Name: name, Peer: name, State: beat.Alive, Shards: []beat.Shard{{Shard: i, Epoch: 1}}})
-		f.guards[name] = &Guard{
+		f.limiters[name] = &Limiter{
 			Self:    name,
 			Members: func() []beat.Member { return f.members },
 			Config:  func() file.File { return cfg },
 			Live:    func(string) bool { return true },
 			Send:    f.send,
 		}
-		f.guards[name].Init(time.Now())
+		f.limiters[name].Init(time.Now())
 	}
 	return f
 }
 
-func (f *fleet) send(ctx context.Context, peer string, a quota.Ask) (quota.Answer, error) {
+func (f *cluster) send(ctx context.Context, peer string, a quota.Ask) (quota.Answer, error) {
 	f.sent++
-	if f.down[peer] {
+	if f.hung[peer] {
 		<-ctx.Done()
 		return quota.Answer{}, ctx.Err()
 	}
-	return f.guards[peer].Answer(a), nil
+	return f.limiters[peer].Answer(a), nil
 }
 
-func (f *fleet) home() string {
+func (f *cluster) home() string {
 	m, _ := Home(f.members, "acct", 3)
 	return m.Name
 }
 
 // others are the daemons that are not the home.
-func (f *fleet) others() []*Guard {
-	var out []*Guard
+func (f *cluster) others() []*Limiter {
+	var out []*Limiter
 	for _, m := range f.members {
 		if m.Name != f.home() {
-			out = append(out, f.guards[m.Name])
+			out = append(out, f.limiters[m.Name])
 		}
 	}
 	return out
@@ -81,12 +81,12 @@
 func TestCallsOverAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet()
+		f := newCluster()
 		in := 0
 		var last result.Result
 		for n := range 300 {
-			for _, g := range f.guards {
-				r := g.Call(t.Context(), model(n, 100))
+			for _, l := range f.limiters {
+				r := l.Call(t.Context(), model(n, 100))
 				if r.Code == "" {
 					in++
 					continue
@@ -118,7 +118,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(newFleet().guards["a"].cost(c.c), c.cost)
+			is.New(t).Equal(newCluster().limiters["a"].cost(c.c), c.cost)
 		})
 	}
 }
@@ -129,20 +129,20 @@
 func TestHomeHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet()
-		home, g := f.home(), f.others()[0]
-		is.Equal(g.Call(t.Context(), model(0, 100)).Code, result.Code(""))
-		is.Equal(g.Call(t.Context(), model(1, 100)).Code, result.Code(""))
-		f.down[home] = true
-		is.Equal(g.Call(t.Context(), model(1, 50)).Code, result.Code("")) // out of the block
+		f := newCluster()
+		home, l := f.home(), f.others()[0]
+		is.Equal(l.Call(t.Context(), model(0, 100)).Code, result.Code(""))
+		is.Equal(l.Call(t.Context(), model(1, 100)).Code, result.Code(""))
+		f.hung[home] = true
+		is.Equal(l.Call(t.Context(), model(1, 50)).Code, result.Code("")) // out of the block
 		start := time.Now()
-		r := g.Call(t.Context(), model(2, 500))
-		is.Equal(time.Since(start), WaitHome)
+		r := l.Call(t.Context(), model(2, 500))
+		is.Equal(time.Since(start), HomeTimeout)
 		is.Equal(r.Code, result.CodeLimited)
 		is.Equal(r.Ran, result.No)
-		is.Equal(r.RetryAfter, retrySilent)
+		is.Equal(r.RetryAfter, retryUnreachable)
 		start = time.Now()
-		is.Equal(g.Call(t.Context(), model(3, 500)), r) // the same honest reason
+		is.Equal(l.Call(t.Context(), model(3, 500)), r) // the same honest reason
 		is.Equal(time.Since(start), time.Duration(0))
 		for i := range f.members {
 			if f.members[i].Name == home {
@@ -151,7 +151,7 @@
 		}
 		is.True(f.home() != home)
 		<-time.After(r.RetryAfter)
-		is.Equal(g.Call(t.Context(), model(2, 500)).Code, result.Code(""))
+		is.Equal(l.Call(t.Context(), model(2, 500)).Code, result.Code(""))
 	})
 }
 
@@ -160,14 +160,14 @@
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet()
-		g := f.others()[0]
-		f.down[f.home()] = true
-		ctx, leave := context.WithTimeout(t.Context(), WaitHome/2)
+		f := newCluster()
+		l := f.others()[0]
+		f.hung[f.home()] = true
+		ctx, leave := context.WithTimeout(t.Context(), HomeTimeout/2)
 		defer leave()
-		is.Equal(g.Call(ctx, model(0, 100)).Ran, result.No)
-		f.down[f.home()] = false
-		is.Equal(g.Call(t.Context(), model(1, 100)).Code, result.Code(""))
+		is.Equal(l.Call(ctx, model(0, 100)).Ran, result.No)
+		f.hung[f.home()] = false
+		is.Equal(l.Call(t.Context(), model(1, 100)).Code, result.Code(""))
 	})
 }
 
@@ -176,17 +176,17 @@
 func TestRepeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet()
-		g := f.guards["a"]
-		is.Equal(g.Open(t.Context(), call.Open{Account: "acct", Program: "p"}).Code, result.Code(""))
-		g.Opened(call.Open{Account: "acct", Program: "p"}, result.Result{Code: result.CodeOK})
+		f := newCluster()
+		l := f.limiters["a"]
+		is.Equal(l.Open(t.Context(), call.Open{Account: "acct", Program: "p"}).Code, result.Code(""))
+		l.Opened(call.Open{Account: "acct", Program: "p"}, result.Result{Code: result.CodeOK})
 		c := call.Call{Account: "acct", Program: "p", Kind: call.Model, Model: "x", MaxTokens: 6000}
 		for range 5 {
-			is.Equal(g.Call(t.Context(), c).Code, result.Code(""))
-			g.Called(c, result.Refuse(result.CodeOverloaded, "busy"))
+			is.Equal(l.Call(t.Context(), c).Code, result.Code(""))
+			l.Called(c, result.Refuse(result.CodeOverloaded, "busy"))
 		}
-		g.Called(c, result.Failed(result.CodeUpstreamFailed, result.Unknown, "broke"))
-		is.Equal(g.Call(t.Context(), c).Code, result.CodeLimited) // it would run again
+		l.Called(c, result.Failed(result.CodeUpstreamFailed, result.Unknown, "broke"))
+		is.Equal(l.Call(t.Context(), c).Code, result.CodeLimited) // it would run again
 	})
 }
 
@@ -195,31 +195,31 @@
 func TestOpenOverAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet()
+		f := newCluster()
 		in := 0
 		for n := range 4 {
-			for name, g := range f.guards {
+			for name, l := range f.limiters {
 				o := call.Open{Account: "acct", Program: fmt.Sprint(name, n)}
-				if r := g.Open(t.Context(), o); r.Code != "" {
+				if r := l.Open(t.Context(), o); r.Code != "" {
 					is.Equal(r.Code, result.CodeLimited)
 					is.Equal(r.Ran, result.No)
 					continue
 				}
-				g.Opened(o, result.Result{Code: result.CodeOK})
+				l.Opened(o, result.Result{Code: result.CodeOK})
 				in++
 			}
 		}
 		is.Equal(in, 4)
 		ctx, stop := context.WithCancel(t.Context())
-		for _, g := range f.guards {
-			g.Live = func(string) bool { return false }
-			go g.Serve(ctx)
+		for _, l := range f.limiters {
+			l.Live = func(string) bool { return false }
+			go l.Serve(ctx)
 		}
 		<-time.After(quota.ReportEvery + time.Second)
 		o := call.Open{Account: "acct", Program: "late"}
-		is.Equal(f.guards["c"].Open(t.Context(), o).Code, result.Code(""))
-		f.guards["c"].Opened(o, result.Refuse(result.CodeStoreDown, "down"))
-		is.Equal(len(f.guards["c"].local.Programs()), 0)
+		is.Equal(f.limiters["c"].Open(t.Context(), o).Code, result.Code(""))
+		f.limiters["c"].Opened(o, result.Refuse(result.CodeStoreDown, "down"))
+		is.Equal(len(f.limiters["c"].local.Programs()), 0)
 		stop()
 		synctest.Wait()
 	})
@@ -261,26 +261,26 @@
 // A failure of the link counts like silence.
 func TestLinkFails(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
-	g := f.others()[0]
-	g.Send = func(context.Context, string, quota.Ask) (quota.Answer, error) {
+	f := newCluster()
+	l := f.others()[0]
+	l.Send = func(context.Context, string, quota.Ask) (quota.Answer, error) {
 		return quota.Answer{}, errors.New("lost")
 	}
-	r := g.Open(t.Context(), call.Open{Account: "acct", Program: "p"})
+	r := l.Open(t.Context(), call.Open{Account: "acct", Program: "p"})
 	is.Equal(r.Code, result.CodeLimited)
-	is.Equal(r.RetryAfter, retrySilent)
-	is.Equal(len(g.local.Programs()), 0)
+	is.Equal(r.RetryAfter, retryUnreachable)
+	is.Equal(len(l.local.Programs()), 0)
 }
 
 // BenchmarkCall is a call that is paid out of the block.
 func BenchmarkCall(b *testing.B) {
-	f := newFleet()
-	g := f.guards["a"]
+	f := newCluster()
+	l := f.limiters["a"]
 	now := time.Now()
-	g.local.Take(now, now.Add(time.Hour), quota.Ask{Account: "acct"}, quota.Answer{OK: true, Tokens: 1 << 60})
+	l.local.Take(now, now.Add(time.Hour), quota.Ask{Account: "acct"}, quota.Answer{OK: true, Tokens: 1 << 60})
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		if g.Call(b.Context(), model(n, 100)).Code != "" {
+		if l.Call(b.Context(), model(n, 100)).Code != "" {
 			b.Fatal("refused")
 		}
 	}
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	kindDaemon   = "daemon"
-	kindPlatform = "platform"
-	kindPeers    = "peers"
-	kindBounds   = "bounds"
-	kindTimeouts = "timeouts"
-	kindObserve  = "observe"
-
-	minKey = 16 // bytes of a shared secret
+	sectionDaemon   = "daemon"
+	sectionPlatform = "platform"
+	sectionPeers    = "peers"
+	sectionBounds   = "bounds"
+	sectionTimeouts = "timeouts"
+	sectionObserve  = "observe"
+
+	minKeyBytes = 16 // bytes of a shared secret
 )
 
 type (
@@ -98,7 +98,7 @@
 // error is an Errors with all faults.
 func Parse(name string, text []byte) (Settings, error) {
 	t := check.Read(name, text)
-	t.Require(kindDaemon, kindPlatform, kindPeers)
+	t.Require(sectionDaemon, sectionPlatform, sectionPeers)
 	s := Settings{Bounds: Bounds{}.withDefaults(), Timeouts: Timeouts{}.withDefaults(), Observe: Observe{}.withDefaults()}
 	for _, sec := range t.Sections() {
 		s.section(sec)
@@ -111,17 +111,17 @@
 
 func (s *Settings) section(sec *check.Section) {
 	switch sec.Name {
-	case kindDaemon:
+	case sectionDaemon:
 		s.Daemon = daemon(sec)
-	case kindPlatform:
+	case sectionPlatform:
 		s.Platform = platform(sec)
-	case kindPeers:
+	case sectionPeers:
 		s.Peers = peers(sec)
-	case kindBounds:
+	case sectionBounds:
 		s.Bounds = bounds(sec)
-	case kindTimeouts:
+	case sectionTimeouts:
 		s.Timeouts = timeouts(sec)
-	case kindObserve:
+	case sectionObserve:
 		s.Observe = observe(sec)
 	default:
 		sec.Refuse("the section is unknown; want daemon, platform, peers, bounds, timeouts or observe")
@@ -138,7 +138,7 @@
 		DataFolder:    sec.String("data_folder", ""),
 		OperatorKey:   sec.String("operator_key", ""),
 	}
-	advertised(sec, d.Listen, d.Advertise)
+	checkAdvertise(sec, d.Listen, d.Advertise)
 	return d
 }
 
@@ -159,17 +159,17 @@
 		Seeds:     sec.Addresses("seeds"),
 		Key:       sec.String("peer_key", ""),
 	}
-	if sec.Has("peer_key") && len(p.Key) < minKey {
-		sec.Fail("peer_key", "the key has %d bytes; want at least %d", len(p.Key), minKey)
+	if sec.Has("peer_key") && len(p.Key) < minKeyBytes {
+		sec.Fail("peer_key", "the key has %d bytes; want at least %d", len(p.Key), minKeyBytes)
 	}
-	advertised(sec, p.Listen, p.Advertise)
+	checkAdvertise(sec, p.Listen, p.Advertise)
 	return p
 }
 
 // advertised notes a daemon that listens at every address and does not say
 // which of them others should use. They would be told 0.0.0.0, and connect to
 // themselves.
-func advertised(sec *check.Section, listen, advertise string) {
+func checkAdvertise(sec *check.Section, listen, advertise string) {
 	if advertise == "" && check.Unspecified(listen) {
 		sec.Fail("advertise", "%s is no address that others can use; want the IP number and port to tell them", listen)
 	}
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-const least = `[daemon]
+const minimal = `[daemon]
 name = d1
 failure_domain = kariakoo
 listen = 127.0.0.1:0
@@ -52,9 +52,9 @@
 	is.True(len(strings.Split(strings.Join(text, ""), "body_bytes = 4194304")) > 1) // something was shown
 }
 
-func TestLeast(t *testing.T) {
+func TestMinimal(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("d.ini", []byte(least))
+	s, err := Parse("d.ini", []byte(minimal))
 	is.NoErr(err)
 	is.Equal(s.Daemon.DataFolder, "")
 	is.Equal(s.Bounds, Bounds{BodyBytes: 4 << 20, HeaderBytes: 8 << 10, Connections: 8192, Calls: 4096, Programs: 20000})
@@ -62,7 +62,7 @@
 	is.Equal(s.Observe, Observe{LogLevel: "info", LogFormat: "json"})
 }
 
-func TestFaults(t *testing.T) {
+func TestErrors(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"no store":              {"store = 127.0.0.1:2400\n", "", "d.ini:6: [platform] store: the key is missing; want it in this section"},
 		"no peers":              {"[peers]\nlisten = 127.0.0.1:0\npeer_key = 0123456789abcdef\n", "", "d.ini:1: [peers] the section is missing; want it once"},
@@ -81,8 +81,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(least, tt.old, tt.new, 1)
-			is.True(text != least)
+			text := strings.Replace(minimal, tt.old, tt.new, 1)
+			is.True(text != minimal)
 			_, err := Parse("d.ini", []byte(text))
 			is.True(err != nil)
 			is.Equal(err.Error(), tt.want)
@@ -91,13 +91,13 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least))
+	f.Add([]byte(minimal))
 	f.Add(example(f))
 	f.Add([]byte("[daemon\nname = \"\"\"\n[peers]\nseeds = ,"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("x.ini", text)
 		if err == nil {
-			if s.Daemon.Name == "" || s.Platform.Store == "" || len(s.Peers.Key) < minKey || s.Bounds.Calls < 1 || s.Timeouts.Idle <= 0 {
+			if s.Daemon.Name == "" || s.Platform.Store == "" || len(s.Peers.Key) < minKeyBytes || s.Bounds.Calls < 1 || s.Timeouts.Idle <= 0 {
 				t.Fatalf("taken with something open: %+v", s)
 			}
 			return
@@ -126,7 +126,7 @@
 
 // The operators' page lists each section's keys. A key that is missing there
 // is one that nobody finds.
-func TestPageNamesAllKeys(t *testing.T) {
+func TestDocsListAllKeys(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operate/settings.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	claimTimeout = 10 * time.Second
-	leaseTimeout = 2 * time.Second
-	giveTimeout  = 5 * time.Second
+	claimTimeout   = 10 * time.Second
+	leaseTimeout   = 2 * time.Second
+	releaseTimeout = 5 * time.Second
 )
 
 type (
@@ -63,7 +63,7 @@
 			for _, w := range s.hosts {
 				w.suspended = true
 			}
-			s.tellLease()
+			s.sendLease()
 		}
 	}
 }
@@ -87,18 +87,18 @@
 		switch e := e.(type) {
 		case assign.Claim:
 			id := s.lease.ID()
-			s.Go(func() { s.take(ctx, e.Shard, id) })
+			s.Go(func() { s.takeOver(ctx, e.Shard, id) })
 		case assign.Give:
-			s.give(ctx, e)
+			s.handOver(ctx, e)
 		}
 	}
 }
 
 // take claims a shard and takes its journal over.
-func (s *Shards) take(ctx context.Context, shard int, id store.Lease) {
+func (s *Shards) takeOver(ctx context.Context, shard int, id store.Lease) {
 	call, stop := context.WithTimeout(ctx, claimTimeout)
 	defer stop()
-	w, err := s.start(call, ctx, shard, id)
+	w, err := s.startHost(call, ctx, shard, id)
 	if err != nil {
 		if !errors.Is(err, errHeld) {
 			s.Log.Warn().Err(err).Int("shard", shard).Msg("claim failed")
@@ -106,10 +106,10 @@
 		s.post(ctx, assignMessage{assign.Claimed{Shard: shard}})
 		return
 	}
-	s.post(ctx, tookMessage{shard: shard, w: w})
+	s.post(ctx, takeoverMessage{shard: shard, w: w})
 }
 
-func (s *Shards) start(ctx, life context.Context, shard int, id store.Lease) (*ward, error) {
+func (s *Shards) startHost(ctx, life context.Context, shard int, id store.Lease) (*ownedShard, error) {
 	c, err := s.claim(ctx, shard, id)
 	if err != nil {
 		return nil, err
@@ -120,24 +120,24 @@
 		return nil, err
 	}
 	h := &host.Host{
-		Taken:   taken,
-		Shard:   shard,
-		Name:    s.Name,
-		Store:   s.Store,
-		Attempt: s.Attempt,
-		Trace:   s.Trace,
-		Place:   s.Place,
-		Log:     s.Ended,
-		Go:      s.Go,
-		Rand:    s.Rand,
-		Peers:   s.Peers,
-		Domain:  s.Domain,
-		Proved:  func(h *host.Host) { s.Go(func() { s.post(life, provedMessage{h}) }) },
+		Taken:      taken,
+		Shard:      shard,
+		Name:       s.Name,
+		Store:      s.Store,
+		Attempt:    s.Attempt,
+		Trace:      s.Trace,
+		Place:      s.Place,
+		Log:        s.OnCallEnd,
+		Go:         s.Go,
+		Rand:       s.Rand,
+		Peers:      s.Peers,
+		Domain:     s.Domain,
+		OnVerified: func(h *host.Host) { s.Go(func() { s.post(life, verifiedMessage{h}) }) },
 	}
 	if !c.clean && taken.Epoch > 1 {
-		h.Hold = time.Now().Add(graceTime)
+		h.Hold = time.Now().Add(takeoverDelay)
 	}
-	w := &ward{Host: h, key: c, since: time.Now(), open: open(taken.Fold)}
+	w := &ownedShard{Host: h, key: c, since: time.Now(), openPrograms: openPrograms(taken.Fold)}
 	h.Start(life)
 	return w, nil
 }
@@ -182,25 +182,25 @@
 	return b
 }
 
-func (s *Shards) took(ctx context.Context, m tookMessage) {
+func (s *Shards) handleTakeover(ctx context.Context, m takeoverMessage) {
 	s.mu.Lock()
 	s.hosts[m.shard] = m.w
 	s.mu.Unlock()
 	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.Read).Bool("clean", m.w.key.clean).Msg("shard taken")
-	s.tellConfig()
-	m.w.Folders(s.folders)
-	s.adopt(m.w.open)
-	m.w.open = nil
+	s.sendConfig()
+	m.w.UpdateFolders(s.folders)
+	s.registerPrograms(m.w.openPrograms)
+	m.w.openPrograms = nil
 	s.stepAssign(ctx, assign.Claimed{Shard: m.shard, OK: true})
-	s.tellLease()
-	s.Owned(s.List())
+	s.sendLease()
+	s.OnOwned(s.List())
 	go func() {
 		<-m.w.Done()
-		s.post(ctx, endedMessage(m))
+		s.post(ctx, hostEndedMessage(m))
 	}()
 }
 
-func (s *Shards) ended(ctx context.Context, m endedMessage) {
+func (s *Shards) handleHostEnd(ctx context.Context, m hostEndedMessage) {
 	if s.hosts[m.shard] != m.w {
 		return
 	}
@@ -209,13 +209,13 @@
 	s.mu.Unlock()
 	s.Log.Info().Int("shard", m.shard).Bool("fenced", m.w.Fenced()).Msg("shard left")
 	s.stepAssign(ctx, assign.Gone{Shard: m.shard})
-	s.Owned(s.List())
+	s.OnOwned(s.List())
 }
 
 // rekey puts a shard's key under a new lease, after the old one lapsed. That
 // nobody else has the key now doesn't mean that nobody had it in between, so
 // the journal must prove it before the host may dispatch again.
-func (s *Shards) rekey(ctx context.Context, shard int, w *ward, id store.Lease) {
+func (s *Shards) rekey(ctx context.Context, shard int, w *ownedShard, id store.Lease) {
 	if !w.suspended {
 		return
 	}
@@ -227,7 +227,7 @@
 	})
 }
 
-func (s *Shards) rekeyed(m rekeyMessage) {
+func (s *Shards) handleRekey(m rekeyMessage) {
 	if !m.ok {
 		m.w.Cancel()
 		return
@@ -236,23 +236,23 @@
 	m.w.Tell(owner.Verify{})
 }
 
-func (s *Shards) proved(h *host.Host) {
+func (s *Shards) handleVerified(h *host.Host) {
 	for _, w := range s.hosts {
 		if w.Host == h {
 			w.suspended = false
 		}
 	}
-	s.tellLease()
+	s.sendLease()
 }
 
 // give ends ownership, offers the shard, and goes on with the attempts under
 // way for the next owner.
-func (s *Shards) give(ctx context.Context, g assign.Give) {
+func (s *Shards) handOver(ctx context.Context, g assign.Give) {
 	w := s.hosts[g.Shard]
-	if w == nil || w.giving {
+	if w == nil || w.releasing {
 		return
 	}
-	w.giving = true
+	w.releasing = true
 	w.Tell(owner.Drain{})
 	s.Go(func() {
 		select {
@@ -261,11 +261,11 @@
 			return
 		}
 		w.Stop()
-		tails := w.Tails()
-		s.tails.Add(int64(len(tails)))
+		continuing := w.RunningAttempts()
+		s.continuing.Add(int64(len(continuing)))
 		s.release(ctx, g, w.key)
-		for _, t := range tails {
-			s.Go(func() { s.follow(ctx, g.Shard, t) })
+		for _, t := range continuing {
+			s.Go(func() { s.continueAttempt(ctx, g.Shard, t) })
 		}
 	})
 }
@@ -273,7 +273,7 @@
 // release leaves the shard's key behind marked as released, so that the next
 // owner need not wait for a lease to lapse.
 func (s *Shards) release(ctx context.Context, g assign.Give, c claimed) {
-	call, stop := context.WithTimeout(ctx, giveTimeout)
+	call, stop := context.WithTimeout(ctx, releaseTimeout)
 	defer stop()
 	_, err := s.Store.Put(call, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
 	if err != nil {
--- a/internal/node/shards/claim_test.go
+++ b/internal/node/shards/claim_test.go
@@ -19,21 +19,21 @@
 func TestClaim(t *testing.T) {
 	const session = 7
 	tests := map[string]struct {
-		there  *claim // what stands under the key
-		faults map[int]keyval.Fault
-		held   bool
-		fails  bool
-		clean  bool
+		existing *claim // what stands under the key
+		faults   map[int]keyval.Fault
+		held     bool
+		fails    bool
+		clean    bool
 	}{
 		"free":                        {},
-		"another's":                   {there: &claim{Owner: "b", Session: 8}, held: true, fails: true},
-		"own name, earlier process":   {there: &claim{Owner: "a", Session: 6}, held: true, fails: true},
-		"given up":                    {there: &claim{Owner: "b", Session: 8, Released: true}, clean: true},
-		"own claim that landed late":  {there: &claim{Owner: "a", Session: session, Nonce: 99}},
+		"another's":                   {existing: &claim{Owner: "b", Session: 8}, held: true, fails: true},
+		"own name, earlier process":   {existing: &claim{Owner: "a", Session: 6}, held: true, fails: true},
+		"given up":                    {existing: &claim{Owner: "b", Session: 8, Released: true}, clean: true},
+		"own claim that landed late":  {existing: &claim{Owner: "a", Session: session, Nonce: 99}},
 		"acknowledgement lost":        {faults: map[int]keyval.Fault{1: keyval.LoseAck}},
 		"write lost":                  {faults: map[int]keyval.Fault{1: keyval.LoseWrite}, fails: true},
 		"store down":                  {faults: map[int]keyval.Fault{1: keyval.Down}, fails: true},
-		"given up, second write lost": {there: &claim{Owner: "b", Released: true}, faults: map[int]keyval.Fault{2: keyval.LoseWrite}, fails: true},
+		"given up, second write lost": {existing: &claim{Owner: "b", Released: true}, faults: map[int]keyval.Fault{2: keyval.LoseWrite}, fails: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -42,8 +42,8 @@
 			st := &keyval.Store{}
 			lease, err := st.Grant(ctx, time.Minute)
 			is.NoErr(err)
-			if tt.there != nil {
-				_, err := st.Put(ctx, key(3), encode(*tt.there), 0, lease)
+			if tt.existing != nil {
+				_, err := st.Put(ctx, key(3), encode(*tt.existing), 0, lease)
 				is.NoErr(err)
 			}
 			v := st.Client("a")
--- a/internal/node/shards/folders.go
+++ b/internal/node/shards/folders.go
@@ -7,7 +7,7 @@
 )
 
 // tellFolders passes changes among the daemons with a data folder on.
-func (s *Shards) tellFolders(members []beat.Member) {
+func (s *Shards) sendFolders(members []beat.Member) {
 	var folders []beat.Member
 	for _, m := range members {
 		if m.Disk {
@@ -25,7 +25,7 @@
 	}
 	s.folders = folders
 	for _, w := range s.hosts {
-		w.Folders(folders)
+		w.UpdateFolders(folders)
 	}
 }
 
--- a/internal/node/shards/tail.go
+++ b/internal/node/shards/handover.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	reportEvery = 100 * time.Millisecond
-	reportTime  = 2 * time.Second
+	reportInterval = 100 * time.Millisecond
+	reportTimeout  = 2 * time.Second
 )
 
 // Report takes in what a shard's former owner tells of an attempt.
-func (s *Shards) Report(ctx context.Context, r host.Report) (host.Receipt, error) {
+func (s *Shards) Report(ctx context.Context, r host.Report) (host.ReportReply, error) {
 	w := s.host(r.Shard)
 	if w == nil {
-		return host.Receipt{}, host.ErrNotOwner
+		return host.ReportReply{}, host.ErrNotOwner
 	}
 	return w.Report(ctx, r)
 }
 
 // follow reports an attempt to the shard's present owner until it has ended and
 // that is known there. The shard may move again meanwhile.
-func (s *Shards) follow(ctx context.Context, shard int, t *host.Tail) {
-	defer s.tails.Add(-1)
+func (s *Shards) continueAttempt(ctx context.Context, shard int, t *host.RunningAttempt) {
+	defer s.continuing.Add(-1)
 	defer t.Cancel()
 	r := host.Report{Shard: shard, Request: t.Request}
-	tick := time.NewTicker(reportEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	done := t.Done
 	for {
@@ -40,17 +40,17 @@
 			r.Ended, done = &e, nil
 		case <-tick.C:
 		}
-		if !s.tell(ctx, &r, t) {
+		if !s.sendReport(ctx, &r, t) {
 			return
 		}
 	}
 }
 
 // tell makes one report; false tells that no more are needed.
-func (s *Shards) tell(ctx context.Context, r *host.Report, t *host.Tail) bool {
-	call, stop := context.WithTimeout(ctx, reportTime)
+func (s *Shards) sendReport(ctx context.Context, r *host.Report, t *host.RunningAttempt) bool {
+	call, stop := context.WithTimeout(ctx, reportTimeout)
 	defer stop()
-	r.Text, _ = t.Feed.After(r.At)
+	r.Text, _ = t.Feed.After(r.Offset)
 	a, err := s.Tell(call, *r)
 	switch {
 	case err != nil:
@@ -58,6 +58,6 @@
 	case !a.Known:
 		return false
 	}
-	r.At = a.Have
+	r.Offset = a.Received
 	return r.Ended == nil
 }
--- a/internal/node/shards/local.go
+++ b/internal/node/shards/runner.go
@@ -14,19 +14,19 @@
 
 var _ runner.Runner = (*Shards)(nil)
 
-func (s *Shards) find(program string) *ward {
+func (s *Shards) find(program string) *ownedShard {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.hosts[locate.Shard(program, s.cfg.System.Shards)]
 }
 
-func notHere() result.Result {
+func notOwner() result.Result {
 	return result.Refuse(result.CodeNotOwner, "the program belongs to another daemon")
 }
 
 // limits returns what Guard holds the account to.
 func (s *Shards) limits(account string) file.Account {
-	if s.Guard == nil {
+	if s.Limiter == nil {
 		return file.Account{}
 	}
 	s.mu.RLock()
@@ -39,15 +39,15 @@
 	w := s.find(o.Program)
 	switch {
 	case w == nil:
-		return notHere()
+		return notOwner()
 	case s.limits(o.Account).MaxPrograms <= 0:
 		return w.Open(ctx, o)
 	}
-	if r := s.Guard.Open(ctx, o); r.Code != "" {
+	if r := s.Limiter.Open(ctx, o); r.Code != "" {
 		return r
 	}
 	r := w.Open(ctx, o)
-	s.Guard.Opened(o, r)
+	s.Limiter.Opened(o, r)
 	return r
 }
 
@@ -56,15 +56,15 @@
 	w := s.find(c.Program)
 	switch {
 	case w == nil:
-		return notHere()
+		return notOwner()
 	case c.Kind != call.Model || s.limits(c.Account).TokensPerMinute <= 0:
 		return w.Call(ctx, c, sink)
 	}
-	if r := s.Guard.Call(ctx, c); r.Code != "" {
+	if r := s.Limiter.Call(ctx, c); r.Code != "" {
 		return r
 	}
 	r := w.Call(ctx, c, sink)
-	s.Guard.Called(c, r)
+	s.Limiter.Called(c, r)
 	return r
 }
 
@@ -72,11 +72,11 @@
 func (s *Shards) End(ctx context.Context, e call.End) result.Result {
 	w := s.find(e.Program)
 	if w == nil {
-		return notHere()
+		return notOwner()
 	}
 	r := w.End(ctx, e)
-	if r.OK() && s.Guard != nil {
-		s.Guard.Closed(e.Program)
+	if r.OK() && s.Limiter != nil {
+		s.Limiter.Closed(e.Program)
 	}
 	return r
 }
@@ -86,7 +86,7 @@
 	if w := s.find(program); w != nil {
 		return w.History(ctx, account, program)
 	}
-	return hist.History{}, notHere()
+	return hist.History{}, notOwner()
 }
 
 // Request implements runner.Runner.
@@ -99,7 +99,7 @@
 	case !ok:
 		return hist.History{}, result.Refuse(result.CodeNotFound, "no such request")
 	case w == nil:
-		return hist.History{}, notHere()
+		return hist.History{}, notOwner()
 	}
 	return w.Request(ctx, account, request)
 }
@@ -123,18 +123,18 @@
 }
 
 // adopted is a program that was open when its shard was taken.
-type adopted struct {
+type openProgram struct {
 	account, program string
 	next             int // calls below it were let in before and won't run again
 }
 
 // open lists the open programs of a shard. The shard's host changes them once
 // it runs, so this comes before.
-func open(f state.Fold) []adopted {
-	var out []adopted
+func openPrograms(f state.Fold) []openProgram {
+	var out []openProgram
 	for id, p := range f.Programs {
 		if p.Closed == "" {
-			out = append(out, adopted{account: p.Open.Account, program: id, next: settled(p)})
+			out = append(out, openProgram{account: p.Open.Account, program: id, next: chargedBelow(p)})
 		}
 	}
 	return out
@@ -143,7 +143,7 @@
 // settled is the number below which no call of the program is to be charged.
 // The newest one that ended runs again if its outcome was not final; one that
 // goes on over a handover was charged before it.
-func settled(p *state.Program) int {
+func chargedBelow(p *state.Program) int {
 	switch {
 	case p.Moved != nil:
 		return p.Moved.Call.Number + 1
@@ -154,11 +154,11 @@
 }
 
 // adopt counts the programs of a shard that was taken.
-func (s *Shards) adopt(list []adopted) {
+func (s *Shards) registerPrograms(list []openProgram) {
 	for _, a := range list {
 		acct := s.limits(a.account)
 		if acct.MaxPrograms > 0 || acct.TokensPerMinute > 0 {
-			s.Guard.Adopt(a.account, a.program, a.next)
+			s.Limiter.Adopt(a.account, a.program, a.next)
 		}
 	}
 }
--- a/internal/node/shards/local_test.go
+++ b/internal/node/shards/runner_test.go
@@ -14,7 +14,7 @@
 // A shard has a new owner, and callers repeat the calls whose answers they
 // lost. Those that were let in before are not charged again; one that runs
 // again is, or an account could run it for nothing as often as it fails.
-func TestSettled(t *testing.T) {
+func TestChargedBelow(t *testing.T) {
 	cases := map[string]struct {
 		p    state.Program
 		next int
@@ -26,7 +26,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(settled(&c.p), c.next)
+			is.New(t).Equal(chargedBelow(&c.p), c.next)
 		})
 	}
 }
@@ -38,5 +38,5 @@
 		"p": {Open: call.Open{Account: "acct"}, Next: 2, Final: true},
 		"q": {Open: call.Open{Account: "acct"}, Closed: "finished"},
 	}}
-	is.New(t).Equal(open(f), []adopted{{account: "acct", program: "p", next: 2}})
+	is.New(t).Equal(openPrograms(f), []openProgram{{account: "acct", program: "p", next: 2}})
 }
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -16,8 +16,8 @@
 	"github.com/rs/zerolog"
 
 	"github.com/slaterock/slaterock/internal/conf/file"
-	"github.com/slaterock/slaterock/internal/node/guard"
 	"github.com/slaterock/slaterock/internal/node/host"
+	"github.com/slaterock/slaterock/internal/node/quotas"
 	"github.com/slaterock/slaterock/internal/obs/trace"
 	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/place/sched"
@@ -29,13 +29,13 @@
 )
 
 const (
-	mailbox   = 256
-	tickEvery = 100 * time.Millisecond
+	mailboxSize  = 256
+	tickInterval = 100 * time.Millisecond
 	// graceTime is how long a taker waits before its first dispatch, so that a
 	// former owner that can't reach the store hears that others can.
-	graceTime = 3 * time.Second
+	takeoverDelay = 3 * time.Second
 	// newsTime is how long the news of an outage holds.
-	newsTime = time.Second
+	outageValidity = time.Second
 )
 
 type (
@@ -57,77 +57,77 @@
 		// configuration's bound; zero is none.
 		MaxPrograms int
 		Place       func(h *host.Host, m sched.Message)
-		Ended       func(l owner.Log)
-		Owned       func(s []beat.Shard)
+		OnCallEnd   func(l owner.Log)
+		OnOwned     func(s []beat.Shard)
 		// Peers reaches data folders; Domain is this daemon's failure domain.
-		Peers  bulk.Peers
-		Domain string
-		Offer  func(ctx context.Context, to beat.Member, shard int) error
-		Guard  *guard.Guard // nil: accounts have no limits
+		Peers   bulk.Peers
+		Domain  string
+		Offer   func(ctx context.Context, to beat.Member, shard int) error
+		Limiter *quotas.Limiter // nil: accounts have no limits
 		// Tell reports an attempt to whoever owns its shard now.
-		Tell func(ctx context.Context, r host.Report) (host.Receipt, error)
+		Tell func(ctx context.Context, r host.Report) (host.ReportReply, error)
 
-		mail    chan message
-		lease   lease.Lease
-		assign  assign.Assign
-		session uint64    // tells this process's claims from those of an earlier one
-		reached time.Time // when this daemon last reached the store
+		inbox        chan message
+		lease        lease.Lease
+		assign       assign.Assign
+		session      uint64    // tells this process's claims from those of an earlier one
+		storeReached time.Time // when this daemon last reached the store
 
-		tails atomic.Int64 // attempts that go on for later owners
+		continuing atomic.Int64 // attempts that go on for later owners
 
 		mu    sync.RWMutex
 		cfg   file.File
-		hosts map[int]*ward
+		hosts map[int]*ownedShard
 
 		folders []beat.Member // with a data folder, as the hosts were told
 	}
 
 	// ward is one shard owned here.
-	ward struct {
+	ownedShard struct {
 		*host.Host
-		key       claimed
-		since     time.Time
-		open      []adopted // programs, until they are counted
-		suspended bool      // its lease lapsed and ownership is not proved yet
-		giving    bool
+		key          claimed
+		since        time.Time
+		openPrograms []openProgram // programs, until they are counted
+		suspended    bool          // its lease lapsed and ownership is not proved yet
+		releasing    bool
 	}
 
 	// message is what the loop reacts to.
 	message interface{ message() }
 
-	leaseMessage   struct{ m lease.Message }
-	assignMessage  struct{ m assign.Message }
-	reachedMessage struct{ at time.Time }
-	tookMessage    struct {
+	leaseMessage    struct{ m lease.Message }
+	assignMessage   struct{ m assign.Message }
+	reachedMessage  struct{ at time.Time }
+	takeoverMessage struct {
 		shard int
-		w     *ward
+		w     *ownedShard
 	}
-	endedMessage struct {
+	hostEndedMessage struct {
 		shard int
-		w     *ward
+		w     *ownedShard
 	}
-	provedMessage struct{ h *host.Host }
-	rekeyMessage  struct {
-		w  *ward
+	verifiedMessage struct{ h *host.Host }
+	rekeyMessage    struct {
+		w  *ownedShard
 		c  claimed
 		ok bool
 	}
 	configMessage struct{ f file.File }
 )
 
-func (leaseMessage) message()   {}
-func (assignMessage) message()  {}
-func (reachedMessage) message() {}
-func (tookMessage) message()    {}
-func (endedMessage) message()   {}
-func (provedMessage) message()  {}
-func (rekeyMessage) message()   {}
-func (configMessage) message()  {}
+func (leaseMessage) message()     {}
+func (assignMessage) message()    {}
+func (reachedMessage) message()   {}
+func (takeoverMessage) message()  {}
+func (hostEndedMessage) message() {}
+func (verifiedMessage) message()  {}
+func (rekeyMessage) message()     {}
+func (configMessage) message()    {}
 
 // Init makes the set ready to be told things.
 func (s *Shards) Init() {
-	s.mail = make(chan message, mailbox)
-	s.hosts = map[int]*ward{}
+	s.inbox = make(chan message, mailboxSize)
+	s.hosts = map[int]*ownedShard{}
 	s.session = s.Rand()
 	s.lease.Rand = s.Rand
 	s.assign.Self, s.assign.Rand = s.Name, s.Rand
@@ -148,10 +148,10 @@
 // under way here.
 func (s *Shards) Drain(ctx context.Context) error {
 	s.post(ctx, assignMessage{assign.Drain{}})
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
-		if len(s.List()) == 0 && s.tails.Load() == 0 {
+		if len(s.List()) == 0 && s.continuing.Load() == 0 {
 			return nil
 		}
 		select {
@@ -183,7 +183,7 @@
 	return w.Epoch(), w.since, true
 }
 
-func (s *Shards) host(shard int) *ward {
+func (s *Shards) host(shard int) *ownedShard {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.hosts[shard]
@@ -191,21 +191,21 @@
 
 func (s *Shards) post(ctx context.Context, m message) {
 	select {
-	case s.mail <- m:
+	case s.inbox <- m:
 	case <-ctx.Done():
 	}
 }
 
 // Serve runs until ctx ends and all hosts have ended.
 func (s *Shards) Serve(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	defer s.stopAll()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-s.mail:
+		case m := <-s.inbox:
 			s.handle(ctx, m)
 		case <-t.C:
 			s.tick(ctx)
@@ -216,7 +216,7 @@
 func (s *Shards) stopAll() {
 	s.mu.Lock()
 	hosts := s.hosts
-	s.hosts = map[int]*ward{}
+	s.hosts = map[int]*ownedShard{}
 	s.mu.Unlock()
 	for _, w := range hosts {
 		w.Stop()
@@ -230,17 +230,17 @@
 	case assignMessage:
 		s.stepAssign(ctx, m.m)
 	case reachedMessage:
-		if m.at.After(s.reached) {
-			s.reached = m.at
+		if m.at.After(s.storeReached) {
+			s.storeReached = m.at
 		}
-	case tookMessage:
-		s.took(ctx, m)
-	case endedMessage:
-		s.ended(ctx, m)
-	case provedMessage:
-		s.proved(m.h)
+	case takeoverMessage:
+		s.handleTakeover(ctx, m)
+	case hostEndedMessage:
+		s.handleHostEnd(ctx, m)
+	case verifiedMessage:
+		s.handleVerified(m.h)
 	case rekeyMessage:
-		s.rekeyed(m)
+		s.handleRekey(m)
 	case configMessage:
 		s.configure(m.f)
 	}
@@ -251,12 +251,12 @@
 	s.cfg = f
 	s.mu.Unlock()
 	s.assign.Shards = f.System.Shards
-	s.tellConfig()
+	s.sendConfig()
 }
 
 // tellConfig tells all hosts the configuration. The bound on the daemon's open
 // programs is shared out among them, as each counts only its own.
-func (s *Shards) tellConfig() {
+func (s *Shards) sendConfig() {
 	f := s.cfg
 	if s.MaxPrograms > 0 && (f.Limits.MaxPrograms == 0 || s.MaxPrograms < f.Limits.MaxPrograms) {
 		f.Limits.MaxPrograms = s.MaxPrograms
@@ -283,17 +283,17 @@
 func (s *Shards) tick(ctx context.Context) {
 	members := s.Members()
 	s.stepAssign(ctx, assign.View{Members: members})
-	s.tellFolders(members)
+	s.sendFolders(members)
 	if s.lease.ID() != 0 || s.assign.Wants(time.Now()) {
 		s.stepLease(ctx, lease.Tick{})
 	}
-	s.lapse(ctx)
+	s.revokeIdleLease(ctx)
 	s.stepAssign(ctx, assign.Tick{})
-	s.tellLease()
+	s.sendLease()
 }
 
 // lapse gives up a lease that nothing hangs on any more.
-func (s *Shards) lapse(ctx context.Context) {
+func (s *Shards) revokeIdleLease(ctx context.Context) {
 	id := s.lease.ID()
 	if id == 0 || len(s.hosts) > 0 || s.assign.Wants(time.Now()) {
 		return
@@ -310,11 +310,11 @@
 }
 
 // tellLease tells all hosts until when they may dispatch.
-func (s *Shards) tellLease() {
+func (s *Shards) sendLease() {
 	now := time.Now()
 	held := owner.Lease{Until: s.lease.Until()}
 	if s.outage(now) {
-		held.Outage = now.Add(newsTime)
+		held.Outage = now.Add(outageValidity)
 	}
 	for _, w := range s.hosts {
 		if w.suspended {
@@ -331,7 +331,7 @@
 // hears no peer must assume that the others reach the store.
 func (s *Shards) outage(now time.Time) bool {
 	until := s.lease.Until()
-	if s.Alone() || s.reached.After(until) {
+	if s.Alone() || s.storeReached.After(until) {
 		return false
 	}
 	age := s.StoreAge()
