--- a/internal/node/host/handover.go
+++ b/internal/node/host/handover.go
@@ -10,18 +10,18 @@
 )
 
 type (
-	// Tail is an attempt under way. After a handover the daemon that started
-	// it goes on with it and reports to the shard's next owner.
+	// RunningAttempt is an attempt in progress. After a handover the daemon that started it
+	// continues it and reports to the next owner of the shard.
 	RunningAttempt struct {
 		Request  string
 		Upstream string
 		Feed     *feed.Feed
-		Done     chan owner.Tried // gets how it ended
+		Done     chan owner.Tried // receives the result
 		Cancel   context.CancelFunc
 	}
 
-	// Report is what the next owner is told of an attempt: the answer's text
-	// from byte At on, and how it ended once it has.
+	// Report is the state of a continued attempt, sent to the next owner: the text of the
+	// answer from byte Offset on, and the result once the attempt has ended.
 	Report struct {
 		Shard   int          `json:"shard"`
 		Request string       `json:"request"`
@@ -30,18 +30,18 @@
 		Ended   *owner.Tried `json:"ended,omitempty"`
 	}
 
-	// Receipt answers a Report. Known false tells that nobody waits for the
-	// attempt any more. Have is how much of the text has arrived.
+	// ReportReply answers a Report. Known is false if no request waits for the attempt any
+	// more. Received is the number of bytes of the answer's text that the owner has.
 	ReportReply struct {
 		Known    bool `json:"known"`
 		Received int  `json:"have"`
 	}
 )
 
-// ErrNotOwner tells that the shard is not owned here.
+// ErrNotOwner reports that this daemon does not own the shard.
 var ErrNotOwner = errors.New("host: the shard is not owned here")
 
-// Tails returns the attempts that were under way when the host was drained.
+// RunningAttempts returns the attempts that were in progress when the host was drained.
 // Call it after Drained and Done.
 func (h *Host) RunningAttempts() []*RunningAttempt {
 	var ts []*RunningAttempt
@@ -53,7 +53,7 @@
 	return ts
 }
 
-// stopAttempts cancels what is under way, unless it was handed over.
+// stopAttempts cancels the attempts in progress, unless they were handed over.
 func (h *Host) stopAttempts() {
 	if h.handedOver {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// Report takes in what the shard's former owner tells of an attempt.
+// Report processes a former owner's report of an attempt that it continues.
 func (h *Host) Report(ctx context.Context, r Report) (ReportReply, error) {
 	ch := make(chan ReportReply, 1)
 	h.post(task{f: func() { ch <- h.report(r) }})
--- a/internal/node/host/history.go
+++ b/internal/node/host/history.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// follower hands the pieces of a feed to a sink, from the start.
+	// feedReader copies a feed to a sink, from the start.
 	feedReader struct {
 		sink runner.Sink
 		feed *feed.Feed
@@ -25,7 +25,8 @@
 	}
 )
 
-// deliver hands on what is new; false tells that the caller is gone.
+// deliver writes the new text to the sink. It returns false if the sink failed because the
+// caller has disconnected.
 func (f *feedReader) deliver() bool {
 	text, more := f.feed.After(f.at)
 	f.more = more
@@ -36,7 +37,7 @@
 	return f.sink(text) == nil
 }
 
-// recall answers a repeat from the journal.
+// answerRecorded answers a repeated call from the journal.
 func (h *Host) answerRecorded(e owner.Recall) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
@@ -51,7 +52,8 @@
 	}
 }
 
-// past reads a family's histories and picks one.
+// readHistory reads the histories of the family of programs with that hash and returns the
+// one that choose selects, if it belongs to the account; an empty account matches all.
 func (h *Host) readHistory(ctx context.Context, account string, hash uint64, choose func([]hist.History) (hist.History, bool)) (hist.History, result.Result) {
 	refs, ok := h.refs(ctx, hash)
 	if !ok {
@@ -81,7 +83,8 @@
 	return p, result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200}
 }
 
-// refs asks the machine, on its goroutine, where a family's records are.
+// refs returns where a family's records are. It reads the owner's state on the host's
+// goroutine.
 func (h *Host) refs(ctx context.Context, hash uint64) (owner.Refs, bool) {
 	type answer struct {
 		refs owner.Refs
@@ -116,9 +119,9 @@
 	return hs[i], true
 }
 
-// only returns the program that has the request, with that call alone. A repeat
-// of a call has a name of its own that no record has; its call's number leads to
-// the call that it repeated, if just one program of the family has that number.
+// findRequest returns the program that has the request, with only that call. A repeat of a
+// call has a request id of its own that is not recorded; the call number in it identifies
+// the original call if exactly one program of the family has that number.
 func findRequest(hs []hist.History, request string) (hist.History, bool) {
 	if p, n := findCall(hs, func(c hist.Call) bool { return c.Request == request }); n > 0 {
 		return p, true
@@ -131,12 +134,12 @@
 	return p, n == 1
 }
 
-// having returns the last program that has such a call, with the last such call
-// alone, and how many programs have one.
-func findCall(hs []hist.History, is func(hist.Call) bool) (found hist.History, n int) {
+// findCall returns the last program with a call for which match returns true, with only the
+// last such call, and the number of programs that have one.
+func findCall(hs []hist.History, match func(hist.Call) bool) (found hist.History, n int) {
 	for _, p := range hs {
 		for i := len(p.Calls) - 1; i >= 0; i-- {
-			if is(p.Calls[i]) {
+			if match(p.Calls[i]) {
 				p.Calls = []hist.Call{p.Calls[i]}
 				found = p
 				n++
@@ -147,7 +150,7 @@
 	return found, n
 }
 
-// requestNumber is the call's number in a request id.
+// requestNumber returns the call number in a request id.
 func requestNumber(request string) (int, bool) {
 	parts := strings.Split(request, "-")
 	if len(parts) != 3 {
@@ -157,7 +160,7 @@
 	return n, err == nil
 }
 
-// requestHash is the root's hash that a request id begins with.
+// requestHash returns the hash of the root program, with which a request id begins.
 func requestHash(request string) (uint64, bool) {
 	head, _, ok := strings.Cut(request, "-")
 	if !ok {
@@ -167,7 +170,8 @@
 	return h, err == nil
 }
 
-// Live reports whether the program is open, as far as can be told.
+// Live reports whether the program is open. It returns true if the host has ended, because
+// the state is not known here then.
 func (h *Host) Live(program string) bool {
 	ch := make(chan bool, 1)
 	h.post(task{f: func() { ch <- h.machine.Live(program) }})
--- a/internal/node/host/history_test.go
+++ b/internal/node/host/history_test.go
@@ -9,9 +9,9 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// A support engineer has the name that a response carried. It may be a repeat's,
-// which joined a call or was answered from the journal and has no record of its
-// own.
+// Support engineers look a request up by the id in its response. The id may be that of a
+// repeated call, which joined the original or was answered from the journal and has no
+// record of its own.
 func TestFindRequest(t *testing.T) {
 	call := func(request string, number int, ran result.Ran) hist.Call {
 		return hist.Call{Request: request, Number: number, Result: result.Result{Ran: ran}}
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -1,10 +1,10 @@
-// Package host drives the owner of one shard at this daemon: it turns callers'
-// requests and the ends of I/O into the machine's messages, one at a time, and
-// carries out the machine's effects.
+// Package host drives the owner.Owner of one shard at this daemon: it passes callers'
+// requests and the results of I/O to that state machine, one message at a time, and
+// executes the effects that it returns.
 //
-// The machine runs on one goroutine. Everything that can take time, calls to
-// the store and attempts at upstreams, runs on the daemon's pool and comes back
-// as a message, so that a slow store or upstream never holds up the others.
+// The state machine runs on one goroutine. Blocking work, such as calls to the store and
+// attempts at upstreams, runs on the daemon's goroutine pool and posts its result as a
+// message, so that a slow store or upstream does not delay other requests.
 package host
 
 import (
@@ -34,34 +34,33 @@
 	mailboxSize  = 1024
 	tickInterval = 20 * time.Millisecond
 	storeTimeout = 5 * time.Second
-	// saveEvery is after how many journal entries a snapshot is taken. It
-	// bounds what a takeover reads.
+	// snapshotEntries is the number of journal entries between two snapshots. It bounds
+	// how many entries a takeover reads.
 	snapshotEntries = 256
 )
 
 type (
-	// Attempt carries out one dispatch and returns how it ended. It adds the
-	// pieces of a model's answer to the feed as they come, and ends early with
-	// the context.
+	// Attempt executes one dispatch and returns its result. It appends the pieces of a
+	// model's answer to the feed as they arrive, and returns early when the context ends.
 	Attempt func(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.Tried
 
-	// Host owns one shard from Start until its context ends, it is fenced, or
-	// it is drained.
+	// Host owns one shard from Start until its context ends, it is stopped, or another
+	// daemon has taken the shard over. Set the exported fields before Start.
 	Host struct {
 		Taken      boot.Taken
 		Shard      int
-		Name       string // of the daemon
+		Name       string // of this daemon
 		Store      store.Store
-		Hold       time.Time // no dispatch before
+		Hold       time.Time // earliest time of the first dispatch
 		Attempt    Attempt
 		Place      func(h *Host, m sched.Message)
 		Log        func(l owner.Log)
-		OnVerified func(h *Host) // a Verify was answered
+		OnVerified func(h *Host) // called for each owner.Verified
 		Trace      *trace.Trace
-		Go         func(f func()) // runs f on the daemon's pool, or at once elsewhere
+		Go         func(f func()) // runs f on the daemon's pool, or on a new goroutine if that is full
 		Rand       func() uint64
-		// Peers reaches the data folders; Domain is the daemon's own failure
-		// domain.
+		// Peers is the client of all data folders. Domain is the failure domain of this
+		// daemon.
 		Peers  bulk.Peers
 		Domain string
 
@@ -70,23 +69,23 @@
 		done       chan struct{}
 		drained    chan struct{}
 		cancel     context.CancelFunc
-		ctx        context.Context //nolint:containedctx // ends all work of the host
-		attemptCtx context.Context //nolint:containedctx // ends all attempts
+		ctx        context.Context //nolint:containedctx // cancels all work of the host but attempts
+		attemptCtx context.Context //nolint:containedctx // cancels all attempts
 		handedOver bool
 		mu         sync.Mutex
 		waiters    map[owner.Ticket]*waiter
 		next       owner.Ticket
-		attempts   map[string]map[string]*RunningAttempt // request, upstream
+		attempts   map[string]map[string]*RunningAttempt // by request, then upstream
 		feeds      map[string]*feed.Feed
-		parents    map[string]string     // traceparent by request, until its outcome is known
-		commits    map[string]trace.Span // outcomes on their way to the journal
+		parents    map[string]string     // traceparent by request, until the outcome is known
+		commits    map[string]trace.Span // by request, while its outcome is being committed
 		savedUpto  uint64
 		saving     bool
 		fenced     bool
 		bulk       *bulk.Bulk             // nil while no data folder is known
-		folders    map[string]beat.Member // daemons with a data folder
+		folders    map[string]beat.Member // daemons with a data folder, by name
 		movedMu    sync.Mutex
-		moved      []hist.Blob // with new holders, for the journal
+		moved      []hist.Blob // blobs whose new holders are not in the journal yet
 	}
 
 	waiter struct {
@@ -99,7 +98,7 @@
 
 var _ runner.Runner = (*Host)(nil)
 
-// Start begins to own the shard. The host ends with ctx.
+// Start starts the host's goroutine. The host ends with ctx.
 func (h *Host) Start(ctx context.Context) {
 	h.attemptCtx = ctx
 	h.ctx, h.cancel = context.WithCancel(ctx)
@@ -119,32 +118,33 @@
 		h.startBulk()
 		h.mu.Unlock()
 	}
-	h.machine.Fold.Older, h.Taken.Fold.Older = nil, nil // bulk knows them now
+	h.machine.Fold.Older, h.Taken.Fold.Older = nil, nil // passed to bulk above
 	go h.run()
 }
 
-// Tell gives the machine a message.
+// Tell posts a message to the owner.
 func (h *Host) Tell(m owner.Message) { h.post(m) }
 
-// Done is closed when the host has ended: it was fenced, drained or stopped.
+// Done is closed when the host has ended because it was fenced or stopped.
 func (h *Host) Done() <-chan struct{} { return h.done }
 
-// Drained is closed when all calls have ended and are committed after Drain.
+// Drained is closed after owner.Drain, once all outcomes and all calls with an attempt in
+// progress are committed to the journal. The host makes no more dispatches then.
 func (h *Host) Drained() <-chan struct{} { return h.drained }
 
-// Fenced reports whether another daemon has the shard. It is valid after Done.
+// Fenced reports whether another daemon has taken the shard over. It is valid after Done.
 func (h *Host) Fenced() bool { return h.fenced }
 
-// Cancel ends the host.
+// Cancel ends the host without waiting.
 func (h *Host) Cancel() { h.cancel() }
 
-// Stop ends the host and waits for it.
+// Stop ends the host and waits until it has ended.
 func (h *Host) Stop() {
 	h.cancel()
 	<-h.done
 }
 
-// Epoch is the epoch that the host owns the shard in.
+// Epoch is the epoch in which the host owns the shard.
 func (h *Host) Epoch() uint64 { return h.Taken.Epoch }
 
 func (h *Host) post(m any) bool {
@@ -235,7 +235,7 @@
 	}
 }
 
-// recording begins the hop in which a request's outcome goes to the store.
+// startCommitSpan starts the span of committing a request's outcome to the store.
 func (h *Host) startCommitSpan(request string) {
 	if parent, ok := h.parents[request]; ok {
 		delete(h.parents, request)
@@ -277,7 +277,7 @@
 
 func (h *Host) attemptEnded(t owner.Tried) {
 	if h.handedOver {
-		return // the next owner is told
+		return // package shards reports it to the next owner
 	}
 	delete(h.attempts[t.Request], t.Upstream)
 	if len(h.attempts[t.Request]) == 0 {
@@ -286,7 +286,7 @@
 	h.step(t)
 }
 
-// write carries out one step of the chain.
+// write executes an effect of the journal's chain.
 func (h *Host) write(e chain.Effect) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
@@ -299,8 +299,8 @@
 	}
 }
 
-// outcome sorts the end of a creation. Whatever is not known to have had no
-// effect may have had it.
+// outcome classifies the error of a creation. An error that does not rule out that the
+// entry was written is chain.Lost.
 func outcome(err error) chain.Outcome {
 	var c *store.ConflictError
 	switch {
@@ -329,7 +329,7 @@
 	return chain.Found{Entry: e}
 }
 
-// save takes a snapshot when enough entries have come since the last one.
+// save takes a snapshot if snapshotEntries entries were committed since the last one.
 func (h *Host) save() {
 	if h.saving || h.machine.Fold.Upto < h.savedUpto+snapshotEntries {
 		return
@@ -346,7 +346,7 @@
 
 func (h *Host) saved(upto uint64, gone map[uint64]uint32, err error) {
 	h.saving = false
-	h.savedUpto = upto // after a failure the next one waits as long
+	h.savedUpto = upto // also after a failure: the next snapshot is due as many entries later
 	if err == nil {
 		h.step(owner.Saved{Upto: upto, Gone: gone})
 	}
--- a/internal/node/host/runner.go
+++ b/internal/node/host/runner.go
@@ -67,7 +67,8 @@
 	return h.submit(ctx, sink, func(t owner.Ticket) owner.Message { return owner.Call{Ticket: t, Call: c} })
 }
 
-// ask gives the machine a request and waits for its reply.
+// submit posts a request to the owner and waits for its reply. Meanwhile it writes the
+// pieces of the answer to sink.
 func (h *Host) submit(ctx context.Context, sink runner.Sink, m func(owner.Ticket) owner.Message) result.Result {
 	id, t := h.addWaiter()
 	if !h.post(m(id)) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// last returns a reply that was given just before the host ended.
+// finalReply returns a reply that was sent just before the host ended.
 func (h *Host) finalReply(t *waiter) result.Result {
 	select {
 	case r := <-t.reply:
@@ -110,7 +111,7 @@
 	}
 }
 
-// gone tells the daemon that met the caller to look for the new owner, which
+// notOwner makes the daemon that received the request look up the new owner, which
 // joins or repeats the call by its number.
 func notOwner() result.Result {
 	return result.Failed(result.CodeNotOwner, result.Unknown, "the program has moved to another daemon")
@@ -137,8 +138,8 @@
 	return h.readHistory(ctx, account, hash, func(hs []hist.History) (hist.History, bool) { return findRequest(hs, request) })
 }
 
-// Answer implements placer.Asker. It never waits: placement serves all shards,
-// and a host that waits for placement must not be waited for by it.
+// Answer implements placer.Requester. It doesn't block: the placer serves all shards, and if
+// it waited for a host that waits for the placer, both would be stuck.
 func (h *Host) Answer(e sched.Effect) {
 	var m owner.Message
 	switch e := e.(type) {
--- a/internal/node/host/texts.go
+++ b/internal/node/host/texts.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/shard/past"
 )
 
-// Folders tells which daemons have a data folder, and how they are. Where there
-// never is one, long texts cost nothing here.
+// UpdateFolders sets the daemons that have a data folder, with their states. Bulk storage
+// of long texts starts with the first such daemon; without one it costs nothing.
 func (h *Host) UpdateFolders(ms []beat.Member) {
 	h.mu.Lock()
 	if h.bulk == nil && len(ms) == 0 {
@@ -21,24 +21,24 @@
 	}
 	h.startBulk()
 	b := h.bulk
-	gone := h.folders
+	removed := h.folders
 	h.folders = map[string]beat.Member{}
 	for _, m := range ms {
-		delete(gone, m.Name)
+		delete(removed, m.Name)
 		h.folders[m.Name] = m
 	}
 	h.mu.Unlock()
 	for _, m := range ms {
 		b.Tell(blobs.Member{Member: m})
 	}
-	for _, m := range gone {
+	for _, m := range removed {
 		m.State = beat.Down
 		b.Tell(blobs.Member{Member: m})
 	}
 	h.Tell(owner.Keeping{On: twoDomainsUp(ms)})
 }
 
-// enough reports whether two failure domains have a folder that is up.
+// twoDomainsUp reports whether at least two failure domains have a folder on an alive daemon.
 func twoDomainsUp(ms []beat.Member) bool {
 	domains := map[string]bool{}
 	for _, m := range ms {
@@ -49,7 +49,7 @@
 	return len(domains) >= 2
 }
 
-// startBulk begins to look after the shard's texts; the caller holds the mutex.
+// startBulk starts bulk storage for the shard's texts. The caller holds h.mu.
 func (h *Host) startBulk() {
 	if h.bulk != nil {
 		return
@@ -66,7 +66,7 @@
 	h.bulk = b
 }
 
-// keep puts a call's texts into data folders.
+// storeTexts stores a call's texts in data folders.
 func (h *Host) storeTexts(k owner.Keep) {
 	ctx, stop := context.WithTimeout(h.ctx, owner.KeepWait)
 	defer stop()
@@ -102,15 +102,15 @@
 	return h.bulk
 }
 
-// changed notes new holders; it is called by bulk under its lock, so it must
-// not wait for the machine or for anything that waits for bulk.
+// changed collects blobs with new holders. Bulk calls it with its lock held, so it must not
+// block on the owner or on anything that waits for bulk.
 func (h *Host) changed(r bulk.Ref) {
 	h.movedMu.Lock()
 	defer h.movedMu.Unlock()
 	h.moved = append(h.moved, blob(r))
 }
 
-// tellMoved has new holders written down.
+// journalMoved passes the new holders to the owner, which writes them to the journal.
 func (h *Host) journalMoved() {
 	h.movedMu.Lock()
 	moved := h.moved
@@ -121,7 +121,7 @@
 	}
 }
 
-// journal reads the shard's journal and texts.
+// journal returns the reader of the shard's journal and texts.
 func (h *Host) journal() past.Past {
 	return past.Past{Store: h.Store, Shard: h.Shard, Text: h.readText}
 }
