--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -23,17 +23,18 @@
 )
 
 type (
-	// claim is the value of a shard's key. While the key hangs on a lease its
-	// owner lives; Released tells that the owner gave the shard up cleanly.
+	// claim is the value of a shard's key in the store. The key is bound to the owner's
+	// lease and disappears when that expires. Released means that the owner has
+	// released the shard; the key is then bound to no lease.
 	claim struct {
 		Owner    string `json:"owner"`
-		Session  uint64 `json:"session"` // of the process
+		Session  uint64 `json:"session"` // identifies the owner's process
 		Nonce    uint64 `json:"nonce"`
 		Released bool   `json:"released,omitempty"`
 	}
 
-	// claimed is a claim that was won. Clean tells that no former owner can
-	// still act.
+	// claimed is a claim that succeeded: the key's revision, and whether the former owner
+	// has released the shard, so that it can't act on it any more.
 	claimed struct {
 		rev   store.Rev
 		clean bool
@@ -58,7 +59,7 @@
 				s.rekey(ctx, shard, w, e.ID)
 			}
 		case lease.Lost:
-			s.Log.Warn().Uint64("lease", uint64(e.ID)).Msg("lease lapsed; no dispatch until ownership is proved")
+			s.Log.Warn().Uint64("lease", uint64(e.ID)).Msg("lease expired; dispatch is suspended until ownership is verified")
 			s.stepAssign(ctx, assign.Leased{})
 			for _, w := range s.hosts {
 				w.suspended = true
@@ -94,14 +95,14 @@
 	}
 }
 
-// take claims a shard and takes its journal over.
+// takeOver claims a shard and takes over its journal.
 func (s *Shards) takeOver(ctx context.Context, shard int, id store.Lease) {
 	call, stop := context.WithTimeout(ctx, claimTimeout)
 	defer stop()
 	w, err := s.startHost(call, ctx, shard, id)
 	if err != nil {
 		if !errors.Is(err, errHeld) {
-			s.Log.Warn().Err(err).Int("shard", shard).Msg("claim failed")
+			s.Log.Warn().Err(err).Int("shard", shard).Msg("shard claim failed")
 		}
 		s.post(ctx, assignMessage{assign.Claimed{Shard: shard}})
 		return
@@ -109,7 +110,7 @@
 	s.post(ctx, takeoverMessage{shard: shard, w: w})
 }
 
-func (s *Shards) startHost(ctx, life context.Context, shard int, id store.Lease) (*ownedShard, error) {
+func (s *Shards) startHost(ctx, hostCtx context.Context, shard int, id store.Lease) (*ownedShard, error) {
 	c, err := s.claim(ctx, shard, id)
 	if err != nil {
 		return nil, err
@@ -132,17 +133,18 @@
 		Rand:       s.Rand,
 		Peers:      s.Peers,
 		Domain:     s.Domain,
-		OnVerified: func(h *host.Host) { s.Go(func() { s.post(life, verifiedMessage{h}) }) },
+		OnVerified: func(h *host.Host) { s.Go(func() { s.post(hostCtx, verifiedMessage{h}) }) },
 	}
 	if !c.clean && taken.Epoch > 1 {
 		h.Hold = time.Now().Add(takeoverDelay)
 	}
 	w := &ownedShard{Host: h, key: c, since: time.Now(), openPrograms: openPrograms(taken.Fold)}
-	h.Start(life)
+	h.Start(hostCtx)
 	return w, nil
 }
 
-// claim writes the shard's key under the lease.
+// claim writes the shard's key under the lease. It returns errHeld if another process holds
+// the key.
 func (s *Shards) claim(ctx context.Context, shard int, id store.Lease) (claimed, error) {
 	mine := claim{Owner: s.Name, Session: s.session, Nonce: s.Rand()}
 	rev, err := s.Store.Put(ctx, key(shard), encode(mine), 0, id)
@@ -167,9 +169,9 @@
 	case !held.Released && held.Session != s.session:
 		return claimed{}, errHeld
 	}
-	// A key of this process that no host stands for is from a claim that landed
-	// after it was given up, or a release that got lost. It hangs on a lease
-	// that is renewed, so without this nobody could ever take the shard.
+	// A key of this process without a host is left from a claim that was written after its
+	// call had timed out, or from a release that was lost. It is bound to a lease that this
+	// process keeps renewing, so no daemon could take the shard if it were not overwritten.
 	rev, err = s.Store.Put(ctx, key(shard), encode(mine), e.Rev, id)
 	return claimed{rev: rev, clean: held.Released}, err
 }
@@ -177,7 +179,7 @@
 func encode(c claim) []byte {
 	b, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // a struct of plain fields
+		panic(err) // can't fail: claim has only plain fields
 	}
 	return b
 }
@@ -186,7 +188,7 @@
 	s.mu.Lock()
 	s.hosts[m.shard] = m.w
 	s.mu.Unlock()
-	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.Read).Bool("clean", m.w.key.clean).Msg("shard taken")
+	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.Read).Bool("clean", m.w.key.clean).Msg("shard taken over")
 	s.sendConfig()
 	m.w.UpdateFolders(s.folders)
 	s.registerPrograms(m.w.openPrograms)
@@ -207,14 +209,14 @@
 	s.mu.Lock()
 	delete(s.hosts, m.shard)
 	s.mu.Unlock()
-	s.Log.Info().Int("shard", m.shard).Bool("fenced", m.w.Fenced()).Msg("shard left")
+	s.Log.Info().Int("shard", m.shard).Bool("fenced", m.w.Fenced()).Msg("shard no longer owned")
 	s.stepAssign(ctx, assign.Gone{Shard: m.shard})
 	s.OnOwned(s.List())
 }
 
-// rekey puts a shard's key under a new lease, after the old one lapsed. That
-// nobody else has the key now doesn't mean that nobody had it in between, so
-// the journal must prove it before the host may dispatch again.
+// rekey claims a shard again under a new lease after the old one expired. Another daemon may
+// have owned the shard in between even if the key is free now, so the host is suspended until
+// a write to the journal proves that none has.
 func (s *Shards) rekey(ctx context.Context, shard int, w *ownedShard, id store.Lease) {
 	if !w.suspended {
 		return
@@ -245,8 +247,8 @@
 	s.sendLease()
 }
 
-// give ends ownership, offers the shard, and goes on with the attempts under
-// way for the next owner.
+// handOver drains the shard's host, releases the shard, offers it to the chosen daemon, and
+// continues the attempts in progress for the next owner.
 func (s *Shards) handOver(ctx context.Context, g assign.Give) {
 	w := s.hosts[g.Shard]
 	if w == nil || w.releasing {
@@ -270,20 +272,20 @@
 	})
 }
 
-// release leaves the shard's key behind marked as released, so that the next
-// owner need not wait for a lease to lapse.
+// release marks the shard's key as released, so that the next owner need not wait until the
+// lease expires, and offers the shard to g.To.
 func (s *Shards) release(ctx context.Context, g assign.Give, c claimed) {
 	call, stop := context.WithTimeout(ctx, releaseTimeout)
 	defer stop()
 	_, err := s.Store.Put(call, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
 	if err != nil {
-		s.Log.Warn().Err(err).Int("shard", g.Shard).Msg("release not recorded; the next owner waits for the lease")
+		s.Log.Warn().Err(err).Int("shard", g.Shard).Msg("shard release not stored; the next owner must wait until the lease expires")
 		return
 	}
 	if g.To.Name == "" {
 		return
 	}
 	if err := s.Offer(call, g.To, g.Shard); err != nil {
-		s.Log.Debug().Err(err).Int("shard", g.Shard).Msg("offer failed")
+		s.Log.Debug().Err(err).Int("shard", g.Shard).Msg("shard offer failed")
 	}
 }
--- a/internal/node/shards/claim_test.go
+++ b/internal/node/shards/claim_test.go
@@ -12,14 +12,14 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// A claim meets a key that another daemon holds, that was given up, or that this
-// very process wrote: an earlier attempt whose answer was lost may land when it
-// was given up long ago. Users would notice a shard with two owners, or one that
-// nobody can take because its key hangs on a lease that is renewed.
+// A shard's key may be held by another daemon, released, or written by this same process: a
+// claim whose reply was lost may take effect after its call timed out. A fault here shows as
+// a shard with two owners, or as one that no daemon can take because its key is bound to a
+// lease that is still renewed.
 func TestClaim(t *testing.T) {
 	const session = 7
 	tests := map[string]struct {
-		existing *claim // what stands under the key
+		existing *claim // value of the key before the claim
 		faults   map[int]keyval.Fault
 		held     bool
 		fails    bool
@@ -58,7 +58,7 @@
 			is.Equal(got.clean, tt.clean)
 			e, err := st.Get(ctx, key(3))
 			is.NoErr(err)
-			is.Equal(e.Rev, got.rev) // a release must name this revision
+			is.Equal(e.Rev, got.rev) // a release must be conditional on this revision
 			_, err = st.Put(ctx, key(3), nil, e.Rev, store.Lease(0))
 			is.NoErr(err)
 		})
--- a/internal/node/shards/folders.go
+++ b/internal/node/shards/folders.go
@@ -6,7 +6,7 @@
 	"github.com/slaterock/slaterock/internal/peer/beat"
 )
 
-// tellFolders passes changes among the daemons with a data folder on.
+// sendFolders sends the daemons with a data folder to all hosts if any of them changed.
 func (s *Shards) sendFolders(members []beat.Member) {
 	var folders []beat.Member
 	for _, m := range members {
--- a/internal/node/shards/handover.go
+++ b/internal/node/shards/handover.go
@@ -13,7 +13,7 @@
 	reportTimeout  = 2 * time.Second
 )
 
-// Report takes in what a shard's former owner tells of an attempt.
+// Report processes a former owner's report of an attempt that it continues.
 func (s *Shards) Report(ctx context.Context, r host.Report) (host.ReportReply, error) {
 	w := s.host(r.Shard)
 	if w == nil {
@@ -22,8 +22,8 @@
 	return w.Report(ctx, r)
 }
 
-// follow reports an attempt to the shard's present owner until it has ended and
-// that is known there. The shard may move again meanwhile.
+// continueAttempt reports an attempt to the shard's present owner until it has ended and the
+// owner has received the result. The shard may move again meanwhile.
 func (s *Shards) continueAttempt(ctx context.Context, shard int, t *host.RunningAttempt) {
 	defer s.continuing.Add(-1)
 	defer t.Cancel()
@@ -46,7 +46,7 @@
 	}
 }
 
-// tell makes one report; false tells that no more are needed.
+// sendReport sends one report. It returns false if no more reports are needed.
 func (s *Shards) sendReport(ctx context.Context, r *host.Report, t *host.RunningAttempt) bool {
 	call, stop := context.WithTimeout(ctx, reportTimeout)
 	defer stop()
@@ -54,7 +54,7 @@
 	a, err := s.Tell(call, *r)
 	switch {
 	case err != nil:
-		return true // the next owner is not known yet, or moves again
+		return true // the next owner is not known yet or has changed
 	case !a.Known:
 		return false
 	}
--- a/internal/node/shards/runner.go
+++ b/internal/node/shards/runner.go
@@ -24,7 +24,7 @@
 	return result.Refuse(result.CodeNotOwner, "the program belongs to another daemon")
 }
 
-// limits returns what Guard holds the account to.
+// limits returns the account's limits, none without a Limiter.
 func (s *Shards) limits(account string) file.Account {
 	if s.Limiter == nil {
 		return file.Account{}
@@ -104,8 +104,8 @@
 	return w.Request(ctx, account, request)
 }
 
-// Live returns those of the programs that are open here. Programs of shards
-// that are not owned here count as open: their owner must say otherwise.
+// Live returns those of the programs that are open here. Programs of shards that are not
+// owned here count as open, because only their owner knows that they have ended.
 func (s *Shards) Live(programs []string) []string {
 	var out []string
 	for _, p := range programs {
@@ -122,14 +122,14 @@
 	return w != nil && w.Live(program)
 }
 
-// adopted is a program that was open when its shard was taken.
+// openProgram is a program that was open when its shard was taken over.
 type openProgram struct {
 	account, program string
-	next             int // calls below it were let in before and won't run again
+	next             int // calls with lower numbers were admitted before and won't run again
 }
 
-// open lists the open programs of a shard. The shard's host changes them once
-// it runs, so this comes before.
+// openPrograms lists the open programs of a shard. Call it before the shard's host runs,
+// which then changes the fold.
 func openPrograms(f state.Fold) []openProgram {
 	var out []openProgram
 	for id, p := range f.Programs {
@@ -140,9 +140,9 @@
 	return out
 }
 
-// settled is the number below which no call of the program is to be charged.
-// The newest one that ended runs again if its outcome was not final; one that
-// goes on over a handover was charged before it.
+// chargedBelow returns the number below which no call of the program is to be charged. The
+// last call that ended runs again if its outcome is not final. A call in progress during a
+// handover was charged before it.
 func chargedBelow(p *state.Program) int {
 	switch {
 	case p.Moved != nil:
@@ -153,7 +153,7 @@
 	return p.Next
 }
 
-// adopt counts the programs of a shard that was taken.
+// registerPrograms registers the open programs of a shard that was taken over with Limiter.
 func (s *Shards) registerPrograms(list []openProgram) {
 	for _, a := range list {
 		acct := s.limits(a.account)
--- a/internal/node/shards/runner_test.go
+++ b/internal/node/shards/runner_test.go
@@ -11,9 +11,9 @@
 	"github.com/slaterock/slaterock/internal/prog/state"
 )
 
-// A shard has a new owner, and callers repeat the calls whose answers they
-// lost. Those that were let in before are not charged again; one that runs
-// again is, or an account could run it for nothing as often as it fails.
+// After a takeover callers repeat calls whose answers were lost. Calls that were admitted
+// before must not be charged again. One that runs again must be, or an account could run a
+// failing call any number of times without a charge.
 func TestChargedBelow(t *testing.T) {
 	cases := map[string]struct {
 		p    state.Program
@@ -31,8 +31,8 @@
 	}
 }
 
-// A program that ended stays in its shard's memory for a while. Were it
-// counted, a takeover would fill the account.
+// A program that ended is kept in its shard's memory for a while. If a takeover counted it as
+// open, it would use up the account's limit of open programs.
 func TestOpenAtTakeover(t *testing.T) {
 	f := state.Fold{Programs: map[string]*state.Program{
 		"p": {Open: call.Open{Account: "acct"}, Next: 2, Final: true},
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -1,9 +1,8 @@
-// Package shards owns, at one daemon, the shards that fall to it: it keeps the
-// daemon's lease, claims and takes over shards, drives their hosts, and hands
-// them to other daemons.
+// Package shards manages the shards that one daemon owns: it keeps the daemon's lease, claims
+// and takes over shards, runs a host for each, and hands shards over to other daemons.
 //
-// It is the daemon's local runner.Runner: a request goes to the host of its
-// program's shard, or is refused as not owned here.
+// It is the daemon's local runner.Runner: it routes each request to the host of its program's
+// shard, and refuses it if the shard is not owned here.
 package shards
 
 import (
@@ -31,15 +30,16 @@
 const (
 	mailboxSize  = 256
 	tickInterval = 100 * time.Millisecond
-	// graceTime is how long a taker waits before its first dispatch, so that a
-	// former owner that can't reach the store hears that others can.
+	// takeoverDelay is the time between a takeover and the first dispatch. A former owner
+	// that can't reach the store continues to dispatch until it learns by gossip that other
+	// daemons can.
 	takeoverDelay = 3 * time.Second
-	// newsTime is how long the news of an outage holds.
+	// outageValidity is how long an observed outage of the store counts without renewal.
 	outageValidity = time.Second
 )
 
 type (
-	// Shards is the set of shards owned here. Set the fields before Init.
+	// Shards is the set of shards owned here. Set the exported fields before Init.
 	Shards struct {
 		Name    string
 		Store   store.Store
@@ -47,52 +47,52 @@
 		Go      func(f func())
 		Log     zerolog.Logger
 		Members func() []beat.Member
-		// StoreAge is the time since any daemon is known to have reached the
-		// store, negative for never; Alone tells that no peer was heard.
+		// StoreAge is the time since any daemon is known to have reached the store,
+		// negative for never. Alone reports whether no peer has been in contact lately.
 		StoreAge func() time.Duration
 		Alone    func() bool
 		Attempt  host.Attempt
 		Trace    *trace.Trace
-		// MaxPrograms bounds the open programs of the daemon, beside the
-		// configuration's bound; zero is none.
+		// MaxPrograms limits the open programs of the daemon, in addition to the
+		// configuration's limit; zero is none.
 		MaxPrograms int
 		Place       func(h *host.Host, m sched.Message)
 		OnCallEnd   func(l owner.Log)
 		OnOwned     func(s []beat.Shard)
-		// Peers reaches data folders; Domain is this daemon's failure domain.
+		// Peers is the client of all data folders. Domain is this daemon's failure domain.
 		Peers   bulk.Peers
 		Domain  string
 		Offer   func(ctx context.Context, to beat.Member, shard int) error
 		Limiter *quotas.Limiter // nil: accounts have no limits
-		// Tell reports an attempt to whoever owns its shard now.
+		// Tell reports a continued attempt to the present owner of its shard.
 		Tell func(ctx context.Context, r host.Report) (host.ReportReply, error)
 
 		inbox        chan message
 		lease        lease.Lease
 		assign       assign.Assign
-		session      uint64    // tells this process's claims from those of an earlier one
-		storeReached time.Time // when this daemon last reached the store
+		session      uint64    // distinguishes this process's claims from an earlier one's
+		storeReached time.Time // send time of the latest store call that was answered
 
-		continuing atomic.Int64 // attempts that go on for later owners
+		continuing atomic.Int64 // attempts continued for later owners
 
 		mu    sync.RWMutex
 		cfg   file.File
 		hosts map[int]*ownedShard
 
-		folders []beat.Member // with a data folder, as the hosts were told
+		folders []beat.Member // daemons with a data folder, as last sent to the hosts
 	}
 
-	// ward is one shard owned here.
+	// ownedShard is one shard owned here.
 	ownedShard struct {
 		*host.Host
 		key          claimed
 		since        time.Time
-		openPrograms []openProgram // programs, until they are counted
-		suspended    bool          // its lease lapsed and ownership is not proved yet
+		openPrograms []openProgram // at the takeover, until registered
+		suspended    bool          // its lease expired and ownership is not verified yet
 		releasing    bool
 	}
 
-	// message is what the loop reacts to.
+	// message is an input of the event loop.
 	message interface{ message() }
 
 	leaseMessage    struct{ m lease.Message }
@@ -124,7 +124,7 @@
 func (rekeyMessage) message()     {}
 func (configMessage) message()    {}
 
-// Init makes the set ready to be told things.
+// Init must be called before any other method.
 func (s *Shards) Init() {
 	s.inbox = make(chan message, mailboxSize)
 	s.hosts = map[int]*ownedShard{}
@@ -133,19 +133,19 @@
 	s.assign.Self, s.assign.Rand = s.Name, s.Rand
 }
 
-// Reached tells that a call to the store was answered that was sent at a time.
+// Reached reports that the store has answered a call that was sent at time at.
 func (s *Shards) Reached(ctx context.Context, at time.Time) { s.post(ctx, reachedMessage{at}) }
 
 // Configure puts a configuration in force.
 func (s *Shards) Configure(ctx context.Context, f file.File) { s.post(ctx, configMessage{f}) }
 
-// Offered tells that the former owner has given a shard to this daemon.
+// Offered reports that the former owner has released a shard for this daemon to take.
 func (s *Shards) Offered(ctx context.Context, shard int) {
 	s.post(ctx, assignMessage{assign.Offered{Shard: shard}})
 }
 
-// Drain hands all shards over and returns when none is left and no attempt is
-// under way here.
+// Drain hands all shards over and returns when none is left and no attempt is in progress
+// here.
 func (s *Shards) Drain(ctx context.Context) error {
 	s.post(ctx, assignMessage{assign.Drain{}})
 	t := time.NewTicker(tickInterval)
@@ -254,8 +254,8 @@
 	s.sendConfig()
 }
 
-// tellConfig tells all hosts the configuration. The bound on the daemon's open
-// programs is shared out among them, as each counts only its own.
+// sendConfig sends the configuration to all hosts. The limit on the daemon's open programs is
+// divided among them, because each host counts only its own.
 func (s *Shards) sendConfig() {
 	f := s.cfg
 	if s.MaxPrograms > 0 && (f.Limits.MaxPrograms == 0 || s.MaxPrograms < f.Limits.MaxPrograms) {
@@ -270,7 +270,7 @@
 	}
 }
 
-// pace spreads half of the store's writes evenly over the shards' journals.
+// pace divides half of the store's write capacity evenly among the shards' journals.
 func pace(f file.File) owner.Pace {
 	const share = 0.5
 	if f.System.StoreWrites <= 0 || f.System.Shards <= 0 {
@@ -292,7 +292,7 @@
 	s.sendLease()
 }
 
-// lapse gives up a lease that nothing hangs on any more.
+// revokeIdleLease drops and revokes the lease when no shard is owned or wanted.
 func (s *Shards) revokeIdleLease(ctx context.Context) {
 	id := s.lease.ID()
 	if id == 0 || len(s.hosts) > 0 || s.assign.Wants(time.Now()) {
@@ -304,12 +304,12 @@
 		call, stop := context.WithTimeout(ctx, leaseTimeout)
 		defer stop()
 		if err := s.Store.Revoke(call, id); err != nil {
-			s.Log.Debug().Err(err).Msg("lease not revoked; it lapses")
+			s.Log.Debug().Err(err).Msg("lease not revoked; it will expire")
 		}
 	})
 }
 
-// tellLease tells all hosts until when they may dispatch.
+// sendLease sends all hosts the time until which they may dispatch.
 func (s *Shards) sendLease() {
 	now := time.Now()
 	held := owner.Lease{Until: s.lease.Until()}
@@ -325,10 +325,10 @@
 	}
 }
 
-// outage reports whether nobody is known to have reached the store since the
-// lease ended, so that nobody can have taken a shard. This daemon counts too: if
-// it reaches the store itself, its lease tells how things stand. A daemon that
-// hears no peer must assume that the others reach the store.
+// outage reports whether no daemon is known to have reached the store since the lease ended,
+// so that none can have taken a shard. This daemon counts too: if it reaches the store, its
+// lease alone decides. A daemon without contact to any peer must assume that the others reach
+// the store.
 func (s *Shards) outage(now time.Time) bool {
 	until := s.lease.Until()
 	if s.Alone() || s.storeReached.After(until) {
