--- a/internal/node/placer/model.go
+++ b/internal/node/placer/model.go
@@ -14,8 +14,8 @@
 	loadTimeout  = 10 * time.Minute
 )
 
-// declare tells which models engines are to have loaded. Engines that name none
-// serve all that their group does and are not ordered.
+// declareModels sets the models that each engine is to have loaded. Engines without a list of
+// models serve all that their group does and get no load orders.
 func (p *Placer) declareModels(ctx context.Context, f file.File) {
 	models := map[string][]string{}
 	for name, u := range f.Upstreams {
@@ -66,7 +66,7 @@
 	})
 }
 
-// address asks the placer's own goroutine where the upstream is now.
+// address returns the upstream's current address. It reads it on the placer's goroutine.
 func (p *Placer) address(ctx context.Context, upstream string) string {
 	ch := make(chan string, 1)
 	p.runInLoop(ctx, func() { ch <- p.cfg.Upstreams[upstream].Address })
--- a/internal/node/placer/order.go
+++ b/internal/node/placer/order.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// OrderTimeout is how long an order to an engine may take. For as long nobody gives
-	// orders to an engine that takes any fencing number, after the daemon has changed
-	// that gives them.
+	// OrderTimeout is how long an order to an engine may take. When another daemon becomes
+	// responsible for an engine that doesn't check fencing numbers, it sends no orders for
+	// this time, so that the former daemon's orders have ended.
 	OrderTimeout = 5 * time.Second
 
-	// releaseTries and releasePause have a release given again for longer than that.
-	// What none of them frees is found by the sweep.
+	// A release is tried releaseAttempts times, releaseRetryDelay apart, which together is
+	// longer than OrderTimeout. Memory that no attempt frees is found by the sweep of held
+	// programs.
 	releaseAttempts   = 4
 	releaseRetryDelay = 2 * time.Second
 )
 
-// order gives an order to an engine, or has it given by the daemon that all
-// orders to that engine go through: an engine that ignores fencing numbers
-// would otherwise take orders from two owners in any sequence.
+// order sends an order to an engine, or forwards it to the daemon that is responsible for the
+// engine. All orders to an engine go through one daemon, because an engine that ignores
+// fencing numbers would otherwise take orders from two owners in any sequence.
 func (p *Placer) order(ctx context.Context, upstream string, o engine.Order) {
 	tries := 1
 	if o.Kind == engine.OrderRelease {
@@ -30,7 +31,7 @@
 	p.tryOrder(ctx, upstream, p.cfg.Upstreams[upstream].Address, o, tries)
 }
 
-// repeat gives an order until it is taken, so many times at most.
+// tryOrder sends an order until one attempt succeeds, at most tries times.
 func (p *Placer) tryOrder(ctx context.Context, upstream, address string, o engine.Order, tries int) {
 	p.Go(func() {
 		err := p.sendOrder(ctx, upstream, address, o)
--- a/internal/node/placer/order_test.go
+++ b/internal/node/placer/order_test.go
@@ -14,14 +14,14 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// A program ends just after another daemon has become the one through which all orders to
-// its engine go. That one gives none for five seconds, and the release was dropped: the
-// engine held the program's memory until a sweep came by.
+// A program ends just after another daemon has become responsible for its engine. That daemon
+// sends no orders for five seconds. A release that is not retried then is lost, and the engine
+// holds the program's memory until the next sweep.
 func TestReleaseIsRetried(t *testing.T) {
 	cases := map[string]struct {
 		kind        engine.OrderKind
 		unavailable time.Duration
-		want        int // orders that the engine takes
+		want        int // orders that the engine accepts
 	}{
 		"a release, at once":         {engine.OrderRelease, 0, 1},
 		"a release in a change":      {engine.OrderRelease, OrderTimeout, 1},
@@ -38,7 +38,7 @@
 					Fence: func(string) (uint64, bool) { return 0, false },
 					Forward: func(ctx context.Context, _ string, o engine.Order) error {
 						if time.Since(began) < c.unavailable {
-							return errors.New("nobody gives orders to it")
+							return errors.New("no daemon sends orders to the engine")
 						}
 						return e.Order(ctx, o)
 					},
--- a/internal/node/placer/placer.go
+++ b/internal/node/placer/placer.go
@@ -1,8 +1,8 @@
-// Package placer drives placement at one daemon: one Sched serves all shards
-// that the daemon owns, so that their requests see each other's load.
+// Package placer drives placement at one daemon: one sched.Sched serves all shards that the
+// daemon owns, so that it counts the load of all their requests.
 //
-// It polls the engines' load reports and cache events and the platform's list
-// of VMs, and carries out the orders that placement gives to engines.
+// It polls the engines' load reports and cache events and the platform's list of VMs, and
+// sends the orders that placement decides on to engines.
 package placer
 
 import (
@@ -30,34 +30,34 @@
 )
 
 type (
-	// Asker gets the answers to what it asked: a sched.Assign or a
+	// Requester receives the answers to its requests, each a sched.Assign or a
 	// sched.Refuse.
 	Requester interface {
 		Answer(e sched.Effect)
 	}
 
-	// Placer is the driver. Serve runs it until its context ends.
+	// Placer is the driver. Set the exported fields, then call Init and Serve.
 	Placer struct {
 		Seed    uint64
 		Engine  func(address string) engine.Engine
 		VMs     vmlist.List    // nil if the platform has none
-		Weights weight.Weights // nil if loads are not spaced
+		Weights weight.Weights // paces model loads; nil for no limit
 		Go      func(f func())
 		Log     zerolog.Logger
-		Fence   func(upstream string) (uint64, bool) // the epoch for orders; false if another daemon gives them
+		Fence   func(upstream string) (uint64, bool) // fencing number for orders; false if not responsible
 		Forward func(ctx context.Context, upstream string, o engine.Order) error
 		Live    func(ctx context.Context, programs []string) ([]string, error)
-		OnLoad  func(upstream string, l engine.Load) // told each load report; may be nil
+		OnLoad  func(upstream string, l engine.Load) // called with each load report; may be nil
 
 		sched      sched.Sched
 		loader     loader.Loader
 		cfg        file.File
 		inbox      chan envelope
 		requesters map[string]Requester
-		running    map[string]int    // attempts under way by request; a hedge is a second one
-		lastEvent  map[string]uint64 // newest cache event by upstream
-		lastLoad   map[string]uint64 // newest load report by upstream
-		poll       map[string]bool   // upstreams with a poll under way
+		running    map[string]int    // attempts in progress by request; a hedge is a second one
+		lastEvent  map[string]uint64 // number of the newest cache event by upstream
+		lastLoad   map[string]uint64 // number of the newest load report by upstream
+		poll       map[string]bool   // upstreams with a poll in progress; "" is the list of VMs
 		lastPoll   time.Time
 	}
 
@@ -68,9 +68,9 @@
 	}
 )
 
-var errNotResponsible = errors.New("placer: another daemon gives the engine its orders")
+var errNotResponsible = errors.New("placer: another daemon is responsible for the engine's orders")
 
-// Init makes the placer ready to be told messages.
+// Init must be called before Tell and Serve.
 func (p *Placer) Init() {
 	p.inbox = make(chan envelope, mailboxSize)
 	p.requesters = map[string]Requester{}
@@ -81,7 +81,7 @@
 	p.sched.Seed = p.Seed
 }
 
-// Tell gives placement a message. The answers to an Ask go to from.
+// Tell posts a message to placement. The answers to a sched.Submit go to from.
 func (p *Placer) Tell(ctx context.Context, from Requester, m sched.Message) {
 	select {
 	case p.inbox <- envelope{from: from, m: m}:
@@ -157,8 +157,8 @@
 	}
 }
 
-// list compares what an engine holds with what some owner still knows. Only the
-// daemon that gives the engine its orders does so.
+// reconcileHeld compares the programs that an engine holds with those that are live at their
+// owners. Only the daemon that is responsible for the engine does so.
 func (p *Placer) reconcileHeld(ctx context.Context, upstream string) {
 	if _, here := p.Fence(upstream); !here {
 		return
@@ -173,7 +173,7 @@
 		}
 		live, err := p.Live(poll, held)
 		if err != nil {
-			return // releasing on half an answer would free what is needed
+			return // with an incomplete answer, live programs would be released
 		}
 		p.Tell(ctx, nil, sched.Held{Upstream: upstream, Programs: held, Live: live})
 	})
@@ -217,8 +217,8 @@
 			p.poll[name] = false
 			if lerr == nil {
 				if load.Seq < p.lastLoad[name] {
-					// The engine started anew and counts from one again; its
-					// events would stay unseen until they pass the old number.
+					// The engine restarted and numbers from one again. Without a reset
+					// its events would be skipped until they pass the old number.
 					p.lastEvent[name] = 0
 					p.stepLoader(ctx, loader.Restarted{Upstream: name})
 				}
@@ -236,7 +236,8 @@
 	})
 }
 
-// stockUp tells which engines get their orders here, and lets loads begin.
+// updateLoader passes the loader the engines for which this daemon is responsible, and starts
+// the loads that are due.
 func (p *Placer) updateLoader(ctx context.Context) {
 	for name, u := range p.cfg.Upstreams {
 		if len(u.Models) > 0 {
