--- a/internal/node/daemon/connect.go
+++ b/internal/node/daemon/connect.go
@@ -17,8 +17,8 @@
 	"github.com/slaterock/slaterock/internal/plat/wtnet"
 )
 
-// Connect sets the clients of the platform and the upstreams to those that the
-// settings name.
+// Connect sets the clients of the platform and the upstreams, with the addresses of the
+// settings.
 func (d *Daemon) Connect() {
 	s := d.Settings
 	d.Store = &kvnet.Client{Line: line.Line{Address: s.Platform.Store}, Name: s.Daemon.Name}
@@ -37,10 +37,10 @@
 	}
 }
 
-// Peer is where other daemons reach this one.
+// Peer is the address for other daemons.
 func (d *Daemon) Peer() string { return d.self.Peer }
 
-// Apply puts a first configuration in force. It waits for Run, whose parts it needs.
+// Apply applies a configuration. It waits until Run has assembled the daemon.
 func (d *Daemon) Apply(ctx context.Context, text []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon: apply") }()
 	select {
@@ -52,8 +52,8 @@
 	return err
 }
 
-// Settled reports whether a configuration is in force here and each shard is
-// known to have an owner.
+// Converged reports whether a configuration is in force here and each shard is known to have
+// an owner.
 func (d *Daemon) Converged() bool {
 	select {
 	case <-d.assembled:
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon puts one daemon together: it meets callers, knows the other
-// daemons, owns shards and reaches upstreams.
+// Package daemon assembles one daemon, which serves callers, exchanges state with the other
+// daemons, owns shards and calls upstreams.
 //
-// Everything in it has its own package; daemon only connects their ends and
-// starts and stops them in order.
+// Each of these parts has its own package. Package daemon connects them and starts and stops
+// them in order.
 package daemon
 
 import (
@@ -46,26 +46,27 @@
 
 const (
 	poolSize          = 16 << 10
-	defaultDrainGrace = 6 * time.Second // a caller may keep an answer of locate for 5 s
+	defaultDrainGrace = 6 * time.Second // callers may cache an answer of locate for 5 s
 	drainTimeout      = 10 * time.Minute
 )
 
 type (
-	// Daemon is one daemon. Set the fields, then Run.
+	// Daemon is one daemon. Set the exported fields, then call Init and Run.
 	Daemon struct {
 		Settings setup.Settings
 		Store    store.Store
-		VMs      vmlist.List    // nil without a list
-		Weights  weight.Weights // nil if loads are not spaced
+		VMs      vmlist.List    // nil if the platform has none
+		Weights  weight.Weights // paces model loads; nil for no limit
 		Engine   func(address string) engine.Engine
 		Tool     func(address string) tool.Tool
 		Logs     logs.Logs
 		Trace    *trace.Trace
 		Metric   *metric.Metric
-		Tape     *tape.Tape // records what programs do; nil records nothing
-		// Listen and Peers replace listening on the addresses of the settings.
+		Tape     *tape.Tape // records the programs' calls for a replay; nil records nothing
+		// Listen and Peers are the listeners for callers and peers. Init opens those that are
+		// nil, at the addresses of the settings.
 		Listen, Peers net.Listener
-		DrainGrace    time.Duration // how long a draining daemon goes on serving; zero is six seconds
+		DrainGrace    time.Duration // how long a draining daemon still serves callers; zero is 6 s
 
 		log       zerolog.Logger
 		scope     tally.Scope
@@ -85,7 +86,7 @@
 		drain     chan struct{}
 		once      sync.Once
 		ready     chan struct{}
-		assembled chan struct{} // closed once the parts know each other
+		assembled chan struct{} // closed once the parts are connected
 	}
 )
 
@@ -94,7 +95,7 @@
 	errDraining = errors.New("daemon: draining")
 )
 
-// Init opens the listeners, so that Address is known before Run.
+// Init opens the listeners, so that Address and Peer are known before Run.
 func (d *Daemon) Init(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon: start") }()
 	var lc net.ListenConfig
@@ -135,17 +136,17 @@
 	return b
 }
 
-// Address is where callers reach the daemon.
+// Address is the address for callers.
 func (d *Daemon) Address() string { return d.self.Address }
 
-// Ready is closed when a configuration is in force.
+// Ready is closed once a configuration is in force.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// Drain asks the daemon to stop without cutting a request; Run returns then.
+// Drain starts a graceful stop that interrupts no request. Run returns when it is complete.
 func (d *Daemon) Drain() { d.once.Do(func() { close(d.drain) }) }
 
-// Run runs the daemon until ctx ends, which cuts what is under way, or until it
-// has drained.
+// Run runs the daemon until ctx ends, which interrupts requests in progress, or until it has
+// drained.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon") }()
 	ctx, stop := context.WithCancel(ctx)
@@ -176,14 +177,14 @@
 
 func (d *Daemon) stopOnError(stop func(), err error) {
 	if err != nil {
-		d.log.Error().Err(err).Msg("daemon stops")
+		d.log.Error().Err(err).Msg("a listener failed; stopping the daemon")
 		stop()
 	}
 }
 
-// leave stops in an order that cuts nothing: callers are sent elsewhere first,
-// shards are handed over when their calls have ended, and what callers still
-// send is relayed until their answers from locate have run out.
+// leave stops the daemon without interrupting a request. It first directs callers to other
+// daemons, then hands the shards over, and relays further requests until the callers' cached
+// answers of locate have expired.
 func (d *Daemon) leave(ctx context.Context) error {
 	d.log.Info().Msg("draining")
 	d.server.StartDraining()
@@ -211,8 +212,8 @@
 	return errors.Wrap(err, "finish requests")
 }
 
-// run runs f on the pool, or on a goroutine of its own when the pool is full:
-// work that waited for a free worker could be what a worker waits for.
+// spawn runs f on the pool, or on a new goroutine if the pool is full. Queueing f could be a
+// deadlock, as a worker may be waiting for what f does.
 func (d *Daemon) spawn(f func()) {
 	if d.pool.Submit(f) != nil {
 		go f()
@@ -252,7 +253,7 @@
 }
 
 func (d *Daemon) configure(ctx context.Context, f file.File) {
-	d.log.Info().Uint64("version", f.Version).Msg("configuration in force")
+	d.log.Info().Uint64("version", f.Version).Msg("configuration applied")
 	d.allotStore()
 	d.Tape.Configure(f)
 	d.shards.Configure(ctx, f)
@@ -265,7 +266,7 @@
 	}
 }
 
-// share gives this daemon its part of the calls that the store takes.
+// allotStore sets this daemon's share of the store's read and write rates.
 func (d *Daemon) allotStore() {
 	n := 0
 	for _, m := range d.gossip.Members() {
@@ -275,7 +276,7 @@
 	}
 	n = max(n, 1)
 	sys := d.config.Current().System
-	// Owners write and read more than others, so a share is twice the mean.
+	// A daemon that owns shards reads and writes more than others, so a share is twice the mean.
 	d.meter.Allow(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
 }
 
--- a/internal/node/daemon/daemon_test.go
+++ b/internal/node/daemon/daemon_test.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/fake/pipe"
 )
 
-// A daemon's goroutine gets the processor late, and the first configuration is applied
-// before the daemon runs. It ended the whole process, by a store that was not there yet.
+// Apply may be called before the goroutine that calls Run is scheduled. Without waiting it
+// would use a nil store and crash the process.
 func TestApplyBeforeRun(t *testing.T) {
 	is := is.New(t)
 	var n pipe.Net
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -20,14 +20,14 @@
 const operatorName = "operator"
 
 type (
-	// Status is what a daemon knows of the system.
+	// Status is the system's state as one daemon knows it.
 	Status struct {
 		Daemon  string        `json:"daemon"`
 		Version uint64        `json:"config_version"`
 		Shards  int           `json:"shards"`
 		Members []beat.Member `json:"members"`
 		Store   meter.Counts  `json:"store"`
-		Age     time.Duration `json:"store_age"` // since anybody reached the store
+		Age     time.Duration `json:"store_age"` // time since any daemon is known to have reached the store
 	}
 )
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// account finds who a key belongs to. The operator's key of the settings works
-// before any configuration is in force.
+// authenticate returns the account of a key. The operator's key in the settings is valid even
+// before a configuration is in force.
 func (d *Daemon) authenticate(key string) (name string, operator, ok bool) {
 	if k := d.Settings.Daemon.OperatorKey; k != "" && subtle.ConstantTimeCompare([]byte(k), []byte(key)) == 1 {
 		return operatorName, true, true
@@ -91,7 +91,7 @@
 	}
 }
 
-// Status tells what this daemon knows of the system.
+// Status returns the system's state as this daemon knows it.
 func (d *Daemon) Status() Status {
 	return Status{
 		Daemon:  d.self.Name,
@@ -108,8 +108,8 @@
 	return server.Told(from, out, err)
 }
 
-// ended notes how a call ended at its owner. The line that tells support
-// engineers of it is written where the caller was met.
+// recordCall records a call that ended at its owner in the trace and the metrics. The log line
+// of the request is written by the daemon that the caller is connected to.
 func (d *Daemon) recordCall(l owner.Log) {
 	c := l.Call
 	d.Tape.Call(l.Account, l.Program, c)
--- a/internal/node/daemon/folder.go
+++ b/internal/node/daemon/folder.go
@@ -9,10 +9,10 @@
 	"github.com/slaterock/slaterock/internal/shard/shelf"
 )
 
-var errNoPeer = errors.New("daemon: no such daemon is known")
+var errNoPeer = errors.New("daemon: no daemon of that name is known")
 
-// assembleFolder offers this daemon's data folder to the others, if it has one,
-// and reaches theirs.
+// assembleFolder serves this daemon's data folder, if it has one, to the other daemons, and
+// connects the client of theirs.
 func (d *Daemon) assembleFolder() {
 	d.shelf = shelf.Shelf{Name: d.self.Name, Invoke: d.invoke}
 	if dir := d.Settings.Daemon.DataFolder; dir != "" {
@@ -21,7 +21,7 @@
 	d.link.Handle(shelf.Method, d.shelf.Serve)
 }
 
-// invoke calls a method at the daemon of that name.
+// invoke calls a method of the daemon named to.
 func (d *Daemon) invoke(ctx context.Context, to, method string, params, out any) error {
 	for _, m := range d.gossip.Members() {
 		if m.Name == to {
--- a/internal/node/daemon/gauges.go
+++ b/internal/node/daemon/gauges.go
@@ -9,7 +9,7 @@
 
 const gaugeInterval = time.Second
 
-// measure keeps the gauges that tell how this daemon and the system stand.
+// reportGauges updates the metrics of this daemon and of the system every gaugeInterval.
 func (d *Daemon) reportGauges(ctx context.Context) {
 	t := time.NewTicker(gaugeInterval)
 	defer t.Stop()
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -23,7 +23,7 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// The methods that daemons offer each other beside relayed calls and packets.
+// The methods that daemons call at each other, in addition to relayed calls and gossip packets.
 const (
 	methodConfig = "config.ask"
 	methodOffer  = "shard.offer"
@@ -92,7 +92,7 @@
 	d.quotas.Init(time.Now())
 }
 
-// handle offers a method with typed parameters.
+// handle registers a method with typed parameters.
 func handle[P any](l *link.Link, name string, f func(ctx context.Context, p P) (any, error)) {
 	l.Handle(name, func(ctx context.Context, params json.RawMessage) (any, error) {
 		var p P
@@ -103,7 +103,8 @@
 	})
 }
 
-// picture passes on what changed among the daemons.
+// membersChanged updates what depends on the set of daemons: the peers that the configuration
+// is fetched from, and the share of the store's rates.
 func (d *Daemon) membersChanged(context.Context) {
 	var list []watch.Member
 	for _, m := range d.gossip.Members() {
@@ -119,7 +120,7 @@
 	return d.link.Peer(to.Peer).Invoke(ctx, methodOffer, offer{Shard: shard}, nil)
 }
 
-// report tells a shard's present owner of an attempt that goes on here.
+// report sends the present owner of a shard the state of an attempt that continues here.
 func (d *Daemon) report(ctx context.Context, r host.Report) (a host.ReportReply, err error) {
 	m, ok := locate.Owner(d.gossip.Members(), r.Shard)
 	if !ok {
@@ -132,10 +133,10 @@
 	return a, err
 }
 
-// fence returns the number for orders to an engine, if this daemon gives them:
-// the epoch of the shard that the engine's name falls into. An engine that
-// doesn't check the number gets none until the orders that a former owner may
-// have sent have run out; it would take them in any sequence.
+// fence returns the fencing number for orders to an engine, and whether this daemon is
+// responsible for them. The number is the epoch of the shard that the engine's name hashes to.
+// An engine that doesn't check it would take orders of two owners in any sequence. It gets none
+// for placer.OrderTimeout after a takeover, until orders of the former owner have timed out.
 func (d *Daemon) fence(upstream string) (uint64, bool) {
 	epoch, since, here := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
 	if !d.config.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
@@ -146,8 +147,7 @@
 
 func (d *Daemon) shardCount() int { return d.config.Current().System.Shards }
 
-// forward has an order given by the daemon that all orders to the engine go
-// through.
+// forward sends an order to the daemon that is responsible for the engine.
 func (d *Daemon) forward(ctx context.Context, upstream string, o engine.Order) error {
 	m, ok := locate.Owner(d.gossip.Members(), locate.Shard(upstream, d.shardCount()))
 	if !ok {
@@ -156,7 +156,7 @@
 	return d.link.Peer(m.Peer).Invoke(ctx, methodOrder, order{Upstream: upstream, Order: o}, nil)
 }
 
-// give gives an order to an engine on behalf of another daemon.
+// sendOrder sends an order to an engine on behalf of another daemon.
 func (d *Daemon) sendOrder(ctx context.Context, upstream string, o engine.Order) error {
 	fence, here := d.fence(upstream)
 	u, known := d.config.Current().Upstreams[upstream]
@@ -167,8 +167,8 @@
 	return d.Engine(u.Address).Order(ctx, o)
 }
 
-// live tells which programs some owner still knows. Programs of a shard whose
-// owner doesn't answer count as live.
+// live returns those of the programs that are open at their owners. Programs of a shard whose
+// owner is unknown or doesn't answer count as open.
 func (d *Daemon) live(ctx context.Context, programs []string) (out []string, err error) {
 	by := map[string][]string{}
 	for _, p := range programs {
@@ -194,7 +194,7 @@
 	return out, nil
 }
 
-// hop is the way to another daemon's Runner, with a span for each relayed call.
+// tracedRemote is another daemon's Runner, with a span for each relayed call.
 type tracedRemote struct {
 	relay.Remote
 	trace   *trace.Trace
