--- a/internal/node/quotas/quotas.go
+++ b/internal/node/quotas/quotas.go
@@ -1,11 +1,10 @@
-// Package guard holds accounts to their limits at one daemon: it asks the
-// account's home before a call or a program is let in, answers other daemons
-// whose accounts have their home here, and reports what is open.
+// Package quotas enforces the limits of accounts at one daemon. It asks the account's home, the
+// daemon that keeps the account's record, before it admits a call or a program, answers other
+// daemons for the accounts that have their home here, and reports open programs to homes.
 //
-// The rules are in package quota. Guard adds the clock, the lock and the
-// messages. A call waits for a home at most WaitHome; without an answer it is
-// refused with a hint when to come back, so that a home that died or hangs never
-// makes a caller wait.
+// The rules are in package quota; Limiter adds the clock, the lock and the messages. A call
+// waits at most HomeTimeout for the home. Without an answer it is refused with a retry hint, so
+// that a home that is down or hangs doesn't block callers.
 package quotas
 
 import (
@@ -23,21 +22,21 @@
 )
 
 const (
-	// WaitHome is the longest wait for the home's answer.
+	// HomeTimeout limits the wait for the home's answer.
 	HomeTimeout = 300 * time.Millisecond
-	// retrySilent is the hint after a home did not answer: by then the others
-	// have mostly noticed, and the account has a new home.
+	// retryUnreachable is the retry hint after a home did not answer. Within this time the
+	// daemons have mostly detected the failure, and the account has a new home.
 	retryUnreachable = time.Second
 
 	homePrefix = "account:"
 )
 
-// Guard holds accounts to their limits. Set the fields before Init.
+// Limiter enforces accounts' limits. Set the exported fields before Init.
 type Limiter struct {
 	Self    string
 	Members func() []beat.Member
 	Config  func() file.File
-	// Send asks the daemon at a peer address.
+	// Send sends an Ask to the daemon at a peer address.
 	Send func(ctx context.Context, peer string, a quota.Ask) (quota.Answer, error)
 	// Live reports whether a program is owned here and open.
 	Live func(program string) bool
@@ -47,12 +46,12 @@
 	local quota.Local
 }
 
-// Init makes the guard ready.
+// Init must be called before any other method.
 func (l *Limiter) Init(now time.Time) {
 	l.local = quota.Local{Daemon: l.Self, Serial: now.UnixNano()}
 }
 
-// Answer answers another daemon, or this one, as the home of the account.
+// Answer answers an Ask of another daemon, or of this one, as the home of the account.
 func (l *Limiter) Answer(a quota.Ask) quota.Answer {
 	acct := l.Config().Accounts[a.Account]
 	l.mu.Lock()
@@ -60,8 +59,8 @@
 	return l.home.Ask(time.Now(), a, quota.Limit{Tokens: acct.TokensPerMinute, Programs: acct.MaxPrograms})
 }
 
-// Open asks for room for a program. A result with a code refuses it; else
-// Opened must follow.
+// Open reserves one of the account's open programs. A result with a code refuses the program;
+// otherwise Opened must follow.
 func (l *Limiter) Open(ctx context.Context, o call.Open) result.Result {
 	l.mu.Lock()
 	ask, fresh := l.local.Opening(time.Now(), o.Account, o.Program)
@@ -80,8 +79,8 @@
 	return result.Refuse(result.CodeLimited, "the account has as many programs open as it may").WithRetryAfter(a.Retry)
 }
 
-// Opened tells how an opening ended. One that failed may have been written all
-// the same, so whether the program is open decides.
+// Opened reports the result of opening a program. An opening that failed may have been written
+// nevertheless, so the reservation is kept if the program is open.
 func (l *Limiter) Opened(o call.Open, r result.Result) {
 	if !r.OK() && !l.Live(o.Program) {
 		l.Closed(o.Program)
@@ -92,22 +91,22 @@
 	l.local.Opened(o.Program)
 }
 
-// Closed tells that a program is open here no more.
+// Closed reports that a program is no longer open here.
 func (l *Limiter) Closed(program string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.local.Closed(program)
 }
 
-// Adopt tells of a program that was taken over. Its calls below next count as
-// charged.
+// Adopt registers a program whose shard was taken over. Its calls with numbers below next count
+// as charged.
 func (l *Limiter) Adopt(account, program string, next int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.local.Adopt(account, program, next)
 }
 
-// Call charges a call of a model. A result with a code refuses it.
+// Call charges the account for a model call. A result with a code refuses the call.
 func (l *Limiter) Call(ctx context.Context, c call.Call) result.Result {
 	cost := l.cost(c)
 	if !l.known(c.Program) && !l.Live(c.Program) {
@@ -126,8 +125,8 @@
 	now := time.Now()
 	switch {
 	case err != nil && ctx.Err() != nil:
-		// The caller left, which tells nothing of the home. To take it for
-		// silence would refuse the account's other callers.
+		// The caller disconnected, so the home's state is unknown. If it counted as
+		// unreachable, the account's other callers would be refused.
 		return homeUnreachable(retryUnreachable)
 	case err != nil:
 		l.local.Silent(now, c.Account, retryUnreachable)
@@ -142,8 +141,8 @@
 	return result.Result{}
 }
 
-// Called tells how a call ended. A model call that failed runs again when it is
-// repeated, and is charged again.
+// Called reports the result of a call. A model call that failed runs again when it is repeated,
+// and is then charged again.
 func (l *Limiter) Called(c call.Call, r result.Result) {
 	if r.Ran == result.No || r.Code != result.CodeUpstreamFailed && r.Code != result.CodeTimeout {
 		return
@@ -159,7 +158,7 @@
 	return l.local.Knows(program)
 }
 
-// spend decides what needs no message.
+// tryLocal decides on a call without a message to the home, if it can.
 func (l *Limiter) tryLocal(c call.Call, cost int64) (result.Result, bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -181,7 +180,7 @@
 	return overLimit(cost, d), true
 }
 
-// cost is the most that a call may use.
+// cost returns the most tokens that a call may use.
 func (l *Limiter) cost(c call.Call) int64 {
 	most := l.Config().Models[c.Model].MaxTokens
 	if n := c.MaxTokens; n > 0 && (most == 0 || n < most) {
@@ -190,7 +189,8 @@
 	return int64(engine.Tokens(len(c.Body)) + most)
 }
 
-// Serve reports what is open and frees what is idle, until ctx ends.
+// Serve reports open programs to their accounts' homes, and drops closed programs and expired
+// records, until ctx ends.
 func (l *Limiter) Serve(ctx context.Context) {
 	t := time.NewTicker(quota.ReportEvery)
 	defer t.Stop()
@@ -218,7 +218,7 @@
 	l.home.Trim(now)
 	reports := l.local.Reports(now)
 	l.mu.Unlock()
-	// A home that hangs must not keep the other homes from their reports.
+	// In parallel, so that a home that hangs doesn't delay the reports to others.
 	var work sync.WaitGroup
 	for _, a := range reports {
 		work.Go(func() { _, _ = l.ask(ctx, a) })
@@ -236,10 +236,9 @@
 	return l.Send(ctx, m.Peer, a)
 }
 
-// Home returns the daemon that keeps an account's record: the owner of the
-// account's shard. While that is not known to answer, it is the daemon that
-// should own it, as an account must not wait for a lease to lapse, nor for the
-// end of an outage of the store.
+// Home returns the daemon that keeps an account's record. It is the owner of the account's
+// shard if that is alive or draining, and otherwise the daemon that should own the shard: an
+// account must not wait until a lease expires or an outage of the store ends.
 func Home(members []beat.Member, account string, shards int) (beat.Member, bool) {
 	shard := locate.Shard(homePrefix+account, shards)
 	m, ok := locate.Owner(members, shard)
--- a/internal/node/quotas/quotas_test.go
+++ b/internal/node/quotas/quotas_test.go
@@ -18,11 +18,11 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-// fleet is three daemons, each with all members in its picture.
+// cluster is three daemons, each with the same list of members.
 type cluster struct {
 	members  []beat.Member
 	limiters map[string]*Limiter
-	hung     map[string]bool // hangs
+	hung     map[string]bool // peers that don't answer
 	sent     int
 }
 
@@ -61,7 +61,7 @@
 	return m.Name
 }
 
-// others are the daemons that are not the home.
+// others returns the limiters of the daemons that are not the account's home.
 func (f *cluster) others() []*Limiter {
 	var out []*Limiter
 	for _, m := range f.members {
@@ -76,8 +76,8 @@
 	return call.Call{Account: "acct", Program: "p", Number: number, Kind: call.Model, Model: "m", MaxTokens: tokens}
 }
 
-// An account's programs live at several daemons. If each let them have the
-// limit, the account would use as many times its limit.
+// An account's programs run at several daemons. If each enforced the limit on its own, the
+// account could use several times its limit.
 func TestCallsOverAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,7 +104,7 @@
 	})
 }
 
-// The model's own maximum counts where the caller asked for none or for more.
+// The model's maximum applies if the caller requests no maximum or a larger one.
 func TestCost(t *testing.T) {
 	cases := map[string]struct {
 		c    call.Call
@@ -123,9 +123,9 @@
 	}
 }
 
-// The account's home hangs: its connections stay open and nothing comes. The
-// caller must learn within WaitHome that its call did not run, and the next
-// callers at once; once the others notice, the account has a new home.
+// The account's home hangs: its connections stay open but it doesn't answer. The first caller
+// must be refused within HomeTimeout and the next ones at once. Once the home is suspect, the
+// account has a new home.
 func TestHomeHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -134,7 +134,7 @@
 		is.Equal(l.Call(t.Context(), model(0, 100)).Code, result.Code(""))
 		is.Equal(l.Call(t.Context(), model(1, 100)).Code, result.Code(""))
 		f.hung[home] = true
-		is.Equal(l.Call(t.Context(), model(1, 50)).Code, result.Code("")) // out of the block
+		is.Equal(l.Call(t.Context(), model(1, 50)).Code, result.Code("")) // from tokens granted before
 		start := time.Now()
 		r := l.Call(t.Context(), model(2, 500))
 		is.Equal(time.Since(start), HomeTimeout)
@@ -142,7 +142,7 @@
 		is.Equal(r.Ran, result.No)
 		is.Equal(r.RetryAfter, retryUnreachable)
 		start = time.Now()
-		is.Equal(l.Call(t.Context(), model(3, 500)), r) // the same honest reason
+		is.Equal(l.Call(t.Context(), model(3, 500)), r) // the same reason
 		is.Equal(time.Since(start), time.Duration(0))
 		for i := range f.members {
 			if f.members[i].Name == home {
@@ -155,8 +155,8 @@
 	})
 }
 
-// A caller hangs up while the home is being asked. The account's other callers
-// must not be refused for it.
+// A caller disconnects while its daemon waits for the home. The account's other callers must
+// not be refused because of it.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -171,8 +171,8 @@
 	})
 }
 
-// A repeat joins the call under way, or gets the answer that is recorded. It
-// must not be refused for want of tokens, nor be charged.
+// A repeated call joins the call in progress or gets the recorded answer. It must neither be
+// refused because tokens are used up nor be charged.
 func TestRepeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -186,12 +186,12 @@
 			l.Called(c, result.Refuse(result.CodeOverloaded, "busy"))
 		}
 		l.Called(c, result.Failed(result.CodeUpstreamFailed, result.Unknown, "broke"))
-		is.Equal(l.Call(t.Context(), c).Code, result.CodeLimited) // it would run again
+		is.Equal(l.Call(t.Context(), c).Code, result.CodeLimited) // it runs again
 	})
 }
 
-// Programs are opened at all daemons; what ends, or could not be opened, makes
-// room, also for the others.
+// Programs are opened at all daemons. One that ends or could not be opened no longer counts,
+// at any daemon.
 func TestOpenOverAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -225,8 +225,8 @@
 	})
 }
 
-// The home is found from a picture of the daemons. While the owner of the
-// account's shard may be gone, the account has a home all the same.
+// The home is derived from the list of members. An account has a home also while the owner of
+// its shard is suspect or down.
 func TestHome(t *testing.T) {
 	shard := locate.Shard(homePrefix+"acct", 3)
 	owned := func(s beat.State) []beat.Member {
@@ -258,7 +258,7 @@
 	}
 }
 
-// A failure of the link counts like silence.
+// A failed request to the home counts like one without an answer.
 func TestLinkFails(t *testing.T) {
 	is := is.New(t)
 	f := newCluster()
@@ -272,7 +272,7 @@
 	is.Equal(len(l.local.Programs()), 0)
 }
 
-// BenchmarkCall is a call that is paid out of the block.
+// BenchmarkCall measures a call that is covered by tokens granted before.
 func BenchmarkCall(b *testing.B) {
 	f := newCluster()
 	l := f.limiters["a"]
