--- a/internal/node/invoke/invoke.go
+++ b/internal/node/invoke/invoke.go
@@ -1,8 +1,8 @@
-// Package send carries out one attempt at one upstream: a model's answer is fed
-// on as it comes, a service's response is taken whole.
+// Package invoke sends one attempt to one upstream. A model's answer is streamed to a feed, a
+// service's response is returned as a whole.
 //
-// What it reports decides whether anybody may try again, so it says Unsent only
-// if no byte of the request left.
+// The outcome decides whether the request may be sent again, so it is sched.Unsent only if no
+// byte of the request was sent.
 package invoke
 
 import (
@@ -23,21 +23,21 @@
 
 const (
 	contentText = "text/plain; charset=utf-8"
-	maxResumes  = 2 // of one broken answer
+	maxResumes  = 2 // per interrupted answer
 )
 
 type (
-	// Send makes attempts. The funcs give the client of the upstream at an
+	// Invoker sends attempts. Engine and Tool return the client of the upstream at an
 	// address.
 	Invoker struct {
 		Engine func(address string) engine.Engine
 		Tool   func(address string) tool.Tool
-		First  func(request, upstream string) // the first piece came
+		First  func(request, upstream string) // called with the first piece of an answer
 		Trace  *trace.Trace
 	}
 )
 
-var errOverrun = errors.New("send: the engine generated more than it was asked for")
+var errOverrun = errors.New("invoke: the engine generated more tokens than requested")
 
 // Attempt implements host.Attempt.
 func (i Invoker) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.Tried) {
@@ -76,8 +76,8 @@
 			i.First(d.Request, d.Upstream)
 		}
 		last = p.ID
-		// An engine that ignores its bound would spend beyond the program's
-		// budget; the stream is cut here and the answer ends by length.
+		// An engine that ignores MaxTokens would exceed the program's budget. The stream
+		// is stopped here, and the answer ends with finish reason "length".
 		if tokens+p.Tokens > d.MaxTokens {
 			return errOverrun
 		}
@@ -90,8 +90,8 @@
 		if err == nil || ctx.Err() != nil || last == 0 || errors.Is(err, errOverrun) {
 			break
 		}
-		// The connection broke, not the engine: callers have seen a part of
-		// the answer, so only the engine that gave it can go on with it.
+		// The connection broke, but the engine may still run. Callers have received a
+		// part of the answer, so only the same engine can continue it.
 		r.Resume = last
 		u, err = i.Engine(d.Address).Chat(ctx, r, sink)
 	}
@@ -100,7 +100,8 @@
 		t.Usage.Finish, t.Usage.Output, err = "length", d.MaxTokens, nil
 	}
 	if err != nil {
-		// What a resumption didn't reach was sent before.
+		// A resumption that was not sent doesn't make the attempt unsent: the request
+		// itself was sent before.
 		var e *engine.Error
 		t.Outcome, t.Why = i.classify(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
 		return t
@@ -135,8 +136,8 @@
 	return t
 }
 
-// failed sorts an error. A cancelled attempt is Withdrawn even if it was never
-// sent: nobody will make another.
+// classify returns the outcome and reason for an error. A cancelled attempt is
+// sched.Cancelled even if it was not sent, because it is not tried again.
 func (i Invoker) classify(ctx context.Context, err error, unsent bool) (sched.Outcome, string) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
--- a/internal/node/invoke/invoke_test.go
+++ b/internal/node/invoke/invoke_test.go
@@ -19,10 +19,10 @@
 
 const tokens = 60
 
-// The connection to an engine breaks in the middle of an answer. A caller that
-// has seen the beginning must get the rest of that answer, not another one's,
-// and a failure after that must never count as not sent: it would be run again
-// elsewhere, and the caller would get two beginnings.
+// The connection to an engine breaks in the middle of an answer. A caller that has received
+// the beginning must get the rest of the same answer. A failure after that must not count as
+// unsent: the request would be sent to another engine, and the caller would get the beginnings
+// of two answers.
 func TestInterruptedAnswers(t *testing.T) {
 	tests := map[string]struct {
 		script  map[int]model.Fault
