--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -1,11 +1,10 @@
-// Package setup is what one daemon has to know before it can read the
-// configuration: who it is, where it listens, and where the platform and its
-// peers are.
+// Package setup parses the settings that one daemon needs before it can read the
+// configuration: its name, its listening addresses, and the addresses of the platform and of
+// its peers.
 //
-// Settings are read once at start from one INI file of the VM. They hold what
-// differs from one VM to the next; everything that is the same for all belongs
-// into the configuration that operators apply. Parse is as strict as that of
-// the configuration and reports all faults at once, as file.Errors do.
+// Settings are read once at start from an INI file on the VM. They hold what differs between
+// VMs; what is the same for all belongs in the configuration that operators apply. Like the
+// parser of the configuration, Parse is strict and reports all errors at once.
 package setup
 
 import (
@@ -22,7 +21,7 @@
 	sectionTimeouts = "timeouts"
 	sectionObserve  = "observe"
 
-	minKeyBytes = 16 // bytes of a shared secret
+	minKeyBytes = 16 // of the secret that peers share
 )
 
 type (
@@ -36,66 +35,66 @@
 		Observe  Observe
 	}
 
-	// Daemon is the section [daemon]. Addresses are IP numbers with a port.
+	// Daemon is the section [daemon]. Addresses are IP addresses with a port.
 	Daemon struct {
 		Name          string
 		FailureDomain string
 		Listen        string // for callers
-		Advertise     string // what callers are told; empty: the address that Listen got
-		DataFolder    string // for bulk data; empty: this VM keeps nothing
-		OperatorKey   string // what commands on this VM present; empty: none
+		Advertise     string // address that callers use; empty: the listener's
+		DataFolder    string // for bulk data; empty: this VM stores none
+		OperatorKey   string // key of operator commands on this VM; empty: none
 	}
 
 	// Platform is the section [platform]: addresses of the platform's services.
 	Platform struct {
 		Store   string
 		VMList  string // empty: no list
-		Weights string // empty: loads are not spaced
+		Weights string // empty: model loads are not paced
 	}
 
 	// Peers is the section [peers]: how daemons reach each other.
 	Peers struct {
 		Listen    string
-		Advertise string   // what peers are told; empty: the address that Listen got
-		Seeds     []string // peers to try first
+		Advertise string   // address that peers use; empty: the listener's
+		Seeds     []string // peers to contact first
 		Key       string   // the secret that all daemons of a system share
 	}
 
-	// Bounds is the section [bounds]. They hold for this daemon and keep a
-	// small VM up whatever callers send.
+	// Bounds is the section [bounds]: resource limits of this daemon, so that callers can't
+	// overload a small VM.
 	Bounds struct {
 		BodyBytes   int
 		HeaderBytes int
 		Connections int // of callers
-		Calls       int // under way
-		Programs    int // open
+		Calls       int // in progress
+		Programs    int // open at a time
 	}
 
 	// Timeouts is the section [timeouts], of callers' connections.
 	Timeouts struct {
-		Read  time.Duration // for a whole request
-		Write time.Duration // for one piece of an answer
+		Read  time.Duration // of a whole request
+		Write time.Duration // of one piece of an answer
 		Idle  time.Duration // between requests
 	}
 
 	// Observe is the section [observe].
 	Observe struct {
-		TraceEndpoint string // OTLP over HTTP, IP number and port; empty: none
+		TraceEndpoint string // OTLP over HTTP, IP address and port; empty: none
 		TraceFile     string // spans as JSON lines; empty: none
 		LogLevel      string // debug, info, warn or error
 		LogFormat     string // json or console
-		RecordFile    string // what programs did, for replay; empty: none
+		RecordFile    string // trace of the programs' calls, for a replay; empty: none
 	}
 
-	// Error is one fault of a settings file.
+	// Error is one error in a settings file.
 	Error = check.Error
 
-	// Errors is all faults of a settings file.
+	// Errors is all errors in a settings file.
 	Errors = check.Errors
 )
 
-// Parse reads and checks settings; name is their file's, for messages. The
-// error is an Errors with all faults.
+// Parse parses and checks settings; name is the file's name, for messages. The error is an
+// Errors.
 func Parse(name string, text []byte) (Settings, error) {
 	t := check.Read(name, text)
 	t.Require(sectionDaemon, sectionPlatform, sectionPeers)
@@ -166,9 +165,8 @@
 	return p
 }
 
-// advertised notes a daemon that listens at every address and does not say
-// which of them others should use. They would be told 0.0.0.0, and connect to
-// themselves.
+// checkAdvertise rejects settings that listen on all addresses without an address to advertise.
+// Others would get 0.0.0.0 and connect to themselves.
 func checkAdvertise(sec *check.Section, listen, advertise string) {
 	if advertise == "" && check.Unspecified(listen) {
 		sec.Fail("advertise", "%s is no address that others can use; want the IP number and port to tell them", listen)
--- a/internal/node/setup/setup_test.go
+++ b/internal/node/setup/setup_test.go
@@ -32,8 +32,8 @@
 	is.Equal(s.Peers.Seeds, []string{"10.20.1.12:7410", "10.20.2.11:7410", "10.20.3.11:7410"})
 }
 
-// The example shows each default behind a comment sign. A default that was
-// changed in the code alone would mislead who reads the file.
+// The example has each default as a comment. A default that was changed only in the code would
+// mislead readers of the example.
 func TestExampleShowsDefaults(t *testing.T) {
 	is := is.New(t)
 	var text []string
@@ -49,7 +49,7 @@
 	plain, err := Parse("daemon.ini", example(t))
 	is.NoErr(err)
 	is.Equal(shown, plain)
-	is.True(len(strings.Split(strings.Join(text, ""), "body_bytes = 4194304")) > 1) // something was shown
+	is.True(len(strings.Split(strings.Join(text, ""), "body_bytes = 4194304")) > 1) // the example has commented keys
 }
 
 func TestMinimal(t *testing.T) {
@@ -98,18 +98,18 @@
 		s, err := Parse("x.ini", text)
 		if err == nil {
 			if s.Daemon.Name == "" || s.Platform.Store == "" || len(s.Peers.Key) < minKeyBytes || s.Bounds.Calls < 1 || s.Timeouts.Idle <= 0 {
-				t.Fatalf("taken with something open: %+v", s)
+				t.Fatalf("accepted incomplete settings: %+v", s)
 			}
 			return
 		}
 		var list Errors
 		if !errors.As(err, &list) || len(list) == 0 {
-			t.Fatalf("an error of another kind: %v", err)
+			t.Fatalf("want an Errors with at least one entry, got: %v", err)
 		}
 		lines := bytes.Count(text, []byte("\n")) + 1
 		for _, e := range list {
 			if e.Line < 1 || e.Line > lines || e.Message == "" {
-				t.Fatalf("a fault without its place: %#v", e)
+				t.Fatalf("error without a line in the file or a message: %#v", e)
 			}
 		}
 	})
@@ -124,8 +124,7 @@
 	return text
 }
 
-// The operators' page lists each section's keys. A key that is missing there
-// is one that nobody finds.
+// The operators' documentation must list every key of each section.
 func TestDocsListAllKeys(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operate/settings.md")
 	if err != nil {
@@ -142,7 +141,7 @@
 			is.True(ok)
 			part, _, _ = strings.Cut(part, "\n## ")
 			for key := range strings.SplitSeq(list, ", ") {
-				is.True(strings.Contains(part, "\n| `"+key+"` | ")) // has its row
+				is.True(strings.Contains(part, "\n| `"+key+"` | ")) // has a row in the table
 			}
 		})
 	}
