--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -1,9 +1,9 @@
-// Package feed carries the text of one answer from the attempt that receives
-// it to the callers that wait for it.
+// Package feed passes the text of one answer from the attempt that receives it to the callers
+// that wait for it.
 //
-// A caller may join when the answer is half there: it first gets all that came
-// before, then what comes. A slow caller reads late from what is kept; it never
-// holds up the attempt or another caller.
+// A caller may join at any time: it first reads the text received so far, then each further
+// piece. A feed keeps the whole text, so a slow caller delays neither the attempt nor other
+// callers.
 package feed
 
 import (
@@ -12,7 +12,7 @@
 )
 
 type (
-	// Feed is the text of one answer so far. The zero value is empty.
+	// Feed is the text received so far of one answer. The zero value is empty.
 	Feed struct {
 		mu     sync.Mutex
 		text   strings.Builder
@@ -33,8 +33,8 @@
 	}
 }
 
-// Extend appends what is new of a text that begins at byte at of the answer, and
-// returns how many bytes the feed has. Text behind a gap is left out.
+// Extend appends the new part of a text that starts at byte at of the answer, and returns the
+// feed's length in bytes. Text that starts beyond the feed's end is ignored.
 func (f *Feed) Extend(at int, text string) int {
 	f.mu.Lock()
 	have := f.text.Len()
@@ -46,22 +46,22 @@
 	return have
 }
 
-// Text returns the whole text so far.
+// Text returns the text received so far.
 func (f *Feed) Text() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.text.String()
 }
 
-// Pieces returns how many pieces were added.
+// Pieces returns the number of pieces added.
 func (f *Feed) Pieces() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.pieces
 }
 
-// After returns the text behind the first n bytes, and a channel that is closed
-// when there is more.
+// After returns the text after the first n bytes, and a channel that is closed when a piece is
+// added.
 func (f *Feed) After(n int) (text string, more <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
