--- a/internal/node/devenv/devenv.go
+++ b/internal/node/devenv/devenv.go
@@ -1,8 +1,8 @@
-// Package trial runs a whole small system in one process: stand-ins for the
-// platform and the upstreams, and three daemons before them.
+// Package devenv runs a development environment in one process: three daemons, and fakes of
+// the platform and the upstreams.
 //
-// It is what `slaterock dev` starts. The daemons are the real ones and talk over
-// loopback, to each other as to the stand-ins.
+// `slaterock dev` starts it. The daemons are those of production and use the loopback network
+// for connections to each other and to the fakes.
 package devenv
 
 import (
@@ -38,9 +38,9 @@
 )
 
 type (
-	// Trial is the system. Start it, use Address, then Stop.
+	// Env is the environment. Call Start, then use Address or Client, then Stop.
 	Env struct {
-		AnyPorts bool // listen on ports that the system chooses
+		AnyPorts bool // listen on ports that the operating system chooses
 		Speed    float64
 		Logs     logs.Logs
 		Site     site.Site
@@ -52,17 +52,17 @@
 	}
 )
 
-// The addresses of the stand-ins in examples/dev.ini.
+// The addresses of the fake upstreams in examples/dev.ini.
 var upstreams = map[site.Part]string{
 	site.Engine1: "127.0.0.1:7421",
 	site.Engine2: "127.0.0.1:7422",
 	site.Ledger:  "127.0.0.1:7431",
 }
 
-// Start starts everything and applies the development configuration. It
-// returns when each shard has an owner.
+// Start starts the fakes and the daemons and applies the development configuration. It returns
+// when each shard has an owner.
 func (e *Env) Start(ctx context.Context) (err error) {
-	defer func() { err = errors.Wrap(err, "start development system") }()
+	defer func() { err = errors.Wrap(err, "start development environment") }()
 	ctx, e.cancel = context.WithCancel(ctx)
 	if !e.AnyPorts {
 		e.Site.Listen = upstreams
@@ -128,12 +128,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", port)
 }
 
-// Client returns a caller of the i-th daemon with the development key.
+// Client returns a client of the i-th daemon with the development key.
 func (e *Env) Client(i int) client.Client {
 	return client.Client{Address: e.daemons[i].Address(), Key: Key}
 }
 
-// Address is where callers reach the first daemon.
+// Address is the first daemon's address for callers.
 func (e *Env) Address() string { return e.daemons[0].Address() }
 
 func (e *Env) apply(ctx context.Context) error {
@@ -144,8 +144,8 @@
 	return e.daemons[0].Apply(ctx, []byte(text))
 }
 
-// settle waits until every daemon runs the configuration and every shard has an
-// owner that all know.
+// waitConverged waits until every daemon has the configuration and knows an owner of every
+// shard.
 func (e *Env) waitConverged(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -177,7 +177,7 @@
 	}
 }
 
-// Stop ends everything.
+// Stop stops the daemons and the fakes.
 func (e *Env) Stop() {
 	if e.cancel != nil {
 		e.cancel()
@@ -186,8 +186,8 @@
 	e.Site.Close()
 }
 
-// Dev starts the system, says where it is, and runs until ctx ends. With once it
-// runs one program and reports its history instead.
+// Dev starts the environment, writes its address to w, and runs until ctx ends. With runOnce it
+// runs one program and writes its history instead.
 func (e *Env) Dev(ctx context.Context, w io.Writer, runOnce bool) error {
 	defer e.Stop()
 	if err := e.Start(ctx); err != nil {
--- a/internal/node/devenv/once.go
+++ b/internal/node/devenv/once.go
@@ -24,9 +24,9 @@
 	releaseTimeout = 10 * time.Second
 )
 
-// once runs one agent program: a model call, a receipt that may be issued once,
-// and a model call that has the receipt. Each call goes to another daemon, as a
-// caller's would whose addresses changed.
+// runOnce runs one agent program: a model call, a service call that must run only once and is
+// repeated, and a model call with the result. Calls go to several daemons, as after a change of
+// the addresses that a caller knows.
 func (e *Env) runOnce(ctx context.Context, w io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "run one program") }()
 	if err = e.Client(0).Open(ctx, call.Open{Program: onceProgram, Agent: "pickup"}); err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	again, err := e.Client(2).Service(ctx, onceProgram, 1, "receipts/issue", []byte(`{"drums":2,"kg":310}`))
+	repeated, err := e.Client(2).Service(ctx, onceProgram, 1, "receipts/issue", []byte(`{"drums":2,"kg":310}`))
 	if err != nil {
 		return err
 	}
@@ -63,10 +63,10 @@
 	if err = e.waitReleased(ctx); err != nil {
 		return err
 	}
-	return e.verify(h, first, receipt, again, last)
+	return e.verify(h, first, receipt, repeated, last)
 }
 
-// released waits until the engines hold nothing for the program that ended.
+// waitReleased waits until the engines hold no memory for the ended program.
 func (e *Env) waitReleased(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, releaseTimeout)
 	defer stop()
@@ -89,34 +89,34 @@
 	}
 }
 
-// check compares what the caller saw, what the upstreams saw and what the
-// history says.
-func (e *Env) verify(h hist.History, first, receipt, again, last client.Answer) error {
+// verify compares the answers that the caller received, the calls that the upstreams ran, and
+// the program's history.
+func (e *Env) verify(h hist.History, first, receipt, repeated, last client.Answer) error {
 	var violations []string
-	note := func(bad bool, format string, args ...any) {
+	failIf := func(bad bool, format string, args ...any) {
 		if bad {
 			violations = append(violations, fmt.Sprintf(format, args...))
 		}
 	}
-	note(receipt.Text != again.Text, "a repeated call got another answer")
-	note(len(e.Site.Ledger.Calls()) != 1, "the receipt ran %d times", len(e.Site.Ledger.Calls()))
-	note(!e.loaded(), "the engine was not ordered to load its model")
-	note(len(h.Calls) != 3, "the history has %d calls, not 3", len(h.Calls))
-	note(h.Ended != string(call.Finish), "the program ended as %q", h.Ended)
-	note(h.Spent > h.Budget, "spent %d of %d tokens", h.Spent, h.Budget)
+	failIf(receipt.Text != repeated.Text, "a repeated call got another answer")
+	failIf(len(e.Site.Ledger.Calls()) != 1, "the receipt ran %d times", len(e.Site.Ledger.Calls()))
+	failIf(!e.loaded(), "the engine was not ordered to load its model")
+	failIf(len(h.Calls) != 3, "the history has %d calls, not 3", len(h.Calls))
+	failIf(h.Ended != string(call.Finish), "the program ended as %q", h.Ended)
+	failIf(h.Spent > h.Budget, "spent %d of %d tokens", h.Spent, h.Budget)
 	for i, a := range []client.Answer{first, receipt, last} {
 		if i < len(h.Calls) {
-			note(string(h.Calls[i].Result.Body) != a.Text, "call %d: the history's answer is not the caller's", i)
-			note(h.Calls[i].Number != i, "call %d stands at place %d", h.Calls[i].Number, i)
+			failIf(string(h.Calls[i].Result.Body) != a.Text, "call %d: the history's answer is not the caller's", i)
+			failIf(h.Calls[i].Number != i, "call %d stands at place %d", h.Calls[i].Number, i)
 		}
 	}
 	if len(violations) > 0 {
-		return errors.Newf("broken promises: %s", strings.Join(violations, "; "))
+		return errors.Newf("checks failed: %s", strings.Join(violations, "; "))
 	}
 	return nil
 }
 
-// loaded reports whether the first engine took the order to load its model.
+// loaded reports whether the first engine accepted an order to load its model.
 func (e *Env) loaded() bool {
 	return slices.ContainsFunc(e.Site.E1.Orders(), func(o model.Taken) bool {
 		return o.Kind == engine.OrderLoad && o.Target == "chat" && !o.Refused
