--- a/internal/node/daemon/connect.go
+++ b/internal/node/daemon/connect.go
@@ -40,7 +40,8 @@
 // Peer is the address for other daemons.
 func (d *Daemon) Peer() string { return d.self.Peer }
 
-// Apply applies a configuration. It waits until Run has assembled the daemon.
+// Apply applies a configuration, whichever version is in force. It waits until Run has
+// assembled the daemon.
 func (d *Daemon) Apply(ctx context.Context, text []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon: apply") }()
 	select {
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// authenticate returns the account of a key. The operator's key in the settings is valid even
-// before a configuration is in force.
+// authenticate returns the account of a key and whether it is an operator's. The operator's key
+// in the settings is valid even before a configuration is in force.
 func (d *Daemon) authenticate(key string) (name string, operator, ok bool) {
 	if k := d.Settings.Daemon.OperatorKey; k != "" && subtle.ConstantTimeCompare([]byte(k), []byte(key)) == 1 {
 		return operatorName, true, true
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -53,9 +53,9 @@
 		Store      store.Store
 		Hold       time.Time // earliest time of the first dispatch
 		Attempt    Attempt
-		Place      func(h *Host, m sched.Message)
-		Log        func(l owner.Log)
-		OnVerified func(h *Host) // called for each owner.Verified
+		Place      func(h *Host, m sched.Message) // posts m to the placer, which calls h.Answer
+		Log        func(l owner.Log)              // called when a call has ended
+		OnVerified func(h *Host)                  // called for each owner.Verified
 		Trace      *trace.Trace
 		Go         func(f func()) // runs f on the daemon's pool, or on a new goroutine if that is full
 		Rand       func() uint64
--- a/internal/node/shards/handover.go
+++ b/internal/node/shards/handover.go
@@ -22,8 +22,8 @@
 	return w.Report(ctx, r)
 }
 
-// continueAttempt reports an attempt to the shard's present owner until it has ended and the
-// owner has received the result. The shard may move again meanwhile.
+// continueAttempt reports an attempt to the shard's present owner until the owner has
+// received the result or no longer waits for it. The shard may move again meanwhile.
 func (s *Shards) continueAttempt(ctx context.Context, shard int, t *host.RunningAttempt) {
 	defer s.continuing.Add(-1)
 	defer t.Cancel()
--- a/internal/node/shards/runner.go
+++ b/internal/node/shards/runner.go
@@ -153,7 +153,7 @@
 	return p.Next
 }
 
-// registerPrograms registers the open programs of a shard that was taken over with Limiter.
+// registerPrograms registers with Limiter the open programs of a shard that was taken over.
 func (s *Shards) registerPrograms(list []openProgram) {
 	for _, a := range list {
 		acct := s.limits(a.account)
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -57,11 +57,13 @@
 		// configuration's limit; zero is none.
 		MaxPrograms int
 		Place       func(h *host.Host, m sched.Message)
-		OnCallEnd   func(l owner.Log)
-		OnOwned     func(s []beat.Shard)
+		// OnCallEnd is called when a call has ended, OnOwned when the owned shards have changed.
+		OnCallEnd func(l owner.Log)
+		OnOwned   func(s []beat.Shard)
 		// Peers is the client of all data folders. Domain is this daemon's failure domain.
-		Peers   bulk.Peers
-		Domain  string
+		Peers  bulk.Peers
+		Domain string
+		// Offer sends another daemon the request to take a shard that was released for it.
 		Offer   func(ctx context.Context, to beat.Member, shard int) error
 		Limiter *quotas.Limiter // nil: accounts have no limits
 		// Tell reports a continued attempt to the present owner of its shard.
