--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -166,9 +166,9 @@
 	work.Go(func() { d.stopOnError(stop, d.server.Serve(d.Listen)) })
 	select {
 	case <-ctx.Done():
-		cut, done := context.WithCancel(context.Background())
+		cancelled, done := context.WithCancel(context.Background())
 		done()
-		_ = d.server.Shutdown(cut)
+		_ = d.server.Shutdown(cancelled)
 		return nil
 	case <-d.drain:
 		return d.leave(ctx)
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -37,7 +37,7 @@
 		Local:   &d.shards,
 		Members: d.gossip.Members,
 		Shards:  d.shardCount,
-		Peer:    d.peer,
+		Peer:    d.remote,
 		Unsent: func(err error) bool {
 			var e *link.Error
 			return errors.As(err, &e) && !e.Sent
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -138,11 +138,11 @@
 // An engine that doesn't check it would take orders of two owners in any sequence. It gets none
 // for placer.OrderTimeout after a takeover, until orders of the former owner have timed out.
 func (d *Daemon) fence(upstream string) (uint64, bool) {
-	epoch, since, here := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
+	epoch, since, responsible := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
 	if !d.config.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
-		here = false
+		responsible = false
 	}
-	return epoch, here
+	return epoch, responsible
 }
 
 func (d *Daemon) shardCount() int { return d.config.Current().System.Shards }
@@ -158,9 +158,9 @@
 
 // sendOrder sends an order to an engine on behalf of another daemon.
 func (d *Daemon) sendOrder(ctx context.Context, upstream string, o engine.Order) error {
-	fence, here := d.fence(upstream)
+	fence, responsible := d.fence(upstream)
 	u, known := d.config.Current().Upstreams[upstream]
-	if !here || !known {
+	if !responsible || !known {
 		return errNoOwner
 	}
 	o.Fence = fence
@@ -208,6 +208,6 @@
 	return h.Remote.Try(ctx, c, sink)
 }
 
-func (d *Daemon) peer(address string) relay.Remote {
+func (d *Daemon) remote(address string) relay.Remote {
 	return tracedRemote{Remote: d.link.Peer(address), trace: d.Trace, address: address}
 }
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -35,13 +35,13 @@
 
 // Extend appends the new part of a text that starts at byte at of the answer, and returns the
 // feed's length in bytes. Text that starts beyond the feed's end is ignored.
-func (f *Feed) Extend(at int, text string) int {
+func (f *Feed) Extend(offset int, text string) int {
 	f.mu.Lock()
 	have := f.text.Len()
 	f.mu.Unlock()
-	if at <= have && at+len(text) > have {
-		f.Add(text[have-at:])
-		return at + len(text)
+	if offset <= have && offset+len(text) > have {
+		f.Add(text[have-offset:])
+		return offset + len(text)
 	}
 	return have
 }
--- a/internal/node/host/history.go
+++ b/internal/node/host/history.go
@@ -77,9 +77,9 @@
 	if !ok || account != "" && p.Account != account {
 		return hist.History{}, notFound()
 	}
-	read, stop := context.WithTimeout(ctx, storeTimeout)
+	readCtx, stop := context.WithTimeout(ctx, storeTimeout)
 	defer stop()
-	h.journal().Fill(read, &p)
+	h.journal().Fill(readCtx, &p)
 	return p, result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200}
 }
 
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -196,7 +196,7 @@
 func (h *Host) apply(e owner.Effect) {
 	switch e := e.(type) {
 	case owner.Write:
-		h.Go(func() { h.write(e.Effect) })
+		h.Go(func() { h.accessJournal(e.Effect) })
 	case owner.Place:
 		h.Place(h, e.Message)
 	case owner.Dispatch:
@@ -287,7 +287,7 @@
 }
 
 // write executes an effect of the journal's chain.
-func (h *Host) write(e chain.Effect) {
+func (h *Host) accessJournal(e chain.Effect) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
 	switch e := e.(type) {
--- a/internal/node/placer/model.go
+++ b/internal/node/placer/model.go
@@ -40,23 +40,23 @@
 func (p *Placer) admit(ctx context.Context, e loader.Admit) {
 	m := loader.AdmitResult{Upstream: e.Upstream}
 	if p.Weights != nil {
-		call, stop := context.WithTimeout(ctx, admitTimeout)
+		callCtx, stop := context.WithTimeout(ctx, admitTimeout)
 		defer stop()
-		m.Wait, m.Err = p.Weights.Admit(call, e.Model)
+		m.Wait, m.Err = p.Weights.Admit(callCtx, e.Model)
 	}
 	p.runInLoop(ctx, func() { p.stepLoader(ctx, m) })
 }
 
 func (p *Placer) load(ctx context.Context, e loader.Load) {
-	call, stop := context.WithTimeout(ctx, loadTimeout)
+	callCtx, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
 	m := loader.LoadResult{Upstream: e.Upstream, Model: e.Model}
-	fence, here := p.Fence(e.Upstream)
-	if !here {
+	fence, responsible := p.Fence(e.Upstream)
+	if !responsible {
 		m.Err = errNotResponsible
 	} else {
 		address := p.address(ctx, e.Upstream)
-		m.Err = p.Engine(address).Order(call, engine.Order{Kind: engine.OrderLoad, Target: e.Model, Fence: fence})
+		m.Err = p.Engine(address).Order(callCtx, engine.Order{Kind: engine.OrderLoad, Target: e.Model, Fence: fence})
 	}
 	p.runInLoop(ctx, func() {
 		if m.Err != nil {
--- a/internal/node/placer/order.go
+++ b/internal/node/placer/order.go
@@ -48,8 +48,8 @@
 func (p *Placer) sendOrder(ctx context.Context, upstream, address string, o engine.Order) error {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	fence, here := p.Fence(upstream)
-	if !here {
+	fence, responsible := p.Fence(upstream)
+	if !responsible {
 		return p.Forward(ctx, upstream, o)
 	}
 	o.Fence = fence
--- a/internal/node/placer/placer.go
+++ b/internal/node/placer/placer.go
@@ -160,18 +160,18 @@
 // reconcileHeld compares the programs that an engine holds with those that are live at their
 // owners. Only the daemon that is responsible for the engine does so.
 func (p *Placer) reconcileHeld(ctx context.Context, upstream string) {
-	if _, here := p.Fence(upstream); !here {
+	if _, responsible := p.Fence(upstream); !responsible {
 		return
 	}
 	address := p.cfg.Upstreams[upstream].Address
 	p.Go(func() {
-		poll, stop := context.WithTimeout(ctx, OrderTimeout)
+		callCtx, stop := context.WithTimeout(ctx, OrderTimeout)
 		defer stop()
-		held, err := p.Engine(address).Held(poll)
+		held, err := p.Engine(address).Held(callCtx)
 		if err != nil {
 			return
 		}
-		live, err := p.Live(poll, held)
+		live, err := p.Live(callCtx, held)
 		if err != nil {
 			return // with an incomplete answer, live programs would be released
 		}
@@ -241,8 +241,8 @@
 func (p *Placer) updateLoader(ctx context.Context) {
 	for name, u := range p.cfg.Upstreams {
 		if len(u.Models) > 0 {
-			_, here := p.Fence(name)
-			p.stepLoader(ctx, loader.Responsible{Upstream: name, OK: here})
+			_, responsible := p.Fence(name)
+			p.stepLoader(ctx, loader.Responsible{Upstream: name, OK: responsible})
 		}
 	}
 	p.stepLoader(ctx, loader.Tick{})
--- a/internal/node/quotas/quotas.go
+++ b/internal/node/quotas/quotas.go
@@ -170,14 +170,14 @@
 		l.local.Charge(c.Account, c.Program, c.Number)
 		return result.Result{}, true
 	}
-	d, quiet := l.local.Denied(now, c.Account, cost)
+	retry, unreachable := l.local.Denied(now, c.Account, cost)
 	switch {
-	case d <= 0:
+	case retry <= 0:
 		return result.Result{}, false
-	case quiet:
-		return homeUnreachable(d), true
+	case unreachable:
+		return homeUnreachable(retry), true
 	}
-	return overLimit(cost, d), true
+	return overLimit(cost, retry), true
 }
 
 // cost returns the most tokens that a call may use.
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -36,8 +36,8 @@
 	// claimed is a claim that succeeded: the key's revision, and whether the former owner
 	// has released the shard, so that it can't act on it any more.
 	claimed struct {
-		rev   store.Rev
-		clean bool
+		rev      store.Rev
+		released bool
 	}
 )
 
@@ -56,7 +56,7 @@
 			s.Log.Info().Uint64("lease", uint64(e.ID)).Msg("lease granted")
 			s.stepAssign(ctx, assign.Leased{OK: true})
 			for shard, w := range s.hosts {
-				s.rekey(ctx, shard, w, e.ID)
+				s.reclaim(ctx, shard, w, e.ID)
 			}
 		case lease.Lost:
 			s.Log.Warn().Uint64("lease", uint64(e.ID)).Msg("lease expired; dispatch is suspended until ownership is verified")
@@ -70,16 +70,16 @@
 }
 
 func (s *Shards) grant(ctx context.Context, g lease.Grant) {
-	call, stop := context.WithTimeout(ctx, leaseTimeout)
+	callCtx, stop := context.WithTimeout(ctx, leaseTimeout)
 	defer stop()
-	id, err := s.Store.Grant(call, g.TTL)
+	id, err := s.Store.Grant(callCtx, g.TTL)
 	s.post(ctx, leaseMessage{lease.Granted{ID: id, Err: err}})
 }
 
 func (s *Shards) renew(ctx context.Context, r lease.Renew) {
-	call, stop := context.WithTimeout(ctx, leaseTimeout)
+	callCtx, stop := context.WithTimeout(ctx, leaseTimeout)
 	defer stop()
-	err := s.Store.Renew(call, r.ID)
+	err := s.Store.Renew(callCtx, r.ID)
 	s.post(ctx, leaseMessage{lease.Renewed{Lapsed: errors.Is(err, store.ErrLapsed), Err: err}})
 }
 
@@ -97,9 +97,9 @@
 
 // takeOver claims a shard and takes over its journal.
 func (s *Shards) takeOver(ctx context.Context, shard int, id store.Lease) {
-	call, stop := context.WithTimeout(ctx, claimTimeout)
+	callCtx, stop := context.WithTimeout(ctx, claimTimeout)
 	defer stop()
-	w, err := s.startHost(call, ctx, shard, id)
+	w, err := s.startHost(callCtx, ctx, shard, id)
 	if err != nil {
 		if !errors.Is(err, errHeld) {
 			s.Log.Warn().Err(err).Int("shard", shard).Msg("shard claim failed")
@@ -135,10 +135,10 @@
 		Domain:     s.Domain,
 		OnVerified: func(h *host.Host) { s.Go(func() { s.post(hostCtx, verifiedMessage{h}) }) },
 	}
-	if !c.clean && taken.Epoch > 1 {
+	if !c.released && taken.Epoch > 1 {
 		h.Hold = time.Now().Add(takeoverDelay)
 	}
-	w := &ownedShard{Host: h, key: c, since: time.Now(), openPrograms: openPrograms(taken.Fold)}
+	w := &ownedShard{Host: h, keyClaim: c, since: time.Now(), openPrograms: openPrograms(taken.Fold)}
 	h.Start(hostCtx)
 	return w, nil
 }
@@ -173,7 +173,7 @@
 	// call had timed out, or from a release that was lost. It is bound to a lease that this
 	// process keeps renewing, so no daemon could take the shard if it were not overwritten.
 	rev, err = s.Store.Put(ctx, key(shard), encode(mine), e.Rev, id)
-	return claimed{rev: rev, clean: held.Released}, err
+	return claimed{rev: rev, released: held.Released}, err
 }
 
 func encode(c claim) []byte {
@@ -188,7 +188,7 @@
 	s.mu.Lock()
 	s.hosts[m.shard] = m.w
 	s.mu.Unlock()
-	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.Read).Bool("clean", m.w.key.clean).Msg("shard taken over")
+	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.Read).Bool("clean", m.w.keyClaim.released).Msg("shard taken over")
 	s.sendConfig()
 	m.w.UpdateFolders(s.folders)
 	s.registerPrograms(m.w.openPrograms)
@@ -217,24 +217,24 @@
 // rekey claims a shard again under a new lease after the old one expired. Another daemon may
 // have owned the shard in between even if the key is free now, so the host is suspended until
 // a write to the journal proves that none has.
-func (s *Shards) rekey(ctx context.Context, shard int, w *ownedShard, id store.Lease) {
+func (s *Shards) reclaim(ctx context.Context, shard int, w *ownedShard, id store.Lease) {
 	if !w.suspended {
 		return
 	}
 	s.Go(func() {
-		call, stop := context.WithTimeout(ctx, claimTimeout)
+		callCtx, stop := context.WithTimeout(ctx, claimTimeout)
 		defer stop()
-		c, err := s.claim(call, shard, id)
-		s.post(ctx, rekeyMessage{w: w, c: c, ok: err == nil})
+		c, err := s.claim(callCtx, shard, id)
+		s.post(ctx, reclaimMessage{w: w, c: c, ok: err == nil})
 	})
 }
 
-func (s *Shards) handleRekey(m rekeyMessage) {
+func (s *Shards) handleReclaim(m reclaimMessage) {
 	if !m.ok {
 		m.w.Cancel()
 		return
 	}
-	m.w.key = m.c
+	m.w.keyClaim = m.c
 	m.w.Tell(owner.Verify{})
 }
 
@@ -265,9 +265,9 @@
 		w.Stop()
 		continuing := w.RunningAttempts()
 		s.continuing.Add(int64(len(continuing)))
-		s.release(ctx, g, w.key)
+		s.release(ctx, g, w.keyClaim)
 		for _, t := range continuing {
-			s.Go(func() { s.continueAttempt(ctx, g.Shard, t) })
+			s.Go(func() { s.reportAttempt(ctx, g.Shard, t) })
 		}
 	})
 }
@@ -275,9 +275,9 @@
 // release marks the shard's key as released, so that the next owner need not wait until the
 // lease expires, and offers the shard to g.To.
 func (s *Shards) release(ctx context.Context, g assign.Give, c claimed) {
-	call, stop := context.WithTimeout(ctx, releaseTimeout)
+	callCtx, stop := context.WithTimeout(ctx, releaseTimeout)
 	defer stop()
-	_, err := s.Store.Put(call, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
+	_, err := s.Store.Put(callCtx, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
 	if err != nil {
 		s.Log.Warn().Err(err).Int("shard", g.Shard).Msg("shard release not stored; the next owner must wait until the lease expires")
 		return
@@ -285,7 +285,7 @@
 	if g.To.Name == "" {
 		return
 	}
-	if err := s.Offer(call, g.To, g.Shard); err != nil {
+	if err := s.Offer(callCtx, g.To, g.Shard); err != nil {
 		s.Log.Debug().Err(err).Int("shard", g.Shard).Msg("shard offer failed")
 	}
 }
--- a/internal/node/shards/claim_test.go
+++ b/internal/node/shards/claim_test.go
@@ -23,12 +23,12 @@
 		faults   map[int]keyval.Fault
 		held     bool
 		fails    bool
-		clean    bool
+		released bool
 	}{
 		"free":                        {},
 		"another's":                   {existing: &claim{Owner: "b", Session: 8}, held: true, fails: true},
 		"own name, earlier process":   {existing: &claim{Owner: "a", Session: 6}, held: true, fails: true},
-		"given up":                    {existing: &claim{Owner: "b", Session: 8, Released: true}, clean: true},
+		"given up":                    {existing: &claim{Owner: "b", Session: 8, Released: true}, released: true},
 		"own claim that landed late":  {existing: &claim{Owner: "a", Session: session, Nonce: 99}},
 		"acknowledgement lost":        {faults: map[int]keyval.Fault{1: keyval.LoseAck}},
 		"write lost":                  {faults: map[int]keyval.Fault{1: keyval.LoseWrite}, fails: true},
@@ -55,7 +55,7 @@
 			if err != nil {
 				return
 			}
-			is.Equal(got.clean, tt.clean)
+			is.Equal(got.released, tt.released)
 			e, err := st.Get(ctx, key(3))
 			is.NoErr(err)
 			is.Equal(e.Rev, got.rev) // a release must be conditional on this revision
--- a/internal/node/shards/handover.go
+++ b/internal/node/shards/handover.go
@@ -24,7 +24,7 @@
 
 // continueAttempt reports an attempt to the shard's present owner until the owner has
 // received the result or no longer waits for it. The shard may move again meanwhile.
-func (s *Shards) continueAttempt(ctx context.Context, shard int, t *host.RunningAttempt) {
+func (s *Shards) reportAttempt(ctx context.Context, shard int, t *host.RunningAttempt) {
 	defer s.continuing.Add(-1)
 	defer t.Cancel()
 	r := host.Report{Shard: shard, Request: t.Request}
@@ -48,10 +48,10 @@
 
 // sendReport sends one report. It returns false if no more reports are needed.
 func (s *Shards) sendReport(ctx context.Context, r *host.Report, t *host.RunningAttempt) bool {
-	call, stop := context.WithTimeout(ctx, reportTimeout)
+	callCtx, stop := context.WithTimeout(ctx, reportTimeout)
 	defer stop()
 	r.Text, _ = t.Feed.After(r.Offset)
-	a, err := s.Tell(call, *r)
+	a, err := s.Tell(callCtx, *r)
 	switch {
 	case err != nil:
 		return true // the next owner is not known yet or has changed
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -87,7 +87,7 @@
 	// ownedShard is one shard owned here.
 	ownedShard struct {
 		*host.Host
-		key          claimed
+		keyClaim     claimed
 		since        time.Time
 		openPrograms []openProgram // at the takeover, until registered
 		suspended    bool          // its lease expired and ownership is not verified yet
@@ -109,7 +109,7 @@
 		w     *ownedShard
 	}
 	verifiedMessage struct{ h *host.Host }
-	rekeyMessage    struct {
+	reclaimMessage  struct {
 		w  *ownedShard
 		c  claimed
 		ok bool
@@ -123,7 +123,7 @@
 func (takeoverMessage) message()  {}
 func (hostEndedMessage) message() {}
 func (verifiedMessage) message()  {}
-func (rekeyMessage) message()     {}
+func (reclaimMessage) message()   {}
 func (configMessage) message()    {}
 
 // Init must be called before any other method.
@@ -241,8 +241,8 @@
 		s.handleHostEnd(ctx, m)
 	case verifiedMessage:
 		s.handleVerified(m.h)
-	case rekeyMessage:
-		s.handleRekey(m)
+	case reclaimMessage:
+		s.handleReclaim(m)
 	case configMessage:
 		s.configure(m.f)
 	}
@@ -303,9 +303,9 @@
 	s.stepLease(ctx, lease.Drop{})
 	s.stepAssign(ctx, assign.Leased{})
 	s.Go(func() {
-		call, stop := context.WithTimeout(ctx, leaseTimeout)
+		callCtx, stop := context.WithTimeout(ctx, leaseTimeout)
 		defer stop()
-		if err := s.Store.Revoke(call, id); err != nil {
+		if err := s.Store.Revoke(callCtx, id); err != nil {
 			s.Log.Debug().Err(err).Msg("lease not revoked; it will expire")
 		}
 	})
