--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -142,11 +142,12 @@
 // Ready is closed once a configuration is in force.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// Drain starts a graceful stop that interrupts no request. Run returns when it is complete.
+// Drain starts a graceful stop: requests in progress are finished unless that takes longer than
+// the configured drain timeout. Run returns when the stop is complete.
 func (d *Daemon) Drain() { d.once.Do(func() { close(d.drain) }) }
 
 // Run runs the daemon until ctx ends, which interrupts requests in progress, or until it has
-// drained.
+// drained. It also ends when a listener fails; it logs that error and returns nil.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon") }()
 	ctx, stop := context.WithCancel(ctx)
@@ -168,7 +169,7 @@
 	case <-ctx.Done():
 		cancelled, done := context.WithCancel(context.Background())
 		done()
-		_ = d.server.Shutdown(cancelled)
+		_ = d.server.Shutdown(cancelled) // returns without waiting for requests in progress
 		return nil
 	case <-d.drain:
 		return d.leave(ctx)
@@ -182,9 +183,9 @@
 	}
 }
 
-// leave stops the daemon without interrupting a request. It first directs callers to other
-// daemons, then hands the shards over, and relays further requests until the callers' cached
-// answers of locate have expired.
+// leave stops the daemon without interrupting requests, within the drain timeout. It first
+// directs callers to other daemons, then hands the shards over, and relays further requests until
+// the callers' cached answers of locate have expired.
 func (d *Daemon) leave(ctx context.Context) error {
 	d.log.Info().Msg("draining")
 	d.server.StartDraining()
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -108,8 +108,9 @@
 	return server.Told(from, out, err)
 }
 
-// recordCall records a call that ended at its owner in the trace and the metrics. The log line
-// of the request is written by the daemon that the caller is connected to.
+// recordCall is called when a call has ended at its owner. It adds the call to the recording for
+// replays and updates the metrics. The log line of the request is written by the daemon that the
+// caller is connected to.
 func (d *Daemon) recordCall(l owner.Log) {
 	c := l.Call
 	d.Tape.Call(l.Account, l.Program, c)
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -23,7 +23,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// The methods that daemons call at each other, in addition to relayed calls and gossip packets.
+// The methods that daemons call on each other, in addition to shelf.Method, relayed calls and
+// gossip packets.
 const (
 	methodConfig = "config.ask"
 	methodOffer  = "shard.offer"
@@ -48,7 +49,7 @@
 	}
 )
 
-var errNoOwner = errors.New("daemon: no owner known")
+var errNoOwner = errors.New("daemon: no owner known, or not responsible here")
 
 func (d *Daemon) assemblePeers(ctx context.Context) {
 	d.gossip.Seed = d.self.Incarnation
@@ -135,8 +136,9 @@
 
 // fence returns the fencing number for orders to an engine, and whether this daemon is
 // responsible for them. The number is the epoch of the shard that the engine's name hashes to.
-// An engine that doesn't check it would take orders of two owners in any sequence. It gets none
-// for placer.OrderTimeout after a takeover, until orders of the former owner have timed out.
+// An engine that doesn't check the number could execute orders of the former owner after those
+// of the new one. It therefore gets no orders for placer.OrderTimeout after a takeover; by then
+// the former owner's orders have timed out.
 func (d *Daemon) fence(upstream string) (uint64, bool) {
 	epoch, since, responsible := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
 	if !d.config.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
--- a/internal/node/devenv/devenv.go
+++ b/internal/node/devenv/devenv.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// Wait returns when a daemon fails or ctx ends.
+// Wait returns when Run of a daemon returns an error, or when ctx ends.
 func (e *Env) Wait(ctx context.Context) error {
 	select {
 	case err := <-e.errs:
--- a/internal/node/devenv/once.go
+++ b/internal/node/devenv/once.go
@@ -25,8 +25,8 @@
 )
 
 // runOnce runs one agent program: a model call, a service call that must run only once and is
-// repeated, and a model call with the result. Calls go to several daemons, as after a change of
-// the addresses that a caller knows.
+// repeated, and a model call with the result. The calls go to
+// different daemons, as if the caller's list of addresses changed between them.
 func (e *Env) runOnce(ctx context.Context, w io.Writer) (err error) {
 	defer func() { err = errors.Wrap(err, "run one program") }()
 	if err = e.Client(0).Open(ctx, call.Open{Program: onceProgram, Agent: "pickup"}); err != nil {
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// Extend appends the new part of a text that starts at byte at of the answer, and returns the
-// feed's length in bytes. Text that starts beyond the feed's end is ignored.
+// Extend appends the part of text that the feed doesn't have yet, and returns the feed's length
+// in bytes. The text starts at byte offset of the answer; it is ignored if that is beyond the
+// feed's end.
 func (f *Feed) Extend(offset int, text string) int {
 	f.mu.Lock()
 	have := f.text.Len()
--- a/internal/node/host/history.go
+++ b/internal/node/host/history.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// readHistory reads the histories of the family of programs with that hash and returns the
-// one that choose selects, if it belongs to the account; an empty account matches all.
+// readHistory reads the histories of a family, which is a root program and its sub-agents, by
+// the hash of the root's id. It returns the one that choose selects if it belongs to the
+// account; an empty account matches all.
 func (h *Host) readHistory(ctx context.Context, account string, hash uint64, choose func([]hist.History) (hist.History, bool)) (hist.History, result.Result) {
 	refs, ok := h.refs(ctx, hash)
 	if !ok {
@@ -83,7 +84,7 @@
 	return p, result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200}
 }
 
-// refs returns where a family's records are. It reads the owner's state on the host's
+// refs returns where a family's records are. It reads the state machine on the host's
 // goroutine.
 func (h *Host) refs(ctx context.Context, hash uint64) (owner.Refs, bool) {
 	type answer struct {
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -34,8 +34,8 @@
 	mailboxSize  = 1024
 	tickInterval = 20 * time.Millisecond
 	storeTimeout = 5 * time.Second
-	// snapshotEntries is the number of journal entries between two snapshots. It bounds
-	// how many entries a takeover reads.
+	// snapshotEntries is the number of journal entries after which the next snapshot is
+	// tried. It keeps the number of entries small that a takeover reads.
 	snapshotEntries = 256
 )
 
@@ -55,7 +55,7 @@
 		Attempt    Attempt
 		Place      func(h *Host, m sched.Message) // posts m to the placer, which calls h.Answer
 		Log        func(l owner.Log)              // called when a call has ended
-		OnVerified func(h *Host)                  // called for each owner.Verified
+		OnVerified func(h *Host)                  // called once a journal write proves that the shard is still owned
 		Trace      *trace.Trace
 		Go         func(f func()) // runs f on the daemon's pool, or on a new goroutine if that is full
 		Rand       func() uint64
@@ -82,7 +82,7 @@
 		savedUpto  uint64
 		saving     bool
 		fenced     bool
-		bulk       *bulk.Bulk             // nil while no data folder is known
+		bulk       *bulk.Bulk             // nil until a data folder is known or the shard has stored texts
 		folders    map[string]beat.Member // daemons with a data folder, by name
 		movedMu    sync.Mutex
 		moved      []hist.Blob // blobs whose new holders are not in the journal yet
@@ -122,7 +122,7 @@
 	go h.run()
 }
 
-// Tell posts a message to the owner.
+// Tell posts a message to the host's state machine.
 func (h *Host) Tell(m owner.Message) { h.post(m) }
 
 // Done is closed when the host has ended because it was fenced or stopped.
@@ -286,7 +286,8 @@
 	h.step(t)
 }
 
-// write executes an effect of the journal's chain.
+// accessJournal creates or reads a journal entry in the store, as requested by the state
+// machine, and posts the result.
 func (h *Host) accessJournal(e chain.Effect) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
@@ -329,7 +330,7 @@
 	return chain.Found{Entry: e}
 }
 
-// save takes a snapshot if snapshotEntries entries were committed since the last one.
+// save takes a snapshot if snapshotEntries entries were committed since the last attempt.
 func (h *Host) save() {
 	if h.saving || h.machine.Fold.Upto < h.savedUpto+snapshotEntries {
 		return
--- a/internal/node/host/runner.go
+++ b/internal/node/host/runner.go
@@ -67,7 +67,7 @@
 	return h.submit(ctx, sink, func(t owner.Ticket) owner.Message { return owner.Call{Ticket: t, Call: c} })
 }
 
-// submit posts a request to the owner and waits for its reply. Meanwhile it writes the
+// submit posts a request to the state machine and waits for its reply. Meanwhile it writes the
 // pieces of the answer to sink.
 func (h *Host) submit(ctx context.Context, sink runner.Sink, m func(owner.Ticket) owner.Message) result.Result {
 	id, t := h.addWaiter()
@@ -101,7 +101,8 @@
 	}
 }
 
-// finalReply returns a reply that was sent just before the host ended.
+// finalReply returns the reply if one was sent just before the host ended, and notOwner's result
+// otherwise.
 func (h *Host) finalReply(t *waiter) result.Result {
 	select {
 	case r := <-t.reply:
@@ -111,8 +112,9 @@
 	}
 }
 
-// notOwner makes the daemon that received the request look up the new owner, which
-// joins or repeats the call by its number.
+// notOwner is the result after the host has ended. The daemon that received the request then
+// sends it to the new owner, which joins or repeats the call by its number. Whether the call has
+// run is unknown here.
 func notOwner() result.Result {
 	return result.Failed(result.CodeNotOwner, result.Unknown, "the program has moved to another daemon")
 }
--- a/internal/node/host/texts.go
+++ b/internal/node/host/texts.go
@@ -12,7 +12,7 @@
 )
 
 // UpdateFolders sets the daemons that have a data folder, with their states. Bulk storage
-// of long texts starts with the first such daemon; without one it costs nothing.
+// of long texts is started for the first such daemon, if Start has not started it.
 func (h *Host) UpdateFolders(ms []beat.Member) {
 	h.mu.Lock()
 	if h.bulk == nil && len(ms) == 0 {
@@ -103,14 +103,14 @@
 }
 
 // changed collects blobs with new holders. Bulk calls it with its lock held, so it must not
-// block on the owner or on anything that waits for bulk.
+// block on the state machine or on anything that waits for bulk.
 func (h *Host) changed(r bulk.Ref) {
 	h.movedMu.Lock()
 	defer h.movedMu.Unlock()
 	h.moved = append(h.moved, blob(r))
 }
 
-// journalMoved passes the new holders to the owner, which writes them to the journal.
+// journalMoved passes the new holders to the state machine, which adds them to the journal.
 func (h *Host) journalMoved() {
 	h.movedMu.Lock()
 	moved := h.moved
--- a/internal/node/placer/order.go
+++ b/internal/node/placer/order.go
@@ -14,15 +14,15 @@
 	OrderTimeout = 5 * time.Second
 
 	// A release is tried releaseAttempts times, releaseRetryDelay apart, which together is
-	// longer than OrderTimeout. Memory that no attempt frees is found by the sweep of held
-	// programs.
+	// longer than OrderTimeout. Memory that no attempt frees is released after a later
+	// comparison by reconcileHeld.
 	releaseAttempts   = 4
 	releaseRetryDelay = 2 * time.Second
 )
 
 // order sends an order to an engine, or forwards it to the daemon that is responsible for the
 // engine. All orders to an engine go through one daemon, because an engine that ignores
-// fencing numbers would otherwise take orders from two owners in any sequence.
+// fencing numbers could otherwise execute a former owner's order after one of the new owner.
 func (p *Placer) order(ctx context.Context, upstream string, o engine.Order) {
 	tries := 1
 	if o.Kind == engine.OrderRelease {
--- a/internal/node/placer/order_test.go
+++ b/internal/node/placer/order_test.go
@@ -16,7 +16,7 @@
 
 // A program ends just after another daemon has become responsible for its engine. That daemon
 // sends no orders for five seconds. A release that is not retried then is lost, and the engine
-// holds the program's memory until the next sweep.
+// holds the program's memory until its programs are next compared with those that are open.
 func TestReleaseIsRetried(t *testing.T) {
 	cases := map[string]struct {
 		kind        engine.OrderKind
--- a/internal/node/placer/placer.go
+++ b/internal/node/placer/placer.go
@@ -36,7 +36,8 @@
 		Answer(e sched.Effect)
 	}
 
-	// Placer is the driver. Set the exported fields, then call Init and Serve.
+	// Placer runs the daemon's sched.Sched: it passes messages to it and executes its effects.
+	// Set the exported fields, then call Init and Serve.
 	Placer struct {
 		Seed    uint64
 		Engine  func(address string) engine.Engine
@@ -236,8 +237,8 @@
 	})
 }
 
-// updateLoader passes the loader the engines for which this daemon is responsible, and starts
-// the loads that are due.
+// updateLoader reports to the loader for which engines this daemon is responsible, and starts the
+// loads that are due.
 func (p *Placer) updateLoader(ctx context.Context) {
 	for name, u := range p.cfg.Upstreams {
 		if len(u.Models) > 0 {
--- a/internal/node/quotas/quotas.go
+++ b/internal/node/quotas/quotas.go
@@ -1,8 +1,9 @@
-// Package quotas enforces the limits of accounts at one daemon. It asks the account's home, the
-// daemon that keeps the account's record, before it admits a call or a program, answers other
-// daemons for the accounts that have their home here, and reports open programs to homes.
+// Package quotas enforces the limits of accounts at one daemon. It admits model calls from tokens
+// that were granted by the account's home, the daemon that keeps the account's record, and asks
+// the home for more when these don't suffice. It asks the home before each new program, reports
+// open programs to homes, and answers other daemons for the accounts that have their home here.
 //
-// The rules are in package quota; Limiter adds the clock, the lock and the messages. A call
+// The rules are in package quota; Limiter adds the clock, the lock and the messages. A request
 // waits at most HomeTimeout for the home. Without an answer it is refused with a retry hint, so
 // that a home that is down or hangs doesn't block callers.
 package quotas
@@ -59,8 +60,8 @@
 	return l.home.Ask(time.Now(), a, quota.Limit{Tokens: acct.TokensPerMinute, Programs: acct.MaxPrograms})
 }
 
-// Open reserves one of the account's open programs. A result with a code refuses the program;
-// otherwise Opened must follow.
+// Open counts a program that is to be opened against the account's limit of open programs. A
+// result with a code refuses the program; otherwise Opened must follow.
 func (l *Limiter) Open(ctx context.Context, o call.Open) result.Result {
 	l.mu.Lock()
 	ask, fresh := l.local.Opening(time.Now(), o.Account, o.Program)
@@ -80,7 +81,7 @@
 }
 
 // Opened reports the result of opening a program. An opening that failed may have been written
-// nevertheless, so the reservation is kept if the program is open.
+// nevertheless, so the program stays counted if it is open.
 func (l *Limiter) Opened(o call.Open, r result.Result) {
 	if !r.OK() && !l.Live(o.Program) {
 		l.Closed(o.Program)
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -83,7 +83,7 @@
 		TraceFile     string // spans as JSON lines; empty: none
 		LogLevel      string // debug, info, warn or error
 		LogFormat     string // json or console
-		RecordFile    string // trace of the programs' calls, for a replay; empty: none
+		RecordFile    string // recording of the programs' calls, for a replay; empty: none
 	}
 
 	// Error is one error in a settings file.
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -33,15 +33,15 @@
 		Released bool   `json:"released,omitempty"`
 	}
 
-	// claimed is a claim that succeeded: the key's revision, and whether the former owner
-	// has released the shard, so that it can't act on it any more.
+	// claimed is a claim that succeeded, with the key's revision. Released is true if the
+	// former owner has released the shard and so no longer dispatches for it.
 	claimed struct {
 		rev      store.Rev
 		released bool
 	}
 )
 
-var errHeld = errors.New("shards: another daemon holds the shard")
+var errHeld = errors.New("shards: another process holds the shard")
 
 func key(shard int) string { return fmt.Sprintf("shard/%04d", shard) }
 
@@ -102,7 +102,7 @@
 	w, err := s.startHost(callCtx, ctx, shard, id)
 	if err != nil {
 		if !errors.Is(err, errHeld) {
-			s.Log.Warn().Err(err).Int("shard", shard).Msg("shard claim failed")
+			s.Log.Warn().Err(err).Int("shard", shard).Msg("shard not taken over")
 		}
 		s.post(ctx, assignMessage{assign.Claimed{Shard: shard}})
 		return
@@ -169,9 +169,10 @@
 	case !held.Released && held.Session != s.session:
 		return claimed{}, errHeld
 	}
-	// A key of this process without a host is left from a claim that was written after its
-	// call had timed out, or from a release that was lost. It is bound to a lease that this
-	// process keeps renewing, so no daemon could take the shard if it were not overwritten.
+	// The shard was released, or the key is this process's own: from a claim that was written
+	// after its call had timed out, from a release that was lost, or from before a reclaim. An
+	// own key may be bound to a lease that this process keeps renewing, so no daemon could
+	// take the shard if the key were not overwritten.
 	rev, err = s.Store.Put(ctx, key(shard), encode(mine), e.Rev, id)
 	return claimed{rev: rev, released: held.Released}, err
 }
@@ -214,8 +215,8 @@
 	s.OnOwned(s.List())
 }
 
-// rekey claims a shard again under a new lease after the old one expired. Another daemon may
-// have owned the shard in between even if the key is free now, so the host is suspended until
+// reclaim claims a shard again under a new lease after the old one expired. Another daemon may
+// have owned the shard in between even if the key is free now, so the host stays suspended until
 // a write to the journal proves that none has.
 func (s *Shards) reclaim(ctx context.Context, shard int, w *ownedShard, id store.Lease) {
 	if !w.suspended {
--- a/internal/node/shards/handover.go
+++ b/internal/node/shards/handover.go
@@ -22,7 +22,7 @@
 	return w.Report(ctx, r)
 }
 
-// continueAttempt reports an attempt to the shard's present owner until the owner has
+// reportAttempt reports an attempt to the shard's present owner until the owner has
 // received the result or no longer waits for it. The shard may move again meanwhile.
 func (s *Shards) reportAttempt(ctx context.Context, shard int, t *host.RunningAttempt) {
 	defer s.continuing.Add(-1)
@@ -54,7 +54,7 @@
 	a, err := s.Tell(callCtx, *r)
 	switch {
 	case err != nil:
-		return true // the next owner is not known yet or has changed
+		return true // try again: the owner is unknown, has changed or did not answer
 	case !a.Known:
 		return false
 	}
--- a/internal/node/shards/runner.go
+++ b/internal/node/shards/runner.go
@@ -125,7 +125,7 @@
 // openProgram is a program that was open when its shard was taken over.
 type openProgram struct {
 	account, program string
-	next             int // calls with lower numbers were admitted before and won't run again
+	next             int // calls with lower numbers count as charged
 }
 
 // openPrograms lists the open programs of a shard. Call it before the shard's host runs,
@@ -141,8 +141,8 @@
 }
 
 // chargedBelow returns the number below which no call of the program is to be charged. The
-// last call that ended runs again if its outcome is not final. A call in progress during a
-// handover was charged before it.
+// last call that ended runs again if its outcome is not final. A call in progress during
+// the handover, p.Moved, was charged by the former owner.
 func chargedBelow(p *state.Program) int {
 	switch {
 	case p.Moved != nil:
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -30,9 +30,9 @@
 const (
 	mailboxSize  = 256
 	tickInterval = 100 * time.Millisecond
-	// takeoverDelay is the time between a takeover and the first dispatch. A former owner
-	// that can't reach the store continues to dispatch until it learns by gossip that other
-	// daemons can.
+	// takeoverDelay is how long a host waits before its first dispatch if the former owner
+	// has not released the shard. A former owner that can't reach the store continues to
+	// dispatch until it learns by gossip that other daemons can.
 	takeoverDelay = 3 * time.Second
 	// outageValidity is how long an observed outage of the store counts without renewal.
 	outageValidity = time.Second
@@ -66,7 +66,7 @@
 		// Offer sends another daemon the request to take a shard that was released for it.
 		Offer   func(ctx context.Context, to beat.Member, shard int) error
 		Limiter *quotas.Limiter // nil: accounts have no limits
-		// Tell reports a continued attempt to the present owner of its shard.
+		// Tell sends a report of a continued attempt to the present owner of its shard.
 		Tell func(ctx context.Context, r host.Report) (host.ReportReply, error)
 
 		inbox        chan message
