--- a/internal/node/daemon/connect.go
+++ b/internal/node/daemon/connect.go
@@ -17,8 +17,8 @@
 	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
-// Connect sets the clients of the platform and the upstreams to those that the
-// settings name.
+// Connect sets the clients of the platform and the upstreams, with the addresses of the
+// settings.
 func (d *Daemon) Connect() {
 	s := d.Settings
 	d.Store = &kvhttp.Client{Endpoint: httpc.Endpoint{Address: s.Platform.Store}, Name: s.Daemon.Name}
@@ -29,7 +29,7 @@
 		d.Weights = &wthttp.Client{Endpoint: httpc.Endpoint{Address: s.Platform.Weights}}
 	}
 	d.Engine = func(address string) engine.Engine {
-		first := d.keeper.Current().Limits.UpstreamTimeout
+		first := d.config.Current().Limits.UpstreamTimeout
 		return &chat.Client{Endpoint: httpc.Endpoint{Address: address, FirstByteTimeout: first}}
 	}
 	d.Tool = func(address string) tool.Tool {
@@ -37,26 +37,27 @@
 	}
 }
 
-// Peer is where other daemons reach this one.
+// Peer is the address for other daemons.
 func (d *Daemon) Peer() string { return d.self.Peer }
 
-// Apply puts a first configuration in force. It waits for Run, whose parts it needs.
+// Apply applies a configuration, whichever version is in force. It waits until Run has
+// assembled the daemon.
 func (d *Daemon) Apply(ctx context.Context, text []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon: apply") }()
 	select {
-	case <-d.whole:
+	case <-d.assembled:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	_, err = d.keeper.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: apply.Newest, By: operatorName})
+	_, err = d.config.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: apply.Newest, By: operatorName})
 	return err
 }
 
-// Settled reports whether a configuration is in force here and each shard is
-// known to have an owner.
-func (d *Daemon) Settled() bool {
+// Converged reports whether a configuration is in force here and each shard is known to have
+// an owner.
+func (d *Daemon) Converged() bool {
 	select {
-	case <-d.whole:
+	case <-d.assembled:
 	default:
 		return false
 	}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon puts one daemon together: it meets callers, knows the other
-// daemons, owns shards and reaches upstreams.
+// Package daemon assembles one daemon, which serves callers, exchanges state with the other
+// daemons, owns shards and calls upstreams.
 //
-// Everything in it has its own package; daemon only connects their ends and
-// starts and stops them in order.
+// Each of these parts has its own package. Package daemon connects them and starts and stops
+// them in order.
 package daemon
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/slaterock/slaterock/internal/conf/watch"
 	"github.com/slaterock/slaterock/internal/edge/relay"
 	"github.com/slaterock/slaterock/internal/edge/server"
-	"github.com/slaterock/slaterock/internal/node/guard"
 	"github.com/slaterock/slaterock/internal/node/host"
+	"github.com/slaterock/slaterock/internal/node/invoke"
 	"github.com/slaterock/slaterock/internal/node/placer"
-	"github.com/slaterock/slaterock/internal/node/send"
+	"github.com/slaterock/slaterock/internal/node/quotas"
 	"github.com/slaterock/slaterock/internal/node/setup"
 	"github.com/slaterock/slaterock/internal/node/shards"
 	"github.com/slaterock/slaterock/internal/obs/logs"
@@ -45,47 +45,48 @@
 )
 
 const (
-	poolSize     = 16 << 10
-	leaveTime    = 6 * time.Second // a caller may keep an answer of locate for 5 s
-	drainTimeout = 10 * time.Minute
+	poolSize          = 16 << 10
+	defaultDrainGrace = 6 * time.Second // callers may cache an answer of locate for 5 s
+	drainTimeout      = 10 * time.Minute
 )
 
 type (
-	// Daemon is one daemon. Set the fields, then Run.
+	// Daemon is one daemon. Set the exported fields, then call Init and Run.
 	Daemon struct {
 		Settings setup.Settings
 		Store    store.Store
-		VMs      vmlist.List    // nil without a list
-		Weights  weight.Weights // nil if loads are not spaced
+		VMs      vmlist.List    // nil if the platform has none
+		Weights  weight.Weights // paces model loads; nil for no limit
 		Engine   func(address string) engine.Engine
 		Tool     func(address string) tool.Tool
 		Logs     logs.Logs
 		Trace    *trace.Trace
 		Metric   *metric.Metric
-		Tape     *tape.Tape // records what programs do; nil records nothing
-		// Listen and Peers replace listening on the addresses of the settings.
+		Tape     *tape.Tape // records the programs' calls for a replay; nil records nothing
+		// Listen and Peers are the listeners for callers and peers. Init opens those that are
+		// nil, at the addresses of the settings.
 		Listen, Peers net.Listener
-		Leave         time.Duration // how long a draining daemon goes on serving; zero is six seconds
+		DrainGrace    time.Duration // how long a draining daemon still serves callers; zero is 6 s
 
-		log    zerolog.Logger
-		scope  tally.Scope
-		pool   *ants.Pool
-		meter  meter.Meter
-		keeper watch.Keeper
-		gossip gossip.Gossip
-		link   link.Link
-		shards shards.Shards
-		xfer   xfer.Endpoint
-		guard  guard.Guard
-		placer placer.Placer
-		server server.Server
-		relay  relay.Relay
-		self   beat.Member
-		mu     sync.Mutex
-		drain  chan struct{}
-		once   sync.Once
-		ready  chan struct{}
-		whole  chan struct{} // closed once the parts know each other
+		log       zerolog.Logger
+		scope     tally.Scope
+		pool      *ants.Pool
+		meter     meter.Meter
+		config    watch.Keeper
+		gossip    gossip.Gossip
+		link      link.Link
+		shards    shards.Shards
+		xfer      xfer.Endpoint
+		quotas    quotas.Limiter
+		placer    placer.Placer
+		server    server.Server
+		relay     relay.Relay
+		self      beat.Member
+		mu        sync.Mutex
+		drain     chan struct{}
+		once      sync.Once
+		ready     chan struct{}
+		assembled chan struct{} // closed once the parts are connected
 	}
 )
 
@@ -94,7 +95,7 @@
 	errDraining = errors.New("daemon: draining")
 )
 
-// Init opens the listeners, so that Address is known before Run.
+// Init opens the listeners, so that Address and Peer are known before Run.
 func (d *Daemon) Init(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon: start") }()
 	var lc net.ListenConfig
@@ -115,11 +116,11 @@
 	d.scope = d.Metric.Scope().SubScope("owner")
 	d.drain = make(chan struct{})
 	d.ready = make(chan struct{})
-	d.whole = make(chan struct{})
+	d.assembled = make(chan struct{})
 	d.self = beat.Member{
 		Name:          d.Settings.Daemon.Name,
-		Address:       either(d.Settings.Daemon.Advertise, d.Listen.Addr().String()),
-		Peer:          either(d.Settings.Peers.Advertise, d.Peers.Addr().String()),
+		Address:       firstNonEmpty(d.Settings.Daemon.Advertise, d.Listen.Addr().String()),
+		Peer:          firstNonEmpty(d.Settings.Peers.Advertise, d.Peers.Addr().String()),
 		FailureDomain: d.Settings.Daemon.FailureDomain,
 		Disk:          d.Settings.Daemon.DataFolder != "",
 		State:         beat.Alive,
@@ -128,75 +129,76 @@
 	return nil
 }
 
-func either(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// Address is where callers reach the daemon.
+// Address is the address for callers.
 func (d *Daemon) Address() string { return d.self.Address }
 
-// Ready is closed when a configuration is in force.
+// Ready is closed once a configuration is in force.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// Drain asks the daemon to stop without cutting a request; Run returns then.
+// Drain starts a graceful stop: requests in progress are finished unless that takes longer than
+// the configured drain timeout. Run returns when the stop is complete.
 func (d *Daemon) Drain() { d.once.Do(func() { close(d.drain) }) }
 
-// Run runs the daemon until ctx ends, which cuts what is under way, or until it
-// has drained.
+// Run runs the daemon until ctx ends, which interrupts requests in progress, or until it has
+// drained. It also ends when a listener fails; it logs that error and returns nil.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon") }()
 	ctx, stop := context.WithCancel(ctx)
 	defer d.pool.Release()
 	d.assemble(ctx)
-	close(d.whole)
+	close(d.assembled)
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	work.Go(func() { d.measure(ctx) })
+	work.Go(func() { d.reportGauges(ctx) })
 	work.Go(func() { d.placer.Serve(ctx) })
 	work.Go(func() { d.gossip.Run(ctx, beat.Self{Member: d.self, Seeds: d.Settings.Peers.Seeds}) })
-	work.Go(func() { d.failed(stop, d.link.Serve(ctx, d.Peers)) })
-	work.Go(func() { _ = d.keeper.Serve(ctx) })
+	work.Go(func() { d.stopOnError(stop, d.link.Serve(ctx, d.Peers)) })
+	work.Go(func() { _ = d.config.Serve(ctx) })
 	work.Go(func() { d.shards.Serve(ctx) })
-	work.Go(func() { d.guard.Serve(ctx) })
-	work.Go(func() { d.failed(stop, d.server.Serve(d.Listen)) })
+	work.Go(func() { d.quotas.Serve(ctx) })
+	work.Go(func() { d.stopOnError(stop, d.server.Serve(d.Listen)) })
 	select {
 	case <-ctx.Done():
-		cut, done := context.WithCancel(context.Background())
+		cancelled, done := context.WithCancel(context.Background())
 		done()
-		_ = d.server.Shutdown(cut)
+		_ = d.server.Shutdown(cancelled) // returns without waiting for requests in progress
 		return nil
 	case <-d.drain:
 		return d.leave(ctx)
 	}
 }
 
-func (d *Daemon) failed(stop func(), err error) {
+func (d *Daemon) stopOnError(stop func(), err error) {
 	if err != nil {
-		d.log.Error().Err(err).Msg("daemon stops")
+		d.log.Error().Err(err).Msg("a listener failed; stopping the daemon")
 		stop()
 	}
 }
 
-// leave stops in an order that cuts nothing: callers are sent elsewhere first,
-// shards are handed over when their calls have ended, and what callers still
-// send is relayed until their answers from locate have run out.
+// leave stops the daemon without interrupting requests, within the drain timeout. It first
+// directs callers to other daemons, then hands the shards over, and relays further requests until
+// the callers' cached answers of locate have expired.
 func (d *Daemon) leave(ctx context.Context) error {
 	d.log.Info().Msg("draining")
 	d.server.StartDraining()
 	d.update(ctx, func(m *beat.Member) { m.State = beat.Draining })
-	limit := d.keeper.Current().Limits.DrainTimeout
+	limit := d.config.Current().Limits.DrainTimeout
 	if limit <= 0 {
 		limit = drainTimeout
 	}
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	leave := d.Leave
+	leave := d.DrainGrace
 	if leave == 0 {
-		leave = leaveTime
+		leave = defaultDrainGrace
 	}
 	start := time.Now()
 	if err := d.shards.Drain(ctx); err != nil {
@@ -211,9 +213,9 @@
 	return errors.Wrap(err, "finish requests")
 }
 
-// run runs f on the pool, or on a goroutine of its own when the pool is full:
-// work that waited for a free worker could be what a worker waits for.
-func (d *Daemon) run(f func()) {
+// spawn runs f on the pool, or on a new goroutine if the pool is full. Queueing f could be a
+// deadlock, as a worker may be waiting for what f does.
+func (d *Daemon) spawn(f func()) {
 	if d.pool.Submit(f) != nil {
 		go f()
 	}
@@ -231,29 +233,29 @@
 func (d *Daemon) assemble(ctx context.Context) {
 	d.meter.Store = d.Store
 	d.meter.OnAnswer = func(at time.Time) {
-		d.run(func() {
+		d.spawn(func() {
 			d.gossip.Reached(ctx, at)
 			d.shards.Reached(ctx, at)
 		})
 	}
 	d.assemblePeers(ctx)
 	d.assembleFolder()
-	d.assembleGuard()
+	d.assembleQuotas()
 	d.assembleShards(ctx)
 	d.assembleEdge(ctx)
-	d.keeper.Self = watch.Member{Name: d.self.Name, Peer: d.self.Peer}
-	d.keeper.Seeds = d.Settings.Peers.Seeds
-	d.keeper.Store = &d.meter
-	d.keeper.Fetch = func(ctx context.Context, peer string, q watch.Question) (a watch.Answer, err error) {
+	d.config.Self = watch.Member{Name: d.self.Name, Peer: d.self.Peer}
+	d.config.Seeds = d.Settings.Peers.Seeds
+	d.config.Store = &d.meter
+	d.config.Fetch = func(ctx context.Context, peer string, q watch.Question) (a watch.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodConfig, q, &a)
 		return a, err
 	}
-	d.keeper.OnChange = func(f file.File) { d.configure(ctx, f) }
+	d.config.OnChange = func(f file.File) { d.configure(ctx, f) }
 }
 
 func (d *Daemon) configure(ctx context.Context, f file.File) {
-	d.log.Info().Uint64("version", f.Version).Msg("configuration in force")
-	d.share()
+	d.log.Info().Uint64("version", f.Version).Msg("configuration applied")
+	d.allotStore()
 	d.Tape.Configure(f)
 	d.shards.Configure(ctx, f)
 	d.placer.Tell(ctx, nil, sched.Configure{File: f})
@@ -265,8 +267,8 @@
 	}
 }
 
-// share gives this daemon its part of the calls that the store takes.
-func (d *Daemon) share() {
+// allotStore sets this daemon's share of the store's read and write rates.
+func (d *Daemon) allotStore() {
 	n := 0
 	for _, m := range d.gossip.Members() {
 		if m.State != beat.Down {
@@ -274,8 +276,8 @@
 		}
 	}
 	n = max(n, 1)
-	sys := d.keeper.Current().System
-	// Owners write and read more than others, so a share is twice the mean.
+	sys := d.config.Current().System
+	// A daemon that owns shards reads and writes more than others, so a share is twice the mean.
 	d.meter.SetRates(2*sys.StoreReads/float64(n), 2*sys.StoreWrites/float64(n))
 }
 
@@ -289,47 +291,47 @@
 func (d *Daemon) assembleShards(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	var mu sync.Mutex
-	draw := func() uint64 {
+	randUint64 := func() uint64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return random.Uint64()
 	}
-	tries := send.Send{Trace: d.Trace, Engine: d.Engine, Tool: d.Tool, First: func(request, upstream string) {
+	invoker := invoke.Invoker{Trace: d.Trace, Engine: d.Engine, Tool: d.Tool, First: func(request, upstream string) {
 		d.placer.Tell(ctx, nil, sched.First{ID: request, Upstream: upstream})
 	}}
 	d.shards = shards.Shards{
 		Name:        d.self.Name,
 		Store:       &d.meter,
-		Rand:        draw,
-		Go:          d.run,
+		Rand:        randUint64,
+		Go:          d.spawn,
 		Log:         d.log,
 		Members:     d.gossip.Members,
 		StoreAge:    d.gossip.StoreAge,
 		Alone:       d.gossip.Alone,
-		Attempt:     tries.Attempt,
+		Attempt:     invoker.Attempt,
 		Trace:       d.Trace,
 		MaxPrograms: d.Settings.Bounds.Programs,
 		Place:       func(h *host.Host, m sched.Message) { d.place(ctx, h, m) },
-		Ended:       d.ended,
-		Owned:       func(s []beat.Shard) { d.update(ctx, func(m *beat.Member) { m.Shards = s }) },
+		OnCallEnd:   d.recordCall,
+		OnOwned:     func(s []beat.Shard) { d.update(ctx, func(m *beat.Member) { m.Shards = s }) },
 		Peers:       &d.xfer,
 		Domain:      d.self.FailureDomain,
 		Offer:       d.offer,
 		Tell:        d.report,
-		Guard:       &d.guard,
+		Limiter:     &d.quotas,
 	}
 	d.shards.Init()
 	d.placer = placer.Placer{
-		Seed:    draw(),
+		Seed:    randUint64(),
 		Engine:  d.Engine,
 		VMs:     d.VMs,
 		Weights: d.Weights,
-		Go:      d.run,
+		Go:      d.spawn,
 		Log:     d.log,
 		Fence:   d.fence,
 		Forward: d.forward,
 		Live:    d.live,
-		Loaded:  d.Tape.Load,
+		OnLoad:  d.Tape.Load,
 	}
 	d.placer.Init()
 }
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -20,14 +20,14 @@
 const operatorName = "operator"
 
 type (
-	// Status is what a daemon knows of the system.
+	// Status is the system's state as one daemon knows it.
 	Status struct {
 		Daemon  string        `json:"daemon"`
 		Version uint64        `json:"config_version"`
 		Shards  int           `json:"shards"`
 		Members []beat.Member `json:"members"`
 		Store   meter.Counts  `json:"store"`
-		Age     time.Duration `json:"store_age"` // since anybody reached the store
+		Age     time.Duration `json:"store_age"` // time since any daemon is known to have reached the store
 	}
 )
 
@@ -37,7 +37,7 @@
 		Local:   &d.shards,
 		Members: d.gossip.Members,
 		Shards:  d.shardCount,
-		Peer:    d.peer,
+		Peer:    d.remote,
 		Unsent: func(err error) bool {
 			var e *link.Error
 			return errors.As(err, &e) && !e.Sent
@@ -46,8 +46,8 @@
 	b, t := d.Settings.Bounds, d.Settings.Timeouts
 	d.server = server.Server{
 		Runner:  &d.relay,
-		Config:  d.keeper.Current,
-		Account: d.account,
+		Config:  d.config.Current,
+		Account: d.authenticate,
 		Entries: func(program string) locate.Answer {
 			return locate.Entries(d.gossip.Members(), program, d.shardCount())
 		},
@@ -61,7 +61,7 @@
 		Status:      func(context.Context) any { return d.Status() },
 		Drain:       d.Drain,
 		Apply:       d.apply,
-		Text:        func() ([]byte, uint64) { return server.AssembleText(d.keeper.Answer) },
+		Text:        func() ([]byte, uint64) { return server.AssembleText(d.config.Answer) },
 		MaxHeader:   b.HeaderBytes,
 		MaxConns:    b.Connections,
 		ReadTimeout: t.Read,
@@ -70,13 +70,13 @@
 	}
 }
 
-// account finds who a key belongs to. The operator's key of the settings works
-// before any configuration is in force.
-func (d *Daemon) account(key string) (name string, operator, ok bool) {
+// authenticate returns the account of a key and whether it is an operator's. The operator's key
+// in the settings is valid even before a configuration is in force.
+func (d *Daemon) authenticate(key string) (name string, operator, ok bool) {
 	if k := d.Settings.Daemon.OperatorKey; k != "" && subtle.ConstantTimeCompare([]byte(k), []byte(key)) == 1 {
 		return operatorName, true, true
 	}
-	name, a, ok := d.keeper.Current().Authenticate(key)
+	name, a, ok := d.config.Current().Authenticate(key)
 	return name, a.Operator, ok
 }
 
@@ -91,11 +91,11 @@
 	}
 }
 
-// Status tells what this daemon knows of the system.
+// Status returns the system's state as this daemon knows it.
 func (d *Daemon) Status() Status {
 	return Status{
 		Daemon:  d.self.Name,
-		Version: d.keeper.Current().Version,
+		Version: d.config.Current().Version,
 		Shards:  d.shardCount(),
 		Members: d.gossip.Members(),
 		Store:   d.meter.Counts(),
@@ -104,13 +104,14 @@
 }
 
 func (d *Daemon) apply(ctx context.Context, text []byte, from uint64) server.Applied {
-	out, err := d.keeper.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: from, By: operatorName})
+	out, err := d.config.Apply(ctx, apply.Request{Name: "configuration", Text: text, Base: from, By: operatorName})
 	return server.NewApplied(from, out, err)
 }
 
-// ended notes how a call ended at its owner. The line that tells support
-// engineers of it is written where the caller was met.
-func (d *Daemon) ended(l owner.Log) {
+// recordCall is called when a call has ended at its owner. It adds the call to the recording for
+// replays and updates the metrics. The log line of the request is written by the daemon that the
+// caller is connected to.
+func (d *Daemon) recordCall(l owner.Log) {
 	c := l.Call
 	d.Tape.Call(l.Account, l.Program, c)
 	scope := d.scope.Tagged(map[string]string{"kind": string(c.Kind), "code": string(c.Result.Code)})
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -23,7 +23,8 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// The methods that daemons offer each other beside relayed calls and packets.
+// The methods that daemons call on each other, in addition to shelf.Method, relayed calls and
+// gossip packets.
 const (
 	methodConfig = "config.ask"
 	methodOffer  = "shard.offer"
@@ -43,56 +44,56 @@
 		Order    engine.Order `json:"order"`
 	}
 
-	liveness struct {
+	programList struct {
 		Programs []string `json:"programs"`
 	}
 )
 
-var errNoOwner = errors.New("daemon: no owner known")
+var errNoOwner = errors.New("daemon: no owner known, or not responsible here")
 
 func (d *Daemon) assemblePeers(ctx context.Context) {
 	d.gossip.Seed = d.self.Incarnation
 	d.gossip.Send = func(to string, p beat.Packet) { d.link.Peer(to).Send(p) }
-	d.gossip.Changed = func(beat.Member) { d.run(func() { d.picture(ctx) }) }
-	d.gossip.Newer = func(version uint64, from string) { d.run(func() { d.keeper.Newer(version, from) }) }
+	d.gossip.Changed = func(beat.Member) { d.spawn(func() { d.membersChanged(ctx) }) }
+	d.gossip.Newer = func(version uint64, from string) { d.spawn(func() { d.config.Newer(version, from) }) }
 	d.link.Address = d.self.Peer
 	d.link.Key = []byte(d.Settings.Peers.Key)
 	d.link.Runner = &d.shards
 	d.link.OnPacket = d.gossip.Take
 	handle(&d.link, methodConfig, func(_ context.Context, q watch.Question) (any, error) {
-		return d.keeper.Answer(q), nil
+		return d.config.Answer(q), nil
 	})
 	handle(&d.link, methodOffer, func(_ context.Context, o offer) (any, error) {
 		d.shards.Offered(ctx, o.Shard)
 		return nil, nil
 	})
 	handle(&d.link, methodOrder, func(ctx context.Context, o order) (any, error) {
-		return nil, d.give(ctx, o.Upstream, o.Order)
+		return nil, d.sendOrder(ctx, o.Upstream, o.Order)
 	})
 	handle(&d.link, methodReport, func(ctx context.Context, r host.Report) (any, error) {
 		return d.shards.Report(ctx, r)
 	})
 	handle(&d.link, methodQuota, func(_ context.Context, a quota.Request) (any, error) {
-		return d.guard.Answer(a), nil
+		return d.quotas.Answer(a), nil
 	})
-	handle(&d.link, methodLive, func(_ context.Context, l liveness) (any, error) {
-		return liveness{Programs: d.shards.Live(l.Programs)}, nil
+	handle(&d.link, methodLive, func(_ context.Context, l programList) (any, error) {
+		return programList{Programs: d.shards.Live(l.Programs)}, nil
 	})
 }
 
-func (d *Daemon) assembleGuard() {
-	d.guard.Self = d.self.Name
-	d.guard.Members = d.gossip.Members
-	d.guard.Config = d.keeper.Current
-	d.guard.Live = d.shards.Has
-	d.guard.Send = func(ctx context.Context, peer string, a quota.Request) (r quota.Answer, err error) {
+func (d *Daemon) assembleQuotas() {
+	d.quotas.Self = d.self.Name
+	d.quotas.Members = d.gossip.Members
+	d.quotas.Config = d.config.Current
+	d.quotas.Live = d.shards.Has
+	d.quotas.Send = func(ctx context.Context, peer string, a quota.Request) (r quota.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodQuota, a, &r)
 		return r, err
 	}
-	d.guard.Init(time.Now())
+	d.quotas.Init(time.Now())
 }
 
-// handle offers a method with typed parameters.
+// handle registers a method with typed parameters.
 func handle[P any](l *link.Link, name string, f func(ctx context.Context, p P) (any, error)) {
 	l.Handle(name, func(ctx context.Context, params json.RawMessage) (any, error) {
 		var p P
@@ -103,24 +104,25 @@
 	})
 }
 
-// picture passes on what changed among the daemons.
-func (d *Daemon) picture(context.Context) {
+// membersChanged updates what depends on the set of daemons: the peers that the configuration
+// is fetched from, and the share of the store's rates.
+func (d *Daemon) membersChanged(context.Context) {
 	var list []watch.Member
 	for _, m := range d.gossip.Members() {
 		if m.State == beat.Alive {
 			list = append(list, watch.Member{Name: m.Name, Peer: m.Peer})
 		}
 	}
-	d.keeper.Members(list)
-	d.share()
+	d.config.Members(list)
+	d.allotStore()
 }
 
 func (d *Daemon) offer(ctx context.Context, to beat.Member, shard int) error {
 	return d.link.Peer(to.Peer).Invoke(ctx, methodOffer, offer{Shard: shard}, nil)
 }
 
-// report tells a shard's present owner of an attempt that goes on here.
-func (d *Daemon) report(ctx context.Context, r host.Report) (a host.Receipt, err error) {
+// report sends the present owner of a shard the state of an attempt that continues here.
+func (d *Daemon) report(ctx context.Context, r host.Report) (a host.ReportReply, err error) {
 	m, ok := locate.Owner(d.gossip.Members(), r.Shard)
 	if !ok {
 		return a, errNoOwner
@@ -132,22 +134,22 @@
 	return a, err
 }
 
-// fence returns the number for orders to an engine, if this daemon gives them:
-// the epoch of the shard that the engine's name falls into. An engine that
-// doesn't check the number gets none until the orders that a former owner may
-// have sent have run out; it would take them in any sequence.
+// fence returns the fencing number for orders to an engine, and whether this daemon is
+// responsible for them. The number is the epoch of the shard that the engine's name hashes to.
+// An engine that doesn't check the number could execute orders of the former owner after those
+// of the new one. It therefore gets no orders for placer.OrderTimeout after a takeover; by then
+// the former owner's orders have timed out.
 func (d *Daemon) fence(upstream string) (uint64, bool) {
-	epoch, since, here := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
-	if !d.keeper.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
-		here = false
+	epoch, since, responsible := d.shards.Epoch(locate.Shard(upstream, d.shardCount()))
+	if !d.config.Current().Upstreams[upstream].Fencing && epoch > 1 && time.Since(since) < placer.OrderTimeout {
+		responsible = false
 	}
-	return epoch, here
+	return epoch, responsible
 }
 
-func (d *Daemon) shardCount() int { return d.keeper.Current().System.Shards }
+func (d *Daemon) shardCount() int { return d.config.Current().System.Shards }
 
-// forward has an order given by the daemon that all orders to the engine go
-// through.
+// forward sends an order to the daemon that is responsible for the engine.
 func (d *Daemon) forward(ctx context.Context, upstream string, o engine.Order) error {
 	m, ok := locate.Owner(d.gossip.Members(), locate.Shard(upstream, d.shardCount()))
 	if !ok {
@@ -156,19 +158,19 @@
 	return d.link.Peer(m.Peer).Invoke(ctx, methodOrder, order{Upstream: upstream, Order: o}, nil)
 }
 
-// give gives an order to an engine on behalf of another daemon.
-func (d *Daemon) give(ctx context.Context, upstream string, o engine.Order) error {
-	fence, here := d.fence(upstream)
-	u, known := d.keeper.Current().Upstreams[upstream]
-	if !here || !known {
+// sendOrder sends an order to an engine on behalf of another daemon.
+func (d *Daemon) sendOrder(ctx context.Context, upstream string, o engine.Order) error {
+	fence, responsible := d.fence(upstream)
+	u, known := d.config.Current().Upstreams[upstream]
+	if !responsible || !known {
 		return errNoOwner
 	}
 	o.Fence = fence
 	return d.Engine(u.Address).Order(ctx, o)
 }
 
-// live tells which programs some owner still knows. Programs of a shard whose
-// owner doesn't answer count as live.
+// live returns those of the programs that are open at their owners. Programs of a shard whose
+// owner is unknown or doesn't answer count as open.
 func (d *Daemon) live(ctx context.Context, programs []string) (out []string, err error) {
 	by := map[string][]string{}
 	for _, p := range programs {
@@ -184,8 +186,8 @@
 			out = append(out, d.shards.Live(ps)...)
 			continue
 		}
-		var l liveness
-		if err := d.link.Peer(peer).Invoke(ctx, methodLive, liveness{Programs: ps}, &l); err != nil {
+		var l programList
+		if err := d.link.Peer(peer).Invoke(ctx, methodLive, programList{Programs: ps}, &l); err != nil {
 			out = append(out, ps...)
 			continue
 		}
@@ -194,20 +196,20 @@
 	return out, nil
 }
 
-// hop is the way to another daemon's Runner, with a span for each relayed call.
-type hop struct {
+// tracedRemote is another daemon's Runner, with a span for each relayed call.
+type tracedRemote struct {
 	relay.Remote
 	trace   *trace.Trace
 	address string
 }
 
-func (h hop) Try(ctx context.Context, c call.Call, sink runner.Sink) (r result.Result, err error) {
+func (h tracedRemote) Try(ctx context.Context, c call.Call, sink runner.Sink) (r result.Result, err error) {
 	ctx, span := h.trace.Start(ctx, trace.Relay, c.TraceParent, attribute.String("request", c.Request), attribute.String("peer", h.address))
 	c.TraceParent = span.Traceparent()
 	defer func() { span.End(err) }()
 	return h.Remote.Try(ctx, c, sink)
 }
 
-func (d *Daemon) peer(address string) relay.Remote {
-	return hop{Remote: d.link.Peer(address), trace: d.Trace, address: address}
+func (d *Daemon) remote(address string) relay.Remote {
+	return tracedRemote{Remote: d.link.Peer(address), trace: d.Trace, address: address}
 }
--- a/internal/node/host/look.go
+++ b/internal/node/host/history.go
@@ -16,8 +16,8 @@
 )
 
 type (
-	// follower hands the pieces of a feed to a sink, from the start.
-	follower struct {
+	// feedReader copies a feed to a sink, from the start.
+	feedReader struct {
 		sink runner.Sink
 		feed *feed.Feed
 		at   int
@@ -25,8 +25,9 @@
 	}
 )
 
-// deliver hands on what is new; false tells that the caller is gone.
-func (f *follower) deliver() bool {
+// deliver writes the new text to the sink. It returns false if the sink failed because the
+// caller has disconnected.
+func (f *feedReader) deliver() bool {
 	text, more := f.feed.After(f.at)
 	f.more = more
 	if text == "" || f.sink == nil {
@@ -36,8 +37,8 @@
 	return f.sink(text) == nil
 }
 
-// recall answers a repeat from the journal.
-func (h *Host) recall(e owner.ReplyFromJournal) {
+// answerRecorded answers a repeated call from the journal.
+func (h *Host) answerRecorded(e owner.ReplyFromJournal) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
 	c, ok, err := h.journal().Call(ctx, e.Program, e.Number, e.Entries)
@@ -51,8 +52,10 @@
 	}
 }
 
-// past reads a family's histories and picks one.
-func (h *Host) past(ctx context.Context, account string, hash uint64, choose func([]hist.History) (hist.History, bool)) (hist.History, result.Result) {
+// readHistory reads the histories of a family, which is a root program and its sub-agents, by
+// the hash of the root's id. It returns the one that choose selects if it belongs to the
+// account; an empty account matches all.
+func (h *Host) readHistory(ctx context.Context, account string, hash uint64, choose func([]hist.History) (hist.History, bool)) (hist.History, result.Result) {
 	refs, ok := h.refs(ctx, hash)
 	if !ok {
 		return hist.History{}, notFound()
@@ -60,13 +63,13 @@
 	if refs.Programs == nil {
 		g, err := snapio.Find(ctx, h.Store, h.Shard, refs.IndexPos, hash)
 		if err != nil {
-			return hist.History{}, unread(err)
+			return hist.History{}, readFailed(err)
 		}
 		refs.Programs = g.Programs
 	}
 	hs, err := h.journal().Histories(ctx, refs.Programs, refs.Pending)
 	if err != nil {
-		return hist.History{}, unread(err)
+		return hist.History{}, readFailed(err)
 	}
 	for i := range hs {
 		hs[i].Calls = append(hs[i].Calls, refs.Unrecorded[hs[i].Program]...)
@@ -75,20 +78,21 @@
 	if !ok || account != "" && p.Account != account {
 		return hist.History{}, notFound()
 	}
-	read, stop := context.WithTimeout(ctx, storeTimeout)
+	readCtx, stop := context.WithTimeout(ctx, storeTimeout)
 	defer stop()
-	h.journal().Fill(read, &p)
+	h.journal().Fill(readCtx, &p)
 	return p, result.Result{Code: result.CodeOK, Ran: result.Yes, Status: 200}
 }
 
-// refs asks the machine, on its goroutine, where a family's records are.
+// refs returns where a family's records are. It reads the state machine on the host's
+// goroutine.
 func (h *Host) refs(ctx context.Context, hash uint64) (owner.Refs, bool) {
 	type answer struct {
 		refs owner.Refs
 		ok   bool
 	}
 	ch := make(chan answer, 1)
-	h.post(look{f: func() {
+	h.post(task{f: func() {
 		r, ok := h.machine.Refs(hash)
 		ch <- answer{r, ok}
 	}})
@@ -105,38 +109,38 @@
 	return result.Refuse(result.CodeNotFound, "no such program or request")
 }
 
-func unread(err error) result.Result {
+func readFailed(err error) result.Result {
 	return result.Refuse(result.CodeStoreDown, "the history can't be read now: %s", errors.UnwrapAll(err)).WithRetryAfter(storeTimeout)
 }
 
-func pick(hs []hist.History, i int) (hist.History, bool) {
+func historyAt(hs []hist.History, i int) (hist.History, bool) {
 	if i < 0 {
 		return hist.History{}, false
 	}
 	return hs[i], true
 }
 
-// only returns the program that has the request, with that call alone. A repeat
-// of a call has a name of its own that no record has; its call's number leads to
-// the call that it repeated, if just one program of the family has that number.
-func only(hs []hist.History, request string) (hist.History, bool) {
-	if p, n := having(hs, func(c hist.Call) bool { return c.Request == request }); n > 0 {
+// findRequest returns the program that has the request, with only that call. A repeat of a
+// call has a request id of its own that is not recorded; the call number in it identifies
+// the original call if exactly one program of the family has that number.
+func findRequest(hs []hist.History, request string) (hist.History, bool) {
+	if p, n := findCall(hs, func(c hist.Call) bool { return c.Request == request }); n > 0 {
 		return p, true
 	}
 	number, ok := requestNumber(request)
 	if !ok {
 		return hist.History{}, false
 	}
-	p, n := having(hs, func(c hist.Call) bool { return c.Number == number && c.Result.Ran != result.No })
+	p, n := findCall(hs, func(c hist.Call) bool { return c.Number == number && c.Result.Ran != result.No })
 	return p, n == 1
 }
 
-// having returns the last program that has such a call, with the last such call
-// alone, and how many programs have one.
-func having(hs []hist.History, is func(hist.Call) bool) (found hist.History, n int) {
+// findCall returns the last program with a call for which match returns true, with only the
+// last such call, and the number of programs that have one.
+func findCall(hs []hist.History, match func(hist.Call) bool) (found hist.History, n int) {
 	for _, p := range hs {
 		for i := len(p.Calls) - 1; i >= 0; i-- {
-			if is(p.Calls[i]) {
+			if match(p.Calls[i]) {
 				p.Calls = []hist.Call{p.Calls[i]}
 				found = p
 				n++
@@ -147,7 +151,7 @@
 	return found, n
 }
 
-// requestNumber is the call's number in a request id.
+// requestNumber returns the call number in a request id.
 func requestNumber(request string) (int, bool) {
 	parts := strings.Split(request, "-")
 	if len(parts) != 3 {
@@ -157,7 +161,7 @@
 	return n, err == nil
 }
 
-// requestHash is the root's hash that a request id begins with.
+// requestHash returns the hash of the root program, with which a request id begins.
 func requestHash(request string) (uint64, bool) {
 	head, _, ok := strings.Cut(request, "-")
 	if !ok {
@@ -167,10 +171,11 @@
 	return h, err == nil
 }
 
-// Live reports whether the program is open, as far as can be told.
+// Live reports whether the program is open. It returns true if the host has ended, because
+// the state is not known here then.
 func (h *Host) Live(program string) bool {
 	ch := make(chan bool, 1)
-	h.post(look{f: func() { ch <- h.machine.Live(program) }})
+	h.post(task{f: func() { ch <- h.machine.Live(program) }})
 	select {
 	case live := <-ch:
 		return live
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -1,10 +1,10 @@
-// Package host drives the owner of one shard at this daemon: it turns callers'
-// requests and the ends of I/O into the machine's messages, one at a time, and
-// carries out the machine's effects.
+// Package host drives the owner.Owner of one shard at this daemon: it passes callers'
+// requests and the results of I/O to that state machine, one message at a time, and
+// executes the effects that it returns.
 //
-// The machine runs on one goroutine. Everything that can take time, calls to
-// the store and attempts at upstreams, runs on the daemon's pool and comes back
-// as a message, so that a slow store or upstream never holds up the others.
+// The state machine runs on one goroutine. Blocking work, such as calls to the store and
+// attempts at upstreams, runs on the daemon's goroutine pool and posts its result as a
+// message, so that a slow store or upstream does not delay other requests.
 package host
 
 import (
@@ -31,87 +31,86 @@
 )
 
 const (
-	mailbox      = 1024
-	tickEvery    = 20 * time.Millisecond
+	mailboxSize  = 1024
+	tickInterval = 20 * time.Millisecond
 	storeTimeout = 5 * time.Second
-	// saveEvery is after how many journal entries a snapshot is taken. It
-	// bounds what a takeover reads.
-	saveEvery = 256
+	// snapshotEntries is the number of journal entries after which the next snapshot is
+	// tried. It keeps the number of entries small that a takeover reads.
+	snapshotEntries = 256
 )
 
 type (
-	// Attempt carries out one dispatch and returns how it ended. It adds the
-	// pieces of a model's answer to the feed as they come, and ends early with
-	// the context.
+	// Attempt executes one dispatch and returns its result. It appends the pieces of a
+	// model's answer to the feed as they arrive, and returns early when the context ends.
 	Attempt func(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.AttemptEnded
 
-	// Host owns one shard from Start until its context ends, it is fenced, or
-	// it is drained.
+	// Host owns one shard from Start until its context ends, it is stopped, or another
+	// daemon has taken the shard over. Set the exported fields before Start.
 	Host struct {
-		Taken   boot.Taken
-		Shard   int
-		Name    string // of the daemon
-		Store   store.Store
-		Hold    time.Time // no dispatch before
-		Attempt Attempt
-		Place   func(h *Host, m sched.Message)
-		Log     func(l owner.Log)
-		Proved  func(h *Host) // a Verify was answered
-		Trace   *trace.Trace
-		Go      func(f func()) // runs f on the daemon's pool, or at once elsewhere
-		Rand    func() uint64
-		// Peers reaches the data folders; Domain is the daemon's own failure
-		// domain.
+		Taken      boot.Taken
+		Shard      int
+		Name       string // of this daemon
+		Store      store.Store
+		Hold       time.Time // earliest time of the first dispatch
+		Attempt    Attempt
+		Place      func(h *Host, m sched.Message) // posts m to the placer, which calls h.Answer
+		Log        func(l owner.Log)              // called when a call has ended
+		OnVerified func(h *Host)                  // called once a journal write proves that the shard is still owned
+		Trace      *trace.Trace
+		Go         func(f func()) // runs f on the daemon's pool, or on a new goroutine if that is full
+		Rand       func() uint64
+		// Peers is the client of all data folders. Domain is the failure domain of this
+		// daemon.
 		Peers  blobio.Peers
 		Domain string
 
-		machine  owner.Owner
-		mail     chan any
-		done     chan struct{}
-		drained  chan struct{}
-		cancel   context.CancelFunc
-		ctx      context.Context //nolint:containedctx // ends all work of the host
-		life     context.Context //nolint:containedctx // ends all attempts
-		tailing  bool
-		mu       sync.Mutex
-		tickets  map[owner.Ticket]*ticket
-		next     owner.Ticket
-		attempts map[string]map[string]*Tail // request, upstream
-		feeds    map[string]*feed.Feed
-		parents  map[string]string     // traceparent by request, until its outcome is known
-		commits  map[string]trace.Span // outcomes on their way to the journal
-		savedAt  uint64
-		saving   bool
-		fenced   bool
-		blobio   *blobio.BlobStore      // nil while no data folder is known
-		folders  map[string]beat.Member // daemons with a data folder
-		movedMu  sync.Mutex
-		moved    []hist.Blob // with new holders, for the journal
+		machine    owner.Owner
+		inbox      chan any
+		done       chan struct{}
+		drained    chan struct{}
+		cancel     context.CancelFunc
+		ctx        context.Context //nolint:containedctx // cancels all work of the host but attempts
+		attemptCtx context.Context //nolint:containedctx // cancels all attempts
+		handedOver bool
+		mu         sync.Mutex
+		waiters    map[owner.Ticket]*waiter
+		next       owner.Ticket
+		attempts   map[string]map[string]*RunningAttempt // by request, then upstream
+		feeds      map[string]*feed.Feed
+		parents    map[string]string     // traceparent by request, until the outcome is known
+		commits    map[string]trace.Span // by request, while its outcome is being committed
+		savedUpto  uint64
+		saving     bool
+		fenced     bool
+		blobio     *blobio.BlobStore      // nil until a data folder is known or the shard has stored texts
+		folders    map[string]beat.Member // daemons with a data folder, by name
+		movedMu    sync.Mutex
+		moved      []hist.Blob // blobs whose new holders are not in the journal yet
 	}
 
-	ticket struct {
+	waiter struct {
 		reply chan result.Result
 		feed  chan *feed.Feed
 	}
 
-	look struct{ f func() }
+	task struct{ f func() }
 )
 
 var _ runner.Runner = (*Host)(nil)
 
-// Start begins to own the shard. The host ends with ctx.
+// Start starts the host's goroutine. The host ends with ctx.
 func (h *Host) Start(ctx context.Context) {
-	h.life = ctx
+	h.attemptCtx = ctx
 	h.ctx, h.cancel = context.WithCancel(ctx)
-	h.mail = make(chan any, mailbox)
+	h.inbox = make(chan any, mailboxSize)
 	h.done = make(chan struct{})
 	h.drained = make(chan struct{})
-	h.tickets = map[owner.Ticket]*ticket{}
-	h.attempts = map[string]map[string]*Tail{}
+	h.waiters = map[owner.Ticket]*waiter{}
+	h.attempts = map[string]map[string]*RunningAttempt{}
 	h.feeds = map[string]*feed.Feed{}
 	h.parents = map[string]string{}
 	h.commits = map[string]trace.Span{}
-	h.savedAt = h.Taken.Snap.Head.Upto
+	h.savedUpto = h.Taken.Snap.Head.Upto
 	h.machine = owner.Owner{Fold: h.Taken.Fold, Hold: h.Hold}
 	h.machine.Writer = jrnl.Writer{Shard: h.Shard, Epoch: h.Taken.Epoch, Owner: h.Name, Next: h.Taken.Next, Rand: h.Rand}
 	if len(h.machine.Fold.SnapshotTexts)+len(h.machine.Fold.Texts) > 0 {
@@ -119,37 +118,38 @@
 		h.startBulk()
 		h.mu.Unlock()
 	}
-	h.machine.Fold.SnapshotTexts, h.Taken.Fold.SnapshotTexts = nil, nil // bulk knows them now
+	h.machine.Fold.SnapshotTexts, h.Taken.Fold.SnapshotTexts = nil, nil // passed to bulk above
 	go h.run()
 }
 
-// Tell gives the machine a message.
+// Tell posts a message to the host's state machine.
 func (h *Host) Tell(m owner.Message) { h.post(m) }
 
-// Done is closed when the host has ended: it was fenced, drained or stopped.
+// Done is closed when the host has ended because it was fenced or stopped.
 func (h *Host) Done() <-chan struct{} { return h.done }
 
-// Drained is closed when all calls have ended and are committed after Drain.
+// Drained is closed after owner.Drain, once all outcomes and all calls with an attempt in
+// progress are committed to the journal. The host makes no more dispatches then.
 func (h *Host) Drained() <-chan struct{} { return h.drained }
 
-// Fenced reports whether another daemon has the shard. It is valid after Done.
+// Fenced reports whether another daemon has taken the shard over. It is valid after Done.
 func (h *Host) Fenced() bool { return h.fenced }
 
-// Cancel ends the host.
+// Cancel ends the host without waiting.
 func (h *Host) Cancel() { h.cancel() }
 
-// Stop ends the host and waits for it.
+// Stop ends the host and waits until it has ended.
 func (h *Host) Stop() {
 	h.cancel()
 	<-h.done
 }
 
-// Epoch is the epoch that the host owns the shard in.
+// Epoch is the epoch in which the host owns the shard.
 func (h *Host) Epoch() uint64 { return h.Taken.Epoch }
 
 func (h *Host) post(m any) bool {
 	select {
-	case h.mail <- m:
+	case h.inbox <- m:
 		return true
 	case <-h.ctx.Done():
 		return false
@@ -160,16 +160,16 @@
 	defer close(h.done)
 	defer h.stopAttempts()
 	defer h.cancel()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
-		case m := <-h.mail:
+		case m := <-h.inbox:
 			h.handle(m)
 		case <-t.C:
-			h.tellMoved()
+			h.journalMoved()
 			h.step(owner.Tick{})
 		}
 	}
@@ -182,21 +182,21 @@
 			h.parents[c.Call.Request] = c.Call.TraceParent
 		}
 		h.step(m)
-	case look:
+	case task:
 		m.f()
 	}
 }
 
 func (h *Host) step(m owner.Message) {
 	for _, e := range h.machine.Step(time.Now(), m) {
-		h.carry(e)
+		h.apply(e)
 	}
 }
 
-func (h *Host) carry(e owner.Effect) {
+func (h *Host) apply(e owner.Effect) {
 	switch e := e.(type) {
 	case owner.StoreRequest:
-		h.Go(func() { h.write(e.Effect) })
+		h.Go(func() { h.accessJournal(e.Effect) })
 	case owner.Place:
 		h.Place(h, e.Message)
 	case owner.Dispatch:
@@ -206,44 +206,44 @@
 			a.Cancel()
 		}
 	case owner.Subscribe:
-		if t := h.ticket(e.Ticket); t != nil {
+		if t := h.waiter(e.Ticket); t != nil {
 			t.feed <- h.feed(e.Request)
 		}
 	case owner.Reply:
-		h.recorded(e.Request)
+		h.endCommitSpan(e.Request)
 		h.reply(e.Ticket, e.Result)
 	case owner.Offload:
-		h.Go(func() { h.keep(e) })
+		h.Go(func() { h.storeTexts(e) })
 	case owner.ReleaseBlob:
-		h.unkeep(e.Blob)
+		h.releaseText(e.Blob)
 	case owner.ReplyFromJournal:
-		h.Go(func() { h.recall(e) })
+		h.Go(func() { h.answerRecorded(e) })
 	case owner.Log:
 		delete(h.feeds, e.Call.Request)
-		h.recording(e.Call.Request)
+		h.startCommitSpan(e.Call.Request)
 		h.Log(e)
 	case owner.SnapshotAllowed:
 		h.save()
 	case owner.Verified:
-		h.Proved(h)
+		h.OnVerified(h)
 	case owner.Fenced:
 		h.fenced = true
 		h.cancel()
 	case owner.Drained:
-		h.tailing = true
+		h.handedOver = true
 		close(h.drained)
 	}
 }
 
-// recording begins the hop in which a request's outcome goes to the store.
-func (h *Host) recording(request string) {
+// startCommitSpan starts the span of committing a request's outcome to the store.
+func (h *Host) startCommitSpan(request string) {
 	if parent, ok := h.parents[request]; ok {
 		delete(h.parents, request)
 		_, h.commits[request] = h.Trace.Start(h.ctx, trace.Store, parent, attribute.String("request", request))
 	}
 }
 
-func (h *Host) recorded(request string) {
+func (h *Host) endCommitSpan(request string) {
 	if span, ok := h.commits[request]; ok {
 		delete(h.commits, request)
 		span.End(nil)
@@ -261,23 +261,23 @@
 }
 
 func (h *Host) dispatch(d owner.Dispatch) {
-	ctx, stop := context.WithCancel(h.life)
+	ctx, stop := context.WithCancel(h.attemptCtx)
 	if h.attempts[d.Request] == nil {
-		h.attempts[d.Request] = map[string]*Tail{}
+		h.attempts[d.Request] = map[string]*RunningAttempt{}
 	}
-	a := &Tail{Request: d.Request, Upstream: d.Upstream, Feed: h.feed(d.Request), Cancel: stop, Done: make(chan owner.AttemptEnded, 1)}
+	a := &RunningAttempt{Request: d.Request, Upstream: d.Upstream, Feed: h.feed(d.Request), Cancel: stop, Done: make(chan owner.AttemptEnded, 1)}
 	h.attempts[d.Request][d.Upstream] = a
 	h.Go(func() {
 		t := h.Attempt(ctx, d, a.Feed)
 		stop()
 		a.Done <- t
-		h.post(look{f: func() { h.tried(t) }})
+		h.post(task{f: func() { h.attemptEnded(t) }})
 	})
 }
 
-func (h *Host) tried(t owner.AttemptEnded) {
-	if h.tailing {
-		return // the next owner is told
+func (h *Host) attemptEnded(t owner.AttemptEnded) {
+	if h.handedOver {
+		return // package shards reports it to the next owner
 	}
 	delete(h.attempts[t.Request], t.Upstream)
 	if len(h.attempts[t.Request]) == 0 {
@@ -286,8 +286,9 @@
 	h.step(t)
 }
 
-// write carries out one step of the chain.
-func (h *Host) write(e jrnl.Effect) {
+// accessJournal creates or reads a journal entry in the store, as requested by the state
+// machine, and posts the result.
+func (h *Host) accessJournal(e jrnl.Effect) {
 	ctx, stop := context.WithTimeout(h.ctx, storeTimeout)
 	defer stop()
 	switch e := e.(type) {
@@ -299,8 +300,8 @@
 	}
 }
 
-// outcome sorts the end of a creation. Whatever is not known to have had no
-// effect may have had it.
+// outcome classifies the error of a creation. An error that does not rule out that the
+// entry was written is chain.Lost.
 func outcome(err error) jrnl.Outcome {
 	var c *store.ConflictError
 	switch {
@@ -329,9 +330,9 @@
 	return jrnl.Found{Entry: e}
 }
 
-// save takes a snapshot when enough entries have come since the last one.
+// save takes a snapshot if snapshotEntries entries were committed since the last attempt.
 func (h *Host) save() {
-	if h.saving || h.machine.Fold.Upto < h.savedAt+saveEvery {
+	if h.saving || h.machine.Fold.Upto < h.savedUpto+snapshotEntries {
 		return
 	}
 	h.saving = true
@@ -340,13 +341,13 @@
 		ctx, stop := context.WithTimeout(h.ctx, 10*storeTimeout)
 		defer stop()
 		gone, err := h.Taken.Snap.Save(ctx, f)
-		h.post(look{f: func() { h.saved(f.Upto, gone, err) }})
+		h.post(task{f: func() { h.saved(f.Upto, gone, err) }})
 	})
 }
 
 func (h *Host) saved(upto uint64, gone map[uint64]uint32, err error) {
 	h.saving = false
-	h.savedAt = upto // after a failure the next one waits as long
+	h.savedUpto = upto // also after a failure: the next snapshot is due as many entries later
 	if err == nil {
 		h.step(owner.SnapshotSaved{Upto: upto, Gone: gone})
 	}
--- a/internal/node/host/keep.go
+++ b/internal/node/host/texts.go
@@ -11,9 +11,9 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-// Folders tells which daemons have a data folder, and how they are. Where there
-// never is one, long texts cost nothing here.
-func (h *Host) Folders(ms []beat.Member) {
+// UpdateFolders sets the daemons that have a data folder, with their states. Bulk storage
+// of long texts is started for the first such daemon, if Start has not started it.
+func (h *Host) UpdateFolders(ms []beat.Member) {
 	h.mu.Lock()
 	if h.blobio == nil && len(ms) == 0 {
 		h.mu.Unlock()
@@ -21,25 +21,25 @@
 	}
 	h.startBulk()
 	b := h.blobio
-	gone := h.folders
+	removed := h.folders
 	h.folders = map[string]beat.Member{}
 	for _, m := range ms {
-		delete(gone, m.Name)
+		delete(removed, m.Name)
 		h.folders[m.Name] = m
 	}
 	h.mu.Unlock()
 	for _, m := range ms {
 		b.Tell(blobs.Member{Member: m})
 	}
-	for _, m := range gone {
+	for _, m := range removed {
 		m.State = beat.Down
 		b.Tell(blobs.Member{Member: m})
 	}
-	h.Tell(owner.OffloadEnabled{On: enough(ms)})
+	h.Tell(owner.OffloadEnabled{On: twoDomainsUp(ms)})
 }
 
-// enough reports whether two failure domains have a folder that is up.
-func enough(ms []beat.Member) bool {
+// twoDomainsUp reports whether at least two failure domains have a folder on an alive daemon.
+func twoDomainsUp(ms []beat.Member) bool {
 	domains := map[string]bool{}
 	for _, m := range ms {
 		if m.Disk && m.State == beat.Alive {
@@ -49,7 +49,7 @@
 	return len(domains) >= 2
 }
 
-// startBulk begins to look after the shard's texts; the caller holds the mutex.
+// startBulk starts bulk storage for the shard's texts. The caller holds h.mu.
 func (h *Host) startBulk() {
 	if h.blobio != nil {
 		return
@@ -66,15 +66,15 @@
 	h.blobio = b
 }
 
-// keep puts a call's texts into data folders.
-func (h *Host) keep(k owner.Offload) {
+// storeTexts stores a call's texts in data folders.
+func (h *Host) storeTexts(k owner.Offload) {
 	ctx, stop := context.WithTimeout(h.ctx, owner.OffloadTimeout)
 	defer stop()
-	h.post(owner.Offloaded{ID: k.ID, Request: k.Request, Asked: h.store(ctx, k.Asked), Answer: h.store(ctx, k.Answer)})
+	h.post(owner.Offloaded{ID: k.ID, Request: k.Request, Asked: h.storeText(ctx, k.Asked), Answer: h.storeText(ctx, k.Answer)})
 }
 
-func (h *Host) store(ctx context.Context, text []byte) *hist.Blob {
-	b := h.texts()
+func (h *Host) storeText(ctx context.Context, text []byte) *hist.Blob {
+	b := h.bulkStore()
 	if text == nil || b == nil {
 		return nil
 	}
@@ -90,28 +90,28 @@
 	return hist.Blob{Digest: r.Digest.String(), Size: r.Size, Holders: r.Holders}
 }
 
-func (h *Host) unkeep(t hist.Blob) {
+func (h *Host) releaseText(t hist.Blob) {
 	if d, err := blobs.Parse(t.Digest); err == nil {
-		h.texts().Tell(blobs.Release{Digest: d})
+		h.bulkStore().Tell(blobs.Release{Digest: d})
 	}
 }
 
-func (h *Host) texts() *blobio.BlobStore {
+func (h *Host) bulkStore() *blobio.BlobStore {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.blobio
 }
 
-// changed notes new holders; it is called by bulk under its lock, so it must
-// not wait for the machine or for anything that waits for bulk.
+// changed collects blobs with new holders. Bulk calls it with its lock held, so it must not
+// block on the state machine or on anything that waits for bulk.
 func (h *Host) changed(r blobio.Ref) {
 	h.movedMu.Lock()
 	defer h.movedMu.Unlock()
 	h.moved = append(h.moved, blob(r))
 }
 
-// tellMoved has new holders written down.
-func (h *Host) tellMoved() {
+// journalMoved passes the new holders to the state machine, which adds them to the journal.
+func (h *Host) journalMoved() {
 	h.movedMu.Lock()
 	moved := h.moved
 	h.moved = nil
@@ -121,17 +121,17 @@
 	}
 }
 
-// journal reads the shard's journal and texts.
+// journal returns the reader of the shard's journal and texts.
 func (h *Host) journal() histio.Reader {
-	return histio.Reader{Store: h.Store, Shard: h.Shard, ReadText: h.text}
+	return histio.Reader{Store: h.Store, Shard: h.Shard, ReadText: h.readText}
 }
 
-func (h *Host) text(ctx context.Context, t hist.Blob) ([]byte, error) {
+func (h *Host) readText(ctx context.Context, t hist.Blob) ([]byte, error) {
 	d, err := blobs.Parse(t.Digest)
 	if err != nil {
 		return nil, err
 	}
-	b := h.texts()
+	b := h.bulkStore()
 	if b == nil {
 		return nil, blobio.ErrUnreadable
 	}
--- a/internal/node/send/send.go
+++ b/internal/node/invoke/invoke.go
@@ -1,9 +1,9 @@
-// Package send carries out one attempt at one upstream: a model's answer is fed
-// on as it comes, a service's response is taken whole.
+// Package invoke sends one attempt to one upstream. A model's answer is streamed to a feed, a
+// service's response is returned as a whole.
 //
-// What it reports decides whether anybody may try again, so it says Unsent only
-// if no byte of the request left.
-package send
+// The outcome decides whether the request may be sent again, so it is sched.Unsent only if no
+// byte of the request was sent.
+package invoke
 
 import (
 	"context"
@@ -23,25 +23,25 @@
 
 const (
 	contentText = "text/plain; charset=utf-8"
-	maxResumes  = 2 // of one broken answer
+	maxResumes  = 2 // per interrupted answer
 )
 
 type (
-	// Send makes attempts. The funcs give the client of the upstream at an
+	// Invoker sends attempts. Engine and Tool return the client of the upstream at an
 	// address.
-	Send struct {
+	Invoker struct {
 		Engine func(address string) engine.Engine
 		Tool   func(address string) tool.Tool
-		First  func(request, upstream string) // the first piece came
+		First  func(request, upstream string) // called with the first piece of an answer
 		Trace  *trace.Trace
 	}
 )
 
-var errOverrun = errors.New("send: the engine generated more than it was asked for")
+var errOverrun = errors.New("invoke: the engine generated more tokens than requested")
 
 // Attempt implements host.Attempt.
-func (s Send) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.AttemptEnded) {
-	ctx, span := s.Trace.Start(ctx, trace.Upstream, d.Call.TraceParent,
+func (i Invoker) Attempt(ctx context.Context, d owner.Dispatch, f *feed.Feed) (t owner.AttemptEnded) {
+	ctx, span := i.Trace.Start(ctx, trace.Upstream, d.Call.TraceParent,
 		attribute.String("request", d.Request), attribute.String("upstream", d.Upstream), attribute.Int("attempt", d.Try))
 	d.Call.TraceParent = span.Traceparent()
 	defer func() {
@@ -52,12 +52,12 @@
 		span.End(err)
 	}()
 	if d.Call.Kind == call.Model {
-		return s.model(ctx, d, f)
+		return i.model(ctx, d, f)
 	}
-	return s.service(ctx, d)
+	return i.service(ctx, d)
 }
 
-func (s Send) model(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.AttemptEnded {
+func (i Invoker) model(ctx context.Context, d owner.Dispatch, f *feed.Feed) owner.AttemptEnded {
 	t := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, ContentType: contentText, Status: http.StatusOK}
 	tokens, last := 0, 0
 	first := true
@@ -73,11 +73,11 @@
 	sink := func(p engine.Delta) error {
 		if first {
 			first = false
-			s.First(d.Request, d.Upstream)
+			i.First(d.Request, d.Upstream)
 		}
 		last = p.ID
-		// An engine that ignores its bound would spend beyond the program's
-		// budget; the stream is cut here and the answer ends by length.
+		// An engine that ignores MaxTokens would exceed the program's budget. The stream
+		// is stopped here, and the answer ends with finish reason "length".
 		if tokens+p.Tokens > d.MaxTokens {
 			return errOverrun
 		}
@@ -85,24 +85,25 @@
 		f.Add(p.Text)
 		return nil
 	}
-	u, err := s.Engine(d.Address).Chat(ctx, r, sink)
+	u, err := i.Engine(d.Address).Chat(ctx, r, sink)
 	for range maxResumes {
 		if err == nil || ctx.Err() != nil || last == 0 || errors.Is(err, errOverrun) {
 			break
 		}
-		// The connection broke, not the engine: callers have seen a part of
-		// the answer, so only the engine that gave it can go on with it.
+		// The connection broke, but the engine may still run. Callers have received a
+		// part of the answer, so only the same engine can continue it.
 		r.Resume = last
-		u, err = s.Engine(d.Address).Chat(ctx, r, sink)
+		u, err = i.Engine(d.Address).Chat(ctx, r, sink)
 	}
 	t.Usage, t.Pieces = u, f.Pieces()
 	if errors.Is(err, errOverrun) {
 		t.Usage.Finish, t.Usage.Output, err = "length", d.MaxTokens, nil
 	}
 	if err != nil {
-		// What a resumption didn't reach was sent before.
+		// A resumption that was not sent doesn't make the attempt unsent: the request
+		// itself was sent before.
 		var e *engine.Error
-		t.Outcome, t.Reason = s.failed(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
+		t.Outcome, t.Reason = i.classify(ctx, err, errors.As(err, &e) && !e.Sent && t.Pieces == 0)
 		return t
 	}
 	t.Outcome = sched.Succeeded
@@ -110,14 +111,14 @@
 	return t
 }
 
-func (s Send) service(ctx context.Context, d owner.Dispatch) owner.AttemptEnded {
+func (i Invoker) service(ctx context.Context, d owner.Dispatch) owner.AttemptEnded {
 	t := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream}
 	if d.Timeout > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, d.Timeout)
 		defer stop()
 	}
-	r, err := s.Tool(d.Address).Do(ctx, tool.Request{
+	r, err := i.Tool(d.Address).Do(ctx, tool.Request{
 		ID:          d.Request,
 		Method:      d.Call.Method,
 		Path:        d.Call.Path,
@@ -127,7 +128,7 @@
 	})
 	if err != nil {
 		var e *tool.Error
-		t.Outcome, t.Reason = s.failed(ctx, err, errors.As(err, &e) && !e.Sent)
+		t.Outcome, t.Reason = i.classify(ctx, err, errors.As(err, &e) && !e.Sent)
 		return t
 	}
 	t.Outcome = sched.Succeeded
@@ -135,9 +136,9 @@
 	return t
 }
 
-// failed sorts an error. A cancelled attempt is Withdrawn even if it was never
-// sent: nobody will make another.
-func (s Send) failed(ctx context.Context, err error, unsent bool) (sched.Outcome, string) {
+// classify returns the outcome and reason for an error. A cancelled attempt is
+// sched.Cancelled even if it was not sent, because it is not tried again.
+func (i Invoker) classify(ctx context.Context, err error, unsent bool) (sched.Outcome, string) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return sched.Cancelled, "cancelled"
--- a/internal/node/placer/load.go
+++ b/internal/node/placer/model.go
@@ -14,19 +14,19 @@
 	loadTimeout  = 10 * time.Minute
 )
 
-// declare tells which models engines are to have loaded. Engines that name none
-// serve all that their group does and are not ordered.
-func (p *Placer) declare(ctx context.Context, f file.File) {
+// declareModels sets the models that each engine is to have loaded. Engines without a list of
+// models serve all that their group does and get no load orders.
+func (p *Placer) declareModels(ctx context.Context, f file.File) {
 	models := map[string][]string{}
 	for name, u := range f.Upstreams {
 		if f.Groups[u.Group].Kind == file.Engines && len(u.Models) > 0 {
 			models[name] = u.Models
 		}
 	}
-	p.stockStep(ctx, loader.Declare{Models: models})
+	p.stepLoader(ctx, loader.Declare{Models: models})
 }
 
-func (p *Placer) stockStep(ctx context.Context, m loader.Message) {
+func (p *Placer) stepLoader(ctx context.Context, m loader.Message) {
 	for _, e := range p.loader.Step(time.Now(), m) {
 		switch e := e.(type) {
 		case loader.Admit:
@@ -40,36 +40,36 @@
 func (p *Placer) admit(ctx context.Context, e loader.Admit) {
 	m := loader.AdmitResult{Upstream: e.Upstream}
 	if p.Weights != nil {
-		call, stop := context.WithTimeout(ctx, admitTimeout)
+		callCtx, stop := context.WithTimeout(ctx, admitTimeout)
 		defer stop()
-		m.Wait, m.Err = p.Weights.Admit(call, e.Model)
+		m.Wait, m.Err = p.Weights.Admit(callCtx, e.Model)
 	}
-	p.do(ctx, func() { p.stockStep(ctx, m) })
+	p.runInLoop(ctx, func() { p.stepLoader(ctx, m) })
 }
 
 func (p *Placer) load(ctx context.Context, e loader.Load) {
-	call, stop := context.WithTimeout(ctx, loadTimeout)
+	callCtx, stop := context.WithTimeout(ctx, loadTimeout)
 	defer stop()
 	m := loader.LoadResult{Upstream: e.Upstream, Model: e.Model}
-	fence, here := p.Fence(e.Upstream)
-	if !here {
-		m.Err = errElsewhere
+	fence, responsible := p.Fence(e.Upstream)
+	if !responsible {
+		m.Err = errNotResponsible
 	} else {
 		address := p.address(ctx, e.Upstream)
-		m.Err = p.Engine(address).Order(call, engine.Order{Kind: engine.OrderLoad, Target: e.Model, Fence: fence})
+		m.Err = p.Engine(address).Order(callCtx, engine.Order{Kind: engine.OrderLoad, Target: e.Model, Fence: fence})
 	}
-	p.do(ctx, func() {
+	p.runInLoop(ctx, func() {
 		if m.Err != nil {
 			p.Log.Warn().Err(m.Err).Str("upstream", e.Upstream).Str("model", e.Model).Msg("model not loaded")
 		}
-		p.stockStep(ctx, m)
+		p.stepLoader(ctx, m)
 	})
 }
 
-// address asks the placer's own goroutine where the upstream is now.
+// address returns the upstream's current address. It reads it on the placer's goroutine.
 func (p *Placer) address(ctx context.Context, upstream string) string {
 	ch := make(chan string, 1)
-	p.do(ctx, func() { ch <- p.cfg.Upstreams[upstream].Address })
+	p.runInLoop(ctx, func() { ch <- p.cfg.Upstreams[upstream].Address })
 	select {
 	case a := <-ch:
 		return a
--- a/internal/node/placer/order.go
+++ b/internal/node/placer/order.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// OrderTimeout is how long an order to an engine may take. For as long nobody gives
-	// orders to an engine that takes any fencing number, after the daemon has changed
-	// that gives them.
+	// OrderTimeout is how long an order to an engine may take. When another daemon becomes
+	// responsible for an engine that doesn't check fencing numbers, it sends no orders for
+	// this time, so that the former daemon's orders have ended.
 	OrderTimeout = 5 * time.Second
 
-	// releaseTries and releasePause have a release given again for longer than that.
-	// What none of them frees is found by the sweep.
-	releaseTries = 4
-	releasePause = 2 * time.Second
+	// A release is tried releaseAttempts times, releaseRetryDelay apart, which together is
+	// longer than OrderTimeout. Memory that no attempt frees is released after a later
+	// comparison by reconcileHeld.
+	releaseAttempts   = 4
+	releaseRetryDelay = 2 * time.Second
 )
 
-// order gives an order to an engine, or has it given by the daemon that all
-// orders to that engine go through: an engine that ignores fencing numbers
-// would otherwise take orders from two owners in any sequence.
+// order sends an order to an engine, or forwards it to the daemon that is responsible for the
+// engine. All orders to an engine go through one daemon, because an engine that ignores
+// fencing numbers could otherwise execute a former owner's order after one of the new owner.
 func (p *Placer) order(ctx context.Context, upstream string, o engine.Order) {
 	tries := 1
 	if o.Kind == engine.OrderRelease {
-		tries = releaseTries // it is idempotent, and its program has ended for good
+		tries = releaseAttempts // it is idempotent, and its program has ended for good
 	}
-	p.repeat(ctx, upstream, p.cfg.Upstreams[upstream].Address, o, tries)
+	p.tryOrder(ctx, upstream, p.cfg.Upstreams[upstream].Address, o, tries)
 }
 
-// repeat gives an order until it is taken, so many times at most.
-func (p *Placer) repeat(ctx context.Context, upstream, address string, o engine.Order, tries int) {
+// tryOrder sends an order until one attempt succeeds, at most tries times.
+func (p *Placer) tryOrder(ctx context.Context, upstream, address string, o engine.Order, tries int) {
 	p.Go(func() {
-		err := p.give(ctx, upstream, address, o)
+		err := p.sendOrder(ctx, upstream, address, o)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		p.Log.Debug().Err(err).Str("upstream", upstream).Str("order", string(o.Kind)).Int("tries_left", tries-1).Msg("order failed")
 		if tries > 1 {
-			time.AfterFunc(releasePause, func() { p.repeat(ctx, upstream, address, o, tries-1) })
+			time.AfterFunc(releaseRetryDelay, func() { p.tryOrder(ctx, upstream, address, o, tries-1) })
 		}
 	})
 }
 
-func (p *Placer) give(ctx context.Context, upstream, address string, o engine.Order) error {
+func (p *Placer) sendOrder(ctx context.Context, upstream, address string, o engine.Order) error {
 	ctx, stop := context.WithTimeout(ctx, OrderTimeout)
 	defer stop()
-	fence, here := p.Fence(upstream)
-	if !here {
+	fence, responsible := p.Fence(upstream)
+	if !responsible {
 		return p.Forward(ctx, upstream, o)
 	}
 	o.Fence = fence
--- a/internal/node/shards/claim.go
+++ b/internal/node/shards/claim.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	claimTimeout = 10 * time.Second
-	leaseTimeout = 2 * time.Second
-	giveTimeout  = 5 * time.Second
+	claimTimeout   = 10 * time.Second
+	leaseTimeout   = 2 * time.Second
+	releaseTimeout = 5 * time.Second
 )
 
 type (
-	// claim is the value of a shard's key. While the key hangs on a lease its
-	// owner lives; Released tells that the owner gave the shard up cleanly.
+	// claim is the value of a shard's key in the store. The key is bound to the owner's
+	// lease and disappears when that expires. Released means that the owner has
+	// released the shard; the key is then bound to no lease.
 	claim struct {
 		Owner    string `json:"owner"`
-		Session  uint64 `json:"session"` // of the process
+		Session  uint64 `json:"session"` // identifies the owner's process
 		Nonce    uint64 `json:"nonce"`
 		Released bool   `json:"released,omitempty"`
 	}
 
-	// claimed is a claim that was won. Clean tells that no former owner can
-	// still act.
+	// claimed is a claim that succeeded, with the key's revision. Released is true if the
+	// former owner has released the shard and so no longer dispatches for it.
 	claimed struct {
-		rev   store.Rev
-		clean bool
+		rev      store.Rev
+		released bool
 	}
 )
 
-var errHeld = errors.New("shards: another daemon holds the shard")
+var errHeld = errors.New("shards: another process holds the shard")
 
 func key(shard int) string { return fmt.Sprintf("shard/%04d", shard) }
 
@@ -55,30 +56,30 @@
 			s.Log.Info().Uint64("lease", uint64(e.ID)).Msg("lease granted")
 			s.stepAssign(ctx, assign.Leased{OK: true})
 			for shard, w := range s.hosts {
-				s.rekey(ctx, shard, w, e.ID)
+				s.reclaim(ctx, shard, w, e.ID)
 			}
 		case lease.Lost:
-			s.Log.Warn().Uint64("lease", uint64(e.ID)).Msg("lease lapsed; no dispatch until ownership is proved")
+			s.Log.Warn().Uint64("lease", uint64(e.ID)).Msg("lease expired; dispatch is suspended until ownership is verified")
 			s.stepAssign(ctx, assign.Leased{})
 			for _, w := range s.hosts {
 				w.suspended = true
 			}
-			s.tellLease()
+			s.sendLease()
 		}
 	}
 }
 
 func (s *Shards) grant(ctx context.Context, g lease.Grant) {
-	call, stop := context.WithTimeout(ctx, leaseTimeout)
+	callCtx, stop := context.WithTimeout(ctx, leaseTimeout)
 	defer stop()
-	id, err := s.Store.Grant(call, g.TTL)
+	id, err := s.Store.Grant(callCtx, g.TTL)
 	s.post(ctx, leaseMessage{lease.Granted{ID: id, Err: err}})
 }
 
 func (s *Shards) renew(ctx context.Context, r lease.Renew) {
-	call, stop := context.WithTimeout(ctx, leaseTimeout)
+	callCtx, stop := context.WithTimeout(ctx, leaseTimeout)
 	defer stop()
-	err := s.Store.Renew(call, r.ID)
+	err := s.Store.Renew(callCtx, r.ID)
 	s.post(ctx, leaseMessage{lease.Renewed{Lapsed: errors.Is(err, store.ErrLeaseExpired), Err: err}})
 }
 
@@ -87,29 +88,29 @@
 		switch e := e.(type) {
 		case assign.Claim:
 			id := s.lease.ID()
-			s.Go(func() { s.take(ctx, e.Shard, id) })
+			s.Go(func() { s.takeOver(ctx, e.Shard, id) })
 		case assign.HandOver:
-			s.give(ctx, e)
+			s.handOver(ctx, e)
 		}
 	}
 }
 
-// take claims a shard and takes its journal over.
-func (s *Shards) take(ctx context.Context, shard int, id store.Lease) {
-	call, stop := context.WithTimeout(ctx, claimTimeout)
+// takeOver claims a shard and takes over its journal.
+func (s *Shards) takeOver(ctx context.Context, shard int, id store.Lease) {
+	callCtx, stop := context.WithTimeout(ctx, claimTimeout)
 	defer stop()
-	w, err := s.start(call, ctx, shard, id)
+	w, err := s.startHost(callCtx, ctx, shard, id)
 	if err != nil {
 		if !errors.Is(err, errHeld) {
-			s.Log.Warn().Err(err).Int("shard", shard).Msg("claim failed")
+			s.Log.Warn().Err(err).Int("shard", shard).Msg("shard not taken over")
 		}
 		s.post(ctx, assignMessage{assign.Claimed{Shard: shard}})
 		return
 	}
-	s.post(ctx, tookMessage{shard: shard, w: w})
+	s.post(ctx, takeoverMessage{shard: shard, w: w})
 }
 
-func (s *Shards) start(ctx, life context.Context, shard int, id store.Lease) (*ward, error) {
+func (s *Shards) startHost(ctx, hostCtx context.Context, shard int, id store.Lease) (*ownedShard, error) {
 	c, err := s.claim(ctx, shard, id)
 	if err != nil {
 		return nil, err
@@ -120,29 +121,30 @@
 		return nil, err
 	}
 	h := &host.Host{
-		Taken:   taken,
-		Shard:   shard,
-		Name:    s.Name,
-		Store:   s.Store,
-		Attempt: s.Attempt,
-		Trace:   s.Trace,
-		Place:   s.Place,
-		Log:     s.Ended,
-		Go:      s.Go,
-		Rand:    s.Rand,
-		Peers:   s.Peers,
-		Domain:  s.Domain,
-		Proved:  func(h *host.Host) { s.Go(func() { s.post(life, provedMessage{h}) }) },
+		Taken:      taken,
+		Shard:      shard,
+		Name:       s.Name,
+		Store:      s.Store,
+		Attempt:    s.Attempt,
+		Trace:      s.Trace,
+		Place:      s.Place,
+		Log:        s.OnCallEnd,
+		Go:         s.Go,
+		Rand:       s.Rand,
+		Peers:      s.Peers,
+		Domain:     s.Domain,
+		OnVerified: func(h *host.Host) { s.Go(func() { s.post(hostCtx, verifiedMessage{h}) }) },
 	}
-	if !c.clean && taken.Epoch > 1 {
-		h.Hold = time.Now().Add(graceTime)
+	if !c.released && taken.Epoch > 1 {
+		h.Hold = time.Now().Add(takeoverDelay)
 	}
-	w := &ward{Host: h, key: c, since: time.Now(), open: open(taken.Fold)}
-	h.Start(life)
+	w := &ownedShard{Host: h, keyClaim: c, since: time.Now(), openPrograms: openPrograms(taken.Fold)}
+	h.Start(hostCtx)
 	return w, nil
 }
 
-// claim writes the shard's key under the lease.
+// claim writes the shard's key under the lease. It returns errHeld if another process holds
+// the key.
 func (s *Shards) claim(ctx context.Context, shard int, id store.Lease) (claimed, error) {
 	mine := claim{Owner: s.Name, Session: s.session, Nonce: s.Rand()}
 	rev, err := s.Store.Put(ctx, key(shard), encode(mine), 0, id)
@@ -167,92 +169,93 @@
 	case !held.Released && held.Session != s.session:
 		return claimed{}, errHeld
 	}
-	// A key of this process that no host stands for is from a claim that landed
-	// after it was given up, or a release that got lost. It hangs on a lease
-	// that is renewed, so without this nobody could ever take the shard.
+	// The shard was released, or the key is this process's own: from a claim that was written
+	// after its call had timed out, from a release that was lost, or from before a reclaim. An
+	// own key may be bound to a lease that this process keeps renewing, so no daemon could
+	// take the shard if the key were not overwritten.
 	rev, err = s.Store.Put(ctx, key(shard), encode(mine), e.Rev, id)
-	return claimed{rev: rev, clean: held.Released}, err
+	return claimed{rev: rev, released: held.Released}, err
 }
 
 func encode(c claim) []byte {
 	b, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // a struct of plain fields
+		panic(err) // can't fail: claim has only plain fields
 	}
 	return b
 }
 
-func (s *Shards) took(ctx context.Context, m tookMessage) {
+func (s *Shards) handleTakeover(ctx context.Context, m takeoverMessage) {
 	s.mu.Lock()
 	s.hosts[m.shard] = m.w
 	s.mu.Unlock()
-	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.EntriesRead).Bool("clean", m.w.key.clean).Msg("shard taken")
-	s.tellConfig()
-	m.w.Folders(s.folders)
-	s.adopt(m.w.open)
-	m.w.open = nil
+	s.Log.Info().Int("shard", m.shard).Uint64("epoch", m.w.Epoch()).Int("entries_read", m.w.Taken.EntriesRead).Bool("clean", m.w.keyClaim.released).Msg("shard taken over")
+	s.sendConfig()
+	m.w.UpdateFolders(s.folders)
+	s.registerPrograms(m.w.openPrograms)
+	m.w.openPrograms = nil
 	s.stepAssign(ctx, assign.Claimed{Shard: m.shard, OK: true})
-	s.tellLease()
-	s.Owned(s.List())
+	s.sendLease()
+	s.OnOwned(s.List())
 	go func() {
 		<-m.w.Done()
-		s.post(ctx, endedMessage(m))
+		s.post(ctx, hostEndedMessage(m))
 	}()
 }
 
-func (s *Shards) ended(ctx context.Context, m endedMessage) {
+func (s *Shards) handleHostEnd(ctx context.Context, m hostEndedMessage) {
 	if s.hosts[m.shard] != m.w {
 		return
 	}
 	s.mu.Lock()
 	delete(s.hosts, m.shard)
 	s.mu.Unlock()
-	s.Log.Info().Int("shard", m.shard).Bool("fenced", m.w.Fenced()).Msg("shard left")
+	s.Log.Info().Int("shard", m.shard).Bool("fenced", m.w.Fenced()).Msg("shard no longer owned")
 	s.stepAssign(ctx, assign.Released{Shard: m.shard})
-	s.Owned(s.List())
+	s.OnOwned(s.List())
 }
 
-// rekey puts a shard's key under a new lease, after the old one lapsed. That
-// nobody else has the key now doesn't mean that nobody had it in between, so
-// the journal must prove it before the host may dispatch again.
-func (s *Shards) rekey(ctx context.Context, shard int, w *ward, id store.Lease) {
+// reclaim claims a shard again under a new lease after the old one expired. Another daemon may
+// have owned the shard in between even if the key is free now, so the host stays suspended until
+// a write to the journal proves that none has.
+func (s *Shards) reclaim(ctx context.Context, shard int, w *ownedShard, id store.Lease) {
 	if !w.suspended {
 		return
 	}
 	s.Go(func() {
-		call, stop := context.WithTimeout(ctx, claimTimeout)
+		callCtx, stop := context.WithTimeout(ctx, claimTimeout)
 		defer stop()
-		c, err := s.claim(call, shard, id)
-		s.post(ctx, rekeyMessage{w: w, c: c, ok: err == nil})
+		c, err := s.claim(callCtx, shard, id)
+		s.post(ctx, reclaimMessage{w: w, c: c, ok: err == nil})
 	})
 }
 
-func (s *Shards) rekeyed(m rekeyMessage) {
+func (s *Shards) handleReclaim(m reclaimMessage) {
 	if !m.ok {
 		m.w.Cancel()
 		return
 	}
-	m.w.key = m.c
+	m.w.keyClaim = m.c
 	m.w.Tell(owner.Verify{})
 }
 
-func (s *Shards) proved(h *host.Host) {
+func (s *Shards) handleVerified(h *host.Host) {
 	for _, w := range s.hosts {
 		if w.Host == h {
 			w.suspended = false
 		}
 	}
-	s.tellLease()
+	s.sendLease()
 }
 
-// give ends ownership, offers the shard, and goes on with the attempts under
-// way for the next owner.
-func (s *Shards) give(ctx context.Context, g assign.HandOver) {
+// handOver drains the shard's host, releases the shard, offers it to the chosen daemon, and
+// continues the attempts in progress for the next owner.
+func (s *Shards) handOver(ctx context.Context, g assign.HandOver) {
 	w := s.hosts[g.Shard]
-	if w == nil || w.giving {
+	if w == nil || w.releasing {
 		return
 	}
-	w.giving = true
+	w.releasing = true
 	w.Tell(owner.Drain{})
 	s.Go(func() {
 		select {
@@ -261,29 +264,29 @@
 			return
 		}
 		w.Stop()
-		tails := w.Tails()
-		s.tails.Add(int64(len(tails)))
-		s.release(ctx, g, w.key)
-		for _, t := range tails {
-			s.Go(func() { s.follow(ctx, g.Shard, t) })
+		continuing := w.RunningAttempts()
+		s.continuing.Add(int64(len(continuing)))
+		s.release(ctx, g, w.keyClaim)
+		for _, t := range continuing {
+			s.Go(func() { s.reportAttempt(ctx, g.Shard, t) })
 		}
 	})
 }
 
-// release leaves the shard's key behind marked as released, so that the next
-// owner need not wait for a lease to lapse.
+// release marks the shard's key as released, so that the next owner need not wait until the
+// lease expires, and offers the shard to g.To.
 func (s *Shards) release(ctx context.Context, g assign.HandOver, c claimed) {
-	call, stop := context.WithTimeout(ctx, giveTimeout)
+	callCtx, stop := context.WithTimeout(ctx, releaseTimeout)
 	defer stop()
-	_, err := s.Store.Put(call, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
+	_, err := s.Store.Put(callCtx, key(g.Shard), encode(claim{Owner: s.Name, Released: true}), c.rev, 0)
 	if err != nil {
-		s.Log.Warn().Err(err).Int("shard", g.Shard).Msg("release not recorded; the next owner waits for the lease")
+		s.Log.Warn().Err(err).Int("shard", g.Shard).Msg("shard release not stored; the next owner must wait until the lease expires")
 		return
 	}
 	if g.To.Name == "" {
 		return
 	}
-	if err := s.Offer(call, g.To, g.Shard); err != nil {
-		s.Log.Debug().Err(err).Int("shard", g.Shard).Msg("offer failed")
+	if err := s.Offer(callCtx, g.To, g.Shard); err != nil {
+		s.Log.Debug().Err(err).Int("shard", g.Shard).Msg("shard offer failed")
 	}
 }
--- a/internal/node/shards/claim_test.go
+++ b/internal/node/shards/claim_test.go
@@ -12,28 +12,28 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// A claim meets a key that another daemon holds, that was given up, or that this
-// very process wrote: an earlier attempt whose answer was lost may land when it
-// was given up long ago. Users would notice a shard with two owners, or one that
-// nobody can take because its key hangs on a lease that is renewed.
+// A shard's key may be held by another daemon, released, or written by this same process: a
+// claim whose reply was lost may take effect after its call timed out. A fault here shows as
+// a shard with two owners, or as one that no daemon can take because its key is bound to a
+// lease that is still renewed.
 func TestClaim(t *testing.T) {
 	const session = 7
 	tests := map[string]struct {
-		there  *claim // what stands under the key
-		faults map[int]keyval.Fault
-		held   bool
-		fails  bool
-		clean  bool
+		existing *claim // value of the key before the claim
+		faults   map[int]keyval.Fault
+		held     bool
+		fails    bool
+		released bool
 	}{
 		"free":                        {},
-		"another's":                   {there: &claim{Owner: "b", Session: 8}, held: true, fails: true},
-		"own name, earlier process":   {there: &claim{Owner: "a", Session: 6}, held: true, fails: true},
-		"given up":                    {there: &claim{Owner: "b", Session: 8, Released: true}, clean: true},
-		"own claim that landed late":  {there: &claim{Owner: "a", Session: session, Nonce: 99}},
+		"another's":                   {existing: &claim{Owner: "b", Session: 8}, held: true, fails: true},
+		"own name, earlier process":   {existing: &claim{Owner: "a", Session: 6}, held: true, fails: true},
+		"given up":                    {existing: &claim{Owner: "b", Session: 8, Released: true}, released: true},
+		"own claim that landed late":  {existing: &claim{Owner: "a", Session: session, Nonce: 99}},
 		"acknowledgement lost":        {faults: map[int]keyval.Fault{1: keyval.LoseAck}},
 		"write lost":                  {faults: map[int]keyval.Fault{1: keyval.LoseWrite}, fails: true},
 		"store down":                  {faults: map[int]keyval.Fault{1: keyval.Down}, fails: true},
-		"given up, second write lost": {there: &claim{Owner: "b", Released: true}, faults: map[int]keyval.Fault{2: keyval.LoseWrite}, fails: true},
+		"given up, second write lost": {existing: &claim{Owner: "b", Released: true}, faults: map[int]keyval.Fault{2: keyval.LoseWrite}, fails: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -42,8 +42,8 @@
 			st := &keyval.Store{}
 			lease, err := st.Grant(ctx, time.Minute)
 			is.NoErr(err)
-			if tt.there != nil {
-				_, err := st.Put(ctx, key(3), encode(*tt.there), 0, lease)
+			if tt.existing != nil {
+				_, err := st.Put(ctx, key(3), encode(*tt.existing), 0, lease)
 				is.NoErr(err)
 			}
 			v := st.Client("a")
@@ -55,10 +55,10 @@
 			if err != nil {
 				return
 			}
-			is.Equal(got.clean, tt.clean)
+			is.Equal(got.released, tt.released)
 			e, err := st.Get(ctx, key(3))
 			is.NoErr(err)
-			is.Equal(e.Rev, got.rev) // a release must name this revision
+			is.Equal(e.Rev, got.rev) // a release must be conditional on this revision
 			_, err = st.Put(ctx, key(3), nil, e.Rev, store.Lease(0))
 			is.NoErr(err)
 		})
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -1,9 +1,8 @@
-// Package shards owns, at one daemon, the shards that fall to it: it keeps the
-// daemon's lease, claims and takes over shards, drives their hosts, and hands
-// them to other daemons.
+// Package shards manages the shards that one daemon owns: it keeps the daemon's lease, claims
+// and takes over shards, runs a host for each, and hands shards over to other daemons.
 //
-// It is the daemon's local runner.Runner: a request goes to the host of its
-// program's shard, or is refused as not owned here.
+// It is the daemon's local runner.Runner: it routes each request to the host of its program's
+// shard, and refuses it if the shard is not owned here.
 package shards
 
 import (
@@ -16,8 +15,8 @@
 	"github.com/rs/zerolog"
 
 	"github.com/slaterock/slaterock/internal/conf/file"
-	"github.com/slaterock/slaterock/internal/node/guard"
 	"github.com/slaterock/slaterock/internal/node/host"
+	"github.com/slaterock/slaterock/internal/node/quotas"
 	"github.com/slaterock/slaterock/internal/obs/trace"
 	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/place/sched"
@@ -29,17 +28,18 @@
 )
 
 const (
-	mailbox   = 256
-	tickEvery = 100 * time.Millisecond
-	// graceTime is how long a taker waits before its first dispatch, so that a
-	// former owner that can't reach the store hears that others can.
-	graceTime = 3 * time.Second
-	// newsTime is how long the news of an outage holds.
-	newsTime = time.Second
+	mailboxSize  = 256
+	tickInterval = 100 * time.Millisecond
+	// takeoverDelay is how long a host waits before its first dispatch if the former owner
+	// has not released the shard. A former owner that can't reach the store continues to
+	// dispatch until it learns by gossip that other daemons can.
+	takeoverDelay = 3 * time.Second
+	// outageValidity is how long an observed outage of the store counts without renewal.
+	outageValidity = time.Second
 )
 
 type (
-	// Shards is the set of shards owned here. Set the fields before Init.
+	// Shards is the set of shards owned here. Set the exported fields before Init.
 	Shards struct {
 		Name    string
 		Store   store.Store
@@ -47,111 +47,113 @@
 		Go      func(f func())
 		Log     zerolog.Logger
 		Members func() []beat.Member
-		// StoreAge is the time since any daemon is known to have reached the
-		// store, negative for never; Alone tells that no peer was heard.
+		// StoreAge is the time since any daemon is known to have reached the store,
+		// negative for never. Alone reports whether no peer has been in contact lately.
 		StoreAge func() time.Duration
 		Alone    func() bool
 		Attempt  host.Attempt
 		Trace    *trace.Trace
-		// MaxPrograms bounds the open programs of the daemon, beside the
-		// configuration's bound; zero is none.
+		// MaxPrograms limits the open programs of the daemon, in addition to the
+		// configuration's limit; zero is none.
 		MaxPrograms int
 		Place       func(h *host.Host, m sched.Message)
-		Ended       func(l owner.Log)
-		Owned       func(s []beat.Shard)
-		// Peers reaches data folders; Domain is this daemon's failure domain.
+		// OnCallEnd is called when a call has ended, OnOwned when the owned shards have changed.
+		OnCallEnd func(l owner.Log)
+		OnOwned   func(s []beat.Shard)
+		// Peers is the client of all data folders. Domain is this daemon's failure domain.
 		Peers  blobio.Peers
 		Domain string
-		Offer  func(ctx context.Context, to beat.Member, shard int) error
-		Guard  *guard.Guard // nil: accounts have no limits
-		// Tell reports an attempt to whoever owns its shard now.
-		Tell func(ctx context.Context, r host.Report) (host.Receipt, error)
+		// Offer sends another daemon the request to take a shard that was released for it.
+		Offer   func(ctx context.Context, to beat.Member, shard int) error
+		Limiter *quotas.Limiter // nil: accounts have no limits
+		// Tell sends a report of a continued attempt to the present owner of its shard.
+		Tell func(ctx context.Context, r host.Report) (host.ReportReply, error)
 
-		mail    chan message
-		lease   lease.Lease
-		assign  assign.Assigner
-		session uint64    // tells this process's claims from those of an earlier one
-		reached time.Time // when this daemon last reached the store
+		inbox        chan message
+		lease        lease.Lease
+		assign       assign.Assigner
+		session      uint64    // distinguishes this process's claims from an earlier one's
+		storeReached time.Time // send time of the latest store call that was answered
 
-		tails atomic.Int64 // attempts that go on for later owners
+		continuing atomic.Int64 // attempts continued for later owners
 
 		mu    sync.RWMutex
 		cfg   file.File
-		hosts map[int]*ward
+		hosts map[int]*ownedShard
 
-		folders []beat.Member // with a data folder, as the hosts were told
+		folders []beat.Member // daemons with a data folder, as last sent to the hosts
 	}
 
-	// ward is one shard owned here.
-	ward struct {
+	// ownedShard is one shard owned here.
+	ownedShard struct {
 		*host.Host
-		key       claimed
-		since     time.Time
-		open      []adopted // programs, until they are counted
-		suspended bool      // its lease lapsed and ownership is not proved yet
-		giving    bool
+		keyClaim     claimed
+		since        time.Time
+		openPrograms []openProgram // at the takeover, until registered
+		suspended    bool          // its lease expired and ownership is not verified yet
+		releasing    bool
 	}
 
-	// message is what the loop reacts to.
+	// message is an input of the event loop.
 	message interface{ message() }
 
-	leaseMessage   struct{ m lease.Message }
-	assignMessage  struct{ m assign.Message }
-	reachedMessage struct{ at time.Time }
-	tookMessage    struct {
+	leaseMessage    struct{ m lease.Message }
+	assignMessage   struct{ m assign.Message }
+	reachedMessage  struct{ at time.Time }
+	takeoverMessage struct {
 		shard int
-		w     *ward
+		w     *ownedShard
 	}
-	endedMessage struct {
+	hostEndedMessage struct {
 		shard int
-		w     *ward
+		w     *ownedShard
 	}
-	provedMessage struct{ h *host.Host }
-	rekeyMessage  struct {
-		w  *ward
+	verifiedMessage struct{ h *host.Host }
+	reclaimMessage  struct {
+		w  *ownedShard
 		c  claimed
 		ok bool
 	}
 	configMessage struct{ f file.File }
 )
 
-func (leaseMessage) message()   {}
-func (assignMessage) message()  {}
-func (reachedMessage) message() {}
-func (tookMessage) message()    {}
-func (endedMessage) message()   {}
-func (provedMessage) message()  {}
-func (rekeyMessage) message()   {}
-func (configMessage) message()  {}
+func (leaseMessage) message()     {}
+func (assignMessage) message()    {}
+func (reachedMessage) message()   {}
+func (takeoverMessage) message()  {}
+func (hostEndedMessage) message() {}
+func (verifiedMessage) message()  {}
+func (reclaimMessage) message()   {}
+func (configMessage) message()    {}
 
-// Init makes the set ready to be told things.
+// Init must be called before any other method.
 func (s *Shards) Init() {
-	s.mail = make(chan message, mailbox)
-	s.hosts = map[int]*ward{}
+	s.inbox = make(chan message, mailboxSize)
+	s.hosts = map[int]*ownedShard{}
 	s.session = s.Rand()
 	s.lease.Rand = s.Rand
 	s.assign.Self, s.assign.Rand = s.Name, s.Rand
 }
 
-// Reached tells that a call to the store was answered that was sent at a time.
+// Reached reports that the store has answered a call that was sent at time at.
 func (s *Shards) Reached(ctx context.Context, at time.Time) { s.post(ctx, reachedMessage{at}) }
 
 // Configure puts a configuration in force.
 func (s *Shards) Configure(ctx context.Context, f file.File) { s.post(ctx, configMessage{f}) }
 
-// Offered tells that the former owner has given a shard to this daemon.
+// Offered reports that the former owner has released a shard for this daemon to take.
 func (s *Shards) Offered(ctx context.Context, shard int) {
 	s.post(ctx, assignMessage{assign.Offered{Shard: shard}})
 }
 
-// Drain hands all shards over and returns when none is left and no attempt is
-// under way here.
+// Drain hands all shards over and returns when none is left and no attempt is in progress
+// here.
 func (s *Shards) Drain(ctx context.Context) error {
 	s.post(ctx, assignMessage{assign.Drain{}})
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
-		if len(s.List()) == 0 && s.tails.Load() == 0 {
+		if len(s.List()) == 0 && s.continuing.Load() == 0 {
 			return nil
 		}
 		select {
@@ -183,7 +185,7 @@
 	return w.Epoch(), w.since, true
 }
 
-func (s *Shards) host(shard int) *ward {
+func (s *Shards) host(shard int) *ownedShard {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.hosts[shard]
@@ -191,21 +193,21 @@
 
 func (s *Shards) post(ctx context.Context, m message) {
 	select {
-	case s.mail <- m:
+	case s.inbox <- m:
 	case <-ctx.Done():
 	}
 }
 
 // Serve runs until ctx ends and all hosts have ended.
 func (s *Shards) Serve(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	defer s.stopAll()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-s.mail:
+		case m := <-s.inbox:
 			s.handle(ctx, m)
 		case <-t.C:
 			s.tick(ctx)
@@ -216,7 +218,7 @@
 func (s *Shards) stopAll() {
 	s.mu.Lock()
 	hosts := s.hosts
-	s.hosts = map[int]*ward{}
+	s.hosts = map[int]*ownedShard{}
 	s.mu.Unlock()
 	for _, w := range hosts {
 		w.Stop()
@@ -230,17 +232,17 @@
 	case assignMessage:
 		s.stepAssign(ctx, m.m)
 	case reachedMessage:
-		if m.at.After(s.reached) {
-			s.reached = m.at
+		if m.at.After(s.storeReached) {
+			s.storeReached = m.at
 		}
-	case tookMessage:
-		s.took(ctx, m)
-	case endedMessage:
-		s.ended(ctx, m)
-	case provedMessage:
-		s.proved(m.h)
-	case rekeyMessage:
-		s.rekeyed(m)
+	case takeoverMessage:
+		s.handleTakeover(ctx, m)
+	case hostEndedMessage:
+		s.handleHostEnd(ctx, m)
+	case verifiedMessage:
+		s.handleVerified(m.h)
+	case reclaimMessage:
+		s.handleReclaim(m)
 	case configMessage:
 		s.configure(m.f)
 	}
@@ -251,12 +253,12 @@
 	s.cfg = f
 	s.mu.Unlock()
 	s.assign.Shards = f.System.Shards
-	s.tellConfig()
+	s.sendConfig()
 }
 
-// tellConfig tells all hosts the configuration. The bound on the daemon's open
-// programs is shared out among them, as each counts only its own.
-func (s *Shards) tellConfig() {
+// sendConfig sends the configuration to all hosts. The limit on the daemon's open programs is
+// divided among them, because each host counts only its own.
+func (s *Shards) sendConfig() {
 	f := s.cfg
 	if s.MaxPrograms > 0 && (f.Limits.MaxPrograms == 0 || s.MaxPrograms < f.Limits.MaxPrograms) {
 		f.Limits.MaxPrograms = s.MaxPrograms
@@ -270,7 +272,7 @@
 	}
 }
 
-// pace spreads half of the store's writes evenly over the shards' journals.
+// pace divides half of the store's write capacity evenly among the shards' journals.
 func pace(f file.File) owner.WriteInterval {
 	const share = 0.5
 	if f.System.StoreWrites <= 0 || f.System.Shards <= 0 {
@@ -283,17 +285,17 @@
 func (s *Shards) tick(ctx context.Context) {
 	members := s.Members()
 	s.stepAssign(ctx, assign.View{Members: members})
-	s.tellFolders(members)
+	s.sendFolders(members)
 	if s.lease.ID() != 0 || s.assign.NeedsLease(time.Now()) {
 		s.stepLease(ctx, lease.Tick{})
 	}
-	s.lapse(ctx)
+	s.revokeIdleLease(ctx)
 	s.stepAssign(ctx, assign.Tick{})
-	s.tellLease()
+	s.sendLease()
 }
 
-// lapse gives up a lease that nothing hangs on any more.
-func (s *Shards) lapse(ctx context.Context) {
+// revokeIdleLease drops and revokes the lease when no shard is owned or wanted.
+func (s *Shards) revokeIdleLease(ctx context.Context) {
 	id := s.lease.ID()
 	if id == 0 || len(s.hosts) > 0 || s.assign.NeedsLease(time.Now()) {
 		return
@@ -301,20 +303,20 @@
 	s.stepLease(ctx, lease.Forget{})
 	s.stepAssign(ctx, assign.Leased{})
 	s.Go(func() {
-		call, stop := context.WithTimeout(ctx, leaseTimeout)
+		callCtx, stop := context.WithTimeout(ctx, leaseTimeout)
 		defer stop()
-		if err := s.Store.Revoke(call, id); err != nil {
-			s.Log.Debug().Err(err).Msg("lease not revoked; it lapses")
+		if err := s.Store.Revoke(callCtx, id); err != nil {
+			s.Log.Debug().Err(err).Msg("lease not revoked; it will expire")
 		}
 	})
 }
 
-// tellLease tells all hosts until when they may dispatch.
-func (s *Shards) tellLease() {
+// sendLease sends all hosts the time until which they may dispatch.
+func (s *Shards) sendLease() {
 	now := time.Now()
 	held := owner.Lease{Until: s.lease.Until()}
 	if s.outage(now) {
-		held.OutageUntil = now.Add(newsTime)
+		held.OutageUntil = now.Add(outageValidity)
 	}
 	for _, w := range s.hosts {
 		if w.suspended {
@@ -325,13 +327,13 @@
 	}
 }
 
-// outage reports whether nobody is known to have reached the store since the
-// lease ended, so that nobody can have taken a shard. This daemon counts too: if
-// it reaches the store itself, its lease tells how things stand. A daemon that
-// hears no peer must assume that the others reach the store.
+// outage reports whether no daemon is known to have reached the store since the lease ended,
+// so that none can have taken a shard. This daemon counts too: if it reaches the store, its
+// lease alone decides. A daemon without contact to any peer must assume that the others reach
+// the store.
 func (s *Shards) outage(now time.Time) bool {
 	until := s.lease.Until()
-	if s.Alone() || s.reached.After(until) {
+	if s.Alone() || s.storeReached.After(until) {
 		return false
 	}
 	age := s.StoreAge()
