--- a/internal/conf/accnt/accnt.go
+++ b/internal/conf/accnt/accnt.go
@@ -22,12 +22,12 @@
 
 	// Account is one account of callers.
 	Account struct {
-		Name     string
-		Priority int     // 0 is the most urgent; valid with Ranked
-		Ranked   bool    // it has a priority of its own, which goes before that of routes
-		Rate     float64 // requests a second over all daemons; 0 is no limit
-		Burst    float64 // requests beside that rate
-		Keys     []Digest
+		Name        string
+		Priority    int     // 0 is the most urgent; valid with Ranked
+		HasPriority bool    // it has a priority of its own, which goes before that of routes
+		Rate        float64 // requests a second over all daemons; 0 is no limit
+		Burst       float64 // requests beside that rate
+		Keys        []Digest
 	}
 
 	// Accounts are the accounts of one configuration version. The zero value and
--- a/internal/conf/accnt/accnt_test.go
+++ b/internal/conf/accnt/accnt_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseDigest(t *testing.T) {
 	is := is.New(t)
 	d, err := ParseDigest(DigestOf("k").String())
 	is.NoErr(err)
--- a/internal/conf/apply/apply.go
+++ b/internal/conf/apply/apply.go
@@ -27,8 +27,8 @@
 	// Newest is a Base that takes whatever version is in force.
 	Newest = math.MaxUint64
 
-	firstWait  = 50 * time.Millisecond
-	maxWait    = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 	maxCollect = 8 // chunks deleted by one apply
 )
 
@@ -36,17 +36,17 @@
 	// Apply decides the steps of putting one text in force. Its zero value
 	// waits for Start.
 	Apply struct {
-		start   Start
-		base    head.Head // in force before
-		rev     store.Rev // of base
-		next    head.Head
-		queue   []chunk.Chunk // not stored yet
-		chunk   store.Rev     // to write the first of queue from
-		garbage []Garbage
-		inspect []string // digests that may be garbage
-		state   state
-		unknown bool // a write of the head has an unknown outcome
-		wait    time.Duration
+		start          Start
+		base           head.Head // in force before
+		baseRev        store.Rev // of base
+		next           head.Head
+		queue          []chunk.Chunk // not stored yet
+		chunk          store.Rev     // to write the first of queue from
+		garbage        []Garbage
+		candidates     []string // digests that may be garbage
+		state          state
+		outcomeUnknown bool // a write of the head has an unknown outcome
+		backoff        time.Duration
 	}
 
 	// state is what an effect was asked for last.
@@ -91,7 +91,7 @@
 	Failed struct{}
 
 	// Unsure tells that nobody knows whether the write was taken.
-	Unsure struct{}
+	OutcomeUnknown struct{}
 
 	// Wake tells that a wait is over.
 	Wake struct{}
@@ -155,16 +155,16 @@
 	resolving
 )
 
-func (Start) message()     {}
-func (HeadRead) message()  {}
-func (Listed) message()    {}
-func (Inspected) message() {}
-func (Stored) message()    {}
-func (Conflict) message()  {}
-func (Failed) message()    {}
-func (Unsure) message()    {}
-func (Wake) message()      {}
-func (Stop) message()      {}
+func (Start) message()          {}
+func (HeadRead) message()       {}
+func (Listed) message()         {}
+func (Inspected) message()      {}
+func (Stored) message()         {}
+func (Conflict) message()       {}
+func (Failed) message()         {}
+func (OutcomeUnknown) message() {}
+func (Wake) message()           {}
+func (Stop) message()           {}
 
 func (ReadHead) effect()   {}
 func (ListChunks) effect() {}
--- a/internal/conf/apply/print.go
+++ b/internal/conf/apply/print.go
@@ -26,7 +26,7 @@
 	}
 	f, err := file.Parse(path, text)
 	if err != nil {
-		return faults(w, err)
+		return writeFaults(w, err)
 	}
 	return write(w, "%s: ok: %s\n", path, summary(f))
 }
@@ -43,7 +43,7 @@
 	}
 	out, err := Run(ctx, s, r)
 	if err != nil {
-		return faults(w, err)
+		return writeFaults(w, err)
 	}
 	return out.Print(w)
 }
@@ -56,7 +56,7 @@
 	return write(w, "applied: version %d is in force: %s\n", o.Head.Version, summary(o.File))
 }
 
-func faults(w io.Writer, err error) error {
+func writeFaults(w io.Writer, err error) error {
 	var list file.Errors
 	if !errors.As(err, &list) {
 		return err
--- a/internal/conf/apply/random_test.go
+++ b/internal/conf/apply/random_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	atOnce   = 3  // operators
-	variants = 11 // texts, so that some come back after their chunks went
+	maxConcurrent = 3  // operators
+	variants      = 11 // texts, so that some come back after their chunks went
 )
 
 type (
@@ -28,7 +28,7 @@
 		nonce   string
 		last    Message
 		effects []Effect
-		end     *Finish
+		result  *Finish
 	}
 
 	// history is what a reader of the head saw, one version after the other.
@@ -58,23 +58,23 @@
 		for i := range rapid.IntRange(10, 60).Draw(r, "operators") {
 			running = append(running, h.operator(r, t, i, texts))
 			all = append(all, running[len(running)-1])
-			for len(running) >= atOnce {
+			for len(running) >= maxConcurrent {
 				o := rapid.SampledFrom(running).Draw(r, "next")
 				o.view.Set(keyval.Fault(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(r, "fault")))
 				o.step(t)
-				h.look(r, t)
-				running = slices.DeleteFunc(running, func(o *operator) bool { return o.end != nil })
+				h.checkHead(r, t)
+				running = slices.DeleteFunc(running, func(o *operator) bool { return o.result != nil })
 			}
 		}
 		for _, o := range running {
 			o.view.Set(keyval.None)
-			for o.end == nil {
+			for o.result == nil {
 				o.step(t)
-				h.look(r, t)
+				h.checkHead(r, t)
 			}
 		}
 		for _, o := range all {
-			h.judge(r, o)
+			h.checkOutcome(r, o)
 		}
 	})
 }
@@ -97,7 +97,7 @@
 	o.effects = o.effects[1:]
 	switch e := e.(type) {
 	case Finish:
-		o.end = &e
+		o.result = &e
 	case Sleep:
 		o.last = Wake{}
 	default:
@@ -106,7 +106,7 @@
 }
 
 // look reads the head and checks that it follows the one before.
-func (h *history) look(r *rapid.T, t *testing.T) {
+func (h *history) checkHead(r *rapid.T, t *testing.T) {
 	entry, err := h.service.Get(t.Context(), head.Key)
 	if errors.Is(err, store.ErrNotFound) {
 		return
@@ -130,16 +130,16 @@
 }
 
 // judge compares what an operator was told with what happened.
-func (h *history) judge(r *rapid.T, o *operator) {
+func (h *history) checkOutcome(r *rapid.T, o *operator) {
 	inForce := slices.Contains(h.nonces, o.nonce)
 	switch {
-	case o.end.Err == nil && !o.end.Unchanged && !inForce:
+	case o.result.Err == nil && !o.result.Unchanged && !inForce:
 		r.Fatalf("%s was told that his text is in force, and it never was", o.nonce)
-	case o.end.Err == nil && o.end.Unchanged && inForce:
+	case o.result.Err == nil && o.result.Unchanged && inForce:
 		r.Fatalf("%s was told that nothing changed, and he made a version", o.nonce)
-	case errors.As(o.end.Err, new(*ConflictError)) && inForce:
+	case errors.As(o.result.Err, new(*ConflictError)) && inForce:
 		r.Fatalf("%s was told of a conflict, and his text was in force", o.nonce)
-	case o.end.Err != nil && !errors.As(o.end.Err, new(*ConflictError)) && !errors.As(o.end.Err, new(*UnknownError)):
-		r.Fatalf("%s: %v", o.nonce, o.end.Err)
+	case o.result.Err != nil && !errors.As(o.result.Err, new(*ConflictError)) && !errors.As(o.result.Err, new(*UnknownError)):
+		r.Fatalf("%s: %v", o.nonce, o.result.Err)
 	}
 }
--- a/internal/conf/apply/run.go
+++ b/internal/conf/apply/run.go
@@ -207,7 +207,7 @@
 	case errors.Is(err, store.ErrUnavailable):
 		return Failed{}
 	}
-	return Unsure{}
+	return OutcomeUnknown{}
 }
 
 func (r runner) collect(ctx context.Context, chunks []Garbage) {
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -20,17 +20,17 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-const patience = 30 * time.Second // of an operator
+const operatorTimeout = 30 * time.Second // of an operator
 
 // hooked is a store at which something else happens right before or after a
 // write of the head.
-type hooked struct {
+type hookedStore struct {
 	store.Store
 	before, after func()
 	stale         store.Entry // what the next read of the head answers
 }
 
-func (h *hooked) Get(ctx context.Context, key string) (store.Entry, error) {
+func (h *hookedStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if stale := h.stale; key == head.Key && stale.Rev > 0 {
 		h.stale = store.Entry{}
 		return stale, nil
@@ -38,18 +38,18 @@
 	return h.Store.Get(ctx, key)
 }
 
-func (h *hooked) Put(ctx context.Context, key string, data []byte, rev store.Rev, l store.Lease) (store.Rev, error) {
+func (h *hookedStore) Put(ctx context.Context, key string, data []byte, rev store.Rev, l store.Lease) (store.Rev, error) {
 	if key == head.Key {
-		h.fire(&h.before)
+		h.runOnce(&h.before)
 	}
 	r, err := h.Store.Put(ctx, key, data, rev, l)
 	if key == head.Key {
-		h.fire(&h.after)
+		h.runOnce(&h.after)
 	}
 	return r, err
 }
 
-func (h *hooked) fire(f *func()) {
+func (h *hookedStore) runOnce(f *func()) {
 	if run := *f; run != nil {
 		*f = nil
 		run()
@@ -69,7 +69,7 @@
 	return Request{Name: "dev.ini", Text: text(t, name), Base: base, By: "amina"}
 }
 
-func must(t testing.TB, s store.Store, name string) head.Head {
+func mustApply(t testing.TB, s store.Store, name string) head.Head {
 	t.Helper()
 	out, err := Run(t.Context(), s, Request{Name: "dev.ini", Text: text(t, name), Base: Newest, By: "baraka"})
 	if err != nil {
@@ -119,11 +119,11 @@
 	type scene struct {
 		service *keyval.Store
 		view    *keyval.View
-		hooks   *hooked
+		hooks   *hookedStore
 	}
 	others := func(t *testing.T, s scene, n int) {
 		for i := range n {
-			must(t, s.service, fmt.Sprint("other", i))
+			mustApply(t, s.service, fmt.Sprint("other", i))
 		}
 	}
 	// Calls of one apply of a small text: head read, list, chunk written, head
@@ -203,9 +203,9 @@
 		"head lost, then more operators than are remembered": {
 			set: func(t *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
-				s.hooks.after = func() { others(t, s, head.Keep+2) }
+				s.hooks.after = func() { others(t, s, head.MaxKept+2) }
 			},
-			want: &UnknownError{}, found: fmt.Sprint("other", head.Keep+1),
+			want: &UnknownError{}, found: fmt.Sprint("other", head.MaxKept+1),
 		},
 	}
 	for name, tt := range tests {
@@ -213,14 +213,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := scene{service: &keyval.Store{}}
-				must(t, s.service, "first")
+				mustApply(t, s.service, "first")
 				s.view = s.service.Client("operator")
-				s.hooks = &hooked{Store: s.view}
+				s.hooks = &hookedStore{Store: s.view}
 				s.view.Script(tt.class, tt.script)
 				if tt.set != nil {
 					tt.set(t, s)
 				}
-				ctx, cancel := context.WithTimeout(t.Context(), patience)
+				ctx, cancel := context.WithTimeout(t.Context(), operatorTimeout)
 				defer cancel()
 				r := request(t, "mine", max(tt.base, 1))
 				r.Floor = tt.floor
@@ -230,7 +230,7 @@
 				is.Equal(found, tt.found)
 				if tt.want == nil {
 					version := max(tt.version, 2)
-					took, known := h.Took(version, nonceOf(out.Head, version))
+					took, known := h.HasWrite(version, nonceOf(out.Head, version))
 					is.True(took && known) // taken once, as that version
 				}
 			})
@@ -252,11 +252,11 @@
 
 // Two operators read the same version. The second must see that he would have
 // undone the first one's change, whose it was and when.
-func TestConflictTells(t *testing.T) {
+func TestConflictError(t *testing.T) {
 	is := is.New(t)
 	var s keyval.Store
-	must(t, &s, "first")
-	must(t, &s, "second")
+	mustApply(t, &s, "first")
+	mustApply(t, &s, "second")
 	_, err := Run(t.Context(), &s, request(t, "mine", 1))
 	var c *ConflictError
 	is.True(errors.As(err, &c))
@@ -283,7 +283,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var s keyval.Store
-			must(t, &s, "first")
+			mustApply(t, &s, "first")
 			writes := s.Counts().Writes
 			_, err := Run(t.Context(), &s, Request{Name: "dev.ini", Text: tt.text(t), Base: tt.base, By: "amina"})
 			is.True(err != nil)
@@ -304,14 +304,14 @@
 	is.Equal(again.Head, first.Head) // no new version for the same text
 }
 
-func TestOldChunksGo(t *testing.T) {
+func TestOldChunksDeleted(t *testing.T) {
 	is := is.New(t)
 	var s keyval.Store
-	for i := range 4 * head.Keep {
-		must(t, &s, fmt.Sprint("v", i))
+	for i := range 4 * head.MaxKept {
+		mustApply(t, &s, fmt.Sprint("v", i))
 		keys, err := s.List(t.Context(), head.ChunkPrefix, "", 0)
 		is.NoErr(err)
-		is.True(len(keys) <= head.Keep+1) // one chunk for each version kept
+		is.True(len(keys) <= head.MaxKept+1) // one chunk for each version kept
 		h, _ := inForce(t, &s)
 		for _, k := range h.Kept {
 			for _, d := range k.Chunks {
@@ -325,21 +325,21 @@
 // An operator goes back to a text of long ago while another one's apply is
 // about to delete its chunk. If the deletion won, the accepted version could
 // be read by no daemon that starts.
-func TestCollectorSparesChunkInUse(t *testing.T) {
-	tests := map[string]func(h *hooked, f func()){
-		"written after the swap, before the deletion": func(h *hooked, f func()) { h.after = f },
-		"written before the swap":                     func(h *hooked, f func()) { h.before = f },
+func TestCollectorKeepsChunkInUse(t *testing.T) {
+	tests := map[string]func(h *hookedStore, f func()){
+		"written after the swap, before the deletion": func(h *hookedStore, f func()) { h.after = f },
+		"written before the swap":                     func(h *hookedStore, f func()) { h.before = f },
 	}
 	for name, at := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var s keyval.Store
-			for i := range head.Keep + 1 {
-				must(t, &s, fmt.Sprint("v", i))
+			for i := range head.MaxKept + 1 {
+				mustApply(t, &s, fmt.Sprint("v", i))
 			}
-			collector := &hooked{Store: &s}
-			at(collector, func() { must(t, &s, "v0") })
-			_, err := Run(t.Context(), collector, request(t, "mine", head.Keep+1))
+			collector := &hookedStore{Store: &s}
+			at(collector, func() { mustApply(t, &s, "v0") })
+			_, err := Run(t.Context(), collector, request(t, "mine", head.MaxKept+1))
 			_, found := inForce(t, &s) // fails the test if a chunk is missing
 			is.Equal(found, "v0")
 			is.True(err == nil || errors.As(err, new(*ConflictError)))
--- a/internal/conf/apply/step.go
+++ b/internal/conf/apply/step.go
@@ -13,7 +13,7 @@
 func (a *Apply) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
 	case Start:
-		a.start, a.wait = m, firstWait
+		a.start, a.backoff = m, minBackoff
 		return a.read()
 	case HeadRead:
 		return a.headRead(now, m)
@@ -26,14 +26,14 @@
 	case Conflict:
 		return a.conflict(m)
 	case Failed:
-		return a.pause()
-	case Unsure:
-		a.unknown = a.unknown || a.state == swapping
-		return a.pause()
+		return a.backOff()
+	case OutcomeUnknown:
+		a.outcomeUnknown = a.outcomeUnknown || a.state == swapping
+		return a.backOff()
 	case Wake:
-		return a.again()
+		return a.retry()
 	case Stop:
-		return a.finish(Finish{Err: a.stopped()})
+		return a.finish(Finish{Err: a.stopError()})
 	}
 	return nil
 }
@@ -47,11 +47,11 @@
 	if a.state == resolving {
 		return a.resolve(now, m)
 	}
-	a.base, a.rev = m.Head, m.Rev
-	if m.Head.Version > 0 && m.Head.Digest == a.start.Digest && !a.behind() {
+	a.base, a.baseRev = m.Head, m.Rev
+	if m.Head.Version > 0 && m.Head.Digest == a.start.Digest && !a.storeBehind() {
 		return a.finish(Finish{Head: m.Head, Unchanged: true})
 	}
-	if err := a.admit(); err != nil {
+	if err := a.checkBase(); err != nil {
 		return a.finish(Finish{Err: err})
 	}
 	a.next = head.Head{
@@ -72,11 +72,11 @@
 // behind reports whether the store knows less than a daemon runs, because it
 // was restored from an older copy. Versions that repeated those that daemons
 // have seen would be accepted and come in force nowhere.
-func (a *Apply) behind() bool { return a.base.Version < a.start.Floor }
+func (a *Apply) storeBehind() bool { return a.base.Version < a.start.Floor }
 
 // admit reports why the text can't follow the version in force.
-func (a *Apply) admit() error {
-	fits := a.start.Base == a.base.Version || a.behind() && a.start.Base == a.start.Floor
+func (a *Apply) checkBase() error {
+	fits := a.start.Base == a.base.Version || a.storeBehind() && a.start.Base == a.start.Floor
 	if a.start.Base != Newest && !fits {
 		return conflict(a.start.Base, a.base)
 	}
@@ -92,7 +92,7 @@
 func (a *Apply) missing() (queue []chunk.Chunk) {
 	for _, c := range a.start.Chunks {
 		known := slices.ContainsFunc(queue, func(q chunk.Chunk) bool { return q.Digest == c.Digest })
-		if !known && !a.base.Refers(c.Digest) {
+		if !known && !a.base.RefersTo(c.Digest) {
 			queue = append(queue, c)
 		}
 	}
@@ -101,8 +101,8 @@
 
 func (a *Apply) listed(m Listed) []Effect {
 	for _, d := range m.Digests {
-		if !a.next.Refers(d) && len(a.inspect) < maxCollect {
-			a.inspect = append(a.inspect, d)
+		if !a.next.RefersTo(d) && len(a.candidates) < maxCollect {
+			a.candidates = append(a.candidates, d)
 		}
 	}
 	return a.inspectNext()
@@ -113,15 +113,15 @@
 // its revision, so that the deletion after the swap misses it. If he did so
 // before the revision was read here, he read an older head, and his swap fails.
 func (a *Apply) inspectNext() []Effect {
-	if len(a.inspect) == 0 {
+	if len(a.candidates) == 0 {
 		return a.storeNext()
 	}
 	a.state = inspecting
-	return []Effect{Inspect{Digest: a.inspect[0]}}
+	return []Effect{Inspect{Digest: a.candidates[0]}}
 }
 
 func (a *Apply) inspected(m Inspected) []Effect {
-	a.inspect = a.inspect[1:]
+	a.candidates = a.candidates[1:]
 	if m.Garbage.Rev > 0 {
 		a.garbage = append(a.garbage, m.Garbage)
 	}
@@ -138,11 +138,11 @@
 
 func (a *Apply) swap() []Effect {
 	a.state = swapping
-	return []Effect{PutHead{Head: a.next, Rev: a.rev}}
+	return []Effect{PutHead{Head: a.next, Rev: a.baseRev}}
 }
 
 func (a *Apply) stored() []Effect {
-	a.wait = firstWait
+	a.backoff = minBackoff
 	if a.state == swapping {
 		return a.accepted(a.next)
 	}
@@ -167,14 +167,14 @@
 }
 
 func (a *Apply) resolve(now time.Time, m HeadRead) []Effect {
-	if m.Rev == a.rev {
+	if m.Rev == a.baseRev {
 		return a.swap() // not taken so far; the same write again can't be taken twice
 	}
-	took, known := m.Head.Took(a.next.Version, a.next.Nonce)
+	took, known := m.Head.HasWrite(a.next.Version, a.next.Nonce)
 	switch {
 	case took:
 		return a.accepted(m.Head)
-	case known || !a.unknown:
+	case known || !a.outcomeUnknown:
 		return a.restart(now, m)
 	}
 	return a.finish(Finish{Err: &UnknownError{Version: a.next.Version, Nonce: a.next.Nonce}})
@@ -185,7 +185,7 @@
 // the first read was of a replica that lagged.
 func (a *Apply) restart(now time.Time, m HeadRead) []Effect {
 	start := a.start
-	*a = Apply{start: start, state: reading, wait: firstWait}
+	*a = Apply{start: start, state: reading, backoff: minBackoff}
 	return a.headRead(now, m)
 }
 
@@ -205,15 +205,15 @@
 }
 
 // pause waits before the store is asked again, longer each time.
-func (a *Apply) pause() []Effect {
-	d := a.wait
-	a.wait = min(2*a.wait, maxWait)
+func (a *Apply) backOff() []Effect {
+	d := a.backoff
+	a.backoff = min(2*a.backoff, maxBackoff)
 	return []Effect{Sleep{For: d}}
 }
 
 // again repeats what failed. A write of the head whose outcome is unknown is
 // followed by a look at the head.
-func (a *Apply) again() []Effect {
+func (a *Apply) retry() []Effect {
 	switch a.state {
 	case reading:
 		return a.read()
@@ -224,7 +224,7 @@
 	case storing:
 		return a.storeNext()
 	case swapping, resolving:
-		if a.unknown {
+		if a.outcomeUnknown {
 			return a.readBack()
 		}
 		return a.swapOrRead()
@@ -239,8 +239,8 @@
 	return a.swap()
 }
 
-func (a *Apply) stopped() error {
-	if a.unknown {
+func (a *Apply) stopError() error {
+	if a.outcomeUnknown {
 		return &UnknownError{Version: a.next.Version, Nonce: a.next.Nonce}
 	}
 	return &NotAppliedError{Base: a.start.Base}
--- a/internal/conf/check/scan.go
+++ b/internal/conf/check/scan.go
@@ -47,12 +47,12 @@
 	text = bytes.TrimPrefix(text, []byte(byteOrderMark))
 	for raw := range bytes.Lines(text) {
 		s.line++
-		s.one(bytes.TrimSpace(raw))
+		s.scanLine(bytes.TrimSpace(raw))
 	}
 	s.flush()
 }
 
-func (s *scanner) one(line []byte) {
+func (s *scanner) scanLine(line []byte) {
 	switch {
 	case len(line) == 0, line[0] == '#', line[0] == ';':
 	case len(line) > maxLine:
@@ -79,14 +79,14 @@
 		return
 	}
 	if first, ok := s.text.byName[string(name)]; ok {
-		s.text.add(s.line, string(name), "", "the section stands twice, first on line %d; want it once", first.Line)
+		s.text.addError(s.line, string(name), "", "the section stands twice, first on line %d; want it once", first.Line)
 		return
 	}
 	if len(s.batch) == maxBatch {
 		s.flush()
 	}
 	s.skip = false
-	s.section = s.text.open(string(name), s.line)
+	s.section = s.text.addSection(string(name), s.line)
 	s.batch = append(s.batch, s.section)
 	s.clean.WriteString("[" + string(name) + "]\n")
 }
@@ -128,7 +128,7 @@
 	}, s.clean.Bytes())
 	for _, sec := range s.batch {
 		if err != nil {
-			sec.Refuse("the section can't be read: %v", err)
+			sec.Reject("the section can't be read: %v", err)
 			continue
 		}
 		for i := range sec.pairs {
@@ -141,8 +141,8 @@
 
 // intern returns the key as a string that all sections share.
 func (s *scanner) intern(key []byte) string {
-	if known, ok := s.keys[string(key)]; ok {
-		return known
+	if interned, ok := s.keys[string(key)]; ok {
+		return interned
 	}
 	if s.keys == nil {
 		s.keys = map[string]string{}
@@ -156,7 +156,7 @@
 	if s.section != nil {
 		name = s.section.Name
 	}
-	s.text.add(s.line, name, key, format, args...)
+	s.text.addError(s.line, name, key, format, args...)
 }
 
 func printable(line []byte) bool {
--- a/internal/conf/check/section.go
+++ b/internal/conf/check/section.go
@@ -16,10 +16,10 @@
 		Name, Kind, Label string
 		Line              int
 
-		text    *Text
-		pairs   []pair
-		asked   []string
-		refused bool
+		text     *Text
+		pairs    []pair
+		read     []string
+		rejected bool
 	}
 )
 
@@ -36,8 +36,8 @@
 }
 
 // Refuse notes a fault of the section itself; its keys are not looked at.
-func (s *Section) Refuse(format string, args ...any) {
-	s.refused = true
+func (s *Section) Reject(format string, args ...any) {
+	s.rejected = true
 	s.Fail("", format, args...)
 }
 
@@ -48,40 +48,40 @@
 	if line == 0 {
 		line = s.Line
 	}
-	s.text.add(line, s.Name, key, format, args...)
+	s.text.addError(line, s.Name, key, format, args...)
 }
 
 // String reads any text.
-func (s *Section) String(key, missing string) string {
+func (s *Section) String(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	return value
 }
 
 // Word reads a name: letters, digits, '.', '_' and '-'.
-func (s *Section) Word(key, missing string) string {
+func (s *Section) Word(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	if !word.MatchString(value) {
 		s.Fail(key, "%q is not a name; want 1 to 128 letters, digits, '.', '_' and '-'", value)
-		return missing
+		return def
 	}
 	return value
 }
 
 // Choice reads one of the words.
-func (s *Section) Choice(key, missing string, words ...string) string {
+func (s *Section) Choice(key, def string, words ...string) string {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	if !slices.Contains(words, value) {
 		s.Fail(key, "%q is not known; want one of %s", value, strings.Join(words, ", "))
-		return missing
+		return def
 	}
 	return value
 }
@@ -107,76 +107,76 @@
 }
 
 // Bool reads true or false.
-func (s *Section) Bool(key string, missing bool) bool {
-	word := s.Choice(key, strconv.FormatBool(missing), "true", "false")
+func (s *Section) Bool(key string, def bool) bool {
+	word := s.Choice(key, strconv.FormatBool(def), "true", "false")
 	return word == "true"
 }
 
 // Int reads a whole number from low to high.
-func (s *Section) Int(key string, missing, low, high int64) int64 {
+func (s *Section) Int(key string, def, low, high int64) int64 {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
 		s.Fail(key, "%q is not a number; want %d to %d", value, low, high)
-		return missing
+		return def
 	}
 	if n < low || n > high {
 		s.Fail(key, "%d is out of range; want %d to %d", n, low, high)
-		return missing
+		return def
 	}
 	return n
 }
 
 // Float reads a number from low to high.
-func (s *Section) Float(key string, missing, low, high float64) float64 {
+func (s *Section) Float(key string, def, low, high float64) float64 {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	n, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		s.Fail(key, "%q is not a number; want %v to %v", value, low, high)
-		return missing
+		return def
 	}
 	if !(n >= low && n <= high) { // catches NaN too, which any plain comparison lets through
 		s.Fail(key, "%v is out of range; want %v to %v", n, low, high)
-		return missing
+		return def
 	}
 	return n
 }
 
 // Duration reads a Go duration from low to high.
-func (s *Section) Duration(key string, missing, low, high time.Duration) time.Duration {
+func (s *Section) Duration(key string, def, low, high time.Duration) time.Duration {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil {
-		s.Fail(key, "%q is not a duration such as 30s; want %s to %s", value, short(low), short(high))
-		return missing
+		s.Fail(key, "%q is not a duration such as 30s; want %s to %s", value, shortDuration(low), shortDuration(high))
+		return def
 	}
 	if d < low || d > high {
-		s.Fail(key, "%s is out of range; want %s to %s", value, short(low), short(high))
-		return missing
+		s.Fail(key, "%s is out of range; want %s to %s", value, shortDuration(low), shortDuration(high))
+		return def
 	}
 	return d
 }
 
 // Address reads an IP number and port that others can reach. Host names are
 // refused: at the time they are needed the names' service may be down.
-func (s *Section) Address(key, missing string) string {
+func (s *Section) Address(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	a, err := parseAddress(value)
 	if err != nil {
 		s.Fail(key, "%v", err)
-		return missing
+		return def
 	}
 	return a
 }
@@ -196,21 +196,21 @@
 
 // Listen reads an address to listen at. Unlike in Address the IP number may be
 // unspecified and the port 0, which the system then chooses.
-func (s *Section) Listen(key, missing string) string {
+func (s *Section) Listen(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
-		return missing
+		return def
 	}
 	a, err := netip.ParseAddrPort(value)
 	if err != nil {
 		s.Fail(key, "%q is not an address; want an IP number and a port such as 0.0.0.0:7400", value)
-		return missing
+		return def
 	}
 	return a.String()
 }
 
 func (s *Section) value(key string) (string, bool) {
-	s.asked = append(s.asked, key)
+	s.read = append(s.read, key)
 	for _, p := range s.pairs {
 		if p.key == key {
 			return p.value, true
@@ -230,19 +230,19 @@
 
 // unknown notes the keys that nobody asked for. A misspelt key would otherwise
 // leave its default in force, and an operator would find out under load.
-func (s *Section) unknown() {
-	if s.refused {
+func (s *Section) reportUnknown() {
+	if s.rejected {
 		return
 	}
 	for _, p := range s.pairs {
-		if !slices.Contains(s.asked, p.key) {
-			s.Fail(p.key, "the key is unknown; want one of %s", strings.Join(s.asked, ", "))
+		if !slices.Contains(s.read, p.key) {
+			s.Fail(p.key, "the key is unknown; want one of %s", strings.Join(s.read, ", "))
 		}
 	}
 }
 
 // short writes a duration without the zero units that Go adds: 1h, not 1h0m0s.
-func short(d time.Duration) string {
+func shortDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
 		text = strings.TrimSuffix(text, "0s")
@@ -271,10 +271,10 @@
 }
 
 // Or returns the value, or what stands for it where it is zero.
-func Or[T comparable](value, missing T) T {
+func Or[T comparable](value, def T) T {
 	var zero T
 	if value == zero {
-		return missing
+		return def
 	}
 	return value
 }
--- a/internal/conf/check/text.go
+++ b/internal/conf/check/text.go
@@ -52,7 +52,7 @@
 func (t *Text) Require(names ...string) {
 	for _, name := range names {
 		if t.byName[name] == nil {
-			t.add(1, name, "", "the section is missing; want it once")
+			t.addError(1, name, "", "the section is missing; want it once")
 		}
 	}
 }
@@ -60,7 +60,7 @@
 // Err returns all faults as Errors, nil if there are none.
 func (t *Text) Err() error {
 	for _, s := range t.sections {
-		s.unknown()
+		s.reportUnknown()
 	}
 	if len(t.errs) == 0 {
 		return nil
@@ -68,7 +68,7 @@
 	return t.errs.sorted()
 }
 
-func (t *Text) open(name string, line int) *Section {
+func (t *Text) addSection(name string, line int) *Section {
 	kind, label, _ := strings.Cut(name, ".")
 	s := &Section{Name: name, Kind: kind, Label: label, Line: line, text: t}
 	t.sections = append(t.sections, s)
@@ -76,7 +76,7 @@
 	return s
 }
 
-func (t *Text) add(line int, section, key, format string, args ...any) {
+func (t *Text) addError(line int, section, key, format string, args ...any) {
 	message := fmt.Sprintf(format, args...)
 	if len(message) > maxMessage {
 		message = strings.ToValidUTF8(message[:maxMessage], "") + " ..."
--- a/internal/conf/chunk/chunk.go
+++ b/internal/conf/chunk/chunk.go
@@ -26,8 +26,8 @@
 	// A piece of a configuration with many accounts is about 100 KB. Smaller
 	// ones would make the head longer, which is read again and again; larger
 	// ones would make each change dearer.
-	minSize = 32 << 10
-	cutMask = 1<<9 - 1 // one header in 512 is a cut
+	minSize     = 32 << 10
+	cutHashMask = 1<<9 - 1 // one header in 512 is a cut
 
 	nameLen = 32 // hexadecimal digits: 128 bits
 )
@@ -56,27 +56,27 @@
 // Split cuts the text. The pieces together are the text, and each is at most
 // MaxSize bytes.
 func Split(text []byte) (pieces [][]byte) {
-	start, at := 0, 0
+	start, end := 0, 0
 	for line := range bytes.Lines(text) {
-		size := at - start
-		if size > 0 && (size+len(line) > MaxSize || size >= minSize && cuts(line)) {
-			pieces = append(pieces, text[start:at])
-			start = at
+		size := end - start
+		if size > 0 && (size+len(line) > MaxSize || size >= minSize && startsChunk(line)) {
+			pieces = append(pieces, text[start:end])
+			start = end
 		}
-		at += len(line)
-		for at-start > MaxSize { // a line longer than a piece
+		end += len(line)
+		for end-start > MaxSize { // a line longer than a piece
 			pieces = append(pieces, text[start:start+MaxSize])
 			start += MaxSize
 		}
 	}
-	if at > start {
-		pieces = append(pieces, text[start:at])
+	if end > start {
+		pieces = append(pieces, text[start:end])
 	}
 	return pieces
 }
 
-func cuts(line []byte) bool {
-	return line[0] == '[' && xxhash.Sum64(line)&cutMask == 0
+func startsChunk(line []byte) bool {
+	return line[0] == '[' && xxhash.Sum64(line)&cutHashMask == 0
 }
 
 // Pack names and compresses a piece.
--- a/internal/conf/chunk/chunk_test.go
+++ b/internal/conf/chunk/chunk_test.go
@@ -72,7 +72,7 @@
 
 // A piece that is not what its digest says, or is no piece at all, must not
 // get into a configuration, nor take memory without bound.
-func TestUnpackRefuses(t *testing.T) {
+func TestUnpackRejects(t *testing.T) {
 	good, err := Pack([]byte("[system]\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/conf/file/bench_test.go
+++ b/internal/conf/file/bench_test.go
@@ -35,11 +35,11 @@
 		}
 	}
 	b.ReportMetric(float64(len(text))/1e6, "MB_text")
-	b.ReportMetric(kept(f), "MB_kept")
+	b.ReportMetric(retainedMB(f), "MB_kept")
 }
 
 // kept is the memory that holds a File, in megabytes.
-func kept(f File) float64 {
+func retainedMB(f File) float64 {
 	var with, without runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&with)
--- a/internal/conf/file/fuzz_test.go
+++ b/internal/conf/file/fuzz_test.go
@@ -20,7 +20,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, err := Parse("x.ini", text)
 		if err == nil {
-			whole(t, got)
+			checkComplete(t, got)
 			return
 		}
 		var list Errors
@@ -37,7 +37,7 @@
 }
 
 // whole fails the test where a text that was taken leaves something open.
-func whole(t *testing.T, f File) {
+func checkComplete(t *testing.T, f File) {
 	t.Helper()
 	if f.Limits.MaxCalls < 1 || f.System.Shards < 1 {
 		t.Fatal("a bound of zero")
--- a/internal/conf/file/parse.go
+++ b/internal/conf/file/parse.go
@@ -55,7 +55,7 @@
 	for _, s := range p.text.Sections() {
 		p.section(s)
 	}
-	p.references()
+	p.checkReferences()
 	if err := p.text.Err(); err != nil {
 		return File{}, err
 	}
@@ -66,11 +66,11 @@
 	single := s.Kind == kindSystem || s.Kind == kindLimits
 	switch {
 	case single && s.Label != "":
-		s.Refuse("the section takes no name; want [%s]", s.Kind)
+		s.Reject("the section takes no name; want [%s]", s.Kind)
 	case single:
 		p.single(s)
 	case s.Label == "":
-		p.unnamed(s)
+		p.rejectUnnamed(s)
 	default:
 		p.named(s)
 	}
@@ -84,12 +84,12 @@
 	p.file.Limits = limits(s)
 }
 
-func (p *parser) unnamed(s *check.Section) {
+func (p *parser) rejectUnnamed(s *check.Section) {
 	switch s.Kind {
 	case kindAccount, kindAgent, kindModel, kindService, kindGroup, kindUpstream:
-		s.Refuse("the section has no name; want [%s.NAME]", s.Kind)
+		s.Reject("the section has no name; want [%s.NAME]", s.Kind)
 	default:
-		unknown(s)
+		rejectUnknown(s)
 	}
 }
 
@@ -108,12 +108,12 @@
 	case kindUpstream:
 		p.file.Upstreams[s.Label] = upstream(s)
 	default:
-		unknown(s)
+		rejectUnknown(s)
 	}
 }
 
-func unknown(s *check.Section) {
-	s.Refuse("the section is unknown; want system, limits, account.NAME, agent.NAME, model.NAME, service.NAME, group.NAME or upstream.NAME")
+func rejectUnknown(s *check.Section) {
+	s.Reject("the section is unknown; want system, limits, account.NAME, agent.NAME, model.NAME, service.NAME, group.NAME or upstream.NAME")
 }
 
 func system(s *check.Section) System {
--- a/internal/conf/file/parse_test.go
+++ b/internal/conf/file/parse_test.go
@@ -22,7 +22,7 @@
 	return text
 }
 
-func TestBroken(t *testing.T) {
+func TestBrokenFiles(t *testing.T) {
 	// Each text has the one fault that its name tells, as an operator would
 	// make it. He sees all that follows from it at once, with line and key.
 	tests := map[string][]string{
--- a/internal/conf/file/refer.go
+++ b/internal/conf/file/refs.go
@@ -10,27 +10,27 @@
 
 // references checks what one section says of another. Left unchecked, a
 // reference into the void would show only when the first program is refused.
-func (p *parser) references() {
+func (p *parser) checkReferences() {
 	for _, s := range p.text.Sections() {
 		switch s.Kind {
 		case kindAgent:
-			p.refer(s, "model", p.file.Agents[s.Label].Model, kindModel, slices.Sorted(maps.Keys(p.file.Models)))
+			p.checkReference(s, "model", p.file.Agents[s.Label].Model, kindModel, slices.Sorted(maps.Keys(p.file.Models)))
 		case kindModel:
-			p.referGroup(s, p.file.Models[s.Label].Group, Engines)
+			p.checkGroupReference(s, p.file.Models[s.Label].Group, Engines)
 		case kindService:
-			p.referGroup(s, p.file.Services[s.Label].Group, Services)
+			p.checkGroupReference(s, p.file.Services[s.Label].Group, Services)
 		case kindUpstream:
-			p.upstreamModels(s, p.file.Upstreams[s.Label])
+			p.checkUpstreamModels(s, p.file.Upstreams[s.Label])
 		}
 	}
-	p.groups()
-	p.addresses()
-	p.hashes()
+	p.checkGroups()
+	p.checkAddresses()
+	p.checkHashes()
 }
 
 // refer notes a key that names no declared section of the kind. A key that is
 // missing was noted before.
-func (p *parser) refer(s *check.Section, key, name, kind string, declared []string) bool {
+func (p *parser) checkReference(s *check.Section, key, name, kind string, declared []string) bool {
 	if !s.Has(key) {
 		return false
 	}
@@ -45,8 +45,8 @@
 	return false
 }
 
-func (p *parser) referGroup(s *check.Section, name string, kind GroupKind) {
-	if !p.refer(s, "group", name, kindGroup, p.groupNames()) {
+func (p *parser) checkGroupReference(s *check.Section, name string, kind GroupKind) {
+	if !p.checkReference(s, "group", name, kindGroup, p.groupNames()) {
 		return
 	}
 	if g := p.file.Groups[name]; g.Kind != kind && g.Kind != "" {
@@ -56,8 +56,8 @@
 
 func (p *parser) groupNames() []string { return slices.Sorted(maps.Keys(p.file.Groups)) }
 
-func (p *parser) upstreamModels(s *check.Section, u Upstream) {
-	if !p.refer(s, "group", u.Group, kindGroup, p.groupNames()) {
+func (p *parser) checkUpstreamModels(s *check.Section, u Upstream) {
+	if !p.checkReference(s, "group", u.Group, kindGroup, p.groupNames()) {
 		return
 	}
 	if len(u.Models) > 0 && p.file.Groups[u.Group].Kind == Services {
@@ -82,7 +82,7 @@
 
 // groups notes each group without upstreams, and each model that none of its
 // group's upstreams serves: their requests would wait for nothing.
-func (p *parser) groups() {
+func (p *parser) checkGroups() {
 	members := map[string][]Upstream{}
 	for _, u := range p.file.Upstreams {
 		members[u.Group] = append(members[u.Group], u)
@@ -94,11 +94,11 @@
 				s.Fail("", "the group is empty; want at least one [upstream.NAME] with group = %s", s.Label)
 			}
 		case kindModel:
-			of := members[p.file.Models[s.Label].Group]
-			served := slices.ContainsFunc(of, func(u Upstream) bool {
+			upstreams := members[p.file.Models[s.Label].Group]
+			served := slices.ContainsFunc(upstreams, func(u Upstream) bool {
 				return len(u.Models) == 0 || slices.Contains(u.Models, s.Label)
 			})
-			if len(of) > 0 && !served {
+			if len(upstreams) > 0 && !served {
 				s.Fail("group", "no upstream of the group serves the model; want it in the models of one, or one without models")
 			}
 		}
@@ -107,7 +107,7 @@
 
 // addresses notes an address that two upstreams share: both would be taken for
 // machines with room of their own, and the one machine gets twice its work.
-func (p *parser) addresses() {
+func (p *parser) checkAddresses() {
 	first := map[string]string{}
 	for _, s := range p.text.Sections() {
 		address := p.file.Upstreams[s.Label].Address
@@ -124,7 +124,7 @@
 
 // hashes notes a hash that two accounts share. A key starts with its account's
 // name, so the hash of one can't be the other's: it was copied by mistake.
-func (p *parser) hashes() {
+func (p *parser) checkHashes() {
 	first := map[string]string{}
 	for _, s := range p.text.Sections() {
 		hash := p.file.Accounts[s.Label].KeyHash
--- a/internal/conf/head/head.go
+++ b/internal/conf/head/head.go
@@ -21,7 +21,7 @@
 	// ChunkPrefix starts the keys of chunks; their digests follow.
 	ChunkPrefix = "config/chunk/"
 	// Keep is how many versions before the newest keep their chunks.
-	Keep = 8
+	MaxKept = 8
 )
 
 type (
@@ -74,18 +74,18 @@
 		return h
 	}
 	older := append([]Kept{prev.kept()}, prev.Kept...)
-	if len(older) > Keep {
-		older = older[:Keep]
+	if len(older) > MaxKept {
+		older = older[:MaxKept]
 	}
 	for _, k := range older {
-		k.Chunks = without(k.Chunks, h.Chunks)
+		k.Chunks = difference(k.Chunks, h.Chunks)
 		h.Kept = append(h.Kept, k)
 	}
 	return h
 }
 
 // Refers reports whether this version or one that it keeps needs the chunk.
-func (h Head) Refers(digest string) bool {
+func (h Head) RefersTo(digest string) bool {
 	if slices.Contains(h.Chunks, digest) {
 		return true
 	}
@@ -94,7 +94,7 @@
 
 // Took reports whether the write with the nonce became the version, as far as
 // h remembers: known is false where the version is too old to tell.
-func (h Head) Took(version uint64, nonce string) (took, known bool) {
+func (h Head) HasWrite(version uint64, nonce string) (written, known bool) {
 	if h.Version == version {
 		return h.Nonce == nonce, true
 	}
@@ -121,7 +121,7 @@
 
 // without returns the digests that are not among others. It copies: a Head is
 // immutable, and its slices are shared with the one before.
-func without(digests, others []string) (rest []string) {
+func difference(digests, others []string) (rest []string) {
 	for _, d := range digests {
 		if !slices.Contains(others, d) {
 			rest = append(rest, d)
--- a/internal/conf/route/route.go
+++ b/internal/conf/route/route.go
@@ -42,22 +42,22 @@
 
 	// Route tells where requests of one host and path prefix go.
 	Route struct {
-		Name     string
-		Host     string
-		Prefix   string // begins and ends with a slash
-		Kind     Kind
-		Backends []Backend     // at least one
-		Timeout  time.Duration // longest time that a request is kept waiting; 0 is none
-		Target   time.Duration // response time for the full benefit
-		EventGap time.Duration // longest pause between events of a punctual stream
-		Attempts int           // upstreams that may run one attempt, at least 1
-		Priority int           // 0 is the most urgent
-		Affinity bool          // requests about one object run faster together
-		Resume   bool          // a stream may go on at another upstream
-		Turns    bool          // requests are turns of a program with a token budget
-		Keep     bool          // the system keeps what turns said
-		KeepFor  time.Duration // how long, and how long budgets are remembered
-		Open     bool          // callers need no key
+		Name       string
+		Host       string
+		Prefix     string // begins and ends with a slash
+		Kind       Kind
+		Backends   []Backend     // at least one
+		Timeout    time.Duration // longest time that a request is kept waiting; 0 is none
+		Target     time.Duration // response time for the full benefit
+		EventGap   time.Duration // longest pause between events of a punctual stream
+		Attempts   int           // upstreams that may run one attempt, at least 1
+		Priority   int           // 0 is the most urgent
+		Affinity   bool          // requests about one object run faster together
+		Resume     bool          // a stream may go on at another upstream
+		Turns      bool          // requests are turns of a program with a token budget
+		StoreTurns bool          // the system keeps what turns said
+		RetainFor  time.Duration // how long, and how long budgets are remembered
+		Open       bool          // callers need no key
 	}
 
 	// Backend is a service with its share of a route's requests.
--- a/internal/conf/watch/bench_test.go
+++ b/internal/conf/watch/bench_test.go
@@ -50,12 +50,12 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	var s keyval.Store
-	keepers := map[string]*Keeper{}
+	keepers := map[string]*Syncer{}
 	inForce := make(chan uint64, 8)
 	fetched := 0
 	for _, name := range []string{"a", "b"} {
-		k := &Keeper{Self: Member{Name: name, Peer: name}, Store: s.Client(name)}
-		k.Fetch = func(_ context.Context, peer string, q Question) (Answer, error) {
+		k := &Syncer{Self: Member{Name: name, Peer: name}, Store: s.Client(name)}
+		k.Fetch = func(_ context.Context, peer string, q Query) (Answer, error) {
 			a := keepers[peer].Answer(q)
 			for _, c := range a.Chunks {
 				fetched += len(c.Packed)
@@ -86,11 +86,11 @@
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(len(value))/1e3, "kB_head")
-	b.ReportMetric(float64(keepers["b"].held())/1e6, "MB_packed")
+	b.ReportMetric(float64(keepers["b"].cachedBytes())/1e6, "MB_packed")
 	b.ReportMetric(float64(len(keepers["a"].Head().Chunks)), "chunks")
 }
 
-func change(b *testing.B, k *Keeper, inForce <-chan uint64, text []byte) {
+func change(b *testing.B, k *Syncer, inForce <-chan uint64, text []byte) {
 	out, err := k.Apply(b.Context(), apply.Request{Name: "large.ini", Text: text, Base: apply.Newest})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/conf/watch/fleet_test.go
+++ b/internal/conf/watch/cluster_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	bound    = 4 * time.Second        // from acceptance to in force everywhere
-	gossiped = 500 * time.Millisecond // between two heartbeats of a daemon
+	maxDelay          = 4 * time.Second        // from acceptance to in force everywhere
+	heartbeatInterval = 500 * time.Millisecond // between two heartbeats of a daemon
 )
 
 type (
 	// fleet is a few daemons that reach each other and a store. Its gossip
 	// stands for heartbeats: each daemon hears of every other's version.
-	fleet struct {
+	cluster struct {
 		store keyval.Store
 
 		mu      sync.Mutex
@@ -37,15 +37,15 @@
 	// daemon is one of them. What its operating system would lose with it is
 	// the Keeper.
 	daemon struct {
-		*Keeper
-		view   *keyval.View
-		link   *link
-		stop   context.CancelFunc
-		cut    bool // reaches no peer
-		deaf   bool // hears no heartbeats
-		forced []uint64
-		faults int
-		bend   func(a Answer) Answer // of what it answers to peers
+		*Syncer
+		view         *keyval.View
+		link         *link
+		stop         context.CancelFunc
+		isolated     bool // reaches no peer
+		noHeartbeats bool // hears no heartbeats
+		activated    []uint64
+		loadErrors   int
+		alterReply   func(a Answer) Answer // of what it answers to peers
 	}
 
 	// link is a daemon's way to the store, on which some calls go wrong.
@@ -56,13 +56,13 @@
 		noChunks  bool         // chunks can't be read
 		noWatches bool         // watches hear nothing
 		stale     *store.Entry // every read of the head answers with it
-		loseHead  func()       // happens after the head was written, unheard
+		afterHead func()       // happens after the head was written, unheard
 	}
 )
 
 var (
-	errCut  = errors.New("peer out of reach")
-	devText = sync.OnceValues(func() ([]byte, error) { return os.ReadFile("../../../examples/dev.ini") })
+	errUnreachable = errors.New("peer out of reach")
+	devText        = sync.OnceValues(func() ([]byte, error) { return os.ReadFile("../../../examples/dev.ini") })
 )
 
 func (l *link) Get(ctx context.Context, key string) (store.Entry, error) {
@@ -80,7 +80,7 @@
 
 func (l *link) Put(ctx context.Context, key string, data []byte, rev store.Rev, lease store.Lease) (store.Rev, error) {
 	l.mu.Lock()
-	lose := l.loseHead
+	lose := l.afterHead
 	l.mu.Unlock()
 	got, err := l.Store.Put(ctx, key, data, rev, lease)
 	if key == head.Key && lose != nil {
@@ -102,20 +102,20 @@
 	return entry, err
 }
 
-func (l *link) bend(do func(l *link)) {
+func (l *link) update(do func(l *link)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do(l)
 }
 
 // start starts n daemons and their heartbeats.
-func start(ctx context.Context, n int) *fleet {
-	f := &fleet{daemons: map[string]*daemon{}}
+func start(ctx context.Context, n int) *cluster {
+	f := &cluster{daemons: map[string]*daemon{}}
 	for i := range n {
 		f.add(ctx, fmt.Sprint("d", i))
 	}
 	go func() {
-		tick := time.NewTicker(gossiped)
+		tick := time.NewTicker(heartbeatInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -130,68 +130,68 @@
 }
 
 // add starts a daemon, in the place of one with the same name.
-func (f *fleet) add(ctx context.Context, name string) *daemon {
+func (f *cluster) add(ctx context.Context, name string) *daemon {
 	d := &daemon{view: f.store.Client(name)}
 	d.link = &link{Store: d.view}
 	ctx, cancel := context.WithCancel(ctx)
 	d.stop = cancel
-	d.Keeper = &Keeper{
-		Self:     Member{Name: name, Peer: name},
-		Seeds:    []string{"d0", "d1", "d2"},
-		Store:    d.link,
-		Seed:     1, // the name goes into the jitter as well
-		Fetch:    func(_ context.Context, peer string, q Question) (Answer, error) { return f.fetch(d, peer, q) },
-		OnChange: func(c file.File) { f.locked(func() { d.forced = append(d.forced, c.Version) }) },
-		OnFault:  func(head.Head, error) { f.locked(func() { d.faults++ }) },
+	d.Syncer = &Syncer{
+		Self:        Member{Name: name, Peer: name},
+		Seeds:       []string{"d0", "d1", "d2"},
+		Store:       d.link,
+		Seed:        1, // the name goes into the jitter as well
+		Fetch:       func(_ context.Context, peer string, q Query) (Answer, error) { return f.fetch(d, peer, q) },
+		OnChange:    func(c file.File) { f.withLock(func() { d.activated = append(d.activated, c.Version) }) },
+		OnLoadError: func(head.Head, error) { f.withLock(func() { d.loadErrors++ }) },
 	}
-	f.locked(func() { f.daemons[name] = d })
+	f.withLock(func() { f.daemons[name] = d })
 	go func() { _ = d.Serve(ctx) }()
 	return d
 }
 
-func (f *fleet) locked(do func()) {
+func (f *cluster) withLock(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-func (f *fleet) fetch(from *daemon, peer string, q Question) (Answer, error) {
+func (f *cluster) fetch(from *daemon, peer string, q Query) (Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d, ok := f.daemons[peer]
-	if !ok || d.cut || from.cut {
-		return Answer{}, errCut
+	if !ok || d.isolated || from.isolated {
+		return Answer{}, errUnreachable
 	}
 	a := d.Answer(q)
-	if d.bend != nil {
-		a = d.bend(a)
+	if d.alterReply != nil {
+		a = d.alterReply(a)
 	}
 	return a, nil
 }
 
-func (f *fleet) gossip() {
+func (f *cluster) gossip() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var members []Member
 	for _, d := range f.daemons {
-		if !d.cut {
+		if !d.isolated {
 			members = append(members, d.Self)
 		}
 	}
 	for _, d := range f.daemons {
-		if d.cut || d.deaf {
+		if d.isolated || d.noHeartbeats {
 			continue
 		}
 		d.Members(members)
 		for _, other := range f.daemons {
-			if v := other.Head().Version; !other.cut && v > d.Head().Version {
+			if v := other.Head().Version; !other.isolated && v > d.Head().Version {
 				d.Newer(v, other.Self.Peer)
 			}
 		}
 	}
 }
 
-func (f *fleet) set(fault keyval.Fault) {
+func (f *cluster) set(fault keyval.Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.daemons {
@@ -200,7 +200,7 @@
 }
 
 // versions returns the version in force at each daemon, in no order.
-func (f *fleet) versions() (list []uint64) {
+func (f *cluster) versions() (list []uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.daemons {
@@ -210,21 +210,21 @@
 }
 
 // agree reports whether each daemon runs the version and none ever went back.
-func (f *fleet) agree(version uint64) error {
+func (f *cluster) checkVersions(version uint64) error {
 	for _, v := range f.versions() {
 		if v != version {
 			return fmt.Errorf("in force: %v, want %d", f.versions(), version)
 		}
 	}
-	return f.risen()
+	return f.checkRising()
 }
 
-func (f *fleet) risen() error {
+func (f *cluster) checkRising() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, d := range f.daemons {
-		if !slices.IsSorted(d.forced) || len(slices.Compact(slices.Clone(d.forced))) != len(d.forced) {
-			return fmt.Errorf("%s went back: %v", name, d.forced)
+		if !slices.IsSorted(d.activated) || len(slices.Compact(slices.Clone(d.activated))) != len(d.activated) {
+			return fmt.Errorf("%s went back: %v", name, d.activated)
 		}
 	}
 	return nil
@@ -245,7 +245,7 @@
 }
 
 // apply applies through a daemon, or straight to the store.
-func (f *fleet) apply(t testing.TB, name, through string) {
+func (f *cluster) apply(t testing.TB, name, through string) {
 	t.Helper()
 	var err error
 	if through == "" {
@@ -258,7 +258,7 @@
 	}
 }
 
-func pass(d time.Duration) {
+func sleep(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
--- a/internal/conf/watch/load.go
+++ b/internal/conf/watch/load.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxAnswer = 512 << 10 // bytes of chunks in one answer to a peer
-	maxHeld   = 8 << 20   // bytes of packed chunks above which those not needed go
+	maxAnswerBytes = 512 << 10 // bytes of chunks in one answer to a peer
+	maxCachedBytes = 8 << 20   // bytes of packed chunks above which those not needed go
 )
 
-var errMissing = errors.New("watch: some chunks are nowhere to be had")
+var errMissingChunks = errors.New("watch: some chunks are nowhere to be had")
 
 // load fetches what is missing of a head's text, and reads it.
-func (k *Keeper) load(ctx context.Context, e Load) Message {
+func (k *Syncer) load(ctx context.Context, e Load) Message {
 	if e.StoreFirst {
 		k.fromStore(ctx, e.Head)
 	}
@@ -31,20 +31,20 @@
 	}
 	text, err := k.join(e.Head)
 	if err != nil {
-		k.fault(e.Head, err)
+		k.reportError(e.Head, err)
 		return LoadFailed{Head: e.Head}
 	}
 	f, err := file.Parse("configuration", text)
 	if err != nil {
-		k.fault(e.Head, err)
-		return LoadFailed{Head: e.Head, Unfit: true}
+		k.reportError(e.Head, err)
+		return LoadFailed{Head: e.Head, Unreadable: true}
 	}
 	f.Version = e.Head.Version
-	k.keep(e.Head, f)
+	k.cacheFile(e.Head, f)
 	return Loaded{Head: e.Head}
 }
 
-func (k *Keeper) fromStore(ctx context.Context, h head.Head) {
+func (k *Syncer) fromStore(ctx context.Context, h head.Head) {
 	for _, d := range k.missing(h) {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		entry, err := k.Store.Get(call, head.ChunkPrefix+d)
@@ -52,26 +52,26 @@
 		if err != nil {
 			return // down, or collected because newer versions are in force
 		}
-		k.add(chunk.Chunk{Digest: d, Packed: entry.Data})
+		k.addVerified(chunk.Chunk{Digest: d, Packed: entry.Data})
 	}
 }
 
 // fromPeer asks a peer until it has nothing more that is missing.
-func (k *Keeper) fromPeer(ctx context.Context, peer string, h head.Head) {
+func (k *Syncer) fromPeer(ctx context.Context, peer string, h head.Head) {
 	for {
 		missing := k.missing(h)
 		if len(missing) == 0 {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		a, err := k.fetch(call, peer, Question{Chunks: missing})
+		a, err := k.fetch(call, peer, Query{Chunks: missing})
 		cancel()
 		if err != nil {
 			return
 		}
 		for _, c := range a.Chunks {
 			if slices.Contains(missing, c.Digest) {
-				k.add(c)
+				k.addVerified(c)
 			}
 		}
 		if len(k.missing(h)) == len(missing) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (k *Keeper) missing(h head.Head) (digests []string) {
+func (k *Syncer) missing(h head.Head) (digests []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	seen := map[string]bool{}
@@ -95,17 +95,17 @@
 
 // add keeps a chunk that is what its digest says. Others are dropped: a broken
 // one would be passed on to peers.
-func (k *Keeper) add(c chunk.Chunk) {
+func (k *Syncer) addVerified(c chunk.Chunk) {
 	if _, err := c.Unpack(); err != nil {
 		return
 	}
-	k.stage([]chunk.Chunk{c})
+	k.cacheChunks([]chunk.Chunk{c})
 }
 
-func (k *Keeper) join(h head.Head) (text []byte, err error) {
+func (k *Syncer) join(h head.Head) (text []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "configuration version %d", h.Version) }()
 	if h.Version == 0 || len(k.missing(h)) > 0 {
-		return nil, errMissing
+		return nil, errMissingChunks
 	}
 	pieces := make([][]byte, len(h.Chunks))
 	for i, d := range h.Chunks {
@@ -122,14 +122,14 @@
 
 // keep holds a loaded file until its head comes in force, and drops the chunks
 // that neither this head nor the one in force needs once they are many.
-func (k *Keeper) keep(h head.Head, f file.File) {
+func (k *Syncer) cacheFile(h head.Head, f file.File) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.files == nil {
 		k.files = map[uint64]file.File{}
 	}
 	k.files[h.Version] = f
-	if k.held() <= maxHeld {
+	if k.cachedBytes() <= maxCachedBytes {
 		return
 	}
 	needed := map[string]bool{}
@@ -143,7 +143,7 @@
 	}
 }
 
-func (k *Keeper) held() (bytes int) {
+func (k *Syncer) cachedBytes() (bytes int) {
 	for _, packed := range k.chunks {
 		bytes += len(packed)
 	}
@@ -151,7 +151,7 @@
 }
 
 // stage holds chunks that were checked, or are about to be applied.
-func (k *Keeper) stage(chunks []chunk.Chunk) {
+func (k *Syncer) cacheChunks(chunks []chunk.Chunk) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.chunks == nil {
@@ -162,8 +162,8 @@
 	}
 }
 
-func (k *Keeper) fault(h head.Head, err error) {
-	if k.OnFault != nil {
-		k.OnFault(h, err)
+func (k *Syncer) reportError(h head.Head, err error) {
+	if k.OnLoadError != nil {
+		k.OnLoadError(h, err)
 	}
 }
--- a/internal/conf/watch/ask.go
+++ b/internal/conf/watch/query.go
@@ -6,37 +6,37 @@
 )
 
 // askPeers asks those that know more, and at the start a few in any case.
-func (w *Watch) askPeers(now time.Time) (effects []Effect) {
-	if now.Before(w.nextAsk) {
+func (w *Watch) queryPeers(now time.Time) (effects []Effect) {
+	if now.Before(w.nextQuery) {
 		return nil
 	}
-	for _, peer := range w.sources(now) {
-		if len(w.asking) >= maxAsk {
+	for _, peer := range w.peersToQuery(now) {
+		if len(w.pendingQueries) >= maxPeerQueries {
 			break
 		}
-		if !w.asking[peer] {
-			w.asking[peer] = true
-			w.asked[peer] = true
-			effects = append(effects, Ask{Peer: peer})
+		if !w.pendingQueries[peer] {
+			w.pendingQueries[peer] = true
+			w.queriedPeers[peer] = true
+			effects = append(effects, QueryPeer{Peer: peer})
 		}
 	}
 	return effects
 }
 
 // sources returns the peers to ask now.
-func (w *Watch) sources(now time.Time) (list []string) {
-	for peer, v := range w.told {
+func (w *Watch) peersToQuery(now time.Time) (list []string) {
+	for peer, v := range w.versionSeen {
 		if v > w.newest() {
 			list = append(list, peer)
 		}
 	}
 	slices.Sort(list) // a map's order would make replays differ
 	switch {
-	case w.force.Version == 0:
+	case w.active.Version == 0:
 		list = append(list, w.firstRound(now)...)
-	case len(list) == 0 && len(w.asking) == 0 && w.wanted > w.newest():
+	case len(list) == 0 && len(w.pendingQueries) == 0 && w.highestSeen > w.newest():
 		// Those that told of it did not have it or are gone.
-		w.nextAsk = now.Add(w.spread(askRetry))
+		w.nextQuery = now.Add(w.addJitter(peerRetryDelay))
 		list = firstOf(w.peers(), 1)
 	}
 	return list
@@ -46,25 +46,25 @@
 // have answered, or the most that one round asks were asked and none is under
 // way. Without any head by then there is another.
 func (w *Watch) firstRound(now time.Time) (list []string) {
-	if w.round && w.newest() > 0 {
+	if w.roundEnded && w.newest() > 0 {
 		return nil
 	}
-	if w.round {
+	if w.roundEnded {
 		if now.Before(w.nextRound) {
 			return nil
 		}
-		w.round, w.answers = false, 0
-		clear(w.asked)
+		w.roundEnded, w.answerCount = false, 0
+		clear(w.queriedPeers)
 	}
 	for _, peer := range w.peers() {
-		if !w.asked[peer] && len(w.asked)+len(list) < maxRound {
+		if !w.queriedPeers[peer] && len(w.queriedPeers)+len(list) < maxPeersPerRound {
 			list = append(list, peer)
 		}
 	}
-	if w.answers >= maxAsk || len(list) == 0 && len(w.asking) == 0 {
-		w.round = true
-		w.nextRound = now.Add(min(w.backOff(w.rounds), maxRoundWait))
-		w.rounds++
+	if w.answerCount >= maxPeerQueries || len(list) == 0 && len(w.pendingQueries) == 0 {
+		w.roundEnded = true
+		w.nextRound = now.Add(min(w.retryDelay(w.roundsEnded), maxRoundWait))
+		w.roundsEnded++
 		return nil
 	}
 	return list
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -16,7 +16,7 @@
 
 // inBubble hides from rapid that it runs in a test with a deadline of the real
 // clock, which has no meaning here.
-type inBubble struct{ *testing.T }
+type noDeadline struct{ *testing.T }
 
 // Several operators apply at once, through daemons and straight to the store,
 // while the store fails in every way it can and daemons are cut off and
@@ -24,16 +24,16 @@
 // every daemon runs the newest version, which is one that an operator applied.
 func TestRandom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(inBubble{t}, func(r *rapid.T) {
+		rapid.Check(noDeadline{t}, func(r *rapid.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			play(ctx, t, r)
+			runSteps(ctx, t, r)
 			cancel()
 			synctest.Wait()
 		})
 	})
 }
 
-func play(ctx context.Context, t *testing.T, r *rapid.T) {
+func runSteps(ctx context.Context, t *testing.T, r *rapid.T) {
 	f := start(ctx, 5)
 	names := []string{"d0", "d1", "d2", "d3", "d4"}
 	accepted := uint64(0)
@@ -42,7 +42,7 @@
 		d := f.daemons[name]
 		switch rapid.IntRange(0, 6).Draw(r, "step") {
 		case 0, 1:
-			v := f.try(ctx, t, r, name, fmt.Sprint("n", i))
+			v := f.tryApply(ctx, t, r, name, fmt.Sprint("n", i))
 			accepted = max(accepted, v)
 		case 2:
 			d.view.Set(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Silent)).Draw(r, "fault")))
@@ -50,27 +50,27 @@
 			n := rapid.IntRange(1, 6).Draw(r, "call")
 			d.view.Script(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Down, n + 3: keyval.LoseWrite})
 		case 4:
-			f.locked(func() { d.cut = !d.cut })
+			f.withLock(func() { d.isolated = !d.isolated })
 		case 5:
 			d.stop()
 			f.add(ctx, name)
 		case 6:
-			pass(time.Duration(rapid.IntRange(0, 40).Draw(r, "wait")) * time.Second)
+			sleep(time.Duration(rapid.IntRange(0, 40).Draw(r, "wait")) * time.Second)
 		}
-		if err := f.risen(); err != nil {
+		if err := f.checkRising(); err != nil {
 			r.Fatal(err)
 		}
 	}
 	f.set(keyval.None)
-	f.locked(func() {
+	f.withLock(func() {
 		for _, d := range f.daemons {
 			d.view.Script(keyval.Any, nil)
-			d.cut = false
+			d.isolated = false
 		}
 	})
-	pass(maxRetry + 2*bound)
+	sleep(maxRetry + 2*maxDelay)
 	newest := f.daemons["d0"].Current().Version
-	if err := f.agree(newest); err != nil {
+	if err := f.checkVersions(newest); err != nil {
 		r.Fatal(err)
 	}
 	if newest < accepted {
@@ -80,8 +80,8 @@
 
 // try applies from the version that the operator sees at a daemon. It returns
 // the version that he was told is accepted, 0 if he was told otherwise.
-func (f *fleet) try(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
-	patience, cancel := context.WithTimeout(ctx, 5*time.Second)
+func (f *cluster) tryApply(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
+	applyCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	d := f.daemons[through]
 	req := request(t, name)
@@ -89,9 +89,9 @@
 	var out apply.Outcome
 	var err error
 	if rapid.Bool().Draw(r, "through a daemon") {
-		out, err = d.Apply(patience, req)
+		out, err = d.Apply(applyCtx, req)
 	} else {
-		out, err = apply.Run(patience, d.view, req)
+		out, err = apply.Run(applyCtx, d.view, req)
 	}
 	if err != nil {
 		return 0
@@ -113,37 +113,37 @@
 			messages = messages[1:]
 			before := w.Version()
 			switch m := m.(type) {
-			case StoreHead, StoreQuiet, StoreFailed:
+			case StoreHead, WatchExpired, StoreFailed:
 				calls--
 			case Loaded, LoadFailed:
 				loads--
-			case Answered:
+			case PeerHead:
 				asks[m.Peer]--
-			case AskFailed:
+			case PeerFailed:
 				asks[m.Peer]--
 			}
 			for _, e := range w.Step(now, m) {
 				switch e := e.(type) {
-				case Read, Wait:
+				case ReadHead, WatchHead:
 					calls++
-					messages = append(messages, rapid.SampledFrom([]Message{StoreFailed{}, StoreQuiet{}, StoreHead{}, anyHead(r)}).Draw(r, "store"))
+					messages = append(messages, rapid.SampledFrom([]Message{StoreFailed{}, WatchExpired{}, StoreHead{}, anyHead(r)}).Draw(r, "store"))
 				case Load:
 					loads++
-					messages = append(messages, rapid.SampledFrom([]Message{Loaded{e.Head}, LoadFailed{Head: e.Head}, LoadFailed{Head: e.Head, Unfit: true}}).Draw(r, "load"))
-				case Ask:
+					messages = append(messages, rapid.SampledFrom([]Message{Loaded{e.Head}, LoadFailed{Head: e.Head}, LoadFailed{Head: e.Head, Unreadable: true}}).Draw(r, "load"))
+				case QueryPeer:
 					asks[e.Peer]++
-					messages = append(messages, rapid.SampledFrom([]Message{AskFailed(e), Answered{e.Peer, anyHead(r).Head}}).Draw(r, "peer"))
-				case Force:
+					messages = append(messages, rapid.SampledFrom([]Message{PeerFailed(e), PeerHead{e.Peer, anyHead(r).Head}}).Draw(r, "peer"))
+				case Activate:
 					if e.Head.Version <= before || e.Head.Version != w.Version() {
 						r.Fatalf("version %d was put in force after %d", e.Head.Version, before)
 					}
 				}
 			}
-			under := 0
+			pending := 0
 			for _, n := range asks {
-				under += n
+				pending += n
 			}
-			if w.Version() < before || calls > 1 || loads > 1 || under > maxAsk || asks["p3"] > 0 {
+			if w.Version() < before || calls > 1 || loads > 1 || pending > maxPeerQueries || asks["p3"] > 0 {
 				r.Fatalf("version %d after %d, %d calls, %d loads, asks %v", w.Version(), before, calls, loads, asks)
 			}
 			messages = append(messages, rapid.SampledFrom([]Message{Tick{}, Tick{}, Members{members(6)}, Newer{uint64(rapid.IntRange(0, 9).Draw(r, "told")), "p1"}, Adopt{anyHead(r).Head}}).Draw(r, "other"))
--- a/internal/conf/watch/duty.go
+++ b/internal/conf/watch/role.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	polling duty = iota
+	polling role = iota
 	watching
 	resting
 )
 
 // duty is how a daemon follows the store, the one with the most calls first. A
 // daemon that knows of no others polls.
-type duty int
+type role int
 
 // dutyOf returns how a daemon follows the store. It goes by how many of the
 // living daemons have a name that hashes lower, so that daemons which see each
 // other agree without a word, and when one goes another steps in.
-func dutyOf(self Member, alive []Member) duty {
+func roleOf(self Member, alive []Member) role {
 	mine, lower := xxhash.Sum64String(self.Name), 0
 	for _, m := range alive {
 		if m.Name != self.Name && xxhash.Sum64String(m.Name) < mine {
@@ -36,13 +36,13 @@
 }
 
 // gap is the time between two calls to the store.
-func (w *Watch) gap() time.Duration {
-	switch w.duty {
+func (w *Watch) storeInterval() time.Duration {
+	switch w.role {
 	case polling:
-		return w.spread(PollEvery)
+		return w.addJitter(PollEvery)
 	case watching:
-		return minGap
+		return minStoreInterval
 	case resting:
 	}
-	return w.spread(ReadEvery)
+	return w.addJitter(ReadEvery)
 }
--- a/internal/conf/watch/step.go
+++ b/internal/conf/watch/step.go
@@ -19,35 +19,35 @@
 		self    Member
 		seeds   []string
 		members []Member
-		duty    duty
+		role    role
 		jitter  *rand.Rand
 
-		force  head.Head // in force
-		next   head.Head // newest head known, its text not loaded yet
-		unfit  uint64    // version of a text that this daemon can't read
-		wanted uint64    // highest version that anybody told of
-		holder string    // the peer that next came from, empty if the store
+		active      head.Head // in force
+		next        head.Head // newest head known, its text not loaded yet
+		unreadable  uint64    // version of a text that this daemon can't read
+		highestSeen uint64    // highest version that anybody told of
+		source      string    // the peer that next came from, empty if the store
 
-		storeBusy  bool
-		storeTried bool // one call has ended
-		waiting    bool // the call under way or the last one is a watch
-		quiet      bool // the last watch ended without a change
-		rev        store.Rev
-		storeFails int
-		useless    int // watches in a row that ended at once with nothing new
-		nextStore  time.Time
+		storeCallPending bool
+		storeCallEnded   bool // one call has ended
+		watchCall        bool // the call under way or the last one is a watch
+		watchExpired     bool // the last watch ended without a change
+		rev              store.Rev
+		storeFails       int
+		staleWatches     int // watches in a row that ended at once with nothing new
+		nextStore        time.Time
 
-		asking    map[string]bool
-		asked     map[string]bool // in this round
-		answers   int             // in this round
-		round     bool            // a round of questions has ended
-		rounds    int             // of questions that have ended
-		nextRound time.Time
-		told      map[string]uint64 // what peers said that they know
-		nextAsk   time.Time
-		loading   bool
-		loadFail  int
-		nextLoad  time.Time
+		pendingQueries map[string]bool
+		queriedPeers   map[string]bool // in this round
+		answerCount    int             // in this round
+		roundEnded     bool            // a round of questions has ended
+		roundsEnded    int             // of questions that have ended
+		nextRound      time.Time
+		versionSeen    map[string]uint64 // what peers said that they know
+		nextQuery      time.Time
+		loading        bool
+		loadFails      int
+		nextLoad       time.Time
 	}
 )
 
@@ -59,18 +59,18 @@
 	case Members:
 		w.setMembers(now, m)
 	case Newer:
-		w.newer(m)
+		w.noteVersion(m)
 	case StoreHead:
 		w.storeHead(now, m)
-	case StoreQuiet:
+	case WatchExpired:
 		w.storeDone(now)
-		w.quiet, w.useless = true, 0
+		w.watchExpired, w.staleWatches = true, 0
 	case StoreFailed:
 		w.storeFailed(now)
-	case Answered:
-		w.answered(now, m)
-	case AskFailed:
-		w.askFailed(now, m)
+	case PeerHead:
+		w.peerHead(now, m)
+	case PeerFailed:
+		w.peerFailed(now, m)
 	case Adopt:
 		return w.loaded(now, Loaded(m))
 	case Loaded:
@@ -84,124 +84,124 @@
 }
 
 // Version returns the version in force, 0 if none is.
-func (w *Watch) Version() uint64 { return w.force.Version }
+func (w *Watch) Version() uint64 { return w.active.Version }
 
 func (w *Watch) start(m Start) {
 	w.self, w.seeds = m.Self, slices.Clone(m.Seeds)
 	w.jitter = rand.New(rand.NewPCG(m.Seed, xxhash.Sum64String(m.Self.Name)))
-	w.asking, w.asked, w.told = map[string]bool{}, map[string]bool{}, map[string]uint64{}
+	w.pendingQueries, w.queriedPeers, w.versionSeen = map[string]bool{}, map[string]bool{}, map[string]uint64{}
 }
 
 // setMembers calls the store soon where a daemon that watched it went and this
 // one steps in.
 func (w *Watch) setMembers(now time.Time, m Members) {
-	before := w.duty
+	before := w.role
 	w.members = slices.Clone(m.List)
-	w.duty = dutyOf(w.self, w.members)
-	if w.jitter != nil && w.duty < before {
+	w.role = roleOf(w.self, w.members)
+	if w.jitter != nil && w.role < before {
 		w.readSoon(now)
 	}
 }
 
 func (w *Watch) readSoon(now time.Time) {
-	soon := now.Add(w.spread(soonRead))
+	soon := now.Add(w.addJitter(readSoonDelay))
 	if soon.Before(w.nextStore) && w.storeFails == 0 {
 		w.nextStore = soon
 	}
 }
 
-func (w *Watch) newer(m Newer) {
-	w.wanted = max(w.wanted, m.Version)
+func (w *Watch) noteVersion(m Newer) {
+	w.highestSeen = max(w.highestSeen, m.Version)
 	if m.From != "" && m.From != w.self.Peer && m.Version > w.newest() {
-		w.told[m.From] = max(w.told[m.From], m.Version)
+		w.versionSeen[m.From] = max(w.versionSeen[m.From], m.Version)
 	}
 }
 
 // newest is the highest version whose head is known.
-func (w *Watch) newest() uint64 { return max(w.force.Version, w.next.Version, w.unfit) }
+func (w *Watch) newest() uint64 { return max(w.active.Version, w.next.Version, w.unreadable) }
 
 // consider takes a head that is newer than any known. An older one is a stale
 // read, or a peer that is behind; taking it would turn a change back.
-func (w *Watch) consider(now time.Time, h head.Head, holder string) {
+func (w *Watch) consider(now time.Time, h head.Head, source string) {
 	if h.Version <= w.newest() {
 		return
 	}
-	w.next, w.holder = h, holder
-	w.loadFail, w.nextLoad = 0, now
-	for peer, v := range w.told {
+	w.next, w.source = h, source
+	w.loadFails, w.nextLoad = 0, now
+	for peer, v := range w.versionSeen {
 		if v <= h.Version {
-			delete(w.told, peer)
+			delete(w.versionSeen, peer)
 		}
 	}
 }
 
 func (w *Watch) storeDone(now time.Time) {
-	w.storeBusy, w.storeTried, w.quiet = false, true, false
+	w.storeCallPending, w.storeCallEnded, w.watchExpired = false, true, false
 	w.storeFails = 0
-	w.nextStore = now.Add(w.gap())
+	w.nextStore = now.Add(w.storeInterval())
 }
 
 func (w *Watch) storeHead(now time.Time, m StoreHead) {
-	if w.waiting && m.Rev <= w.rev {
+	if w.watchCall && m.Rev <= w.rev {
 		// A watch that answers with nothing new, because the head is gone or
 		// the answer stale, would be asked again at once, and again.
-		w.storeBusy = false
-		w.nextStore = now.Add(w.backOff(w.useless))
-		w.useless++
+		w.storeCallPending = false
+		w.nextStore = now.Add(w.retryDelay(w.staleWatches))
+		w.staleWatches++
 		return
 	}
-	w.useless = 0
+	w.staleWatches = 0
 	w.storeDone(now)
 	w.rev = max(w.rev, m.Rev)
 	w.consider(now, m.Head, "")
 }
 
 func (w *Watch) storeFailed(now time.Time) {
-	w.storeBusy, w.storeTried = false, true
-	w.nextStore = now.Add(w.backOff(w.storeFails))
+	w.storeCallPending, w.storeCallEnded = false, true
+	w.nextStore = now.Add(w.retryDelay(w.storeFails))
 	w.storeFails++
 }
 
-func (w *Watch) answered(now time.Time, m Answered) {
-	delete(w.asking, m.Peer)
-	w.answers++
-	delete(w.told, m.Peer)
+func (w *Watch) peerHead(now time.Time, m PeerHead) {
+	delete(w.pendingQueries, m.Peer)
+	w.answerCount++
+	delete(w.versionSeen, m.Peer)
 	w.consider(now, m.Head, m.Peer)
 }
 
-func (w *Watch) askFailed(now time.Time, m AskFailed) {
-	delete(w.asking, m.Peer)
-	delete(w.told, m.Peer)
-	w.nextAsk = now.Add(w.spread(askRetry))
-	if w.wanted > w.newest() {
+func (w *Watch) peerFailed(now time.Time, m PeerFailed) {
+	delete(w.pendingQueries, m.Peer)
+	delete(w.versionSeen, m.Peer)
+	w.nextQuery = now.Add(w.addJitter(peerRetryDelay))
+	if w.highestSeen > w.newest() {
 		w.readSoon(now) // the peer may be gone with what it knew
 	}
 }
 
 func (w *Watch) loaded(now time.Time, m Loaded) []Effect {
-	if m.Head.Version <= w.force.Version {
+	if m.Head.Version <= w.active.Version {
 		return w.advance(now)
 	}
-	w.force, w.loadFail = m.Head, 0
+	w.active, w.loadFails = m.Head, 0
 	if w.next.Version <= m.Head.Version {
 		w.next = head.Head{}
 	}
-	return append([]Effect{Force(m)}, w.advance(now)...)
+	return append([]Effect{Activate(m)}, w.advance(now)...)
 }
 
 func (w *Watch) loadFailed(now time.Time, m LoadFailed) {
 	w.loading = false
-	if m.Unfit {
-		w.unfit = max(w.unfit, m.Head.Version)
+	if m.Unreadable {
+		w.unreadable = max(w.unreadable, m.Head.Version)
 	}
-	if w.next.Version <= w.unfit {
+	if w.next.Version <= w.unreadable {
 		w.next = head.Head{}
 	}
-	if m.Unfit || m.Head.Version != w.next.Version {
+	if m.Unreadable || m.Head.Version != w.next.Version {
 		return
 	}
-	w.nextLoad = now.Add(w.backOff(w.loadFail))
-	w.loadFail++
+	w.nextLoad = now.Add(w.retryDelay(w.loadFails))
+	w.loadFails++
 }
 
 // advance starts what is due.
@@ -209,41 +209,41 @@
 	if w.jitter == nil {
 		return nil
 	}
-	effects = append(effects, w.askStore(now)...)
-	effects = append(effects, w.askPeers(now)...)
+	effects = append(effects, w.callStore(now)...)
+	effects = append(effects, w.queryPeers(now)...)
 	return append(effects, w.load(now)...)
 }
 
-func (w *Watch) askStore(now time.Time) []Effect {
-	if w.storeBusy || now.Before(w.nextStore) {
+func (w *Watch) callStore(now time.Time) []Effect {
+	if w.storeCallPending || now.Before(w.nextStore) {
 		return nil
 	}
-	w.storeBusy = true
-	w.waiting = w.duty == watching && w.storeTried && !w.quiet && w.storeFails == 0
-	if !w.waiting {
-		return []Effect{Read{}}
+	w.storeCallPending = true
+	w.watchCall = w.role == watching && w.storeCallEnded && !w.watchExpired && w.storeFails == 0
+	if !w.watchCall {
+		return []Effect{ReadHead{}}
 	}
-	return []Effect{Wait{Rev: w.rev, For: w.spread(WatchWait)}}
+	return []Effect{WatchHead{Rev: w.rev, For: w.addJitter(WatchWait)}}
 }
 
 func (w *Watch) load(now time.Time) []Effect {
-	if w.loading || w.next.Version <= w.force.Version || now.Before(w.nextLoad) || !w.mayForce() {
+	if w.loading || w.next.Version <= w.active.Version || now.Before(w.nextLoad) || !w.mayActivate() {
 		return nil
 	}
 	w.loading = true
-	return []Effect{Load{Head: w.next, Peers: w.holders(), StoreFirst: w.holder == ""}}
+	return []Effect{Load{Head: w.next, Peers: w.loadPeers(), StoreFirst: w.source == ""}}
 }
 
 // mayForce holds a first version back until the store was tried and peers were
 // asked, so that a stale answer from one side is overruled by the other.
-func (w *Watch) mayForce() bool {
-	return w.force.Version > 0 || w.storeTried && w.round
+func (w *Watch) mayActivate() bool {
+	return w.active.Version > 0 || w.storeCallEnded && w.roundEnded
 }
 
 // holders returns the peers to fetch the next text from: the one that has it
 // in force, the one that applied it, then a few others.
-func (w *Watch) holders() (list []string) {
-	for _, peer := range append([]string{w.holder, w.next.Source}, firstOf(w.peers(), maxAsk)...) {
+func (w *Watch) loadPeers() (list []string) {
+	for _, peer := range append([]string{w.source, w.next.Source}, firstOf(w.peers(), maxPeerQueries)...) {
 		if peer != "" && peer != w.self.Peer && !slices.Contains(list, peer) {
 			list = append(list, peer)
 		}
@@ -253,13 +253,13 @@
 
 // backOff is the wait after so many failures, half of it left to chance, so
 // that daemons which failed together do not come back together.
-func (w *Watch) backOff(fails int) time.Duration {
+func (w *Watch) retryDelay(fails int) time.Duration {
 	d := firstRetry << min(fails, 8)
 	d = min(d, maxRetry)
 	return d/2 + time.Duration(w.jitter.Int64N(int64(d/2)))
 }
 
 // spread moves a duration by up to a fifth either way.
-func (w *Watch) spread(d time.Duration) time.Duration {
+func (w *Watch) addJitter(d time.Duration) time.Duration {
 	return d - d/5 + time.Duration(w.jitter.Int64N(int64(cmp.Or(2*d/5, 1))))
 }
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -45,8 +45,8 @@
 
 func TestStep(t *testing.T) {
 	begin := Start{Self: Member{Name: "me", Peer: "me:1"}, Seeds: []string{"me:1", "a:1", "b:1", "c:1", "d:1"}, Seed: 1}
-	round := []Message{begin, Answered{Peer: "a:1"}, Answered{Peer: "b:1"}, Answered{Peer: "c:1"}}
-	runs3 := []Message{begin, Answered{Peer: "a:1"}, Answered{Peer: "b:1"}, Answered{Peer: "c:1"}, StoreHead{version(3), 30}, Loaded{version(3)}}
+	round := []Message{begin, PeerHead{Peer: "a:1"}, PeerHead{Peer: "b:1"}, PeerHead{Peer: "c:1"}}
+	active3 := []Message{begin, PeerHead{Peer: "a:1"}, PeerHead{Peer: "b:1"}, PeerHead{Peer: "c:1"}, StoreHead{version(3), 30}, Loaded{version(3)}}
 	tests := map[string]struct {
 		before []Message
 		last   Message
@@ -55,29 +55,29 @@
 	}{
 		// A first answer may be stale. What is put in force at once would be
 		// behind what the daemon ran before it was restarted.
-		"one peer is not enough":           {[]Message{begin, StoreFailed{}}, Answered{"a:1", version(2)}, nil, 0},
+		"one peer is not enough":           {[]Message{begin, StoreFailed{}}, PeerHead{"a:1", version(2)}, nil, 0},
 		"store alone is not enough":        {[]Message{begin}, StoreHead{version(2), 20}, nil, 0},
-		"peers alone are not enough":       {round[:3], Answered{"c:1", version(2)}, nil, 0},
+		"peers alone are not enough":       {round[:3], PeerHead{"c:1", version(2)}, nil, 0},
 		"store after peers":                {round, StoreHead{version(2), 20}, []uint64{2}, 0},
-		"highest answer counts":            {[]Message{begin, StoreFailed{}, Answered{"a:1", version(2)}, Answered{"b:1", version(5)}}, Answered{"c:1", version(4)}, []uint64{5}, 0},
-		"stale store behind peers":         {[]Message{begin, Answered{"a:1", version(5)}, Answered{"b:1", version(5)}, Answered{"c:1", version(5)}}, StoreHead{version(4), 40}, []uint64{5}, 0},
+		"highest answer counts":            {[]Message{begin, StoreFailed{}, PeerHead{"a:1", version(2)}, PeerHead{"b:1", version(5)}}, PeerHead{"c:1", version(4)}, []uint64{5}, 0},
+		"stale store behind peers":         {[]Message{begin, PeerHead{"a:1", version(5)}, PeerHead{"b:1", version(5)}, PeerHead{"c:1", version(5)}}, StoreHead{version(4), 40}, []uint64{5}, 0},
 		"loaded comes in force":            {append(round, StoreHead{version(2), 20}), Loaded{version(2)}, nil, 2},
-		"newer from the store":             {runs3, StoreHead{version(4), 40}, []uint64{4}, 3},
-		"newer from a peer":                {runs3, Answered{"a:1", version(4)}, []uint64{4}, 3},
-		"versions skipped":                 {runs3, StoreHead{version(9), 90}, []uint64{9}, 3},
-		"older from the store":             {runs3, StoreHead{version(2), 20}, nil, 3},
-		"older from a peer":                {runs3, Answered{"a:1", version(2)}, nil, 3},
-		"same version again":               {runs3, StoreHead{version(3), 30}, nil, 3},
-		"store is empty":                   {runs3, StoreHead{}, nil, 3},
-		"late load of an older text":       {append(runs3, Adopt{version(5)}), Loaded{version(4)}, nil, 5},
-		"adopted":                          {runs3, Adopt{version(4)}, nil, 4},
-		"load failed waits":                {append(runs3, StoreHead{version(4), 40}), LoadFailed{Head: version(4)}, nil, 3},
-		"load failed is tried again":       {append(runs3, StoreHead{version(4), 40}, LoadFailed{Head: version(4)}), Tick{}, []uint64{4}, 3},
-		"unfit is not tried again":         {append(runs3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unfit: true}), Tick{}, nil, 3},
-		"unfit again from a peer":          {append(runs3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unfit: true}), Answered{"a:1", version(4)}, nil, 3},
-		"newer than unfit":                 {append(runs3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unfit: true}), Answered{"a:1", version(5)}, []uint64{5}, 3},
-		"newer while an older one loads":   {append(runs3, StoreHead{version(4), 40}), Answered{"a:1", version(5)}, nil, 3},
-		"newer after the older one loaded": {append(runs3, StoreHead{version(4), 40}, Answered{"a:1", version(5)}), Loaded{version(4)}, []uint64{5}, 4},
+		"newer from the store":             {active3, StoreHead{version(4), 40}, []uint64{4}, 3},
+		"newer from a peer":                {active3, PeerHead{"a:1", version(4)}, []uint64{4}, 3},
+		"versions skipped":                 {active3, StoreHead{version(9), 90}, []uint64{9}, 3},
+		"older from the store":             {active3, StoreHead{version(2), 20}, nil, 3},
+		"older from a peer":                {active3, PeerHead{"a:1", version(2)}, nil, 3},
+		"same version again":               {active3, StoreHead{version(3), 30}, nil, 3},
+		"store is empty":                   {active3, StoreHead{}, nil, 3},
+		"late load of an older text":       {append(active3, Adopt{version(5)}), Loaded{version(4)}, nil, 5},
+		"adopted":                          {active3, Adopt{version(4)}, nil, 4},
+		"load failed waits":                {append(active3, StoreHead{version(4), 40}), LoadFailed{Head: version(4)}, nil, 3},
+		"load failed is tried again":       {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4)}), Tick{}, []uint64{4}, 3},
+		"unfit is not tried again":         {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), Tick{}, nil, 3},
+		"unfit again from a peer":          {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(4)}, nil, 3},
+		"newer than unfit":                 {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(5)}, []uint64{5}, 3},
+		"newer while an older one loads":   {append(active3, StoreHead{version(4), 40}), PeerHead{"a:1", version(5)}, nil, 3},
+		"newer after the older one loaded": {append(active3, StoreHead{version(4), 40}, PeerHead{"a:1", version(5)}), Loaded{version(4)}, []uint64{5}, 4},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -101,10 +101,10 @@
 		var next []Effect
 		for _, e := range effects {
 			switch e := e.(type) {
-			case Read:
+			case ReadHead:
 				next = append(next, w.Step(now, StoreHead{version(2), 20})...)
-			case Ask:
-				next = append(next, w.Step(now, AskFailed(e))...)
+			case QueryPeer:
+				next = append(next, w.Step(now, PeerFailed(e))...)
 			case Load:
 				loaded = true
 			}
@@ -123,18 +123,18 @@
 	var w Watch
 	steps(&w, Start{Self: Member{Name: "me", Peer: "me:1"}}, Members{members(40)}, StoreHead{Rev: 1})
 	effects := w.Step(epoch.Add(time.Minute), Adopt{version(1)})
-	is.Equal(effects[0], Force{version(1)})
+	is.Equal(effects[0], Activate{version(1)})
 	effects = w.Step(epoch.Add(time.Minute), StoreHead{version(2), 20})
 	l, ok := effects[len(effects)-1].(Load)
 	is.True(ok && l.StoreFirst)
 	is.Equal(l.Peers[0], "source:1")
-	is.Equal(len(l.Peers), 1+maxAsk)
+	is.Equal(len(l.Peers), 1+maxPeerQueries)
 }
 
 // Each daemon's view of who is alive decides alone who follows the store. If
 // all did, their calls would eat the store's rates; if none did, a change
 // would wait for the next read of anybody.
-func TestDuties(t *testing.T) {
+func TestRoles(t *testing.T) {
 	tests := map[string]struct{ daemons, polling, watching, resting int }{
 		"one":        {1, 1, 0, 0},
 		"today":      {8, 2, 6, 0},
@@ -143,11 +143,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			count := map[duty]int{}
+			count := map[role]int{}
 			for _, m := range members(tt.daemons) {
 				var w Watch
 				steps(&w, Start{Self: m}, Members{members(tt.daemons)})
-				count[w.duty]++
+				count[w.role]++
 			}
 			is.Equal(count[polling], tt.polling)
 			is.Equal(count[watching], tt.watching)
@@ -158,33 +158,33 @@
 
 // The daemons that follow the store go with their rack. Others must step in
 // soon, and not at their next read minutes later.
-func TestDutyPassesOn(t *testing.T) {
+func TestRoleTakeover(t *testing.T) {
 	is := is.New(t)
 	all := members(320)
-	stepsIn := 0
+	takeovers := 0
 	for _, m := range all {
 		var w Watch
 		steps(&w, Start{Self: m}, StoreHead{Rev: 1}, Members{all})
-		if w.duty != resting {
+		if w.role != resting {
 			continue
 		}
 		now := epoch.Add(time.Hour)
 		w.Step(now, StoreHead{Rev: 2}) // the next read is minutes away
 		w.Step(now, Members{without(all, &w)})
-		if w.duty == resting {
+		if w.role == resting {
 			continue
 		}
-		stepsIn++
-		effects := w.Step(now.Add(2*soonRead), Tick{})
+		takeovers++
+		effects := w.Step(now.Add(2*readSoonDelay), Tick{})
 		is.True(len(effects) > 0)
 	}
-	is.True(stepsIn >= Pollers+Watchers)
+	is.True(takeovers >= Pollers+Watchers)
 }
 
 // without returns the members but for those that follow the store.
 func without(all []Member, w *Watch) (rest []Member) {
 	for _, m := range all {
-		if dutyOf(m, all) == resting || m.Name == w.self.Name {
+		if roleOf(m, all) == resting || m.Name == w.self.Name {
 			rest = append(rest, m)
 		}
 	}
@@ -193,7 +193,7 @@
 
 // A watch that answers at once with nothing new, from a replica that lags or
 // a store that lost the key, must not be asked in a circle.
-func TestHasteIsBounded(t *testing.T) {
+func TestStaleWatchCallRate(t *testing.T) {
 	tests := map[string]StoreHead{
 		"stale":    {version(1), 10},
 		"key gone": {},
@@ -210,7 +210,7 @@
 				now = now.Add(100 * time.Millisecond)
 				for effects := w.Step(now, Tick{}); len(effects) > 0 && calls <= 1000; effects = effects[1:] {
 					switch effects[0].(type) {
-					case Read, Wait:
+					case ReadHead, WatchHead:
 						calls++
 						effects = append(effects, w.Step(now, answer)...)
 					}
@@ -249,26 +249,26 @@
 // idleCalls lets one daemon run without a change and counts its calls.
 func idleCalls(self Member, all []Member, seed uint64) (calls int) {
 	var w Watch
-	var quiet time.Time // when the watch under way ends; zero if there is none
+	var watchEnd time.Time // when the watch under way ends; zero if there is none
 	w.Step(epoch, Start{Self: self, Seed: seed})
 	w.Step(epoch, Members{all})
 	w.Step(epoch, StoreHead{version(1), 10})
 	w.Step(epoch, Adopt{version(1)})
 	for now := epoch; now.Before(epoch.Add(idleTime)); now = now.Add(100 * time.Millisecond) {
 		var m Message = Tick{}
-		if !quiet.IsZero() && !now.Before(quiet) {
-			m, quiet = StoreQuiet{}, time.Time{}
+		if !watchEnd.IsZero() && !now.Before(watchEnd) {
+			m, watchEnd = WatchExpired{}, time.Time{}
 		}
 		for _, e := range w.Step(now, m) {
 			switch e := e.(type) {
-			case Read:
+			case ReadHead:
 				calls++
 				w.Step(now, StoreHead{version(1), 10})
-			case Wait:
+			case WatchHead:
 				calls++
-				quiet = now.Add(e.For)
-			case Ask:
-				w.Step(now, Answered{Peer: e.Peer, Head: version(1)})
+				watchEnd = now.Add(e.For)
+			case QueryPeer:
+				w.Step(now, PeerHead{Peer: e.Peer, Head: version(1)})
 			case Load:
 				w.Step(now, Loaded{e.Head})
 			}
--- a/internal/conf/watch/keeper.go
+++ b/internal/conf/watch/syncer.go
@@ -19,22 +19,22 @@
 const (
 	// Patience is how long an operator who applies waits for a store that
 	// does not answer.
-	Patience = 30 * time.Second
+	ApplyTimeout = 30 * time.Second
 	// PerChunk is added for each chunk of the text, because a daemon may make
 	// about one write a second where there are many daemons.
-	PerChunk = time.Second
+	ApplyTimeoutPerChunk = time.Second
 
 	tickEvery   = 100 * time.Millisecond
 	callTimeout = 2 * time.Second
 	readTimeout = time.Second // of the head; a poller must notice a silent connection in time
-	mailbox     = 256
+	inboxSize   = 256
 )
 
 var errNoFetch = errors.New("watch: no way to ask peers")
 
 type (
 	// Question asks a peer for its newest head, and for the chunks named.
-	Question struct {
+	Query struct {
 		Chunks []string `json:"chunks,omitempty"`
 	}
 
@@ -47,19 +47,19 @@
 
 	// Keeper runs a Watch. Set the fields before Serve. All methods are safe
 	// for concurrent use; before Serve runs, what they are told waits.
-	Keeper struct {
+	Syncer struct {
 		Self  Member
 		Seeds []string // peer addresses to ask first
 		Store store.Store
 		// Fetch puts a question to a peer; the peer answers with its Answer.
-		Fetch func(ctx context.Context, peer string, q Question) (Answer, error)
+		Fetch func(ctx context.Context, peer string, q Query) (Answer, error)
 		// OnChange is told each version that comes in force, in order, from
 		// one goroutine. The next one waits until it returns.
 		OnChange func(f file.File)
 		// Seed makes the jitter; 0 draws one.
 		Seed uint64
 		// OnFault is told why a head was not taken. It may be nil.
-		OnFault func(h head.Head, err error)
+		OnLoadError func(h head.Head, err error)
 
 		once  sync.Once
 		inbox chan Message
@@ -76,7 +76,7 @@
 
 // Serve keeps the newest configuration in force until ctx ends, and returns
 // the context's error.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *Syncer) Serve(ctx context.Context) error {
 	k.init()
 	defer k.tasks.Wait()
 	var w Watch
@@ -97,44 +97,44 @@
 }
 
 // Newer tells that the peer at the address knows a version.
-func (k *Keeper) Newer(version uint64, from string) {
-	k.tell(Newer{Version: version, From: from})
+func (k *Syncer) Newer(version uint64, from string) {
+	k.enqueue(Newer{Version: version, From: from})
 }
 
 // Members tells which daemons are alive.
-func (k *Keeper) Members(list []Member) {
-	k.tell(Members{List: list})
+func (k *Syncer) Members(list []Member) {
+	k.enqueue(Members{List: list})
 }
 
 // Current returns the configuration in force; its Version is 0 if none is.
-func (k *Keeper) Current() file.File {
+func (k *Syncer) Current() file.File {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.file
 }
 
 // Text returns the text in force as it was applied, and its version.
-func (k *Keeper) Text() (text []byte, version uint64, err error) {
+func (k *Syncer) Text() (text []byte, version uint64, err error) {
 	h := k.Head()
 	text, err = k.join(h)
 	return text, h.Version, err
 }
 
 // Head returns the head in force, zero if none is.
-func (k *Keeper) Head() head.Head {
+func (k *Syncer) Head() head.Head {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.head
 }
 
 // Ready is closed once a configuration is in force.
-func (k *Keeper) Ready() <-chan struct{} {
+func (k *Syncer) Ready() <-chan struct{} {
 	k.init()
 	return k.ready
 }
 
 // Answer answers a peer's question.
-func (k *Keeper) Answer(q Question) Answer {
+func (k *Syncer) Answer(q Query) Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	a := Answer{Head: k.head}
@@ -145,7 +145,7 @@
 			continue
 		}
 		size += len(packed)
-		if size > maxAnswer && len(a.Chunks) > 0 {
+		if size > maxAnswerBytes && len(a.Chunks) > 0 {
 			break
 		}
 		a.Chunks = append(a.Chunks, chunk.Chunk{Digest: d, Packed: packed})
@@ -157,22 +157,22 @@
 // tries for Patience at most, and PerChunk for each chunk.
 // Peers can fetch its chunks from here before the store has accepted it: if
 // the store fails right after it did, they know the head and find the text.
-func (k *Keeper) Apply(ctx context.Context, r apply.Request) (apply.Outcome, error) {
+func (k *Syncer) Apply(ctx context.Context, r apply.Request) (apply.Outcome, error) {
 	k.init()
 	r.Source, r.Floor = k.Self.Peer, k.Head().Version
 	p, err := apply.Prepare(r)
 	if err != nil {
 		return apply.Outcome{}, err
 	}
-	k.stage(p.Chunks())
-	ctx, cancel := context.WithTimeout(ctx, Patience+time.Duration(len(p.Chunks()))*PerChunk)
+	k.cacheChunks(p.Chunks())
+	ctx, cancel := context.WithTimeout(ctx, ApplyTimeout+time.Duration(len(p.Chunks()))*ApplyTimeoutPerChunk)
 	defer cancel()
 	out, err := p.Run(ctx, k.Store)
 	if err != nil {
 		return out, err
 	}
 	if !out.Unchanged && out.Head.Digest == chunk.Digest(r.Text) {
-		k.keep(out.Head, out.File)
+		k.cacheFile(out.Head, out.File)
 		select {
 		case k.inbox <- Adopt{Head: out.Head}: // told once, so it must not be dropped
 		case <-ctx.Done(): // Serve is stopped, or reads it from the store
@@ -181,16 +181,16 @@
 	return out, nil
 }
 
-func (k *Keeper) init() {
+func (k *Syncer) init() {
 	k.once.Do(func() {
-		k.inbox = make(chan Message, mailbox)
+		k.inbox = make(chan Message, inboxSize)
 		k.ready = make(chan struct{})
 	})
 }
 
 // tell hands a message to Serve. A full mailbox drops it: Serve is stopped or
 // far behind, and what is told here is told again with later heartbeats.
-func (k *Keeper) tell(m Message) {
+func (k *Syncer) enqueue(m Message) {
 	k.init()
 	select {
 	case k.inbox <- m:
@@ -198,10 +198,10 @@
 	}
 }
 
-func (k *Keeper) do(ctx context.Context, effects []Effect) {
+func (k *Syncer) do(ctx context.Context, effects []Effect) {
 	for _, e := range effects {
-		if f, ok := e.(Force); ok {
-			k.force(f.Head)
+		if f, ok := e.(Activate); ok {
+			k.activate(f.Head)
 			continue
 		}
 		k.tasks.Go(func() {
@@ -214,37 +214,37 @@
 	}
 }
 
-func (k *Keeper) carryOut(ctx context.Context, e Effect) Message {
+func (k *Syncer) carryOut(ctx context.Context, e Effect) Message {
 	switch e := e.(type) {
-	case Read:
+	case ReadHead:
 		return k.read(ctx)
-	case Wait:
-		return k.wait(ctx, e)
-	case Ask:
-		return k.ask(ctx, e.Peer)
+	case WatchHead:
+		return k.watch(ctx, e)
+	case QueryPeer:
+		return k.queryPeer(ctx, e.Peer)
 	case Load:
 		return k.load(ctx, e)
 	}
 	return Tick{}
 }
 
-func (k *Keeper) read(ctx context.Context) Message {
+func (k *Syncer) read(ctx context.Context) Message {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	return stored(k.Store.Get(ctx, head.Key))
+	return storeMessage(k.Store.Get(ctx, head.Key))
 }
 
-func (k *Keeper) wait(ctx context.Context, e Wait) Message {
+func (k *Syncer) watch(ctx context.Context, e WatchHead) Message {
 	ctx, cancel := context.WithTimeout(ctx, e.For)
 	defer cancel()
 	entry, err := k.Store.Watch(ctx, head.Key, e.Rev)
 	if err != nil && ctx.Err() != nil {
-		return StoreQuiet{}
+		return WatchExpired{}
 	}
-	return stored(entry, err)
+	return storeMessage(entry, err)
 }
 
-func stored(entry store.Entry, err error) Message {
+func storeMessage(entry store.Entry, err error) Message {
 	if errors.Is(err, store.ErrNotFound) {
 		return StoreHead{}
 	}
@@ -258,17 +258,17 @@
 	return StoreHead{Head: h, Rev: entry.Rev}
 }
 
-func (k *Keeper) ask(ctx context.Context, peer string) Message {
+func (k *Syncer) queryPeer(ctx context.Context, peer string) Message {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := k.fetch(ctx, peer, Question{})
+	a, err := k.fetch(ctx, peer, Query{})
 	if err != nil {
-		return AskFailed{Peer: peer}
+		return PeerFailed{Peer: peer}
 	}
-	return Answered{Peer: peer, Head: a.Head}
+	return PeerHead{Peer: peer, Head: a.Head}
 }
 
-func (k *Keeper) fetch(ctx context.Context, peer string, q Question) (Answer, error) {
+func (k *Syncer) fetch(ctx context.Context, peer string, q Query) (Answer, error) {
 	if k.Fetch == nil {
 		return Answer{}, errNoFetch
 	}
@@ -276,7 +276,7 @@
 }
 
 // force puts a loaded head in force and forgets the chunks of others.
-func (k *Keeper) force(h head.Head) {
+func (k *Syncer) activate(h head.Head) {
 	k.mu.Lock()
 	k.head, k.file = h, k.files[h.Version]
 	for v := range k.files {
--- a/internal/conf/watch/keeper_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -21,27 +21,27 @@
 	// the bound has passed. By then every daemon runs the version named, and
 	// none went back behind what it ran.
 	tests := map[string]struct {
-		run  func(t *testing.T, f *fleet)
+		run  func(t *testing.T, f *cluster)
 		want uint64
 	}{
-		"applied through a daemon":       {func(t *testing.T, f *fleet) { f.apply(t, "two", "d5") }, 2},
-		"applied to the store":           {func(t *testing.T, f *fleet) { f.apply(t, "two", "") }, 2},
-		"no change":                      {func(*testing.T, *fleet) {}, 1},
-		"store down":                     {func(_ *testing.T, f *fleet) { f.set(keyval.Down) }, 1},
-		"store silent":                   {func(_ *testing.T, f *fleet) { f.set(keyval.Silent) }, 1},
+		"applied through a daemon":       {func(t *testing.T, f *cluster) { f.apply(t, "two", "d5") }, 2},
+		"applied to the store":           {func(t *testing.T, f *cluster) { f.apply(t, "two", "") }, 2},
+		"no change":                      {func(*testing.T, *cluster) {}, 1},
+		"store down":                     {func(_ *testing.T, f *cluster) { f.set(keyval.Down) }, 1},
+		"store silent":                   {func(_ *testing.T, f *cluster) { f.set(keyval.Silent) }, 1},
 		"store lost its keys":            {wipe, 1},
-		"applied after it lost its keys": {func(t *testing.T, f *fleet) { wipe(t, f); f.apply(t, "two", "d5") }, 2},
+		"applied after it lost its keys": {func(t *testing.T, f *cluster) { wipe(t, f); f.apply(t, "two", "d5") }, 2},
 		"store restored, applied again":  {restored, 4},
 		"store fails after acceptance":   {failsAfter, 2},
-		"store fails, ack lost":          {failsUnheard, 2},
+		"store fails, ack lost":          {failsAckLost, 2},
 		"all watches silent":             {watchesSilent, 2},
 		"one daemon reads stale":         {staleRead, 2},
 		"peer hands out broken chunks":   {brokenChunks, 2},
-		"gap in versions":                {gap, 5},
+		"gap in versions":                {versionGap, 5},
 		"restart in an outage":           {restart, 2},
-		"text that no daemon can read":   {unfit, 1},
-		"readable text after such a one": {func(t *testing.T, f *fleet) { unfit(t, f); f.apply(t, "three", "d3") }, 3},
-		"who told of it is gone":         {gone, 2},
+		"text that no daemon can read":   {unreadableText, 1},
+		"readable text after such a one": {func(t *testing.T, f *cluster) { unreadableText(t, f); f.apply(t, "three", "d3") }, 3},
+		"who told of it is gone":         {reporterGone, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,11 +49,11 @@
 				is := is.New(t)
 				f := start(t.Context(), 12)
 				f.apply(t, "one", "d1")
-				pass(bound)
-				is.NoErr(f.agree(1))
+				sleep(maxDelay)
+				is.NoErr(f.checkVersions(1))
 				tt.run(t, f)
-				pass(bound)
-				is.NoErr(f.agree(tt.want))
+				sleep(maxDelay)
+				is.NoErr(f.checkVersions(tt.want))
 				for _, d := range f.daemons {
 					is.True(d.Current().System.Name != "other") // which nobody applied
 					held, version, err := d.Text()
@@ -68,7 +68,7 @@
 
 // Somebody restores the platform's store from nothing. What was accepted stays
 // in force; a daemon that took the empty store for the newest would stop.
-func wipe(t *testing.T, f *fleet) {
+func wipe(t *testing.T, f *cluster) {
 	entry, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -82,21 +82,21 @@
 // applies the text of that copy on purpose, from the version that he reads at
 // a daemon. It must not pass for what is in force already, nor get a version
 // that the daemons have behind them.
-func restored(t *testing.T, f *fleet) {
+func restored(t *testing.T, f *cluster) {
 	old, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.apply(t, "two", "d1")
 	f.apply(t, "three", "d1")
-	pass(bound)
+	sleep(maxDelay)
 	now, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	put(t, f, head.Key, old.Data, now.Rev)
-	pass(bound)
-	if err := f.agree(3); err != nil {
+	sleep(maxDelay)
+	if err := f.checkVersions(3); err != nil {
 		t.Error(err)
 	}
 	again := request(t, "one")
@@ -108,7 +108,7 @@
 
 // The store fails in the moment after it accepted a version. The operator was
 // told that it is accepted, and no daemon but the one that applied it can know.
-func failsAfter(t *testing.T, f *fleet) {
+func failsAfter(t *testing.T, f *cluster) {
 	f.set(keyval.Down)
 	f.daemons["d5"].view.Set(keyval.None)
 	f.apply(t, "two", "d5")
@@ -118,12 +118,12 @@
 // The same, and the acknowledgement is lost, so that the daemon that applied
 // does not know either. The others have heard of the head by their watches and
 // can't read its chunks any more. They have them from the one that applied.
-func failsUnheard(t *testing.T, f *fleet) {
+func failsAckLost(t *testing.T, f *cluster) {
 	for _, d := range f.daemons {
-		d.link.bend(func(l *link) { l.noChunks = true })
+		d.link.update(func(l *link) { l.noChunks = true })
 	}
 	d := f.daemons["d5"]
-	d.link.bend(func(l *link) { l.loseHead = func() { d.view.Set(keyval.Down) } })
+	d.link.update(func(l *link) { l.afterHead = func() { d.view.Set(keyval.Down) } })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err := d.Apply(ctx, request(t, "two"))
@@ -135,37 +135,37 @@
 // Something between the daemons and the store has lost track of all the
 // connections on which watches wait. A watch that hears nothing looks like a
 // quiet one, and the change would be noticed half a minute late.
-func watchesSilent(t *testing.T, f *fleet) {
+func watchesSilent(t *testing.T, f *cluster) {
 	for _, d := range f.daemons {
-		d.link.bend(func(l *link) { l.noWatches = true })
+		d.link.update(func(l *link) { l.noWatches = true })
 	}
 	f.apply(t, "two", "")
 }
 
 // A replica of the store that lags answers one daemon with the version before.
 // Taking it would turn an accepted change back.
-func staleRead(t *testing.T, f *fleet) {
+func staleRead(t *testing.T, f *cluster) {
 	entry, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.apply(t, "two", "d1")
-	f.daemons["d4"].link.bend(func(l *link) { l.stale = &entry })
-	pass(bound)
+	f.daemons["d4"].link.update(func(l *link) { l.stale = &entry })
+	sleep(maxDelay)
 	f.daemons["d4"].stop()
-	f.add(t.Context(), "d4").link.bend(func(l *link) { l.stale = &entry })
+	f.add(t.Context(), "d4").link.update(func(l *link) { l.stale = &entry })
 }
 
 // A daemon with a fault answers with chunks of another text than their digests
 // say, while the store is down. The others must notice, and get the text
 // elsewhere; taken as it comes, it would be in force and passed on.
-func brokenChunks(t *testing.T, f *fleet) {
+func brokenChunks(t *testing.T, f *cluster) {
 	other, err := chunk.Pack(text(t, "other"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	bad := f.daemons["d5"]
-	bad.bend = func(a Answer) Answer {
+	bad.alterReply = func(a Answer) Answer {
 		for i := range a.Chunks {
 			a.Chunks[i].Packed = other.Packed
 		}
@@ -175,44 +175,44 @@
 	bad.view.Set(keyval.None)
 	f.daemons["d6"].view.Set(keyval.None)
 	f.apply(t, "two", "d5")
-	pass(time.Second)
+	sleep(time.Second)
 	f.set(keyval.Down)
 }
 
 // A daemon is cut off from the store and its peers while four versions are
 // applied. When it is back it takes the newest at once.
-func gap(t *testing.T, f *fleet) {
+func versionGap(t *testing.T, f *cluster) {
 	d := f.daemons["d7"]
-	f.locked(func() { d.cut = true })
+	f.withLock(func() { d.isolated = true })
 	d.view.Set(keyval.Down)
 	for _, name := range []string{"two", "three", "four", "five"} {
 		f.apply(t, name, "d1")
 	}
-	pass(time.Minute)
+	sleep(time.Minute)
 	if v := d.Current().Version; v != 1 {
 		t.Errorf("version %d reached a daemon that was cut off", v)
 	}
-	f.locked(func() { d.cut = false })
+	f.withLock(func() { d.isolated = false })
 }
 
 // A daemon is restarted while the store is down, and the first peer that it
 // asks has been cut off from the others and runs an old version. It must not
 // go back behind what it ran before the restart.
-func restart(t *testing.T, f *fleet) {
+func restart(t *testing.T, f *cluster) {
 	stale := f.daemons["d0"]
-	f.locked(func() { stale.cut = true })
+	f.withLock(func() { stale.isolated = true })
 	stale.view.Set(keyval.Down)
 	f.apply(t, "two", "d1")
-	pass(bound)
+	sleep(maxDelay)
 	f.set(keyval.Down)
-	f.locked(func() { stale.cut = false })
+	f.withLock(func() { stale.isolated = false })
 	f.daemons["d3"].stop()
 	f.add(t.Context(), "d3")
 }
 
 // An operator with a newer release applies what this one can't read. The
 // daemons keep what they run, and say so, instead of serving half a text.
-func unfit(t *testing.T, f *fleet) {
+func unreadableText(t *testing.T, f *cluster) {
 	piece := []byte("[system]\nname = x\nof_a_later_release = 1\n")
 	c, err := chunk.Pack(piece)
 	if err != nil {
@@ -232,13 +232,13 @@
 	}
 	put(t, f, head.ChunkPrefix+c.Digest, c.Packed, 0)
 	put(t, f, head.Key, data, entry.Rev)
-	pass(bound)
-	if f.daemons["d0"].faults == 0 {
+	sleep(maxDelay)
+	if f.daemons["d0"].loadErrors == 0 {
 		t.Error("no daemon said that it can't read the text")
 	}
 }
 
-func put(t *testing.T, f *fleet, key string, data []byte, rev store.Rev) {
+func put(t *testing.T, f *cluster, key string, data []byte, rev store.Rev) {
 	if _, err := f.store.Put(t.Context(), key, data, rev, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -246,27 +246,27 @@
 
 // The one peer that told of a new version dies before it was asked, in an
 // outage. Others have it too, but have not come to tell.
-func gone(t *testing.T, f *fleet) {
+func reporterGone(t *testing.T, f *cluster) {
 	d := f.daemons["d9"]
-	f.locked(func() { d.cut = true })
+	f.withLock(func() { d.isolated = true })
 	d.view.Set(keyval.Down)
 	f.apply(t, "two", "d1")
-	pass(bound)
+	sleep(maxDelay)
 	f.set(keyval.Down)
-	f.locked(func() { d.cut, d.deaf = false, true })
+	f.withLock(func() { d.isolated, d.noHeartbeats = false, true })
 	d.Newer(2, "gone")
 	synctest.Wait()
 }
 
 func TestStart(t *testing.T) {
 	tests := map[string]struct {
-		before func(t *testing.T, f *fleet) // and after is when the store is up again
-		ready  bool                         // in the outage
+		before func(t *testing.T, f *cluster) // and after is when the store is up again
+		ready  bool                           // in the outage
 	}{
-		"store down, peers up":    {func(*testing.T, *fleet) {}, true},
-		"store down, no peers":    {func(_ *testing.T, f *fleet) { cutAll(f) }, false},
-		"store silent, peers up":  {func(_ *testing.T, f *fleet) { f.store.Client("new").Set(keyval.Silent) }, true},
-		"peers without a version": {func(t *testing.T, f *fleet) { emptyPeers(t, f) }, false},
+		"store down, peers up":    {func(*testing.T, *cluster) {}, true},
+		"store down, no peers":    {func(_ *testing.T, f *cluster) { isolateAll(f) }, false},
+		"store silent, peers up":  {func(_ *testing.T, f *cluster) { f.store.Client("new").Set(keyval.Silent) }, true},
+		"peers without a version": {func(t *testing.T, f *cluster) { emptyPeers(t, f) }, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -276,18 +276,18 @@
 				is := is.New(t)
 				f := start(t.Context(), 3)
 				f.apply(t, "one", "d1")
-				pass(bound)
+				sleep(maxDelay)
 				f.set(keyval.Down)
 				f.store.Client("new").Set(keyval.Down)
 				tt.before(t, f)
 				d := f.add(t.Context(), "new")
-				pass(bound)
+				sleep(maxDelay)
 				is.Equal(isReady(d), tt.ready)
 				is.Equal(d.Current().Version > 0, tt.ready)
-				pass(10 * time.Minute)
+				sleep(10 * time.Minute)
 				is.Equal(isReady(d), tt.ready)
 				f.store.Client("new").Set(keyval.None)
-				pass(maxRetry + bound)
+				sleep(maxRetry + maxDelay)
 				is.True(isReady(d)) // once the store is back
 				is.Equal(d.Current().Version, uint64(1))
 			})
@@ -295,18 +295,18 @@
 	}
 }
 
-func cutAll(f *fleet) {
-	f.locked(func() {
+func isolateAll(f *cluster) {
+	f.withLock(func() {
 		for _, d := range f.daemons {
-			d.cut = true
+			d.isolated = true
 		}
 	})
 }
 
 // emptyPeers starts all daemons anew. Those that ran before are cut off first: the
 // first to start would get the version from one that is yet to be stopped.
-func emptyPeers(t *testing.T, f *fleet) {
-	cutAll(f)
+func emptyPeers(t *testing.T, f *cluster) {
+	isolateAll(f)
 	for _, name := range []string{"d0", "d1", "d2"} {
 		f.daemons[name].stop()
 		f.add(t.Context(), name)
@@ -327,17 +327,17 @@
 				is := is.New(t)
 				f := start(t.Context(), tt.daemons)
 				f.apply(t, "one", "d1")
-				pass(2 * bound)
-				calls := f.calls(func() { f.apply(t, "two", ""); pass(bound) })
-				is.NoErr(f.agree(2))
-				t.Logf("%d daemons: %d calls within %v of a change", tt.daemons, calls, bound)
+				sleep(2 * maxDelay)
+				calls := f.calls(func() { f.apply(t, "two", ""); sleep(maxDelay) })
+				is.NoErr(f.checkVersions(2))
+				t.Logf("%d daemons: %d calls within %v of a change", tt.daemons, calls, maxDelay)
 				is.True(calls > 0 && calls <= tt.most)
 			})
 		})
 	}
 }
 
-func (f *fleet) calls(do func()) int {
+func (f *cluster) calls(do func()) int {
 	before := f.store.Counts()
 	do()
 	now := f.store.Counts()
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -43,14 +43,14 @@
 	// ReadEvery is the time between two reads of all other daemons.
 	ReadEvery = 5 * time.Minute
 
-	firstRetry   = 250 * time.Millisecond
-	maxRetry     = 15 * time.Second
-	maxAsk       = 3               // peers asked at a time
-	maxRound     = 6               // peers asked in one round at the start
-	maxRoundWait = 5 * time.Second // between two rounds that found nothing
-	askRetry     = 500 * time.Millisecond
-	soonRead     = time.Second
-	minGap       = 200 * time.Millisecond // between calls to the store
+	firstRetry       = 250 * time.Millisecond
+	maxRetry         = 15 * time.Second
+	maxPeerQueries   = 3               // peers asked at a time
+	maxPeersPerRound = 6               // peers asked in one round at the start
+	maxRoundWait     = 5 * time.Second // between two rounds that found nothing
+	peerRetryDelay   = 500 * time.Millisecond
+	readSoonDelay    = time.Second
+	minStoreInterval = 200 * time.Millisecond // between calls to the store
 )
 
 type (
@@ -87,19 +87,19 @@
 	}
 
 	// StoreQuiet tells that a watch ended without a change.
-	StoreQuiet struct{}
+	WatchExpired struct{}
 
 	// StoreFailed tells that a call to the store failed.
 	StoreFailed struct{}
 
 	// Answered is a peer's newest head; the zero Head is none.
-	Answered struct {
+	PeerHead struct {
 		Peer string
 		Head head.Head
 	}
 
 	// AskFailed tells that a peer gave no answer.
-	AskFailed struct{ Peer string }
+	PeerFailed struct{ Peer string }
 
 	// Adopt tells of a head that this daemon itself got accepted, and whose
 	// text it holds.
@@ -111,8 +111,8 @@
 	// LoadFailed tells that the text could not be fetched. Unfit marks a text
 	// that is the one accepted and that this daemon can't read.
 	LoadFailed struct {
-		Head  head.Head
-		Unfit bool
+		Head       head.Head
+		Unreadable bool
 	}
 
 	// Tick lets time pass; one is due every 100 ms or so.
@@ -123,16 +123,16 @@
 
 	// Wait waits at the store until the head's revision is above Rev, for at
 	// most For. Answered by StoreHead, StoreQuiet or StoreFailed.
-	Wait struct {
+	WatchHead struct {
 		Rev store.Rev
 		For time.Duration
 	}
 
 	// Read reads the head from the store. Answered by StoreHead or StoreFailed.
-	Read struct{}
+	ReadHead struct{}
 
 	// Ask asks a peer for its newest head. Answered by Answered or AskFailed.
-	Ask struct{ Peer string }
+	QueryPeer struct{ Peer string }
 
 	// Load fetches a head's text, from the peers in order, and before or
 	// after them from the store. Answered by Loaded or LoadFailed.
@@ -143,24 +143,24 @@
 	}
 
 	// Force puts a loaded head in force.
-	Force struct{ Head head.Head }
+	Activate struct{ Head head.Head }
 )
 
-func (Start) message()       {}
-func (Members) message()     {}
-func (Newer) message()       {}
-func (StoreHead) message()   {}
-func (StoreQuiet) message()  {}
-func (StoreFailed) message() {}
-func (Answered) message()    {}
-func (AskFailed) message()   {}
-func (Adopt) message()       {}
-func (Loaded) message()      {}
-func (LoadFailed) message()  {}
-func (Tick) message()        {}
-
-func (Wait) effect()  {}
-func (Read) effect()  {}
-func (Ask) effect()   {}
-func (Load) effect()  {}
-func (Force) effect() {}
+func (Start) message()        {}
+func (Members) message()      {}
+func (Newer) message()        {}
+func (StoreHead) message()    {}
+func (WatchExpired) message() {}
+func (StoreFailed) message()  {}
+func (PeerHead) message()     {}
+func (PeerFailed) message()   {}
+func (Adopt) message()        {}
+func (Loaded) message()       {}
+func (LoadFailed) message()   {}
+func (Tick) message()         {}
+
+func (WatchHead) effect() {}
+func (ReadHead) effect()  {}
+func (QueryPeer) effect() {}
+func (Load) effect()      {}
+func (Activate) effect()  {}
--- a/internal/edge/server/apply.go
+++ b/internal/edge/server/apply.go
@@ -65,12 +65,12 @@
 // TextOf returns the text and version in force, as a daemon gives them to its
 // peers: a watch.Keeper's Answer, which holds some of the chunks at a time.
 // Nothing is returned before a configuration is in force.
-func TextOf(answer func(watch.Question) watch.Answer) (text []byte, version uint64) {
-	h := answer(watch.Question{}).Head
+func TextOf(answer func(watch.Query) watch.Answer) (text []byte, version uint64) {
+	h := answer(watch.Query{}).Head
 	pieces := map[string][]byte{}
 	for missing := h.Chunks; len(missing) > 0; missing = without(missing, pieces) {
 		before := len(pieces)
-		for _, c := range answer(watch.Question{Chunks: missing}).Chunks {
+		for _, c := range answer(watch.Query{Chunks: missing}).Chunks {
 			if piece, err := c.Unpack(); err == nil {
 				pieces[c.Digest] = piece
 			}
--- a/internal/edge/server/text_test.go
+++ b/internal/edge/server/text_test.go
@@ -18,7 +18,7 @@
 	chunks []chunk.Chunk
 }
 
-func (h holder) answer(q watch.Question) watch.Answer {
+func (h holder) answer(q watch.Query) watch.Answer {
 	a := watch.Answer{Head: h.head}
 	for _, c := range h.chunks {
 		if slices.Contains(q.Chunks, c.Digest) && len(a.Chunks) == 0 {
--- a/internal/front/proxy/account_test.go
+++ b/internal/front/proxy/account_test.go
@@ -17,7 +17,7 @@
 )
 
 func accounts(cafeKeys ...string) *accnt.Accounts {
-	list := []accnt.Account{{Name: "cafe", Rate: 1, Burst: 3, Ranked: true, Priority: 4}, {Name: "bar", Keys: []accnt.Digest{accnt.DigestOf("secret-b")}}}
+	list := []accnt.Account{{Name: "cafe", Rate: 1, Burst: 3, HasPriority: true, Priority: 4}, {Name: "bar", Keys: []accnt.Digest{accnt.DigestOf("secret-b")}}}
 	for _, key := range cafeKeys {
 		list[0].Keys = append(list[0].Keys, accnt.DigestOf(key))
 	}
--- a/internal/front/proxy/env_test.go
+++ b/internal/front/proxy/env_test.go
@@ -71,7 +71,7 @@
 	{Name: "short", Host: "h", Prefix: "/short/", Kind: route.Unsafe, Attempts: 1, Timeout: time.Second, Backends: []route.Backend{{Service: "s"}}},
 	{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Stream, Attempts: 1, Turns: true, Backends: []route.Backend{{Service: "s"}}},
 	{Name: "resume", Host: "h", Prefix: "/resume/", Kind: route.Stream, Attempts: 1, Turns: true, Resume: true, Backends: []route.Backend{{Service: "s"}}},
-	{Name: "keep", Host: "h", Prefix: "/keep/", Kind: route.Stream, Attempts: 1, Turns: true, Keep: true, KeepFor: time.Minute, Backends: []route.Backend{{Service: "s"}}},
+	{Name: "keep", Host: "h", Prefix: "/keep/", Kind: route.Stream, Attempts: 1, Turns: true, StoreTurns: true, RetainFor: time.Minute, Backends: []route.Backend{{Service: "s"}}},
 	{Name: "open", Host: "h", Prefix: "/open/", Kind: route.Safe, Attempts: 1, Open: true, Backends: []route.Backend{{Service: "s"}}},
 	{Name: "nowhere", Host: "h", Prefix: "/nowhere/", Kind: route.Safe, Attempts: 1, Backends: []route.Backend{{Service: "none"}}},
 }
--- a/internal/front/proxy/stream.go
+++ b/internal/front/proxy/stream.go
@@ -106,7 +106,7 @@
 }
 
 func (t *turn) readHistory(ctx context.Context) error {
-	if !t.route.Keep || t.Previous == "" {
+	if !t.route.StoreTurns || t.Previous == "" {
 		return nil
 	}
 	t.previousID = t.scopedID(t.Previous)
@@ -135,7 +135,7 @@
 
 func (t *turn) newRecord() book.Record {
 	return book.Record{
-		Program: t.scopedID(t.Program), Attempt: t.scopedID(t.ID), At: t.began.UnixMilli(), Keep: t.route.KeepFor.Milliseconds(),
+		Program: t.scopedID(t.Program), Attempt: t.scopedID(t.ID), At: t.began.UnixMilli(), Keep: t.route.RetainFor.Milliseconds(),
 	}
 }
 
@@ -194,7 +194,7 @@
 
 // priority returns the account's priority, or the route's if the account has none.
 func (t *turn) priority() int {
-	if t.account.Ranked {
+	if t.account.HasPriority {
 		return t.account.Priority
 	}
 	return t.route.Priority
@@ -311,7 +311,7 @@
 	}
 	t.summary.events++
 	t.summary.tokens += max(t.service.EventTokens, 1)
-	if t.route.Keep {
+	if t.route.StoreTurns {
 		t.output = append(append(t.output, e.Data...), '\n')
 	}
 	if e.ID != "" {
@@ -340,7 +340,7 @@
 // its caller sees the end of the response, since the next turn refers to it.
 func (t *turn) complete(ctx context.Context, s *exchange) error {
 	s.releaseConn(t.e.Pool)
-	if !t.route.Keep {
+	if !t.route.StoreTurns {
 		t.settle()
 		return nil
 	}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -71,7 +71,7 @@
 		scope  tally.Scope
 		pool   *ants.Pool
 		meter  meter.Meter
-		keeper watch.Keeper
+		keeper watch.Syncer
 		gossip gossip.Gossip
 		link   link.Link
 		shards shards.Shards
@@ -244,7 +244,7 @@
 	d.keeper.Self = watch.Member{Name: d.self.Name, Peer: d.self.Peer}
 	d.keeper.Seeds = d.Settings.Peers.Seeds
 	d.keeper.Store = &d.meter
-	d.keeper.Fetch = func(ctx context.Context, peer string, q watch.Question) (a watch.Answer, err error) {
+	d.keeper.Fetch = func(ctx context.Context, peer string, q watch.Query) (a watch.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodConfig, q, &a)
 		return a, err
 	}
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -59,7 +59,7 @@
 	d.link.Key = []byte(d.Settings.Peers.Key)
 	d.link.Runner = &d.shards
 	d.link.OnPacket = d.gossip.Take
-	handle(&d.link, methodConfig, func(_ context.Context, q watch.Question) (any, error) {
+	handle(&d.link, methodConfig, func(_ context.Context, q watch.Query) (any, error) {
 		return d.keeper.Answer(q), nil
 	})
 	handle(&d.link, methodOffer, func(_ context.Context, o offer) (any, error) {
--- a/internal/node/setup/setup.go
+++ b/internal/node/setup/setup.go
@@ -124,7 +124,7 @@
 	case kindObserve:
 		s.Observe = observe(sec)
 	default:
-		sec.Refuse("the section is unknown; want daemon, platform, peers, bounds, timeouts or observe")
+		sec.Reject("the section is unknown; want daemon, platform, peers, bounds, timeouts or observe")
 	}
 }
 
