--- a/cmd/slaterock/adminflags.go
+++ b/cmd/slaterock/adminflags.go
@@ -10,19 +10,19 @@
 
 const (
 	defaultAddress = "127.0.0.1:7400"
-	keyVariable    = "SLATEROCK_KEY"
+	keyEnv         = "SLATEROCK_KEY"
 )
 
 // askFlags adds the flags of a command that asks a daemon, and returns what the
 // command uses once they are read.
-func askFlags(c *cobra.Command) func() admin.Admin {
+func adminFlags(c *cobra.Command) func() admin.Admin {
 	var a admin.Admin
 	c.Flags().StringVar(&a.Client.Address, "address", defaultAddress, "the daemon's address for callers")
-	c.Flags().StringVar(&a.Client.Key, "key", "", "the key of an account; "+keyVariable+" if empty")
+	c.Flags().StringVar(&a.Client.Key, "key", "", "the key of an account; "+keyEnv+" if empty")
 	c.Flags().BoolVar(&a.JSON, "json", false, "write JSON")
 	return func() admin.Admin {
 		if a.Client.Key == "" {
-			a.Client.Key = os.Getenv(keyVariable)
+			a.Client.Key = os.Getenv(keyEnv)
 		}
 		a.Out = c.OutOrStdout()
 		return a
--- a/cmd/slaterock/apply.go
+++ b/cmd/slaterock/apply.go
@@ -20,12 +20,12 @@
 	}
 	c.Flags().StringVar(&from, "from", "0", "the version that the file was made from, or newest")
 	c.Flags().BoolVar(&show, "show", false, "write the configuration in force and its version")
-	ask := askFlags(c)
+	newAdmin := adminFlags(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if show {
-			return ask().Show(c.Context())
+			return newAdmin().Show(c.Context())
 		}
-		return ask().Apply(c.Context(), args[0], from)
+		return newAdmin().Apply(c.Context(), args[0], from)
 	}
 	c.Args = func(c *cobra.Command, args []string) error {
 		if show == (len(args) == 1) || len(args) > 1 {
--- a/cmd/slaterock/bench_test.go
+++ b/cmd/slaterock/bench_test.go
@@ -18,30 +18,30 @@
 
 // usage is what a process has used since it started.
 type usage struct {
-	processor time.Duration
-	resident  int // bytes
+	cpu      time.Duration
+	resident int // bytes
 }
 
-func usageOf(tb testing.TB, pid int) usage {
+func processUsage(tb testing.TB, pid int) usage {
 	tb.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	is.New(tb).NoErr(err)
 	// The name in parentheses may hold spaces; fields are counted behind it.
 	fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+2:]))
-	number := func(i int) int {
+	field := func(i int) int {
 		n, err := strconv.Atoi(fields[i])
 		is.New(tb).NoErr(err)
 		return n
 	}
-	ticks := number(11) + number(12)
-	return usage{time.Duration(ticks) * time.Second / ticksPerSecond, number(21) * pageSize}
+	ticks := field(11) + field(12)
+	return usage{time.Duration(ticks) * time.Second / ticksPerSecond, field(21) * pageSize}
 }
 
 func (s *system) usage() (u usage) {
 	for _, p := range s.procs {
-		one := usageOf(s.t, p.Process.Pid)
-		u.processor += one.processor
-		u.resident = max(u.resident, one.resident)
+		used := processUsage(s.t, p.Process.Pid)
+		u.cpu += used.cpu
+		u.resident = max(u.resident, used.resident)
 	}
 	return u
 }
@@ -55,7 +55,7 @@
 		before, start := s.usage(), time.Now()
 		<-time.After(20 * time.Second)
 		after := s.usage()
-		share := float64(after.processor-before.processor) / float64(time.Since(start)) / daemons
+		share := float64(after.cpu-before.cpu) / float64(time.Since(start)) / daemons
 		b.ReportMetric(100*share, "%core/daemon")
 		b.ReportMetric(float64(after.resident)/(1<<20), "MB/daemon")
 	}
--- a/cmd/slaterock/drain.go
+++ b/cmd/slaterock/drain.go
@@ -8,7 +8,7 @@
 		Short: "Shut the daemon at --address down without cutting a request",
 		Args:  cobra.NoArgs,
 	}
-	ask := askFlags(c)
-	c.RunE = func(c *cobra.Command, _ []string) error { return ask().Drain(c.Context()) }
+	newAdmin := adminFlags(c)
+	c.RunE = func(c *cobra.Command, _ []string) error { return newAdmin().Drain(c.Context()) }
 	return c
 }
--- a/cmd/slaterock/exit_test.go
+++ b/cmd/slaterock/exit_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	is.NoErr(os.WriteFile(good, []byte(examples.Dev), 0o600))
 	is.NoErr(os.WriteFile(faulty, []byte("[system]\nshards = many\n"), 0o600))
-	const nobody = "--address=127.0.0.1:1"
+	const unreachable = "--address=127.0.0.1:1"
 	tests := map[string]struct {
 		args []string
 		code int
@@ -25,10 +25,10 @@
 		"good file":        {[]string{"check", good}, exitOK},
 		"faulty file":      {[]string{"check", faulty}, exitFailed},
 		"missing file":     {[]string{"check", good + "x"}, exitFailed},
-		"nobody answers":   {[]string{"status", nobody}, exitFailed},
-		"apply, nobody":    {[]string{"apply", good, nobody}, exitFailed},
+		"nobody answers":   {[]string{"status", unreachable}, exitFailed},
+		"apply, nobody":    {[]string{"apply", good, unreachable}, exitFailed},
 		"no command":       {[]string{"bogus"}, exitUsage},
-		"no argument":      {[]string{"history", nobody}, exitUsage},
+		"no argument":      {[]string{"history", unreachable}, exitUsage},
 		"two arguments":    {[]string{"request", "a", "b"}, exitUsage},
 		"unknown flag":     {[]string{"status", "--bogus"}, exitUsage},
 		"apply nothing":    {[]string{"apply"}, exitUsage},
@@ -40,7 +40,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := root()
+			c := rootCommand()
 			c.SetArgs(tt.args)
 			c.SetOut(io.Discard)
 			is.Equal(run(t.Context(), c, io.Discard), tt.code)
--- a/cmd/slaterock/fake.go
+++ b/cmd/slaterock/fake.go
@@ -28,7 +28,7 @@
 				return err
 			}
 			defer s.Close()
-			addresses(c.OutOrStdout(), &s)
+			printAddresses(c.OutOrStdout(), &s)
 			<-c.Context().Done()
 			return nil
 		},
@@ -39,7 +39,7 @@
 }
 
 // addresses prints one line for each part, and a last one.
-func addresses(w io.Writer, s *site.Site) {
+func printAddresses(w io.Writer, s *site.Site) {
 	parts := []string{}
 	for _, p := range []site.Part{site.Store, site.VMs, site.Weights, site.Engine1, site.Engine2, site.Ledger} {
 		parts = append(parts, fmt.Sprintf("%s %s", p, s.Address(p)))
--- a/cmd/slaterock/folder_test.go
+++ b/cmd/slaterock/folder_test.go
@@ -14,15 +14,15 @@
 )
 
 // The stand-ins answer with a few hundred bytes, so that counts as long here.
-const shortLimit = "\n[limits]\ninline_text_bytes = 64\n"
+const inlineLimit = "\n[limits]\ninline_text_bytes = 64\n"
 
 // Two of three daemons have a data folder. The one that owns a program and
 // holds a copy of its long texts is lost with its disk. The program's history
 // must still have question and answer, and the caller who repeats its call must
 // get the whole answer again.
-func TestLongTextsOutliveAHolder(t *testing.T) {
+func TestLongTextsSurviveHolderLoss(t *testing.T) {
 	is := is.New(t)
-	s := startSystem(t, shortLimit, t.TempDir(), t.TempDir())
+	s := startSystem(t, inlineLimit, t.TempDir(), t.TempDir())
 	program := ""
 	for i := 0; program == ""; i++ {
 		if id := fmt.Sprint("long-", i); s.owner(id) == 0 {
@@ -32,15 +32,15 @@
 	const entry = 2 // has no folder
 	is.NoErr(s.client(entry).Open(s.ctx, call.Open{Program: program}))
 	question := strings.Repeat("All about the route, please. ", 400)
-	var talk []client.Message
+	var messages []client.Message
 	var answer client.Answer
 	var h hist.History
 	number := -1
-	s.await("long texts go to the folders", func() bool {
+	s.waitUntil("long texts go to the folders", func() bool {
 		number++ // until the owner has heard of both folders they go into the journal
-		talk = []client.Message{{Role: "user", Content: fmt.Sprint(number, question)}}
+		messages = []client.Message{{Role: "user", Content: fmt.Sprint(number, question)}}
 		var err error
-		answer, err = s.client(entry).Chat(s.ctx, program, number, 256, talk, nil)
+		answer, err = s.client(entry).Chat(s.ctx, program, number, 256, messages, nil)
 		is.NoErr(err)
 		is.True(answer.Whole)
 		h, err = s.client(entry).History(s.ctx, program)
@@ -52,16 +52,16 @@
 	is.Equal(string(h.Calls[number].Result.Body), answer.Text)
 
 	is.NoErr(s.procs[0].Process.Kill())
-	is.NoErr(os.RemoveAll(s.folders[0]))
-	s.await("the next owner reads the texts from the other holder", func() bool {
+	is.NoErr(os.RemoveAll(s.dataDirs[0]))
+	s.waitUntil("the next owner reads the texts from the other holder", func() bool {
 		var err error
 		h, err = s.client(entry).History(s.ctx, program)
 		return err == nil && h.Calls[number].Note == ""
 	})
 	is.True(h.Calls[number].AskedIn != nil)
 	is.Equal(string(h.Calls[number].Result.Body), answer.Text)
-	is.True(strings.Contains(h.Calls[number].Asked, talk[0].Content))
-	again, err := s.client(entry).Chat(s.ctx, program, number, 256, talk, nil)
+	is.True(strings.Contains(h.Calls[number].Asked, messages[0].Content))
+	again, err := s.client(entry).Chat(s.ctx, program, number, 256, messages, nil)
 	is.NoErr(err)
 	is.Equal(again.Text, answer.Text)
 }
--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -28,7 +28,7 @@
 const metricsPort = 9464
 
 // traceVariable may name the address of a collector of spans.
-const traceVariable = "SLATEROCK_TRACE_ENDPOINT"
+const traceEndpointEnv = "SLATEROCK_TRACE_ENDPOINT"
 
 func frontCommand() *cobra.Command {
 	return &cobra.Command{
@@ -38,7 +38,7 @@
 			"The settings file is the one that " + platform.SettingsVariable + " names. SIGTERM drains,\n" +
 			"SIGHUP reads the settings again.",
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return onPlatform(runFront) },
+		RunE: func(*cobra.Command, []string) error { return runOnPlatform(runFront) },
 	}
 }
 
@@ -50,7 +50,7 @@
 			"the one that " + platform.SettingsVariable + " names. SIGTERM ends it after what was taken is\n" +
 			"on disk, SIGHUP reads the settings again.",
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return onPlatform(runStorage) },
+		RunE: func(*cobra.Command, []string) error { return runOnPlatform(runStorage) },
 	}
 }
 
@@ -64,17 +64,17 @@
 }
 
 // onPlatform runs one process with its log, metrics and signals.
-func onPlatform(run func(context.Context, *process) error) (err error) {
+func runOnPlatform(run func(context.Context, *process) error) (err error) {
 	s, err := platform.ReadSettings()
 	if err != nil {
 		return err
 	}
-	log, closing := flow.Open(os.Stdout, s.Node)
-	defer closing()
+	log, closeLog := flow.Open(os.Stdout, s.Node)
+	defer closeLog()
 	p := &process{settings: s, store: platform.Open(s.Store.Address), log: log, metric: metric.New(), stop: make(chan struct{})}
 	log.Info().Interface("settings", s).Msg("start")
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go p.watchSignals(ctx)
 	srv := &http.Server{Addr: fmt.Sprintf("%s:%d", s.IP, metricsPort), Handler: p.metric.Handler(), ReadHeaderTimeout: time.Second}
 	go func() {
@@ -94,7 +94,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	stopped := false
+	draining := false
 	for {
 		select {
 		case sig := <-signals:
@@ -104,8 +104,8 @@
 				continue
 			}
 			p.log.Info().Str("signal", sig.String()).Msg("stopping")
-			if !stopped {
-				stopped = true
+			if !draining {
+				draining = true
 				close(p.stop)
 			}
 		case <-ctx.Done():
@@ -120,16 +120,16 @@
 
 func runFront(ctx context.Context, p *process) error {
 	s := p.settings
-	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceVariable), Fault: func(err error) {
+	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceEndpointEnv), Fault: func(err error) {
 		p.log.Warn().Err(err).Msg("spans were lost")
 	}})
 	if err != nil {
 		return err
 	}
 	defer func() {
-		last, stop := context.WithTimeout(context.Background(), closeTime)
+		exportCtx, stop := context.WithTimeout(context.Background(), spanExportTimeout)
 		defer stop()
-		_ = t.Close(last) // spans that can't be sent any more are lost
+		_ = t.Close(exportCtx) // spans that can't be sent any more are lost
 	}()
 	d := &frontd.Daemon{
 		Settings: frontd.Settings{
@@ -146,26 +146,26 @@
 // waits for the disk most of the time; with a single one, as VMs with one core
 // get by default, nothing else runs during a sync, and a record that takes six
 // steps through the process waits for six syncs.
-const diskProcs = 4
+const minStorageProcs = 4
 
 func runStorage(ctx context.Context, p *process) error {
 	s := p.settings
-	runtime.GOMAXPROCS(max(diskProcs, runtime.GOMAXPROCS(0)))
+	runtime.GOMAXPROCS(max(minStorageProcs, runtime.GOMAXPROCS(0)))
 	if s.DataDir == "" {
 		return errors.New("settings: data-dir is missing")
 	}
-	ctx, end := context.WithCancel(ctx)
-	defer end()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	go func() {
 		<-p.stop
-		end()
+		cancel()
 	}()
-	k := &diskd.Daemon{
+	d := &diskd.Daemon{
 		Settings: diskd.Settings{
 			Node: s.Node, Domain: s.Domain, Address: p.peerAddress(), Control: s.Control, Dir: s.DataDir,
 			Capacity: int64(s.DiskMB) << 20, Losses: s.Losses,
 		},
 		Store: p.store, Operator: &platform.Source{Store: p.store}, Log: p.log, Scope: p.metric.Scope(),
 	}
-	return k.Run(ctx)
+	return d.Run(ctx)
 }
--- a/cmd/slaterock/history.go
+++ b/cmd/slaterock/history.go
@@ -8,7 +8,7 @@
 		Short: "Show a program's history",
 		Args:  cobra.ExactArgs(1),
 	}
-	ask := askFlags(c)
-	c.RunE = func(c *cobra.Command, args []string) error { return ask().History(c.Context(), args[0]) }
+	newAdmin := adminFlags(c)
+	c.RunE = func(c *cobra.Command, args []string) error { return newAdmin().History(c.Context(), args[0]) }
 	return c
 }
--- a/cmd/slaterock/load.go
+++ b/cmd/slaterock/load.go
@@ -25,7 +25,7 @@
 	}
 	f := c.Flags()
 	f.StringSliceVar(&l.Entry, "address", []string{defaultAddress}, "addresses of daemons for callers")
-	f.StringVar(&l.Key, "key", "", "the key of an account; "+keyVariable+" if empty")
+	f.StringVar(&l.Key, "key", "", "the key of an account; "+keyEnv+" if empty")
 	f.StringVar(&l.Engine, "engine", "", "an engine to call directly as well, for comparison")
 	f.StringVar(&shape, "shape", "pickup", "the kind of programs: pickup or shelf")
 	f.Float64Var(&l.Rate, "rate", 2, "programs a second")
@@ -40,7 +40,7 @@
 			return err
 		}
 		if l.Key == "" {
-			l.Key = os.Getenv(keyVariable)
+			l.Key = os.Getenv(keyEnv)
 		}
 		if !quiet {
 			l.Progress = c.ErrOrStderr()
--- a/cmd/slaterock/main.go
+++ b/cmd/slaterock/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	code := run(ctx, root(), os.Stderr)
+	code := run(ctx, rootCommand(), os.Stderr)
 	stop()
 	os.Exit(code)
 }
@@ -29,12 +29,12 @@
 // run runs the command line and returns the exit code. An error that comes
 // before any command has begun is one of usage.
 func run(ctx context.Context, c *cobra.Command, stderr io.Writer) int {
-	began := false
+	started := false
 	for _, sub := range c.Commands() {
-		do := sub.RunE
+		runE := sub.RunE
 		sub.RunE = func(c *cobra.Command, args []string) error {
-			began = true
-			return do(c, args)
+			started = true
+			return runE(c, args)
 		}
 	}
 	err := c.ExecuteContext(ctx)
@@ -42,13 +42,13 @@
 		return exitOK
 	}
 	_, _ = fmt.Fprintln(stderr, "slaterock:", err)
-	if !began {
+	if !started {
 		return exitUsage
 	}
 	return exitFailed
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "slaterock",
 		Short:         "A scheduler for agent programs",
--- a/cmd/slaterock/process_test.go
+++ b/cmd/slaterock/process_test.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	asMain  = "SLATEROCK_TEST_MAIN"
+	mainEnv = "SLATEROCK_TEST_MAIN"
 	testKey = "dev.secret"
 	daemons = 3
 
@@ -39,21 +39,21 @@
 type (
 	// system is a stand-in platform and daemons, each a process of its own.
 	system struct {
-		t       testing.TB
-		ctx     context.Context
-		parts   map[string]string
-		callers []string
-		peers   []string
-		procs   []*exec.Cmd
-		folders []string // data folders of the first daemons
-		extra   string   // appended to the configuration
-		records [daemons]string
+		t         testing.TB
+		ctx       context.Context
+		addresses map[string]string
+		callers   []string
+		peers     []string
+		procs     []*exec.Cmd
+		dataDirs  []string // data folders of the first daemons
+		extra     string   // appended to the configuration
+		records   [daemons]string
 	}
 )
 
 // TestMain lets the test binary stand in for the command.
 func TestMain(m *testing.M) {
-	if os.Getenv(asMain) != "" {
+	if os.Getenv(mainEnv) != "" {
 		main()
 		return
 	}
@@ -67,21 +67,21 @@
 
 // startSystem starts a system with more lines of configuration; the first
 // daemons get a data folder each.
-func startSystem(t testing.TB, extra string, folders ...string) *system {
+func startSystem(t testing.TB, extra string, dataDirs ...string) *system {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 2*time.Minute)
 	t.Cleanup(stop)
-	s := &system{t: t, ctx: ctx, parts: map[string]string{}, folders: folders, extra: extra}
-	s.fake()
+	s := &system{t: t, ctx: ctx, addresses: map[string]string{}, dataDirs: dataDirs, extra: extra}
+	s.startPlatform()
 	for i := range daemons {
 		s.callers = append(s.callers, address(i, callerPort))
 		s.peers = append(s.peers, address(i, peerPort))
 	}
 	for i := range daemons {
-		s.procs = append(s.procs, s.serve(i))
+		s.procs = append(s.procs, s.startDaemon(i))
 	}
 	s.apply()
-	s.await("the daemons are ready", func() bool {
+	s.waitUntil("the daemons are ready", func() bool {
 		for i := range daemons {
 			if s.client(i).JSON(s.ctx, "GET", "/readyz", nil, nil) != nil {
 				return false
@@ -102,9 +102,9 @@
 // start runs the command as a process that ends with the test.
 func (s *system) start(stdout io.Writer, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(s.ctx, os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asMain+"=1")
+	cmd.Env = append(os.Environ(), mainEnv+"=1")
 	cmd.Stdout = stdout
-	cmd.Stderr = s.log(args)
+	cmd.Stderr = s.logFile(args)
 	is.New(s.t).NoErr(cmd.Start())
 	s.t.Cleanup(func() {
 		_ = cmd.Process.Kill()
@@ -113,7 +113,7 @@
 	return cmd
 }
 
-func (s *system) log(args []string) io.Writer {
+func (s *system) logFile(args []string) io.Writer {
 	name := filepath.Base(args[len(args)-1])
 	f, err := os.Create(filepath.Join(s.t.TempDir(), name+".log"))
 	is.New(s.t).NoErr(err)
@@ -127,21 +127,21 @@
 	return f
 }
 
-func (s *system) fake() {
+func (s *system) startPlatform() {
 	r, w := io.Pipe()
 	s.start(w, "fake", "--speed=4")
 	lines := bufio.NewScanner(r)
 	for lines.Scan() && lines.Text() != "ready" {
 		name, address, _ := strings.Cut(lines.Text(), " ")
-		s.parts[name] = address
+		s.addresses[name] = address
 	}
 	go func() { _, _ = io.Copy(io.Discard, r) }()
 }
 
-func (s *system) serve(i int) *exec.Cmd {
+func (s *system) startDaemon(i int) *exec.Cmd {
 	folder := ""
-	if i < len(s.folders) {
-		folder = s.folders[i]
+	if i < len(s.dataDirs) {
+		folder = s.dataDirs[i]
 	}
 	text := fmt.Sprintf(`[daemon]
 name = d%d
@@ -158,7 +158,7 @@
 listen = %s
 seeds = %s
 peer_key = a-key-for-this-test-alone
-`, i, folder, i, s.callers[i], testKey, s.parts["store"], s.parts["vms"], s.peers[i], strings.Join(s.peers, ", "))
+`, i, folder, i, s.callers[i], testKey, s.addresses["store"], s.addresses["vms"], s.peers[i], strings.Join(s.peers, ", "))
 	path := filepath.Join(s.t.TempDir(), fmt.Sprintf("d%d.ini", i))
 	is.New(s.t).NoErr(os.WriteFile(path, []byte(text), 0o600))
 	s.records[i] = filepath.Join(s.t.TempDir(), "record.jsonl")
@@ -168,11 +168,11 @@
 func (s *system) apply() {
 	text := examples.Dev + s.extra
 	for part, address := range map[string]string{"e1": "127.0.0.1:7421", "e2": "127.0.0.1:7422", "ledger": "127.0.0.1:7431"} {
-		text = strings.ReplaceAll(text, address, s.parts[part])
+		text = strings.ReplaceAll(text, address, s.addresses[part])
 	}
 	path := filepath.Join(s.t.TempDir(), "system.ini")
 	is.New(s.t).NoErr(os.WriteFile(path, []byte(text), 0o600))
-	st := &kvnet.Client{Line: line.Line{Address: s.parts["store"]}, Name: "operator"}
+	st := &kvnet.Client{Line: line.Line{Address: s.addresses["store"]}, Name: "operator"}
 	is.New(s.t).NoErr(apply.File(s.ctx, io.Discard, st, path, apply.Request{Base: apply.Newest, By: "test"}))
 }
 
@@ -181,11 +181,11 @@
 }
 
 // await polls until ok, as other processes can't be driven by a clock of ours.
-func (s *system) await(what string, ok func() bool) {
+func (s *system) waitUntil(what string, done func() bool) {
 	s.t.Helper()
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
-	for !ok() {
+	for !done() {
 		select {
 		case <-s.ctx.Done():
 			s.t.Fatalf("gave up waiting until %s", what)
@@ -197,7 +197,7 @@
 // owner finds which daemon owns the program's shard.
 func (s *system) owner(program string) (owner int) {
 	owner = -1
-	s.await("the program's shard has an owner", func() bool {
+	s.waitUntil("the program's shard has an owner", func() bool {
 		var a locate.Answer
 		for i := range daemons {
 			if s.client(i).JSON(s.ctx, "GET", "/v1/entries?program="+program, nil, &a) == nil {
@@ -218,37 +218,37 @@
 // connected to another daemon. The caller must not notice: the answer goes on
 // to its end, the next call is taken by the new owner, and the daemon exits
 // without an error.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestDrainKeepsRequests(t *testing.T) {
 	tests := map[string][]int{ // the daemons that are stopped at once
 		"one": {1},
 		"two": {1, 2},
 	}
-	for name, stopped := range tests {
-		t.Run(name, func(t *testing.T) { plannedStop(t, stopped) })
+	for name, drained := range tests {
+		t.Run(name, func(t *testing.T) { drainDuringStreams(t, drained) })
 	}
 }
 
-func plannedStop(t *testing.T, stopped []int) {
+func drainDuringStreams(t *testing.T, drained []int) {
 	is := is.New(t)
 	s := newSystem(t)
 	const entry = 0
 	var once sync.Once
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range 24 { // a third of them are the stopped daemon's, more or less
-		work.Go(func() {
-			s.stream(fmt.Sprintf("pickup-%d", n), entry, func() {
-				once.Do(func() { s.terminate(stopped) })
+		wg.Go(func() {
+			s.runStreamed(fmt.Sprintf("pickup-%d", n), entry, func() {
+				once.Do(func() { s.terminate(drained) })
 			})
 		})
 	}
-	work.Wait()
-	for _, i := range stopped {
+	wg.Wait()
+	for _, i := range drained {
 		is.NoErr(s.procs[i].Wait()) // it exits by itself, with status 0
 	}
 }
 
-func (s *system) terminate(stopped []int) {
-	for _, i := range stopped {
+func (s *system) terminate(indexes []int) {
+	for _, i := range indexes {
 		if err := s.procs[i].Process.Signal(syscall.SIGTERM); err != nil {
 			s.t.Error(err)
 		}
@@ -257,12 +257,12 @@
 
 // stream runs a program of a streamed call and a receipt, and compares what its
 // caller got with the history. started is called when the stream has begun.
-func (s *system) stream(program string, entry int, started func()) {
+func (s *system) runStreamed(program string, entry int, started func()) {
 	is := is.NewRelaxed(s.t) // on a goroutine of its own
 	c := s.client(entry)
 	is.NoErr(c.Open(s.ctx, call.Open{Program: program}))
-	talk := []client.Message{{Role: "user", Content: "Tell me all about the route."}}
-	answer, err := c.Chat(s.ctx, program, 0, 1024, talk, func(string) { started() })
+	messages := []client.Message{{Role: "user", Content: "Tell me all about the route."}}
+	answer, err := c.Chat(s.ctx, program, 0, 1024, messages, func(string) { started() })
 	is.NoErr(err)
 	is.True(answer.Whole)
 	receipt, err := c.Service(s.ctx, program, 1, "receipts/issue", []byte(`{"kg":5}`))
@@ -285,31 +285,31 @@
 // caller, connected to another daemon, must get that call's whole answer and
 // go on; the receipt that was issued before must not be issued again, and the
 // history must tell of every call.
-func TestOwnerKilledInTheMiddleOfAProgram(t *testing.T) {
+func TestOwnerKilledDuringProgram(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t)
 	const program = "pickup-7"
 	owner := s.owner(program)
 	entry := (owner + 1) % daemons
 	is.NoErr(s.client(entry).Open(s.ctx, call.Open{Program: program}))
-	talk := []client.Message{{Role: "user", Content: "Arrange a pickup at the kitchen."}}
-	first, err := s.client(entry).Chat(s.ctx, program, 0, 64, talk, nil)
+	messages := []client.Message{{Role: "user", Content: "Arrange a pickup at the kitchen."}}
+	first, err := s.client(entry).Chat(s.ctx, program, 0, 64, messages, nil)
 	is.NoErr(err)
 	receipt, err := s.client(entry).Service(s.ctx, program, 1, "receipts/issue", []byte(`{"kg":120}`))
 	is.NoErr(err)
-	talk = append(talk, client.Message{Role: "assistant", Content: first.Text}, client.Message{Role: "tool", Content: receipt.Text})
+	messages = append(messages, client.Message{Role: "assistant", Content: first.Text}, client.Message{Role: "tool", Content: receipt.Text})
 
 	killed := false
-	answer, err := s.client(entry).Chat(s.ctx, program, 2, 512, talk, func(string) {
+	answer, err := s.client(entry).Chat(s.ctx, program, 2, 512, messages, func(string) {
 		if !killed {
 			killed = true
 			is.NoErr(s.procs[owner].Process.Kill())
 		}
 	})
 	is.True(killed)
-	s.await("the call that was cut has a whole answer", func() bool {
+	s.waitUntil("the call that was cut has a whole answer", func() bool {
 		if err != nil || !answer.Whole {
-			answer, err = s.client(entry).Chat(s.ctx, program, 2, 512, talk, nil)
+			answer, err = s.client(entry).Chat(s.ctx, program, 2, 512, messages, nil)
 		}
 		return err == nil && answer.Whole
 	})
--- a/cmd/slaterock/request.go
+++ b/cmd/slaterock/request.go
@@ -11,7 +11,7 @@
 			"ID is the header Slaterock-Request of the answer.",
 		Args: cobra.ExactArgs(1),
 	}
-	ask := askFlags(c)
-	c.RunE = func(c *cobra.Command, args []string) error { return ask().Request(c.Context(), args[0]) }
+	newAdmin := adminFlags(c)
+	c.RunE = func(c *cobra.Command, args []string) error { return newAdmin().Request(c.Context(), args[0]) }
 	return c
 }
--- a/cmd/slaterock/rolling_test.go
+++ b/cmd/slaterock/rolling_test.go
@@ -26,13 +26,13 @@
 	is := is.New(t)
 	s := newSystem(t)
 	var stop atomic.Bool
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	receipts := make(chan string, 1000)
 	failures := make(chan error, 100)
 	for n := range 6 {
-		work.Go(func() {
+		wg.Go(func() {
 			for i := 0; !stop.Load(); i++ {
-				if err := s.program(fmt.Sprintf("pickup-%d-%d", n, i), receipts); err != nil {
+				if err := s.runProgram(fmt.Sprintf("pickup-%d-%d", n, i), receipts); err != nil {
 					failures <- err
 					return
 				}
@@ -42,14 +42,14 @@
 	for i := range daemons {
 		is.NoErr(s.procs[i].Process.Signal(syscall.SIGTERM))
 		is.NoErr(s.procs[i].Wait())
-		s.replays(i)
-		s.procs[i] = s.serve(i)
-		s.await("the new daemon is ready", func() bool {
+		s.checkReplay(i)
+		s.procs[i] = s.startDaemon(i)
+		s.waitUntil("the new daemon is ready", func() bool {
 			return s.client(i).JSON(s.ctx, "GET", "/readyz", nil, nil) == nil
 		})
 	}
 	stop.Store(true)
-	work.Wait()
+	wg.Wait()
 	for i := range daemons { // all of them are new, and any can tell
 		h, err := s.client(i).History(s.ctx, "pickup-0-0")
 		is.NoErr(err)
@@ -71,13 +71,13 @@
 	t.Logf("%d receipts while all daemons were replaced", len(seen))
 	is.True(len(seen) > 6)
 	last := make(chan string, 1)
-	is.NoErr(s.program("pickup-last", last))
+	is.NoErr(s.runProgram("pickup-last", last))
 	want := fmt.Sprintf(`"receipt":%d,`, len(seen)+1) // the service counts what it issued
 	is.True(strings.Contains(<-last, want))
 }
 
 // replays runs what a daemon recorded through the decision code again.
-func (s *system) replays(i int) {
+func (s *system) checkReplay(i int) {
 	is := is.New(s.t)
 	f, err := os.Open(s.records[i])
 	is.NoErr(err)
@@ -93,28 +93,28 @@
 }
 
 // program runs three calls, each at an entry that a live daemon names.
-func (s *system) program(id string, receipts chan<- string) error {
-	if err := s.entry(id).Open(s.ctx, call.Open{Program: id}); err != nil {
+func (s *system) runProgram(id string, receipts chan<- string) error {
+	if err := s.entryFor(id).Open(s.ctx, call.Open{Program: id}); err != nil {
 		return err
 	}
-	talk := []client.Message{{Role: "user", Content: "Which kitchen is next?"}}
-	a, err := s.entry(id).Chat(s.ctx, id, 0, 128, talk, nil)
+	messages := []client.Message{{Role: "user", Content: "Which kitchen is next?"}}
+	a, err := s.entryFor(id).Chat(s.ctx, id, 0, 128, messages, nil)
 	if err != nil {
 		return err
 	}
 	if !a.Whole {
 		return fmt.Errorf("%s: the answer is not whole", id)
 	}
-	r, err := s.entry(id).Service(s.ctx, id, 1, "receipts/issue", []byte(`{"kg":1}`))
+	r, err := s.entryFor(id).Service(s.ctx, id, 1, "receipts/issue", []byte(`{"kg":1}`))
 	if err != nil {
 		return err
 	}
 	receipts <- r.Text
-	return s.entry(id).End(s.ctx, id, call.Finish)
+	return s.entryFor(id).End(s.ctx, id, call.Finish)
 }
 
 // entry is the best address for the program that any daemon names.
-func (s *system) entry(program string) client.Client {
+func (s *system) entryFor(program string) client.Client {
 	for i := range daemons {
 		var a locate.Answer
 		if s.client(i).JSON(s.ctx, "GET", "/v1/entries?program="+program, nil, &a) == nil && len(a.Entries) > 0 {
--- a/cmd/slaterock/serve.go
+++ b/cmd/slaterock/serve.go
@@ -19,7 +19,7 @@
 )
 
 // closeTime bounds the export of the last spans.
-const closeTime = 3 * time.Second
+const spanExportTimeout = 3 * time.Second
 
 func serveCommand() *cobra.Command {
 	var path, record string
@@ -53,7 +53,7 @@
 
 // observe opens the log, the metrics and the trace that the settings ask for.
 // What it returns closes them.
-func observe(ctx context.Context, d *daemon.Daemon) (closing func(), err error) {
+func openObservability(ctx context.Context, d *daemon.Daemon) (closeAll func(), err error) {
 	s := d.Settings.Observe
 	if d.Logs, err = logs.Open(os.Stderr, s.LogLevel, s.LogFormat); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	return func() {
-		last, stop := context.WithTimeout(context.Background(), closeTime)
+		last, stop := context.WithTimeout(context.Background(), spanExportTimeout)
 		defer stop()
 		_ = d.Trace.Close(last)
 		_ = d.Metric.Close()
@@ -100,15 +100,15 @@
 // serve runs the daemon. It takes the signals itself: the first one drains, and
 // only the second ends the context.
 func serve(s setup.Settings) error {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	d := &daemon.Daemon{Settings: s}
 	d.Connect()
-	closing, err := observe(ctx, d)
+	closeAll, err := openObservability(ctx, d)
 	if err != nil {
 		return err
 	}
-	defer closing()
+	defer closeAll()
 	if err := d.Init(ctx); err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 		<-signals
 		d.Drain()
 		<-signals
-		stop()
+		cancel()
 	}()
 	return d.Run(ctx)
 }
--- a/cmd/slaterock/status.go
+++ b/cmd/slaterock/status.go
@@ -8,7 +8,7 @@
 		Short: "Show daemons, shards, epochs and the configuration version in force at each",
 		Args:  cobra.NoArgs,
 	}
-	ask := askFlags(c)
-	c.RunE = func(c *cobra.Command, _ []string) error { return ask().Status(c.Context()) }
+	newAdmin := adminFlags(c)
+	c.RunE = func(c *cobra.Command, _ []string) error { return newAdmin().Status(c.Context()) }
 	return c
 }
--- a/cmd/slaterock/storm.go
+++ b/cmd/slaterock/storm.go
@@ -29,25 +29,25 @@
 			}
 			failed := 0
 			for seed := s.Seed; seed < s.Seed+uint64(seeds); seed++ {
-				one := storm.Storm{
+				run := storm.Storm{
 					Command: []string{self}, Seed: seed, Calm: s.Calm, For: s.For, Fronts: s.Fronts, Disks: s.Disks, Upstreams: s.Upstreams, Callers: s.Callers,
 					Dir: filepath.Join(dir, fmt.Sprint(seed)), Out: io.Discard,
 				}
 				// Attempts have the same ids in each run of a seed, so the disks of
 				// an earlier one would answer for this one's.
-				if err = os.RemoveAll(one.Dir); err != nil {
+				if err = os.RemoveAll(run.Dir); err != nil {
 					return err
 				}
-				if err = os.MkdirAll(one.Dir, 0o700); err != nil {
+				if err = os.MkdirAll(run.Dir, 0o700); err != nil {
 					return err
 				}
-				out, err := os.Create(filepath.Join(one.Dir, "faults.log"))
+				faultLog, err := os.Create(filepath.Join(run.Dir, "faults.log"))
 				if err != nil {
 					return err
 				}
-				one.Out = out
-				sum, err := one.Run(c.Context())
-				_ = out.Close() // what it says is for people only
+				run.Out = faultLog
+				sum, err := run.Run(c.Context())
+				_ = faultLog.Close() // what it says is for people only
 				_, _ = fmt.Fprintf(c.OutOrStdout(), "seed %d: %+v %v\n", seed, sum, err)
 				if err != nil {
 					failed++
--- a/cmd/slaterock/storm_test.go
+++ b/cmd/slaterock/storm_test.go
@@ -15,12 +15,12 @@
 // away. Daemons that serve callers have no disk, so only the VMs with one can tell
 // them the configuration and the upstreams. Callers would be refused until the
 // store's return, for as long as that takes.
-func TestServedWithoutTheStore(t *testing.T) {
+func TestRestartWithoutStore(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	is := is.New(t)
-	t.Setenv(asMain, "1")
+	t.Setenv(mainEnv, "1")
 	var faults bytes.Buffer
 	s := &storm.Storm{
 		Seed: 5, Dark: true, For: 2 * time.Second, Fronts: 2, Disks: 3, Upstreams: 4, Callers: 6,
@@ -47,7 +47,7 @@
 	for name, s := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			t.Setenv(asMain, "1")
+			t.Setenv(mainEnv, "1")
 			var faults bytes.Buffer
 			s.Command, s.Dir, s.Out = []string{os.Args[0]}, t.TempDir(), &faults
 			sum, err := s.Run(t.Context())
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -230,8 +230,8 @@
 				is.Equal(found, tt.found)
 				if tt.want == nil {
 					version := max(tt.version, 2)
-					took, known := h.HasWrite(version, nonceOf(out.Head, version))
-					is.True(took && known) // taken once, as that version
+					written, known := h.HasWrite(version, nonceOf(out.Head, version))
+					is.True(written && known) // taken once, as that version
 				}
 			})
 		})
--- a/internal/conf/watch/cluster_test.go
+++ b/internal/conf/watch/cluster_test.go
@@ -43,9 +43,9 @@
 		stop         context.CancelFunc
 		isolated     bool // reaches no peer
 		noHeartbeats bool // hears no heartbeats
-		activated    []uint64
+		versions     []uint64
 		loadErrors   int
-		alterReply   func(a Answer) Answer // of what it answers to peers
+		alterAnswer  func(a Answer) Answer // of what it answers to peers
 	}
 
 	// link is a daemon's way to the store, on which some calls go wrong.
@@ -141,7 +141,7 @@
 		Store:       d.link,
 		Seed:        1, // the name goes into the jitter as well
 		Fetch:       func(_ context.Context, peer string, q Query) (Answer, error) { return f.fetch(d, peer, q) },
-		OnChange:    func(c file.File) { f.withLock(func() { d.activated = append(d.activated, c.Version) }) },
+		OnChange:    func(c file.File) { f.withLock(func() { d.versions = append(d.versions, c.Version) }) },
 		OnLoadError: func(head.Head, error) { f.withLock(func() { d.loadErrors++ }) },
 	}
 	f.withLock(func() { f.daemons[name] = d })
@@ -163,8 +163,8 @@
 		return Answer{}, errUnreachable
 	}
 	a := d.Answer(q)
-	if d.alterReply != nil {
-		a = d.alterReply(a)
+	if d.alterAnswer != nil {
+		a = d.alterAnswer(a)
 	}
 	return a, nil
 }
@@ -223,8 +223,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, d := range f.daemons {
-		if !slices.IsSorted(d.activated) || len(slices.Compact(slices.Clone(d.activated))) != len(d.activated) {
-			return fmt.Errorf("%s went back: %v", name, d.activated)
+		if !slices.IsSorted(d.versions) || len(slices.Compact(slices.Clone(d.versions))) != len(d.versions) {
+			return fmt.Errorf("%s went back: %v", name, d.versions)
 		}
 	}
 	return nil
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -106,32 +106,32 @@
 	rapid.Check(t, func(r *rapid.T) {
 		var w Watch
 		now := epoch
-		calls, loads, asks := 0, 0, map[string]int{}
+		calls, loads, queries := 0, 0, map[string]int{}
 		messages := []Message{Start{Self: Member{Name: "d3", Peer: "p3"}, Seeds: []string{"p0", "p1", "p2", "p3"}}}
 		for range rapid.IntRange(10, 200).Draw(r, "steps") {
 			m := messages[0]
 			messages = messages[1:]
 			before := w.Version()
 			switch m := m.(type) {
-			case StoreHead, WatchExpired, StoreFailed:
+			case StoreHead, NoChange, StoreFailed:
 				calls--
 			case Loaded, LoadFailed:
 				loads--
 			case PeerHead:
-				asks[m.Peer]--
+				queries[m.Peer]--
 			case PeerFailed:
-				asks[m.Peer]--
+				queries[m.Peer]--
 			}
 			for _, e := range w.Step(now, m) {
 				switch e := e.(type) {
-				case ReadHead, WatchHead:
+				case ReadHead, AwaitHead:
 					calls++
-					messages = append(messages, rapid.SampledFrom([]Message{StoreFailed{}, WatchExpired{}, StoreHead{}, anyHead(r)}).Draw(r, "store"))
+					messages = append(messages, rapid.SampledFrom([]Message{StoreFailed{}, NoChange{}, StoreHead{}, anyHead(r)}).Draw(r, "store"))
 				case Load:
 					loads++
 					messages = append(messages, rapid.SampledFrom([]Message{Loaded{e.Head}, LoadFailed{Head: e.Head}, LoadFailed{Head: e.Head, Unreadable: true}}).Draw(r, "load"))
 				case QueryPeer:
-					asks[e.Peer]++
+					queries[e.Peer]++
 					messages = append(messages, rapid.SampledFrom([]Message{PeerFailed(e), PeerHead{e.Peer, anyHead(r).Head}}).Draw(r, "peer"))
 				case Activate:
 					if e.Head.Version <= before || e.Head.Version != w.Version() {
@@ -140,11 +140,11 @@
 				}
 			}
 			pending := 0
-			for _, n := range asks {
+			for _, n := range queries {
 				pending += n
 			}
-			if w.Version() < before || calls > 1 || loads > 1 || pending > maxPeerQueries || asks["p3"] > 0 {
-				r.Fatalf("version %d after %d, %d calls, %d loads, asks %v", w.Version(), before, calls, loads, asks)
+			if w.Version() < before || calls > 1 || loads > 1 || pending > maxPeerQueries || queries["p3"] > 0 {
+				r.Fatalf("version %d after %d, %d calls, %d loads, asks %v", w.Version(), before, calls, loads, queries)
 			}
 			messages = append(messages, rapid.SampledFrom([]Message{Tick{}, Tick{}, Members{members(6)}, Newer{uint64(rapid.IntRange(0, 9).Draw(r, "told")), "p1"}, Adopt{anyHead(r).Head}}).Draw(r, "other"))
 			i := rapid.IntRange(0, len(messages)-1).Draw(r, "order")
--- a/internal/conf/watch/step.go
+++ b/internal/conf/watch/step.go
@@ -62,7 +62,7 @@
 		w.noteVersion(m)
 	case StoreHead:
 		w.storeHead(now, m)
-	case WatchExpired:
+	case NoChange:
 		w.storeDone(now)
 		w.watchExpired, w.staleWatches = true, 0
 	case StoreFailed:
@@ -223,7 +223,7 @@
 	if !w.watchCall {
 		return []Effect{ReadHead{}}
 	}
-	return []Effect{WatchHead{Rev: w.rev, For: w.addJitter(WatchWait)}}
+	return []Effect{AwaitHead{Rev: w.rev, For: w.addJitter(WatchWait)}}
 }
 
 func (w *Watch) load(now time.Time) []Effect {
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -210,7 +210,7 @@
 				now = now.Add(100 * time.Millisecond)
 				for effects := w.Step(now, Tick{}); len(effects) > 0 && calls <= 1000; effects = effects[1:] {
 					switch effects[0].(type) {
-					case ReadHead, WatchHead:
+					case ReadHead, AwaitHead:
 						calls++
 						effects = append(effects, w.Step(now, answer)...)
 					}
@@ -257,14 +257,14 @@
 	for now := epoch; now.Before(epoch.Add(idleTime)); now = now.Add(100 * time.Millisecond) {
 		var m Message = Tick{}
 		if !watchEnd.IsZero() && !now.Before(watchEnd) {
-			m, watchEnd = WatchExpired{}, time.Time{}
+			m, watchEnd = NoChange{}, time.Time{}
 		}
 		for _, e := range w.Step(now, m) {
 			switch e := e.(type) {
 			case ReadHead:
 				calls++
 				w.Step(now, StoreHead{version(1), 10})
-			case WatchHead:
+			case AwaitHead:
 				calls++
 				watchEnd = now.Add(e.For)
 			case QueryPeer:
--- a/internal/conf/watch/syncer.go
+++ b/internal/conf/watch/syncer.go
@@ -218,8 +218,8 @@
 	switch e := e.(type) {
 	case ReadHead:
 		return k.read(ctx)
-	case WatchHead:
-		return k.watch(ctx, e)
+	case AwaitHead:
+		return k.awaitHead(ctx, e)
 	case QueryPeer:
 		return k.queryPeer(ctx, e.Peer)
 	case Load:
@@ -234,12 +234,12 @@
 	return storeMessage(k.Store.Get(ctx, head.Key))
 }
 
-func (k *Syncer) watch(ctx context.Context, e WatchHead) Message {
+func (k *Syncer) awaitHead(ctx context.Context, e AwaitHead) Message {
 	ctx, cancel := context.WithTimeout(ctx, e.For)
 	defer cancel()
 	entry, err := k.Store.Watch(ctx, head.Key, e.Rev)
 	if err != nil && ctx.Err() != nil {
-		return WatchExpired{}
+		return NoChange{}
 	}
 	return storeMessage(entry, err)
 }
--- a/internal/conf/watch/syncer_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	bad := f.daemons["d5"]
-	bad.alterReply = func(a Answer) Answer {
+	bad.alterAnswer = func(a Answer) Answer {
 		for i := range a.Chunks {
 			a.Chunks[i].Packed = other.Packed
 		}
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -87,7 +87,7 @@
 	}
 
 	// StoreQuiet tells that a watch ended without a change.
-	WatchExpired struct{}
+	NoChange struct{}
 
 	// StoreFailed tells that a call to the store failed.
 	StoreFailed struct{}
@@ -123,7 +123,7 @@
 
 	// Wait waits at the store until the head's revision is above Rev, for at
 	// most For. Answered by StoreHead, StoreQuiet or StoreFailed.
-	WatchHead struct {
+	AwaitHead struct {
 		Rev store.Rev
 		For time.Duration
 	}
@@ -146,20 +146,20 @@
 	Activate struct{ Head head.Head }
 )
 
-func (Start) message()        {}
-func (Members) message()      {}
-func (Newer) message()        {}
-func (StoreHead) message()    {}
-func (WatchExpired) message() {}
-func (StoreFailed) message()  {}
-func (PeerHead) message()     {}
-func (PeerFailed) message()   {}
-func (Adopt) message()        {}
-func (Loaded) message()       {}
-func (LoadFailed) message()   {}
-func (Tick) message()         {}
-
-func (WatchHead) effect() {}
+func (Start) message()       {}
+func (Members) message()     {}
+func (Newer) message()       {}
+func (StoreHead) message()   {}
+func (NoChange) message()    {}
+func (StoreFailed) message() {}
+func (PeerHead) message()    {}
+func (PeerFailed) message()  {}
+func (Adopt) message()       {}
+func (Loaded) message()      {}
+func (LoadFailed) message()  {}
+func (Tick) message()        {}
+
+func (AwaitHead) effect() {}
 func (ReadHead) effect()  {}
 func (QueryPeer) effect() {}
 func (Load) effect()      {}
