--- a/internal/conf/accnt/accnt.go
+++ b/internal/conf/accnt/accnt.go
@@ -1,8 +1,8 @@
-// Package accnt knows the accounts of callers: whose a key is, and what its account
-// may ask.
+// Package accnt holds the accounts of callers: which account an API key belongs to, and the
+// account's priority and rate limit.
 //
-// A key itself is held nowhere. Only its digest is, so that what a daemon tells others,
-// logs, or has kept on a disk can't be used to ask in the account's name.
+// Keys are never stored, only their SHA-256 digests, so that what a daemon sends to others,
+// logs or writes to disk can't be used to send requests in the account's name.
 package accnt
 
 import (
@@ -17,43 +17,44 @@
 )
 
 type (
-	// Digest stands for a key.
+	// Digest is the SHA-256 of a key.
 	Digest [sha256.Size]byte
 
-	// Account is one account of callers.
+	// Account is one caller account.
 	Account struct {
 		Name        string
-		Priority    int     // 0 is the most urgent; valid with Ranked
-		HasPriority bool    // it has a priority of its own, which goes before that of routes
-		Rate        float64 // requests a second over all daemons; 0 is no limit
-		Burst       float64 // requests beside that rate
+		Priority    int     // 0 is the most urgent; valid if HasPriority
+		HasPriority bool    // Priority is set and overrides the priority of routes
+		Rate        float64 // requests per second over all daemons; 0 means no limit
+		Burst       float64 // requests allowed in addition to that rate
 		Keys        []Digest
 	}
 
-	// Accounts are the accounts of one configuration version. The zero value and
-	// nil have none. It is immutable.
+	// Accounts are the accounts of one configuration version. It is immutable. The zero value
+	// and nil hold no accounts.
 	Accounts struct {
 		list  []Account // by name
 		byKey map[Digest]int
 	}
 )
 
-// DigestOf returns what stands for a key.
+// DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// ParseDigest reads what String returned.
+// ParseDigest parses the hexadecimal form that String returns.
 func ParseDigest(text string) (d Digest, err error) {
 	if len(text) != hex.EncodedLen(len(d)) {
-		return d, errors.Newf("no digest of a key: %d characters", len(text))
+		return d, errors.Newf("invalid key digest: %d characters", len(text))
 	}
 	_, err = hex.Decode(d[:], []byte(text))
-	return d, errors.Wrap(err, "digest of a key")
+	return d, errors.Wrap(err, "key digest")
 }
 
-// String returns the digest in hexadecimal digits.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// New returns the accounts. An error names the account that is wrong, and no key.
+// New checks and indexes the accounts. Its error names the invalid account and never contains a
+// key.
 func New(list []Account) (a *Accounts, err error) {
 	defer func() { err = errors.Wrap(err, "accounts") }()
 	a = &Accounts{list: slices.Clone(list), byKey: make(map[Digest]int, len(list))}
@@ -64,14 +65,14 @@
 			return nil, err
 		}
 		if i > 0 && a.list[i-1].Name == acct.Name {
-			return nil, errors.Newf("%s: there are two of that name", acct.Name)
+			return nil, errors.Newf("%s: duplicate name", acct.Name)
 		}
 		for _, key := range acct.Keys {
 			if key == empty {
-				return nil, errors.Newf("%s: a key is empty", acct.Name)
+				return nil, errors.Newf("%s: empty key", acct.Name)
 			}
 			if other, taken := a.byKey[key]; taken && other != i {
-				return nil, errors.Newf("%s: a key is also that of %s", acct.Name, a.list[other].Name)
+				return nil, errors.Newf("%s: key also belongs to %s", acct.Name, a.list[other].Name)
 			}
 			a.byKey[key] = i
 		}
@@ -82,18 +83,18 @@
 func (a Account) check() error {
 	switch {
 	case a.Name == "":
-		return errors.New("one has no name")
+		return errors.New("account without a name")
 	case strings.TrimSpace(a.Name) != a.Name || strings.ContainsFunc(a.Name, unicode.IsControl):
-		return errors.Newf("%q: a name has spaces around it or control characters", a.Name)
+		return errors.Newf("%q: name has surrounding spaces or control characters", a.Name)
 	case a.Rate < 0 || a.Burst < 0:
-		return errors.Newf("%s: a limit is negative", a.Name)
+		return errors.Newf("%s: negative limit", a.Name)
 	case a.Priority < 0:
-		return errors.Newf("%s: the priority is negative", a.Name)
+		return errors.Newf("%s: negative priority", a.Name)
 	}
 	return nil
 }
 
-// Find returns the account that a key belongs to.
+// Find returns the account that the key with this digest belongs to.
 func (a *Accounts) Find(key Digest) (Account, bool) {
 	if a == nil {
 		return Account{}, false
@@ -105,7 +106,7 @@
 	return a.list[i], true
 }
 
-// All returns the accounts by name. The list is not to be changed.
+// All returns the accounts sorted by name. The caller must not change the slice.
 func (a *Accounts) All() []Account {
 	if a == nil {
 		return nil
