--- a/internal/conf/apply/apply.go
+++ b/internal/conf/apply/apply.go
@@ -1,15 +1,15 @@
-// Package apply puts a configuration in force as a whole.
+// Package apply makes a configuration the active one, as a whole.
 //
-// Apply is a state machine: Step takes the time and one message and returns
-// the effects to carry out. Chunks of the text are stored first; they are
-// immutable and nobody sees them. Then one compare-and-swap of the head, from
-// the version that the operator read, is the moment of acceptance. Of two
-// operators who start from the same version one gets a *ConflictError.
+// Apply is a state machine: Step takes the time and one message and returns the effects to
+// carry out. The chunks of the text are stored first; they are immutable and unused until a
+// head refers to them. Then one compare-and-swap of the head, from the version that the
+// operator read, accepts the configuration. Of two operators who start from the same version
+// one gets a *ConflictError.
 //
-// A write whose acknowledgement is lost is never taken for either outcome: the
-// head is read back and searched for this applier's nonce. Only a text that is
-// certainly not in force ends in *NotAppliedError, and only one that may come
-// in force without its operator hearing of it in *UnknownError.
+// A write whose acknowledgement is lost is not taken for a success or a failure: the head is
+// read back and searched for this applier's nonce. *NotAppliedError means that the text is
+// certainly not active; *UnknownError means that it may have become active without an
+// acknowledgement.
 //
 // Run carries out the effects against a store.
 package apply
@@ -24,7 +24,7 @@
 )
 
 const (
-	// Newest is a Base that takes whatever version is in force.
+	// Newest is a Base that accepts any active version.
 	Newest = math.MaxUint64
 
 	minBackoff = 50 * time.Millisecond
@@ -33,30 +33,29 @@
 )
 
 type (
-	// Apply decides the steps of putting one text in force. Its zero value
-	// waits for Start.
+	// Apply decides the steps of applying one text. Its zero value waits for Start.
 	Apply struct {
 		start          Start
-		base           head.Head // in force before
+		base           head.Head // active before
 		baseRev        store.Rev // of base
 		next           head.Head
 		queue          []chunk.Chunk // not stored yet
-		chunk          store.Rev     // to write the first of queue from
+		chunk          store.Rev     // expected revision for the write of queue[0]; 0 if it must not exist
 		garbage        []Garbage
-		candidates     []string // digests that may be garbage
+		candidates     []string // digests of stored chunks that no kept version refers to
 		state          state
-		outcomeUnknown bool // a write of the head has an unknown outcome
+		outcomeUnknown bool // of a write of the head
 		backoff        time.Duration
 	}
 
-	// state is what an effect was asked for last.
+	// state is the effect requested last.
 	state int
 
-	// Message is what Apply reacts to.
+	// Message is an input of Apply.
 	Message interface{ message() }
 
-	// Start begins. Base is the version that the operator read, Floor one that
-	// some daemon runs, Nonce a word that no other apply has.
+	// Start begins. Base is the version that the operator read, Floor a version that some
+	// daemon runs, Nonce a string unique to this apply.
 	Start struct {
 		Base   uint64
 		Floor  uint64
@@ -69,37 +68,37 @@
 		Nonce  string
 	}
 
-	// HeadRead tells what stands under the head's key; the zero Head is none.
+	// HeadRead is the value of the head's key; the zero Head means that the key does not exist.
 	HeadRead struct {
 		Head head.Head
 		Rev  store.Rev
 	}
 
-	// Listed tells the digests of stored chunks.
+	// Listed holds the digests of stored chunks.
 	Listed struct{ Digests []string }
 
-	// Inspected tells a chunk's revision; 0 if it is gone.
+	// Inspected holds a chunk's revision; 0 if the chunk does not exist.
 	Inspected struct{ Garbage Garbage }
 
-	// Stored tells that the write was taken.
+	// Stored reports that the write succeeded.
 	Stored struct{}
 
-	// Conflict tells that the write was refused; Rev is the present revision.
+	// Conflict reports that the write was refused; Rev is the current revision.
 	Conflict struct{ Rev store.Rev }
 
-	// Failed tells that the store had no effect and no answer.
+	// Failed reports that the call had no effect and gave no result.
 	Failed struct{}
 
-	// Unsure tells that nobody knows whether the write was taken.
+	// OutcomeUnknown reports that the write may or may not have been stored.
 	OutcomeUnknown struct{}
 
-	// Wake tells that a wait is over.
+	// Wake reports the end of a Sleep.
 	Wake struct{}
 
-	// Stop tells that the operator waits no longer.
+	// Stop ends the apply because the operator's deadline passed.
 	Stop struct{}
 
-	// Effect is what Apply wants done.
+	// Effect is an action that Apply requests.
 	Effect interface{ effect() }
 
 	// ReadHead is answered by HeadRead or Failed.
@@ -111,34 +110,36 @@
 	// Inspect is answered by Inspected or Failed.
 	Inspect struct{ Digest string }
 
-	// PutChunk writes from a revision; Stored, Conflict, Failed or Unsure.
+	// PutChunk writes a chunk if its revision is Rev. Answered by Stored, Conflict, Failed or
+	// OutcomeUnknown.
 	PutChunk struct {
 		Chunk chunk.Chunk
 		Rev   store.Rev
 	}
 
-	// PutHead writes from a revision; Stored, Conflict, Failed or Unsure.
+	// PutHead writes the head if its revision is Rev. Answered by Stored, Conflict, Failed or
+	// OutcomeUnknown.
 	PutHead struct {
 		Head head.Head
 		Rev  store.Rev
 	}
 
-	// Delete removes chunks, each only if it still has the revision. Its
-	// outcome does not matter: a later apply tries again.
+	// Delete removes chunks, each only if its revision is unchanged. Its result is not
+	// reported: a later apply retries.
 	Delete struct{ Chunks []Garbage }
 
 	// Sleep is answered by Wake.
 	Sleep struct{ For time.Duration }
 
-	// Finish ends it. Err is nil if Head is in force.
+	// Finish ends the apply. Err is nil if Head is active.
 	Finish struct {
 		Head      head.Head
-		Unchanged bool // the text was in force before
+		Unchanged bool // the text was active already
 		Err       error
 	}
 
-	// Garbage is a chunk that no kept version refers to, as it was before the
-	// head was swapped.
+	// Garbage is a chunk that no kept version refers to, with its revision before the head was
+	// swapped.
 	Garbage struct {
 		Digest string
 		Rev    store.Rev
--- a/internal/conf/apply/errors.go
+++ b/internal/conf/apply/errors.go
@@ -8,27 +8,28 @@
 )
 
 type (
-	// ConflictError reports that another operator was first. The text is
-	// certainly not in force.
+	// ConflictError reports that another operator's version was applied first. The text is
+	// certainly not active.
 	ConflictError struct {
 		Base  uint64 // the version that the operator read
-		Found uint64 // the version in force
+		Found uint64 // the active version
 		By    string // who applied it
 		At    time.Time
 	}
 
-	// ShardsError reports a change of what is fixed for the life of a store.
+	// ShardsError reports a change of the number of shards, which is fixed for the life of a
+	// store.
 	ShardsError struct{ Have, Want int }
 
-	// NotAppliedError reports that the store could not be reached in time.
-	// The text is certainly not in force.
+	// NotAppliedError reports that the store could not be reached in time. The text is
+	// certainly not active.
 	NotAppliedError struct{ Base uint64 }
 
-	// UnknownError reports that the store took or did not take the text, and
-	// could not be asked in time. Applying it again from the version that is
-	// then in force is harmless.
+	// UnknownError reports that the write of the head had an unknown outcome, and that the head
+	// could not be read back in time or no longer lists the version. It is safe to apply the
+	// text again from the version that is then active.
 	UnknownError struct {
-		Version uint64 // that it has if it was taken
+		Version uint64 // of the text if the write succeeded
 		Nonce   string
 	}
 )
@@ -37,7 +38,7 @@
 	return &ConflictError{Base: base, Found: found.Version, By: found.By, At: found.At}
 }
 
-// Error names both versions, and who applied the one in force.
+// Error names both versions and who applied the active one.
 func (e *ConflictError) Error() string {
 	if e.Found == 0 {
 		return fmt.Sprintf("not applied: you read version %d, and no version is in force", e.Base)
@@ -51,12 +52,12 @@
 	return fmt.Sprintf("not applied: [system] shards is %d for the life of this store, not %d", e.Have, e.Want)
 }
 
-// Error says that nothing changed.
+// Error says that the active version is unchanged.
 func (e *NotAppliedError) Error() string {
 	return "not applied: the store did not answer in time; the version in force is the one before"
 }
 
-// Error says how to find out.
+// Error tells the operator to apply the same file again.
 func (e *UnknownError) Error() string {
 	return fmt.Sprintf("it is not known whether version %d was taken (nonce %s): the store stopped answering during the last write; apply the same file again", e.Version, e.Nonce)
 }
--- a/internal/conf/apply/print.go
+++ b/internal/conf/apply/print.go
@@ -12,12 +12,12 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// ErrFaults reports that the text's faults were written to the operator.
+// ErrFaults reports that the text has faults, which were written to the operator.
 var ErrFaults = errors.New("the configuration has faults")
 
-// CheckFile checks the configuration at path and writes the result for an
-// operator: one line per fault, or one line with what is declared. The error
-// is ErrFaults where faults were written.
+// CheckFile checks the configuration at path and writes the result for an operator: one line
+// per fault, or one line that summarizes the file. The error is ErrFaults if faults were
+// written.
 func CheckFile(w io.Writer, path string) (err error) {
 	defer func() { err = errors.Wrapf(err, "check %s", path) }()
 	text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
@@ -31,9 +31,8 @@
 	return write(w, "%s: ok: %s\n", path, summary(f))
 }
 
-// File applies the configuration at path from the version that the operator
-// read, and writes the result for him. Request's Name and Text are filled in
-// here.
+// File applies the configuration at path and writes the result for the operator. It sets Name
+// and Text of the request.
 func File(ctx context.Context, w io.Writer, s store.Store, path string, r Request) (err error) {
 	defer func() { err = errors.Wrapf(err, "apply %s", path) }()
 	r.Name = path
@@ -48,7 +47,7 @@
 	return out.Print(w)
 }
 
-// Print writes one line for an operator.
+// Print writes the outcome as one line for an operator.
 func (o Outcome) Print(w io.Writer) error {
 	if o.Unchanged {
 		return write(w, "version %d has this text already: applied by %s\n", o.Head.Version, o.Head.By)
--- a/internal/conf/apply/random_test.go
+++ b/internal/conf/apply/random_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxConcurrent = 3  // operators
-	variants      = 11 // texts, so that some come back after their chunks went
+	maxConcurrent = 3  // operators at a time
+	variants      = 11 // texts; few enough that some are applied again after their chunks were deleted
 )
 
 type (
-	// operator is one apply that is played call by call.
+	// operator is one apply, run one store call at a time.
 	operator struct {
 		apply   Apply
 		runner  runner
@@ -31,7 +31,7 @@
 		result  *Finish
 	}
 
-	// history is what a reader of the head saw, one version after the other.
+	// history holds the versions that a reader of the head saw.
 	history struct {
 		service keyval.Store
 		head    head.Head
@@ -39,10 +39,10 @@
 	}
 )
 
-// Operators race one another call by call, while each call at the store may
-// fail, or lose its write or its acknowledgement. Whatever the order, versions
-// follow one another, each holds all its chunks, and everyone is told what is
-// true of his own text.
+// Several operators apply at the same time, interleaved at single store calls, while each call
+// may fail or lose its write or its acknowledgement. In every order, versions must follow one
+// another without gaps, each must have all its chunks, and each operator must get the true
+// outcome of its own text.
 func TestInterleaved(t *testing.T) {
 	var texts []Prepared
 	for i := range variants {
@@ -105,7 +105,7 @@
 	}
 }
 
-// look reads the head and checks that it follows the one before.
+// checkHead reads the head and checks that its version follows the one seen before.
 func (h *history) checkHead(r *rapid.T, t *testing.T) {
 	entry, err := h.service.Get(t.Context(), head.Key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -124,21 +124,21 @@
 		return
 	}
 	if now.Version != h.head.Version+1 || slices.Contains(h.nonces, now.Nonce) {
-		r.Fatalf("version %d of %s after %d; so far %v", now.Version, now.Nonce, h.head.Version, h.nonces)
+		r.Fatalf("version %d with nonce %s follows version %d; nonces so far: %v", now.Version, now.Nonce, h.head.Version, h.nonces)
 	}
 	h.head, h.nonces = now, append(h.nonces, now.Nonce)
 }
 
-// judge compares what an operator was told with what happened.
+// checkOutcome compares the outcome reported to an operator with the versions that were active.
 func (h *history) checkOutcome(r *rapid.T, o *operator) {
 	inForce := slices.Contains(h.nonces, o.nonce)
 	switch {
 	case o.result.Err == nil && !o.result.Unchanged && !inForce:
-		r.Fatalf("%s was told that his text is in force, and it never was", o.nonce)
+		r.Fatalf("%s: reported as applied, but the text was never active", o.nonce)
 	case o.result.Err == nil && o.result.Unchanged && inForce:
-		r.Fatalf("%s was told that nothing changed, and he made a version", o.nonce)
+		r.Fatalf("%s: reported as unchanged, but a version was created", o.nonce)
 	case errors.As(o.result.Err, new(*ConflictError)) && inForce:
-		r.Fatalf("%s was told of a conflict, and his text was in force", o.nonce)
+		r.Fatalf("%s: reported as a conflict, but the text was active", o.nonce)
 	case o.result.Err != nil && !errors.As(o.result.Err, new(*ConflictError)) && !errors.As(o.result.Err, new(*UnknownError)):
 		r.Fatalf("%s: %v", o.nonce, o.result.Err)
 	}
--- a/internal/conf/apply/run.go
+++ b/internal/conf/apply/run.go
@@ -20,11 +20,10 @@
 )
 
 type (
-	// Request is a text to put in force. Name is its file's, for messages.
-	// Base is the version that the operator read, 0 if none was in force,
-	// Newest for any. Floor is the version that the daemon runs which applies
-	// it, 0 if none does; the text gets a higher one. Source is the peer address of the daemon that applies
-	// it, empty if none does.
+	// Request is a text to apply. Name is its file name, for messages. Base is the version that
+	// the operator read, 0 if none was active, Newest for any. Floor is the version that the
+	// applying daemon runs, 0 if no daemon does it; the text gets a higher version. Source is
+	// the peer address of the applying daemon, empty if there is none.
 	Request struct {
 		Name   string
 		Text   []byte
@@ -34,8 +33,8 @@
 		Source string
 	}
 
-	// Outcome is a text in force. Head is that of the newest version, which
-	// is a later one than the text's if others have applied since.
+	// Outcome describes an active text. Head is the newest version, which is later than the
+	// text's if others have applied since.
 	Outcome struct {
 		Head      head.Head
 		Unchanged bool
@@ -43,7 +42,7 @@
 		Chunks    []chunk.Chunk
 	}
 
-	// Prepared is a request whose text was checked and cut.
+	// Prepared is a request whose text was checked and split into chunks.
 	Prepared struct {
 		request Request
 		file    file.File
@@ -56,9 +55,8 @@
 	}
 )
 
-// Run checks the text and puts it in force. It tries until ctx ends. The error
-// is a file.Errors, *ConflictError, *ShardsError, *NotAppliedError or
-// *UnknownError.
+// Run checks the text and makes it active. It retries until ctx ends. The error is a
+// file.Errors, *ConflictError, *ShardsError, *NotAppliedError or *UnknownError.
 func Run(ctx context.Context, s store.Store, r Request) (Outcome, error) {
 	p, err := Prepare(r)
 	if err != nil {
@@ -67,7 +65,7 @@
 	return p.Run(ctx, s)
 }
 
-// Prepare checks and cuts the text without a call to the store.
+// Prepare checks the text and splits it into chunks, without a call to the store.
 func Prepare(r Request) (p Prepared, err error) {
 	f, err := file.Parse(r.Name, r.Text)
 	if err != nil {
@@ -87,7 +85,7 @@
 // Chunks returns the text's chunks in order.
 func (p Prepared) Chunks() []chunk.Chunk { return p.chunks }
 
-// Run puts the text in force; see the function Run.
+// Run applies the text; see the function Run.
 func (p Prepared) Run(ctx context.Context, s store.Store) (Outcome, error) {
 	r := runner{store: s}
 	f := r.run(ctx, Start{
@@ -134,7 +132,7 @@
 		return nil
 	}
 	if ctx.Err() != nil {
-		return Failed{} // nothing is sent, so there is nothing to be unsure of
+		return Failed{} // nothing was sent, so the outcome is known
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -194,8 +192,8 @@
 	return Inspected{Garbage: Garbage{Digest: digest, Rev: entry.Rev}}
 }
 
-// put writes and tells the four ends of a write apart. An error that is none
-// of the store's own, such as a timeout, leaves the outcome unknown.
+// put writes a value and maps the result to one of four messages. An error that is not one of
+// the store's own, such as a timeout, leaves the outcome unknown.
 func (r runner) put(ctx context.Context, key string, data []byte, rev store.Rev) Message {
 	_, err := r.store.Put(ctx, key, data, rev, 0)
 	var c *store.ConflictError
@@ -216,7 +214,7 @@
 		err := r.store.Delete(call, head.ChunkPrefix+c.Digest, c.Rev)
 		cancel()
 		if errors.Is(err, store.ErrUnavailable) {
-			return // a later apply finds the rest
+			return // a later apply deletes the rest
 		}
 	}
 }
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -20,14 +20,13 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-const operatorTimeout = 30 * time.Second // of an operator
+const operatorTimeout = 30 * time.Second // deadline of one apply
 
-// hooked is a store at which something else happens right before or after a
-// write of the head.
+// hookedStore runs functions right before or after a write of the head.
 type hookedStore struct {
 	store.Store
 	before, after func()
-	stale         store.Entry // what the next read of the head answers
+	stale         store.Entry // returned by the next read of the head
 }
 
 func (h *hookedStore) Get(ctx context.Context, key string) (store.Entry, error) {
@@ -78,7 +77,7 @@
 	return out.Head
 }
 
-// inForce reads what a daemon would find in the store.
+// inForce reads the active configuration from the store as a daemon would.
 func inForce(t testing.TB, s store.Store) (head.Head, string) {
 	t.Helper()
 	entry, err := s.Get(t.Context(), head.Key)
@@ -126,45 +125,45 @@
 			mustApply(t, s.service, fmt.Sprint("other", i))
 		}
 	}
-	// Calls of one apply of a small text: head read, list, chunk written, head
-	// written. An operator must hear what is true: that his text is in force,
-	// that it certainly is not, or that nobody can tell yet.
+	// The store calls of one apply of a small text are: head read, list, chunk write, head
+	// write. For each fault the operator must get the true outcome: applied, certainly not
+	// applied, or unknown.
 	tests := map[string]struct {
 		class       keyval.Class
 		script      map[int]keyval.Fault
 		set         func(t *testing.T, s scene)
 		base, floor uint64 // 0: the first version
 		want        any    // nil: applied
-		found       string // in force after it
-		version     uint64 // of his text; 0: the second
+		found       string // name of the active configuration afterwards
+		version     uint64 // of the applied text; 0: the second
 	}{
 		"no fault":                    {found: "mine"},
-		"down at the first read":      {script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
+		"down at first read":          {script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
 		"down before the chunk":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
 		"down after the chunk":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Down, 3: keyval.Down}, found: "mine"},
-		"chunk taken, ack lost":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseAck}, found: "mine"},
+		"chunk written, ack lost":     {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseAck}, found: "mine"},
 		"chunk lost":                  {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseWrite}, found: "mine"},
-		"head taken, ack lost":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseAck}, found: "mine"},
+		"head written, ack lost":      {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseAck}, found: "mine"},
 		"head lost":                   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseWrite}, found: "mine"},
 		"head lost again and again":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseWrite, 3: keyval.LoseWrite, 4: keyval.LoseAck}, found: "mine"},
-		"head taken, answer silent":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Silent}, found: "mine"},
-		"ack lost, then down a while": {script: map[int]keyval.Fault{4: keyval.LoseAck, 5: keyval.Down, 6: keyval.Down, 7: keyval.Silent}, found: "mine"},
-		"down for good at the start": {
+		"head written, no answer":     {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Silent}, found: "mine"},
+		"ack lost, then down briefly": {script: map[int]keyval.Fault{4: keyval.LoseAck, 5: keyval.Down, 6: keyval.Down, 7: keyval.Silent}, found: "mine"},
+		"down permanently from the start": {
 			set:  func(_ *testing.T, s scene) { s.view.Set(keyval.Down) },
 			want: &NotAppliedError{}, found: "first",
 		},
-		"down for good before the head": {
+		"down permanently before the head": {
 			set:  func(_ *testing.T, s scene) { s.hooks.before = func() { s.view.Set(keyval.Down) } },
 			want: &NotAppliedError{}, found: "first",
 		},
-		"head taken, ack lost, down for good": {
+		"head written, ack lost, down permanently": {
 			set: func(_ *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
 				s.hooks.after = func() { s.view.Set(keyval.Down) }
 			},
 			want: &UnknownError{}, found: "mine",
 		},
-		"head lost, down for good": {
+		"head lost, down permanently": {
 			set: func(_ *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
 				s.hooks.after = func() { s.view.Set(keyval.Down) }
@@ -175,11 +174,11 @@
 			set:  func(t *testing.T, s scene) { s.hooks.before = func() { others(t, s, 1) } },
 			want: &ConflictError{}, found: "other0",
 		},
-		"another operator was first, any version will do": {
+		"another operator was first, base is newest": {
 			set:  func(t *testing.T, s scene) { s.hooks.before = func() { others(t, s, 1) } },
 			base: Newest, found: "mine", version: 3,
 		},
-		"stale head, then the right one": {
+		"stale head, then the current one": {
 			set: func(t *testing.T, s scene) {
 				s.hooks.stale, _ = s.service.Get(t.Context(), head.Key)
 				others(t, s, 1)
@@ -193,14 +192,14 @@
 			},
 			want: &ConflictError{}, found: "other0",
 		},
-		"ack lost, then another operator on top": {
+		"ack lost, then two newer versions": {
 			set: func(t *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
 				s.hooks.after = func() { others(t, s, 2) }
 			},
 			found: "other1",
 		},
-		"head lost, then more operators than are remembered": {
+		"head lost, then more versions than are kept": {
 			set: func(t *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
 				s.hooks.after = func() { others(t, s, head.MaxKept+2) }
@@ -231,7 +230,7 @@
 				if tt.want == nil {
 					version := max(tt.version, 2)
 					written, known := h.HasWrite(version, nonceOf(out.Head, version))
-					is.True(written && known) // taken once, as that version
+					is.True(written && known) // written once, as that version
 				}
 			})
 		})
@@ -250,8 +249,8 @@
 	return ""
 }
 
-// Two operators read the same version. The second must see that he would have
-// undone the first one's change, whose it was and when.
+// Two operators read the same version. The error must tell the second one that applying would
+// undo the first one's change, and who made that change and when.
 func TestConflictError(t *testing.T) {
 	is := is.New(t)
 	var s keyval.Store
@@ -273,7 +272,7 @@
 		want string
 	}{
 		"fault in the text":      {func(*testing.T) []byte { return []byte("[system]\n") }, 1, "dev.ini:1: [system] name: the key is missing"},
-		"base of the future":     {func(t *testing.T) []byte { return text(t, "mine") }, 7, "you read version 7, and version 1 is in force"},
+		"base not yet applied":   {func(t *testing.T) []byte { return text(t, "mine") }, 7, "you read version 7, and version 1 is in force"},
 		"base of an empty store": {func(t *testing.T) []byte { return text(t, "mine") }, 0, "you read version 0, and version 1 is in force"},
 		"other number of shards": {func(t *testing.T) []byte {
 			return bytes.Replace(text(t, "mine"), []byte("shards = 8"), []byte("shards = 9"), 1)
@@ -301,7 +300,7 @@
 	again, err := Run(t.Context(), &s, request(t, "mine", first.Head.Version))
 	is.NoErr(err)
 	is.True(again.Unchanged)
-	is.Equal(again.Head, first.Head) // no new version for the same text
+	is.Equal(again.Head, first.Head) // the same text creates no new version
 }
 
 func TestOldChunksDeleted(t *testing.T) {
@@ -311,20 +310,19 @@
 		mustApply(t, &s, fmt.Sprint("v", i))
 		keys, err := s.List(t.Context(), head.ChunkPrefix, "", 0)
 		is.NoErr(err)
-		is.True(len(keys) <= head.MaxKept+1) // one chunk for each version kept
+		is.True(len(keys) <= head.MaxKept+1) // one chunk for each kept version
 		h, _ := inForce(t, &s)
 		for _, k := range h.Kept {
 			for _, d := range k.Chunks {
 				_, err := s.Get(t.Context(), head.ChunkPrefix+d)
-				is.NoErr(err) // a daemon that is a few versions behind still finds them
+				is.NoErr(err) // a daemon that is a few versions behind can still read them
 			}
 		}
 	}
 }
 
-// An operator goes back to a text of long ago while another one's apply is
-// about to delete its chunk. If the deletion won, the accepted version could
-// be read by no daemon that starts.
+// An operator applies an old text again while another operator's apply is about to delete its
+// chunk. If the chunk were deleted, no daemon that starts could read the accepted version.
 func TestCollectorKeepsChunkInUse(t *testing.T) {
 	tests := map[string]func(h *hookedStore, f func()){
 		"written after the swap, before the deletion": func(h *hookedStore, f func()) { h.after = f },
--- a/internal/conf/apply/step.go
+++ b/internal/conf/apply/step.go
@@ -8,8 +8,8 @@
 	"github.com/slaterock/slaterock/internal/conf/head"
 )
 
-// Step reacts to one message. Each message that answers an effect belongs to
-// the last one that was asked for. The effects are to be carried out in order.
+// Step handles one message. A message that answers an effect answers the last one requested.
+// The effects must be carried out in order.
 func (a *Apply) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
 	case Start:
@@ -69,12 +69,12 @@
 	return []Effect{ListChunks{}}
 }
 
-// behind reports whether the store knows less than a daemon runs, because it
-// was restored from an older copy. Versions that repeated those that daemons
-// have seen would be accepted and come in force nowhere.
+// storeBehind reports whether the store's version is lower than one that a daemon runs, because
+// the store was restored from an older copy. Versions that repeat those would be accepted by
+// the store and ignored by the daemons.
 func (a *Apply) storeBehind() bool { return a.base.Version < a.start.Floor }
 
-// admit reports why the text can't follow the version in force.
+// checkBase returns an error if the text can't follow the active version.
 func (a *Apply) checkBase() error {
 	fits := a.start.Base == a.base.Version || a.storeBehind() && a.start.Base == a.start.Floor
 	if a.start.Base != Newest && !fits {
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// missing returns the chunks to store. Those that the base refers to stay: no
-// collector deletes them without swapping the head first, and then this
-// applier's own swap fails.
+// missing returns the chunks to store. Chunks that the base refers to need no write: a
+// collector deletes them only after it swapped the head, and then this applier's own swap
+// fails.
 func (a *Apply) missing() (queue []chunk.Chunk) {
 	for _, c := range a.start.Chunks {
 		known := slices.ContainsFunc(queue, func(q chunk.Chunk) bool { return q.Digest == c.Digest })
@@ -108,10 +108,10 @@
 	return a.inspectNext()
 }
 
-// inspectNext asks for the revisions of garbage before the head is swapped.
-// Somebody else who means to use such a chunk writes it again, which changes
-// its revision, so that the deletion after the swap misses it. If he did so
-// before the revision was read here, he read an older head, and his swap fails.
+// inspectNext reads the revisions of garbage before the head is swapped. Another applier that
+// uses such a chunk writes it again, which changes its revision, so the deletion after the swap
+// does not match. If it wrote the chunk before the revision was read here, it read an older
+// head, and its swap fails.
 func (a *Apply) inspectNext() []Effect {
 	if len(a.candidates) == 0 {
 		return a.storeNext()
@@ -150,9 +150,9 @@
 	return a.storeNext()
 }
 
-// conflict reacts to a refused write. A chunk that exists is written again
-// from its revision; see inspectNext. A head that moved may have been moved by
-// this applier's own write, whose acknowledgement was lost.
+// conflict handles a refused write. An existing chunk is written again from its current
+// revision; see inspectNext. The head may have been changed by this applier's own write if the
+// acknowledgement was lost, so it is read back.
 func (a *Apply) conflict(m Conflict) []Effect {
 	if a.state == storing {
 		a.chunk = m.Rev
@@ -168,7 +168,7 @@
 
 func (a *Apply) resolve(now time.Time, m HeadRead) []Effect {
 	if m.Rev == a.baseRev {
-		return a.swap() // not taken so far; the same write again can't be taken twice
+		return a.swap() // not written so far; repeating the same write can't apply it twice
 	}
 	took, known := m.Head.HasWrite(a.next.Version, a.next.Nonce)
 	switch {
@@ -180,17 +180,17 @@
 	return a.finish(Finish{Err: &UnknownError{Version: a.next.Version, Nonce: a.next.Nonce}})
 }
 
-// restart begins again from the head that was found in place of this applier's
-// own. It ends at once in a conflict, unless the operator takes any version, or
-// the first read was of a replica that lagged.
+// restart starts over from the head that was found in place of this applier's own. It ends at
+// once in a conflict unless the operator accepts any version or the first read came from a
+// lagging replica.
 func (a *Apply) restart(now time.Time, m HeadRead) []Effect {
 	start := a.start
 	*a = Apply{start: start, state: reading, backoff: minBackoff}
 	return a.headRead(now, m)
 }
 
-// accepted ends with the head as it is now, which is a later one if others
-// applied theirs on top.
+// accepted finishes with the current head, which is a later version if others have applied
+// since.
 func (a *Apply) accepted(now head.Head) []Effect {
 	done := a.finish(Finish{Head: now})
 	if len(a.garbage) == 0 {
@@ -204,15 +204,15 @@
 	return []Effect{f}
 }
 
-// pause waits before the store is asked again, longer each time.
+// backOff waits before the next call to the store, twice as long each time.
 func (a *Apply) backOff() []Effect {
 	d := a.backoff
 	a.backoff = min(2*a.backoff, maxBackoff)
 	return []Effect{Sleep{For: d}}
 }
 
-// again repeats what failed. A write of the head whose outcome is unknown is
-// followed by a look at the head.
+// retry repeats the step that failed. After a write of the head with an unknown outcome the
+// head is read back.
 func (a *Apply) retry() []Effect {
 	switch a.state {
 	case reading:
