--- a/internal/conf/check/errors.go
+++ b/internal/conf/check/errors.go
@@ -7,8 +7,8 @@
 )
 
 type (
-	// Error is one fault of a text. Line counts from 1; Section and Key are
-	// empty where the fault belongs to neither.
+	// Error is one fault of a text. Line counts from 1. Section and Key are empty where the
+	// fault is not in a section or at a key.
 	Error struct {
 		File    string `json:"file"`
 		Line    int    `json:"line"`
@@ -17,12 +17,12 @@
 		Message string `json:"message"`
 	}
 
-	// Errors is all faults of a text, in the order of their lines.
+	// Errors holds all faults of a text, sorted by line.
 	Errors []Error
 )
 
-// Error is the fault in one line, as editors parse it:
-// file:line: [section] key: message.
+// Error returns the fault in one line, in the format that editors parse: file:line: [section]
+// key: message.
 func (e Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d: ", e.File, e.Line)
@@ -36,7 +36,7 @@
 	return b.String()
 }
 
-// Error is all faults, one a line.
+// Error returns all faults, one per line.
 func (l Errors) Error() string {
 	lines := make([]string, len(l))
 	for i, e := range l {
@@ -45,7 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted orders the faults by line and keeps those of one line as reported.
+// sorted sorts the faults by line; faults of one line keep the order in which they were added.
 func (l Errors) sorted() Errors {
 	slices.SortStableFunc(l, func(a, b Error) int { return a.Line - b.Line })
 	return l
--- a/internal/conf/check/scan.go
+++ b/internal/conf/check/scan.go
@@ -11,28 +11,28 @@
 const (
 	byteOrderMark = "\xef\xbb\xbf"
 	maxLine       = 64 << 10 // bytes
-	maxBatch      = 256      // sections read at a time
+	maxBatch      = 256      // sections passed to the INI library at a time
 )
 
 type (
-	// pair is a key, its line and its value.
+	// pair is a key with its line number and value.
 	pair struct {
 		key, value string
 		line       int
 	}
 
-	// scanner finds the lines of sections and keys. It reads no values. What
-	// the INI library would read in some other way than an operator expects
-	// (a duplicate, a quoted block over several lines) is reported here and
-	// left out of the text that the library gets. That happens some sections
-	// at a time: the library needs many times the memory of what it reads.
+	// scanner finds the lines of sections and keys; it does not parse values. What the INI
+	// library would read differently from what an operator expects (a duplicate, a quoted block
+	// over several lines) is reported here and left out of the text passed to the library. The
+	// text is passed in batches of sections, because the library needs many times the memory of
+	// its input.
 	scanner struct {
 		text    *Text
 		clean   bytes.Buffer
-		batch   []*Section // whose lines are in clean
-		keys    map[string]string
+		batch   []*Section        // sections whose lines are in clean
+		keys    map[string]string // interned key names
 		section *Section
-		skip    bool // within a section that was refused
+		skip    bool // inside a section whose header was rejected
 		line    int
 	}
 )
@@ -118,13 +118,13 @@
 	s.clean.WriteByte('\n')
 }
 
-// flush reads the values of the sections scanned since the last time.
+// flush parses the values of the sections scanned since the last flush.
 func (s *scanner) flush() {
 	values, err := ini.LoadSources(ini.LoadOptions{
-		IgnoreContinuation:       true, // a path may end in a backslash
-		SpaceBeforeInlineComment: true, // an address or a hash may hold # and ;
+		IgnoreContinuation:       true, // a path may end with a backslash
+		SpaceBeforeInlineComment: true, // an address or a hash may contain # and ;
 		KeyValueDelimiters:       "=",
-		ChildSectionDelimiter:    "\x00", // a section inherits nothing from another
+		ChildSectionDelimiter:    "\x00", // sections inherit no keys from each other
 	}, s.clean.Bytes())
 	for _, sec := range s.batch {
 		if err != nil {
@@ -139,7 +139,7 @@
 	s.clean.Reset()
 }
 
-// intern returns the key as a string that all sections share.
+// intern returns the key as a string shared by all sections, to save memory.
 func (s *scanner) intern(key []byte) string {
 	if interned, ok := s.keys[string(key)]; ok {
 		return interned
--- a/internal/conf/check/section.go
+++ b/internal/conf/check/section.go
@@ -10,15 +10,15 @@
 )
 
 type (
-	// Section is one section of a Text. Name is all of its header, Kind what
-	// stands before the first dot and Label what stands behind it.
+	// Section is one section of a Text. Name is the whole header, Kind the part before the
+	// first dot and Label the part after it.
 	Section struct {
 		Name, Kind, Label string
 		Line              int
 
 		text     *Text
 		pairs    []pair
-		read     []string
+		read     []string // keys requested by the caller
 		rejected bool
 	}
 )
@@ -26,7 +26,7 @@
 // Has reports whether the key is given.
 func (s *Section) Has(key string) bool { return s.line(key) > 0 }
 
-// Require notes each of the keys that the section lacks.
+// Require adds an error for each of the keys that the section lacks.
 func (s *Section) Require(keys ...string) {
 	for _, key := range keys {
 		if !s.Has(key) {
@@ -35,14 +35,13 @@
 	}
 }
 
-// Refuse notes a fault of the section itself; its keys are not looked at.
+// Reject adds an error for the section itself. Its keys are not checked for unknown ones.
 func (s *Section) Reject(format string, args ...any) {
 	s.rejected = true
 	s.Fail("", format, args...)
 }
 
-// Fail notes a fault of the key, at its line, or at the section's header where
-// the key is not given.
+// Fail adds an error at the key's line, or at the section header if the key is not given.
 func (s *Section) Fail(key, format string, args ...any) {
 	line := s.line(key)
 	if line == 0 {
@@ -51,7 +50,8 @@
 	s.text.addError(line, s.Name, key, format, args...)
 }
 
-// String reads any text.
+// String returns the value as it is. Like the other readers it returns def if the key is not
+// given.
 func (s *Section) String(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
@@ -60,7 +60,7 @@
 	return value
 }
 
-// Word reads a name: letters, digits, '.', '_' and '-'.
+// Word reads a name of letters, digits, '.', '_' and '-'.
 func (s *Section) Word(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
@@ -73,7 +73,7 @@
 	return value
 }
 
-// Choice reads one of the words.
+// Choice reads a value that must be one of the words.
 func (s *Section) Choice(key, def string, words ...string) string {
 	value, ok := s.value(key)
 	if !ok {
@@ -86,7 +86,7 @@
 	return value
 }
 
-// Words reads a list parted by commas, without empty or double items.
+// Words reads a comma-separated list without empty or duplicate items.
 func (s *Section) Words(key string) (words []string) {
 	value, ok := s.value(key)
 	if !ok {
@@ -112,7 +112,7 @@
 	return word == "true"
 }
 
-// Int reads a whole number from low to high.
+// Int reads an integer from low to high.
 func (s *Section) Int(key string, def, low, high int64) int64 {
 	value, ok := s.value(key)
 	if !ok {
@@ -141,7 +141,7 @@
 		s.Fail(key, "%q is not a number; want %v to %v", value, low, high)
 		return def
 	}
-	if !(n >= low && n <= high) { // catches NaN too, which any plain comparison lets through
+	if !(n >= low && n <= high) { // written so that NaN fails too
 		s.Fail(key, "%v is out of range; want %v to %v", n, low, high)
 		return def
 	}
@@ -166,8 +166,8 @@
 	return d
 }
 
-// Address reads an IP number and port that others can reach. Host names are
-// refused: at the time they are needed the names' service may be down.
+// Address reads an IP address and port that other hosts can reach. Host names are rejected: DNS
+// may be down when they are needed.
 func (s *Section) Address(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
@@ -181,7 +181,7 @@
 	return a
 }
 
-// Addresses reads a list of what Address takes.
+// Addresses reads a comma-separated list of addresses as Address accepts them.
 func (s *Section) Addresses(key string) (list []string) {
 	for _, word := range s.Words(key) {
 		a, err := parseAddress(word)
@@ -194,8 +194,8 @@
 	return list
 }
 
-// Listen reads an address to listen at. Unlike in Address the IP number may be
-// unspecified and the port 0, which the system then chooses.
+// Listen reads an address to listen on. Unlike in Address the IP may be unspecified, and port 0
+// lets the system choose one.
 func (s *Section) Listen(key, def string) string {
 	value, ok := s.value(key)
 	if !ok {
@@ -228,8 +228,8 @@
 	return 0
 }
 
-// unknown notes the keys that nobody asked for. A misspelt key would otherwise
-// leave its default in force, and an operator would find out under load.
+// reportUnknown adds an error for each key that the caller did not read. A misspelt key would
+// otherwise leave its default active without notice.
 func (s *Section) reportUnknown() {
 	if s.rejected {
 		return
@@ -241,7 +241,7 @@
 	}
 }
 
-// short writes a duration without the zero units that Go adds: 1h, not 1h0m0s.
+// shortDuration formats a duration without the zero units that Go appends: 1h, not 1h0m0s.
 func shortDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -253,7 +253,7 @@
 	return text
 }
 
-// Unspecified reports whether an address is that of every interface.
+// Unspecified reports whether the address has the unspecified IP, which means every interface.
 func Unspecified(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Addr().IsUnspecified()
@@ -270,7 +270,7 @@
 	return a.String(), nil
 }
 
-// Or returns the value, or what stands for it where it is zero.
+// Or returns value, or def if value is zero.
 func Or[T comparable](value, def T) T {
 	var zero T
 	if value == zero {
--- a/internal/conf/check/text.go
+++ b/internal/conf/check/text.go
@@ -1,11 +1,10 @@
-// Package check reads an INI text strictly and says everything that is wrong
-// with it at once, each fault with file, line, section, key and what would be
-// valid.
+// Package check reads INI files strictly. It reports all faults at once, each with file, line,
+// section, key and what would be valid.
 //
-// Read a Text, walk its Sections, and ask each for its keys with the bounds
-// that hold: a value that is missing gives the default, a wrong one is noted
-// and gives the default too, so that reading goes on. Keys that nobody asked
-// for are unknown. Err returns what was noted:
+// Read a Text, iterate over its Sections, and read the keys of each with default and bounds: a
+// missing key gives the default; an invalid value adds an error and gives the default too, so
+// that reading goes on. Keys that were not read are reported as unknown. Err returns the
+// errors:
 //
 //	t := check.Read("mafuta.ini", data)
 //	for _, s := range t.Sections() {
@@ -13,8 +12,8 @@
 //	}
 //	err := t.Err()
 //
-// Values are read by the INI library, which knows no lines; those come from a
-// scan that reads no values.
+// Values are parsed by the INI library, which reports no line numbers; a separate scan finds
+// the lines and parses no values.
 package check
 
 import (
@@ -22,10 +21,10 @@
 	"strings"
 )
 
-const maxMessage = 400 // bytes; a value or a list of names may be long
+const maxMessage = 400 // bytes; messages quote values and lists of names, which may be long
 
 type (
-	// Text is one INI text while it is checked.
+	// Text is one INI text and the errors found in it.
 	Text struct {
 		name     string
 		sections []*Section
@@ -34,7 +33,7 @@
 	}
 )
 
-// Read reads the text; name is its file's, for messages.
+// Read scans the text; name is the file name used in messages.
 func Read(name string, text []byte) *Text {
 	t := &Text{name: name, byName: map[string]*Section{}}
 	s := scanner{text: t}
@@ -42,13 +41,13 @@
 	return t
 }
 
-// Sections returns the sections in the text's order.
+// Sections returns the sections in file order.
 func (t *Text) Sections() []*Section { return t.sections }
 
-// Find returns the section with the whole name, or nil.
+// Find returns the section with the full name, or nil.
 func (t *Text) Find(name string) *Section { return t.byName[name] }
 
-// Require notes each of the sections that the text lacks.
+// Require adds an error for each of the sections that the text lacks.
 func (t *Text) Require(names ...string) {
 	for _, name := range names {
 		if t.byName[name] == nil {
@@ -57,7 +56,7 @@
 	}
 }
 
-// Err returns all faults as Errors, nil if there are none.
+// Err returns all faults as Errors, or nil. Call it after all keys were read.
 func (t *Text) Err() error {
 	for _, s := range t.sections {
 		s.reportUnknown()
