--- a/internal/conf/chunk/chunk.go
+++ b/internal/conf/chunk/chunk.go
@@ -1,11 +1,10 @@
-// Package chunk cuts a configuration's text into pieces that the store can
-// hold, so that a change of one section changes one piece.
+// Package chunk splits a configuration text into content-defined chunks that fit into the
+// store, so that a change of one section changes one chunk.
 //
-// Split cuts before section headers that the content picks, not at fixed
-// offsets: a line that is added to one section leaves the pieces behind it as
-// they were, so that a daemon fetches the piece that changed and no other. A
-// piece's name is the first half of the SHA-256 of its plain text. Pack
-// compresses one for storage, Unpack checks it against its name.
+// Split cuts before section headers selected by their hash, not at fixed offsets: a line added
+// to one section leaves the later chunks unchanged, so a daemon fetches only the chunk that
+// changed. A chunk's name is the first half of the SHA-256 of its plain text. Pack compresses a
+// chunk for storage, Unpack verifies it against its name.
 package chunk
 
 import (
@@ -19,28 +18,27 @@
 )
 
 const (
-	// MaxSize bounds a piece's plain text in bytes. Compression may add a
-	// little to text that does not shrink; the store's bound is 1 MB.
+	// MaxSize is the limit of a chunk's plain text in bytes. Compression may enlarge
+	// incompressible text a little; the store's limit is 1 MB.
 	MaxSize = 512 << 10
 
-	// A piece of a configuration with many accounts is about 100 KB. Smaller
-	// ones would make the head longer, which is read again and again; larger
-	// ones would make each change dearer.
+	// With many accounts a chunk is about 100 KB. Smaller chunks would make the head longer,
+	// which is read repeatedly; larger chunks would increase the cost of each change.
 	minSize     = 32 << 10
-	cutHashMask = 1<<9 - 1 // one header in 512 is a cut
+	cutHashMask = 1<<9 - 1 // one header in 512 starts a chunk
 
 	nameLen = 32 // hexadecimal digits: 128 bits
 )
 
 type (
-	// Chunk is one piece: its name, in hexadecimal, and its packed bytes.
+	// Chunk is one chunk: its name in hexadecimal, and its zstd-compressed text.
 	Chunk struct {
 		Digest string `json:"digest"`
 		Packed []byte `json:"packed"`
 	}
 )
 
-// ErrDigest reports a piece or text that is not what its digest says.
+// ErrDigest reports a chunk or text that does not match its digest.
 var ErrDigest = errors.New("chunk: text does not match its digest")
 
 // Digest returns the SHA-256 of a text in hexadecimal.
@@ -49,12 +47,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Name returns a piece's name: half of its digest, which is enough to tell
-// pieces apart, since the whole text is checked against its whole digest.
+// Name returns a chunk's name: half of its digest, which is enough to identify it, since the
+// whole text is checked against its full digest.
 func Name(piece []byte) string { return Digest(piece)[:nameLen] }
 
-// Split cuts the text. The pieces together are the text, and each is at most
-// MaxSize bytes.
+// Split splits the text into pieces of at most MaxSize bytes. Their concatenation is the text.
 func Split(text []byte) (pieces [][]byte) {
 	start, end := 0, 0
 	for line := range bytes.Lines(text) {
@@ -64,7 +61,7 @@
 			start = end
 		}
 		end += len(line)
-		for end-start > MaxSize { // a line longer than a piece
+		for end-start > MaxSize { // a line longer than MaxSize
 			pieces = append(pieces, text[start:start+MaxSize])
 			start += MaxSize
 		}
@@ -89,7 +86,7 @@
 	return Chunk{Digest: Name(piece), Packed: enc.EncodeAll(piece, nil)}, nil
 }
 
-// Unpack returns the piece's text, or ErrDigest if it is another's.
+// Unpack returns the chunk's text, or ErrDigest if the text does not match the name.
 func (c Chunk) Unpack() (piece []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "unpack chunk %s", c.Digest) }()
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxSize))
--- a/internal/conf/chunk/chunk_test.go
+++ b/internal/conf/chunk/chunk_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// accounts is a text of n sections, of which the one numbered changed differs.
+// accounts returns a text of n sections, of which section number changed differs.
 func accounts(n, changed int) []byte {
 	var b strings.Builder
 	for i := range n {
@@ -41,7 +41,7 @@
 				is.True(len(p) > 0 && len(p) <= MaxSize)
 				c, err := Pack(p)
 				is.NoErr(err)
-				is.True(len(c.Packed) <= 1<<20) // the store's bound
+				is.True(len(c.Packed) <= 1<<20) // the store's limit
 				got, err := c.Unpack()
 				is.NoErr(err)
 				is.True(bytes.Equal(got, p))
@@ -50,8 +50,8 @@
 	}
 }
 
-// One account changes in a large text. If all pieces behind it changed too,
-// every daemon would fetch megabytes a thousand times a day.
+// One account changes in a large text. If all later chunks changed too, every daemon would
+// fetch megabytes a thousand times a day.
 func TestChangeIsLocal(t *testing.T) {
 	for _, changed := range []int{0, 7_000, 34_999} {
 		is := is.New(t)
@@ -70,8 +70,8 @@
 	}
 }
 
-// A piece that is not what its digest says, or is no piece at all, must not
-// get into a configuration, nor take memory without bound.
+// A chunk that does not match its digest or is corrupt must be rejected, and a decompression
+// bomb must not allocate unbounded memory.
 func TestUnpackRejects(t *testing.T) {
 	good, err := Pack([]byte("[system]\n"))
 	if err != nil {
@@ -86,18 +86,18 @@
 		t.Fatal(err)
 	}
 	tests := map[string]Chunk{
-		"another's text": {Digest: good.Digest, Packed: other.Packed},
-		"cut short":      {Digest: good.Digest, Packed: good.Packed[:len(good.Packed)-1]},
-		"not packed":     {Digest: good.Digest, Packed: []byte("[system]\n")},
-		"empty":          {Digest: good.Digest},
-		"bomb":           bomb,
+		"other text":   {Digest: good.Digest, Packed: other.Packed},
+		"truncated":    {Digest: good.Digest, Packed: good.Packed[:len(good.Packed)-1]},
+		"uncompressed": {Digest: good.Digest, Packed: []byte("[system]\n")},
+		"empty":        {Digest: good.Digest},
+		"bomb":         bomb,
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := c.Unpack()
 			is.True(err != nil)
-			if name == "another's text" {
+			if name == "other text" {
 				is.True(errors.Is(err, ErrDigest))
 			}
 		})
