--- a/internal/conf/file/bench_test.go
+++ b/internal/conf/file/bench_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-const accounts = 35_000 // at the size that is wanted
+const accounts = 35_000 // target size
 
-// large is a configuration with many accounts.
+// large returns a configuration with many accounts.
 func large(t testing.TB) []byte {
 	var b strings.Builder
 	b.Write(read(t, "testdata", "whole.ini"))
@@ -38,7 +38,7 @@
 	b.ReportMetric(retainedMB(f), "MB_kept")
 }
 
-// kept is the memory that holds a File, in megabytes.
+// retainedMB returns the heap memory that a File retains, in megabytes.
 func retainedMB(f File) float64 {
 	var with, without runtime.MemStats
 	runtime.GC()
@@ -67,8 +67,8 @@
 	}
 }
 
-// BenchmarkPeak is the memory in use while a large text is read, as it is with
-// a collector that runs all the time; the text itself is not counted.
+// BenchmarkPeak measures the peak heap while a large text is parsed, with the garbage collector
+// running almost all the time. The text itself is not counted.
 func BenchmarkPeak(b *testing.B) {
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
 	text := large(b)
--- a/internal/conf/file/file.go
+++ b/internal/conf/file/file.go
@@ -1,26 +1,25 @@
-// Package file is the configuration of a whole system, as operators declare it
-// in one INI file and apply it as a whole.
+// Package file parses the configuration of a whole system, which operators declare in one INI
+// file and apply as a whole.
 //
-// A File is an immutable value once parsed. Durations are Go durations, tokens
-// and counts are plain numbers, addresses are IP numbers with a port. A map's
-// key is the name in the section's header: [upstream.e1] is Upstreams["e1"].
+// A parsed File is immutable. Addresses are IP addresses with a port. A map's key is the name
+// in the section header: [upstream.e1] is Upstreams["e1"].
 package file
 
 import "time"
 
 const (
-	// Engines is a group of model engines.
+	// Engines marks a group of model engines.
 	Engines GroupKind = "engine"
-	// Services is a group of plain services.
+	// Services marks a group of plain services.
 	Services GroupKind = "service"
 )
 
 type (
-	// GroupKind tells what a group's upstreams are.
+	// GroupKind is the type of a group's upstreams.
 	GroupKind string
 
-	// File is one configuration. Version is the version in force, 0 before it
-	// was applied; it is no part of the text.
+	// File is one configuration. Version is the active version, 0 before the text was applied;
+	// it is not part of the text.
 	File struct {
 		Version   uint64
 		System    System
@@ -37,9 +36,9 @@
 	System struct {
 		Name          string
 		Shards        int     // fixed for the life of a store
-		LatencyWeight float64 // worth of a second of program latency
-		CacheWeight   float64 // worth of a second of prefill that waste costs
-		StoreReads    float64 // calls a second that all daemons together may make
+		LatencyWeight float64 // cost of one second of program latency
+		CacheWeight   float64 // cost of one second of wasted prefill
+		StoreReads    float64 // calls per second of all daemons together
 		StoreWrites   float64
 	}
 
@@ -47,19 +46,19 @@
 	Limits struct {
 		MaxBody         int           // bytes
 		MaxPrograms     int           // open programs of one daemon
-		MaxCalls        int           // calls under way in one daemon
-		GapWait         time.Duration // how long a call waits for the ones before it
+		MaxCalls        int           // concurrent calls of one daemon
+		GapWait         time.Duration // how long a call waits for missing earlier calls
 		BudgetBlock     int64         // tokens reserved ahead
-		InlineText      int           // bytes of text kept in the journal, above it goes to a data folder
-		JournalBuffer   int           // bytes of records that may wait for the store
+		InlineText      int           // bytes; longer texts go to a data folder instead of the journal
+		JournalBuffer   int           // bytes of records waiting to be written to the store
 		DrainTimeout    time.Duration
-		RetryShare      float64 // retries as a share of first attempts
+		RetryShare      float64 // retries as a fraction of first attempts
 		HedgeShare      float64
-		UpstreamTimeout time.Duration // to the first byte of a model's answer
+		UpstreamTimeout time.Duration // to the first byte of a model's response
 	}
 
-	// Account is a section [account.NAME]. KeyHash is salt:hex of the SHA-256
-	// over salt and key.
+	// Account is a section [account.NAME]. KeyHash is SALT:HEX, the SHA-256 of salt and key
+	// concatenated.
 	Account struct {
 		KeyHash         string
 		Operator        bool // may read every program, apply and drain
@@ -71,7 +70,7 @@
 	Agent struct {
 		Model       string
 		Priority    int
-		Budget      int64 // tokens; also the most that an opener may ask for
+		Budget      int64 // tokens; also the maximum that a caller may request at open
 		MaxTurns    int
 		MaxDuration time.Duration
 		IdleLimit   time.Duration
@@ -80,7 +79,7 @@
 	// Model is a section [model.NAME].
 	Model struct {
 		Group     string
-		MaxTokens int // of one answer
+		MaxTokens int // of one response
 	}
 
 	// Service is a section [service.NAME].
@@ -95,9 +94,9 @@
 	// Group is a section [group.NAME].
 	Group struct {
 		Kind        GroupKind
-		QueueLimit  int           // requests that may wait
-		QueueWait   time.Duration // the longest expected wait that is accepted
-		MaxInflight int           // upper bound of one upstream's work in flight
+		QueueLimit  int           // queued requests
+		QueueWait   time.Duration // longest expected wait; requests above it are refused
+		MaxInflight int           // concurrent requests of one upstream
 	}
 
 	// Upstream is a section [upstream.NAME].
@@ -105,7 +104,7 @@
 		Group         string
 		Address       string
 		FailureDomain string
-		Models        []string // empty: all models of the group
-		Fencing       bool     // refuses orders with an old fencing number
+		Models        []string // empty means all models of the group
+		Fencing       bool     // rejects orders with an outdated fencing token
 	}
 )
--- a/internal/conf/file/fuzz_test.go
+++ b/internal/conf/file/fuzz_test.go
@@ -25,41 +25,42 @@
 		}
 		var list Errors
 		if !errors.As(err, &list) || len(list) == 0 {
-			t.Fatalf("an error of another kind: %v", err)
+			t.Fatalf("unexpected type of error: %v", err)
 		}
 		lines := bytes.Count(text, []byte("\n")) + 1
 		for _, e := range list {
 			if e.Line < 1 || e.Line > lines || e.Message == "" || e.File != "x.ini" {
-				t.Fatalf("a fault without its place: %#v", e)
+				t.Fatalf("error without file, valid line or message: %#v", e)
 			}
 		}
 	})
 }
 
-// whole fails the test where a text that was taken leaves something open.
+// checkComplete fails the test if an accepted text has a missing bound or an unresolved
+// reference.
 func checkComplete(t *testing.T, f File) {
 	t.Helper()
 	if f.Limits.MaxCalls < 1 || f.System.Shards < 1 {
-		t.Fatal("a bound of zero")
+		t.Fatal("max_calls or shards is 0")
 	}
 	for name, a := range f.Agents {
 		if _, ok := f.Models[a.Model]; !ok {
-			t.Fatalf("agent %s: no model", name)
+			t.Fatalf("agent %s: model not declared", name)
 		}
 	}
 	for name, m := range f.Models {
 		if f.Groups[m.Group].Kind != Engines {
-			t.Fatalf("model %s: no group of engines", name)
+			t.Fatalf("model %s: group is not of kind engine", name)
 		}
 	}
 	for name, s := range f.Services {
 		if f.Groups[s.Group].Kind != Services || !s.Idempotent && (s.MaxTries != 1 || s.Hedge) {
-			t.Fatalf("service %s", name)
+			t.Fatalf("service %s: wrong kind of group, or retries or hedging without idempotency", name)
 		}
 	}
 	for name, u := range f.Upstreams {
 		if _, ok := f.Groups[u.Group]; !ok || u.Address == "" {
-			t.Fatalf("upstream %s", name)
+			t.Fatalf("upstream %s: group not declared or address empty", name)
 		}
 	}
 }
--- a/internal/conf/file/key.go
+++ b/internal/conf/file/key.go
@@ -16,27 +16,24 @@
 
 var salt = regexp.MustCompile(`^[A-Za-z0-9]{4,64}$`)
 
-// HashKey returns what stands in the configuration for a caller's key:
-// salt:hex of the SHA-256 over salt and key. A key has the form NAME.SECRET
-// with the account's name before the first dot, and the secret should be
-// random with 128 bits or more, since SHA-256 is quick to try.
+// HashKey returns the configuration value for a caller's key: SALT:HEX, the SHA-256 of salt and
+// key concatenated. A key has the form NAME.SECRET with the account name before the first dot.
+// The secret should be random with at least 128 bits, since SHA-256 is fast to brute-force.
 func HashKey(salt, key string) string {
 	sum := sha256.Sum256([]byte(salt + key))
 	return salt + saltSeparator + hex.EncodeToString(sum[:])
 }
 
-// Matches reports whether key is the account's. It takes as long for a wrong
-// key as for the right one.
+// Matches reports whether key is the account's, in constant time.
 func (a Account) Matches(key string) bool {
 	salt, _, _ := strings.Cut(a.KeyHash, saltSeparator)
 	got := []byte(HashKey(salt, key))
 	return subtle.ConstantTimeCompare(got, []byte(a.KeyHash)) == 1
 }
 
-// Authenticate returns the name of the account that the key belongs to. The
-// account is found by the name in the key, so that one hash is worked out
-// whatever the number of accounts. An unknown name costs a hash as well, so
-// that the time does not tell which accounts exist.
+// Authenticate returns the account that the key belongs to. It is found by the name in the key,
+// so that one hash is computed whatever the number of accounts. An unknown name costs one hash
+// as well, so that timing does not reveal which accounts exist.
 func (f File) Authenticate(key string) (name string, a Account, ok bool) {
 	name, _, _ = strings.Cut(key, keySeparator)
 	a, found := f.Accounts[name]
--- a/internal/conf/file/parse.go
+++ b/internal/conf/file/parse.go
@@ -25,22 +25,22 @@
 )
 
 type (
-	// Error is one fault of a configuration's text.
+	// Error is one fault of a configuration text.
 	Error = check.Error
 
-	// Errors is all faults of a configuration's text.
+	// Errors holds all faults of a configuration text.
 	Errors = check.Errors
 
-	// parser fills a File from a Text.
+	// parser builds a File from a Text.
 	parser struct {
 		text *check.Text
 		file File
 	}
 )
 
-// Parse reads and checks a configuration; name is its file's, for messages.
-// The error is an Errors with all faults, and the File is empty then. What is
-// optional and not given has its default in the File.
+// Parse parses and checks a configuration; name is the file name used in messages. The error is
+// an Errors with all faults; the File is then empty. Optional keys that are not given have
+// their defaults in the File.
 func Parse(name string, text []byte) (File, error) {
 	p := parser{text: check.Read(name, text), file: File{
 		Accounts:  map[string]Account{},
@@ -128,8 +128,8 @@
 	}
 }
 
-// withDefaults gives each bound that is zero its default: a zero would mean
-// that nothing is let through, or that nothing is bounded.
+// withDefaults sets each limit that is zero to its default: a zero would block all requests or
+// disable the limit.
 func (l Limits) withDefaults() Limits {
 	return Limits{
 		MaxBody:         check.Or(l.MaxBody, 4<<20),
@@ -170,7 +170,7 @@
 	}
 	hash := s.String("key_hash", "")
 	if s.Has("key_hash") && !validHash(hash) {
-		// The value is not repeated: it may be the key itself, and messages end up in logs.
+		// The value is not quoted: it may be the key itself, and messages end up in logs.
 		s.Fail("key_hash", "this is not a key's hash; want a salt of 4 to 64 letters and digits, ':' and 64 hexadecimal digits in lower case")
 	}
 	return Account{
--- a/internal/conf/file/parse_test.go
+++ b/internal/conf/file/parse_test.go
@@ -23,8 +23,8 @@
 }
 
 func TestBrokenFiles(t *testing.T) {
-	// Each text has the one fault that its name tells, as an operator would
-	// make it. He sees all that follows from it at once, with line and key.
+	// Each file has the one mistake that its name says. All errors that follow from it must be
+	// reported at once, with line and key.
 	tests := map[string][]string{
 		"word_for_number": {`9: [agent.pickup] budget_tokens: "lots" is not a number; want 1 to 100000000`},
 		"misspelt_key":    {`17: [service.receipts] max_trys: the key is unknown; want one of idempotent, group, timeout, max_tries, hedge`},
@@ -57,7 +57,7 @@
 			f, err := Parse("mafuta.ini", read(t, "testdata", "broken", name+".ini"))
 			var list Errors
 			is.True(errors.As(err, &list))
-			is.Equal(f.System.Name, "") // nothing of a broken text is handed on
+			is.Equal(f.System.Name, "") // no part of an invalid text is returned
 			is.Equal(strings.Split(list.Error(), "\n"), prefixed("mafuta.ini:", want))
 		})
 	}
@@ -71,8 +71,8 @@
 }
 
 func TestFaults(t *testing.T) {
-	// Lines to add to a whole text, and the fault that they are. Taken as it
-	// stands, each would put something in force that nobody asked for.
+	// Lines appended to a valid text, and the error expected for each. If accepted, each would
+	// activate something that the operator did not intend.
 	tests := map[string]struct{ add, want string }{
 		"limits with a name":         {"[limits.big]", "[limits.big] the section takes no name; want [limits]"},
 		"account without a name":     {"[account]", "[account] the section has no name; want [account.NAME]"},
@@ -91,8 +91,8 @@
 		"empty value":                {"[limits]\nmax_calls =", `max_calls: "" is not a number; want 1 to 1000000`},
 		"port 0":                     {"[upstream.l2]\ngroup = ledger\naddress = 10.0.0.1:0\nfailure_domain = a", `address: "10.0.0.1:0" can't be reached`},
 		"any address":                {"[upstream.l2]\ngroup = ledger\naddress = 0.0.0.0:80\nfailure_domain = a", `address: "0.0.0.0:80" can't be reached`},
-		"models of a service":        {"[upstream.l2]\ngroup = ledger\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = chat", `models: the upstream's group "ledger" is of kind service; want no models`},
-		"model of no group":          {"[upstream.e2]\ngroup = engines\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = big", `models: "big" is not declared as a model of group "engines"; want one of chat`},
+		"models of a service group":  {"[upstream.l2]\ngroup = ledger\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = chat", `models: the upstream's group "ledger" is of kind service; want no models`},
+		"undeclared model":           {"[upstream.e2]\ngroup = engines\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = big", `models: "big" is not declared as a model of group "engines"; want one of chat`},
 		"empty item":                 {"[upstream.e2]\ngroup = engines\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = chat,", `models: "chat," has an empty item`},
 		"kind unknown":               {"[group.x]\nkind = engines", `kind: "engines" is not known; want one of engine, service`},
 		"quoted block":               {"[limits]\nmax_calls = \"\"\"", "max_calls: quoted blocks are not read"},
@@ -111,7 +111,7 @@
 			}
 			_, err := Parse("mafuta.ini", []byte(text))
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), want)) // the fault is named
+			is.True(strings.Contains(err.Error(), want)) // the error describes the fault
 		})
 	}
 }
@@ -123,9 +123,8 @@
 }
 
 func TestLines(t *testing.T) {
-	// An operator's editor jumps to the line that a message names. Comments,
-	// blank lines, a byte order mark and line ends of another system must not
-	// move it.
+	// Line numbers in messages must match the file as an editor shows it. Comments, blank
+	// lines, a byte order mark and CRLF line ends must not shift them.
 	whole := strings.Split(strings.TrimSpace(string(read(t, "testdata", "whole.ini"))), "\n")
 	var keys []int
 	for i, l := range whole {
@@ -151,14 +150,14 @@
 		_, err := Parse("x.ini", []byte(mark+strings.Join(text, end)))
 		var list Errors
 		if !errors.As(err, &list) {
-			t.Fatal("no fault found")
+			t.Fatal("no error found")
 		}
 		for _, e := range list {
 			if strings.HasPrefix(e.Key, "zz_") && e.Line == want {
 				return
 			}
 		}
-		t.Fatalf("no fault on line %d: %v", want, err)
+		t.Fatalf("no error on line %d: %v", want, err)
 	})
 }
 
@@ -179,7 +178,7 @@
 		"[upstream.e2]\ngroup = engines\naddress = [fd00::7]:80\nfailure_domain = \"temeke\"\nmodels = chat\nfencing = true\n"
 	f, err := Parse("x.ini", []byte(text))
 	is.NoErr(err)
-	is.Equal(f.Limits.RetryShare, 0.0) // zero where it is given as zero
+	is.Equal(f.Limits.RetryShare, 0.0) // an explicit zero is not replaced by the default
 	is.Equal(f.Limits.InlineText, 0)
 	is.Equal(f.Upstreams["e2"], Upstream{Group: "engines", Address: "[fd00::7]:80", FailureDomain: "temeke", Models: []string{"chat"}, Fencing: true})
 }
@@ -209,8 +208,7 @@
 	}
 }
 
-// The operators' page lists each section's keys. A key that is missing there
-// is one that nobody finds.
+// Every key must have a row in the operators' documentation of its section.
 func TestPageNamesAllKeys(t *testing.T) {
 	page := string(read(t, "../../../docs/operate/configuration.md"))
 	for _, section := range []string{"system", "limits", "account.NAME", "agent.NAME", "model.NAME", "service.NAME", "group.NAME", "upstream.NAME"} {
@@ -224,7 +222,7 @@
 			is.True(ok)
 			part, _, _ = strings.Cut(part, "\n## ")
 			for key := range strings.SplitSeq(list, ", ") {
-				is.True(strings.Contains(part, "\n| `"+key+"` | ")) // has its row
+				is.True(strings.Contains(part, "\n| `"+key+"` | ")) // the key has a row
 			}
 		})
 	}
--- a/internal/conf/file/refs.go
+++ b/internal/conf/file/refs.go
@@ -8,8 +8,8 @@
 	"github.com/slaterock/slaterock/internal/conf/check"
 )
 
-// references checks what one section says of another. Left unchecked, a
-// reference into the void would show only when the first program is refused.
+// checkReferences checks the names by which sections refer to each other. An unresolved name
+// would otherwise show only when the first program is refused.
 func (p *parser) checkReferences() {
 	for _, s := range p.text.Sections() {
 		switch s.Kind {
@@ -28,8 +28,8 @@
 	p.checkHashes()
 }
 
-// refer notes a key that names no declared section of the kind. A key that is
-// missing was noted before.
+// checkReference adds an error if name is not among the declared sections of the kind. A
+// missing key was reported before.
 func (p *parser) checkReference(s *check.Section, key, name, kind string, declared []string) bool {
 	if !s.Has(key) {
 		return false
@@ -80,8 +80,8 @@
 	return names
 }
 
-// groups notes each group without upstreams, and each model that none of its
-// group's upstreams serves: their requests would wait for nothing.
+// checkGroups adds an error for each group without upstreams, and for each model that no
+// upstream of its group serves: their requests would never be served.
 func (p *parser) checkGroups() {
 	members := map[string][]Upstream{}
 	for _, u := range p.file.Upstreams {
@@ -105,8 +105,8 @@
 	}
 }
 
-// addresses notes an address that two upstreams share: both would be taken for
-// machines with room of their own, and the one machine gets twice its work.
+// checkAddresses adds an error for an address shared by two upstreams: each would be scheduled
+// with a capacity of its own, so the one machine would get twice its load.
 func (p *parser) checkAddresses() {
 	first := map[string]string{}
 	for _, s := range p.text.Sections() {
@@ -122,8 +122,8 @@
 	}
 }
 
-// hashes notes a hash that two accounts share. A key starts with its account's
-// name, so the hash of one can't be the other's: it was copied by mistake.
+// checkHashes adds an error for a key hash shared by two accounts. A key starts with its
+// account's name, so a shared hash must have been copied by mistake.
 func (p *parser) checkHashes() {
 	first := map[string]string{}
 	for _, s := range p.text.Sections() {
