--- a/internal/conf/head/head.go
+++ b/internal/conf/head/head.go
@@ -1,8 +1,8 @@
-// Package head is the one value that names the configuration in force.
+// Package head defines the stored record that identifies the active configuration.
 //
-// A Head is stored under Key and replaced by compare-and-swap, so versions
-// only rise. It lists the chunks that make up the text, tells who applied it,
-// and remembers the versions before it for as long as their chunks are kept.
+// A Head is stored under Key and replaced by compare-and-swap, so versions only increase. It
+// lists the chunks of the text, who applied it, and the earlier versions whose chunks are still
+// kept.
 package head
 
 import (
@@ -16,19 +16,19 @@
 )
 
 const (
-	// Key is where the store keeps the head.
+	// Key is the store key of the head.
 	Key = "config/head"
-	// ChunkPrefix starts the keys of chunks; their digests follow.
+	// ChunkPrefix is the prefix of the store keys of chunks; the digest follows it.
 	ChunkPrefix = "config/chunk/"
-	// Keep is how many versions before the newest keep their chunks.
+	// MaxKept is the number of earlier versions whose chunks are kept.
 	MaxKept = 8
 )
 
 type (
-	// Head is one version of the configuration. Chunks are digests in the
-	// text's order; Digest is that of the whole text, Size its bytes. Nonce
-	// is the applier's own, by which it knows its write again. Source is the
-	// peer address of the daemon that applied, which has the text too.
+	// Head is one version of the configuration. Chunks are digests in text order; Digest is
+	// that of the whole text, Size its length in bytes. Nonce is unique to the applier, which
+	// recognizes its own write by it. Source is the peer address of the daemon that applied the
+	// version and also has the text.
 	Head struct {
 		Version uint64    `json:"version"`
 		Digest  string    `json:"digest"`
@@ -42,7 +42,7 @@
 		Kept    []Kept    `json:"kept,omitempty"` // newest first
 	}
 
-	// Kept is an earlier version. Chunks are those that no newer version has.
+	// Kept is an earlier version. Chunks are those that no newer version uses.
 	Kept struct {
 		Version uint64    `json:"version"`
 		Nonce   string    `json:"nonce"`
@@ -52,7 +52,7 @@
 	}
 )
 
-// Decode reads a stored head.
+// Decode parses a stored head. Version 0 is an error.
 func Decode(data []byte) (h Head, err error) {
 	defer func() { err = errors.Wrap(err, "decode configuration head") }()
 	err = json.Unmarshal(data, &h)
@@ -62,11 +62,10 @@
 	return h, err
 }
 
-// Encode writes the head for the store.
+// Encode returns the head as it is stored.
 func (h Head) Encode() ([]byte, error) { return json.Marshal(h) }
 
-// After returns h as the version that follows prev, and floor where that is
-// higher.
+// After returns h as the version after prev, or after floor if that is higher.
 func (h Head) After(prev Head, floor uint64) Head {
 	h.Version = max(prev.Version, floor) + 1
 	h.Kept = nil
@@ -84,7 +83,7 @@
 	return h
 }
 
-// Refers reports whether this version or one that it keeps needs the chunk.
+// RefersTo reports whether this version or a kept one uses the chunk.
 func (h Head) RefersTo(digest string) bool {
 	if slices.Contains(h.Chunks, digest) {
 		return true
@@ -92,8 +91,8 @@
 	return slices.ContainsFunc(h.Kept, func(k Kept) bool { return slices.Contains(k.Chunks, digest) })
 }
 
-// Took reports whether the write with the nonce became the version, as far as
-// h remembers: known is false where the version is too old to tell.
+// HasWrite reports whether the write with the nonce became the version. known is false if h is
+// newer and no longer lists the version.
 func (h Head) HasWrite(version uint64, nonce string) (written, known bool) {
 	if h.Version == version {
 		return h.Nonce == nonce, true
@@ -106,7 +105,8 @@
 	return false, h.Version < version
 }
 
-// Join returns the text whose pieces are given in order, or chunk.ErrDigest.
+// Join returns the text made of the pieces in order, or chunk.ErrDigest if it does not match
+// the head's digest.
 func (h Head) Join(pieces [][]byte) ([]byte, error) {
 	text := slices.Concat(pieces...)
 	if chunk.Digest(text) != h.Digest {
@@ -119,8 +119,8 @@
 	return Kept{Version: h.Version, Nonce: h.Nonce, By: h.By, At: h.At, Chunks: h.Chunks}
 }
 
-// without returns the digests that are not among others. It copies: a Head is
-// immutable, and its slices are shared with the one before.
+// difference returns the digests that are not in others. It copies: a Head is immutable and
+// shares slices with the previous one.
 func difference(digests, others []string) (rest []string) {
 	for _, d := range digests {
 		if !slices.Contains(others, d) {
