--- a/internal/conf/route/route.go
+++ b/internal/conf/route/route.go
@@ -1,8 +1,7 @@
-// Package route holds the routing table of one configuration version: which
-// requests go to which service, and on what terms.
+// Package route holds the routing table of one configuration version: which requests go to
+// which service, with which timeout, priority and retry rules.
 //
-// A Table is immutable. Match finds the route of a request by host and longest
-// path prefix.
+// A Table is immutable. Match finds a request's route by host and longest path prefix.
 package route
 
 import (
@@ -14,33 +13,33 @@
 )
 
 const (
-	// Safe requests are idempotent: they may run more than once.
+	// Safe requests are idempotent and may run more than once.
 	Safe Kind = iota
 	// Unsafe requests are not idempotent: each attempt runs at most once.
 	Unsafe
-	// Stream requests are answered by server-sent events. They are not
-	// idempotent, but some may be resumed after an event.
+	// Stream requests are answered by server-sent events. They are not idempotent, but some
+	// routes can resume them after an event.
 	Stream
 )
 
 type (
-	// Kind tells what may be repeated.
+	// Kind tells whether a request may be repeated.
 	Kind uint8
 
-	// Table is the configuration in one version.
+	// Table is one version of the routing configuration.
 	Table struct {
-		Version  int64 // the operator's; only rises
+		Version  int64 // set by the operator; only increases
 		Revision uint64
-		Text     []byte // as the operator wrote it, but for digests in place of keys
+		Text     []byte // as the operator wrote it, with keys replaced by their digests
 		Services map[string]Service
 		Limits   Limits
-		Accounts *accnt.Accounts // nil where callers need no key
+		Accounts *accnt.Accounts // nil if callers need no key
 
 		hosts map[string][]Route // longest prefix first
 		count int
 	}
 
-	// Route tells where requests of one host and path prefix go.
+	// Route describes how requests of one host and path prefix are handled.
 	Route struct {
 		Name       string
 		Host       string
@@ -49,34 +48,34 @@
 		Backends   []Backend     // at least one
 		Timeout    time.Duration // longest time that a request is kept waiting; 0 is none
 		Target     time.Duration // response time for the full benefit
-		EventGap   time.Duration // longest pause between events of a punctual stream
+		EventGap   time.Duration // longest pause between events for a stream to be on time
 		Attempts   int           // upstreams that may run one attempt, at least 1
 		Priority   int           // 0 is the most urgent
-		Affinity   bool          // requests about one object run faster together
-		Resume     bool          // a stream may go on at another upstream
+		Affinity   bool          // requests with the same affinity key run faster on the same upstream
+		Resume     bool          // a broken stream may resume at another upstream
 		Turns      bool          // requests are turns of a program with a token budget
-		StoreTurns bool          // the system keeps what turns said
-		RetainFor  time.Duration // how long, and how long budgets are remembered
+		StoreTurns bool          // texts of turns are stored
+		RetainFor  time.Duration // retention of texts and budgets
 		Open       bool          // callers need no key
 	}
 
-	// Backend is a service with its share of a route's requests.
+	// Backend is a service with its weight in a route.
 	Backend struct {
 		Service string
 		Weight  int
 	}
 
-	// Service is a group of equal upstreams.
+	// Service is a group of equivalent upstreams.
 	Service struct {
 		Name        string
 		HealthPath  string
-		MaxConns    int // that one upstream takes from all callers
-		Batch       int // requests that one upstream runs at a time; 0 if not told
+		MaxConns    int // per upstream, over all callers
+		Batch       int // requests that one upstream runs concurrently; 0 if unknown
 		Memory      int // tokens of KV cache of one upstream; 0 for plain services
 		EventTokens int // tokens that each event of a stream counts for
 	}
 
-	// Limits bound what a caller may send.
+	// Limits are the limits on requests.
 	Limits struct {
 		HeaderBytes int
 		BodyBytes   int64
@@ -99,7 +98,7 @@
 	}
 }
 
-// New returns a table of the routes.
+// New returns a table of the routes and services.
 func New(version int64, routes []Route, services []Service, limits Limits) *Table {
 	t := &Table{Version: version, Limits: limits, Services: map[string]Service{}, hosts: map[string][]Route{}, count: len(routes)}
 	for _, s := range services {
@@ -117,8 +116,7 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return t.count }
 
-// Match returns the route with the longest prefix that begins the path. The
-// host may carry a port, which is ignored.
+// Match returns the route with the longest matching prefix. A port in host is ignored.
 func (t *Table) Match(host, path string) (Route, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -131,9 +129,8 @@
 	return Route{}, false
 }
 
-// Choose returns the service that serves a request, by the shares of the
-// backends. Requests with equal keys go to the same service as long as the
-// backends stay as they are; hash is drawn from the key.
+// Choose returns the service for a request, by backend weight. hash is computed from the
+// request's key, so equal keys choose the same service as long as the backends are unchanged.
 func (r Route) Choose(hash uint64) string {
 	total := 0
 	for _, b := range r.Backends {
--- a/internal/conf/route/route_test.go
+++ b/internal/conf/route/route_test.go
@@ -45,5 +45,5 @@
 		count[r.Choose(hash)]++
 	}
 	is.Equal(count, map[string]int{"a": 900, "b": 100})
-	is.Equal(Route{Backends: []Backend{{"a", 0}, {"b", 0}}}.Choose(7), "a") // no shares at all
+	is.Equal(Route{Backends: []Backend{{"a", 0}, {"b", 0}}}.Choose(7), "a") // all weights are 0
 }
