--- a/internal/conf/watch/bench_test.go
+++ b/internal/conf/watch/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 )
 
-// large is a configuration of 35,000 accounts.
+// large returns a configuration of 35,000 accounts.
 func large(b *testing.B) []byte {
 	var s strings.Builder
 	s.Write(text(b, "large"))
@@ -23,13 +23,13 @@
 	return []byte(s.String())
 }
 
-// changed alters one account.
+// changed changes one account.
 func changed(text []byte, n int) []byte {
 	old := []byte("tokens_per_minute = 20000\n\n[account.client-20000]")
 	return bytes.Replace(text, old, fmt.Appendf(nil, "tokens_per_minute = %d\n\n[account.client-20000]", 20_001+n), 1)
 }
 
-// BenchmarkFirst is the first apply of a large configuration to an empty store.
+// BenchmarkFirst measures the first apply of a large configuration to an empty store.
 func BenchmarkFirst(b *testing.B) {
 	data := large(b)
 	calls := keyval.Counts{}
@@ -44,8 +44,8 @@
 	b.ReportMetric(float64(calls.Reads), "reads/op")
 }
 
-// BenchmarkChange changes one account of a large configuration through one
-// daemon, until another one, which hears of it from the first, has it in force.
+// BenchmarkChange changes one account of a large configuration through one daemon and waits
+// until another daemon, which learns of the version from the first, has activated it.
 func BenchmarkChange(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
--- a/internal/conf/watch/cluster_test.go
+++ b/internal/conf/watch/cluster_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	maxDelay          = 4 * time.Second        // from acceptance to in force everywhere
-	heartbeatInterval = 500 * time.Millisecond // between two heartbeats of a daemon
+	maxDelay          = 4 * time.Second        // from acceptance until active at every daemon
+	heartbeatInterval = 500 * time.Millisecond // of each daemon
 )
 
 type (
-	// fleet is a few daemons that reach each other and a store. Its gossip
-	// stands for heartbeats: each daemon hears of every other's version.
+	// cluster is a few daemons that reach each other and a store. Method gossip simulates
+	// heartbeats: each daemon learns every other daemon's version.
 	cluster struct {
 		store keyval.Store
 
@@ -34,34 +34,33 @@
 		daemons map[string]*daemon
 	}
 
-	// daemon is one of them. What its operating system would lose with it is
-	// the Keeper.
+	// daemon is one daemon. A restart loses its Syncer.
 	daemon struct {
 		*Syncer
 		view         *keyval.View
 		link         *link
 		stop         context.CancelFunc
-		isolated     bool // reaches no peer
-		noHeartbeats bool // hears no heartbeats
+		isolated     bool // can't reach peers, nor be reached
+		noHeartbeats bool // receives no heartbeats
 		versions     []uint64
 		loadErrors   int
-		alterAnswer  func(a Answer) Answer // of what it answers to peers
+		alterAnswer  func(a Answer) Answer // changes its answers to peers; may be nil
 	}
 
-	// link is a daemon's way to the store, on which some calls go wrong.
+	// link is a daemon's connection to the store, with injected faults.
 	link struct {
 		store.Store
 
 		mu        sync.Mutex
-		noChunks  bool         // chunks can't be read
-		noWatches bool         // watches hear nothing
-		stale     *store.Entry // every read of the head answers with it
-		afterHead func()       // happens after the head was written, unheard
+		noChunks  bool         // reads of chunks fail
+		noWatches bool         // watches never return
+		stale     *store.Entry // returned by every read of the head
+		afterHead func()       // runs after the head was written; the acknowledgement is then lost
 	}
 )
 
 var (
-	errUnreachable = errors.New("peer out of reach")
+	errUnreachable = errors.New("peer unreachable")
 	devText        = sync.OnceValues(func() ([]byte, error) { return os.ReadFile("../../../examples/dev.ini") })
 )
 
@@ -129,7 +128,7 @@
 	return f
 }
 
-// add starts a daemon, in the place of one with the same name.
+// add starts a daemon, replacing one with the same name.
 func (f *cluster) add(ctx context.Context, name string) *daemon {
 	d := &daemon{view: f.store.Client(name)}
 	d.link = &link{Store: d.view}
@@ -139,7 +138,7 @@
 		Self:        Member{Name: name, Peer: name},
 		Seeds:       []string{"d0", "d1", "d2"},
 		Store:       d.link,
-		Seed:        1, // the name goes into the jitter as well
+		Seed:        1, // the jitter depends on the name too
 		Fetch:       func(_ context.Context, peer string, q Query) (Answer, error) { return f.fetch(d, peer, q) },
 		OnChange:    func(c file.File) { f.withLock(func() { d.versions = append(d.versions, c.Version) }) },
 		OnLoadError: func(head.Head, error) { f.withLock(func() { d.loadErrors++ }) },
@@ -199,7 +198,7 @@
 	}
 }
 
-// versions returns the version in force at each daemon, in no order.
+// versions returns the active version of each daemon, in no order.
 func (f *cluster) versions() (list []uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,11 +208,12 @@
 	return list
 }
 
-// agree reports whether each daemon runs the version and none ever went back.
+// checkVersions returns an error unless each daemon runs the version and no daemon's version
+// ever decreased.
 func (f *cluster) checkVersions(version uint64) error {
 	for _, v := range f.versions() {
 		if v != version {
-			return fmt.Errorf("in force: %v, want %d", f.versions(), version)
+			return fmt.Errorf("active versions: %v, want %d", f.versions(), version)
 		}
 	}
 	return f.checkRising()
@@ -224,13 +224,13 @@
 	defer f.mu.Unlock()
 	for name, d := range f.daemons {
 		if !slices.IsSorted(d.versions) || len(slices.Compact(slices.Clone(d.versions))) != len(d.versions) {
-			return fmt.Errorf("%s went back: %v", name, d.versions)
+			return fmt.Errorf("%s: versions not strictly increasing: %v", name, d.versions)
 		}
 	}
 	return nil
 }
 
-// text is a configuration whose system has the name.
+// text returns a configuration whose system has the name.
 func text(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := devText()
@@ -244,7 +244,7 @@
 	return apply.Request{Name: "dev.ini", Text: text(t, name), Base: apply.Newest, By: "amina"}
 }
 
-// apply applies through a daemon, or straight to the store.
+// apply applies a text through a daemon, or directly to the store if through is empty.
 func (f *cluster) apply(t testing.TB, name, through string) {
 	t.Helper()
 	var err error
--- a/internal/conf/watch/load.go
+++ b/internal/conf/watch/load.go
@@ -13,12 +13,12 @@
 
 const (
 	maxAnswerBytes = 512 << 10 // bytes of chunks in one answer to a peer
-	maxCachedBytes = 8 << 20   // bytes of packed chunks above which those not needed go
+	maxCachedBytes = 8 << 20   // bytes of compressed chunks above which unused ones are dropped
 )
 
-var errMissingChunks = errors.New("watch: some chunks are nowhere to be had")
+var errMissingChunks = errors.New("watch: chunks are missing locally, at the store and at the peers queried")
 
-// load fetches what is missing of a head's text, and reads it.
+// load fetches the missing chunks of a head's text and parses the text.
 func (k *Syncer) load(ctx context.Context, e Load) Message {
 	if e.StoreFirst {
 		k.fromStore(ctx, e.Head)
@@ -50,13 +50,13 @@
 		entry, err := k.Store.Get(call, head.ChunkPrefix+d)
 		cancel()
 		if err != nil {
-			return // down, or collected because newer versions are in force
+			return // store down, or chunk deleted after newer versions were applied
 		}
 		k.addVerified(chunk.Chunk{Digest: d, Packed: entry.Data})
 	}
 }
 
-// fromPeer asks a peer until it has nothing more that is missing.
+// fromPeer queries a peer until it returns no more of the missing chunks.
 func (k *Syncer) fromPeer(ctx context.Context, peer string, h head.Head) {
 	for {
 		missing := k.missing(h)
@@ -93,8 +93,8 @@
 	return digests
 }
 
-// add keeps a chunk that is what its digest says. Others are dropped: a broken
-// one would be passed on to peers.
+// addVerified caches a chunk if it matches its digest. A corrupt chunk would be passed on to
+// peers.
 func (k *Syncer) addVerified(c chunk.Chunk) {
 	if _, err := c.Unpack(); err != nil {
 		return
@@ -120,8 +120,8 @@
 	return h.Join(pieces)
 }
 
-// keep holds a loaded file until its head comes in force, and drops the chunks
-// that neither this head nor the one in force needs once they are many.
+// cacheFile keeps a loaded file until its head becomes active. If the cache exceeds
+// maxCachedBytes it drops the chunks that neither this head nor the active one uses.
 func (k *Syncer) cacheFile(h head.Head, f file.File) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -150,7 +150,7 @@
 	return bytes
 }
 
-// stage holds chunks that were checked, or are about to be applied.
+// cacheChunks caches chunks that were verified or are about to be applied.
 func (k *Syncer) cacheChunks(chunks []chunk.Chunk) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/conf/watch/main_test.go
+++ b/internal/conf/watch/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of random checks, so that each run gives the same
-// verdict. Another is tried with -rapid.seed.
+// TestMain fixes the seed of property tests, so that each run gives the same result. Use
+// -rapid.seed for another seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/conf/watch/query.go
+++ b/internal/conf/watch/query.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// askPeers asks those that know more, and at the start a few in any case.
+// queryPeers queries peers that know a newer version, and at the start a few in any case.
 func (w *Watch) queryPeers(now time.Time) (effects []Effect) {
 	if now.Before(w.nextQuery) {
 		return nil
@@ -23,28 +23,28 @@
 	return effects
 }
 
-// sources returns the peers to ask now.
+// peersToQuery returns the peers to query now.
 func (w *Watch) peersToQuery(now time.Time) (list []string) {
 	for peer, v := range w.versionSeen {
 		if v > w.newest() {
 			list = append(list, peer)
 		}
 	}
-	slices.Sort(list) // a map's order would make replays differ
+	slices.Sort(list) // map order would make replays differ
 	switch {
 	case w.active.Version == 0:
 		list = append(list, w.firstRound(now)...)
 	case len(list) == 0 && len(w.pendingQueries) == 0 && w.highestSeen > w.newest():
-		// Those that told of it did not have it or are gone.
+		// The peers that announced the version did not have it or are gone.
 		w.nextQuery = now.Add(w.addJitter(peerRetryDelay))
 		list = firstOf(w.peers(), 1)
 	}
 	return list
 }
 
-// firstRound returns the peers to ask at the start. A round ends when enough
-// have answered, or the most that one round asks were asked and none is under
-// way. Without any head by then there is another.
+// firstRound returns the peers to query at the start. A round ends when enough peers have
+// answered, or when no further peer may be queried and no query is pending. If no head is known
+// by then, another round follows.
 func (w *Watch) firstRound(now time.Time) (list []string) {
 	if w.roundEnded && w.newest() > 0 {
 		return nil
@@ -70,7 +70,7 @@
 	return list
 }
 
-// peers returns every known peer's address but the daemon's own, shuffled.
+// peers returns the addresses of all known peers except this daemon's own, shuffled.
 func (w *Watch) peers() (list []string) {
 	list = slices.Clone(w.seeds)
 	for _, m := range w.members {
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -14,14 +14,14 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// inBubble hides from rapid that it runs in a test with a deadline of the real
-// clock, which has no meaning here.
+// noDeadline hides the test's real-time deadline from rapid, which is meaningless inside a
+// synctest bubble.
 type noDeadline struct{ *testing.T }
 
-// Several operators apply at once, through daemons and straight to the store,
-// while the store fails in every way it can and daemons are cut off and
-// restarted. Whatever happens, no daemon goes back, and once all is well again
-// every daemon runs the newest version, which is one that an operator applied.
+// Several operators apply concurrently, through daemons and directly to the store, while the
+// store fails in various ways and daemons are isolated and restarted. No daemon's version may
+// ever decrease, and once all faults end every daemon must run the newest version, which is at
+// least the newest reported as accepted.
 func TestRandom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(r *rapid.T) {
@@ -74,12 +74,12 @@
 		r.Fatal(err)
 	}
 	if newest < accepted {
-		r.Fatalf("version %d was accepted, %d is in force", accepted, newest)
+		r.Fatalf("version %d was accepted, but %d is active", accepted, newest)
 	}
 }
 
-// try applies from the version that the operator sees at a daemon. It returns
-// the version that he was told is accepted, 0 if he was told otherwise.
+// tryApply applies a text from the version active at a daemon. It returns the version reported
+// as accepted, 0 if there was an error.
 func (f *cluster) tryApply(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
 	applyCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -99,9 +99,9 @@
 	return out.Head.Version
 }
 
-// Messages come in any order, late, twice, and from peers that tell of what
-// they don't have. The version in force only rises, one call to the store and
-// one load are under way at a time, and few peers are asked at once.
+// Messages arrive in any order, late, duplicated, and from peers that announce versions they
+// don't have. The active version must only increase, at most one store call and one load may be
+// pending, and at most maxPeerQueries queries.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var w Watch
@@ -135,7 +135,7 @@
 					messages = append(messages, rapid.SampledFrom([]Message{PeerFailed(e), PeerHead{e.Peer, anyHead(r).Head}}).Draw(r, "peer"))
 				case Activate:
 					if e.Head.Version <= before || e.Head.Version != w.Version() {
-						r.Fatalf("version %d was put in force after %d", e.Head.Version, before)
+						r.Fatalf("version %d was activated after %d", e.Head.Version, before)
 					}
 				}
 			}
@@ -144,7 +144,7 @@
 				pending += n
 			}
 			if w.Version() < before || calls > 1 || loads > 1 || pending > maxPeerQueries || queries["p3"] > 0 {
-				r.Fatalf("version %d after %d, %d calls, %d loads, asks %v", w.Version(), before, calls, loads, queries)
+				r.Fatalf("version %d after %d; pending: %d calls, %d loads, queries %v", w.Version(), before, calls, loads, queries)
 			}
 			messages = append(messages, rapid.SampledFrom([]Message{Tick{}, Tick{}, Members{members(6)}, Newer{uint64(rapid.IntRange(0, 9).Draw(r, "told")), "p1"}, Adopt{anyHead(r).Head}}).Draw(r, "other"))
 			i := rapid.IntRange(0, len(messages)-1).Draw(r, "order")
--- a/internal/conf/watch/role.go
+++ b/internal/conf/watch/role.go
@@ -12,13 +12,13 @@
 	resting
 )
 
-// duty is how a daemon follows the store, the one with the most calls first. A
-// daemon that knows of no others polls.
+// role is how a daemon follows the store, in descending order of calls made. A daemon that
+// knows no other daemons polls.
 type role int
 
-// dutyOf returns how a daemon follows the store. It goes by how many of the
-// living daemons have a name that hashes lower, so that daemons which see each
-// other agree without a word, and when one goes another steps in.
+// roleOf returns a daemon's role. It depends on how many live daemons have a name with a lower
+// hash, so daemons with the same member list agree without communication, and when one fails
+// another takes over its role.
 func roleOf(self Member, alive []Member) role {
 	mine, lower := xxhash.Sum64String(self.Name), 0
 	for _, m := range alive {
@@ -35,7 +35,7 @@
 	return resting
 }
 
-// gap is the time between two calls to the store.
+// storeInterval returns the time between two calls to the store.
 func (w *Watch) storeInterval() time.Duration {
 	switch w.role {
 	case polling:
--- a/internal/conf/watch/step.go
+++ b/internal/conf/watch/step.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// Watch decides what one daemon asks whom, and what comes in force. Its
-	// zero value waits for Start.
+	// Watch decides when a daemon calls the store and its peers, and which version it
+	// activates. Its zero value waits for Start.
 	Watch struct {
 		self    Member
 		seeds   []string
@@ -22,28 +22,28 @@
 		role    role
 		jitter  *rand.Rand
 
-		active      head.Head // in force
-		next        head.Head // newest head known, its text not loaded yet
-		unreadable  uint64    // version of a text that this daemon can't read
-		highestSeen uint64    // highest version that anybody told of
-		source      string    // the peer that next came from, empty if the store
+		active      head.Head // the active version
+		next        head.Head // newest known head, whose text is not loaded yet
+		unreadable  uint64    // highest version whose text this daemon can't parse
+		highestSeen uint64    // highest version announced by any peer
+		source      string    // peer that next came from, empty if it came from the store
 
 		storeCallPending bool
-		storeCallEnded   bool // one call has ended
-		watchCall        bool // the call under way or the last one is a watch
+		storeCallEnded   bool // at least one call has ended
+		watchCall        bool // the pending or last call is a watch
 		watchExpired     bool // the last watch ended without a change
 		rev              store.Rev
 		storeFails       int
-		staleWatches     int // watches in a row that ended at once with nothing new
+		staleWatches     int // consecutive watches that returned no newer revision
 		nextStore        time.Time
 
 		pendingQueries map[string]bool
-		queriedPeers   map[string]bool // in this round
-		answerCount    int             // in this round
-		roundEnded     bool            // a round of questions has ended
-		roundsEnded    int             // of questions that have ended
+		queriedPeers   map[string]bool // queried in this round
+		answerCount    int             // queries answered in this round
+		roundEnded     bool            // a round of queries has ended and no other has started
+		roundsEnded    int             // rounds that have ended
 		nextRound      time.Time
-		versionSeen    map[string]uint64 // what peers said that they know
+		versionSeen    map[string]uint64 // versions announced by peers, by address
 		nextQuery      time.Time
 		loading        bool
 		loadFails      int
@@ -51,7 +51,7 @@
 	}
 )
 
-// Step reacts to one message.
+// Step handles one message and returns the effects to carry out.
 func (w *Watch) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
 	case Start:
@@ -83,7 +83,7 @@
 	return w.advance(now)
 }
 
-// Version returns the version in force, 0 if none is.
+// Version returns the active version, 0 if there is none.
 func (w *Watch) Version() uint64 { return w.active.Version }
 
 func (w *Watch) start(m Start) {
@@ -92,8 +92,8 @@
 	w.pendingQueries, w.queriedPeers, w.versionSeen = map[string]bool{}, map[string]bool{}, map[string]uint64{}
 }
 
-// setMembers calls the store soon where a daemon that watched it went and this
-// one steps in.
+// setMembers brings the next call to the store forward if this daemon takes over a role with
+// more calls from one that is gone.
 func (w *Watch) setMembers(now time.Time, m Members) {
 	before := w.role
 	w.members = slices.Clone(m.List)
@@ -117,11 +117,11 @@
 	}
 }
 
-// newest is the highest version whose head is known.
+// newest returns the highest version whose head is known.
 func (w *Watch) newest() uint64 { return max(w.active.Version, w.next.Version, w.unreadable) }
 
-// consider takes a head that is newer than any known. An older one is a stale
-// read, or a peer that is behind; taking it would turn a change back.
+// consider records a head that is newer than any known. An older one is a stale read or comes
+// from a peer that is behind; accepting it would revert a change.
 func (w *Watch) consider(now time.Time, h head.Head, source string) {
 	if h.Version <= w.newest() {
 		return
@@ -143,8 +143,8 @@
 
 func (w *Watch) storeHead(now time.Time, m StoreHead) {
 	if w.watchCall && m.Rev <= w.rev {
-		// A watch that answers with nothing new, because the head is gone or
-		// the answer stale, would be asked again at once, and again.
+		// A watch that returns no newer revision, because the head was deleted or the read is
+		// stale, would otherwise be repeated at once in a loop.
 		w.storeCallPending = false
 		w.nextStore = now.Add(w.retryDelay(w.staleWatches))
 		w.staleWatches++
@@ -174,7 +174,7 @@
 	delete(w.versionSeen, m.Peer)
 	w.nextQuery = now.Add(w.addJitter(peerRetryDelay))
 	if w.highestSeen > w.newest() {
-		w.readSoon(now) // the peer may be gone with what it knew
+		w.readSoon(now) // the peer that announced the version may be gone
 	}
 }
 
@@ -204,7 +204,7 @@
 	w.loadFails++
 }
 
-// advance starts what is due.
+// advance starts the calls that are due.
 func (w *Watch) advance(now time.Time) (effects []Effect) {
 	if w.jitter == nil {
 		return nil
@@ -234,14 +234,14 @@
 	return []Effect{Load{Head: w.next, Peers: w.loadPeers(), StoreFirst: w.source == ""}}
 }
 
-// mayForce holds a first version back until the store was tried and peers were
-// asked, so that a stale answer from one side is overruled by the other.
+// mayActivate delays the first version until the store was tried and a round of peer queries
+// has ended, so that a stale answer from one is overruled by the other.
 func (w *Watch) mayActivate() bool {
 	return w.active.Version > 0 || w.storeCallEnded && w.roundEnded
 }
 
-// holders returns the peers to fetch the next text from: the one that has it
-// in force, the one that applied it, then a few others.
+// loadPeers returns the peers to fetch the next text from: the one whose head it is, the one
+// that applied it, then a few others.
 func (w *Watch) loadPeers() (list []string) {
 	for _, peer := range append([]string{w.source, w.next.Source}, firstOf(w.peers(), maxPeerQueries)...) {
 		if peer != "" && peer != w.self.Peer && !slices.Contains(list, peer) {
@@ -251,15 +251,15 @@
 	return list
 }
 
-// backOff is the wait after so many failures, half of it left to chance, so
-// that daemons which failed together do not come back together.
+// retryDelay returns the exponential back-off after that many failures. Half of it is random,
+// so that daemons which failed together do not retry together.
 func (w *Watch) retryDelay(fails int) time.Duration {
 	d := firstRetry << min(fails, 8)
 	d = min(d, maxRetry)
 	return d/2 + time.Duration(w.jitter.Int64N(int64(d/2)))
 }
 
-// spread moves a duration by up to a fifth either way.
+// addJitter changes a duration by up to a fifth in either direction.
 func (w *Watch) addJitter(d time.Duration) time.Duration {
 	return d - d/5 + time.Duration(w.jitter.Int64N(int64(cmp.Or(2*d/5, 1))))
 }
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-// steps feeds messages one second apart and returns the effects of the last.
+// steps sends messages one second apart and returns the effects of the last one.
 func steps(w *Watch, messages ...Message) (effects []Effect) {
 	now := epoch
 	for _, m := range messages {
@@ -50,18 +50,18 @@
 	tests := map[string]struct {
 		before []Message
 		last   Message
-		load   []uint64 // versions that are loaded then
-		force  uint64   // in force then
+		load   []uint64 // versions requested by the last message's effects
+		active uint64   // active version afterwards
 	}{
-		// A first answer may be stale. What is put in force at once would be
-		// behind what the daemon ran before it was restarted.
+		// The first answer may be stale. If it were activated at once, the daemon could run a
+		// version older than the one before its restart.
 		"one peer is not enough":           {[]Message{begin, StoreFailed{}}, PeerHead{"a:1", version(2)}, nil, 0},
 		"store alone is not enough":        {[]Message{begin}, StoreHead{version(2), 20}, nil, 0},
 		"peers alone are not enough":       {round[:3], PeerHead{"c:1", version(2)}, nil, 0},
 		"store after peers":                {round, StoreHead{version(2), 20}, []uint64{2}, 0},
-		"highest answer counts":            {[]Message{begin, StoreFailed{}, PeerHead{"a:1", version(2)}, PeerHead{"b:1", version(5)}}, PeerHead{"c:1", version(4)}, []uint64{5}, 0},
+		"highest answer is loaded":         {[]Message{begin, StoreFailed{}, PeerHead{"a:1", version(2)}, PeerHead{"b:1", version(5)}}, PeerHead{"c:1", version(4)}, []uint64{5}, 0},
 		"stale store behind peers":         {[]Message{begin, PeerHead{"a:1", version(5)}, PeerHead{"b:1", version(5)}, PeerHead{"c:1", version(5)}}, StoreHead{version(4), 40}, []uint64{5}, 0},
-		"loaded comes in force":            {append(round, StoreHead{version(2), 20}), Loaded{version(2)}, nil, 2},
+		"loaded becomes active":            {append(round, StoreHead{version(2), 20}), Loaded{version(2)}, nil, 2},
 		"newer from the store":             {active3, StoreHead{version(4), 40}, []uint64{4}, 3},
 		"newer from a peer":                {active3, PeerHead{"a:1", version(4)}, []uint64{4}, 3},
 		"versions skipped":                 {active3, StoreHead{version(9), 90}, []uint64{9}, 3},
@@ -71,11 +71,11 @@
 		"store is empty":                   {active3, StoreHead{}, nil, 3},
 		"late load of an older text":       {append(active3, Adopt{version(5)}), Loaded{version(4)}, nil, 5},
 		"adopted":                          {active3, Adopt{version(4)}, nil, 4},
-		"load failed waits":                {append(active3, StoreHead{version(4), 40}), LoadFailed{Head: version(4)}, nil, 3},
-		"load failed is tried again":       {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4)}), Tick{}, []uint64{4}, 3},
-		"unfit is not tried again":         {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), Tick{}, nil, 3},
-		"unfit again from a peer":          {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(4)}, nil, 3},
-		"newer than unfit":                 {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(5)}, []uint64{5}, 3},
+		"failed load is delayed":           {append(active3, StoreHead{version(4), 40}), LoadFailed{Head: version(4)}, nil, 3},
+		"failed load is retried":           {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4)}), Tick{}, []uint64{4}, 3},
+		"unreadable is not tried again":    {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), Tick{}, nil, 3},
+		"unreadable again from a peer":     {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(4)}, nil, 3},
+		"newer than unreadable":            {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(5)}, []uint64{5}, 3},
 		"newer while an older one loads":   {append(active3, StoreHead{version(4), 40}), PeerHead{"a:1", version(5)}, nil, 3},
 		"newer after the older one loaded": {append(active3, StoreHead{version(4), 40}, PeerHead{"a:1", version(5)}), Loaded{version(4)}, []uint64{5}, 4},
 	}
@@ -85,13 +85,13 @@
 			var w Watch
 			got := steps(&w, append(append([]Message{}, tt.before...), tt.last)...)
 			is.Equal(loads(got), tt.load)
-			is.Equal(w.Version(), tt.force)
+			is.Equal(w.Version(), tt.active)
 		})
 	}
 }
 
-// A daemon is the first to come back after all of them were stopped at once.
-// It must not wait for peers that are not there.
+// A daemon is the first to start after all of them were stopped. It must not wait for
+// unreachable peers.
 func TestPeersDownStoreUp(t *testing.T) {
 	is := is.New(t)
 	var w Watch
@@ -115,9 +115,8 @@
 	is.True(loaded)
 }
 
-// The store fails right after it accepted a version, and the head is all that
-// got out. The daemon that applied it is asked first: it may be the only one
-// that has the text.
+// The store fails right after it accepted a version, and only the head was read. The daemon
+// that applied it is queried first: it may be the only one that has the text.
 func TestLoadAsksApplierFirst(t *testing.T) {
 	is := is.New(t)
 	var w Watch
@@ -131,14 +130,14 @@
 	is.Equal(len(l.Peers), 1+maxPeerQueries)
 }
 
-// Each daemon's view of who is alive decides alone who follows the store. If
-// all did, their calls would eat the store's rates; if none did, a change
-// would wait for the next read of anybody.
+// Each daemon derives its role from its own member list. If all daemons polled, their calls
+// would use up the store's rate limit; if none did, a change would wait for the next periodic
+// read.
 func TestRoles(t *testing.T) {
 	tests := map[string]struct{ daemons, polling, watching, resting int }{
-		"one":        {1, 1, 0, 0},
-		"today":      {8, 2, 6, 0},
-		"the target": {320, 2, 6, 312},
+		"1 daemon":    {1, 1, 0, 0},
+		"8 daemons":   {8, 2, 6, 0},
+		"320 daemons": {320, 2, 6, 312},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -156,8 +155,8 @@
 	}
 }
 
-// The daemons that follow the store go with their rack. Others must step in
-// soon, and not at their next read minutes later.
+// The daemons that follow the store fail together with their rack. Others must take over soon,
+// not at their next periodic read minutes later.
 func TestRoleTakeover(t *testing.T) {
 	is := is.New(t)
 	all := members(320)
@@ -181,7 +180,7 @@
 	is.True(takeovers >= Pollers+Watchers)
 }
 
-// without returns the members but for those that follow the store.
+// without returns the members except those that follow the store.
 func without(all []Member, w *Watch) (rest []Member) {
 	for _, m := range all {
 		if roleOf(m, all) == resting || m.Name == w.self.Name {
@@ -191,8 +190,8 @@
 	return rest
 }
 
-// A watch that answers at once with nothing new, from a replica that lags or
-// a store that lost the key, must not be asked in a circle.
+// A watch may return at once with no newer revision, from a lagging replica or a store that
+// lost the key. It must not be repeated in a busy loop.
 func TestStaleWatchCallRate(t *testing.T) {
 	tests := map[string]StoreHead{
 		"stale":    {version(1), 10},
@@ -206,7 +205,7 @@
 			w.Step(now, Start{Self: Member{Name: "d0"}})
 			w.Step(now, Members{members(8)})
 			w.Step(now, StoreHead{version(1), store.Rev(10)})
-			for range 600 { // a minute
+			for range 600 { // one minute
 				now = now.Add(100 * time.Millisecond)
 				for effects := w.Step(now, Tick{}); len(effects) > 0 && calls <= 1000; effects = effects[1:] {
 					switch effects[0].(type) {
@@ -217,18 +216,18 @@
 				}
 			}
 			is.True(calls > 0)
-			is.True(calls <= 60) // one a second
+			is.True(calls <= 60) // one per second
 		})
 	}
 }
 
-// Calls of all daemons at the store while nothing changes. The store counts
-// each, a waiting watch too, and its rates grow more slowly than the fleet.
+// Store calls of all daemons while nothing changes. The store counts every call, a pending
+// watch too, and its rate limit grows more slowly than the number of daemons.
 func TestIdleCalls(t *testing.T) {
 	tests := map[string]struct{ daemons, most int }{
-		"one":        {1, 60},
-		"today":      {8, 120},
-		"the target": {320, 200},
+		"1 daemon":    {1, 60},
+		"8 daemons":   {8, 120},
+		"320 daemons": {320, 200},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -246,10 +245,10 @@
 
 const idleTime = 30 * time.Minute
 
-// idleCalls lets one daemon run without a change and counts its calls.
+// idleCalls runs one daemon without a change and counts its store calls.
 func idleCalls(self Member, all []Member, seed uint64) (calls int) {
 	var w Watch
-	var watchEnd time.Time // when the watch under way ends; zero if there is none
+	var watchEnd time.Time // when the pending watch ends; zero if there is none
 	w.Step(epoch, Start{Self: self, Seed: seed})
 	w.Step(epoch, Members{all})
 	w.Step(epoch, StoreHead{version(1), 10})
--- a/internal/conf/watch/syncer.go
+++ b/internal/conf/watch/syncer.go
@@ -17,48 +17,48 @@
 )
 
 const (
-	// Patience is how long an operator who applies waits for a store that
-	// does not answer.
+	// ApplyTimeout is how long Apply retries against a store that does not answer.
 	ApplyTimeout = 30 * time.Second
-	// PerChunk is added for each chunk of the text, because a daemon may make
-	// about one write a second where there are many daemons.
+	// ApplyTimeoutPerChunk is added for each chunk of the text, because a daemon may make only
+	// about one write per second in a large cluster.
 	ApplyTimeoutPerChunk = time.Second
 
 	tickEvery   = 100 * time.Millisecond
 	callTimeout = 2 * time.Second
-	readTimeout = time.Second // of the head; a poller must notice a silent connection in time
+	readTimeout = time.Second // of the head; bounds the time in which a poller detects a dead connection
 	inboxSize   = 256
 )
 
-var errNoFetch = errors.New("watch: no way to ask peers")
+var errNoFetch = errors.New("watch: no Fetch function to query peers")
 
 type (
-	// Question asks a peer for its newest head, and for the chunks named.
+	// Query asks a peer for its newest head and for the listed chunks.
 	Query struct {
 		Chunks []string `json:"chunks,omitempty"`
 	}
 
-	// Answer is a peer's newest head, zero if it has none, and those of the
-	// chunks asked for that it holds and that fit into one answer.
+	// Answer is a peer's newest head, zero if it has none, and those of the requested chunks
+	// that it has and that fit into one answer.
 	Answer struct {
 		Head   head.Head     `json:"head"`
 		Chunks []chunk.Chunk `json:"chunks,omitempty"`
 	}
 
-	// Keeper runs a Watch. Set the fields before Serve. All methods are safe
-	// for concurrent use; before Serve runs, what they are told waits.
+	// Syncer runs a Watch. Set the fields before Serve. All methods are safe for concurrent
+	// use; messages sent before Serve runs are queued.
 	Syncer struct {
 		Self  Member
-		Seeds []string // peer addresses to ask first
+		Seeds []string // peer addresses to query first
 		Store store.Store
-		// Fetch puts a question to a peer; the peer answers with its Answer.
+		// Fetch sends a query to a peer, which responds with its method Answer.
 		Fetch func(ctx context.Context, peer string, q Query) (Answer, error)
-		// OnChange is told each version that comes in force, in order, from
-		// one goroutine. The next one waits until it returns.
+		// OnChange is called with each version that becomes active, in order, from one
+		// goroutine. The next version waits until it returns.
 		OnChange func(f file.File)
-		// Seed makes the jitter; 0 draws one.
+		// Seed seeds the jitter; 0 means a random seed.
 		Seed uint64
-		// OnFault is told why a head was not taken. It may be nil.
+		// OnLoadError is called with the reason why a head's text could not be loaded. It may
+		// be nil.
 		OnLoadError func(h head.Head, err error)
 
 		once  sync.Once
@@ -69,13 +69,12 @@
 		mu     sync.Mutex
 		head   head.Head
 		file   file.File
-		files  map[uint64]file.File // loaded and not in force yet
-		chunks map[string][]byte    // packed, of the head in force and of what is loaded or applied
+		files  map[uint64]file.File // loaded, not active yet
+		chunks map[string][]byte    // compressed; of the active head and of texts being loaded or applied
 	}
 )
 
-// Serve keeps the newest configuration in force until ctx ends, and returns
-// the context's error.
+// Serve keeps the newest configuration active until ctx ends, and returns the context's error.
 func (k *Syncer) Serve(ctx context.Context) error {
 	k.init()
 	defer k.tasks.Wait()
@@ -96,44 +95,44 @@
 	}
 }
 
-// Newer tells that the peer at the address knows a version.
+// Newer reports that the peer at the address from knows a version.
 func (k *Syncer) Newer(version uint64, from string) {
 	k.enqueue(Newer{Version: version, From: from})
 }
 
-// Members tells which daemons are alive.
+// Members sets the live daemons.
 func (k *Syncer) Members(list []Member) {
 	k.enqueue(Members{List: list})
 }
 
-// Current returns the configuration in force; its Version is 0 if none is.
+// Current returns the active configuration; its Version is 0 if there is none.
 func (k *Syncer) Current() file.File {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.file
 }
 
-// Text returns the text in force as it was applied, and its version.
+// Text returns the active text as it was applied, and its version.
 func (k *Syncer) Text() (text []byte, version uint64, err error) {
 	h := k.Head()
 	text, err = k.join(h)
 	return text, h.Version, err
 }
 
-// Head returns the head in force, zero if none is.
+// Head returns the active head, zero if there is none.
 func (k *Syncer) Head() head.Head {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.head
 }
 
-// Ready is closed once a configuration is in force.
+// Ready returns a channel that is closed once a configuration is active.
 func (k *Syncer) Ready() <-chan struct{} {
 	k.init()
 	return k.ready
 }
 
-// Answer answers a peer's question.
+// Answer returns the answer to a peer's query.
 func (k *Syncer) Answer(q Query) Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -153,10 +152,10 @@
 	return a
 }
 
-// Apply puts a text in force for an operator; see apply.Run for its errors. It
-// tries for Patience at most, and PerChunk for each chunk.
-// Peers can fetch its chunks from here before the store has accepted it: if
-// the store fails right after it did, they know the head and find the text.
+// Apply applies a text for an operator; see apply.Run for its errors. It retries for up to
+// ApplyTimeout plus ApplyTimeoutPerChunk for each chunk. Peers can fetch the chunks from this
+// daemon before the store has accepted the head: if the store fails right afterwards, peers
+// that know the head can still load the text.
 func (k *Syncer) Apply(ctx context.Context, r apply.Request) (apply.Outcome, error) {
 	k.init()
 	r.Source, r.Floor = k.Self.Peer, k.Head().Version
@@ -174,8 +173,8 @@
 	if !out.Unchanged && out.Head.Digest == chunk.Digest(r.Text) {
 		k.cacheFile(out.Head, out.File)
 		select {
-		case k.inbox <- Adopt{Head: out.Head}: // told once, so it must not be dropped
-		case <-ctx.Done(): // Serve is stopped, or reads it from the store
+		case k.inbox <- Adopt{Head: out.Head}: // sent only once, so it must not be dropped
+		case <-ctx.Done(): // Serve has stopped, or will read the head from the store
 		}
 	}
 	return out, nil
@@ -188,8 +187,8 @@
 	})
 }
 
-// tell hands a message to Serve. A full mailbox drops it: Serve is stopped or
-// far behind, and what is told here is told again with later heartbeats.
+// enqueue passes a message to Serve. A full inbox drops it: Serve has stopped or is far behind,
+// and later heartbeats repeat the message.
 func (k *Syncer) enqueue(m Message) {
 	k.init()
 	select {
@@ -275,7 +274,7 @@
 	return k.Fetch(ctx, peer, q)
 }
 
-// force puts a loaded head in force and forgets the chunks of others.
+// activate makes a loaded head the active one and drops the files of older versions.
 func (k *Syncer) activate(h head.Head) {
 	k.mu.Lock()
 	k.head, k.file = h, k.files[h.Version]
--- a/internal/conf/watch/syncer_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -17,31 +17,30 @@
 )
 
 func TestFaults(t *testing.T) {
-	// Each scene starts with twelve daemons that run version 1 and ends when
-	// the bound has passed. By then every daemon runs the version named, and
-	// none went back behind what it ran.
+	// Each case starts with twelve daemons at version 1. Within maxDelay after the fault every
+	// daemon must run the wanted version, and no daemon's version may ever decrease.
 	tests := map[string]struct {
 		run  func(t *testing.T, f *cluster)
 		want uint64
 	}{
-		"applied through a daemon":       {func(t *testing.T, f *cluster) { f.apply(t, "two", "d5") }, 2},
-		"applied to the store":           {func(t *testing.T, f *cluster) { f.apply(t, "two", "") }, 2},
-		"no change":                      {func(*testing.T, *cluster) {}, 1},
-		"store down":                     {func(_ *testing.T, f *cluster) { f.set(keyval.Down) }, 1},
-		"store silent":                   {func(_ *testing.T, f *cluster) { f.set(keyval.Silent) }, 1},
-		"store lost its keys":            {wipe, 1},
-		"applied after it lost its keys": {func(t *testing.T, f *cluster) { wipe(t, f); f.apply(t, "two", "d5") }, 2},
-		"store restored, applied again":  {restored, 4},
-		"store fails after acceptance":   {failsAfter, 2},
-		"store fails, ack lost":          {failsAckLost, 2},
-		"all watches silent":             {watchesSilent, 2},
-		"one daemon reads stale":         {staleRead, 2},
-		"peer hands out broken chunks":   {brokenChunks, 2},
-		"gap in versions":                {versionGap, 5},
-		"restart in an outage":           {restart, 2},
-		"text that no daemon can read":   {unreadableText, 1},
-		"readable text after such a one": {func(t *testing.T, f *cluster) { unreadableText(t, f); f.apply(t, "three", "d3") }, 3},
-		"who told of it is gone":         {reporterGone, 2},
+		"applied through a daemon":      {func(t *testing.T, f *cluster) { f.apply(t, "two", "d5") }, 2},
+		"applied to the store":          {func(t *testing.T, f *cluster) { f.apply(t, "two", "") }, 2},
+		"no change":                     {func(*testing.T, *cluster) {}, 1},
+		"store down":                    {func(_ *testing.T, f *cluster) { f.set(keyval.Down) }, 1},
+		"store silent":                  {func(_ *testing.T, f *cluster) { f.set(keyval.Silent) }, 1},
+		"store lost its keys":           {wipe, 1},
+		"applied after lost keys":       {func(t *testing.T, f *cluster) { wipe(t, f); f.apply(t, "two", "d5") }, 2},
+		"store restored, applied again": {restored, 4},
+		"store fails after acceptance":  {failsAfter, 2},
+		"store fails, ack lost":         {failsAckLost, 2},
+		"all watches silent":            {watchesSilent, 2},
+		"one daemon reads stale":        {staleRead, 2},
+		"peer returns corrupt chunks":   {brokenChunks, 2},
+		"daemon missed versions":        {versionGap, 5},
+		"restart in an outage":          {restart, 2},
+		"text that can't be parsed":     {unreadableText, 1},
+		"valid text after that":         {func(t *testing.T, f *cluster) { unreadableText(t, f); f.apply(t, "three", "d3") }, 3},
+		"announcing peer is gone":       {reporterGone, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +54,7 @@
 				sleep(maxDelay)
 				is.NoErr(f.checkVersions(tt.want))
 				for _, d := range f.daemons {
-					is.True(d.Current().System.Name != "other") // which nobody applied
+					is.True(d.Current().System.Name != "other") // which was never applied
 					held, version, err := d.Text()
 					is.NoErr(err)
 					is.Equal(version, tt.want)
@@ -66,8 +65,8 @@
 	}
 }
 
-// Somebody restores the platform's store from nothing. What was accepted stays
-// in force; a daemon that took the empty store for the newest would stop.
+// The store is recreated empty. The accepted version must stay active; a daemon that took the
+// empty store for the newest state would stop serving.
 func wipe(t *testing.T, f *cluster) {
 	entry, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
@@ -78,10 +77,9 @@
 	}
 }
 
-// Somebody restores the platform's store from an older copy. An operator then
-// applies the text of that copy on purpose, from the version that he reads at
-// a daemon. It must not pass for what is in force already, nor get a version
-// that the daemons have behind them.
+// The store is restored from an older copy. An operator then applies the text of that copy on
+// purpose, from the version read at a daemon. It must not be reported as unchanged, nor get a
+// version that the daemons have already passed.
 func restored(t *testing.T, f *cluster) {
 	old, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
@@ -106,8 +104,8 @@
 	}
 }
 
-// The store fails in the moment after it accepted a version. The operator was
-// told that it is accepted, and no daemon but the one that applied it can know.
+// The store fails right after it accepted a version. The operator got the acknowledgement, and
+// only the daemon that applied knows the version.
 func failsAfter(t *testing.T, f *cluster) {
 	f.set(keyval.Down)
 	f.daemons["d5"].view.Set(keyval.None)
@@ -115,9 +113,9 @@
 	f.set(keyval.Down)
 }
 
-// The same, and the acknowledgement is lost, so that the daemon that applied
-// does not know either. The others have heard of the head by their watches and
-// can't read its chunks any more. They have them from the one that applied.
+// As failsAfter, but the acknowledgement is lost, so the daemon that applied does not know the
+// outcome either. The other daemons have the head from their watches and can't read its chunks
+// from the store. They must get them from the daemon that applied.
 func failsAckLost(t *testing.T, f *cluster) {
 	for _, d := range f.daemons {
 		d.link.update(func(l *link) { l.noChunks = true })
@@ -128,13 +126,12 @@
 	defer cancel()
 	_, err := d.Apply(ctx, request(t, "two"))
 	if !errors.As(err, new(*apply.UnknownError)) {
-		t.Errorf("the outcome can't be known here, but Apply says %v", err)
+		t.Errorf("Apply returned %v, want an UnknownError", err)
 	}
 }
 
-// Something between the daemons and the store has lost track of all the
-// connections on which watches wait. A watch that hears nothing looks like a
-// quiet one, and the change would be noticed half a minute late.
+// All connections with pending watches are dead without an error. Such a watch looks like one
+// without changes; without pollers the change would be noticed half a minute late.
 func watchesSilent(t *testing.T, f *cluster) {
 	for _, d := range f.daemons {
 		d.link.update(func(l *link) { l.noWatches = true })
@@ -142,8 +139,8 @@
 	f.apply(t, "two", "")
 }
 
-// A replica of the store that lags answers one daemon with the version before.
-// Taking it would turn an accepted change back.
+// A lagging replica of the store returns the previous version to one daemon. Accepting it would
+// revert an accepted change.
 func staleRead(t *testing.T, f *cluster) {
 	entry, err := f.store.Get(t.Context(), head.Key)
 	if err != nil {
@@ -156,9 +153,9 @@
 	f.add(t.Context(), "d4").link.update(func(l *link) { l.stale = &entry })
 }
 
-// A daemon with a fault answers with chunks of another text than their digests
-// say, while the store is down. The others must notice, and get the text
-// elsewhere; taken as it comes, it would be in force and passed on.
+// While the store is down, a faulty daemon returns chunks that don't match their digests. The
+// others must detect it and get the text elsewhere; otherwise they would activate it and pass
+// it on.
 func brokenChunks(t *testing.T, f *cluster) {
 	other, err := chunk.Pack(text(t, "other"))
 	if err != nil {
@@ -179,8 +176,8 @@
 	f.set(keyval.Down)
 }
 
-// A daemon is cut off from the store and its peers while four versions are
-// applied. When it is back it takes the newest at once.
+// A daemon is cut off from the store and its peers while four versions are applied. Once
+// reconnected it must activate the newest directly.
 func versionGap(t *testing.T, f *cluster) {
 	d := f.daemons["d7"]
 	f.withLock(func() { d.isolated = true })
@@ -190,14 +187,14 @@
 	}
 	sleep(time.Minute)
 	if v := d.Current().Version; v != 1 {
-		t.Errorf("version %d reached a daemon that was cut off", v)
+		t.Errorf("isolated daemon runs version %d, want 1", v)
 	}
 	f.withLock(func() { d.isolated = false })
 }
 
-// A daemon is restarted while the store is down, and the first peer that it
-// asks has been cut off from the others and runs an old version. It must not
-// go back behind what it ran before the restart.
+// A daemon is restarted while the store is down, and one of its seeds was cut off and runs an
+// old version. The daemon must not activate a version older than the one it ran before the
+// restart.
 func restart(t *testing.T, f *cluster) {
 	stale := f.daemons["d0"]
 	f.withLock(func() { stale.isolated = true })
@@ -210,8 +207,8 @@
 	f.add(t.Context(), "d3")
 }
 
-// An operator with a newer release applies what this one can't read. The
-// daemons keep what they run, and say so, instead of serving half a text.
+// An operator with a newer release applies a text that this release can't parse. The daemons
+// must keep the active version and report the error instead of serving a part of the text.
 func unreadableText(t *testing.T, f *cluster) {
 	piece := []byte("[system]\nname = x\nof_a_later_release = 1\n")
 	c, err := chunk.Pack(piece)
@@ -234,7 +231,7 @@
 	put(t, f, head.Key, data, entry.Rev)
 	sleep(maxDelay)
 	if f.daemons["d0"].loadErrors == 0 {
-		t.Error("no daemon said that it can't read the text")
+		t.Error("daemon d0 reported no load error")
 	}
 }
 
@@ -244,8 +241,8 @@
 	}
 }
 
-// The one peer that told of a new version dies before it was asked, in an
-// outage. Others have it too, but have not come to tell.
+// During an outage of the store the one peer that announced a new version dies before it is
+// queried. The version must be found at other peers, which have it but did not announce it.
 func reporterGone(t *testing.T, f *cluster) {
 	d := f.daemons["d9"]
 	f.withLock(func() { d.isolated = true })
@@ -260,8 +257,8 @@
 
 func TestStart(t *testing.T) {
 	tests := map[string]struct {
-		before func(t *testing.T, f *cluster) // and after is when the store is up again
-		ready  bool                           // in the outage
+		before func(t *testing.T, f *cluster) // runs before the daemon starts
+		ready  bool                           // during the outage
 	}{
 		"store down, peers up":    {func(*testing.T, *cluster) {}, true},
 		"store down, no peers":    {func(_ *testing.T, f *cluster) { isolateAll(f) }, false},
@@ -270,8 +267,8 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			// A VM is replaced during an outage of the store. Its daemon takes
-			// the configuration from a peer, or waits and serves nobody.
+			// A VM is replaced during an outage of the store. Its daemon must get the
+			// configuration from a peer, or wait without serving.
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := start(t.Context(), 3)
@@ -288,7 +285,7 @@
 				is.Equal(isReady(d), tt.ready)
 				f.store.Client("new").Set(keyval.None)
 				sleep(maxRetry + maxDelay)
-				is.True(isReady(d)) // once the store is back
+				is.True(isReady(d)) // once the store is reachable again
 				is.Equal(d.Current().Version, uint64(1))
 			})
 		})
@@ -303,8 +300,8 @@
 	})
 }
 
-// emptyPeers starts all daemons anew. Those that ran before are cut off first: the
-// first to start would get the version from one that is yet to be stopped.
+// emptyPeers restarts all daemons. The running ones are isolated first: otherwise the first new
+// daemon would get the version from one that is yet to be stopped.
 func emptyPeers(t *testing.T, f *cluster) {
 	isolateAll(f)
 	for _, name := range []string{"d0", "d1", "d2"} {
@@ -314,12 +311,12 @@
 	}
 }
 
-// Calls of all daemons at the store for one change, which must stay a small
-// share of its 2,000 a second also where every daemon wants the text at once.
+// The number of store calls of all daemons for one change must stay a small share of the
+// store's 2,000 a second, even when every daemon fetches the text at the same time.
 func TestChangeCalls(t *testing.T) {
 	tests := map[string]struct{ daemons, most int }{
-		"today":      {8, 40},
-		"the target": {320, 60},
+		"8 daemons":   {8, 40},
+		"320 daemons": {320, 60},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -1,18 +1,17 @@
-// Package watch keeps the newest configuration in force at one daemon.
+// Package watch keeps a daemon on the newest accepted configuration.
 //
-// Watch is a state machine: Step takes the time and one message and returns
-// the effects to carry out. Versions only rise. News comes from three sides: a
-// few daemons follow the store closely, by a long watch or by polling; peers
-// tell with their heartbeats which version they know; and every daemon reads
-// the head now and then in case both were silent. A text is fetched from the store or from any peer
-// that has it and counts only if it matches its head's digest, so that what
-// was accepted spreads while the store is down.
+// Watch is a state machine: Step takes the time and one message and returns the effects to
+// carry out. The active version only increases. New versions are learned in three ways: a few
+// daemons follow the store closely, by a long watch or by polling; peers announce the version
+// they know in their heartbeats; and every daemon reads the head every few minutes in case both
+// failed. A text is fetched from the store or from any peer that has it and accepted only if it
+// matches its head's digest, so an accepted version spreads even while the store is down.
 //
-// A daemon that starts asks a few peers as well as the store before it puts a
-// first version in force: one answer could be stale, and the daemon would go
-// back behind what it ran before. Until then it serves nobody.
+// A daemon that starts queries a few peers as well as the store before it activates a first
+// version: a single answer could be stale, and the daemon would return to a version before the
+// one it ran earlier. Until then it does not serve callers.
 //
-// Keeper runs a Watch.
+// Syncer runs a Watch.
 package watch
 
 import (
@@ -23,126 +22,124 @@
 )
 
 const (
-	// Pollers is how many daemons read the head every PollEvery. A watch
-	// whose connection went silent looks like a quiet one, and what makes one
-	// silent may hit all of them at once; a read that gets no answer is found
-	// out within its timeout.
+	// Pollers is the number of daemons that read the head every PollEvery. A watch on a dead
+	// connection looks like one without changes, and the cause may affect all watches at once;
+	// a read without a response is detected within its timeout.
 	Pollers = 2
-	// Watchers is how many daemons hold a watch on the store beside them:
-	// enough that one is left when a failure domain goes and others are
-	// replaced, and few enough that their calls stay a small share of the
-	// store's.
+	// Watchers is the number of further daemons that hold a watch on the store: enough that one
+	// is left when a failure domain fails while others are being replaced, and few enough that
+	// their calls stay a small share of the store's rate limit.
 	Watchers = 6
 
-	// PollEvery is the time between two reads of a poller.
+	// PollEvery is the interval between two reads of a poller.
 	PollEvery = 1500 * time.Millisecond
 
-	// WatchWait is how long one watch waits. Each quiet one is followed by a
-	// read.
+	// WatchWait is the longest duration of one watch. A watch that expires without a change is
+	// followed by a read.
 	WatchWait = 30 * time.Second
-	// ReadEvery is the time between two reads of all other daemons.
+	// ReadEvery is the interval between two reads of all other daemons.
 	ReadEvery = 5 * time.Minute
 
 	firstRetry       = 250 * time.Millisecond
 	maxRetry         = 15 * time.Second
-	maxPeerQueries   = 3               // peers asked at a time
-	maxPeersPerRound = 6               // peers asked in one round at the start
-	maxRoundWait     = 5 * time.Second // between two rounds that found nothing
+	maxPeerQueries   = 3               // concurrent queries to peers
+	maxPeersPerRound = 6               // peers queried in one round at the start
+	maxRoundWait     = 5 * time.Second // between two rounds that found no version
 	peerRetryDelay   = 500 * time.Millisecond
 	readSoonDelay    = time.Second
 	minStoreInterval = 200 * time.Millisecond // between calls to the store
 )
 
 type (
-	// Member is a daemon that is alive. Peer is its address for peers.
+	// Member is a live daemon. Peer is its address for other daemons.
 	Member struct {
 		Name string
 		Peer string
 	}
 
-	// Message is what Watch reacts to.
+	// Message is an input of Watch.
 	Message interface{ message() }
 
-	// Start tells who this daemon is and which peers to ask first. Seed makes
-	// the jitter, and should differ from daemon to daemon.
+	// Start identifies this daemon and the peers to query first. Seed seeds the jitter and
+	// should differ between daemons.
 	Start struct {
 		Self  Member
 		Seeds []string
 		Seed  uint64
 	}
 
-	// Members tells which daemons are alive, this one among them or not.
+	// Members lists the live daemons, with or without this one.
 	Members struct{ List []Member }
 
-	// Newer tells that a peer knows a version.
+	// Newer reports that the peer at the address From knows a version.
 	Newer struct {
 		Version uint64
 		From    string
 	}
 
-	// StoreHead is what stands under the head's key; the zero Head is none.
+	// StoreHead is the value of the head's key; the zero Head means that the key does not
+	// exist.
 	StoreHead struct {
 		Head head.Head
 		Rev  store.Rev
 	}
 
-	// StoreQuiet tells that a watch ended without a change.
+	// NoChange reports that a watch ended without a change.
 	NoChange struct{}
 
-	// StoreFailed tells that a call to the store failed.
+	// StoreFailed reports that a call to the store failed.
 	StoreFailed struct{}
 
-	// Answered is a peer's newest head; the zero Head is none.
+	// PeerHead is a peer's newest head; the zero Head means that it has none.
 	PeerHead struct {
 		Peer string
 		Head head.Head
 	}
 
-	// AskFailed tells that a peer gave no answer.
+	// PeerFailed reports that a peer did not answer.
 	PeerFailed struct{ Peer string }
 
-	// Adopt tells of a head that this daemon itself got accepted, and whose
-	// text it holds.
+	// Adopt reports a head that this daemon wrote itself and whose text it has.
 	Adopt struct{ Head head.Head }
 
-	// Loaded tells that the head's text was fetched and is right.
+	// Loaded reports that the head's text was fetched and verified.
 	Loaded struct{ Head head.Head }
 
-	// LoadFailed tells that the text could not be fetched. Unfit marks a text
-	// that is the one accepted and that this daemon can't read.
+	// LoadFailed reports that the text could not be loaded. Unreadable marks a text that
+	// matches its digest and that this daemon can't parse.
 	LoadFailed struct {
 		Head       head.Head
 		Unreadable bool
 	}
 
-	// Tick lets time pass; one is due every 100 ms or so.
+	// Tick advances the time; send one about every 100 ms.
 	Tick struct{}
 
-	// Effect is what Watch wants done.
+	// Effect is an action that Watch requests.
 	Effect interface{ effect() }
 
-	// Wait waits at the store until the head's revision is above Rev, for at
-	// most For. Answered by StoreHead, StoreQuiet or StoreFailed.
+	// AwaitHead waits at the store until the head's revision is above Rev, for at most For.
+	// Answered by StoreHead, NoChange or StoreFailed.
 	AwaitHead struct {
 		Rev store.Rev
 		For time.Duration
 	}
 
-	// Read reads the head from the store. Answered by StoreHead or StoreFailed.
+	// ReadHead reads the head from the store. Answered by StoreHead or StoreFailed.
 	ReadHead struct{}
 
-	// Ask asks a peer for its newest head. Answered by Answered or AskFailed.
+	// QueryPeer queries a peer for its newest head. Answered by PeerHead or PeerFailed.
 	QueryPeer struct{ Peer string }
 
-	// Load fetches a head's text, from the peers in order, and before or
-	// after them from the store. Answered by Loaded or LoadFailed.
+	// Load fetches a head's text from the peers in order, and from the store before or after
+	// them. Answered by Loaded or LoadFailed.
 	Load struct {
 		Head       head.Head
 		Peers      []string
 		StoreFirst bool
 	}
 
-	// Force puts a loaded head in force.
+	// Activate makes a loaded head the active one.
 	Activate struct{ Head head.Head }
 )
 
