--- a/cmd/slaterock/adminflags.go
+++ b/cmd/slaterock/adminflags.go
@@ -13,8 +13,8 @@
 	keyEnv         = "SLATEROCK_KEY"
 )
 
-// askFlags adds the flags of a command that asks a daemon, and returns what the
-// command uses once they are read.
+// adminFlags adds the flags of a command that calls a daemon. The returned function gives the
+// client, once the flags are parsed.
 func adminFlags(c *cobra.Command) func() admin.Admin {
 	var a admin.Admin
 	c.Flags().StringVar(&a.Client.Address, "address", defaultAddress, "the daemon's address for callers")
--- a/cmd/slaterock/apply.go
+++ b/cmd/slaterock/apply.go
@@ -5,18 +5,18 @@
 	"github.com/spf13/cobra"
 )
 
-var errNoFile = errors.New("apply: name one FILE, or --show")
+var errNoFile = errors.New("apply: want one FILE, or --show")
 
 func applyCommand() *cobra.Command {
 	var from string
 	var show bool
 	c := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "Put a configuration in force as a whole",
-		Long: "Put a configuration in force as a whole, as the version after the one that it was\n" +
-			"made from. If another version is in force by then, nothing is applied and both are\n" +
-			"named. The first configuration of a system, and a text that is in force already,\n" +
-			"need no --from. --show writes the text in force.",
+		Short: "Apply a configuration",
+		Long: "Apply a configuration as a whole, as the version after the one that it was edited from.\n" +
+			"If another version is active by then, nothing is applied and the error names both\n" +
+			"versions. The first configuration of a system, and a text that is active already, need\n" +
+			"no --from. --show prints the active text.",
 	}
 	c.Flags().StringVar(&from, "from", "0", "the version that the file was made from, or newest")
 	c.Flags().BoolVar(&show, "show", false, "write the configuration in force and its version")
--- a/cmd/slaterock/bench_test.go
+++ b/cmd/slaterock/bench_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	ticksPerSecond = 100 // of the processor times in /proc
+	ticksPerSecond = 100 // of the CPU times in /proc
 	pageSize       = 4096
 )
 
-// usage is what a process has used since it started.
+// usage is a process's CPU time since its start, and its resident memory.
 type usage struct {
 	cpu      time.Duration
 	resident int // bytes
@@ -26,7 +26,8 @@
 	tb.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	is.New(tb).NoErr(err)
-	// The name in parentheses may hold spaces; fields are counted behind it.
+	// The process name in parentheses may contain spaces, so fields are counted from the
+	// closing parenthesis.
 	fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+2:]))
 	field := func(i int) int {
 		n, err := strconv.Atoi(fields[i])
@@ -46,8 +47,7 @@
 	return u
 }
 
-// BenchmarkIdle measures what a daemon costs while nobody calls: processor time
-// as a share of a core, and resident memory.
+// BenchmarkIdle measures an idle daemon: CPU time as a share of a core, and resident memory.
 func BenchmarkIdle(b *testing.B) {
 	s := newSystem(b)
 	<-time.After(5 * time.Second)
--- a/cmd/slaterock/dev.go
+++ b/cmd/slaterock/dev.go
@@ -14,7 +14,7 @@
 	var once, verbose bool
 	c := &cobra.Command{
 		Use:   "dev",
-		Short: "Run three daemons on loopback before stand-ins",
+		Short: "Run three daemons on loopback with simulated upstreams",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			level := "warn"
--- a/cmd/slaterock/drain.go
+++ b/cmd/slaterock/drain.go
@@ -5,7 +5,7 @@
 func drainCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "drain",
-		Short: "Shut the daemon at --address down without cutting a request",
+		Short: "Shut down the daemon at --address without interrupting requests",
 		Args:  cobra.NoArgs,
 	}
 	newAdmin := adminFlags(c)
--- a/cmd/slaterock/fake.go
+++ b/cmd/slaterock/fake.go
@@ -10,13 +10,14 @@
 	"github.com/slaterock/slaterock/internal/fake/site"
 )
 
-// fakeCommand is for development: stand-ins as a process of their own.
+// fakeCommand runs the simulated platform and upstreams as a process of their own. It is a
+// development tool.
 func fakeCommand() *cobra.Command {
 	s := site.Site{}
 	listen := map[string]string{}
 	c := &cobra.Command{
 		Use:    "fake",
-		Short:  "Run stand-ins for the platform and the upstreams",
+		Short:  "Run the simulated platform and upstreams",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -38,7 +39,7 @@
 	return c
 }
 
-// addresses prints one line for each part, and a last one.
+// printAddresses prints one line with name and address for each part, then the line "ready".
 func printAddresses(w io.Writer, s *site.Site) {
 	parts := []string{}
 	for _, p := range []site.Part{site.Store, site.VMs, site.Weights, site.Engine1, site.Engine2, site.Ledger} {
--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -23,11 +23,12 @@
 	"github.com/slaterock/slaterock/platform"
 )
 
-// metricsPort is where /metrics is served on the VMs of the users' platform,
-// whose settings leave it to us.
+// metricsPort is the port of /metrics on the VMs of the users' platform, whose settings don't
+// define one.
 const metricsPort = 9464
 
-// traceVariable may name the address of a collector of spans.
+// traceEndpointEnv is the environment variable with the address of a trace collector. It may be
+// unset.
 const traceEndpointEnv = "SLATEROCK_TRACE_ENDPOINT"
 
 func frontCommand() *cobra.Command {
@@ -36,7 +37,7 @@
 		Short: "Serve callers on a VM of the users' platform",
 		Long: "Serve callers, the directory and the readiness check on a VM of the users' platform.\n" +
 			"The settings file is the one that " + platform.SettingsVariable + " names. SIGTERM drains,\n" +
-			"SIGHUP reads the settings again.",
+			"SIGHUP checks the settings file.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return runOnPlatform(runFront) },
 	}
@@ -47,14 +48,14 @@
 		Use:   "storage",
 		Short: "Keep durable records on a VM of the users' platform",
 		Long: "Keep the durable records of turns and budgets on a VM with a disk. The settings file is\n" +
-			"the one that " + platform.SettingsVariable + " names. SIGTERM ends it after what was taken is\n" +
-			"on disk, SIGHUP reads the settings again.",
+			"the one that " + platform.SettingsVariable + " names. SIGTERM stops it once accepted records\n" +
+			"are on disk, SIGHUP checks the settings file.",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return runOnPlatform(runStorage) },
 	}
 }
 
-// process is one process on the platform.
+// process holds what a process on the platform needs to run.
 type process struct {
 	settings platform.Settings
 	store    *platform.Store
@@ -63,7 +64,7 @@
 	stop     chan struct{} // closed at SIGTERM
 }
 
-// onPlatform runs one process with its log, metrics and signals.
+// runOnPlatform runs one process with log, metrics and signal handling.
 func runOnPlatform(run func(context.Context, *process) error) (err error) {
 	s, err := platform.ReadSettings()
 	if err != nil {
@@ -79,17 +80,17 @@
 	srv := &http.Server{Addr: fmt.Sprintf("%s:%d", s.IP, metricsPort), Handler: p.metric.Handler(), ReadHeaderTimeout: time.Second}
 	go func() {
 		if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-			log.Warn().Err(err).Msg("metrics are not served")
+			log.Warn().Err(err).Msg("metrics listener failed")
 		}
 	}()
 	err = run(ctx, p)
-	_ = srv.Close() // nobody waits for a last scrape
+	_ = srv.Close() // no final scrape is expected
 	log.Info().Err(err).Int64("store_calls", p.store.Calls()).Msg("stop")
 	return err
 }
 
-// watchSignals drains at SIGTERM and reads the settings again at SIGHUP. What
-// a process is built on (addresses, folders) stays as it was at its start.
+// watchSignals drains at SIGTERM and reads the settings file again at SIGHUP, which only checks
+// it: the settings in use, such as addresses and folders, stay those read at the start.
 func (p *process) watchSignals(ctx context.Context) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
@@ -100,7 +101,7 @@
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
 				_, err := platform.ReadSettings()
-				p.log.Info().Err(err).Msg("reload: settings read again")
+				p.log.Info().Err(err).Msg("SIGHUP: settings file checked, not applied")
 				continue
 			}
 			p.log.Info().Str("signal", sig.String()).Msg("stopping")
@@ -121,7 +122,7 @@
 func runFront(ctx context.Context, p *process) error {
 	s := p.settings
 	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceEndpointEnv), Fault: func(err error) {
-		p.log.Warn().Err(err).Msg("spans were lost")
+		p.log.Warn().Err(err).Msg("trace spans lost")
 	}})
 	if err != nil {
 		return err
@@ -129,7 +130,7 @@
 	defer func() {
 		exportCtx, stop := context.WithTimeout(context.Background(), spanExportTimeout)
 		defer stop()
-		_ = t.Close(exportCtx) // spans that can't be sent any more are lost
+		_ = t.Close(exportCtx) // spans not sent by then are lost
 	}()
 	d := &frontd.Daemon{
 		Settings: frontd.Settings{
@@ -142,10 +143,10 @@
 	return d.Run(ctx, p.stop)
 }
 
-// diskProcs is how many threads a VM with a disk may run at a time. One of them
-// waits for the disk most of the time; with a single one, as VMs with one core
-// get by default, nothing else runs during a sync, and a record that takes six
-// steps through the process waits for six syncs.
+// minStorageProcs is the minimum GOMAXPROCS on a VM with a disk. One thread waits for the disk
+// most of the time. With a single one, the default on a VM with one core, no other goroutine
+// runs during a sync, and a record that takes six steps through the process waits for six
+// syncs.
 const minStorageProcs = 4
 
 func runStorage(ctx context.Context, p *process) error {
--- a/cmd/slaterock/load.go
+++ b/cmd/slaterock/load.go
@@ -16,11 +16,11 @@
 	var json, quiet bool
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Put a load of agent programs on a running system and check each answer",
-		Long: "Put a load on a running system: programs arrive at a fixed rate, whatever becomes of\n" +
-			"those before them, and each answer and history is checked. The report has the\n" +
-			"latency of whole programs and the wasted cache tokens. It fails if a promise broke\n" +
-			"or no program finished.",
+		Short: "Run agent programs against a running system and check each answer",
+		Long: "Generate load on a running system: programs arrive at a fixed rate, independent of\n" +
+			"earlier ones, and each answer and history is checked. The report has the latency of\n" +
+			"whole programs and the wasted cache tokens. It fails if a guarantee was broken or no\n" +
+			"program finished.",
 		Args: cobra.NoArgs,
 	}
 	f := c.Flags()
--- a/cmd/slaterock/folder_test.go
+++ b/cmd/slaterock/longtext_test.go
@@ -13,13 +13,12 @@
 	"github.com/slaterock/slaterock/internal/prog/hist"
 )
 
-// The stand-ins answer with a few hundred bytes, so that counts as long here.
+// The simulated upstreams answer with a few hundred bytes; this limit makes them long texts.
 const inlineLimit = "\n[limits]\ninline_text_bytes = 64\n"
 
-// Two of three daemons have a data folder. The one that owns a program and
-// holds a copy of its long texts is lost with its disk. The program's history
-// must still have question and answer, and the caller who repeats its call must
-// get the whole answer again.
+// Two of three daemons have a data folder. The daemon that owns a program and holds one copy of
+// its long texts is lost with its disk. The program's history must still contain prompt and
+// answer, and a caller that repeats its call must get the complete answer again.
 func TestLongTextsSurviveHolderLoss(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, inlineLimit, t.TempDir(), t.TempDir())
@@ -29,15 +28,15 @@
 			program = id
 		}
 	}
-	const entry = 2 // has no folder
+	const entry = 2 // has no data folder
 	is.NoErr(s.client(entry).Open(s.ctx, call.Open{Program: program}))
 	question := strings.Repeat("All about the route, please. ", 400)
 	var messages []client.Message
 	var answer client.Answer
 	var h hist.History
 	number := -1
-	s.waitUntil("long texts go to the folders", func() bool {
-		number++ // until the owner has heard of both folders they go into the journal
+	s.waitUntil("long texts go to the data folders", func() bool {
+		number++ // texts go into the journal until the owner knows both data folders
 		messages = []client.Message{{Role: "user", Content: fmt.Sprint(number, question)}}
 		var err error
 		answer, err = s.client(entry).Chat(s.ctx, program, number, 256, messages, nil)
--- a/cmd/slaterock/main.go
+++ b/cmd/slaterock/main.go
@@ -26,8 +26,8 @@
 	os.Exit(code)
 }
 
-// run runs the command line and returns the exit code. An error that comes
-// before any command has begun is one of usage.
+// run executes the command line and returns the exit code. An error returned before a command
+// starts is a usage error.
 func run(ctx context.Context, c *cobra.Command, stderr io.Writer) int {
 	started := false
 	for _, sub := range c.Commands() {
--- a/cmd/slaterock/process_test.go
+++ b/cmd/slaterock/process_test.go
@@ -37,7 +37,7 @@
 )
 
 type (
-	// system is a stand-in platform and daemons, each a process of its own.
+	// system is a simulated platform and several daemons, each running as a process of its own.
 	system struct {
 		t         testing.TB
 		ctx       context.Context
@@ -45,13 +45,13 @@
 		callers   []string
 		peers     []string
 		procs     []*exec.Cmd
-		dataDirs  []string // data folders of the first daemons
+		dataDirs  []string // data folders, one for each of the first daemons
 		extra     string   // appended to the configuration
 		records   [daemons]string
 	}
 )
 
-// TestMain lets the test binary stand in for the command.
+// TestMain runs the command itself if mainEnv is set, so that tests can start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv(mainEnv) != "" {
 		main()
@@ -65,8 +65,8 @@
 	return startSystem(t, "")
 }
 
-// startSystem starts a system with more lines of configuration; the first
-// daemons get a data folder each.
+// startSystem starts a system with extra appended to its configuration. The first daemons get
+// one data folder each.
 func startSystem(t testing.TB, extra string, dataDirs ...string) *system {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -92,14 +92,14 @@
 	return s
 }
 
-// address gives each daemon of each test process a loopback address of its own,
-// so that tests that run at the same time never meet at a port.
+// address returns a loopback address that is unique to the test process and daemon, so that
+// concurrent tests don't use the same port.
 func address(i, port int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+pid>>8&0x7f, pid&0xff, 1+i, port)
 }
 
-// start runs the command as a process that ends with the test.
+// start runs the command as a process that is killed when the test ends.
 func (s *system) start(stdout io.Writer, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(s.ctx, os.Args[0], args...)
 	cmd.Env = append(os.Environ(), mainEnv+"=1")
@@ -180,7 +180,7 @@
 	return client.Client{Address: s.callers[i], Key: testKey}
 }
 
-// await polls until ok, as other processes can't be driven by a clock of ours.
+// waitUntil polls until done returns true, as other processes can't run on a fake clock.
 func (s *system) waitUntil(what string, done func() bool) {
 	s.t.Helper()
 	tick := time.NewTicker(50 * time.Millisecond)
@@ -188,13 +188,13 @@
 	for !done() {
 		select {
 		case <-s.ctx.Done():
-			s.t.Fatalf("gave up waiting until %s", what)
+			s.t.Fatalf("timed out waiting until %s", what)
 		case <-tick.C:
 		}
 	}
 }
 
-// owner finds which daemon owns the program's shard.
+// owner returns the index of the daemon that owns the program's shard.
 func (s *system) owner(program string) (owner int) {
 	owner = -1
 	s.waitUntil("the program's shard has an owner", func() bool {
@@ -214,12 +214,11 @@
 	return owner
 }
 
-// A daemon is told to stop while it streams an answer to a caller that is
-// connected to another daemon. The caller must not notice: the answer goes on
-// to its end, the next call is taken by the new owner, and the daemon exits
-// without an error.
+// A daemon gets SIGTERM while it streams an answer to a caller that is connected to another
+// daemon. The caller must not notice: the answer is completed, the new owner accepts the next
+// call, and the daemon exits without an error.
 func TestDrainKeepsRequests(t *testing.T) {
-	tests := map[string][]int{ // the daemons that are stopped at once
+	tests := map[string][]int{ // daemons drained at the same time
 		"one": {1},
 		"two": {1, 2},
 	}
@@ -234,7 +233,7 @@
 	const entry = 0
 	var once sync.Once
 	var wg sync.WaitGroup
-	for n := range 24 { // a third of them are the stopped daemon's, more or less
+	for n := range 24 { // about a third of them belong to each daemon
 		wg.Go(func() {
 			s.runStreamed(fmt.Sprintf("pickup-%d", n), entry, func() {
 				once.Do(func() { s.terminate(drained) })
@@ -243,7 +242,7 @@
 	}
 	wg.Wait()
 	for _, i := range drained {
-		is.NoErr(s.procs[i].Wait()) // it exits by itself, with status 0
+		is.NoErr(s.procs[i].Wait()) // exits by itself with status 0
 	}
 }
 
@@ -255,10 +254,10 @@
 	}
 }
 
-// stream runs a program of a streamed call and a receipt, and compares what its
-// caller got with the history. started is called when the stream has begun.
+// runStreamed runs a program of one streamed call and one receipt, and compares the caller's
+// results with the history. It calls started for each event of the stream.
 func (s *system) runStreamed(program string, entry int, started func()) {
-	is := is.NewRelaxed(s.t) // on a goroutine of its own
+	is := is.NewRelaxed(s.t) // this runs on its own goroutine, where FailNow is not allowed
 	c := s.client(entry)
 	is.NoErr(c.Open(s.ctx, call.Open{Program: program}))
 	messages := []client.Message{{Role: "user", Content: "Tell me all about the route."}}
@@ -269,7 +268,7 @@
 	is.NoErr(err)
 	h, err := c.History(s.ctx, program)
 	is.NoErr(err)
-	var ran []hist.Call // a call that was turned away at the handover did not run
+	var ran []hist.Call // without the calls refused during the handover, which did not run
 	for _, c := range h.Calls {
 		if c.Result.Ran != result.No {
 			ran = append(ran, c)
@@ -277,14 +276,13 @@
 	}
 	is.Equal(len(ran), 2)
 	is.Equal(string(ran[0].Result.Body), answer.Text)
-	is.Equal(len(ran[0].Tries), 1) // the answer is the first attempt's
+	is.Equal(len(ran[0].Tries), 1) // the first attempt gave the answer
 	is.Equal(string(ran[1].Result.Body), receipt.Text)
 }
 
-// The daemon that runs a program is killed while an answer is on its way. The
-// caller, connected to another daemon, must get that call's whole answer and
-// go on; the receipt that was issued before must not be issued again, and the
-// history must tell of every call.
+// The daemon that owns a program is killed while it streams an answer. The caller, connected to
+// another daemon, must get the complete answer of that call and be able to go on. The receipt
+// issued before must not be issued again, and the history must contain every call.
 func TestOwnerKilledDuringProgram(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t)
@@ -307,7 +305,7 @@
 		}
 	})
 	is.True(killed)
-	s.waitUntil("the call that was cut has a whole answer", func() bool {
+	s.waitUntil("the interrupted call has a complete answer", func() bool {
 		if err != nil || !answer.Whole {
 			answer, err = s.client(entry).Chat(s.ctx, program, 2, 512, messages, nil)
 		}
@@ -315,7 +313,7 @@
 	})
 	again, err := s.client(entry).Service(s.ctx, program, 1, "receipts/issue", []byte(`{"kg":120}`))
 	is.NoErr(err)
-	is.Equal(again.Text, receipt.Text) // a repeat is answered from the journal
+	is.Equal(again.Text, receipt.Text) // a repeated call is answered from the journal
 	second, err := s.client(entry).Service(s.ctx, program, 3, "receipts/issue", []byte(`{"kg":80}`))
 	is.NoErr(err)
 	is.True(strings.Contains(receipt.Text, `"receipt":1,`))
--- a/cmd/slaterock/request.go
+++ b/cmd/slaterock/request.go
@@ -5,9 +5,9 @@
 func requestCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "request ID",
-		Short: "Show what became of one request",
-		Long: "Show what became of one request: what was asked, each attempt, the outcome, whether\n" +
-			"it ran, the budget before and after, and the configuration version in force.\n" +
+		Short: "Show the outcome of one request",
+		Long: "Show one request: its content, each attempt, the outcome, whether it ran, the budget\n" +
+			"before and after, and the active configuration version.\n" +
 			"ID is the header Slaterock-Request of the answer.",
 		Args: cobra.ExactArgs(1),
 	}
--- a/cmd/slaterock/rolling_test.go
+++ b/cmd/slaterock/rolling_test.go
@@ -19,9 +19,9 @@
 	"github.com/slaterock/slaterock/internal/prog/hist"
 )
 
-// All daemons are replaced one after the other while programs run. Callers ask
-// now and then which addresses to use, as the interface says, and must not
-// notice: no call fails, and each receipt is issued once.
+// All daemons are replaced one after the other while programs run. Callers look up the
+// addresses to use before each call, as the interface requires, and must not notice: no call
+// fails, and each receipt is issued once.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t)
@@ -50,7 +50,7 @@
 	}
 	stop.Store(true)
 	wg.Wait()
-	for i := range daemons { // all of them are new, and any can tell
+	for i := range daemons { // every daemon was replaced, and each can return the history
 		h, err := s.client(i).History(s.ctx, "pickup-0-0")
 		is.NoErr(err)
 		is.Equal(h.Ended, string(call.Finish))
@@ -65,7 +65,7 @@
 	close(receipts)
 	seen := map[string]bool{}
 	for r := range receipts {
-		is.True(!seen[r]) // no receipt twice
+		is.True(!seen[r]) // each receipt is issued once
 		seen[r] = true
 	}
 	t.Logf("%d receipts while all daemons were replaced", len(seen))
@@ -76,7 +76,8 @@
 	is.True(strings.Contains(<-last, want))
 }
 
-// replays runs what a daemon recorded through the decision code again.
+// checkReplay replays a daemon's recording through the decision code and fails the test on
+// broken guarantees.
 func (s *system) checkReplay(i int) {
 	is := is.New(s.t)
 	f, err := os.Open(s.records[i])
@@ -87,12 +88,13 @@
 	r, err := replay.Replay(t, replay.Options{Seed: 1})
 	is.NoErr(err)
 	for _, b := range r.Broken {
-		s.t.Errorf("broken in the replay: %+v", b)
+		s.t.Errorf("broken guarantee in the replay: %+v", b)
 	}
-	s.t.Logf("the record of daemon %d has %d programs, %d of them complete in its replay", i, len(t.Programs), r.Completed)
+	s.t.Logf("recording of daemon %d: %d programs, %d completed in the replay", i, len(t.Programs), r.Completed)
 }
 
-// program runs three calls, each at an entry that a live daemon names.
+// runProgram opens a program, makes two calls and ends it, each at the entry that a live daemon
+// returns.
 func (s *system) runProgram(id string, receipts chan<- string) error {
 	if err := s.entryFor(id).Open(s.ctx, call.Open{Program: id}); err != nil {
 		return err
@@ -103,7 +105,7 @@
 		return err
 	}
 	if !a.Whole {
-		return fmt.Errorf("%s: the answer is not whole", id)
+		return fmt.Errorf("%s: the answer is incomplete", id)
 	}
 	r, err := s.entryFor(id).Service(s.ctx, id, 1, "receipts/issue", []byte(`{"kg":1}`))
 	if err != nil {
@@ -113,7 +115,8 @@
 	return s.entryFor(id).End(s.ctx, id, call.Finish)
 }
 
-// entry is the best address for the program that any daemon names.
+// entryFor returns a client for the best address for the program according to the first daemon
+// that answers.
 func (s *system) entryFor(program string) client.Client {
 	for i := range daemons {
 		var a locate.Answer
--- a/cmd/slaterock/serve.go
+++ b/cmd/slaterock/serve.go
@@ -18,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/play/tape"
 )
 
-// closeTime bounds the export of the last spans.
+// spanExportTimeout bounds the export of the remaining spans at exit.
 const spanExportTimeout = 3 * time.Second
 
 func serveCommand() *cobra.Command {
@@ -27,8 +27,8 @@
 		Use:   "serve --settings FILE",
 		Short: "Run one daemon",
 		Long: "Run one daemon until it is drained. SIGTERM or an interrupt drains it: callers are\n" +
-			"sent elsewhere, shards are handed over, and requests under way finish. A second\n" +
-			"signal stops it at once.",
+			"referred to other daemons, shards are handed over, and requests in flight finish. A\n" +
+			"second signal stops it at once.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
@@ -51,8 +51,8 @@
 	return c
 }
 
-// observe opens the log, the metrics and the trace that the settings ask for.
-// What it returns closes them.
+// openObservability opens the log, the metrics, the trace and the recording according to the
+// settings. The returned function closes them.
 func openObservability(ctx context.Context, d *daemon.Daemon) (closeAll func(), err error) {
 	s := d.Settings.Observe
 	if d.Logs, err = logs.Open(os.Stderr, s.LogLevel, s.LogFormat); err != nil {
@@ -77,7 +77,7 @@
 		d.Tape = &tape.Tape{W: record, Name: d.Settings.Daemon.Name}
 	}
 	log := d.Logs.Logger()
-	t.Fault = func(err error) { log.Warn().Err(err).Msg("spans were lost") }
+	t.Fault = func(err error) { log.Warn().Err(err).Msg("trace spans lost") }
 	if d.Trace, err = trace.Open(ctx, t); err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		_ = d.Metric.Close()
 		if record != nil {
 			if err := errors.CombineErrors(d.Tape.Close(), record.Close()); err != nil {
-				log.Warn().Err(err).Msg("the record is not whole")
+				log.Warn().Err(err).Msg("recording is incomplete")
 			}
 		}
 		if f != nil {
@@ -97,8 +97,8 @@
 	}, nil
 }
 
-// serve runs the daemon. It takes the signals itself: the first one drains, and
-// only the second ends the context.
+// serve runs the daemon and handles signals: the first one drains, the second cancels the
+// context.
 func serve(s setup.Settings) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/slaterock/soak.go
+++ b/cmd/slaterock/soak.go
@@ -8,12 +8,13 @@
 	"github.com/slaterock/slaterock/internal/play/soak"
 )
 
-// soakCommand is for development: the owner's machines under random faults.
+// soakCommand runs the state machines of a shard owner under random faults. It is a development
+// tool.
 func soakCommand() *cobra.Command {
 	s := soak.Soak{}
 	c := &cobra.Command{
 		Use:    "soak",
-		Short:  "Play random histories with faults and check every promise",
+		Short:  "Run random histories with faults and check every guarantee",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/slaterock/status.go
+++ b/cmd/slaterock/status.go
@@ -5,7 +5,7 @@
 func statusCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show daemons, shards, epochs and the configuration version in force at each",
+		Short: "Show daemons, shards, epochs and each daemon's active configuration version",
 		Args:  cobra.NoArgs,
 	}
 	newAdmin := adminFlags(c)
--- a/cmd/slaterock/storm.go
+++ b/cmd/slaterock/storm.go
@@ -13,14 +13,14 @@
 	"github.com/slaterock/slaterock/internal/play/storm"
 )
 
-// stormCommand is for development: the real programs under faults.
+// stormCommand runs the real programs under injected faults. It is a development tool.
 func stormCommand() *cobra.Command {
 	var s storm.Storm
 	var seeds int
 	var dir string
 	c := &cobra.Command{
 		Use:   "processes",
-		Short: "Run the real programs as processes, harm them, and check every promise",
+		Short: "Run the real programs as processes, inject faults and check every guarantee",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			self, err := os.Executable()
@@ -33,8 +33,8 @@
 					Command: []string{self}, Seed: seed, Calm: s.Calm, For: s.For, Fronts: s.Fronts, Disks: s.Disks, Upstreams: s.Upstreams, Callers: s.Callers,
 					Dir: filepath.Join(dir, fmt.Sprint(seed)), Out: io.Discard,
 				}
-				// Attempts have the same ids in each run of a seed, so the disks of
-				// an earlier one would answer for this one's.
+				// Attempts have the same IDs in each run of a seed, so records on disk from an
+				// earlier run would be taken for this run's.
 				if err = os.RemoveAll(run.Dir); err != nil {
 					return err
 				}
@@ -47,14 +47,14 @@
 				}
 				run.Out = faultLog
 				sum, err := run.Run(c.Context())
-				_ = faultLog.Close() // what it says is for people only
+				_ = faultLog.Close() // the log is only for reading; a lost tail does not matter
 				_, _ = fmt.Fprintf(c.OutOrStdout(), "seed %d: %+v %v\n", seed, sum, err)
 				if err != nil {
 					failed++
 				}
 			}
 			if failed > 0 {
-				return errors.Newf("%d of %d seeds broke a promise; their logs are in %s", failed, seeds, dir)
+				return errors.Newf("%d of %d seeds broke a guarantee; see the logs in %s", failed, seeds, dir)
 			}
 			return nil
 		},
--- a/cmd/slaterock/storm_test.go
+++ b/cmd/slaterock/storm_test.go
@@ -11,10 +11,9 @@
 	"github.com/slaterock/slaterock/internal/play/storm"
 )
 
-// All processes are killed at once and start again while the platform's store is
-// away. Daemons that serve callers have no disk, so only the VMs with one can tell
-// them the configuration and the upstreams. Callers would be refused until the
-// store's return, for as long as that takes.
+// All processes are killed and restarted while the platform's store is unavailable. Front
+// daemons have no disk, so they must get the configuration and the upstreams from the VMs with
+// a disk; otherwise callers would be refused until the store is back.
 func TestRestartWithoutStore(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -31,11 +30,10 @@
 	is.NoErr(err)
 }
 
-// The real programs run as processes of their own before stand-ins of the users'
-// platform. Callers run programs of kept turns and calls, with budgets, while
-// nothing is wrong, and while processes are killed, stopped and paused, disks are
-// lost, and connections and the store misbehave. No promise may be broken: callers
-// would see halves of answers, lost turns, work done twice.
+// The real programs run as processes on a simulated platform. Callers run programs of stored
+// turns and calls, with budgets, first without faults and then while processes are killed,
+// stopped and paused, disks are lost, and connections and the store fail. No guarantee may be
+// broken: no partial answers, lost turns or work done twice.
 func TestProcessesOnPlatform(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -56,7 +54,7 @@
 			}
 			is.NoErr(err)
 			if name == "calm" {
-				is.Equal(sum.Other, 0) // everything is answered, or refused for its budget
+				is.Equal(sum.Other, 0) // every request is answered, or refused because of its budget
 				is.True(sum.Whole > 50)
 			}
 		})
