--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,4 @@
-// Package examples holds configurations to start from.
+// Package examples embeds example configurations.
 package examples
 
 import _ "embed"
