--- a/internal/conf/file/parse_test.go
+++ b/internal/conf/file/parse_test.go
@@ -209,7 +209,7 @@
 }
 
 // Every key must have a row in the operators' documentation of its section.
-func TestPageNamesAllKeys(t *testing.T) {
+func TestAllKeysDocumented(t *testing.T) {
 	page := string(read(t, "../../../docs/operate/configuration.md"))
 	for _, section := range []string{"system", "limits", "account.NAME", "agent.NAME", "model.NAME", "service.NAME", "group.NAME", "upstream.NAME"} {
 		t.Run(section, func(t *testing.T) {
--- a/internal/conf/route/route.go
+++ b/internal/conf/route/route.go
@@ -46,10 +46,10 @@
 		Prefix     string // begins and ends with a slash
 		Kind       Kind
 		Backends   []Backend     // at least one
-		Timeout    time.Duration // longest time that a request is kept waiting; 0 is none
-		Target     time.Duration // response time for the full benefit
+		Timeout    time.Duration // upper limit of the caller's timeout; 0 means none
+		Target     time.Duration // response time up to which an answer has its full value
 		EventGap   time.Duration // longest pause between events for a stream to be on time
-		Attempts   int           // upstreams that may run one attempt, at least 1
+		Attempts   int           // upstreams that one request may be sent to, at least 1
 		Priority   int           // 0 is the most urgent
 		Affinity   bool          // requests with the same affinity key run faster on the same upstream
 		Resume     bool          // a broken stream may resume at another upstream
--- a/internal/conf/watch/load.go
+++ b/internal/conf/watch/load.go
@@ -16,7 +16,7 @@
 	maxCachedBytes = 8 << 20   // bytes of compressed chunks above which unused ones are dropped
 )
 
-var errMissingChunks = errors.New("watch: chunks are missing locally, at the store and at the peers queried")
+var errMissingChunks = errors.New("watch: no configuration, or chunks of its text are missing")
 
 // load fetches the missing chunks of a head's text and parses the text.
 func (k *Syncer) load(ctx context.Context, e Load) Message {
--- a/internal/conf/watch/query.go
+++ b/internal/conf/watch/query.go
@@ -33,7 +33,7 @@
 	slices.Sort(list) // map order would make replays differ
 	switch {
 	case w.active.Version == 0:
-		list = append(list, w.firstRound(now)...)
+		list = append(list, w.startupRound(now)...)
 	case len(list) == 0 && len(w.pendingQueries) == 0 && w.highestSeen > w.newest():
 		// The peers that announced the version did not have it or are gone.
 		w.nextQuery = now.Add(w.addJitter(peerRetryDelay))
@@ -42,10 +42,10 @@
 	return list
 }
 
-// firstRound returns the peers to query at the start. A round ends when enough peers have
+// startupRound returns the peers to query at the start. A round ends when enough peers have
 // answered, or when no further peer may be queried and no query is pending. If no head is known
 // by then, another round follows.
-func (w *Watch) firstRound(now time.Time) (list []string) {
+func (w *Watch) startupRound(now time.Time) (list []string) {
 	if w.roundEnded && w.newest() > 0 {
 		return nil
 	}
--- a/internal/conf/watch/step.go
+++ b/internal/conf/watch/step.go
@@ -93,7 +93,7 @@
 }
 
 // setMembers brings the next call to the store forward if this daemon takes over a role with
-// more calls from one that is gone.
+// more calls from one that is no longer alive.
 func (w *Watch) setMembers(now time.Time, m Members) {
 	before := w.role
 	w.members = slices.Clone(m.List)
@@ -120,9 +120,9 @@
 // newest returns the highest version whose head is known.
 func (w *Watch) newest() uint64 { return max(w.active.Version, w.next.Version, w.unreadable) }
 
-// consider records a head that is newer than any known. An older one is a stale read or comes
+// noteHead records a head that is newer than any known. An older one is a stale read or comes
 // from a peer that is behind; accepting it would revert a change.
-func (w *Watch) consider(now time.Time, h head.Head, source string) {
+func (w *Watch) noteHead(now time.Time, h head.Head, source string) {
 	if h.Version <= w.newest() {
 		return
 	}
@@ -153,7 +153,7 @@
 	w.staleWatches = 0
 	w.storeDone(now)
 	w.rev = max(w.rev, m.Rev)
-	w.consider(now, m.Head, "")
+	w.noteHead(now, m.Head, "")
 }
 
 func (w *Watch) storeFailed(now time.Time) {
@@ -166,7 +166,7 @@
 	delete(w.pendingQueries, m.Peer)
 	w.answerCount++
 	delete(w.versionSeen, m.Peer)
-	w.consider(now, m.Head, m.Peer)
+	w.noteHead(now, m.Head, m.Peer)
 }
 
 func (w *Watch) peerFailed(now time.Time, m PeerFailed) {
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -117,7 +117,7 @@
 
 // The store fails right after it accepted a version, and only the head was read. The daemon
 // that applied it is queried first: it may be the only one that has the text.
-func TestLoadAsksApplierFirst(t *testing.T) {
+func TestLoadQueriesApplierFirst(t *testing.T) {
 	is := is.New(t)
 	var w Watch
 	steps(&w, Start{Self: Member{Name: "me", Peer: "me:1"}}, Members{members(40)}, StoreHead{Rev: 1})
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -42,7 +42,7 @@
 
 	firstRetry       = 250 * time.Millisecond
 	maxRetry         = 15 * time.Second
-	maxPeerQueries   = 3               // concurrent queries to peers
+	maxPeerQueries   = 3               // concurrent queries to peers; as many answers end a round
 	maxPeersPerRound = 6               // peers queried in one round at the start
 	maxRoundWait     = 5 * time.Second // between two rounds that found no version
 	peerRetryDelay   = 500 * time.Millisecond
