--- a/cmd/slaterock/process_test.go
+++ b/cmd/slaterock/process_test.go
@@ -39,15 +39,15 @@
 type (
 	// system is a simulated platform and several daemons, each running as a process of its own.
 	system struct {
-		t         testing.TB
-		ctx       context.Context
-		addresses map[string]string
-		callers   []string
-		peers     []string
-		procs     []*exec.Cmd
-		dataDirs  []string // data folders, one for each of the first daemons
-		extra     string   // appended to the configuration
-		records   [daemons]string
+		t               testing.TB
+		ctx             context.Context
+		addresses       map[string]string
+		callerAddresses []string
+		peerAddresses   []string
+		procs           []*exec.Cmd
+		dataDirs        []string // data folders, one for each of the first daemons
+		extra           string   // appended to the configuration
+		records         [daemons]string
 	}
 )
 
@@ -74,8 +74,8 @@
 	s := &system{t: t, ctx: ctx, addresses: map[string]string{}, dataDirs: dataDirs, extra: extra}
 	s.startPlatform()
 	for i := range daemons {
-		s.callers = append(s.callers, address(i, callerPort))
-		s.peers = append(s.peers, address(i, peerPort))
+		s.callerAddresses = append(s.callerAddresses, address(i, callerPort))
+		s.peerAddresses = append(s.peerAddresses, address(i, peerPort))
 	}
 	for i := range daemons {
 		s.procs = append(s.procs, s.startDaemon(i))
@@ -158,7 +158,7 @@
 listen = %s
 seeds = %s
 peer_key = a-key-for-this-test-alone
-`, i, folder, i, s.callers[i], testKey, s.addresses["store"], s.addresses["vms"], s.peers[i], strings.Join(s.peers, ", "))
+`, i, folder, i, s.callerAddresses[i], testKey, s.addresses["store"], s.addresses["vms"], s.peerAddresses[i], strings.Join(s.peerAddresses, ", "))
 	path := filepath.Join(s.t.TempDir(), fmt.Sprintf("d%d.ini", i))
 	is.New(s.t).NoErr(os.WriteFile(path, []byte(text), 0o600))
 	s.records[i] = filepath.Join(s.t.TempDir(), "record.jsonl")
@@ -177,7 +177,7 @@
 }
 
 func (s *system) client(i int) client.Client {
-	return client.Client{Address: s.callers[i], Key: testKey}
+	return client.Client{Address: s.callerAddresses[i], Key: testKey}
 }
 
 // waitUntil polls until done returns true, as other processes can't run on a fake clock.
@@ -204,7 +204,7 @@
 				break
 			}
 		}
-		for i, address := range s.callers {
+		for i, address := range s.callerAddresses {
 			if len(a.Entries) > 0 && a.Entries[0].Owner && a.Entries[0].Address == address {
 				owner = i
 			}
--- a/internal/conf/apply/apply.go
+++ b/internal/conf/apply/apply.go
@@ -29,7 +29,7 @@
 
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	maxCollect = 8 // chunks deleted by one apply
+	maxGarbage = 8 // chunks deleted by one apply
 )
 
 type (
--- a/internal/conf/apply/random_test.go
+++ b/internal/conf/apply/random_test.go
@@ -111,33 +111,33 @@
 	if errors.Is(err, store.ErrNotFound) {
 		return
 	}
-	now, err := head.Decode(entry.Data)
+	current, err := head.Decode(entry.Data)
 	if err != nil {
 		r.Fatal(err)
 	}
-	for _, d := range now.Chunks {
+	for _, d := range current.Chunks {
 		if _, err := h.service.Get(t.Context(), head.ChunkPrefix+d); err != nil {
-			r.Fatalf("version %d: chunk %s: %v", now.Version, d, err)
+			r.Fatalf("version %d: chunk %s: %v", current.Version, d, err)
 		}
 	}
-	if now.Version == h.head.Version && now.Nonce == h.head.Nonce {
+	if current.Version == h.head.Version && current.Nonce == h.head.Nonce {
 		return
 	}
-	if now.Version != h.head.Version+1 || slices.Contains(h.nonces, now.Nonce) {
-		r.Fatalf("version %d with nonce %s follows version %d; nonces so far: %v", now.Version, now.Nonce, h.head.Version, h.nonces)
+	if current.Version != h.head.Version+1 || slices.Contains(h.nonces, current.Nonce) {
+		r.Fatalf("version %d with nonce %s follows version %d; nonces so far: %v", current.Version, current.Nonce, h.head.Version, h.nonces)
 	}
-	h.head, h.nonces = now, append(h.nonces, now.Nonce)
+	h.head, h.nonces = current, append(h.nonces, current.Nonce)
 }
 
 // checkOutcome compares the outcome reported to an operator with the versions that were active.
 func (h *history) checkOutcome(r *rapid.T, o *operator) {
-	inForce := slices.Contains(h.nonces, o.nonce)
+	wasActive := slices.Contains(h.nonces, o.nonce)
 	switch {
-	case o.result.Err == nil && !o.result.Unchanged && !inForce:
+	case o.result.Err == nil && !o.result.Unchanged && !wasActive:
 		r.Fatalf("%s: reported as applied, but the text was never active", o.nonce)
-	case o.result.Err == nil && o.result.Unchanged && inForce:
+	case o.result.Err == nil && o.result.Unchanged && wasActive:
 		r.Fatalf("%s: reported as unchanged, but a version was created", o.nonce)
-	case errors.As(o.result.Err, new(*ConflictError)) && inForce:
+	case errors.As(o.result.Err, new(*ConflictError)) && wasActive:
 		r.Fatalf("%s: reported as a conflict, but the text was active", o.nonce)
 	case o.result.Err != nil && !errors.As(o.result.Err, new(*ConflictError)) && !errors.As(o.result.Err, new(*UnknownError)):
 		r.Fatalf("%s: %v", o.nonce, o.result.Err)
--- a/internal/conf/apply/run.go
+++ b/internal/conf/apply/run.go
@@ -128,7 +128,7 @@
 		return sleep(ctx, s.For)
 	}
 	if d, ok := e.(Delete); ok {
-		r.collect(ctx, d.Chunks)
+		r.deleteGarbage(ctx, d.Chunks)
 		return nil
 	}
 	if ctx.Err() != nil {
@@ -208,7 +208,7 @@
 	return OutcomeUnknown{}
 }
 
-func (r runner) collect(ctx context.Context, chunks []Garbage) {
+func (r runner) deleteGarbage(ctx context.Context, chunks []Garbage) {
 	for _, c := range chunks {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := r.store.Delete(call, head.ChunkPrefix+c.Digest, c.Rev)
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -78,7 +78,7 @@
 }
 
 // inForce reads the active configuration from the store as a daemon would.
-func inForce(t testing.TB, s store.Store) (head.Head, string) {
+func activeConfig(t testing.TB, s store.Store) (head.Head, string) {
 	t.Helper()
 	entry, err := s.Get(t.Context(), head.Key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -116,13 +116,13 @@
 
 func TestFaults(t *testing.T) {
 	type scene struct {
-		service *keyval.Store
-		view    *keyval.View
-		hooks   *hookedStore
+		store *keyval.Store
+		view  *keyval.View
+		hooks *hookedStore
 	}
 	others := func(t *testing.T, s scene, n int) {
 		for i := range n {
-			mustApply(t, s.service, fmt.Sprint("other", i))
+			mustApply(t, s.store, fmt.Sprint("other", i))
 		}
 	}
 	// The store calls of one apply of a small text are: head read, list, chunk write, head
@@ -180,7 +180,7 @@
 		},
 		"stale head, then the current one": {
 			set: func(t *testing.T, s scene) {
-				s.hooks.stale, _ = s.service.Get(t.Context(), head.Key)
+				s.hooks.stale, _ = s.store.Get(t.Context(), head.Key)
 				others(t, s, 1)
 			},
 			base: 2, floor: 2, found: "mine", version: 3,
@@ -211,9 +211,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := scene{service: &keyval.Store{}}
-				mustApply(t, s.service, "first")
-				s.view = s.service.Client("operator")
+				s := scene{store: &keyval.Store{}}
+				mustApply(t, s.store, "first")
+				s.view = s.store.Client("operator")
 				s.hooks = &hookedStore{Store: s.view}
 				s.view.Script(tt.class, tt.script)
 				if tt.set != nil {
@@ -225,7 +225,7 @@
 				r.Floor = tt.floor
 				out, err := Run(ctx, s.hooks, r)
 				is.Equal(fmt.Sprintf("%T", err), fmt.Sprintf("%T", tt.want))
-				h, found := inForce(t, s.service)
+				h, found := activeConfig(t, s.store)
 				is.Equal(found, tt.found)
 				if tt.want == nil {
 					version := max(tt.version, 2)
@@ -311,7 +311,7 @@
 		keys, err := s.List(t.Context(), head.ChunkPrefix, "", 0)
 		is.NoErr(err)
 		is.True(len(keys) <= head.MaxKept+1) // one chunk for each kept version
-		h, _ := inForce(t, &s)
+		h, _ := activeConfig(t, &s)
 		for _, k := range h.Kept {
 			for _, d := range k.Chunks {
 				_, err := s.Get(t.Context(), head.ChunkPrefix+d)
@@ -338,7 +338,7 @@
 			collector := &hookedStore{Store: &s}
 			at(collector, func() { mustApply(t, &s, "v0") })
 			_, err := Run(t.Context(), collector, request(t, "mine", head.MaxKept+1))
-			_, found := inForce(t, &s) // fails the test if a chunk is missing
+			_, found := activeConfig(t, &s) // fails the test if a chunk is missing
 			is.Equal(found, "v0")
 			is.True(err == nil || errors.As(err, new(*ConflictError)))
 		})
--- a/internal/conf/apply/step.go
+++ b/internal/conf/apply/step.go
@@ -101,7 +101,7 @@
 
 func (a *Apply) listed(m Listed) []Effect {
 	for _, d := range m.Digests {
-		if !a.next.RefersTo(d) && len(a.candidates) < maxCollect {
+		if !a.next.RefersTo(d) && len(a.candidates) < maxGarbage {
 			a.candidates = append(a.candidates, d)
 		}
 	}
@@ -170,9 +170,9 @@
 	if m.Rev == a.baseRev {
 		return a.swap() // not written so far; repeating the same write can't apply it twice
 	}
-	took, known := m.Head.HasWrite(a.next.Version, a.next.Nonce)
+	written, known := m.Head.HasWrite(a.next.Version, a.next.Nonce)
 	switch {
-	case took:
+	case written:
 		return a.accepted(m.Head)
 	case known || !a.outcomeUnknown:
 		return a.restart(now, m)
@@ -191,8 +191,8 @@
 
 // accepted finishes with the current head, which is a later version if others have applied
 // since.
-func (a *Apply) accepted(now head.Head) []Effect {
-	done := a.finish(Finish{Head: now})
+func (a *Apply) accepted(current head.Head) []Effect {
+	done := a.finish(Finish{Head: current})
 	if len(a.garbage) == 0 {
 		return done
 	}
--- a/internal/conf/check/scan.go
+++ b/internal/conf/check/scan.go
@@ -38,9 +38,9 @@
 )
 
 var (
-	sectionName = regexp.MustCompile(`^[a-z][a-z0-9_]*(\.[A-Za-z0-9][A-Za-z0-9._-]{0,127})?$`)
-	word        = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
-	keyName     = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+	sectionPattern = regexp.MustCompile(`^[a-z][a-z0-9_]*(\.[A-Za-z0-9][A-Za-z0-9._-]{0,127})?$`)
+	wordPattern    = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
+	keyPattern     = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
 )
 
 func (s *scanner) scan(text []byte) {
@@ -74,7 +74,7 @@
 		s.fail("", "the section's header is not complete; want [section] or [section.name]")
 		return
 	}
-	if !sectionName.Match(name) {
+	if !sectionPattern.Match(name) {
 		s.fail("", "%q is not a section's name; want lower case, then a dot and a name of letters, digits, '.', '_' and '-'", name)
 		return
 	}
@@ -101,7 +101,7 @@
 	}
 	key, value, ok := bytes.Cut(line, []byte("="))
 	key, value = bytes.TrimSpace(key), bytes.TrimSpace(value)
-	if !ok || !keyName.Match(key) {
+	if !ok || !keyPattern.Match(key) {
 		s.fail("", "%q is not a setting; want key = value with a key in lower case", line)
 		return
 	}
--- a/internal/conf/check/section.go
+++ b/internal/conf/check/section.go
@@ -66,7 +66,7 @@
 	if !ok {
 		return def
 	}
-	if !word.MatchString(value) {
+	if !wordPattern.MatchString(value) {
 		s.Fail(key, "%q is not a name; want 1 to 128 letters, digits, '.', '_' and '-'", value)
 		return def
 	}
--- a/internal/conf/file/key.go
+++ b/internal/conf/file/key.go
@@ -14,7 +14,7 @@
 	hashHexLen    = 2 * sha256.Size
 )
 
-var salt = regexp.MustCompile(`^[A-Za-z0-9]{4,64}$`)
+var saltPattern = regexp.MustCompile(`^[A-Za-z0-9]{4,64}$`)
 
 // HashKey returns the configuration value for a caller's key: SALT:HEX, the SHA-256 of salt and
 // key concatenated. A key has the form NAME.SECRET with the account name before the first dot.
@@ -44,10 +44,10 @@
 }
 
 func validHash(hash string) bool {
-	before, after, ok := strings.Cut(hash, saltSeparator)
-	if !ok || !salt.MatchString(before) || len(after) != hashHexLen || strings.ToLower(after) != after {
+	salt, digest, ok := strings.Cut(hash, saltSeparator)
+	if !ok || !saltPattern.MatchString(salt) || len(digest) != hashHexLen || strings.ToLower(digest) != digest {
 		return false
 	}
-	_, err := hex.DecodeString(after)
+	_, err := hex.DecodeString(digest)
 	return err == nil
 }
--- a/internal/conf/watch/bench_test.go
+++ b/internal/conf/watch/bench_test.go
@@ -50,52 +50,52 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	var s keyval.Store
-	keepers := map[string]*Syncer{}
-	inForce := make(chan uint64, 8)
+	syncers := map[string]*Syncer{}
+	activated := make(chan uint64, 8)
 	fetched := 0
 	for _, name := range []string{"a", "b"} {
 		k := &Syncer{Self: Member{Name: name, Peer: name}, Store: s.Client(name)}
 		k.Fetch = func(_ context.Context, peer string, q Query) (Answer, error) {
-			a := keepers[peer].Answer(q)
+			a := syncers[peer].Answer(q)
 			for _, c := range a.Chunks {
 				fetched += len(c.Packed)
 			}
 			return a, nil
 		}
-		keepers[name] = k
+		syncers[name] = k
 	}
-	keepers["a"].OnChange = func(f file.File) { keepers["b"].Newer(f.Version, "a") }
-	keepers["b"].OnChange = func(f file.File) { inForce <- f.Version }
-	for _, k := range keepers {
+	syncers["a"].OnChange = func(f file.File) { syncers["b"].Newer(f.Version, "a") }
+	syncers["b"].OnChange = func(f file.File) { activated <- f.Version }
+	for _, k := range syncers {
 		go func() { _ = k.Serve(ctx) }()
 	}
 	data := large(b)
-	change(b, keepers["a"], inForce, data)
+	change(b, syncers["a"], activated, data)
 	before, n := s.Counts(), 0
 	fetched = 0
 	for b.Loop() {
 		n++
-		change(b, keepers["a"], inForce, changed(data, n))
+		change(b, syncers["a"], activated, changed(data, n))
 	}
 	after := s.Counts()
 	b.ReportMetric(float64(after.Writes-before.Writes)/float64(n), "writes/op")
 	b.ReportMetric(float64(after.Reads+after.Watches-before.Reads-before.Watches)/float64(n), "reads/op")
 	b.ReportMetric(float64(fetched)/float64(n)/1e3, "kB_from_peer/op")
-	value, err := keepers["a"].Head().Encode()
+	value, err := syncers["a"].Head().Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(len(value))/1e3, "kB_head")
-	b.ReportMetric(float64(keepers["b"].cachedBytes())/1e6, "MB_packed")
-	b.ReportMetric(float64(len(keepers["a"].Head().Chunks)), "chunks")
+	b.ReportMetric(float64(syncers["b"].cachedBytes())/1e6, "MB_packed")
+	b.ReportMetric(float64(len(syncers["a"].Head().Chunks)), "chunks")
 }
 
-func change(b *testing.B, k *Syncer, inForce <-chan uint64, text []byte) {
+func change(b *testing.B, k *Syncer, activated <-chan uint64, text []byte) {
 	out, err := k.Apply(b.Context(), apply.Request{Name: "large.ini", Text: text, Base: apply.Newest})
 	if err != nil {
 		b.Fatal(err)
 	}
-	for v := range inForce {
+	for v := range activated {
 		if v == out.Head.Version {
 			return
 		}
--- a/internal/conf/watch/cluster_test.go
+++ b/internal/conf/watch/cluster_test.go
@@ -109,9 +109,9 @@
 
 // start starts n daemons and their heartbeats.
 func start(ctx context.Context, n int) *cluster {
-	f := &cluster{daemons: map[string]*daemon{}}
+	c := &cluster{daemons: map[string]*daemon{}}
 	for i := range n {
-		f.add(ctx, fmt.Sprint("d", i))
+		c.add(ctx, fmt.Sprint("d", i))
 	}
 	go func() {
 		tick := time.NewTicker(heartbeatInterval)
@@ -119,18 +119,18 @@
 		for {
 			select {
 			case <-tick.C:
-				f.gossip()
+				c.gossip()
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return f
+	return c
 }
 
 // add starts a daemon, replacing one with the same name.
-func (f *cluster) add(ctx context.Context, name string) *daemon {
-	d := &daemon{view: f.store.Client(name)}
+func (c *cluster) add(ctx context.Context, name string) *daemon {
+	d := &daemon{view: c.store.Client(name)}
 	d.link = &link{Store: d.view}
 	ctx, cancel := context.WithCancel(ctx)
 	d.stop = cancel
@@ -139,25 +139,25 @@
 		Seeds:       []string{"d0", "d1", "d2"},
 		Store:       d.link,
 		Seed:        1, // the jitter depends on the name too
-		Fetch:       func(_ context.Context, peer string, q Query) (Answer, error) { return f.fetch(d, peer, q) },
-		OnChange:    func(c file.File) { f.withLock(func() { d.versions = append(d.versions, c.Version) }) },
-		OnLoadError: func(head.Head, error) { f.withLock(func() { d.loadErrors++ }) },
+		Fetch:       func(_ context.Context, peer string, q Query) (Answer, error) { return c.fetch(d, peer, q) },
+		OnChange:    func(conf file.File) { c.withLock(func() { d.versions = append(d.versions, conf.Version) }) },
+		OnLoadError: func(head.Head, error) { c.withLock(func() { d.loadErrors++ }) },
 	}
-	f.withLock(func() { f.daemons[name] = d })
+	c.withLock(func() { c.daemons[name] = d })
 	go func() { _ = d.Serve(ctx) }()
 	return d
 }
 
-func (f *cluster) withLock(do func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *cluster) withLock(do func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	do()
 }
 
-func (f *cluster) fetch(from *daemon, peer string, q Query) (Answer, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	d, ok := f.daemons[peer]
+func (c *cluster) fetch(from *daemon, peer string, q Query) (Answer, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	d, ok := c.daemons[peer]
 	if !ok || d.isolated || from.isolated {
 		return Answer{}, errUnreachable
 	}
@@ -168,21 +168,21 @@
 	return a, nil
 }
 
-func (f *cluster) gossip() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *cluster) gossip() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var members []Member
-	for _, d := range f.daemons {
+	for _, d := range c.daemons {
 		if !d.isolated {
 			members = append(members, d.Self)
 		}
 	}
-	for _, d := range f.daemons {
+	for _, d := range c.daemons {
 		if d.isolated || d.noHeartbeats {
 			continue
 		}
 		d.Members(members)
-		for _, other := range f.daemons {
+		for _, other := range c.daemons {
 			if v := other.Head().Version; !other.isolated && v > d.Head().Version {
 				d.Newer(v, other.Self.Peer)
 			}
@@ -190,19 +190,19 @@
 	}
 }
 
-func (f *cluster) set(fault keyval.Fault) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, d := range f.daemons {
+func (c *cluster) set(fault keyval.Fault) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, d := range c.daemons {
 		d.view.Set(fault)
 	}
 }
 
 // versions returns the active version of each daemon, in no order.
-func (f *cluster) versions() (list []uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, d := range f.daemons {
+func (c *cluster) versions() (list []uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, d := range c.daemons {
 		list = append(list, d.Current().Version)
 	}
 	return list
@@ -210,19 +210,19 @@
 
 // checkVersions returns an error unless each daemon runs the version and no daemon's version
 // ever decreased.
-func (f *cluster) checkVersions(version uint64) error {
-	for _, v := range f.versions() {
+func (c *cluster) checkVersions(version uint64) error {
+	for _, v := range c.versions() {
 		if v != version {
-			return fmt.Errorf("active versions: %v, want %d", f.versions(), version)
+			return fmt.Errorf("active versions: %v, want %d", c.versions(), version)
 		}
 	}
-	return f.checkRising()
+	return c.checkRising()
 }
 
-func (f *cluster) checkRising() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for name, d := range f.daemons {
+func (c *cluster) checkRising() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, d := range c.daemons {
 		if !slices.IsSorted(d.versions) || len(slices.Compact(slices.Clone(d.versions))) != len(d.versions) {
 			return fmt.Errorf("%s: versions not strictly increasing: %v", name, d.versions)
 		}
@@ -245,13 +245,13 @@
 }
 
 // apply applies a text through a daemon, or directly to the store if through is empty.
-func (f *cluster) apply(t testing.TB, name, through string) {
+func (c *cluster) apply(t testing.TB, name, through string) {
 	t.Helper()
 	var err error
 	if through == "" {
-		_, err = apply.Run(t.Context(), &f.store, request(t, name))
+		_, err = apply.Run(t.Context(), &c.store, request(t, name))
 	} else {
-		_, err = f.daemons[through].Apply(t.Context(), request(t, name))
+		_, err = c.daemons[through].Apply(t.Context(), request(t, name))
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -34,15 +34,15 @@
 }
 
 func runSteps(ctx context.Context, t *testing.T, r *rapid.T) {
-	f := start(ctx, 5)
+	c := start(ctx, 5)
 	names := []string{"d0", "d1", "d2", "d3", "d4"}
 	accepted := uint64(0)
 	for i := range rapid.IntRange(5, 25).Draw(r, "steps") {
 		name := rapid.SampledFrom(names).Draw(r, "daemon")
-		d := f.daemons[name]
+		d := c.daemons[name]
 		switch rapid.IntRange(0, 6).Draw(r, "step") {
 		case 0, 1:
-			v := f.tryApply(ctx, t, r, name, fmt.Sprint("n", i))
+			v := c.tryApply(ctx, t, r, name, fmt.Sprint("n", i))
 			accepted = max(accepted, v)
 		case 2:
 			d.view.Set(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Silent)).Draw(r, "fault")))
@@ -50,27 +50,27 @@
 			n := rapid.IntRange(1, 6).Draw(r, "call")
 			d.view.Script(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Down, n + 3: keyval.LoseWrite})
 		case 4:
-			f.withLock(func() { d.isolated = !d.isolated })
+			c.withLock(func() { d.isolated = !d.isolated })
 		case 5:
 			d.stop()
-			f.add(ctx, name)
+			c.add(ctx, name)
 		case 6:
 			sleep(time.Duration(rapid.IntRange(0, 40).Draw(r, "wait")) * time.Second)
 		}
-		if err := f.checkRising(); err != nil {
+		if err := c.checkRising(); err != nil {
 			r.Fatal(err)
 		}
 	}
-	f.set(keyval.None)
-	f.withLock(func() {
-		for _, d := range f.daemons {
+	c.set(keyval.None)
+	c.withLock(func() {
+		for _, d := range c.daemons {
 			d.view.Script(keyval.Any, nil)
 			d.isolated = false
 		}
 	})
 	sleep(maxRetry + 2*maxDelay)
-	newest := f.daemons["d0"].Current().Version
-	if err := f.checkVersions(newest); err != nil {
+	newest := c.daemons["d0"].Current().Version
+	if err := c.checkVersions(newest); err != nil {
 		r.Fatal(err)
 	}
 	if newest < accepted {
@@ -80,10 +80,10 @@
 
 // tryApply applies a text from the version active at a daemon. It returns the version reported
 // as accepted, 0 if there was an error.
-func (f *cluster) tryApply(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
+func (c *cluster) tryApply(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
 	applyCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	d := f.daemons[through]
+	d := c.daemons[through]
 	req := request(t, name)
 	req.Base = d.Head().Version
 	var out apply.Outcome
--- a/internal/conf/watch/role.go
+++ b/internal/conf/watch/role.go
@@ -9,7 +9,7 @@
 const (
 	polling role = iota
 	watching
-	resting
+	periodic
 )
 
 // role is how a daemon follows the store, in descending order of calls made. A daemon that
@@ -32,7 +32,7 @@
 	case lower < Pollers+Watchers:
 		return watching
 	}
-	return resting
+	return periodic
 }
 
 // storeInterval returns the time between two calls to the store.
@@ -42,7 +42,7 @@
 		return w.addJitter(PollEvery)
 	case watching:
 		return minStoreInterval
-	case resting:
+	case periodic:
 	}
 	return w.addJitter(ReadEvery)
 }
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -134,7 +134,7 @@
 // would use up the store's rate limit; if none did, a change would wait for the next periodic
 // read.
 func TestRoles(t *testing.T) {
-	tests := map[string]struct{ daemons, polling, watching, resting int }{
+	tests := map[string]struct{ daemons, polling, watching, periodic int }{
 		"1 daemon":    {1, 1, 0, 0},
 		"8 daemons":   {8, 2, 6, 0},
 		"320 daemons": {320, 2, 6, 312},
@@ -150,7 +150,7 @@
 			}
 			is.Equal(count[polling], tt.polling)
 			is.Equal(count[watching], tt.watching)
-			is.Equal(count[resting], tt.resting)
+			is.Equal(count[periodic], tt.periodic)
 		})
 	}
 }
@@ -164,13 +164,13 @@
 	for _, m := range all {
 		var w Watch
 		steps(&w, Start{Self: m}, StoreHead{Rev: 1}, Members{all})
-		if w.role != resting {
+		if w.role != periodic {
 			continue
 		}
 		now := epoch.Add(time.Hour)
 		w.Step(now, StoreHead{Rev: 2}) // the next read is minutes away
 		w.Step(now, Members{without(all, &w)})
-		if w.role == resting {
+		if w.role == periodic {
 			continue
 		}
 		takeovers++
@@ -183,7 +183,7 @@
 // without returns the members except those that follow the store.
 func without(all []Member, w *Watch) (rest []Member) {
 	for _, m := range all {
-		if roleOf(m, all) == resting || m.Name == w.self.Name {
+		if roleOf(m, all) == periodic || m.Name == w.self.Name {
 			rest = append(rest, m)
 		}
 	}
--- a/internal/conf/watch/syncer.go
+++ b/internal/conf/watch/syncer.go
@@ -75,11 +75,11 @@
 )
 
 // Serve keeps the newest configuration active until ctx ends, and returns the context's error.
-func (k *Syncer) Serve(ctx context.Context) error {
-	k.init()
-	defer k.tasks.Wait()
+func (s *Syncer) Serve(ctx context.Context) error {
+	s.init()
+	defer s.tasks.Wait()
 	var w Watch
-	k.do(ctx, w.Step(time.Now(), Start{Self: k.Self, Seeds: k.Seeds, Seed: cmp.Or(k.Seed, rand.Uint64())}))
+	s.do(ctx, w.Step(time.Now(), Start{Self: s.Self, Seeds: s.Seeds, Seed: cmp.Or(s.Seed, rand.Uint64())}))
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -89,57 +89,57 @@
 			return ctx.Err()
 		case <-tick.C:
 			m = Tick{}
-		case m = <-k.inbox:
+		case m = <-s.inbox:
 		}
-		k.do(ctx, w.Step(time.Now(), m))
+		s.do(ctx, w.Step(time.Now(), m))
 	}
 }
 
 // Newer reports that the peer at the address from knows a version.
-func (k *Syncer) Newer(version uint64, from string) {
-	k.enqueue(Newer{Version: version, From: from})
+func (s *Syncer) Newer(version uint64, from string) {
+	s.enqueue(Newer{Version: version, From: from})
 }
 
 // Members sets the live daemons.
-func (k *Syncer) Members(list []Member) {
-	k.enqueue(Members{List: list})
+func (s *Syncer) Members(list []Member) {
+	s.enqueue(Members{List: list})
 }
 
 // Current returns the active configuration; its Version is 0 if there is none.
-func (k *Syncer) Current() file.File {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.file
+func (s *Syncer) Current() file.File {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.file
 }
 
 // Text returns the active text as it was applied, and its version.
-func (k *Syncer) Text() (text []byte, version uint64, err error) {
-	h := k.Head()
-	text, err = k.join(h)
+func (s *Syncer) Text() (text []byte, version uint64, err error) {
+	h := s.Head()
+	text, err = s.join(h)
 	return text, h.Version, err
 }
 
 // Head returns the active head, zero if there is none.
-func (k *Syncer) Head() head.Head {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.head
+func (s *Syncer) Head() head.Head {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.head
 }
 
 // Ready returns a channel that is closed once a configuration is active.
-func (k *Syncer) Ready() <-chan struct{} {
-	k.init()
-	return k.ready
+func (s *Syncer) Ready() <-chan struct{} {
+	s.init()
+	return s.ready
 }
 
 // Answer returns the answer to a peer's query.
-func (k *Syncer) Answer(q Query) Answer {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := Answer{Head: k.head}
+func (s *Syncer) Answer(q Query) Answer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a := Answer{Head: s.head}
 	size := 0
 	for _, d := range q.Chunks {
-		packed, ok := k.chunks[d]
+		packed, ok := s.chunks[d]
 		if !ok {
 			continue
 		}
@@ -156,87 +156,87 @@
 // ApplyTimeout plus ApplyTimeoutPerChunk for each chunk. Peers can fetch the chunks from this
 // daemon before the store has accepted the head: if the store fails right afterwards, peers
 // that know the head can still load the text.
-func (k *Syncer) Apply(ctx context.Context, r apply.Request) (apply.Outcome, error) {
-	k.init()
-	r.Source, r.Floor = k.Self.Peer, k.Head().Version
+func (s *Syncer) Apply(ctx context.Context, r apply.Request) (apply.Outcome, error) {
+	s.init()
+	r.Source, r.Floor = s.Self.Peer, s.Head().Version
 	p, err := apply.Prepare(r)
 	if err != nil {
 		return apply.Outcome{}, err
 	}
-	k.cacheChunks(p.Chunks())
+	s.cacheChunks(p.Chunks())
 	ctx, cancel := context.WithTimeout(ctx, ApplyTimeout+time.Duration(len(p.Chunks()))*ApplyTimeoutPerChunk)
 	defer cancel()
-	out, err := p.Run(ctx, k.Store)
+	out, err := p.Run(ctx, s.Store)
 	if err != nil {
 		return out, err
 	}
 	if !out.Unchanged && out.Head.Digest == chunk.Digest(r.Text) {
-		k.cacheFile(out.Head, out.File)
+		s.cacheFile(out.Head, out.File)
 		select {
-		case k.inbox <- Adopt{Head: out.Head}: // sent only once, so it must not be dropped
+		case s.inbox <- Adopt{Head: out.Head}: // sent only once, so it must not be dropped
 		case <-ctx.Done(): // Serve has stopped, or will read the head from the store
 		}
 	}
 	return out, nil
 }
 
-func (k *Syncer) init() {
-	k.once.Do(func() {
-		k.inbox = make(chan Message, inboxSize)
-		k.ready = make(chan struct{})
+func (s *Syncer) init() {
+	s.once.Do(func() {
+		s.inbox = make(chan Message, inboxSize)
+		s.ready = make(chan struct{})
 	})
 }
 
 // enqueue passes a message to Serve. A full inbox drops it: Serve has stopped or is far behind,
 // and later heartbeats repeat the message.
-func (k *Syncer) enqueue(m Message) {
-	k.init()
+func (s *Syncer) enqueue(m Message) {
+	s.init()
 	select {
-	case k.inbox <- m:
+	case s.inbox <- m:
 	default:
 	}
 }
 
-func (k *Syncer) do(ctx context.Context, effects []Effect) {
+func (s *Syncer) do(ctx context.Context, effects []Effect) {
 	for _, e := range effects {
 		if f, ok := e.(Activate); ok {
-			k.activate(f.Head)
+			s.activate(f.Head)
 			continue
 		}
-		k.tasks.Go(func() {
-			m := k.carryOut(ctx, e)
+		s.tasks.Go(func() {
+			m := s.carryOut(ctx, e)
 			select {
-			case k.inbox <- m:
+			case s.inbox <- m:
 			case <-ctx.Done():
 			}
 		})
 	}
 }
 
-func (k *Syncer) carryOut(ctx context.Context, e Effect) Message {
+func (s *Syncer) carryOut(ctx context.Context, e Effect) Message {
 	switch e := e.(type) {
 	case ReadHead:
-		return k.read(ctx)
+		return s.read(ctx)
 	case AwaitHead:
-		return k.awaitHead(ctx, e)
+		return s.awaitHead(ctx, e)
 	case QueryPeer:
-		return k.queryPeer(ctx, e.Peer)
+		return s.queryPeer(ctx, e.Peer)
 	case Load:
-		return k.load(ctx, e)
+		return s.load(ctx, e)
 	}
 	return Tick{}
 }
 
-func (k *Syncer) read(ctx context.Context) Message {
+func (s *Syncer) read(ctx context.Context) Message {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	return storeMessage(k.Store.Get(ctx, head.Key))
+	return storeMessage(s.Store.Get(ctx, head.Key))
 }
 
-func (k *Syncer) awaitHead(ctx context.Context, e AwaitHead) Message {
+func (s *Syncer) awaitHead(ctx context.Context, e AwaitHead) Message {
 	ctx, cancel := context.WithTimeout(ctx, e.For)
 	defer cancel()
-	entry, err := k.Store.Watch(ctx, head.Key, e.Rev)
+	entry, err := s.Store.Watch(ctx, head.Key, e.Rev)
 	if err != nil && ctx.Err() != nil {
 		return NoChange{}
 	}
@@ -257,40 +257,40 @@
 	return StoreHead{Head: h, Rev: entry.Rev}
 }
 
-func (k *Syncer) queryPeer(ctx context.Context, peer string) Message {
+func (s *Syncer) queryPeer(ctx context.Context, peer string) Message {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := k.fetch(ctx, peer, Query{})
+	a, err := s.fetch(ctx, peer, Query{})
 	if err != nil {
 		return PeerFailed{Peer: peer}
 	}
 	return PeerHead{Peer: peer, Head: a.Head}
 }
 
-func (k *Syncer) fetch(ctx context.Context, peer string, q Query) (Answer, error) {
-	if k.Fetch == nil {
+func (s *Syncer) fetch(ctx context.Context, peer string, q Query) (Answer, error) {
+	if s.Fetch == nil {
 		return Answer{}, errNoFetch
 	}
-	return k.Fetch(ctx, peer, q)
+	return s.Fetch(ctx, peer, q)
 }
 
 // activate makes a loaded head the active one and drops the files of older versions.
-func (k *Syncer) activate(h head.Head) {
-	k.mu.Lock()
-	k.head, k.file = h, k.files[h.Version]
-	for v := range k.files {
+func (s *Syncer) activate(h head.Head) {
+	s.mu.Lock()
+	s.head, s.file = h, s.files[h.Version]
+	for v := range s.files {
 		if v <= h.Version {
-			delete(k.files, v)
+			delete(s.files, v)
 		}
 	}
-	f := k.file
-	k.mu.Unlock()
-	if k.OnChange != nil {
-		k.OnChange(f)
+	f := s.file
+	s.mu.Unlock()
+	if s.OnChange != nil {
+		s.OnChange(f)
 	}
 	select {
-	case <-k.ready:
+	case <-s.ready:
 	default:
-		close(k.ready)
+		close(s.ready)
 	}
 }
--- a/internal/conf/watch/syncer_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -20,16 +20,16 @@
 	// Each case starts with twelve daemons at version 1. Within maxDelay after the fault every
 	// daemon must run the wanted version, and no daemon's version may ever decrease.
 	tests := map[string]struct {
-		run  func(t *testing.T, f *cluster)
+		run  func(t *testing.T, c *cluster)
 		want uint64
 	}{
-		"applied through a daemon":      {func(t *testing.T, f *cluster) { f.apply(t, "two", "d5") }, 2},
-		"applied to the store":          {func(t *testing.T, f *cluster) { f.apply(t, "two", "") }, 2},
+		"applied through a daemon":      {func(t *testing.T, c *cluster) { c.apply(t, "two", "d5") }, 2},
+		"applied to the store":          {func(t *testing.T, c *cluster) { c.apply(t, "two", "") }, 2},
 		"no change":                     {func(*testing.T, *cluster) {}, 1},
-		"store down":                    {func(_ *testing.T, f *cluster) { f.set(keyval.Down) }, 1},
-		"store silent":                  {func(_ *testing.T, f *cluster) { f.set(keyval.Silent) }, 1},
-		"store lost its keys":           {wipe, 1},
-		"applied after lost keys":       {func(t *testing.T, f *cluster) { wipe(t, f); f.apply(t, "two", "d5") }, 2},
+		"store down":                    {func(_ *testing.T, c *cluster) { c.set(keyval.Down) }, 1},
+		"store silent":                  {func(_ *testing.T, c *cluster) { c.set(keyval.Silent) }, 1},
+		"store lost its keys":           {deleteHead, 1},
+		"applied after lost keys":       {func(t *testing.T, c *cluster) { deleteHead(t, c); c.apply(t, "two", "d5") }, 2},
 		"store restored, applied again": {restored, 4},
 		"store fails after acceptance":  {failsAfter, 2},
 		"store fails, ack lost":         {failsAckLost, 2},
@@ -39,21 +39,21 @@
 		"daemon missed versions":        {versionGap, 5},
 		"restart in an outage":          {restart, 2},
 		"text that can't be parsed":     {unreadableText, 1},
-		"valid text after that":         {func(t *testing.T, f *cluster) { unreadableText(t, f); f.apply(t, "three", "d3") }, 3},
+		"valid text after that":         {func(t *testing.T, c *cluster) { unreadableText(t, c); c.apply(t, "three", "d3") }, 3},
 		"announcing peer is gone":       {reporterGone, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := start(t.Context(), 12)
-				f.apply(t, "one", "d1")
+				c := start(t.Context(), 12)
+				c.apply(t, "one", "d1")
 				sleep(maxDelay)
-				is.NoErr(f.checkVersions(1))
-				tt.run(t, f)
+				is.NoErr(c.checkVersions(1))
+				tt.run(t, c)
 				sleep(maxDelay)
-				is.NoErr(f.checkVersions(tt.want))
-				for _, d := range f.daemons {
+				is.NoErr(c.checkVersions(tt.want))
+				for _, d := range c.daemons {
 					is.True(d.Current().System.Name != "other") // which was never applied
 					held, version, err := d.Text()
 					is.NoErr(err)
@@ -67,12 +67,12 @@
 
 // The store is recreated empty. The accepted version must stay active; a daemon that took the
 // empty store for the newest state would stop serving.
-func wipe(t *testing.T, f *cluster) {
-	entry, err := f.store.Get(t.Context(), head.Key)
+func deleteHead(t *testing.T, c *cluster) {
+	entry, err := c.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.store.Delete(t.Context(), head.Key, entry.Rev); err != nil {
+	if err := c.store.Delete(t.Context(), head.Key, entry.Rev); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -80,47 +80,47 @@
 // The store is restored from an older copy. An operator then applies the text of that copy on
 // purpose, from the version read at a daemon. It must not be reported as unchanged, nor get a
 // version that the daemons have already passed.
-func restored(t *testing.T, f *cluster) {
-	old, err := f.store.Get(t.Context(), head.Key)
+func restored(t *testing.T, c *cluster) {
+	old, err := c.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.apply(t, "two", "d1")
-	f.apply(t, "three", "d1")
+	c.apply(t, "two", "d1")
+	c.apply(t, "three", "d1")
 	sleep(maxDelay)
-	now, err := f.store.Get(t.Context(), head.Key)
+	current, err := c.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(t, f, head.Key, old.Data, now.Rev)
+	put(t, c, head.Key, old.Data, current.Rev)
 	sleep(maxDelay)
-	if err := f.checkVersions(3); err != nil {
+	if err := c.checkVersions(3); err != nil {
 		t.Error(err)
 	}
 	again := request(t, "one")
 	again.Base = 3
-	if _, err := f.daemons["d2"].Apply(t.Context(), again); err != nil {
+	if _, err := c.daemons["d2"].Apply(t.Context(), again); err != nil {
 		t.Error(err)
 	}
 }
 
 // The store fails right after it accepted a version. The operator got the acknowledgement, and
 // only the daemon that applied knows the version.
-func failsAfter(t *testing.T, f *cluster) {
-	f.set(keyval.Down)
-	f.daemons["d5"].view.Set(keyval.None)
-	f.apply(t, "two", "d5")
-	f.set(keyval.Down)
+func failsAfter(t *testing.T, c *cluster) {
+	c.set(keyval.Down)
+	c.daemons["d5"].view.Set(keyval.None)
+	c.apply(t, "two", "d5")
+	c.set(keyval.Down)
 }
 
 // As failsAfter, but the acknowledgement is lost, so the daemon that applied does not know the
 // outcome either. The other daemons have the head from their watches and can't read its chunks
 // from the store. They must get them from the daemon that applied.
-func failsAckLost(t *testing.T, f *cluster) {
-	for _, d := range f.daemons {
+func failsAckLost(t *testing.T, c *cluster) {
+	for _, d := range c.daemons {
 		d.link.update(func(l *link) { l.noChunks = true })
 	}
-	d := f.daemons["d5"]
+	d := c.daemons["d5"]
 	d.link.update(func(l *link) { l.afterHead = func() { d.view.Set(keyval.Down) } })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -132,90 +132,90 @@
 
 // All connections with pending watches are dead without an error. Such a watch looks like one
 // without changes; without pollers the change would be noticed half a minute late.
-func watchesSilent(t *testing.T, f *cluster) {
-	for _, d := range f.daemons {
+func watchesSilent(t *testing.T, c *cluster) {
+	for _, d := range c.daemons {
 		d.link.update(func(l *link) { l.noWatches = true })
 	}
-	f.apply(t, "two", "")
+	c.apply(t, "two", "")
 }
 
 // A lagging replica of the store returns the previous version to one daemon. Accepting it would
 // revert an accepted change.
-func staleRead(t *testing.T, f *cluster) {
-	entry, err := f.store.Get(t.Context(), head.Key)
+func staleRead(t *testing.T, c *cluster) {
+	entry, err := c.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.apply(t, "two", "d1")
-	f.daemons["d4"].link.update(func(l *link) { l.stale = &entry })
+	c.apply(t, "two", "d1")
+	c.daemons["d4"].link.update(func(l *link) { l.stale = &entry })
 	sleep(maxDelay)
-	f.daemons["d4"].stop()
-	f.add(t.Context(), "d4").link.update(func(l *link) { l.stale = &entry })
+	c.daemons["d4"].stop()
+	c.add(t.Context(), "d4").link.update(func(l *link) { l.stale = &entry })
 }
 
 // While the store is down, a faulty daemon returns chunks that don't match their digests. The
 // others must detect it and get the text elsewhere; otherwise they would activate it and pass
 // it on.
-func brokenChunks(t *testing.T, f *cluster) {
+func brokenChunks(t *testing.T, c *cluster) {
 	other, err := chunk.Pack(text(t, "other"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := f.daemons["d5"]
+	bad := c.daemons["d5"]
 	bad.alterAnswer = func(a Answer) Answer {
 		for i := range a.Chunks {
 			a.Chunks[i].Packed = other.Packed
 		}
 		return a
 	}
-	f.set(keyval.Down)
+	c.set(keyval.Down)
 	bad.view.Set(keyval.None)
-	f.daemons["d6"].view.Set(keyval.None)
-	f.apply(t, "two", "d5")
+	c.daemons["d6"].view.Set(keyval.None)
+	c.apply(t, "two", "d5")
 	sleep(time.Second)
-	f.set(keyval.Down)
+	c.set(keyval.Down)
 }
 
 // A daemon is cut off from the store and its peers while four versions are applied. Once
 // reconnected it must activate the newest directly.
-func versionGap(t *testing.T, f *cluster) {
-	d := f.daemons["d7"]
-	f.withLock(func() { d.isolated = true })
+func versionGap(t *testing.T, c *cluster) {
+	d := c.daemons["d7"]
+	c.withLock(func() { d.isolated = true })
 	d.view.Set(keyval.Down)
 	for _, name := range []string{"two", "three", "four", "five"} {
-		f.apply(t, name, "d1")
+		c.apply(t, name, "d1")
 	}
 	sleep(time.Minute)
 	if v := d.Current().Version; v != 1 {
 		t.Errorf("isolated daemon runs version %d, want 1", v)
 	}
-	f.withLock(func() { d.isolated = false })
+	c.withLock(func() { d.isolated = false })
 }
 
 // A daemon is restarted while the store is down, and one of its seeds was cut off and runs an
 // old version. The daemon must not activate a version older than the one it ran before the
 // restart.
-func restart(t *testing.T, f *cluster) {
-	stale := f.daemons["d0"]
-	f.withLock(func() { stale.isolated = true })
+func restart(t *testing.T, c *cluster) {
+	stale := c.daemons["d0"]
+	c.withLock(func() { stale.isolated = true })
 	stale.view.Set(keyval.Down)
-	f.apply(t, "two", "d1")
+	c.apply(t, "two", "d1")
 	sleep(maxDelay)
-	f.set(keyval.Down)
-	f.withLock(func() { stale.isolated = false })
-	f.daemons["d3"].stop()
-	f.add(t.Context(), "d3")
+	c.set(keyval.Down)
+	c.withLock(func() { stale.isolated = false })
+	c.daemons["d3"].stop()
+	c.add(t.Context(), "d3")
 }
 
 // An operator with a newer release applies a text that this release can't parse. The daemons
 // must keep the active version and report the error instead of serving a part of the text.
-func unreadableText(t *testing.T, f *cluster) {
+func unreadableText(t *testing.T, c *cluster) {
 	piece := []byte("[system]\nname = x\nof_a_later_release = 1\n")
-	c, err := chunk.Pack(piece)
+	packed, err := chunk.Pack(piece)
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry, err := f.store.Get(t.Context(), head.Key)
+	entry, err := c.store.Get(t.Context(), head.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,47 +223,47 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := head.Head{Digest: chunk.Digest(piece), Chunks: []string{c.Digest}, Shards: 8, Nonce: "x"}.After(h, 0).Encode()
+	data, err := head.Head{Digest: chunk.Digest(piece), Chunks: []string{packed.Digest}, Shards: 8, Nonce: "x"}.After(h, 0).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(t, f, head.ChunkPrefix+c.Digest, c.Packed, 0)
-	put(t, f, head.Key, data, entry.Rev)
+	put(t, c, head.ChunkPrefix+packed.Digest, packed.Packed, 0)
+	put(t, c, head.Key, data, entry.Rev)
 	sleep(maxDelay)
-	if f.daemons["d0"].loadErrors == 0 {
+	if c.daemons["d0"].loadErrors == 0 {
 		t.Error("daemon d0 reported no load error")
 	}
 }
 
-func put(t *testing.T, f *cluster, key string, data []byte, rev store.Rev) {
-	if _, err := f.store.Put(t.Context(), key, data, rev, 0); err != nil {
+func put(t *testing.T, c *cluster, key string, data []byte, rev store.Rev) {
+	if _, err := c.store.Put(t.Context(), key, data, rev, 0); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // During an outage of the store the one peer that announced a new version dies before it is
 // queried. The version must be found at other peers, which have it but did not announce it.
-func reporterGone(t *testing.T, f *cluster) {
-	d := f.daemons["d9"]
-	f.withLock(func() { d.isolated = true })
+func reporterGone(t *testing.T, c *cluster) {
+	d := c.daemons["d9"]
+	c.withLock(func() { d.isolated = true })
 	d.view.Set(keyval.Down)
-	f.apply(t, "two", "d1")
+	c.apply(t, "two", "d1")
 	sleep(maxDelay)
-	f.set(keyval.Down)
-	f.withLock(func() { d.isolated, d.noHeartbeats = false, true })
+	c.set(keyval.Down)
+	c.withLock(func() { d.isolated, d.noHeartbeats = false, true })
 	d.Newer(2, "gone")
 	synctest.Wait()
 }
 
 func TestStart(t *testing.T) {
 	tests := map[string]struct {
-		before func(t *testing.T, f *cluster) // runs before the daemon starts
+		before func(t *testing.T, c *cluster) // runs before the daemon starts
 		ready  bool                           // during the outage
 	}{
 		"store down, peers up":    {func(*testing.T, *cluster) {}, true},
-		"store down, no peers":    {func(_ *testing.T, f *cluster) { isolateAll(f) }, false},
-		"store silent, peers up":  {func(_ *testing.T, f *cluster) { f.store.Client("new").Set(keyval.Silent) }, true},
-		"peers without a version": {func(t *testing.T, f *cluster) { emptyPeers(t, f) }, false},
+		"store down, no peers":    {func(_ *testing.T, c *cluster) { isolateAll(c) }, false},
+		"store silent, peers up":  {func(_ *testing.T, c *cluster) { c.store.Client("new").Set(keyval.Silent) }, true},
+		"peers without a version": {func(t *testing.T, c *cluster) { emptyPeers(t, c) }, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -271,19 +271,19 @@
 			// configuration from a peer, or wait without serving.
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := start(t.Context(), 3)
-				f.apply(t, "one", "d1")
+				c := start(t.Context(), 3)
+				c.apply(t, "one", "d1")
 				sleep(maxDelay)
-				f.set(keyval.Down)
-				f.store.Client("new").Set(keyval.Down)
-				tt.before(t, f)
-				d := f.add(t.Context(), "new")
+				c.set(keyval.Down)
+				c.store.Client("new").Set(keyval.Down)
+				tt.before(t, c)
+				d := c.add(t.Context(), "new")
 				sleep(maxDelay)
 				is.Equal(isReady(d), tt.ready)
 				is.Equal(d.Current().Version > 0, tt.ready)
 				sleep(10 * time.Minute)
 				is.Equal(isReady(d), tt.ready)
-				f.store.Client("new").Set(keyval.None)
+				c.store.Client("new").Set(keyval.None)
 				sleep(maxRetry + maxDelay)
 				is.True(isReady(d)) // once the store is reachable again
 				is.Equal(d.Current().Version, uint64(1))
@@ -292,9 +292,9 @@
 	}
 }
 
-func isolateAll(f *cluster) {
-	f.withLock(func() {
-		for _, d := range f.daemons {
+func isolateAll(c *cluster) {
+	c.withLock(func() {
+		for _, d := range c.daemons {
 			d.isolated = true
 		}
 	})
@@ -302,11 +302,11 @@
 
 // emptyPeers restarts all daemons. The running ones are isolated first: otherwise the first new
 // daemon would get the version from one that is yet to be stopped.
-func emptyPeers(t *testing.T, f *cluster) {
-	isolateAll(f)
+func emptyPeers(t *testing.T, c *cluster) {
+	isolateAll(c)
 	for _, name := range []string{"d0", "d1", "d2"} {
-		f.daemons[name].stop()
-		f.add(t.Context(), name)
+		c.daemons[name].stop()
+		c.add(t.Context(), name)
 		synctest.Wait()
 	}
 }
@@ -322,11 +322,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := start(t.Context(), tt.daemons)
-				f.apply(t, "one", "d1")
+				c := start(t.Context(), tt.daemons)
+				c.apply(t, "one", "d1")
 				sleep(2 * maxDelay)
-				calls := f.calls(func() { f.apply(t, "two", ""); sleep(maxDelay) })
-				is.NoErr(f.checkVersions(2))
+				calls := c.calls(func() { c.apply(t, "two", ""); sleep(maxDelay) })
+				is.NoErr(c.checkVersions(2))
 				t.Logf("%d daemons: %d calls within %v of a change", tt.daemons, calls, maxDelay)
 				is.True(calls > 0 && calls <= tt.most)
 			})
@@ -334,10 +334,10 @@
 	}
 }
 
-func (f *cluster) calls(do func()) int {
-	before := f.store.Counts()
+func (c *cluster) calls(do func()) int {
+	before := c.store.Counts()
 	do()
-	now := f.store.Counts()
+	now := c.store.Counts()
 	return now.Reads + now.Writes + now.Watches - before.Reads - before.Writes - before.Watches
 }
 
