--- a/cmd/slaterock/apply.go
+++ b/cmd/slaterock/apply.go
@@ -13,10 +13,10 @@
 	c := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Apply a configuration",
-		Long: "Apply a configuration as a whole, as the version after the one that it was edited from.\n" +
-			"If another version is active by then, nothing is applied and the error names both\n" +
-			"versions. The first configuration of a system, and a text that is active already, need\n" +
-			"no --from. --show prints the active text.",
+		Long: "Apply a configuration as a whole, as the version after the one that it was made from.\n" +
+			"If another version is in force by then, nothing is applied and the error names both\n" +
+			"versions. The first configuration of a system, and a text that is in force already, need\n" +
+			"no --from. --show prints the text in force.",
 	}
 	c.Flags().StringVar(&from, "from", "0", "the version that the file was made from, or newest")
 	c.Flags().BoolVar(&show, "show", false, "write the configuration in force and its version")
--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -23,8 +23,8 @@
 	"github.com/slaterock/slaterock/platform"
 )
 
-// metricsPort is the port of /metrics on the VMs of the users' platform, whose settings don't
-// define one.
+// metricsPort is fixed because the settings file of the platform (see package platform) has no
+// port for /metrics.
 const metricsPort = 9464
 
 // traceEndpointEnv is the environment variable with the address of a trace collector. It may be
@@ -34,8 +34,8 @@
 func frontCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "front",
-		Short: "Serve callers on a VM of the users' platform",
-		Long: "Serve callers, the directory and the readiness check on a VM of the users' platform.\n" +
+		Short: "Serve callers on a VM of the platform",
+		Long: "Serve callers, the directory and the readiness check on a VM of the platform.\n" +
 			"The settings file is the one that " + platform.SettingsVariable + " names. SIGTERM drains,\n" +
 			"SIGHUP checks the settings file.",
 		Args: cobra.NoArgs,
@@ -46,8 +46,8 @@
 func storageCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "storage",
-		Short: "Keep durable records on a VM of the users' platform",
-		Long: "Keep the durable records of turns and budgets on a VM with a disk. The settings file is\n" +
+		Short: "Store durable records on a VM of the platform",
+		Long: "Store the durable records of turns and budgets on a VM with a disk. The settings file is\n" +
 			"the one that " + platform.SettingsVariable + " names. SIGTERM stops it once accepted records\n" +
 			"are on disk, SIGHUP checks the settings file.",
 		Args: cobra.NoArgs,
@@ -61,7 +61,7 @@
 	store    *platform.Store
 	log      zerolog.Logger
 	metric   *metric.Metric
-	stop     chan struct{} // closed at SIGTERM
+	stop     chan struct{} // closed at SIGTERM or an interrupt
 }
 
 // runOnPlatform runs one process with log, metrics and signal handling.
@@ -89,8 +89,9 @@
 	return err
 }
 
-// watchSignals drains at SIGTERM and reads the settings file again at SIGHUP, which only checks
-// it: the settings in use, such as addresses and folders, stay those read at the start.
+// watchSignals closes stop at SIGTERM or an interrupt, and reads the settings file again at
+// SIGHUP, which only checks it: the settings in use, such as addresses and folders, stay those
+// read at the start.
 func (p *process) watchSignals(ctx context.Context) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
--- a/cmd/slaterock/main.go
+++ b/cmd/slaterock/main.go
@@ -26,8 +26,9 @@
 	os.Exit(code)
 }
 
-// run executes the command line and returns the exit code. An error returned before a command
-// starts is a usage error.
+// run executes the command line and returns the exit code. An error returned before a top-level
+// command starts is a usage error. Commands below those are not tracked, so an error of `soak
+// processes` gives exitUsage as well.
 func run(ctx context.Context, c *cobra.Command, stderr io.Writer) int {
 	started := false
 	for _, sub := range c.Commands() {
--- a/cmd/slaterock/replay.go
+++ b/cmd/slaterock/replay.go
@@ -10,7 +10,7 @@
 	var a replay.Args
 	c := &cobra.Command{
 		Use:   "replay TRACE...",
-		Short: "Replay recorded traces against their stated outcomes",
+		Short: "Replay recorded traces and compare the outcomes with those stated in them",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			a.Paths = args
--- a/cmd/slaterock/storm.go
+++ b/cmd/slaterock/storm.go
@@ -13,14 +13,14 @@
 	"github.com/slaterock/slaterock/internal/play/storm"
 )
 
-// stormCommand runs the real programs under injected faults. It is a development tool.
+// stormCommand runs the real daemons under injected faults. It is a development tool.
 func stormCommand() *cobra.Command {
 	var s storm.Storm
 	var seeds int
 	var dir string
 	c := &cobra.Command{
 		Use:   "processes",
-		Short: "Run the real programs as processes, inject faults and check every guarantee",
+		Short: "Run the real daemons as processes, inject faults and check every guarantee",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			self, err := os.Executable()
--- a/cmd/slaterock/storm_test.go
+++ b/cmd/slaterock/storm_test.go
@@ -30,7 +30,7 @@
 	is.NoErr(err)
 }
 
-// The real programs run as processes on a simulated platform. Callers run programs of stored
+// The real daemons run as processes on a simulated platform. Callers run programs of stored
 // turns and calls, with budgets, first without faults and then while processes are killed,
 // stopped and paused, disks are lost, and connections and the store fail. No guarantee may be
 // broken: no partial answers, lost turns or work done twice.
--- a/internal/conf/accnt/accnt.go
+++ b/internal/conf/accnt/accnt.go
@@ -1,5 +1,6 @@
 // Package accnt holds the accounts of callers: which account an API key belongs to, and the
-// account's priority and rate limit.
+// account's priority and rate limit. It is used by front daemons; the accounts of `slaterock
+// serve` are in package file.
 //
 // Keys are never stored, only their SHA-256 digests, so that what a daemon sends to others,
 // logs or writes to disk can't be used to send requests in the account's name.
--- a/internal/conf/apply/apply.go
+++ b/internal/conf/apply/apply.go
@@ -48,14 +48,14 @@
 		backoff        time.Duration
 	}
 
-	// state is the effect requested last.
+	// state is the step in progress. A Sleep does not change it, so Wake repeats the step.
 	state int
 
 	// Message is an input of Apply.
 	Message interface{ message() }
 
-	// Start begins. Base is the version that the operator read, Floor a version that some
-	// daemon runs, Nonce a string unique to this apply.
+	// Start begins. Base is the version that the operator read, Floor the active version of the
+	// daemon that applies the text, 0 without a daemon. Nonce is a string unique to this apply.
 	Start struct {
 		Base   uint64
 		Floor  uint64
@@ -86,7 +86,7 @@
 	// Conflict reports that the write was refused; Rev is the current revision.
 	Conflict struct{ Rev store.Rev }
 
-	// Failed reports that the call had no effect and gave no result.
+	// Failed reports that the call had no effect, or that the head read can't be decoded.
 	Failed struct{}
 
 	// OutcomeUnknown reports that the write may or may not have been stored.
@@ -131,7 +131,8 @@
 	// Sleep is answered by Wake.
 	Sleep struct{ For time.Duration }
 
-	// Finish ends the apply. Err is nil if Head is active.
+	// Finish ends the apply. If Err is nil, the text was accepted, and Head is the newest head
+	// read.
 	Finish struct {
 		Head      head.Head
 		Unchanged bool // the text was active already
--- a/internal/conf/apply/errors.go
+++ b/internal/conf/apply/errors.go
@@ -8,11 +8,11 @@
 )
 
 type (
-	// ConflictError reports that another operator's version was applied first. The text is
-	// certainly not active.
+	// ConflictError reports that the active version is not the one that the operator read,
+	// usually because another operator applied first. The text is certainly not active.
 	ConflictError struct {
 		Base  uint64 // the version that the operator read
-		Found uint64 // the active version
+		Found uint64 // the active version, 0 if there is none
 		By    string // who applied it
 		At    time.Time
 	}
--- a/internal/conf/apply/run.go
+++ b/internal/conf/apply/run.go
@@ -21,9 +21,9 @@
 
 type (
 	// Request is a text to apply. Name is its file name, for messages. Base is the version that
-	// the operator read, 0 if none was active, Newest for any. Floor is the version that the
-	// applying daemon runs, 0 if no daemon does it; the text gets a higher version. Source is
-	// the peer address of the applying daemon, empty if there is none.
+	// the operator read, 0 if none was active, Newest for any. Floor is the active version of
+	// the daemon that applies the text, 0 if it is applied without a daemon; the text gets a
+	// higher version. Source is that daemon's peer address, empty without a daemon.
 	Request struct {
 		Name   string
 		Text   []byte
@@ -33,8 +33,9 @@
 		Source string
 	}
 
-	// Outcome describes an active text. Head is the newest version, which is later than the
-	// text's if others have applied since.
+	// Outcome describes an accepted text. Head is the newest head read, of a later version if
+	// others have applied since. File is the applied text, but its Version is Head's. Unchanged
+	// means that the text was active already.
 	Outcome struct {
 		Head      head.Head
 		Unchanged bool
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -77,7 +77,7 @@
 	return out.Head
 }
 
-// inForce reads the active configuration from the store as a daemon would.
+// activeConfig reads the active configuration from the store as a daemon would.
 func activeConfig(t testing.TB, s store.Store) (head.Head, string) {
 	t.Helper()
 	entry, err := s.Get(t.Context(), head.Key)
@@ -132,7 +132,7 @@
 		class       keyval.Class
 		script      map[int]keyval.Fault
 		set         func(t *testing.T, s scene)
-		base, floor uint64 // 0: the first version
+		base, floor uint64 // 0: base is version 1, there is no floor
 		want        any    // nil: applied
 		found       string // name of the active configuration afterwards
 		version     uint64 // of the applied text; 0: the second
@@ -321,8 +321,8 @@
 	}
 }
 
-// An operator applies an old text again while another operator's apply is about to delete its
-// chunk. If the chunk were deleted, no daemon that starts could read the accepted version.
+// An operator applies an old text again while another apply is about to delete its chunk. If
+// the chunk were deleted, no daemon that starts could read the accepted version.
 func TestCollectorKeepsChunkInUse(t *testing.T) {
 	tests := map[string]func(h *hookedStore, f func()){
 		"written after the swap, before the deletion": func(h *hookedStore, f func()) { h.after = f },
--- a/internal/conf/apply/step.go
+++ b/internal/conf/apply/step.go
@@ -69,9 +69,9 @@
 	return []Effect{ListChunks{}}
 }
 
-// storeBehind reports whether the store's version is lower than one that a daemon runs, because
-// the store was restored from an older copy. Versions that repeat those would be accepted by
-// the store and ignored by the daemons.
+// storeBehind reports whether the store's version is lower than the one that the applying
+// daemon runs, because the store was restored from an older copy or a replica lags. A restored
+// store would accept version numbers that were used before, and the daemons would ignore them.
 func (a *Apply) storeBehind() bool { return a.base.Version < a.start.Floor }
 
 // checkBase returns an error if the text can't follow the active version.
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// missing returns the chunks to store. Chunks that the base refers to need no write: a
-// collector deletes them only after it swapped the head, and then this applier's own swap
-// fails.
+// missing returns the chunks to store. Chunks that the base refers to are not written again:
+// another apply deletes such a chunk only after it has replaced the head, and then this apply's
+// write of the head fails.
 func (a *Apply) missing() (queue []chunk.Chunk) {
 	for _, c := range a.start.Chunks {
 		known := slices.ContainsFunc(queue, func(q chunk.Chunk) bool { return q.Digest == c.Digest })
@@ -108,10 +108,11 @@
 	return a.inspectNext()
 }
 
-// inspectNext reads the revisions of garbage before the head is swapped. Another applier that
-// uses such a chunk writes it again, which changes its revision, so the deletion after the swap
-// does not match. If it wrote the chunk before the revision was read here, it read an older
-// head, and its swap fails.
+// inspectNext reads the revisions of garbage before the head is written, so that Delete removes
+// only chunks that were not written again since. An apply that reuses such a chunk always
+// writes it again. If it does so after this read, the revision differs and the chunk is kept.
+// If it did so before, it started from the head that this apply replaces, and its own write of
+// the head fails.
 func (a *Apply) inspectNext() []Effect {
 	if len(a.candidates) == 0 {
 		return a.storeNext()
--- a/internal/conf/chunk/chunk.go
+++ b/internal/conf/chunk/chunk.go
@@ -31,14 +31,16 @@
 )
 
 type (
-	// Chunk is one chunk: its name in hexadecimal, and its zstd-compressed text.
+	// Chunk is a compressed piece of text. Digest is its name, the first half of the SHA-256 of
+	// the plain text in hexadecimal.
 	Chunk struct {
 		Digest string `json:"digest"`
 		Packed []byte `json:"packed"`
 	}
 )
 
-// ErrDigest reports a chunk or text that does not match its digest.
+// ErrDigest reports a chunk that does not match its name, or a text that does not match its
+// digest.
 var ErrDigest = errors.New("chunk: text does not match its digest")
 
 // Digest returns the SHA-256 of a text in hexadecimal.
--- a/internal/conf/file/file.go
+++ b/internal/conf/file/file.go
@@ -1,5 +1,6 @@
 // Package file parses the configuration of a whole system, which operators declare in one INI
-// file and apply as a whole.
+// file and apply as a whole. It is the configuration of the daemons that `slaterock serve`
+// runs; front daemons use packages route and accnt instead.
 //
 // A parsed File is immutable. Addresses are IP addresses with a port. A map's key is the name
 // in the section header: [upstream.e1] is Upstreams["e1"].
@@ -38,8 +39,8 @@
 		Shards        int     // fixed for the life of a store
 		LatencyWeight float64 // cost of one second of program latency
 		CacheWeight   float64 // cost of one second of wasted prefill
-		StoreReads    float64 // calls per second of all daemons together
-		StoreWrites   float64
+		StoreReads    float64 // limit of store reads per second, for all daemons together
+		StoreWrites   float64 // the same for writes
 	}
 
 	// Limits is the section [limits].
@@ -48,7 +49,7 @@
 		MaxPrograms     int           // open programs of one daemon
 		MaxCalls        int           // concurrent calls of one daemon
 		GapWait         time.Duration // how long a call waits for missing earlier calls
-		BudgetBlock     int64         // tokens reserved ahead
+		BudgetBlock     int64         // tokens of a program's budget that its owner reserves at a time
 		InlineText      int           // bytes; longer texts go to a data folder instead of the journal
 		JournalBuffer   int           // bytes of records waiting to be written to the store
 		DrainTimeout    time.Duration
@@ -69,7 +70,7 @@
 	// Agent is a section [agent.NAME]: an agent program that callers may open.
 	Agent struct {
 		Model       string
-		Priority    int
+		Priority    int   // 0 to 9; 9 is the most urgent, unlike in route.Route
 		Budget      int64 // tokens; also the maximum that a caller may request at open
 		MaxTurns    int
 		MaxDuration time.Duration
--- a/internal/conf/file/parse.go
+++ b/internal/conf/file/parse.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// withDefaults sets each limit that is zero to its default: a zero would block all requests or
-// disable the limit.
+// withDefaults returns the limits with each zero replaced by its default. Parsed values don't
+// pass through it: an explicit zero is kept.
 func (l Limits) withDefaults() Limits {
 	return Limits{
 		MaxBody:         check.Or(l.MaxBody, 4<<20),
--- a/internal/conf/head/head.go
+++ b/internal/conf/head/head.go
@@ -18,15 +18,15 @@
 const (
 	// Key is the store key of the head.
 	Key = "config/head"
-	// ChunkPrefix is the prefix of the store keys of chunks; the digest follows it.
+	// ChunkPrefix is the prefix of the store keys of chunks; the chunk's name follows it.
 	ChunkPrefix = "config/chunk/"
 	// MaxKept is the number of earlier versions whose chunks are kept.
 	MaxKept = 8
 )
 
 type (
-	// Head is one version of the configuration. Chunks are digests in text order; Digest is
-	// that of the whole text, Size its length in bytes. Nonce is unique to the applier, which
+	// Head is one version of the configuration. Chunks are chunk names in text order; Digest is
+	// that of the whole text, Size its length in bytes. Nonce is unique to one apply, which
 	// recognizes its own write by it. Source is the peer address of the daemon that applied the
 	// version and also has the text.
 	Head struct {
@@ -91,7 +91,7 @@
 	return slices.ContainsFunc(h.Kept, func(k Kept) bool { return slices.Contains(k.Chunks, digest) })
 }
 
-// HasWrite reports whether the write with the nonce became the version. known is false if h is
+// HasWrite reports whether the write with the nonce created the version. known is false if h is
 // newer and no longer lists the version.
 func (h Head) HasWrite(version uint64, nonce string) (written, known bool) {
 	if h.Version == version {
--- a/internal/conf/route/route.go
+++ b/internal/conf/route/route.go
@@ -1,5 +1,6 @@
 // Package route holds the routing table of one configuration version: which requests go to
-// which service, with which timeout, priority and retry rules.
+// which service, with which timeout, priority and retry rules. It is used by front daemons; the
+// configuration of `slaterock serve` is in package file.
 //
 // A Table is immutable. Match finds a request's route by host and longest path prefix.
 package route
@@ -15,7 +16,8 @@
 const (
 	// Safe requests are idempotent and may run more than once.
 	Safe Kind = iota
-	// Unsafe requests are not idempotent: each attempt runs at most once.
+	// Unsafe requests are not idempotent: a request is not sent again once an upstream may have
+	// run it.
 	Unsafe
 	// Stream requests are answered by server-sent events. They are not idempotent, but some
 	// routes can resume them after an event.
@@ -28,8 +30,8 @@
 
 	// Table is one version of the routing configuration.
 	Table struct {
-		Version  int64 // set by the operator; only increases
-		Revision uint64
+		Version  int64  // set by the operator; only increases
+		Revision uint64 // of the configuration's entry in the store
 		Text     []byte // as the operator wrote it, with keys replaced by their digests
 		Services map[string]Service
 		Limits   Limits
@@ -47,11 +49,11 @@
 		Kind       Kind
 		Backends   []Backend     // at least one
 		Timeout    time.Duration // upper limit of the caller's timeout; 0 means none
-		Target     time.Duration // response time up to which an answer has its full value
-		EventGap   time.Duration // longest pause between events for a stream to be on time
+		Target     time.Duration // target response time; set but not used
+		EventGap   time.Duration // longest pause between events of a stream; set but not used
 		Attempts   int           // upstreams that one request may be sent to, at least 1
 		Priority   int           // 0 is the most urgent
-		Affinity   bool          // requests with the same affinity key run faster on the same upstream
+		Affinity   bool          // requests with the same key run faster on the same upstream; set but not used
 		Resume     bool          // a broken stream may resume at another upstream
 		Turns      bool          // requests are turns of a program with a token budget
 		StoreTurns bool          // texts of turns are stored
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -14,8 +14,8 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// noDeadline hides the test's real-time deadline from rapid, which is meaningless inside a
-// synctest bubble.
+// noDeadline wraps a T, because rapid uses the deadline of a plain *testing.T, which is in real
+// time and meaningless with synctest's fake clock.
 type noDeadline struct{ *testing.T }
 
 // Several operators apply concurrently, through daemons and directly to the store, while the
--- a/internal/conf/watch/role.go
+++ b/internal/conf/watch/role.go
@@ -12,8 +12,8 @@
 	periodic
 )
 
-// role is how a daemon follows the store, in descending order of calls made. A daemon that
-// knows no other daemons polls.
+// role determines how often a daemon calls the store. The roles are in descending order of
+// calls. A daemon that knows no other daemons polls.
 type role int
 
 // roleOf returns a daemon's role. It depends on how many live daemons have a name with a lower
--- a/internal/conf/watch/step.go
+++ b/internal/conf/watch/step.go
@@ -92,8 +92,8 @@
 	w.pendingQueries, w.queriedPeers, w.versionSeen = map[string]bool{}, map[string]bool{}, map[string]uint64{}
 }
 
-// setMembers brings the next call to the store forward if this daemon takes over a role with
-// more calls from one that is no longer alive.
+// setMembers sets the live daemons and derives this daemon's role. If the new role makes more
+// calls to the store, the next call is brought forward.
 func (w *Watch) setMembers(now time.Time, m Members) {
 	before := w.role
 	w.members = slices.Clone(m.List)
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// The daemons that follow the store fail together with their rack. Others must take over soon,
-// not at their next periodic read minutes later.
+// The pollers and watchers fail together with their rack. Others must take over soon, not at
+// their next periodic read minutes later.
 func TestRoleTakeover(t *testing.T) {
 	is := is.New(t)
 	all := members(320)
@@ -180,7 +180,7 @@
 	is.True(takeovers >= Pollers+Watchers)
 }
 
-// without returns the members except those that follow the store.
+// without returns the members except the pollers and watchers other than w's own daemon.
 func without(all []Member, w *Watch) (rest []Member) {
 	for _, m := range all {
 		if roleOf(m, all) == periodic || m.Name == w.self.Name {
--- a/internal/conf/watch/syncer.go
+++ b/internal/conf/watch/syncer.go
@@ -32,12 +32,12 @@
 var errNoFetch = errors.New("watch: no Fetch function to query peers")
 
 type (
-	// Query asks a peer for its newest head and for the listed chunks.
+	// Query asks a peer for its active head and for the listed chunks.
 	Query struct {
 		Chunks []string `json:"chunks,omitempty"`
 	}
 
-	// Answer is a peer's newest head, zero if it has none, and those of the requested chunks
+	// Answer holds a peer's active head, zero if it has none, and those of the requested chunks
 	// that it has and that fit into one answer.
 	Answer struct {
 		Head   head.Head     `json:"head"`
@@ -70,7 +70,7 @@
 		head   head.Head
 		file   file.File
 		files  map[uint64]file.File // loaded, not active yet
-		chunks map[string][]byte    // compressed; of the active head and of texts being loaded or applied
+		chunks map[string][]byte    // compressed chunks; unused ones are dropped above maxCachedBytes
 	}
 )
 
--- a/internal/conf/watch/syncer_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -28,8 +28,8 @@
 		"no change":                     {func(*testing.T, *cluster) {}, 1},
 		"store down":                    {func(_ *testing.T, c *cluster) { c.set(keyval.Down) }, 1},
 		"store silent":                  {func(_ *testing.T, c *cluster) { c.set(keyval.Silent) }, 1},
-		"store lost its keys":           {deleteHead, 1},
-		"applied after lost keys":       {func(t *testing.T, c *cluster) { deleteHead(t, c); c.apply(t, "two", "d5") }, 2},
+		"store lost the head":           {deleteHead, 1},
+		"applied after lost head":       {func(t *testing.T, c *cluster) { deleteHead(t, c); c.apply(t, "two", "d5") }, 2},
 		"store restored, applied again": {restored, 4},
 		"store fails after acceptance":  {failsAfter, 2},
 		"store fails, ack lost":         {failsAckLost, 2},
@@ -65,8 +65,8 @@
 	}
 }
 
-// The store is recreated empty. The accepted version must stay active; a daemon that took the
-// empty store for the newest state would stop serving.
+// The head is deleted from the store. The accepted version must stay active; a daemon that took
+// the missing head for the newest state would stop serving.
 func deleteHead(t *testing.T, c *cluster) {
 	entry, err := c.store.Get(t.Context(), head.Key)
 	if err != nil {
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -42,7 +42,7 @@
 
 	firstRetry       = 250 * time.Millisecond
 	maxRetry         = 15 * time.Second
-	maxPeerQueries   = 3               // concurrent queries to peers; as many answers end a round
+	maxPeerQueries   = 3               // concurrent queries to peers; a round also ends after this many answers
 	maxPeersPerRound = 6               // peers queried in one round at the start
 	maxRoundWait     = 5 * time.Second // between two rounds that found no version
 	peerRetryDelay   = 500 * time.Millisecond
@@ -87,10 +87,11 @@
 	// NoChange reports that a watch ended without a change.
 	NoChange struct{}
 
-	// StoreFailed reports that a call to the store failed.
+	// StoreFailed reports that a call to the store failed or returned a head that can't be
+	// decoded.
 	StoreFailed struct{}
 
-	// PeerHead is a peer's newest head; the zero Head means that it has none.
+	// PeerHead is a peer's active head; the zero Head means that it has none.
 	PeerHead struct {
 		Peer string
 		Head head.Head
@@ -128,7 +129,7 @@
 	// ReadHead reads the head from the store. Answered by StoreHead or StoreFailed.
 	ReadHead struct{}
 
-	// QueryPeer queries a peer for its newest head. Answered by PeerHead or PeerFailed.
+	// QueryPeer queries a peer for its active head. Answered by PeerHead or PeerFailed.
 	QueryPeer struct{ Peer string }
 
 	// Load fetches a head's text from the peers in order, and from the store before or after
