--- a/cmd/slaterock/exit_test.go
+++ b/cmd/slaterock/exit_test.go
@@ -25,9 +25,9 @@
 		"good file":        {[]string{"check", good}, exitOK},
 		"faulty file":      {[]string{"check", faulty}, exitFailed},
 		"missing file":     {[]string{"check", good + "x"}, exitFailed},
-		"no daemon":        {[]string{"status", unreachable}, exitFailed},
-		"apply, no daemon": {[]string{"apply", good, unreachable}, exitFailed},
-		"unknown command":  {[]string{"bogus"}, exitUsage},
+		"nobody answers":   {[]string{"status", unreachable}, exitFailed},
+		"apply, nobody":    {[]string{"apply", good, unreachable}, exitFailed},
+		"no command":       {[]string{"bogus"}, exitUsage},
 		"no argument":      {[]string{"history", unreachable}, exitUsage},
 		"two arguments":    {[]string{"request", "a", "b"}, exitUsage},
 		"unknown flag":     {[]string{"status", "--bogus"}, exitUsage},
@@ -36,7 +36,7 @@
 		"unknown shape":    {[]string{"load", "--shape=bogus"}, exitFailed},
 		"no trace":         {[]string{"replay"}, exitUsage},
 		"missing trace":    {[]string{"replay", good + "x"}, exitFailed},
-		"no --settings":    {[]string{"serve"}, exitUsage},
+		"missing settings": {[]string{"serve"}, exitUsage},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/slaterock/longtext_test.go
+++ b/cmd/slaterock/longtext_test.go
@@ -35,7 +35,7 @@
 	var answer client.Answer
 	var h hist.History
 	number := -1
-	s.waitUntil("long texts go to the data folders", func() bool {
+	s.waitUntil("long texts go to the folders", func() bool {
 		number++ // texts go into the journal until the owner knows both data folders
 		messages = []client.Message{{Role: "user", Content: fmt.Sprint(number, question)}}
 		var err error
--- a/cmd/slaterock/process_test.go
+++ b/cmd/slaterock/process_test.go
@@ -188,7 +188,7 @@
 	for !done() {
 		select {
 		case <-s.ctx.Done():
-			s.t.Fatalf("timed out waiting until %s", what)
+			s.t.Fatalf("gave up waiting until %s", what)
 		case <-tick.C:
 		}
 	}
@@ -305,7 +305,7 @@
 		}
 	})
 	is.True(killed)
-	s.waitUntil("the interrupted call has a complete answer", func() bool {
+	s.waitUntil("the call that was cut has a whole answer", func() bool {
 		if err != nil || !answer.Whole {
 			answer, err = s.client(entry).Chat(s.ctx, program, 2, 512, messages, nil)
 		}
--- a/internal/conf/accnt/accnt.go
+++ b/internal/conf/accnt/accnt.go
@@ -66,14 +66,14 @@
 			return nil, err
 		}
 		if i > 0 && a.list[i-1].Name == acct.Name {
-			return nil, errors.Newf("%s: duplicate name", acct.Name)
+			return nil, errors.Newf("%s: there are two of that name", acct.Name)
 		}
 		for _, key := range acct.Keys {
 			if key == empty {
-				return nil, errors.Newf("%s: empty key", acct.Name)
+				return nil, errors.Newf("%s: a key is empty", acct.Name)
 			}
 			if other, taken := a.byKey[key]; taken && other != i {
-				return nil, errors.Newf("%s: key also belongs to %s", acct.Name, a.list[other].Name)
+				return nil, errors.Newf("%s: a key is also that of %s", acct.Name, a.list[other].Name)
 			}
 			a.byKey[key] = i
 		}
@@ -84,13 +84,13 @@
 func (a Account) check() error {
 	switch {
 	case a.Name == "":
-		return errors.New("account without a name")
+		return errors.New("one has no name")
 	case strings.TrimSpace(a.Name) != a.Name || strings.ContainsFunc(a.Name, unicode.IsControl):
 		return errors.Newf("%q: name has surrounding spaces or control characters", a.Name)
 	case a.Rate < 0 || a.Burst < 0:
-		return errors.Newf("%s: negative limit", a.Name)
+		return errors.Newf("%s: a limit is negative", a.Name)
 	case a.Priority < 0:
-		return errors.Newf("%s: negative priority", a.Name)
+		return errors.Newf("%s: the priority is negative", a.Name)
 	}
 	return nil
 }
--- a/internal/conf/accnt/accnt_test.go
+++ b/internal/conf/accnt/accnt_test.go
@@ -36,14 +36,14 @@
 		list []Account
 		says string
 	}{
-		"key of two accounts": {[]Account{{Name: "a", Keys: keys("secret")}, {Name: "b", Keys: keys("secret")}}, "key also belongs to a"},
-		"an empty key":        {[]Account{{Name: "a", Keys: keys("")}}, "a: empty key"},
-		"a negative rate":     {[]Account{{Name: "a", Rate: -1}}, "a: negative limit"},
-		"a negative burst":    {[]Account{{Name: "a", Burst: -1}}, "a: negative limit"},
-		"a negative priority": {[]Account{{Name: "a", Priority: -1}}, "a: negative priority"},
-		"no name":             {[]Account{{Keys: keys("k")}}, "account without a name"},
-		"a name of two lines": {[]Account{{Name: "a\r\nb"}}, "control characters"},
-		"duplicate name":      {[]Account{{Name: "a"}, {Name: "a"}}, "a: duplicate name"},
+		"one key, two accounts": {[]Account{{Name: "a", Keys: keys("secret")}, {Name: "b", Keys: keys("secret")}}, "also that of a"},
+		"an empty key":          {[]Account{{Name: "a", Keys: keys("")}}, "a: a key is empty"},
+		"a negative rate":       {[]Account{{Name: "a", Rate: -1}}, "a: a limit is negative"},
+		"a negative burst":      {[]Account{{Name: "a", Burst: -1}}, "a: a limit is negative"},
+		"a negative priority":   {[]Account{{Name: "a", Priority: -1}}, "a: the priority is negative"},
+		"no name":               {[]Account{{Keys: keys("k")}}, "no name"},
+		"a name of two lines":   {[]Account{{Name: "a\r\nb"}}, "control characters"},
+		"two of a name":         {[]Account{{Name: "a"}, {Name: "a"}}, "two of that name"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -138,32 +138,32 @@
 		version     uint64 // of the applied text; 0: the second
 	}{
 		"no fault":                    {found: "mine"},
-		"down at first read":          {script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
+		"down at the first read":      {script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
 		"down before the chunk":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
 		"down after the chunk":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Down, 3: keyval.Down}, found: "mine"},
-		"chunk written, ack lost":     {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseAck}, found: "mine"},
+		"chunk taken, ack lost":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseAck}, found: "mine"},
 		"chunk lost":                  {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseWrite}, found: "mine"},
-		"head written, ack lost":      {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseAck}, found: "mine"},
+		"head taken, ack lost":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseAck}, found: "mine"},
 		"head lost":                   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseWrite}, found: "mine"},
 		"head lost again and again":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseWrite, 3: keyval.LoseWrite, 4: keyval.LoseAck}, found: "mine"},
-		"head written, no answer":     {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Silent}, found: "mine"},
-		"ack lost, then down briefly": {script: map[int]keyval.Fault{4: keyval.LoseAck, 5: keyval.Down, 6: keyval.Down, 7: keyval.Silent}, found: "mine"},
-		"down permanently from the start": {
+		"head taken, answer silent":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Silent}, found: "mine"},
+		"ack lost, then down a while": {script: map[int]keyval.Fault{4: keyval.LoseAck, 5: keyval.Down, 6: keyval.Down, 7: keyval.Silent}, found: "mine"},
+		"down for good at the start": {
 			set:  func(_ *testing.T, s scene) { s.view.Set(keyval.Down) },
 			want: &NotAppliedError{}, found: "first",
 		},
-		"down permanently before the head": {
+		"down for good before the head": {
 			set:  func(_ *testing.T, s scene) { s.hooks.before = func() { s.view.Set(keyval.Down) } },
 			want: &NotAppliedError{}, found: "first",
 		},
-		"head written, ack lost, down permanently": {
+		"head taken, ack lost, down for good": {
 			set: func(_ *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
 				s.hooks.after = func() { s.view.Set(keyval.Down) }
 			},
 			want: &UnknownError{}, found: "mine",
 		},
-		"head lost, down permanently": {
+		"head lost, down for good": {
 			set: func(_ *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
 				s.hooks.after = func() { s.view.Set(keyval.Down) }
@@ -174,11 +174,11 @@
 			set:  func(t *testing.T, s scene) { s.hooks.before = func() { others(t, s, 1) } },
 			want: &ConflictError{}, found: "other0",
 		},
-		"another operator was first, base is newest": {
+		"another operator was first, any version will do": {
 			set:  func(t *testing.T, s scene) { s.hooks.before = func() { others(t, s, 1) } },
 			base: Newest, found: "mine", version: 3,
 		},
-		"stale head, then the current one": {
+		"stale head, then the right one": {
 			set: func(t *testing.T, s scene) {
 				s.hooks.stale, _ = s.store.Get(t.Context(), head.Key)
 				others(t, s, 1)
@@ -192,14 +192,14 @@
 			},
 			want: &ConflictError{}, found: "other0",
 		},
-		"ack lost, then two newer versions": {
+		"ack lost, then another operator on top": {
 			set: func(t *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
 				s.hooks.after = func() { others(t, s, 2) }
 			},
 			found: "other1",
 		},
-		"head lost, then more versions than are kept": {
+		"head lost, then more operators than are remembered": {
 			set: func(t *testing.T, s scene) {
 				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
 				s.hooks.after = func() { others(t, s, head.MaxKept+2) }
@@ -272,7 +272,7 @@
 		want string
 	}{
 		"fault in the text":      {func(*testing.T) []byte { return []byte("[system]\n") }, 1, "dev.ini:1: [system] name: the key is missing"},
-		"base not yet applied":   {func(t *testing.T) []byte { return text(t, "mine") }, 7, "you read version 7, and version 1 is in force"},
+		"base of the future":     {func(t *testing.T) []byte { return text(t, "mine") }, 7, "you read version 7, and version 1 is in force"},
 		"base of an empty store": {func(t *testing.T) []byte { return text(t, "mine") }, 0, "you read version 0, and version 1 is in force"},
 		"other number of shards": {func(t *testing.T) []byte {
 			return bytes.Replace(text(t, "mine"), []byte("shards = 8"), []byte("shards = 9"), 1)
--- a/internal/conf/chunk/chunk_test.go
+++ b/internal/conf/chunk/chunk_test.go
@@ -86,18 +86,18 @@
 		t.Fatal(err)
 	}
 	tests := map[string]Chunk{
-		"other text":   {Digest: good.Digest, Packed: other.Packed},
-		"truncated":    {Digest: good.Digest, Packed: good.Packed[:len(good.Packed)-1]},
-		"uncompressed": {Digest: good.Digest, Packed: []byte("[system]\n")},
-		"empty":        {Digest: good.Digest},
-		"bomb":         bomb,
+		"another's text": {Digest: good.Digest, Packed: other.Packed},
+		"cut short":      {Digest: good.Digest, Packed: good.Packed[:len(good.Packed)-1]},
+		"not packed":     {Digest: good.Digest, Packed: []byte("[system]\n")},
+		"empty":          {Digest: good.Digest},
+		"bomb":           bomb,
 	}
 	for name, c := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := c.Unpack()
 			is.True(err != nil)
-			if name == "other text" {
+			if name == "another's text" {
 				is.True(errors.Is(err, ErrDigest))
 			}
 		})
--- a/internal/conf/file/key_test.go
+++ b/internal/conf/file/key_test.go
@@ -16,7 +16,7 @@
 		"right":                  {"app.s3cret", "app"},
 		"other account":          {"other.s3cret", "other"},
 		"wrong secret":           {"app.secret", ""},
-		"empty secret":           {"app.", ""},
+		"another account's secret":           {"app.", ""},
 		"unknown account":        {"nobody.s3cret", ""},
 		"no account":             {"s3cret", ""},
 		"empty":                  {"", ""},
--- a/internal/conf/file/parse_test.go
+++ b/internal/conf/file/parse_test.go
@@ -91,8 +91,8 @@
 		"empty value":                {"[limits]\nmax_calls =", `max_calls: "" is not a number; want 1 to 1000000`},
 		"port 0":                     {"[upstream.l2]\ngroup = ledger\naddress = 10.0.0.1:0\nfailure_domain = a", `address: "10.0.0.1:0" can't be reached`},
 		"any address":                {"[upstream.l2]\ngroup = ledger\naddress = 0.0.0.0:80\nfailure_domain = a", `address: "0.0.0.0:80" can't be reached`},
-		"models of a service group":  {"[upstream.l2]\ngroup = ledger\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = chat", `models: the upstream's group "ledger" is of kind service; want no models`},
-		"undeclared model":           {"[upstream.e2]\ngroup = engines\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = big", `models: "big" is not declared as a model of group "engines"; want one of chat`},
+		"models of a service":        {"[upstream.l2]\ngroup = ledger\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = chat", `models: the upstream's group "ledger" is of kind service; want no models`},
+		"model of no group":          {"[upstream.e2]\ngroup = engines\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = big", `models: "big" is not declared as a model of group "engines"; want one of chat`},
 		"empty item":                 {"[upstream.e2]\ngroup = engines\naddress = 10.0.0.1:80\nfailure_domain = a\nmodels = chat,", `models: "chat," has an empty item`},
 		"kind unknown":               {"[group.x]\nkind = engines", `kind: "engines" is not known; want one of engine, service`},
 		"quoted block":               {"[limits]\nmax_calls = \"\"\"", "max_calls: quoted blocks are not read"},
@@ -150,14 +150,14 @@
 		_, err := Parse("x.ini", []byte(mark+strings.Join(text, end)))
 		var list Errors
 		if !errors.As(err, &list) {
-			t.Fatal("no error found")
+			t.Fatal("no fault found")
 		}
 		for _, e := range list {
 			if strings.HasPrefix(e.Key, "zz_") && e.Line == want {
 				return
 			}
 		}
-		t.Fatalf("no error on line %d: %v", want, err)
+		t.Fatalf("no fault on line %d: %v", want, err)
 	})
 }
 
--- a/internal/conf/watch/step_test.go
+++ b/internal/conf/watch/step_test.go
@@ -59,9 +59,9 @@
 		"store alone is not enough":        {[]Message{begin}, StoreHead{version(2), 20}, nil, 0},
 		"peers alone are not enough":       {round[:3], PeerHead{"c:1", version(2)}, nil, 0},
 		"store after peers":                {round, StoreHead{version(2), 20}, []uint64{2}, 0},
-		"highest answer is loaded":         {[]Message{begin, StoreFailed{}, PeerHead{"a:1", version(2)}, PeerHead{"b:1", version(5)}}, PeerHead{"c:1", version(4)}, []uint64{5}, 0},
+		"highest answer counts":            {[]Message{begin, StoreFailed{}, PeerHead{"a:1", version(2)}, PeerHead{"b:1", version(5)}}, PeerHead{"c:1", version(4)}, []uint64{5}, 0},
 		"stale store behind peers":         {[]Message{begin, PeerHead{"a:1", version(5)}, PeerHead{"b:1", version(5)}, PeerHead{"c:1", version(5)}}, StoreHead{version(4), 40}, []uint64{5}, 0},
-		"loaded becomes active":            {append(round, StoreHead{version(2), 20}), Loaded{version(2)}, nil, 2},
+		"loaded comes in force":            {append(round, StoreHead{version(2), 20}), Loaded{version(2)}, nil, 2},
 		"newer from the store":             {active3, StoreHead{version(4), 40}, []uint64{4}, 3},
 		"newer from a peer":                {active3, PeerHead{"a:1", version(4)}, []uint64{4}, 3},
 		"versions skipped":                 {active3, StoreHead{version(9), 90}, []uint64{9}, 3},
@@ -71,11 +71,11 @@
 		"store is empty":                   {active3, StoreHead{}, nil, 3},
 		"late load of an older text":       {append(active3, Adopt{version(5)}), Loaded{version(4)}, nil, 5},
 		"adopted":                          {active3, Adopt{version(4)}, nil, 4},
-		"failed load is delayed":           {append(active3, StoreHead{version(4), 40}), LoadFailed{Head: version(4)}, nil, 3},
-		"failed load is retried":           {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4)}), Tick{}, []uint64{4}, 3},
-		"unreadable is not tried again":    {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), Tick{}, nil, 3},
-		"unreadable again from a peer":     {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(4)}, nil, 3},
-		"newer than unreadable":            {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(5)}, []uint64{5}, 3},
+		"load failed waits":                {append(active3, StoreHead{version(4), 40}), LoadFailed{Head: version(4)}, nil, 3},
+		"load failed is tried again":       {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4)}), Tick{}, []uint64{4}, 3},
+		"unfit is not tried again":         {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), Tick{}, nil, 3},
+		"unfit again from a peer":          {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(4)}, nil, 3},
+		"newer than unfit":                 {append(active3, StoreHead{version(4), 40}, LoadFailed{Head: version(4), Unreadable: true}), PeerHead{"a:1", version(5)}, []uint64{5}, 3},
 		"newer while an older one loads":   {append(active3, StoreHead{version(4), 40}), PeerHead{"a:1", version(5)}, nil, 3},
 		"newer after the older one loaded": {append(active3, StoreHead{version(4), 40}, PeerHead{"a:1", version(5)}), Loaded{version(4)}, []uint64{5}, 4},
 	}
@@ -135,9 +135,9 @@
 // read.
 func TestRoles(t *testing.T) {
 	tests := map[string]struct{ daemons, polling, watching, periodic int }{
-		"1 daemon":    {1, 1, 0, 0},
-		"8 daemons":   {8, 2, 6, 0},
-		"320 daemons": {320, 2, 6, 312},
+		"one":        {1, 1, 0, 0},
+		"today":      {8, 2, 6, 0},
+		"the target": {320, 2, 6, 312},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -225,9 +225,9 @@
 // watch too, and its rate limit grows more slowly than the number of daemons.
 func TestIdleCalls(t *testing.T) {
 	tests := map[string]struct{ daemons, most int }{
-		"1 daemon":    {1, 60},
-		"8 daemons":   {8, 120},
-		"320 daemons": {320, 200},
+		"one":        {1, 60},
+		"today":      {8, 120},
+		"the target": {320, 200},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/conf/watch/syncer_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -23,24 +23,24 @@
 		run  func(t *testing.T, c *cluster)
 		want uint64
 	}{
-		"applied through a daemon":      {func(t *testing.T, c *cluster) { c.apply(t, "two", "d5") }, 2},
-		"applied to the store":          {func(t *testing.T, c *cluster) { c.apply(t, "two", "") }, 2},
-		"no change":                     {func(*testing.T, *cluster) {}, 1},
-		"store down":                    {func(_ *testing.T, c *cluster) { c.set(keyval.Down) }, 1},
-		"store silent":                  {func(_ *testing.T, c *cluster) { c.set(keyval.Silent) }, 1},
-		"store lost the head":           {deleteHead, 1},
-		"applied after lost head":       {func(t *testing.T, c *cluster) { deleteHead(t, c); c.apply(t, "two", "d5") }, 2},
-		"store restored, applied again": {restored, 4},
-		"store fails after acceptance":  {failsAfter, 2},
-		"store fails, ack lost":         {failsAckLost, 2},
-		"all watches silent":            {watchesSilent, 2},
-		"one daemon reads stale":        {staleRead, 2},
-		"peer returns corrupt chunks":   {brokenChunks, 2},
-		"daemon missed versions":        {versionGap, 5},
-		"restart in an outage":          {restart, 2},
-		"text that can't be parsed":     {unreadableText, 1},
-		"valid text after that":         {func(t *testing.T, c *cluster) { unreadableText(t, c); c.apply(t, "three", "d3") }, 3},
-		"announcing peer is gone":       {reporterGone, 2},
+		"applied through a daemon":       {func(t *testing.T, c *cluster) { c.apply(t, "two", "d5") }, 2},
+		"applied to the store":           {func(t *testing.T, c *cluster) { c.apply(t, "two", "") }, 2},
+		"no change":                      {func(*testing.T, *cluster) {}, 1},
+		"store down":                     {func(_ *testing.T, c *cluster) { c.set(keyval.Down) }, 1},
+		"store silent":                   {func(_ *testing.T, c *cluster) { c.set(keyval.Silent) }, 1},
+		"store lost its keys":            {deleteHead, 1},
+		"applied after it lost its keys": {func(t *testing.T, c *cluster) { deleteHead(t, c); c.apply(t, "two", "d5") }, 2},
+		"store restored, applied again":  {restored, 4},
+		"store fails after acceptance":   {failsAfter, 2},
+		"store fails, ack lost":          {failsAckLost, 2},
+		"all watches silent":             {watchesSilent, 2},
+		"one daemon reads stale":         {staleRead, 2},
+		"peer hands out broken chunks":   {brokenChunks, 2},
+		"gap in versions":                {versionGap, 5},
+		"restart in an outage":           {restart, 2},
+		"text that no daemon can read":   {unreadableText, 1},
+		"readable text after such a one": {func(t *testing.T, c *cluster) { unreadableText(t, c); c.apply(t, "three", "d3") }, 3},
+		"who told of it is gone":         {reporterGone, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 	defer cancel()
 	_, err := d.Apply(ctx, request(t, "two"))
 	if !errors.As(err, new(*apply.UnknownError)) {
-		t.Errorf("Apply returned %v, want an UnknownError", err)
+		t.Errorf("the outcome can't be known here, but Apply says %v", err)
 	}
 }
 
@@ -187,7 +187,7 @@
 	}
 	sleep(time.Minute)
 	if v := d.Current().Version; v != 1 {
-		t.Errorf("isolated daemon runs version %d, want 1", v)
+		t.Errorf("version %d reached a daemon that was cut off", v)
 	}
 	c.withLock(func() { d.isolated = false })
 }
@@ -231,7 +231,7 @@
 	put(t, c, head.Key, data, entry.Rev)
 	sleep(maxDelay)
 	if c.daemons["d0"].loadErrors == 0 {
-		t.Error("daemon d0 reported no load error")
+		t.Error("no daemon said that it can't read the text")
 	}
 }
 
@@ -315,8 +315,8 @@
 // store's 2,000 a second, even when every daemon fetches the text at the same time.
 func TestChangeCalls(t *testing.T) {
 	tests := map[string]struct{ daemons, most int }{
-		"8 daemons":   {8, 40},
-		"320 daemons": {320, 60},
+		"today":      {8, 40},
+		"the target": {320, 60},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
