--- a/internal/conf/file/key_test.go
+++ b/internal/conf/file/key_test.go
@@ -13,15 +13,15 @@
 		"blank": {},
 	}}
 	tests := map[string]struct{ key, want string }{
-		"right":                  {"app.s3cret", "app"},
-		"other account":          {"other.s3cret", "other"},
-		"wrong secret":           {"app.secret", ""},
-		"another account's secret":           {"app.", ""},
-		"unknown account":        {"nobody.s3cret", ""},
-		"no account":             {"s3cret", ""},
-		"empty":                  {"", ""},
-		"account without a hash": {"blank.", ""},
-		"the hash itself":        {HashKey("salt1", "app.s3cret"), ""},
+		"right":                    {"app.s3cret", "app"},
+		"other account":            {"other.s3cret", "other"},
+		"wrong secret":             {"app.secret", ""},
+		"another account's secret": {"app.", ""},
+		"unknown account":          {"nobody.s3cret", ""},
+		"no account":               {"s3cret", ""},
+		"empty":                    {"", ""},
+		"account without a hash":   {"blank.", ""},
+		"the hash itself":          {HashKey("salt1", "app.s3cret"), ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
