--- a/cmd/slaterock/drain.go
+++ b/cmd/slaterock/drain.go
@@ -5,10 +5,10 @@
 func drainCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "drain",
-		Short: "Shut the daemon at --address down without cutting a request",
+		Short: "Shut down the daemon at --address without interrupting requests",
 		Args:  cobra.NoArgs,
 	}
-	ask := askFlags(c)
-	c.RunE = func(c *cobra.Command, _ []string) error { return ask().Drain(c.Context()) }
+	newAdmin := adminFlags(c)
+	c.RunE = func(c *cobra.Command, _ []string) error { return newAdmin().Drain(c.Context()) }
 	return c
 }
--- a/cmd/slaterock/fake.go
+++ b/cmd/slaterock/fake.go
@@ -10,13 +10,14 @@
 	"github.com/slaterock/slaterock/internal/fake/site"
 )
 
-// fakeCommand is for development: stand-ins as a process of their own.
+// fakeCommand runs the simulated platform and upstreams as a process of their own. It is a
+// development tool.
 func fakeCommand() *cobra.Command {
 	s := site.Site{}
 	listen := map[string]string{}
 	c := &cobra.Command{
 		Use:    "fake",
-		Short:  "Run stand-ins for the platform and the upstreams",
+		Short:  "Run the simulated platform and upstreams",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -28,7 +29,7 @@
 				return err
 			}
 			defer s.Close()
-			addresses(c.OutOrStdout(), &s)
+			printAddresses(c.OutOrStdout(), &s)
 			<-c.Context().Done()
 			return nil
 		},
@@ -38,8 +39,8 @@
 	return c
 }
 
-// addresses prints one line for each part, and a last one.
-func addresses(w io.Writer, s *site.Site) {
+// printAddresses prints one line with name and address for each part, then the line "ready".
+func printAddresses(w io.Writer, s *site.Site) {
 	parts := []string{}
 	for _, p := range []site.Part{site.Store, site.VMs, site.Weights, site.Engine1, site.Engine2, site.Ledger} {
 		parts = append(parts, fmt.Sprintf("%s %s", p, s.Address(p)))
--- a/cmd/slaterock/front.go
+++ b/cmd/slaterock/front.go
@@ -23,89 +23,91 @@
 	"github.com/slaterock/slaterock/platform"
 )
 
-// metricsPort is where /metrics is served on the VMs of the users' platform,
-// whose settings leave it to us.
+// metricsPort is fixed because the settings file of the platform (see package platform) has no
+// port for /metrics.
 const metricsPort = 9464
 
-// traceVariable may name the address of a collector of spans.
-const traceVariable = "SLATEROCK_TRACE_ENDPOINT"
+// traceEndpointEnv is the environment variable with the address of a trace collector. It may be
+// unset.
+const traceEndpointEnv = "SLATEROCK_TRACE_ENDPOINT"
 
 func frontCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "front",
-		Short: "Serve callers on a VM of the users' platform",
-		Long: "Serve callers, the directory and the readiness check on a VM of the users' platform.\n" +
+		Short: "Serve callers on a VM of the platform",
+		Long: "Serve callers, the directory and the readiness check on a VM of the platform.\n" +
 			"The settings file is the one that " + platform.SettingsVariable + " names. SIGTERM drains,\n" +
-			"SIGHUP reads the settings again.",
+			"SIGHUP checks the settings file.",
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return onPlatform(runFront) },
+		RunE: func(*cobra.Command, []string) error { return runOnPlatform(runFront) },
 	}
 }
 
 func storageCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "storage",
-		Short: "Keep durable records on a VM of the users' platform",
-		Long: "Keep the durable records of turns and budgets on a VM with a disk. The settings file is\n" +
-			"the one that " + platform.SettingsVariable + " names. SIGTERM ends it after what was taken is\n" +
-			"on disk, SIGHUP reads the settings again.",
+		Short: "Store durable records on a VM of the platform",
+		Long: "Store the durable records of turns and budgets on a VM with a disk. The settings file is\n" +
+			"the one that " + platform.SettingsVariable + " names. SIGTERM stops it once accepted records\n" +
+			"are on disk, SIGHUP checks the settings file.",
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return onPlatform(runStorage) },
+		RunE: func(*cobra.Command, []string) error { return runOnPlatform(runStorage) },
 	}
 }
 
-// process is one process on the platform.
+// process holds what a process on the platform needs to run.
 type process struct {
 	settings platform.Settings
 	store    *platform.Store
 	log      zerolog.Logger
 	metric   *metric.Metric
-	stop     chan struct{} // closed at SIGTERM
+	stop     chan struct{} // closed at SIGTERM or an interrupt
 }
 
-// onPlatform runs one process with its log, metrics and signals.
-func onPlatform(run func(context.Context, *process) error) (err error) {
+// runOnPlatform runs one process with log, metrics and signal handling.
+func runOnPlatform(run func(context.Context, *process) error) (err error) {
 	s, err := platform.ReadSettings()
 	if err != nil {
 		return err
 	}
-	log, closing := logbuf.Open(os.Stdout, s.Node)
-	defer closing()
+	log, closeLog := logbuf.Open(os.Stdout, s.Node)
+	defer closeLog()
 	p := &process{settings: s, store: platform.Open(s.Store.Address), log: log, metric: metric.New(), stop: make(chan struct{})}
 	log.Info().Interface("settings", s).Msg("start")
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go p.watchSignals(ctx)
 	srv := &http.Server{Addr: fmt.Sprintf("%s:%d", s.IP, metricsPort), Handler: p.metric.Handler(), ReadHeaderTimeout: time.Second}
 	go func() {
 		if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-			log.Warn().Err(err).Msg("metrics are not served")
+			log.Warn().Err(err).Msg("metrics listener failed")
 		}
 	}()
 	err = run(ctx, p)
-	_ = srv.Close() // nobody waits for a last scrape
+	_ = srv.Close() // no final scrape is expected
 	log.Info().Err(err).Int64("store_calls", p.store.Calls()).Msg("stop")
 	return err
 }
 
-// watchSignals drains at SIGTERM and reads the settings again at SIGHUP. What
-// a process is built on (addresses, folders) stays as it was at its start.
+// watchSignals closes stop at SIGTERM or an interrupt, and reads the settings file again at
+// SIGHUP, which only checks it: the settings in use, such as addresses and folders, stay those
+// read at the start.
 func (p *process) watchSignals(ctx context.Context) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	stopped := false
+	draining := false
 	for {
 		select {
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
 				_, err := platform.ReadSettings()
-				p.log.Info().Err(err).Msg("reload: settings read again")
+				p.log.Info().Err(err).Msg("SIGHUP: settings file checked, not applied")
 				continue
 			}
 			p.log.Info().Str("signal", sig.String()).Msg("stopping")
-			if !stopped {
-				stopped = true
+			if !draining {
+				draining = true
 				close(p.stop)
 			}
 		case <-ctx.Done():
@@ -120,16 +122,16 @@
 
 func runFront(ctx context.Context, p *process) error {
 	s := p.settings
-	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceVariable), OnError: func(err error) {
-		p.log.Warn().Err(err).Msg("spans were lost")
+	t, err := trace.Open(ctx, trace.Settings{Daemon: s.Node, Endpoint: os.Getenv(traceEndpointEnv), OnError: func(err error) {
+		p.log.Warn().Err(err).Msg("trace spans lost")
 	}})
 	if err != nil {
 		return err
 	}
 	defer func() {
-		last, stop := context.WithTimeout(context.Background(), closeTime)
+		exportCtx, stop := context.WithTimeout(context.Background(), spanExportTimeout)
 		defer stop()
-		_ = t.Close(last) // spans that can't be sent any more are lost
+		_ = t.Close(exportCtx) // spans not sent by then are lost
 	}()
 	d := &frontd.Daemon{
 		Settings: frontd.Settings{
@@ -142,30 +144,30 @@
 	return d.Run(ctx, p.stop)
 }
 
-// diskProcs is how many threads a VM with a disk may run at a time. One of them
-// waits for the disk most of the time; with a single one, as VMs with one core
-// get by default, nothing else runs during a sync, and a record that takes six
-// steps through the process waits for six syncs.
-const diskProcs = 4
+// minStorageProcs is the minimum GOMAXPROCS on a VM with a disk. One thread waits for the disk
+// most of the time. With a single one, the default on a VM with one core, no other goroutine
+// runs during a sync, and a record that takes six steps through the process waits for six
+// syncs.
+const minStorageProcs = 4
 
 func runStorage(ctx context.Context, p *process) error {
 	s := p.settings
-	runtime.GOMAXPROCS(max(diskProcs, runtime.GOMAXPROCS(0)))
+	runtime.GOMAXPROCS(max(minStorageProcs, runtime.GOMAXPROCS(0)))
 	if s.DataDir == "" {
 		return errors.New("settings: data-dir is missing")
 	}
-	ctx, end := context.WithCancel(ctx)
-	defer end()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	go func() {
 		<-p.stop
-		end()
+		cancel()
 	}()
-	k := &diskd.Daemon{
+	d := &diskd.Daemon{
 		Settings: diskd.Settings{
 			Node: s.Node, Domain: s.Domain, Address: p.peerAddress(), Control: s.Control, Dir: s.DataDir,
 			Capacity: int64(s.DiskMB) << 20, Losses: s.Losses,
 		},
 		Store: p.store, Operator: &platform.Source{Store: p.store}, Log: p.log, Scope: p.metric.Scope(),
 	}
-	return k.Run(ctx)
+	return d.Run(ctx)
 }
--- a/cmd/slaterock/load.go
+++ b/cmd/slaterock/load.go
@@ -16,16 +16,16 @@
 	var json, quiet bool
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Put a load of agent programs on a running system and check each answer",
-		Long: "Put a load on a running system: programs arrive at a fixed rate, whatever becomes of\n" +
-			"those before them, and each answer and history is checked. The report has the\n" +
-			"latency of whole programs and the wasted cache tokens. It fails if a promise broke\n" +
-			"or no program finished.",
+		Short: "Run agent programs against a running system and check each answer",
+		Long: "Generate load on a running system: programs arrive at a fixed rate, independent of\n" +
+			"earlier ones, and each answer and history is checked. The report has the latency of\n" +
+			"whole programs and the wasted cache tokens. It fails if a guarantee was broken or no\n" +
+			"program finished.",
 		Args: cobra.NoArgs,
 	}
 	f := c.Flags()
 	f.StringSliceVar(&l.Entry, "address", []string{defaultAddress}, "addresses of daemons for callers")
-	f.StringVar(&l.Key, "key", "", "the key of an account; "+keyVariable+" if empty")
+	f.StringVar(&l.Key, "key", "", "the key of an account; "+keyEnv+" if empty")
 	f.StringVar(&l.Engine, "engine", "", "an engine to call directly as well, for comparison")
 	f.StringVar(&shape, "shape", "pickup", "the kind of programs: pickup or shelf")
 	f.Float64Var(&l.Rate, "rate", 2, "programs a second")
@@ -40,7 +40,7 @@
 			return err
 		}
 		if l.Key == "" {
-			l.Key = os.Getenv(keyVariable)
+			l.Key = os.Getenv(keyEnv)
 		}
 		if !quiet {
 			l.Progress = c.ErrOrStderr()
--- a/cmd/slaterock/status.go
+++ b/cmd/slaterock/status.go
@@ -5,10 +5,10 @@
 func statusCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show daemons, shards, epochs and the configuration version in force at each",
+		Short: "Show daemons, shards, epochs and each daemon's active configuration version",
 		Args:  cobra.NoArgs,
 	}
-	ask := askFlags(c)
-	c.RunE = func(c *cobra.Command, _ []string) error { return ask().Status(c.Context()) }
+	newAdmin := adminFlags(c)
+	c.RunE = func(c *cobra.Command, _ []string) error { return newAdmin().Status(c.Context()) }
 	return c
 }
--- a/internal/conf/accnt/accnt_test.go
+++ b/internal/conf/accnt/accnt_test.go
@@ -29,8 +29,8 @@
 	is.True(!known)
 }
 
-// A configuration that gives one key to two accounts, or an empty key, would let one
-// caller's requests be run and counted as another's.
+// A configuration that gives one key to two accounts, or has an empty key, would run and count
+// one caller's requests under another account. Errors must not reveal keys or their digests.
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
 		list []Account
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseDigest(t *testing.T) {
 	is := is.New(t)
 	d, err := ParseDigest(DigestOf("k").String())
 	is.NoErr(err)
--- a/internal/conf/apply/random_test.go
+++ b/internal/conf/apply/random_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	atOnce   = 3  // operators
-	variants = 11 // texts, so that some come back after their chunks went
+	maxConcurrent = 3  // operators at a time
+	variants      = 11 // texts; few enough that some are applied again after their chunks were deleted
 )
 
 type (
-	// operator is one apply that is played call by call.
+	// operator is one apply, run one store call at a time.
 	operator struct {
 		apply   Apply
 		runner  runner
@@ -28,10 +28,10 @@
 		nonce   string
 		last    Message
 		effects []Effect
-		end     *Finish
+		result  *Finish
 	}
 
-	// history is what a reader of the head saw, one version after the other.
+	// history holds the versions that a reader of the head saw.
 	history struct {
 		service keyval.Store
 		head    head.Head
@@ -39,10 +39,10 @@
 	}
 )
 
-// Operators race one another call by call, while each call at the store may
-// fail, or lose its write or its acknowledgement. Whatever the order, versions
-// follow one another, each holds all its chunks, and everyone is told what is
-// true of his own text.
+// Several operators apply at the same time, interleaved at single store calls, while each call
+// may fail or lose its write or its acknowledgement. In every order, versions must follow one
+// another without gaps, each must have all its chunks, and each operator must get the true
+// outcome of its own text.
 func TestInterleaved(t *testing.T) {
 	var texts []Prepared
 	for i := range variants {
@@ -58,23 +58,23 @@
 		for i := range rapid.IntRange(10, 60).Draw(r, "operators") {
 			running = append(running, h.operator(r, t, i, texts))
 			all = append(all, running[len(running)-1])
-			for len(running) >= atOnce {
+			for len(running) >= maxConcurrent {
 				o := rapid.SampledFrom(running).Draw(r, "next")
 				o.view.Set(keyval.Fault(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(r, "fault")))
 				o.step(t)
-				h.look(r, t)
-				running = slices.DeleteFunc(running, func(o *operator) bool { return o.end != nil })
+				h.checkHead(r, t)
+				running = slices.DeleteFunc(running, func(o *operator) bool { return o.result != nil })
 			}
 		}
 		for _, o := range running {
 			o.view.Set(keyval.None)
-			for o.end == nil {
+			for o.result == nil {
 				o.step(t)
-				h.look(r, t)
+				h.checkHead(r, t)
 			}
 		}
 		for _, o := range all {
-			h.judge(r, o)
+			h.checkOutcome(r, o)
 		}
 	})
 }
@@ -97,7 +97,7 @@
 	o.effects = o.effects[1:]
 	switch e := e.(type) {
 	case Finish:
-		o.end = &e
+		o.result = &e
 	case Sleep:
 		o.last = Wake{}
 	default:
@@ -105,41 +105,41 @@
 	}
 }
 
-// look reads the head and checks that it follows the one before.
-func (h *history) look(r *rapid.T, t *testing.T) {
+// checkHead reads the head and checks that its version follows the one seen before.
+func (h *history) checkHead(r *rapid.T, t *testing.T) {
 	entry, err := h.service.Get(t.Context(), head.Key)
 	if errors.Is(err, store.ErrNotFound) {
 		return
 	}
-	now, err := head.Decode(entry.Data)
+	current, err := head.Decode(entry.Data)
 	if err != nil {
 		r.Fatal(err)
 	}
-	for _, d := range now.Chunks {
+	for _, d := range current.Chunks {
 		if _, err := h.service.Get(t.Context(), head.ChunkPrefix+d); err != nil {
-			r.Fatalf("version %d: chunk %s: %v", now.Version, d, err)
+			r.Fatalf("version %d: chunk %s: %v", current.Version, d, err)
 		}
 	}
-	if now.Version == h.head.Version && now.Nonce == h.head.Nonce {
+	if current.Version == h.head.Version && current.Nonce == h.head.Nonce {
 		return
 	}
-	if now.Version != h.head.Version+1 || slices.Contains(h.nonces, now.Nonce) {
-		r.Fatalf("version %d of %s after %d; so far %v", now.Version, now.Nonce, h.head.Version, h.nonces)
+	if current.Version != h.head.Version+1 || slices.Contains(h.nonces, current.Nonce) {
+		r.Fatalf("version %d with nonce %s follows version %d; nonces so far: %v", current.Version, current.Nonce, h.head.Version, h.nonces)
 	}
-	h.head, h.nonces = now, append(h.nonces, now.Nonce)
+	h.head, h.nonces = current, append(h.nonces, current.Nonce)
 }
 
-// judge compares what an operator was told with what happened.
-func (h *history) judge(r *rapid.T, o *operator) {
-	inForce := slices.Contains(h.nonces, o.nonce)
+// checkOutcome compares the outcome reported to an operator with the versions that were active.
+func (h *history) checkOutcome(r *rapid.T, o *operator) {
+	wasActive := slices.Contains(h.nonces, o.nonce)
 	switch {
-	case o.end.Err == nil && !o.end.Unchanged && !inForce:
-		r.Fatalf("%s was told that his text is in force, and it never was", o.nonce)
-	case o.end.Err == nil && o.end.Unchanged && inForce:
-		r.Fatalf("%s was told that nothing changed, and he made a version", o.nonce)
-	case errors.As(o.end.Err, new(*ConflictError)) && inForce:
-		r.Fatalf("%s was told of a conflict, and his text was in force", o.nonce)
-	case o.end.Err != nil && !errors.As(o.end.Err, new(*ConflictError)) && !errors.As(o.end.Err, new(*UnknownError)):
-		r.Fatalf("%s: %v", o.nonce, o.end.Err)
+	case o.result.Err == nil && !o.result.Unchanged && !wasActive:
+		r.Fatalf("%s: reported as applied, but the text was never active", o.nonce)
+	case o.result.Err == nil && o.result.Unchanged && wasActive:
+		r.Fatalf("%s: reported as unchanged, but a version was created", o.nonce)
+	case errors.As(o.result.Err, new(*ConflictError)) && wasActive:
+		r.Fatalf("%s: reported as a conflict, but the text was active", o.nonce)
+	case o.result.Err != nil && !errors.As(o.result.Err, new(*ConflictError)) && !errors.As(o.result.Err, new(*UnknownError)):
+		r.Fatalf("%s: %v", o.nonce, o.result.Err)
 	}
 }
--- a/internal/conf/apply/step.go
+++ b/internal/conf/apply/step.go
@@ -8,12 +8,12 @@
 	"github.com/slaterock/slaterock/internal/conf/head"
 )
 
-// Step reacts to one message. Each message that answers an effect belongs to
-// the last one that was asked for. The effects are to be carried out in order.
+// Step handles one message. A message that answers an effect answers the last one requested.
+// The effects must be carried out in order.
 func (a *Apply) Step(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
 	case Start:
-		a.start, a.wait = m, firstWait
+		a.start, a.backoff = m, minBackoff
 		return a.read()
 	case HeadRead:
 		return a.headRead(now, m)
@@ -26,14 +26,14 @@
 	case Conflict:
 		return a.conflict(m)
 	case Failed:
-		return a.pause()
-	case Unsure:
-		a.unknown = a.unknown || a.state == swapping
-		return a.pause()
+		return a.backOff()
+	case OutcomeUnknown:
+		a.outcomeUnknown = a.outcomeUnknown || a.state == swapping
+		return a.backOff()
 	case Wake:
-		return a.again()
+		return a.retry()
 	case Stop:
-		return a.finish(Finish{Err: a.stopped()})
+		return a.finish(Finish{Err: a.stopError()})
 	}
 	return nil
 }
@@ -47,11 +47,11 @@
 	if a.state == resolving {
 		return a.resolve(now, m)
 	}
-	a.base, a.rev = m.Head, m.Rev
-	if m.Head.Version > 0 && m.Head.Digest == a.start.Digest && !a.behind() {
+	a.base, a.baseRev = m.Head, m.Rev
+	if m.Head.Version > 0 && m.Head.Digest == a.start.Digest && !a.storeBehind() {
 		return a.finish(Finish{Head: m.Head, Unchanged: true})
 	}
-	if err := a.admit(); err != nil {
+	if err := a.checkBase(); err != nil {
 		return a.finish(Finish{Err: err})
 	}
 	a.next = head.Head{
@@ -69,14 +69,14 @@
 	return []Effect{ListChunks{}}
 }
 
-// behind reports whether the store knows less than a daemon runs, because it
-// was restored from an older copy. Versions that repeated those that daemons
-// have seen would be accepted and come in force nowhere.
-func (a *Apply) behind() bool { return a.base.Version < a.start.Floor }
+// storeBehind reports whether the store's version is lower than the one that the applying
+// daemon runs, because the store was restored from an older copy or a replica lags. A restored
+// store would accept version numbers that were used before, and the daemons would ignore them.
+func (a *Apply) storeBehind() bool { return a.base.Version < a.start.Floor }
 
-// admit reports why the text can't follow the version in force.
-func (a *Apply) admit() error {
-	fits := a.start.Base == a.base.Version || a.behind() && a.start.Base == a.start.Floor
+// checkBase returns an error if the text can't follow the active version.
+func (a *Apply) checkBase() error {
+	fits := a.start.Base == a.base.Version || a.storeBehind() && a.start.Base == a.start.Floor
 	if a.start.Base != Newest && !fits {
 		return conflict(a.start.Base, a.base)
 	}
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// missing returns the chunks to store. Those that the base refers to stay: no
-// collector deletes them without swapping the head first, and then this
-// applier's own swap fails.
+// missing returns the chunks to store. Chunks that the base refers to are not written again:
+// another apply deletes such a chunk only after it has replaced the head, and then this apply's
+// write of the head fails.
 func (a *Apply) missing() (queue []chunk.Chunk) {
 	for _, c := range a.start.Chunks {
 		known := slices.ContainsFunc(queue, func(q chunk.Chunk) bool { return q.Digest == c.Digest })
-		if !known && !a.base.Refers(c.Digest) {
+		if !known && !a.base.RefersTo(c.Digest) {
 			queue = append(queue, c)
 		}
 	}
@@ -101,27 +101,28 @@
 
 func (a *Apply) listed(m Listed) []Effect {
 	for _, d := range m.Digests {
-		if !a.next.Refers(d) && len(a.inspect) < maxCollect {
-			a.inspect = append(a.inspect, d)
+		if !a.next.RefersTo(d) && len(a.candidates) < maxGarbage {
+			a.candidates = append(a.candidates, d)
 		}
 	}
 	return a.inspectNext()
 }
 
-// inspectNext asks for the revisions of garbage before the head is swapped.
-// Somebody else who means to use such a chunk writes it again, which changes
-// its revision, so that the deletion after the swap misses it. If he did so
-// before the revision was read here, he read an older head, and his swap fails.
+// inspectNext reads the revisions of garbage before the head is written, so that Delete removes
+// only chunks that were not written again since. An apply that reuses such a chunk always
+// writes it again. If it does so after this read, the revision differs and the chunk is kept.
+// If it did so before, it started from the head that this apply replaces, and its own write of
+// the head fails.
 func (a *Apply) inspectNext() []Effect {
-	if len(a.inspect) == 0 {
+	if len(a.candidates) == 0 {
 		return a.storeNext()
 	}
 	a.state = inspecting
-	return []Effect{Inspect{Digest: a.inspect[0]}}
+	return []Effect{Inspect{Digest: a.candidates[0]}}
 }
 
 func (a *Apply) inspected(m Inspected) []Effect {
-	a.inspect = a.inspect[1:]
+	a.candidates = a.candidates[1:]
 	if m.Garbage.Rev > 0 {
 		a.garbage = append(a.garbage, m.Garbage)
 	}
@@ -138,11 +139,11 @@
 
 func (a *Apply) swap() []Effect {
 	a.state = swapping
-	return []Effect{PutHead{Head: a.next, Rev: a.rev}}
+	return []Effect{PutHead{Head: a.next, Rev: a.baseRev}}
 }
 
 func (a *Apply) stored() []Effect {
-	a.wait = firstWait
+	a.backoff = minBackoff
 	if a.state == swapping {
 		return a.accepted(a.next)
 	}
@@ -150,9 +151,9 @@
 	return a.storeNext()
 }
 
-// conflict reacts to a refused write. A chunk that exists is written again
-// from its revision; see inspectNext. A head that moved may have been moved by
-// this applier's own write, whose acknowledgement was lost.
+// conflict handles a refused write. An existing chunk is written again from its current
+// revision; see inspectNext. The head may have been changed by this applier's own write if the
+// acknowledgement was lost, so it is read back.
 func (a *Apply) conflict(m Conflict) []Effect {
 	if a.state == storing {
 		a.chunk = m.Rev
@@ -167,32 +168,32 @@
 }
 
 func (a *Apply) resolve(now time.Time, m HeadRead) []Effect {
-	if m.Rev == a.rev {
-		return a.swap() // not taken so far; the same write again can't be taken twice
+	if m.Rev == a.baseRev {
+		return a.swap() // not written so far; repeating the same write can't apply it twice
 	}
-	took, known := m.Head.Took(a.next.Version, a.next.Nonce)
+	written, known := m.Head.HasWrite(a.next.Version, a.next.Nonce)
 	switch {
-	case took:
+	case written:
 		return a.accepted(m.Head)
-	case known || !a.unknown:
+	case known || !a.outcomeUnknown:
 		return a.restart(now, m)
 	}
 	return a.finish(Finish{Err: &UnknownError{Version: a.next.Version, Nonce: a.next.Nonce}})
 }
 
-// restart begins again from the head that was found in place of this applier's
-// own. It ends at once in a conflict, unless the operator takes any version, or
-// the first read was of a replica that lagged.
+// restart starts over from the head that was found in place of this applier's own. It ends at
+// once in a conflict unless the operator accepts any version or the first read came from a
+// lagging replica.
 func (a *Apply) restart(now time.Time, m HeadRead) []Effect {
 	start := a.start
-	*a = Apply{start: start, state: reading, wait: firstWait}
+	*a = Apply{start: start, state: reading, backoff: minBackoff}
 	return a.headRead(now, m)
 }
 
-// accepted ends with the head as it is now, which is a later one if others
-// applied theirs on top.
-func (a *Apply) accepted(now head.Head) []Effect {
-	done := a.finish(Finish{Head: now})
+// accepted finishes with the current head, which is a later version if others have applied
+// since.
+func (a *Apply) accepted(current head.Head) []Effect {
+	done := a.finish(Finish{Head: current})
 	if len(a.garbage) == 0 {
 		return done
 	}
@@ -204,16 +205,16 @@
 	return []Effect{f}
 }
 
-// pause waits before the store is asked again, longer each time.
-func (a *Apply) pause() []Effect {
-	d := a.wait
-	a.wait = min(2*a.wait, maxWait)
+// backOff waits before the next call to the store, twice as long each time.
+func (a *Apply) backOff() []Effect {
+	d := a.backoff
+	a.backoff = min(2*a.backoff, maxBackoff)
 	return []Effect{Sleep{For: d}}
 }
 
-// again repeats what failed. A write of the head whose outcome is unknown is
-// followed by a look at the head.
-func (a *Apply) again() []Effect {
+// retry repeats the step that failed. After a write of the head with an unknown outcome the
+// head is read back.
+func (a *Apply) retry() []Effect {
 	switch a.state {
 	case reading:
 		return a.read()
@@ -224,7 +225,7 @@
 	case storing:
 		return a.storeNext()
 	case swapping, resolving:
-		if a.unknown {
+		if a.outcomeUnknown {
 			return a.readBack()
 		}
 		return a.swapOrRead()
@@ -239,8 +240,8 @@
 	return a.swap()
 }
 
-func (a *Apply) stopped() error {
-	if a.unknown {
+func (a *Apply) stopError() error {
+	if a.outcomeUnknown {
 		return &UnknownError{Version: a.next.Version, Nonce: a.next.Nonce}
 	}
 	return &NotAppliedError{Base: a.start.Base}
--- a/internal/conf/check/scan.go
+++ b/internal/conf/check/scan.go
@@ -11,48 +11,48 @@
 const (
 	byteOrderMark = "\xef\xbb\xbf"
 	maxLine       = 64 << 10 // bytes
-	maxBatch      = 256      // sections read at a time
+	maxBatch      = 256      // sections passed to the INI library at a time
 )
 
 type (
-	// pair is a key, its line and its value.
+	// pair is a key with its line number and value.
 	pair struct {
 		key, value string
 		line       int
 	}
 
-	// scanner finds the lines of sections and keys. It reads no values. What
-	// the INI library would read in some other way than an operator expects
-	// (a duplicate, a quoted block over several lines) is reported here and
-	// left out of the text that the library gets. That happens some sections
-	// at a time: the library needs many times the memory of what it reads.
+	// scanner finds the lines of sections and keys; it does not parse values. What the INI
+	// library would read differently from what an operator expects (a duplicate, a quoted block
+	// over several lines) is reported here and left out of the text passed to the library. The
+	// text is passed in batches of sections, because the library needs many times the memory of
+	// its input.
 	scanner struct {
 		text    *Text
 		clean   bytes.Buffer
-		batch   []*Section // whose lines are in clean
-		keys    map[string]string
+		batch   []*Section        // sections whose lines are in clean
+		keys    map[string]string // interned key names
 		section *Section
-		skip    bool // within a section that was refused
+		skip    bool // inside a section whose header was rejected
 		line    int
 	}
 )
 
 var (
-	sectionName = regexp.MustCompile(`^[a-z][a-z0-9_]*(\.[A-Za-z0-9][A-Za-z0-9._-]{0,127})?$`)
-	word        = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
-	keyName     = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+	sectionPattern = regexp.MustCompile(`^[a-z][a-z0-9_]*(\.[A-Za-z0-9][A-Za-z0-9._-]{0,127})?$`)
+	wordPattern    = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
+	keyPattern     = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
 )
 
 func (s *scanner) scan(text []byte) {
 	text = bytes.TrimPrefix(text, []byte(byteOrderMark))
 	for raw := range bytes.Lines(text) {
 		s.line++
-		s.one(bytes.TrimSpace(raw))
+		s.scanLine(bytes.TrimSpace(raw))
 	}
 	s.flush()
 }
 
-func (s *scanner) one(line []byte) {
+func (s *scanner) scanLine(line []byte) {
 	switch {
 	case len(line) == 0, line[0] == '#', line[0] == ';':
 	case len(line) > maxLine:
@@ -74,19 +74,19 @@
 		s.fail("", "the section's header is not complete; want [section] or [section.name]")
 		return
 	}
-	if !sectionName.Match(name) {
+	if !sectionPattern.Match(name) {
 		s.fail("", "%q is not a section's name; want lower case, then a dot and a name of letters, digits, '.', '_' and '-'", name)
 		return
 	}
 	if first, ok := s.text.byName[string(name)]; ok {
-		s.text.add(s.line, string(name), "", "the section stands twice, first on line %d; want it once", first.Line)
+		s.text.addError(s.line, string(name), "", "the section stands twice, first on line %d; want it once", first.Line)
 		return
 	}
 	if len(s.batch) == maxBatch {
 		s.flush()
 	}
 	s.skip = false
-	s.section = s.text.open(string(name), s.line)
+	s.section = s.text.addSection(string(name), s.line)
 	s.batch = append(s.batch, s.section)
 	s.clean.WriteString("[" + string(name) + "]\n")
 }
@@ -101,7 +101,7 @@
 	}
 	key, value, ok := bytes.Cut(line, []byte("="))
 	key, value = bytes.TrimSpace(key), bytes.TrimSpace(value)
-	if !ok || !keyName.Match(key) {
+	if !ok || !keyPattern.Match(key) {
 		s.fail("", "%q is not a setting; want key = value with a key in lower case", line)
 		return
 	}
@@ -118,17 +118,17 @@
 	s.clean.WriteByte('\n')
 }
 
-// flush reads the values of the sections scanned since the last time.
+// flush parses the values of the sections scanned since the last flush.
 func (s *scanner) flush() {
 	values, err := ini.LoadSources(ini.LoadOptions{
-		IgnoreContinuation:       true, // a path may end in a backslash
-		SpaceBeforeInlineComment: true, // an address or a hash may hold # and ;
+		IgnoreContinuation:       true, // a path may end with a backslash
+		SpaceBeforeInlineComment: true, // an address or a hash may contain # and ;
 		KeyValueDelimiters:       "=",
-		ChildSectionDelimiter:    "\x00", // a section inherits nothing from another
+		ChildSectionDelimiter:    "\x00", // sections inherit no keys from each other
 	}, s.clean.Bytes())
 	for _, sec := range s.batch {
 		if err != nil {
-			sec.Refuse("the section can't be read: %v", err)
+			sec.Reject("the section can't be read: %v", err)
 			continue
 		}
 		for i := range sec.pairs {
@@ -139,10 +139,10 @@
 	s.clean.Reset()
 }
 
-// intern returns the key as a string that all sections share.
+// intern returns the key as a string shared by all sections, to save memory.
 func (s *scanner) intern(key []byte) string {
-	if known, ok := s.keys[string(key)]; ok {
-		return known
+	if interned, ok := s.keys[string(key)]; ok {
+		return interned
 	}
 	if s.keys == nil {
 		s.keys = map[string]string{}
@@ -156,7 +156,7 @@
 	if s.section != nil {
 		name = s.section.Name
 	}
-	s.text.add(s.line, name, key, format, args...)
+	s.text.addError(s.line, name, key, format, args...)
 }
 
 func printable(line []byte) bool {
--- a/internal/conf/file/bench_test.go
+++ b/internal/conf/file/bench_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-const accounts = 35_000 // at the size that is wanted
+const accounts = 35_000 // target size
 
-// large is a configuration with many accounts.
+// large returns a configuration with many accounts.
 func large(t testing.TB) []byte {
 	var b strings.Builder
 	b.Write(read(t, "testdata", "whole.ini"))
@@ -35,11 +35,11 @@
 		}
 	}
 	b.ReportMetric(float64(len(text))/1e6, "MB_text")
-	b.ReportMetric(kept(f), "MB_kept")
+	b.ReportMetric(retainedMB(f), "MB_kept")
 }
 
-// kept is the memory that holds a File, in megabytes.
-func kept(f File) float64 {
+// retainedMB returns the heap memory that a File retains, in megabytes.
+func retainedMB(f File) float64 {
 	var with, without runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&with)
@@ -67,8 +67,8 @@
 	}
 }
 
-// BenchmarkPeak is the memory in use while a large text is read, as it is with
-// a collector that runs all the time; the text itself is not counted.
+// BenchmarkPeak measures the peak heap while a large text is parsed, with the garbage collector
+// running almost all the time. The text itself is not counted.
 func BenchmarkPeak(b *testing.B) {
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
 	text := large(b)
--- a/internal/conf/file/parse.go
+++ b/internal/conf/file/parse.go
@@ -25,22 +25,22 @@
 )
 
 type (
-	// Error is one fault of a configuration's text.
+	// Error is one fault of a configuration text.
 	Error = check.Error
 
-	// Errors is all faults of a configuration's text.
+	// Errors holds all faults of a configuration text.
 	Errors = check.Errors
 
-	// parser fills a File from a Text.
+	// parser builds a File from a Text.
 	parser struct {
 		text *check.Text
 		file File
 	}
 )
 
-// Parse reads and checks a configuration; name is its file's, for messages.
-// The error is an Errors with all faults, and the File is empty then. What is
-// optional and not given has its default in the File.
+// Parse parses and checks a configuration; name is the file name used in messages. The error is
+// an Errors with all faults; the File is then empty. Optional keys that are not given have
+// their defaults in the File.
 func Parse(name string, text []byte) (File, error) {
 	p := parser{text: check.Read(name, text), file: File{
 		Accounts:  map[string]Account{},
@@ -55,7 +55,7 @@
 	for _, s := range p.text.Sections() {
 		p.section(s)
 	}
-	p.references()
+	p.checkReferences()
 	if err := p.text.Err(); err != nil {
 		return File{}, err
 	}
@@ -66,11 +66,11 @@
 	single := s.Kind == kindSystem || s.Kind == kindLimits
 	switch {
 	case single && s.Label != "":
-		s.Refuse("the section takes no name; want [%s]", s.Kind)
+		s.Reject("the section takes no name; want [%s]", s.Kind)
 	case single:
 		p.single(s)
 	case s.Label == "":
-		p.unnamed(s)
+		p.rejectUnnamed(s)
 	default:
 		p.named(s)
 	}
@@ -84,12 +84,12 @@
 	p.file.Limits = limits(s)
 }
 
-func (p *parser) unnamed(s *check.Section) {
+func (p *parser) rejectUnnamed(s *check.Section) {
 	switch s.Kind {
 	case kindAccount, kindAgent, kindModel, kindService, kindGroup, kindUpstream:
-		s.Refuse("the section has no name; want [%s.NAME]", s.Kind)
+		s.Reject("the section has no name; want [%s.NAME]", s.Kind)
 	default:
-		unknown(s)
+		rejectUnknown(s)
 	}
 }
 
@@ -108,12 +108,12 @@
 	case kindUpstream:
 		p.file.Upstreams[s.Label] = upstream(s)
 	default:
-		unknown(s)
+		rejectUnknown(s)
 	}
 }
 
-func unknown(s *check.Section) {
-	s.Refuse("the section is unknown; want system, limits, account.NAME, agent.NAME, model.NAME, service.NAME, group.NAME or upstream.NAME")
+func rejectUnknown(s *check.Section) {
+	s.Reject("the section is unknown; want system, limits, account.NAME, agent.NAME, model.NAME, service.NAME, group.NAME or upstream.NAME")
 }
 
 func system(s *check.Section) System {
@@ -128,8 +128,8 @@
 	}
 }
 
-// withDefaults gives each bound that is zero its default: a zero would mean
-// that nothing is let through, or that nothing is bounded.
+// withDefaults returns the limits with each zero replaced by its default. Parsed values don't
+// pass through it: an explicit zero is kept.
 func (l Limits) withDefaults() Limits {
 	return Limits{
 		MaxBody:         check.Or(l.MaxBody, 4<<20),
@@ -170,7 +170,7 @@
 	}
 	hash := s.String("key_hash", "")
 	if s.Has("key_hash") && !validHash(hash) {
-		// The value is not repeated: it may be the key itself, and messages end up in logs.
+		// The value is not quoted: it may be the key itself, and messages end up in logs.
 		s.Fail("key_hash", "this is not a key's hash; want a salt of 4 to 64 letters and digits, ':' and 64 hexadecimal digits in lower case")
 	}
 	return Account{
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -14,35 +14,35 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// inBubble hides from rapid that it runs in a test with a deadline of the real
-// clock, which has no meaning here.
-type inBubble struct{ *testing.T }
+// noDeadline wraps a T, because rapid uses the deadline of a plain *testing.T, which is in real
+// time and meaningless with synctest's fake clock.
+type noDeadline struct{ *testing.T }
 
-// Several operators apply at once, through daemons and straight to the store,
-// while the store fails in every way it can and daemons are cut off and
-// restarted. Whatever happens, no daemon goes back, and once all is well again
-// every daemon runs the newest version, which is one that an operator applied.
+// Several operators apply concurrently, through daemons and directly to the store, while the
+// store fails in various ways and daemons are isolated and restarted. No daemon's version may
+// ever decrease, and once all faults end every daemon must run the newest version, which is at
+// least the newest reported as accepted.
 func TestRandom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(inBubble{t}, func(r *rapid.T) {
+		rapid.Check(noDeadline{t}, func(r *rapid.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			play(ctx, t, r)
+			runSteps(ctx, t, r)
 			cancel()
 			synctest.Wait()
 		})
 	})
 }
 
-func play(ctx context.Context, t *testing.T, r *rapid.T) {
-	f := start(ctx, 5)
+func runSteps(ctx context.Context, t *testing.T, r *rapid.T) {
+	c := start(ctx, 5)
 	names := []string{"d0", "d1", "d2", "d3", "d4"}
 	accepted := uint64(0)
 	for i := range rapid.IntRange(5, 25).Draw(r, "steps") {
 		name := rapid.SampledFrom(names).Draw(r, "daemon")
-		d := f.daemons[name]
+		d := c.daemons[name]
 		switch rapid.IntRange(0, 6).Draw(r, "step") {
 		case 0, 1:
-			v := f.try(ctx, t, r, name, fmt.Sprint("n", i))
+			v := c.tryApply(ctx, t, r, name, fmt.Sprint("n", i))
 			accepted = max(accepted, v)
 		case 2:
 			d.view.Set(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Silent)).Draw(r, "fault")))
@@ -50,48 +50,48 @@
 			n := rapid.IntRange(1, 6).Draw(r, "call")
 			d.view.Script(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Down, n + 3: keyval.LoseWrite})
 		case 4:
-			f.locked(func() { d.cut = !d.cut })
+			c.withLock(func() { d.isolated = !d.isolated })
 		case 5:
 			d.stop()
-			f.add(ctx, name)
+			c.add(ctx, name)
 		case 6:
-			pass(time.Duration(rapid.IntRange(0, 40).Draw(r, "wait")) * time.Second)
+			sleep(time.Duration(rapid.IntRange(0, 40).Draw(r, "wait")) * time.Second)
 		}
-		if err := f.risen(); err != nil {
+		if err := c.checkRising(); err != nil {
 			r.Fatal(err)
 		}
 	}
-	f.set(keyval.None)
-	f.locked(func() {
-		for _, d := range f.daemons {
+	c.set(keyval.None)
+	c.withLock(func() {
+		for _, d := range c.daemons {
 			d.view.Script(keyval.Any, nil)
-			d.cut = false
+			d.isolated = false
 		}
 	})
-	pass(maxRetry + 2*bound)
-	newest := f.daemons["d0"].Current().Version
-	if err := f.agree(newest); err != nil {
+	sleep(maxRetry + 2*maxDelay)
+	newest := c.daemons["d0"].Current().Version
+	if err := c.checkVersions(newest); err != nil {
 		r.Fatal(err)
 	}
 	if newest < accepted {
-		r.Fatalf("version %d was accepted, %d is in force", accepted, newest)
+		r.Fatalf("version %d was accepted, but %d is active", accepted, newest)
 	}
 }
 
-// try applies from the version that the operator sees at a daemon. It returns
-// the version that he was told is accepted, 0 if he was told otherwise.
-func (f *fleet) try(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
-	patience, cancel := context.WithTimeout(ctx, 5*time.Second)
+// tryApply applies a text from the version active at a daemon. It returns the version reported
+// as accepted, 0 if there was an error.
+func (c *cluster) tryApply(ctx context.Context, t *testing.T, r *rapid.T, through, name string) uint64 {
+	applyCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	d := f.daemons[through]
+	d := c.daemons[through]
 	req := request(t, name)
 	req.Base = d.Head().Version
 	var out apply.Outcome
 	var err error
 	if rapid.Bool().Draw(r, "through a daemon") {
-		out, err = d.Apply(patience, req)
+		out, err = d.Apply(applyCtx, req)
 	} else {
-		out, err = apply.Run(patience, d.view, req)
+		out, err = apply.Run(applyCtx, d.view, req)
 	}
 	if err != nil {
 		return 0
@@ -99,52 +99,52 @@
 	return out.Head.Version
 }
 
-// Messages come in any order, late, twice, and from peers that tell of what
-// they don't have. The version in force only rises, one call to the store and
-// one load are under way at a time, and few peers are asked at once.
+// Messages arrive in any order, late, duplicated, and from peers that announce versions they
+// don't have. The active version must only increase, at most one store call and one load may be
+// pending, and at most maxPeerQueries queries.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var w Watch
 		now := epoch
-		calls, loads, asks := 0, 0, map[string]int{}
+		calls, loads, queries := 0, 0, map[string]int{}
 		messages := []Message{Start{Self: Member{Name: "d3", Peer: "p3"}, Seeds: []string{"p0", "p1", "p2", "p3"}}}
 		for range rapid.IntRange(10, 200).Draw(r, "steps") {
 			m := messages[0]
 			messages = messages[1:]
 			before := w.Version()
 			switch m := m.(type) {
-			case StoreHead, StoreQuiet, StoreFailed:
+			case StoreHead, NoChange, StoreFailed:
 				calls--
 			case Loaded, LoadFailed:
 				loads--
-			case Answered:
-				asks[m.Peer]--
-			case AskFailed:
-				asks[m.Peer]--
+			case PeerHead:
+				queries[m.Peer]--
+			case PeerFailed:
+				queries[m.Peer]--
 			}
 			for _, e := range w.Step(now, m) {
 				switch e := e.(type) {
-				case Read, Wait:
+				case ReadHead, AwaitHead:
 					calls++
-					messages = append(messages, rapid.SampledFrom([]Message{StoreFailed{}, StoreQuiet{}, StoreHead{}, anyHead(r)}).Draw(r, "store"))
+					messages = append(messages, rapid.SampledFrom([]Message{StoreFailed{}, NoChange{}, StoreHead{}, anyHead(r)}).Draw(r, "store"))
 				case Load:
 					loads++
-					messages = append(messages, rapid.SampledFrom([]Message{Loaded{e.Head}, LoadFailed{Head: e.Head}, LoadFailed{Head: e.Head, Unfit: true}}).Draw(r, "load"))
-				case Ask:
-					asks[e.Peer]++
-					messages = append(messages, rapid.SampledFrom([]Message{AskFailed(e), Answered{e.Peer, anyHead(r).Head}}).Draw(r, "peer"))
-				case Force:
+					messages = append(messages, rapid.SampledFrom([]Message{Loaded{e.Head}, LoadFailed{Head: e.Head}, LoadFailed{Head: e.Head, Unreadable: true}}).Draw(r, "load"))
+				case QueryPeer:
+					queries[e.Peer]++
+					messages = append(messages, rapid.SampledFrom([]Message{PeerFailed(e), PeerHead{e.Peer, anyHead(r).Head}}).Draw(r, "peer"))
+				case Activate:
 					if e.Head.Version <= before || e.Head.Version != w.Version() {
-						r.Fatalf("version %d was put in force after %d", e.Head.Version, before)
+						r.Fatalf("version %d was activated after %d", e.Head.Version, before)
 					}
 				}
 			}
-			under := 0
-			for _, n := range asks {
-				under += n
+			pending := 0
+			for _, n := range queries {
+				pending += n
 			}
-			if w.Version() < before || calls > 1 || loads > 1 || under > maxAsk || asks["p3"] > 0 {
-				r.Fatalf("version %d after %d, %d calls, %d loads, asks %v", w.Version(), before, calls, loads, asks)
+			if w.Version() < before || calls > 1 || loads > 1 || pending > maxPeerQueries || queries["p3"] > 0 {
+				r.Fatalf("version %d after %d; pending: %d calls, %d loads, queries %v", w.Version(), before, calls, loads, queries)
 			}
 			messages = append(messages, rapid.SampledFrom([]Message{Tick{}, Tick{}, Members{members(6)}, Newer{uint64(rapid.IntRange(0, 9).Draw(r, "told")), "p1"}, Adopt{anyHead(r).Head}}).Draw(r, "other"))
 			i := rapid.IntRange(0, len(messages)-1).Draw(r, "order")
--- a/internal/edge/server/apply.go
+++ b/internal/edge/server/apply.go
@@ -69,12 +69,12 @@
 // watch.Keeper's Answer, which returns only some of the requested chunks at a
 // time. Before a configuration is in force, and if a chunk is not available, the
 // text is nil.
-func AssembleText(answer func(watch.Question) watch.Answer) (text []byte, version uint64) {
-	h := answer(watch.Question{}).Head
+func AssembleText(answer func(watch.Query) watch.Answer) (text []byte, version uint64) {
+	h := answer(watch.Query{}).Head
 	chunks := map[string][]byte{}
 	for missing := h.Chunks; len(missing) > 0; missing = without(missing, chunks) {
 		before := len(chunks)
-		for _, c := range answer(watch.Question{Chunks: missing}).Chunks {
+		for _, c := range answer(watch.Query{Chunks: missing}).Chunks {
 			if data, err := c.Unpack(); err == nil {
 				chunks[c.Digest] = data
 			}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -72,7 +72,7 @@
 		scope     tally.Scope
 		pool      *ants.Pool
 		meter     meter.Meter
-		config    watch.Keeper
+		config    watch.Syncer
 		gossip    gossip.Gossip
 		link      link.Link
 		shards    shards.Shards
@@ -246,7 +246,7 @@
 	d.config.Self = watch.Member{Name: d.self.Name, Peer: d.self.Peer}
 	d.config.Seeds = d.Settings.Peers.Seeds
 	d.config.Store = &d.meter
-	d.config.Fetch = func(ctx context.Context, peer string, q watch.Question) (a watch.Answer, err error) {
+	d.config.Fetch = func(ctx context.Context, peer string, q watch.Query) (a watch.Answer, err error) {
 		err = d.link.Peer(peer).Invoke(ctx, methodConfig, q, &a)
 		return a, err
 	}
