--- a/internal/edge/locate/locate.go
+++ b/internal/edge/locate/locate.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/slaterock/slaterock/internal/edge/reqid"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
@@ -42,7 +42,7 @@
 
 	// candidate is a daemon that may be chosen.
 	candidate struct {
-		beat.Member
+		swim.Member
 
 		hash  uint64 // of its name
 		taken int    // shards dealt to it
@@ -68,7 +68,7 @@
 // Owner returns the daemon that owns the shard as far as is known here: of all
 // claims the one with the highest epoch. A daemon that is down is no owner even
 // if nobody claimed its shard since, because nothing reaches it.
-func Owner(members []beat.Member, shard int) (owner beat.Member, found bool) {
+func Owner(members []swim.Member, shard int) (owner swim.Member, found bool) {
 	epoch := uint64(0)
 	for _, m := range members {
 		e, claims := claim(m, shard)
@@ -76,8 +76,8 @@
 			owner, epoch, found = m, e, true
 		}
 	}
-	if owner.State == beat.Down {
-		return beat.Member{}, false
+	if owner.State == swim.Down {
+		return swim.Member{}, false
 	}
 	return owner, found
 }
@@ -86,23 +86,23 @@
 // hashing over those that are alive and not draining. It deals the shards out
 // in order, each to its best daemon with room, so that no daemon of n gets
 // more than ceil(shards/n)+1.
-func Preferred(members []beat.Member, shard, shards int) (beat.Member, bool) {
+func Preferred(members []swim.Member, shard, shards int) (swim.Member, bool) {
 	plan := Plan(members, shard+1, shards)
 	if len(plan) == 0 {
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	return plan[shard], true
 }
 
 // Plan returns the daemons that should own the first n of the shards, or none
 // if no daemon is alive.
-func Plan(members []beat.Member, n, shards int) []beat.Member {
+func Plan(members []swim.Member, n, shards int) []swim.Member {
 	live := alive(members)
 	if len(live) == 0 {
 		return nil
 	}
 	room := (shards+len(live)-1)/len(live) + 1
-	plan := make([]beat.Member, n)
+	plan := make([]swim.Member, n)
 	for shard := range plan {
 		best := heaviest(live, mix(uint64(shard)), room)
 		live[best].taken++
@@ -116,13 +116,13 @@
 // beginning with those that the owner is not in. Without a program it spreads
 // callers over all. Daemons that drain, do not answer or are down are never
 // named.
-func Entries(members []beat.Member, program string, shards int) Answer {
+func Entries(members []swim.Member, program string, shards int) Answer {
 	live := alive(members)
 	seed := mix(xxhash.Sum64String(program))
 	used := map[string]int{}
 	answer := Answer{Entries: []Entry{}, TTLSeconds: TTLSeconds}
 	owner, owned := Owner(members, Shard(program, shards))
-	if owned && program != "" && owner.State == beat.Alive {
+	if owned && program != "" && owner.State == swim.Alive {
 		answer.Entries = append(answer.Entries, entry(owner, true))
 		used[owner.FailureDomain]++
 		live = slices.DeleteFunc(live, func(c candidate) bool { return c.Name == owner.Name })
@@ -143,7 +143,7 @@
 	return int(hash % uint64(shards))
 }
 
-func claim(m beat.Member, shard int) (epoch uint64, found bool) {
+func claim(m swim.Member, shard int) (epoch uint64, found bool) {
 	for _, s := range m.Shards {
 		if s.Shard == shard {
 			return s.Epoch, true
@@ -153,10 +153,10 @@
 }
 
 // alive returns the daemons that take new work.
-func alive(members []beat.Member) []candidate {
+func alive(members []swim.Member) []candidate {
 	live := make([]candidate, 0, len(members))
 	for _, m := range members {
-		if m.State == beat.Alive {
+		if m.State == swim.Alive {
 			live = append(live, candidate{Member: m, hash: xxhash.Sum64String(m.Name)})
 		}
 	}
@@ -198,6 +198,6 @@
 	return v ^ v>>31
 }
 
-func entry(m beat.Member, owner bool) Entry {
+func entry(m swim.Member, owner bool) Entry {
 	return Entry{Address: m.Address, FailureDomain: m.FailureDomain, Owner: owner}
 }
--- a/internal/edge/locate/locate_test.go
+++ b/internal/edge/locate/locate_test.go
@@ -7,17 +7,17 @@
 	"github.com/matryer/is"
 
 	"github.com/slaterock/slaterock/internal/edge/reqid"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
-func member(name, domain string, state beat.State, shards ...beat.Shard) beat.Member {
-	return beat.Member{Name: name, Address: name + ":1", FailureDomain: domain, State: state, Shards: shards}
+func member(name, domain string, state swim.State, shards ...swim.Shard) swim.Member {
+	return swim.Member{Name: name, Address: name + ":1", FailureDomain: domain, State: state, Shards: shards}
 }
 
-func fleet(n, domains int) []beat.Member {
-	members := make([]beat.Member, n)
+func fleet(n, domains int) []swim.Member {
+	members := make([]swim.Member, n)
 	for i := range members {
-		members[i] = member(fmt.Sprintf("vm%d", i), fmt.Sprintf("fd%d", i%domains), beat.Alive)
+		members[i] = member(fmt.Sprintf("vm%d", i), fmt.Sprintf("fd%d", i%domains), swim.Alive)
 	}
 	return members
 }
@@ -40,20 +40,20 @@
 // or it is leaving, or nothing is known of it. A request sent to the wrong one
 // comes back as not run, so a caller waits longer but is not misled.
 func TestOwner(t *testing.T) {
-	own := func(epoch uint64) beat.Shard { return beat.Shard{Shard: 3, Epoch: epoch} }
+	own := func(epoch uint64) swim.Shard { return swim.Shard{Shard: 3, Epoch: epoch} }
 	tests := map[string]struct {
-		members []beat.Member
+		members []swim.Member
 		owner   string
 	}{
-		"one claim":              {[]beat.Member{member("a", "x", beat.Alive, own(1)), member("b", "x", beat.Alive)}, "a"},
-		"stale claim":            {[]beat.Member{member("a", "x", beat.Alive, own(4)), member("b", "x", beat.Alive, own(5))}, "b"},
-		"stale claim, reversed":  {[]beat.Member{member("b", "x", beat.Alive, own(5)), member("a", "x", beat.Alive, own(4))}, "b"},
-		"draining owner":         {[]beat.Member{member("a", "x", beat.Draining, own(1))}, "a"},
-		"suspect owner":          {[]beat.Member{member("a", "x", beat.Suspect, own(1))}, "a"},
-		"owner down":             {[]beat.Member{member("a", "x", beat.Down, own(2)), member("b", "x", beat.Alive, own(1))}, ""},
-		"other shard claimed":    {[]beat.Member{member("a", "x", beat.Alive, beat.Shard{Shard: 2, Epoch: 9})}, ""},
+		"one claim":              {[]swim.Member{member("a", "x", swim.Alive, own(1)), member("b", "x", swim.Alive)}, "a"},
+		"stale claim":            {[]swim.Member{member("a", "x", swim.Alive, own(4)), member("b", "x", swim.Alive, own(5))}, "b"},
+		"stale claim, reversed":  {[]swim.Member{member("b", "x", swim.Alive, own(5)), member("a", "x", swim.Alive, own(4))}, "b"},
+		"draining owner":         {[]swim.Member{member("a", "x", swim.Draining, own(1))}, "a"},
+		"suspect owner":          {[]swim.Member{member("a", "x", swim.Suspect, own(1))}, "a"},
+		"owner down":             {[]swim.Member{member("a", "x", swim.Down, own(2)), member("b", "x", swim.Alive, own(1))}, ""},
+		"other shard claimed":    {[]swim.Member{member("a", "x", swim.Alive, swim.Shard{Shard: 2, Epoch: 9})}, ""},
 		"nobody known":           {nil, ""},
-		"epoch 0 is a claim too": {[]beat.Member{member("a", "x", beat.Alive, own(0))}, "a"},
+		"epoch 0 is a claim too": {[]swim.Member{member("a", "x", swim.Alive, own(0))}, "a"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,32 +70,32 @@
 func TestEntries(t *testing.T) {
 	const shards = 8
 	program := "round-7"
-	own := beat.Shard{Shard: Shard(program, shards), Epoch: 1}
+	own := swim.Shard{Shard: Shard(program, shards), Epoch: 1}
 	tests := map[string]struct {
-		members []beat.Member
+		members []swim.Member
 		first   string   // address
 		domains []string // of the first entries
 		n       int
 	}{
 		"owner first, then other domains": {
-			[]beat.Member{member("a", "x", beat.Alive), member("b", "x", beat.Alive, own), member("c", "y", beat.Alive), member("d", "z", beat.Alive)},
+			[]swim.Member{member("a", "x", swim.Alive), member("b", "x", swim.Alive, own), member("c", "y", swim.Alive), member("d", "z", swim.Alive)},
 			"b:1", nil, 4,
 		},
 		"same domain comes last": {
-			[]beat.Member{member("a", "x", beat.Alive, own), member("b", "x", beat.Alive), member("c", "y", beat.Alive)},
+			[]swim.Member{member("a", "x", swim.Alive, own), member("b", "x", swim.Alive), member("c", "y", swim.Alive)},
 			"a:1",
 			[]string{"x", "y", "x"},
 			3,
 		},
-		"owner draining": {[]beat.Member{member("a", "x", beat.Draining, own), member("b", "y", beat.Alive)}, "b:1", nil, 1},
-		"owner suspect":  {[]beat.Member{member("a", "x", beat.Suspect, own), member("b", "y", beat.Alive)}, "b:1", nil, 1},
-		"owner down":     {[]beat.Member{member("a", "x", beat.Down, own), member("b", "y", beat.Alive)}, "b:1", nil, 1},
+		"owner draining": {[]swim.Member{member("a", "x", swim.Draining, own), member("b", "y", swim.Alive)}, "b:1", nil, 1},
+		"owner suspect":  {[]swim.Member{member("a", "x", swim.Suspect, own), member("b", "y", swim.Alive)}, "b:1", nil, 1},
+		"owner down":     {[]swim.Member{member("a", "x", swim.Down, own), member("b", "y", swim.Alive)}, "b:1", nil, 1},
 		"stale higher epoch of one that is down": {
-			[]beat.Member{member("a", "x", beat.Down, beat.Shard{Shard: own.Shard, Epoch: 9}), member("b", "y", beat.Alive, own)},
+			[]swim.Member{member("a", "x", swim.Down, swim.Shard{Shard: own.Shard, Epoch: 9}), member("b", "y", swim.Alive, own)},
 			"b:1", nil, 1,
 		},
 		"none known": {nil, "", nil, 0},
-		"none alive": {[]beat.Member{member("a", "x", beat.Suspect), member("b", "x", beat.Draining)}, "", nil, 0},
+		"none alive": {[]swim.Member{member("a", "x", swim.Suspect), member("b", "x", swim.Draining)}, "", nil, 0},
 		"many":       {fleet(50, 5), "", nil, MaxEntries},
 	}
 	for name, tt := range tests {
@@ -168,7 +168,7 @@
 	worst := 0
 	for gone := range members {
 		left := fleet(40, 10)
-		left[gone].State = beat.Draining
+		left[gone].State = swim.Draining
 		moved := 0
 		for s := range shards {
 			m, _ := Preferred(left, s, shards)
@@ -180,7 +180,7 @@
 		worst = max(worst, moved)
 	}
 	is.True(worst <= 3) // of 64 shards, beside those of the daemon that left
-	_, ok := Preferred([]beat.Member{member("a", "x", beat.Draining)}, 0, shards)
+	_, ok := Preferred([]swim.Member{member("a", "x", swim.Draining)}, 0, shards)
 	is.True(!ok)
 }
 
@@ -203,7 +203,7 @@
 func BenchmarkOwner(b *testing.B) {
 	members := fleet(320, 10)
 	for i := range 64 {
-		members[i].Shards = []beat.Shard{{Shard: i, Epoch: 1}}
+		members[i].Shards = []swim.Shard{{Shard: i, Epoch: 1}}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -21,7 +21,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -45,7 +45,7 @@
 	Relay struct {
 		Self    string // this daemon's name
 		Local   runner.Runner
-		Members func() []beat.Member
+		Members func() []swim.Member
 		Shards  func() int
 		// Peer returns the Runner of the daemon with the peer address.
 		Peer func(address string) Remote
@@ -142,7 +142,7 @@
 	return res, nil
 }
 
-func (r *Relay) at(m beat.Member) Remote {
+func (r *Relay) at(m swim.Member) Remote {
 	if m.Name == r.Self {
 		return local{r.Local}
 	}
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
 	"github.com/slaterock/slaterock/internal/edge/reqid"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -43,7 +43,7 @@
 	// world is what the Relay sees: owners[i] is the picture after i pauses.
 	world struct {
 		daemons map[string]*daemon
-		owners  []beat.Member
+		owners  []swim.Member
 		looks   int
 	}
 )
@@ -98,18 +98,18 @@
 }
 
 // owner is a daemon that claims the program's shard.
-func owner(name string, epoch uint64) beat.Member {
-	own := beat.Shard{Shard: locate.Shard(program, shards), Epoch: epoch}
-	return beat.Member{Name: name, Peer: name, State: beat.Alive, Shards: []beat.Shard{own}}
+func owner(name string, epoch uint64) swim.Member {
+	own := swim.Shard{Shard: locate.Shard(program, shards), Epoch: epoch}
+	return swim.Member{Name: name, Peer: name, State: swim.Alive, Shards: []swim.Shard{own}}
 }
 
-func (w *world) members() []beat.Member {
+func (w *world) members() []swim.Member {
 	i := min(w.looks, len(w.owners)-1)
 	w.looks++
 	if i < 0 || w.owners[i].Name == "" {
 		return nil
 	}
-	return []beat.Member{w.owners[i]}
+	return []swim.Member{w.owners[i]}
 }
 
 func (w *world) relay() *Relay {
@@ -134,7 +134,7 @@
 	type script map[string]*daemon
 	tests := map[string]struct {
 		daemons script
-		owners  []beat.Member
+		owners  []swim.Member
 		code    result.Code
 		ran     result.Ran
 		text    string         // sent to the caller
@@ -143,28 +143,28 @@
 	}{
 		"owned here": {
 			script{"here": {script: []attempt{{pieces: []string{whole}, result: answered}}}},
-			[]beat.Member{owner("here", 1)},
+			[]swim.Member{owner("here", 1)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"here": 1},
 			0,
 		},
 		"owned by a peer": {
 			script{"a": {script: []attempt{{pieces: []string{"karibu ", "sana"}, result: answered}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"a": 1},
 			0,
 		},
 		"picture stale, owner moved": {
 			script{"a": {script: []attempt{{result: notOwner}}}, "b": {script: []attempt{{pieces: []string{whole}, result: answered}}}},
-			[]beat.Member{owner("a", 1), owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("a", 1), owner("b", 2)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"a": 2, "b": 1},
 			time.Second,
 		},
 		"owner not known at first": {
 			script{"b": {script: []attempt{{pieces: []string{whole}, result: answered}}}},
-			[]beat.Member{{}, {}, owner("b", 2)},
+			[]swim.Member{{}, {}, owner("b", 2)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"b": 1},
 			time.Second,
@@ -176,7 +176,7 @@
 		},
 		"owner never reached": {
 			script{"a": {script: []attempt{{err: errUnsent}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeNotOwner, result.No, "", nil, 10 * time.Second,
 		},
 		"link broke, same owner joins": {
@@ -184,7 +184,7 @@
 				{pieces: []string{"kar"}, err: errBroken},
 				{pieces: []string{"karibu", " sana"}, result: answered},
 			}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"a": 2},
 			time.Second,
@@ -195,7 +195,7 @@
 				{pieces: []string{"ka", "ri"}, err: errBroken},
 				{pieces: []string{"k", "aribu ", "sa", "na"}, result: answered},
 			}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"a": 3},
 			time.Second,
@@ -205,49 +205,49 @@
 				"a": {script: []attempt{{pieces: []string{"kar"}, err: errBroken}}},
 				"b": {script: []attempt{{pieces: []string{"jambo"}, result: answered}}},
 			},
-			[]beat.Member{owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("b", 2)},
 			result.CodeUpstreamFailed, result.Yes, "kar",
 			map[string]int{"a": 1, "b": 1},
 			time.Second,
 		},
 		"owner died, new owner refuses": { // its "no" can't speak for the first
 			script{"a": {script: []attempt{{err: errBroken}}}, "b": {script: []attempt{{result: refused}}}},
-			[]beat.Member{owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("b", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 1, "b": 1},
 			time.Second,
 		},
 		"link broke, same owner refuses": { // it knows that nothing ran
 			script{"a": {script: []attempt{{err: errBroken}, {result: refused}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOverloaded, result.No, "",
 			map[string]int{"a": 2},
 			time.Second,
 		},
 		"same daemon, new epoch, refuses": {
 			script{"a": {script: []attempt{{err: errBroken}, {result: refused}}}},
-			[]beat.Member{owner("a", 1), owner("a", 2)},
+			[]swim.Member{owner("a", 1), owner("a", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 2},
 			time.Second,
 		},
 		"broke at two owners, second refuses": {
 			script{"a": {script: []attempt{{err: errBroken}}}, "b": {script: []attempt{{err: errBroken}, {result: refused}}}},
-			[]beat.Member{owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("b", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 1, "b": 2},
 			time.Second,
 		},
 		"moved while it ran, then nobody": {
 			script{"here": {script: []attempt{{result: movedOn}}}},
-			[]beat.Member{owner("here", 1), {}},
+			[]swim.Member{owner("here", 1), {}},
 			result.CodeNotOwner, result.Unknown, "",
 			map[string]int{"here": 1},
 			10 * time.Second,
 		},
 		"unknown outcome on record": { // final, however often one asks
 			script{"a": {script: []attempt{{result: unknown}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeUnknown, result.Unknown, "",
 			map[string]int{"a": 1},
 			0,
@@ -258,7 +258,7 @@
 				{pieces: []string{"karibu"}, err: errBroken, lasts: time.Minute},
 				{pieces: []string{whole}, result: answered},
 			}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, whole,
 			map[string]int{"a": 3},
 			time.Minute + time.Second,
@@ -303,7 +303,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := world{daemons: map[string]*daemon{"a": {script: []attempt{tt.attempt}}}, owners: []beat.Member{owner("a", 1)}}
+				w := world{daemons: map[string]*daemon{"a": {script: []attempt{tt.attempt}}}, owners: []swim.Member{owner("a", 1)}}
 				ctx, stop := context.WithTimeout(t.Context(), time.Second)
 				defer stop()
 				began := time.Now()
@@ -337,7 +337,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				a := &daemon{script: []attempt{{result: unknown}, {result: notOwner}, {result: found}}}
-				w := world{daemons: map[string]*daemon{"a": a}, owners: []beat.Member{owner("a", 1)}}
+				w := world{daemons: map[string]*daemon{"a": a}, owners: []swim.Member{owner("a", 1)}}
 				is.Equal(do(w.relay()).Code, result.CodeOK)
 				is.Equal(a.asked, 3)
 			})
@@ -348,7 +348,7 @@
 // A support engineer mistypes a request's name. No daemon need be asked.
 func TestRequestUnreadable(t *testing.T) {
 	is := is.New(t)
-	w := world{owners: []beat.Member{owner("a", 1)}}
+	w := world{owners: []swim.Member{owner("a", 1)}}
 	_, res := w.relay().Request(t.Context(), "", "receipt 12")
 	is.Equal(res.Code, result.CodeNotFound)
 	is.Equal(w.looks, 0)
--- a/internal/edge/relay/search.go
+++ b/internal/edge/relay/search.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
@@ -36,7 +36,7 @@
 	}
 )
 
-func (s *search) begin(m beat.Member, shard int) {
+func (s *search) begin(m swim.Member, shard int) {
 	s.now = tenure{name: m.Name}
 	for _, own := range m.Shards {
 		if own.Shard == shard {
--- a/internal/edge/report/report_test.go
+++ b/internal/edge/report/report_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -79,26 +79,26 @@
 // A shard has lost its owner, and one daemon does not hear of the new
 // configuration. Rows of numbers hide both; an operator must be told.
 func TestStatusWarns(t *testing.T) {
-	member := func(name string, state beat.State, version uint64, shards ...beat.Shard) beat.Member {
-		return beat.Member{Name: name, Address: name + ":1", FailureDomain: "x", State: state, Config: version, Shards: shards}
+	member := func(name string, state swim.State, version uint64, shards ...swim.Shard) swim.Member {
+		return swim.Member{Name: name, Address: name + ":1", FailureDomain: "x", State: state, Config: version, Shards: shards}
 	}
 	tests := map[string]struct {
-		members []beat.Member
+		members []swim.Member
 		want    []string
 		absent  []string
 	}{
 		"all well": {
-			[]beat.Member{member("a", beat.Alive, 5, beat.Shard{Shard: 0, Epoch: 2}, beat.Shard{Shard: 1, Epoch: 3})},
+			[]swim.Member{member("a", swim.Alive, 5, swim.Shard{Shard: 0, Epoch: 2}, swim.Shard{Shard: 1, Epoch: 3})},
 			[]string{"0 (2), 1 (3)"},
 			[]string{"no owner", "behind"},
 		},
 		"owner down": {
-			[]beat.Member{member("b", beat.Down, 5, beat.Shard{Shard: 1, Epoch: 3}), member("a", beat.Alive, 5, beat.Shard{Shard: 0, Epoch: 2})},
+			[]swim.Member{member("b", swim.Down, 5, swim.Shard{Shard: 1, Epoch: 3}), member("a", swim.Alive, 5, swim.Shard{Shard: 0, Epoch: 2})},
 			[]string{"shard 1 has no owner"},
 			[]string{"shard 0 has no owner", "behind"},
 		},
 		"one behind": {
-			[]beat.Member{member("a", beat.Alive, 4, beat.Shard{Shard: 0, Epoch: 1}, beat.Shard{Shard: 1, Epoch: 1}), member("b", beat.Alive, 5), member("c", beat.Down, 2)},
+			[]swim.Member{member("a", swim.Alive, 4, swim.Shard{Shard: 0, Epoch: 1}, swim.Shard{Shard: 1, Epoch: 1}), member("b", swim.Alive, 5), member("c", swim.Down, 2)},
 			[]string{"a runs configuration version 4, behind version 5"},
 			[]string{"c runs", "b runs", "no owner"},
 		},
--- a/internal/edge/report/status.go
+++ b/internal/edge/report/status.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/plat/meter"
 )
 
@@ -16,7 +16,7 @@
 	Daemon  string        `json:"daemon"`
 	Version uint64        `json:"config_version"`
 	Shards  int           `json:"shards"`
-	Members []beat.Member `json:"members"`
+	Members []swim.Member `json:"members"`
 	Store   meter.Counts  `json:"store"`
 	Age     time.Duration `json:"store_age"` // since anybody reached the store, negative is never
 }
@@ -26,7 +26,7 @@
 	r.printf("as seen by %s: configuration version %d, %d shards, store reached %s\n", s.Daemon, s.Version, s.Shards, age(s.Age))
 	r.printf("store calls of this daemon: %d reads, %d writes, %d watches, %d failed, %s waited\n\n",
 		s.Store.Reads, s.Store.Writes, s.Store.Watches, s.Store.Failed, s.Store.Waited.Round(time.Millisecond))
-	members := slices.SortedFunc(slices.Values(s.Members), func(a, b beat.Member) int { return strings.Compare(a.Name, b.Name) })
+	members := slices.SortedFunc(slices.Values(s.Members), func(a, b swim.Member) int { return strings.Compare(a.Name, b.Name) })
 	t := r.table("daemon", "state", "failure domain", "address", "configuration", "shards (epoch)")
 	for _, m := range members {
 		t.row(m.Name, m.State, m.FailureDomain, m.Address, fmt.Sprintf("version %d", m.Config), owned(m))
@@ -37,7 +37,7 @@
 
 // warnings names what an operator would otherwise have to find by comparing
 // rows: shards without an owner, and daemons that run another configuration.
-func (r *Report) warnings(s Status, members []beat.Member) {
+func (r *Report) warnings(s Status, members []swim.Member) {
 	for shard := range s.Shards {
 		if _, found := locate.Owner(members, shard); !found {
 			r.printf("shard %d has no owner: its programs wait\n", shard)
@@ -48,13 +48,13 @@
 		newest = max(newest, m.Config)
 	}
 	for _, m := range members {
-		if m.Config < newest && m.State == beat.Alive {
+		if m.Config < newest && m.State == swim.Alive {
 			r.printf("%s runs configuration version %d, behind version %d\n", m.Name, m.Config, newest)
 		}
 	}
 }
 
-func owned(m beat.Member) string {
+func owned(m swim.Member) string {
 	if len(m.Shards) == 0 {
 		return none
 	}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -30,9 +30,9 @@
 	"github.com/slaterock/slaterock/internal/obs/logs"
 	"github.com/slaterock/slaterock/internal/obs/metric"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/peer/gossip"
 	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/plat/meter"
@@ -80,7 +80,7 @@
 		placer placer.Placer
 		server server.Server
 		relay  relay.Relay
-		self   beat.Member
+		self   swim.Member
 		mu     sync.Mutex
 		drain  chan struct{}
 		once   sync.Once
@@ -116,13 +116,13 @@
 	d.drain = make(chan struct{})
 	d.ready = make(chan struct{})
 	d.whole = make(chan struct{})
-	d.self = beat.Member{
+	d.self = swim.Member{
 		Name:          d.Settings.Daemon.Name,
 		Address:       either(d.Settings.Daemon.Advertise, d.Listen.Addr().String()),
 		Peer:          either(d.Settings.Peers.Advertise, d.Peers.Addr().String()),
 		FailureDomain: d.Settings.Daemon.FailureDomain,
 		Disk:          d.Settings.Daemon.DataFolder != "",
-		State:         beat.Alive,
+		State:         swim.Alive,
 		Incarnation:   uint64(time.Now().UnixNano()),
 	}
 	return nil
@@ -157,7 +157,7 @@
 	defer stop()
 	work.Go(func() { d.measure(ctx) })
 	work.Go(func() { d.placer.Serve(ctx) })
-	work.Go(func() { d.gossip.Run(ctx, beat.Self{Member: d.self, Seeds: d.Settings.Peers.Seeds}) })
+	work.Go(func() { d.gossip.Run(ctx, swim.Self{Member: d.self, Seeds: d.Settings.Peers.Seeds}) })
 	work.Go(func() { d.failed(stop, d.link.Serve(ctx, d.Peers)) })
 	work.Go(func() { _ = d.keeper.Serve(ctx) })
 	work.Go(func() { d.shards.Serve(ctx) })
@@ -187,7 +187,7 @@
 func (d *Daemon) leave(ctx context.Context) error {
 	d.log.Info().Msg("draining")
 	d.server.StartDraining()
-	d.update(ctx, func(m *beat.Member) { m.State = beat.Draining })
+	d.update(ctx, func(m *swim.Member) { m.State = swim.Draining })
 	limit := d.keeper.Current().Limits.DrainTimeout
 	if limit <= 0 {
 		limit = drainTimeout
@@ -219,13 +219,13 @@
 	}
 }
 
-func (d *Daemon) update(ctx context.Context, change func(m *beat.Member)) {
+func (d *Daemon) update(ctx context.Context, change func(m *swim.Member)) {
 	d.mu.Lock()
 	change(&d.self)
 	d.self.Serial++
 	self := d.self
 	d.mu.Unlock()
-	d.gossip.Update(ctx, beat.Self{Member: self, Seeds: d.Settings.Peers.Seeds})
+	d.gossip.UpdateSelf(ctx, swim.Self{Member: self, Seeds: d.Settings.Peers.Seeds})
 }
 
 func (d *Daemon) assemble(ctx context.Context) {
@@ -257,7 +257,7 @@
 	d.Tape.Configure(f)
 	d.shards.Configure(ctx, f)
 	d.placer.Tell(ctx, nil, sched.Configure{File: f})
-	d.update(ctx, func(m *beat.Member) { m.Config = f.Version })
+	d.update(ctx, func(m *swim.Member) { m.Config = f.Version })
 	select {
 	case <-d.ready:
 	default:
@@ -269,7 +269,7 @@
 func (d *Daemon) share() {
 	n := 0
 	for _, m := range d.gossip.Members() {
-		if m.State != beat.Down {
+		if m.State != swim.Down {
 			n++
 		}
 	}
@@ -311,7 +311,7 @@
 		MaxPrograms: d.Settings.Bounds.Programs,
 		Place:       func(h *host.Host, m sched.Message) { d.place(ctx, h, m) },
 		Ended:       d.ended,
-		Owned:       func(s []beat.Shard) { d.update(ctx, func(m *beat.Member) { m.Shards = s }) },
+		Owned:       func(s []swim.Shard) { d.update(ctx, func(m *swim.Member) { m.Shards = s }) },
 		Peers:       &d.shelf,
 		Domain:      d.self.FailureDomain,
 		Offer:       d.offer,
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/edge/locate"
 	"github.com/slaterock/slaterock/internal/edge/relay"
 	"github.com/slaterock/slaterock/internal/edge/server"
-	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/plat/meter"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
@@ -25,7 +25,7 @@
 		Daemon  string        `json:"daemon"`
 		Version uint64        `json:"config_version"`
 		Shards  int           `json:"shards"`
-		Members []beat.Member `json:"members"`
+		Members []swim.Member `json:"members"`
 		Store   meter.Counts  `json:"store"`
 		Age     time.Duration `json:"store_age"` // since anybody reached the store
 	}
--- a/internal/node/daemon/gauge.go
+++ b/internal/node/daemon/gauge.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const measureEvery = time.Second
@@ -21,11 +21,11 @@
 			return
 		case <-t.C:
 		}
-		states := map[beat.State]int{}
+		states := map[swim.State]int{}
 		for _, m := range d.gossip.Members() {
 			states[m.State]++
 		}
-		for _, s := range []beat.State{beat.Alive, beat.Draining, beat.Suspect, beat.Down} {
+		for _, s := range []swim.State{swim.Alive, swim.Draining, swim.Suspect, swim.Down} {
 			scope.Tagged(map[string]string{"state": string(s)}).Gauge("daemons").Update(float64(states[s]))
 		}
 		scope.Gauge("shards_owned").Update(float64(len(d.shards.List())))
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -14,8 +14,8 @@
 	"github.com/slaterock/slaterock/internal/node/host"
 	"github.com/slaterock/slaterock/internal/node/placer"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/quota"
@@ -52,13 +52,13 @@
 
 func (d *Daemon) assemblePeers(ctx context.Context) {
 	d.gossip.Seed = d.self.Incarnation
-	d.gossip.Send = func(to string, p beat.Packet) { d.link.Peer(to).Send(p) }
-	d.gossip.Changed = func(beat.Member) { d.run(func() { d.picture(ctx) }) }
+	d.gossip.Send = func(to string, p swim.Packet) { d.link.Peer(to).Send(p) }
+	d.gossip.MemberChanged = func(swim.Member) { d.run(func() { d.picture(ctx) }) }
 	d.gossip.Newer = func(version uint64, from string) { d.run(func() { d.keeper.Newer(version, from) }) }
 	d.link.Address = d.self.Peer
 	d.link.Key = []byte(d.Settings.Peers.Key)
 	d.link.Runner = &d.shards
-	d.link.OnPacket = d.gossip.Take
+	d.link.OnPacket = d.gossip.HandlePacket
 	handle(&d.link, methodConfig, func(_ context.Context, q watch.Question) (any, error) {
 		return d.keeper.Answer(q), nil
 	})
@@ -107,7 +107,7 @@
 func (d *Daemon) picture(context.Context) {
 	var list []watch.Member
 	for _, m := range d.gossip.Members() {
-		if m.State == beat.Alive {
+		if m.State == swim.Alive {
 			list = append(list, watch.Member{Name: m.Name, Peer: m.Peer})
 		}
 	}
@@ -115,7 +115,7 @@
 	d.share()
 }
 
-func (d *Daemon) offer(ctx context.Context, to beat.Member, shard int) error {
+func (d *Daemon) offer(ctx context.Context, to swim.Member, shard int) error {
 	return d.link.Peer(to.Peer).Invoke(ctx, methodOffer, offer{Shard: shard}, nil)
 }
 
--- a/internal/node/frontd/read.go
+++ b/internal/node/frontd/read.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/conf/route"
 	"github.com/slaterock/slaterock/internal/front/fleet"
 	"github.com/slaterock/slaterock/internal/front/mesh"
-	"github.com/slaterock/slaterock/internal/peer/awake"
 	"github.com/slaterock/slaterock/internal/peer/pause"
+	"github.com/slaterock/slaterock/internal/peer/stall"
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
@@ -69,7 +69,7 @@
 func (d *Daemon) readLoop(ctx context.Context) {
 	wait := time.Duration(0)
 	began, jitter := time.Now(), rand.N(maxStartJitter)
-	var ran awake.Awake
+	var ran stall.Detector
 	var resumeAt time.Time // no read before then
 	for {
 		v := d.fleet.View()
@@ -81,11 +81,11 @@
 			wait = 0
 		}
 		due := checkInterval + wait/2 + rand.N(wait/2+1)
-		ran.Look(time.Now(), due)
+		ran.Check(time.Now(), due)
 		if !pause.For(ctx, due) {
 			return
 		}
-		if away, stood := ran.Look(time.Now(), due); away > 0 {
+		if away, stood := ran.Check(time.Now(), due); away > 0 {
 			d.Log.Warn().Dur("away_ms", away).Dur("clock_stood_ms", stood).Msg("process did not run: VM frozen, suspended or starved")
 			d.apply(fleet.Suspended{For: stood}, nil)
 			d.limits.Drain(time.Now())
--- a/internal/node/guard/guard.go
+++ b/internal/node/guard/guard.go
@@ -15,7 +15,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/file"
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/quota"
@@ -35,7 +35,7 @@
 // Guard holds accounts to their limits. Set the fields before Init.
 type Guard struct {
 	Self    string
-	Members func() []beat.Member
+	Members func() []swim.Member
 	Config  func() file.File
 	// Send asks the daemon at a peer address.
 	Send func(ctx context.Context, peer string, a quota.Ask) (quota.Answer, error)
@@ -240,10 +240,10 @@
 // account's shard. While that is not known to answer, it is the daemon that
 // should own it, as an account must not wait for a lease to lapse, nor for the
 // end of an outage of the store.
-func Home(members []beat.Member, account string, shards int) (beat.Member, bool) {
+func Home(members []swim.Member, account string, shards int) (swim.Member, bool) {
 	shard := locate.Shard(homePrefix+account, shards)
 	m, ok := locate.Owner(members, shard)
-	if ok && (m.State == beat.Alive || m.State == beat.Draining) {
+	if ok && (m.State == swim.Alive || m.State == swim.Draining) {
 		return m, true
 	}
 	return locate.Preferred(members, shard, shards)
--- a/internal/node/guard/guard_test.go
+++ b/internal/node/guard/guard_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/file"
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/quota"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -20,7 +20,7 @@
 
 // fleet is three daemons, each with all members in its picture.
 type fleet struct {
-	members []beat.Member
+	members []swim.Member
 	guards  map[string]*Guard
 	down    map[string]bool // hangs
 	sent    int
@@ -34,10 +34,10 @@
 		Models:   map[string]file.Model{"m": {MaxTokens: 500}},
 	}
 	for i, name := range []string{"a", "b", "c"} {
-		f.members = append(f.members, beat.Member{Name: name, Peer: name, State: beat.Alive, Shards: []beat.Shard{{Shard: i, Epoch: 1}}})
+		f.members = append(f.members, swim.Member{Name: name, Peer: name, State: swim.Alive, Shards: []swim.Shard{{Shard: i, Epoch: 1}}})
 		f.guards[name] = &Guard{
 			Self:    name,
-			Members: func() []beat.Member { return f.members },
+			Members: func() []swim.Member { return f.members },
 			Config:  func() file.File { return cfg },
 			Live:    func(string) bool { return true },
 			Send:    f.send,
@@ -146,7 +146,7 @@
 		is.Equal(time.Since(start), time.Duration(0))
 		for i := range f.members {
 			if f.members[i].Name == home {
-				f.members[i].State = beat.Suspect
+				f.members[i].State = swim.Suspect
 			}
 		}
 		is.True(f.home() != home)
@@ -229,24 +229,24 @@
 // account's shard may be gone, the account has a home all the same.
 func TestHome(t *testing.T) {
 	shard := locate.Shard(homePrefix+"acct", 3)
-	owned := func(s beat.State) []beat.Member {
-		return []beat.Member{
-			{Name: "a", State: beat.Alive},
-			{Name: "b", State: s, Shards: []beat.Shard{{Shard: shard, Epoch: 2}}},
+	owned := func(s swim.State) []swim.Member {
+		return []swim.Member{
+			{Name: "a", State: swim.Alive},
+			{Name: "b", State: s, Shards: []swim.Shard{{Shard: shard, Epoch: 2}}},
 		}
 	}
 	cases := map[string]struct {
-		members []beat.Member
+		members []swim.Member
 		home    string
 		found   bool
 	}{
-		"owner":            {owned(beat.Alive), "b", true},
-		"draining owner":   {owned(beat.Draining), "b", true},
-		"suspect owner":    {owned(beat.Suspect), "a", true},
-		"owner down":       {owned(beat.Down), "a", true},
+		"owner":            {owned(swim.Alive), "b", true},
+		"draining owner":   {owned(swim.Draining), "b", true},
+		"suspect owner":    {owned(swim.Suspect), "a", true},
+		"owner down":       {owned(swim.Down), "a", true},
 		"nobody is known":  {nil, "", false},
-		"nobody owns it":   {[]beat.Member{{Name: "a", State: beat.Alive}}, "a", true},
-		"all are draining": {[]beat.Member{{Name: "a", State: beat.Draining}}, "", false},
+		"nobody owns it":   {[]swim.Member{{Name: "a", State: swim.Alive}}, "a", true},
+		"all are draining": {[]swim.Member{{Name: "a", State: swim.Draining}}, "", false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -17,7 +17,7 @@
 
 	"github.com/slaterock/slaterock/internal/node/feed"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/hist"
@@ -84,7 +84,7 @@
 		saving   bool
 		fenced   bool
 		bulk     *bulk.Bulk             // nil while no data folder is known
-		folders  map[string]beat.Member // daemons with a data folder
+		folders  map[string]swim.Member // daemons with a data folder
 		movedMu  sync.Mutex
 		moved    []hist.Blob // with new holders, for the journal
 	}
--- a/internal/node/host/keep.go
+++ b/internal/node/host/keep.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
 	"github.com/slaterock/slaterock/internal/shard/bulk"
@@ -13,7 +13,7 @@
 
 // Folders tells which daemons have a data folder, and how they are. Where there
 // never is one, long texts cost nothing here.
-func (h *Host) Folders(ms []beat.Member) {
+func (h *Host) Folders(ms []swim.Member) {
 	h.mu.Lock()
 	if h.bulk == nil && len(ms) == 0 {
 		h.mu.Unlock()
@@ -22,7 +22,7 @@
 	h.startBulk()
 	b := h.bulk
 	gone := h.folders
-	h.folders = map[string]beat.Member{}
+	h.folders = map[string]swim.Member{}
 	for _, m := range ms {
 		delete(gone, m.Name)
 		h.folders[m.Name] = m
@@ -32,17 +32,17 @@
 		b.Tell(blobs.Member{Member: m})
 	}
 	for _, m := range gone {
-		m.State = beat.Down
+		m.State = swim.Down
 		b.Tell(blobs.Member{Member: m})
 	}
 	h.Tell(owner.Keeping{On: enough(ms)})
 }
 
 // enough reports whether two failure domains have a folder that is up.
-func enough(ms []beat.Member) bool {
+func enough(ms []swim.Member) bool {
 	domains := map[string]bool{}
 	for _, m := range ms {
-		if m.Disk && m.State == beat.Alive {
+		if m.Disk && m.State == swim.Alive {
 			domains[m.FailureDomain] = true
 		}
 	}
--- a/internal/node/shards/folders.go
+++ b/internal/node/shards/folders.go
@@ -3,18 +3,18 @@
 import (
 	"slices"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // tellFolders passes changes among the daemons with a data folder on.
-func (s *Shards) tellFolders(members []beat.Member) {
-	var folders []beat.Member
+func (s *Shards) tellFolders(members []swim.Member) {
+	var folders []swim.Member
 	for _, m := range members {
 		if m.Disk {
 			folders = append(folders, m)
 		}
 	}
-	slices.SortFunc(folders, func(a, b beat.Member) int {
+	slices.SortFunc(folders, func(a, b swim.Member) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -29,6 +29,6 @@
 	}
 }
 
-func sameFolder(a, b beat.Member) bool {
+func sameFolder(a, b swim.Member) bool {
 	return a.Name == b.Name && a.FailureDomain == b.FailureDomain && a.State == b.State && a.Incarnation == b.Incarnation
 }
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -19,7 +19,7 @@
 	"github.com/slaterock/slaterock/internal/node/guard"
 	"github.com/slaterock/slaterock/internal/node/host"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/shard/assign"
@@ -46,7 +46,7 @@
 		Rand    func() uint64
 		Go      func(f func())
 		Log     zerolog.Logger
-		Members func() []beat.Member
+		Members func() []swim.Member
 		// StoreAge is the time since any daemon is known to have reached the
 		// store, negative for never; Alone tells that no peer was heard.
 		StoreAge func() time.Duration
@@ -58,11 +58,11 @@
 		MaxPrograms int
 		Place       func(h *host.Host, m sched.Message)
 		Ended       func(l owner.Log)
-		Owned       func(s []beat.Shard)
+		Owned       func(s []swim.Shard)
 		// Peers reaches data folders; Domain is this daemon's failure domain.
 		Peers  bulk.Peers
 		Domain string
-		Offer  func(ctx context.Context, to beat.Member, shard int) error
+		Offer  func(ctx context.Context, to swim.Member, shard int) error
 		Guard  *guard.Guard // nil: accounts have no limits
 		// Tell reports an attempt to whoever owns its shard now.
 		Tell func(ctx context.Context, r host.Report) (host.Receipt, error)
@@ -79,7 +79,7 @@
 		cfg   file.File
 		hosts map[int]*ward
 
-		folders []beat.Member // with a data folder, as the hosts were told
+		folders []swim.Member // with a data folder, as the hosts were told
 	}
 
 	// ward is one shard owned here.
@@ -163,14 +163,14 @@
 }
 
 // List returns the shards owned here.
-func (s *Shards) List() []beat.Shard {
+func (s *Shards) List() []swim.Shard {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	out := make([]beat.Shard, 0, len(s.hosts))
+	out := make([]swim.Shard, 0, len(s.hosts))
 	for n, w := range s.hosts {
-		out = append(out, beat.Shard{Shard: n, Epoch: w.Epoch()})
+		out = append(out, swim.Shard{Shard: n, Epoch: w.Epoch()})
 	}
-	slices.SortFunc(out, func(a, b beat.Shard) int { return a.Shard - b.Shard })
+	slices.SortFunc(out, func(a, b swim.Shard) int { return a.Shard - b.Shard })
 	return out
 }
 
--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -13,35 +13,35 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
-const inbox = 1024
+const queueSize = 1024
 
 // Gossip is the shell of one Beat. Its fields are set before Run; the functions
 // are called one at a time and must return at once.
 type Gossip struct {
-	Seed    uint64
-	Send    func(to string, p beat.Packet) // may lose the packet
-	Changed func(m beat.Member)
-	Newer   func(version uint64, from string)
-	Now     func() time.Time
-	Scope   tally.Scope
+	Seed          uint64
+	Send          func(to string, p swim.Packet) // may lose the packet
+	MemberChanged func(m swim.Member)
+	Newer         func(version uint64, from string)
+	Now           func() time.Time
+	Scope         tally.Scope
 
 	once     sync.Once
-	messages chan beat.Message
+	messages chan swim.Message
 	mu       sync.Mutex
-	beat     beat.Beat
+	swim     swim.Membership
 }
 
 // Run keeps the membership until ctx ends.
-func (g *Gossip) Run(ctx context.Context, self beat.Self) {
+func (g *Gossip) Run(ctx context.Context, self swim.Self) {
 	g.once.Do(g.init)
 	g.step(self)
 	// A random phase keeps daemons that start together from probing together.
-	phase := time.NewTimer(rand.N(beat.Interval))
+	phase := time.NewTimer(rand.N(swim.Interval))
 	defer phase.Stop()
-	ticker := time.NewTicker(beat.Interval)
+	ticker := time.NewTicker(swim.Interval)
 	defer ticker.Stop()
 	ticks := phase.C
 	for {
@@ -52,17 +52,17 @@
 			g.step(m)
 		case <-ticks:
 			if ticks == phase.C {
-				ticker.Reset(beat.Interval)
+				ticker.Reset(swim.Interval)
 				ticks = ticker.C
 			}
-			g.step(beat.Tick{})
+			g.step(swim.Tick{})
 		}
 	}
 }
 
 func (g *Gossip) init() {
-	g.messages = make(chan beat.Message, inbox)
-	g.beat.Seed = g.Seed
+	g.messages = make(chan swim.Message, queueSize)
+	g.swim.Seed = g.Seed
 	if g.Now == nil {
 		g.Now = time.Now
 	}
@@ -73,7 +73,7 @@
 
 // Take hands in a packet; link.Link's OnPacket. When too many wait it is lost,
 // as it could have been on its way.
-func (g *Gossip) Take(p beat.Packet) {
+func (g *Gossip) HandlePacket(p swim.Packet) {
 	g.once.Do(g.init)
 	select {
 	case g.messages <- p:
@@ -84,16 +84,16 @@
 
 // Update tells what this daemon is from now on: its state, configuration and
 // shards. It waits for room, or for ctx.
-func (g *Gossip) Update(ctx context.Context, self beat.Self) {
-	g.put(ctx, self)
+func (g *Gossip) UpdateSelf(ctx context.Context, self swim.Self) {
+	g.enqueue(ctx, self)
 }
 
 // Reached tells that a call to the store succeeded that was sent at that time.
 func (g *Gossip) Reached(ctx context.Context, at time.Time) {
-	g.put(ctx, beat.Reached{At: at})
+	g.enqueue(ctx, swim.Reached{At: at})
 }
 
-func (g *Gossip) put(ctx context.Context, m beat.Message) {
+func (g *Gossip) enqueue(ctx context.Context, m swim.Message) {
 	g.once.Do(g.init)
 	select {
 	case g.messages <- m:
@@ -102,10 +102,10 @@
 }
 
 // Members returns all known daemons, in the order of their names.
-func (g *Gossip) Members() []beat.Member {
+func (g *Gossip) Members() []swim.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.beat.Members()
+	return g.swim.Members()
 }
 
 // StoreAge returns the time since any daemon is known to have reached the
@@ -114,7 +114,7 @@
 	g.once.Do(g.init)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.beat.StoreAge(g.Now())
+	return g.swim.StoreAge(g.Now())
 }
 
 // Alone reports whether no other daemon was heard lately.
@@ -122,29 +122,29 @@
 	g.once.Do(g.init)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.beat.Alone(g.Now())
+	return g.swim.Alone(g.Now())
 }
 
-func (g *Gossip) step(m beat.Message) {
+func (g *Gossip) step(m swim.Message) {
 	g.mu.Lock()
-	effects := g.beat.Step(g.Now(), m)
+	effects := g.swim.Step(g.Now(), m)
 	g.mu.Unlock()
 	for _, e := range effects {
-		g.carryOut(e)
+		g.apply(e)
 	}
 }
 
-func (g *Gossip) carryOut(e beat.Effect) {
+func (g *Gossip) apply(e swim.Effect) {
 	switch e := e.(type) {
-	case beat.Send:
+	case swim.Send:
 		if g.Send != nil {
 			g.Send(e.To, e.Packet)
 		}
-	case beat.Changed:
-		if g.Changed != nil {
-			g.Changed(e.Member)
+	case swim.MemberChanged:
+		if g.MemberChanged != nil {
+			g.MemberChanged(e.Member)
 		}
-	case beat.Newer:
+	case swim.Newer:
 		if g.Newer != nil {
 			g.Newer(e.Version, e.From)
 		}
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 type (
@@ -76,18 +76,18 @@
 	p.mu.Lock()
 	p.listeners[name] = conns
 	p.mu.Unlock()
-	d.link = link.Link{Address: name, Dial: p.dial, OnPacket: d.gossip.Take}
-	d.gossip.Send = func(to string, packet beat.Packet) { d.link.Peer(to).Send(packet) }
+	d.link = link.Link{Address: name, Dial: p.dial, OnPacket: d.gossip.HandlePacket}
+	d.gossip.Send = func(to string, packet swim.Packet) { d.link.Peer(to).Send(packet) }
 	d.gossip.Newer = func(version uint64, _ string) { d.newer <- version }
 	_ = d.link.Start(ctx)
 	work.Go(func() { _ = d.link.Serve(ctx, &listener{conns: conns, done: make(chan struct{})}) })
-	self := beat.Member{Name: name, Peer: name, Config: config, Incarnation: uint64(time.Now().UnixNano())}
-	work.Go(func() { d.gossip.Run(ctx, beat.Self{Member: self, Seeds: []string{"a", "b"}}) })
+	self := swim.Member{Name: name, Peer: name, Config: config, Incarnation: uint64(time.Now().UnixNano())}
+	work.Go(func() { d.gossip.Run(ctx, swim.Self{Member: self, Seeds: []string{"a", "b"}}) })
 	return d
 }
 
-func states(d *daemon) map[string]beat.State {
-	all := map[string]beat.State{}
+func states(d *daemon) map[string]swim.State {
+	all := map[string]swim.State{}
 	for _, m := range d.gossip.Members() {
 		all[m.Name] = m.State
 	}
@@ -108,7 +108,7 @@
 		is.True(a.gossip.Alone())
 		is.Equal(a.gossip.StoreAge(), time.Duration(-1))
 		elapse(10 * time.Second)
-		everyone := map[string]beat.State{"a": beat.Alive, "b": beat.Alive, "c": beat.Alive}
+		everyone := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Alive}
 		for _, d := range []*daemon{a, b, c} {
 			is.Equal(states(d), everyone)
 			is.True(!d.gossip.Alone())
@@ -121,8 +121,8 @@
 		is.True(a.gossip.StoreAge() <= 11*time.Second)
 		c.stop()
 		elapse(20 * time.Second)
-		is.Equal(states(a)["c"], beat.Down)
-		is.Equal(states(b)["c"], beat.Down)
+		is.Equal(states(a)["c"], swim.Down)
+		is.Equal(states(b)["c"], swim.Down)
 		b.stop()
 		elapse(10 * time.Second)
 		is.True(a.gossip.Alone())
--- a/internal/peer/link/bench_test.go
+++ b/internal/peer/link/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/runner"
@@ -112,12 +112,12 @@
 func BenchmarkPacket(b *testing.B) {
 	var client, server Link
 	got := make(chan struct{}, 1)
-	server.OnPacket = func(beat.Packet) { got <- struct{}{} }
+	server.OnPacket = func(swim.Packet) { got <- struct{}{} }
 	peer := client.Peer(serveTCP(b, &server))
 	serveTCP(b, &client)
 	start := processor()
 	for b.Loop() {
-		peer.Send(beat.Packet{From: "10.0.0.1:7401", Round: 5})
+		peer.Send(swim.Packet{From: "10.0.0.1:7401", Round: 5})
 		<-got
 	}
 	report(b, start, b.N, "cpu-us/packet")
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -26,7 +26,7 @@
 	"github.com/panjf2000/ants/v2"
 	"github.com/uber-go/tally/v4"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
@@ -55,7 +55,7 @@
 		Address  string            // own peer address, told to the others
 		Key      []byte            // shared by all daemons, never sent
 		Runner   runner.Runner     // serves relayed calls
-		OnPacket func(beat.Packet) // must return at once
+		OnPacket func(swim.Packet) // must return at once
 		Dial     Dialer
 		Workers  int
 		Idle     time.Duration
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/runner"
@@ -285,7 +285,7 @@
 		packets := 0
 		p := newPair(t, scripted{call: twenty})
 		defer p.end()
-		p.b.OnPacket = func(beat.Packet) { packets++ }
+		p.b.OnPacket = func(swim.Packet) { packets++ }
 		p.a.Key = []byte("other")
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, nil)
 		var failure *Error
@@ -293,7 +293,7 @@
 		is.True(!failure.Sent)
 		is.True(errors.Is(err, ErrKey))
 		elapse(time.Minute)
-		p.a.Peer("b").Send(beat.Packet{From: "a"})
+		p.a.Peer("b").Send(swim.Packet{From: "a"})
 		synctest.Wait()
 		is.Equal(packets, 0)
 		is.True(p.count("link_wrong_key") >= 1)
@@ -335,10 +335,10 @@
 		is := is.New(t)
 		p := newPair(t, nil)
 		defer p.end()
-		var got []beat.Packet
-		p.a.OnPacket = func(packet beat.Packet) { got = append(got, packet) }
-		p.b.OnPacket = func(packet beat.Packet) { p.b.Peer("a").Send(beat.Packet{From: "b", Ack: packet.Round}) }
-		p.a.Peer("b").Send(beat.Packet{From: "a", Round: 7})
+		var got []swim.Packet
+		p.a.OnPacket = func(packet swim.Packet) { got = append(got, packet) }
+		p.b.OnPacket = func(packet swim.Packet) { p.b.Peer("a").Send(swim.Packet{From: "b", Ack: packet.Round}) }
+		p.a.Peer("b").Send(swim.Packet{From: "a", Round: 7})
 		synctest.Wait()
 		is.Equal(len(got), 1)
 		is.Equal(got[0].Ack, uint64(7))
--- a/internal/peer/link/peer.go
+++ b/internal/peer/link/peer.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -108,7 +108,7 @@
 
 // Send sends a packet if that can be done without waiting; else it is lost, or
 // sent after a dial.
-func (p *Peer) Send(packet beat.Packet) {
+func (p *Peer) Send(packet swim.Packet) {
 	p.mu.Lock()
 	s := p.live()
 	p.mu.Unlock()
--- a/internal/peer/link/session.go
+++ b/internal/peer/link/session.go
@@ -9,7 +9,7 @@
 
 	"github.com/sourcegraph/jsonrpc2"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
@@ -238,7 +238,7 @@
 	return len(s.out)
 }
 
-func (s *session) packet(p beat.Packet) {
+func (s *session) packet(p swim.Packet) {
 	if s.waitingOut() >= packetRoom {
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
@@ -317,7 +317,7 @@
 
 func (s *session) takePacket(params json.RawMessage) {
 	var data []byte
-	var p beat.Packet
+	var p swim.Packet
 	err := json.Unmarshal(params, &data)
 	if err == nil {
 		err = p.UnmarshalBinary(data)
--- a/internal/peer/awake/awake_test.go
+++ b/internal/peer/stall/stall_test.go
@@ -1,4 +1,4 @@
-package awake
+package stall
 
 import (
 	"testing"
@@ -16,18 +16,18 @@
 		want   time.Duration
 	}{
 		"it ran":   {0, 0},
-		"a delay":  {Least - time.Millisecond, 0},
+		"a delay":  {MinStall - time.Millisecond, 0},
 		"a freeze": {3 * time.Second, 3 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var a Awake
+				var a Detector
 				const due = 100 * time.Millisecond
-				a.Look(time.Now(), due)
+				a.Check(time.Now(), due)
 				time.Sleep(due + c.frozen)
-				away, stood := a.Look(time.Now(), due)
+				away, stood := a.Check(time.Now(), due)
 				is.Equal(away, c.want)
 				is.Equal(stood, time.Duration(0))
 			})
@@ -38,13 +38,13 @@
 // A VM is suspended: its steady clock stands still, and only the time of day shows it.
 func TestSuspension(t *testing.T) {
 	is := is.New(t)
-	var a Awake
+	var a Detector
 	begin := time.Now()
-	a.Look(begin.Round(0), 0)
+	a.Check(begin.Round(0), 0)
 	// Both moments without a steady clock: the time of day is all there is.
-	away, _ := a.Look(begin.Round(0).Add(4*time.Second), 0)
+	away, _ := a.Check(begin.Round(0).Add(4*time.Second), 0)
 	is.Equal(away, 4*time.Second)
-	a.Look(begin, 0)
-	away, _ = a.Look(begin.Round(0).Add(-time.Hour), 0) // set back: nothing is known of it
+	a.Check(begin, 0)
+	away, _ = a.Check(begin.Round(0).Add(-time.Hour), 0) // set back: nothing is known of it
 	is.Equal(away, time.Duration(0))
 }
--- a/internal/peer/beat/bench_test.go
+++ b/internal/peer/swim/bench_test.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	// acknowledgement that travels alone.
 	headers = 2 * 52
 
-	quiet = 2 * time.Minute // measured without changes
-	after = time.Minute     // measured after a change
+	quietPeriod  = 2 * time.Minute // measured without changes
+	changePeriod = time.Minute     // measured after a change
 )
 
 // sizes are those of today, of the way there and of the target.
@@ -22,31 +22,31 @@
 // rate returns the bytes a second that a daemon sends and receives in d, and
 // the processor time of its machine and codec as a share of a core.
 func (f *fleet) rate(d time.Duration) (bytes, core float64) {
-	f.bytes, f.packets, f.steps = 0, 0, 0
+	f.bytes, f.packets, f.stepTime = 0, 0, 0
 	f.measure = true
 	f.run(d)
 	f.measure = false
 	total := float64(f.bytes+headers*f.packets) * 2 // each byte is sent and received
 	daemonSeconds := float64(len(f.nodes)) * d.Seconds()
-	return total / daemonSeconds, f.steps.Seconds() / daemonSeconds
+	return total / daemonSeconds, f.stepTime.Seconds() / daemonSeconds
 }
 
-func fresh(b *testing.B, n int, seed uint64) *fleet {
+func quietFleet(b *testing.B, n int, seed uint64) *fleet {
 	b.Helper()
 	f := newFleet(n, seed)
 	f.until(5*time.Minute, f.agree)
 	if !f.agree() {
 		b.Fatal("the daemons do not agree")
 	}
-	f.until(20*time.Minute, f.told)
+	f.until(20*time.Minute, f.queuesEmpty)
 	f.run(time.Minute)
 	return f
 }
 
 // told reports whether no daemon has news left to pass on.
-func (f *fleet) told() bool {
+func (f *fleet) queuesEmpty() bool {
 	for _, n := range f.nodes {
-		if len(n.beat.news.items) > 0 {
+		if len(n.beat.updates.entries) > 0 {
 			return false
 		}
 	}
@@ -58,12 +58,12 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				f := fresh(b, n, 21)
-				bytes, core := f.rate(quiet)
+				f := quietFleet(b, n, 21)
+				bytes, core := f.rate(quietPeriod)
 				b.ReportMetric(bytes, "bytes/s")
 				b.ReportMetric(core*100, "%core")
 				b.ReportMetric(float64(f.largest), "largest")
-				b.ReportMetric(2*float64(f.packets)/float64(n)/quiet.Seconds(), "packets/s")
+				b.ReportMetric(2*float64(f.packets)/float64(n)/quietPeriod.Seconds(), "packets/s")
 			}
 		})
 	}
@@ -76,18 +76,18 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				f := fresh(b, n, 22)
-				before, _ := f.rate(after)
+				f := quietFleet(b, n, 22)
+				before, _ := f.rate(changePeriod)
 				f.configure(f.nodes[1], 2)
 				f.measure = true
 				f.bytes, f.packets = 0, 0
-				took := f.until(after, func() bool { return f.configuredAt(2) })
+				took := f.until(changePeriod, func() bool { return f.configuredAt(2) })
 				b.ReportMetric(took.Seconds(), "s-in-force")
-				known := took + f.until(after, f.agree)
+				known := took + f.until(changePeriod, f.agree)
 				b.ReportMetric(known.Seconds(), "s-known")
-				f.run(max(0, 3*after-known))
+				f.run(max(0, 3*changePeriod-known))
 				total := float64(f.bytes+headers*f.packets) * 2 / float64(n)
-				b.ReportMetric(total-before*max(known, 3*after).Seconds(), "bytes/change")
+				b.ReportMetric(total-before*max(known, 3*changePeriod).Seconds(), "bytes/change")
 			}
 		})
 	}
@@ -98,21 +98,21 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				f := fresh(b, n, 23)
-				before, _ := f.rate(after)
+				f := quietFleet(b, n, 23)
+				before, _ := f.rate(changePeriod)
 				f.nodes[n-1].dead = true
 				f.measure = true
 				f.bytes, f.packets = 0, 0
 				name := f.nodes[n-1].member.Name
-				died := f.until(after, func() bool { return f.knowsDown(name) })
+				died := f.until(changePeriod, func() bool { return f.allSeeDown(name) })
 				b.ReportMetric(died.Seconds(), "s-death-known")
-				f.run(after - died)
+				f.run(changePeriod - died)
 				f.start(n-1, 1)
-				joined := f.until(after, f.agree)
+				joined := f.until(changePeriod, f.agree)
 				b.ReportMetric(joined.Seconds(), "s-join-known")
-				f.run(5*after - joined)
+				f.run(5*changePeriod - joined)
 				total := float64(f.bytes+headers*f.packets) * 2 / float64(n)
-				b.ReportMetric(total-6*before*after.Seconds(), "bytes/replacement")
+				b.ReportMetric(total-6*before*changePeriod.Seconds(), "bytes/replacement")
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 		for _, loss := range []float64{0.01, 0.05} {
 			b.Run(fmt.Sprintf("%d/%.0f%%", n, loss*100), func(b *testing.B) {
 				for range b.N {
-					f := fresh(b, n, 24)
+					f := quietFleet(b, n, 24)
 					f.loss = loss
 					f.suspected, f.falseDown = 0, 0
 					bytes, _ := f.rate(10 * time.Minute)
@@ -144,7 +144,7 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				f := fresh(b, n, 25)
+				f := quietFleet(b, n, 25)
 				side := map[*node]bool{}
 				for i, node := range f.nodes {
 					side[node] = i < n/2
@@ -163,10 +163,10 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				before := held()
-				f := fresh(b, n, 26)
+				before := heapAlloc()
+				f := quietFleet(b, n, 26)
 				f.queue = nil
-				b.ReportMetric(float64(held()-before)/float64(n)/1000, "KB/daemon")
+				b.ReportMetric(float64(heapAlloc()-before)/float64(n)/1000, "KB/daemon")
 				if len(f.nodes) != n {
 					b.Fatal("daemons are missing")
 				}
@@ -175,7 +175,7 @@
 	}
 }
 
-func held() int64 {
+func heapAlloc() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/peer/beat/fault_test.go
+++ b/internal/peer/swim/fault_test.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 )
 
 // outside returns the state that each of the others gives to a daemon.
-func (f *fleet) outside(i int) (states []State) {
+func (f *fleet) statesOf(i int) (states []State) {
 	for k, n := range f.nodes {
 		if k == i || n.dead {
 			continue
@@ -25,7 +25,7 @@
 	return states
 }
 
-func all(states []State, s State) bool {
+func allInState(states []State, s State) bool {
 	for _, each := range states {
 		if each != s {
 			return false
@@ -50,7 +50,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, test.n, 3)
+			f := convergedFleet(t, test.n, 3)
 			f.loss = test.loss
 			f.run(5 * time.Minute)
 			is.Equal(f.falseDown, 0)
@@ -65,7 +65,7 @@
 // but both live and everybody else hears them.
 func TestOneWayCut(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 4)
+	f := convergedFleet(t, 8, 4)
 	f.cut = func(from, to *node) bool { return from == f.nodes[2] && to == f.nodes[5] }
 	f.run(5 * time.Minute)
 	is.Equal(f.falseDown, 0)
@@ -74,16 +74,16 @@
 // A daemon can send but hears nothing. It must be held for down, since no
 // answer could reach it, and must not talk the others into suspecting each
 // other.
-func TestDeaf(t *testing.T) {
+func TestInboundLoss(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 5)
+	f := convergedFleet(t, 8, 5)
 	f.cut = func(_, to *node) bool { return to == f.nodes[3] }
-	f.ignored = f.nodes[3]
+	f.uncounted = f.nodes[3]
 	f.run(5 * time.Minute)
-	is.True(all(f.outside(3), Down))
+	is.True(allInState(f.statesOf(3), Down))
 	for i := range f.nodes {
 		if i != 3 {
-			is.True(!f.knowsDown(f.nodes[i].member.Name))
+			is.True(!f.allSeeDown(f.nodes[i].member.Name))
 		}
 	}
 	is.Equal(f.falseDown, 7) // of the deaf one only, once by each
@@ -100,7 +100,7 @@
 	for _, n := range []int{4, 8, 20, 80} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, n, 6)
+			f := convergedFleet(t, n, 6)
 			side := map[*node]bool{}
 			for i, node := range f.nodes {
 				side[node] = i < n/2
@@ -127,10 +127,10 @@
 // back.
 func TestPause(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 20, 7)
+	f := convergedFleet(t, 20, 7)
 	f.nodes[4].paused = true
 	f.run(time.Minute)
-	is.True(all(f.outside(4), Down))
+	is.True(allInState(f.statesOf(4), Down))
 	f.falseDown = 0
 	f.suspected = 0
 	f.wake(f.nodes[4])
@@ -151,7 +151,7 @@
 	for name, pause := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, 20, 8)
+			f := convergedFleet(t, 20, 8)
 			f.nodes[5].dead = true
 			f.run(pause)
 			n := f.start(5, 1)
@@ -173,12 +173,12 @@
 // old ones, and would go on sending callers to what it was before.
 func TestRestartWithSlowClock(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 9)
+	f := convergedFleet(t, 8, 9)
 	old := f.nodes[5].member
 	f.nodes[5].dead = true
 	f.run(time.Minute)
 	n := f.start(5, 1)
-	n.beat = Beat{}
+	n.beat = Membership{}
 	n.member.Incarnation = old.Incarnation - uint64(time.Hour)
 	n.member.Shards = nil
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401)}})
@@ -190,18 +190,18 @@
 // one answers for the old one, which would otherwise never be missed.
 func TestReplacedAtSameAddress(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 10)
+	f := convergedFleet(t, 8, 10)
 	old := f.nodes[5].member.Name
 	f.nodes[5].dead = true
-	n := &node{member: f.nodes[5].member, held: map[string]State{}}
+	n := &node{member: f.nodes[5].member, seen: map[string]State{}}
 	n.member.Name = "vm900"
 	n.member.Incarnation = uint64(f.now.UnixNano())
 	f.nodes = append(f.nodes, n)
 	f.byPeer[n.member.Peer] = n
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401)}})
-	f.after(0, n, Tick{})
-	took := f.until(time.Minute, func() bool { return f.knowsDown(old) && f.agree() })
-	is.True(f.knowsDown(old))
+	f.schedule(0, n, Tick{})
+	took := f.until(time.Minute, func() bool { return f.allSeeDown(old) && f.agree() })
+	is.True(f.allSeeDown(old))
 	is.True(f.agree())
 	is.True(took < 15*time.Second)
 }
@@ -217,13 +217,13 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, 80, 11)
+			f := convergedFleet(t, 80, 11)
 			for i := range test.count {
 				f.nodes[test.from+i].dead = true
 			}
 			gone := func() bool {
 				for i := range test.count {
-					if !f.knowsDown(f.nodes[test.from+i].member.Name) {
+					if !f.allSeeDown(f.nodes[test.from+i].member.Name) {
 						return false
 					}
 				}
@@ -247,7 +247,7 @@
 // others still reach it, so how old their last success is must spread.
 func TestStoreAge(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 20, 12)
+	f := convergedFleet(t, 20, 12)
 	is.Equal(f.nodes[3].beat.StoreAge(f.now), time.Duration(-1))
 	f.step(f.nodes[7], Reached{At: f.now})
 	at := f.now
@@ -265,7 +265,7 @@
 
 // Whatever faults come together, once they are over all daemons must agree,
 // without a restart.
-func TestAnyFaults(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 			f.fault(rt)
 			f.run(time.Duration(rapid.IntRange(1, 90).Draw(rt, "seconds")) * time.Second)
 		}
-		f.mend()
+		f.endFaults()
 		f.until(3*time.Minute, f.agree)
 		if !f.agree() {
 			rt.Fatal("the daemons do not agree")
@@ -312,7 +312,7 @@
 		}
 		f.cut = func(from, to *node) bool { return side[from] != side[to] }
 	case "mend":
-		f.mend()
+		f.endFaults()
 	case "configure":
 		if !n.dead && !n.paused {
 			f.configure(n, n.member.Config+1)
@@ -320,7 +320,7 @@
 	}
 }
 
-func (f *fleet) mend() {
+func (f *fleet) endFaults() {
 	f.loss, f.cut = 0, nil
 	for _, n := range f.nodes {
 		if n.paused {
--- a/internal/peer/beat/fleet_test.go
+++ b/internal/peer/swim/fleet_test.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"container/heap"
@@ -18,31 +18,31 @@
 	// fleet is many Beats on a virtual clock before a network that loses
 	// packets. Everything in it follows from its seed.
 	fleet struct {
-		now     time.Time
-		rng     *rand.Rand
-		loss    float64
-		cut     func(from, to *node) bool
-		nodes   []*node
-		byPeer  map[string]*node
-		queue   events
-		serial  int
-		measure bool
-		ignored *node // whose own picture isn't counted
+		now       time.Time
+		rng       *rand.Rand
+		loss      float64
+		cut       func(from, to *node) bool
+		nodes     []*node
+		byPeer    map[string]*node
+		queue     events
+		serial    int
+		measure   bool
+		uncounted *node // whose own picture isn't counted
 		// Totals.
 		bytes, packets       int64
-		steps                time.Duration // real time, of the machine under test
+		stepTime             time.Duration // real time, of the machine under test
 		suspected, falseDown int
 		largest              int
 	}
 
 	node struct {
-		beat     Beat
+		beat     Membership
 		member   Member
 		dead     bool
 		paused   bool
 		outgoing int64    // bytes
 		waiting  []Packet // while paused
-		held     map[string]State
+		seen     map[string]State
 	}
 
 	event struct {
@@ -88,7 +88,7 @@
 
 // start starts daemon i; the incarnation rises with each start.
 func (f *fleet) start(i int, config uint64) *node {
-	n := &node{held: map[string]State{}, member: Member{
+	n := &node{seen: map[string]State{}, member: Member{
 		Name: fmt.Sprintf("vm%03d", i), Address: address(i, 7400), Peer: address(i, 7401),
 		FailureDomain: fmt.Sprintf("domain%d", i%10), State: Alive, Config: config,
 		Incarnation: uint64(f.now.UnixNano()) + uint64(i),
@@ -104,11 +104,11 @@
 	}
 	f.byPeer[n.member.Peer] = n
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401), address(1, 7401)}})
-	f.after(time.Duration(f.rng.Int64N(int64(Interval))), n, Tick{})
+	f.schedule(time.Duration(f.rng.Int64N(int64(Interval))), n, Tick{})
 	return n
 }
 
-func (f *fleet) after(d time.Duration, n *node, m Message) {
+func (f *fleet) schedule(d time.Duration, n *node, m Message) {
 	f.serial++
 	heap.Push(&f.queue, event{at: f.now.Add(d), serial: f.serial, node: n, m: m})
 }
@@ -116,13 +116,13 @@
 func (f *fleet) step(n *node, m Message) {
 	start := time.Now()
 	out := n.beat.Step(f.now, m)
-	f.steps += time.Since(start)
+	f.stepTime += time.Since(start)
 	for _, e := range out {
 		switch e := e.(type) {
 		case Send:
 			f.send(n, e)
-		case Changed:
-			f.count(n, e.Member)
+		case MemberChanged:
+			f.countFalse(n, e.Member)
 		case Newer:
 			f.fetch(n, e)
 		}
@@ -130,11 +130,11 @@
 }
 
 // count counts what is wrongly held of live daemons.
-func (f *fleet) count(by *node, m Member) {
+func (f *fleet) countFalse(by *node, m Member) {
 	n := f.byPeer[m.Peer]
-	before := by.held[m.Name]
-	by.held[m.Name] = m.State
-	if by == f.ignored || before == m.State {
+	before := by.seen[m.Name]
+	by.seen[m.Name] = m.State
+	if by == f.uncounted || before == m.State {
 		return
 	}
 	if n.dead || n.member.Name != m.Name || n.member.Incarnation > m.Incarnation {
@@ -154,7 +154,7 @@
 	if holder.dead || f.lost(n, holder) {
 		return
 	}
-	f.after(10*time.Millisecond, n, configured{e.Version})
+	f.schedule(10*time.Millisecond, n, configured{e.Version})
 }
 
 type configured struct{ version uint64 }
@@ -174,7 +174,7 @@
 	if f.measure {
 		start := time.Now()
 		size := wireSize(s.Packet)
-		f.steps += time.Since(start)
+		f.stepTime += time.Since(start)
 		f.bytes += int64(size)
 		f.packets++
 		f.largest = max(f.largest, size)
@@ -184,7 +184,7 @@
 	if to == nil || f.lost(n, to) {
 		return
 	}
-	f.after(time.Millisecond+time.Duration(f.rng.Int64N(int64(4*time.Millisecond))), to, s.Packet)
+	f.schedule(time.Millisecond+time.Duration(f.rng.Int64N(int64(4*time.Millisecond))), to, s.Packet)
 }
 
 // wireSize returns the bytes of a packet as link frames it: a JSON-RPC
@@ -235,7 +235,7 @@
 	}
 	switch m := e.m.(type) {
 	case Tick:
-		f.after(Interval, e.node, m)
+		f.schedule(Interval, e.node, m)
 		if !e.node.paused {
 			f.step(e.node, m)
 		}
@@ -269,14 +269,14 @@
 		}
 	}
 	for _, n := range f.nodes {
-		if !n.dead && !n.paused && !f.sees(n, alive) {
+		if !n.dead && !n.paused && !f.viewCorrect(n, alive) {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleet) sees(n *node, alive int) bool {
+func (f *fleet) viewCorrect(n *node, alive int) bool {
 	count := 0
 	for _, m := range n.beat.Members() {
 		if m.State == Down {
@@ -292,7 +292,7 @@
 }
 
 // knows reports whether all live daemons hold one for down.
-func (f *fleet) knowsDown(name string) bool {
+func (f *fleet) allSeeDown(name string) bool {
 	for _, n := range f.nodes {
 		if n.dead {
 			continue
@@ -307,7 +307,7 @@
 }
 
 // settled returns a fleet whose daemons all know each other.
-func settled(t *testing.T, n int, seed uint64) *fleet {
+func convergedFleet(t *testing.T, n int, seed uint64) *fleet {
 	t.Helper()
 	is := is.New(t)
 	f := newFleet(n, seed)
--- /dev/null
+++ b/internal/peer/swim/step.go
@@ -0,0 +1,204 @@
+package swim
+
+import (
+	"math/bits"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	// Interval is the time between two Ticks.
+	Interval = time.Second
+
+	aloneAfter      = 5 * Interval
+	pausedAfter     = 3 * Interval
+	removeDownAfter = 30 * time.Minute // daemons that are down
+	pushFanout      = 3                // daemons told at once of a change of one's own
+)
+
+type (
+	// Beat is the membership as one daemon sees it. Seed makes its random
+	// choices differ between deployments; daemons differ by their names.
+	Membership struct {
+		Seed uint64
+
+		rng            *rand.Rand
+		self           Member
+		seeds          []string
+		names          []string // sorted, without self
+		records        map[string]*record
+		byPeer         map[string]string // names
+		ring           []string          // who is probed next
+		round          uint64
+		probes         []probe
+		indirect       []indirectProbe
+		updates        updates
+		ticks          int
+		lastTick       time.Time
+		lastReceived   time.Time
+		storeReached   time.Time // by anybody
+		rejoined       time.Time // somebody down came back
+		configChanged  time.Time // last change of the configuration seen anywhere
+		newestConfig   uint64    // configuration told by Newer
+		newestReported time.Time
+	}
+
+	// record is one other daemon: its own words and what others claim.
+	record struct {
+		reported    Member
+		claim       State // empty, Suspect or Down
+		claimSerial uint64
+		since       time.Time // of the claim
+	}
+)
+
+// Step takes one message and returns what to do about it.
+func (ms *Membership) Step(now time.Time, m Message) []Effect {
+	var out effects
+	switch m := m.(type) {
+	case Self:
+		ms.setSelf(now, m, &out)
+	case Reached:
+		ms.storeReached = latest(ms.storeReached, m.At)
+	case Tick:
+		ms.tick(now, &out)
+	case Packet:
+		ms.handlePacket(now, m, &out)
+	}
+	return out
+}
+
+// Members returns all known daemons, itself too, in the order of their names.
+func (ms *Membership) Members() []Member {
+	all := make([]Member, 0, len(ms.names)+1)
+	ms.each(func(m *Member, s State) {
+		all = append(all, *m)
+		all[len(all)-1].State = s
+	})
+	return all
+}
+
+// each visits all daemons in the order of their names, each with the state
+// that holds.
+func (ms *Membership) each(visit func(m *Member, s State)) {
+	if ms.self.Name == "" {
+		return
+	}
+	own, _ := slices.BinarySearch(ms.names, ms.self.Name)
+	for i, name := range ms.names {
+		if i == own {
+			visit(&ms.self, ms.self.State)
+		}
+		visit(&ms.records[name].reported, ms.records[name].state())
+	}
+	if own == len(ms.names) {
+		visit(&ms.self, ms.self.State)
+	}
+}
+
+// StoreAge returns the time since anybody is known to have reached the store;
+// negative is never. A packet that was long under way makes it too small.
+func (ms *Membership) StoreAge(now time.Time) time.Duration {
+	if ms.storeReached.IsZero() {
+		return -1
+	}
+	return max(0, now.Sub(ms.storeReached))
+}
+
+// Alone reports whether no other daemon has been heard lately.
+func (ms *Membership) Alone(now time.Time) bool {
+	return ms.lastReceived.IsZero() || now.Sub(ms.lastReceived) > aloneAfter
+}
+
+func (ms *Membership) setSelf(now time.Time, m Self, out *effects) {
+	first := ms.self.Name == ""
+	ms.seeds = m.Seeds
+	if first {
+		ms.rng = rand.New(rand.NewPCG(ms.Seed, xxhash.Sum64String(m.Member.Name)))
+		ms.records = map[string]*record{}
+		ms.byPeer = map[string]string{}
+	}
+	if m.Member.State == "" {
+		m.Member.State = Alive
+	}
+	next := m.Member
+	next.Incarnation = max(next.Incarnation, ms.self.Incarnation)
+	next.Config = max(next.Config, ms.self.Config)
+	next.Serial = ms.self.Serial
+	changed := !first && !equalBySerial(next, ms.self)
+	if changed {
+		next.Serial++
+	}
+	next.Serial = max(next.Serial, m.Member.Serial)
+	newer := next.Config > ms.self.Config
+	ms.self = next
+	if changed || first {
+		ms.updates.add(next.Name, memberUpdate)
+	}
+	if newer && !first {
+		ms.configChanged = now
+		ms.updates.add(next.Name, configUpdate)
+	}
+	if (changed || newer) && !first {
+		ms.pushNow(now, out)
+	}
+}
+
+// same compares what a Serial stands for.
+func equalBySerial(x, y Member) bool {
+	return x.Name == y.Name && x.Address == y.Address && x.Peer == y.Peer &&
+		x.FailureDomain == y.FailureDomain && x.Disk == y.Disk && x.State == y.State &&
+		x.Incarnation == y.Incarnation && slices.Equal(x.Shards, y.Shards)
+}
+
+// push tells a few others at once instead of at the next round. With each that
+// a new configuration reaches doing the same, it spreads within round trips.
+func (ms *Membership) pushNow(now time.Time, out *effects) {
+	for _, name := range ms.sample(pushFanout, ms.notDown) {
+		ms.send(now, ms.records[name].reported.Peer, Packet{}, out)
+	}
+}
+
+// choose returns up to n different daemons that ok accepts, at random.
+func (ms *Membership) sample(n int, accept func(*record) bool) []string {
+	var all []string
+	for _, name := range ms.names {
+		if accept(ms.records[name]) {
+			all = append(all, name)
+		}
+	}
+	ms.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	return all[:min(n, len(all))]
+}
+
+func (ms *Membership) notDown(r *record) bool { return r.state() != Down }
+
+func (ms *Membership) isDown(r *record) bool { return r.state() == Down }
+
+// logarithm returns how many rounds news needs to reach the fleet, roughly.
+func (ms *Membership) spreadRounds() int {
+	return bits.Len(uint(len(ms.names) + 1))
+}
+
+func (r *record) state() State {
+	if r.claim != "" {
+		return r.claim
+	}
+	return r.reported.State
+}
+
+func (r *record) member() Member {
+	m := r.reported
+	m.State = r.state()
+	return m
+}
+
+func latest(x, y time.Time) time.Time {
+	if y.After(x) {
+		return y
+	}
+	return x
+}
--- a/internal/peer/beat/beat.go
+++ b/internal/peer/swim/swim.go
@@ -15,7 +15,7 @@
 // that is claimed to be gone always says so, so that it can refute.
 //
 // The zero Beat works once it has been told its Self.
-package beat
+package swim
 
 import (
 	"time"
@@ -126,7 +126,7 @@
 	}
 
 	// Changed tells that the picture of a daemon changed.
-	Changed struct{ Member Member }
+	MemberChanged struct{ Member Member }
 
 	// Newer tells that a peer knows a newer configuration than was told to
 	// this machine. From is the peer address to fetch it from.
@@ -141,6 +141,6 @@
 func (Tick) message()    {}
 func (Packet) message()  {}
 
-func (Send) effect()    {}
-func (Changed) effect() {}
-func (Newer) effect()   {}
+func (Send) effect()          {}
+func (MemberChanged) effect() {}
+func (Newer) effect()         {}
--- a/internal/peer/beat/beat_test.go
+++ b/internal/peer/swim/swim_test.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 4, 8, 20, 80} {
-		settled(t, n, 1)
+		convergedFleet(t, n, 1)
 	}
 }
 
 // A VM dies without a word. Until the others know, they relay calls to it.
-func TestDeath(t *testing.T) {
+func TestCrash(t *testing.T) {
 	for _, n := range []int{4, 8, 20, 80} {
 		is := is.New(t)
-		f := settled(t, n, 2)
+		f := convergedFleet(t, n, 2)
 		f.nodes[n-1].dead = true
 		name := f.nodes[n-1].member.Name
-		took := f.until(2*time.Minute, func() bool { return f.knowsDown(name) })
-		is.True(f.knowsDown(name))
+		took := f.until(2*time.Minute, func() bool { return f.allSeeDown(name) })
+		is.True(f.allSeeDown(name))
 		t.Logf("%d daemons know of a death after %v", n, took)
 		is.Equal(f.falseDown, 0)
 	}
@@ -34,18 +34,18 @@
 	for _, n := range []int{4, 8, 80, 320} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, n, 13)
+			f := convergedFleet(t, n, 13)
 			f.configure(f.nodes[1], 2)
-			is.True(f.spread(t, 2) < 4*time.Second)
+			is.True(f.spreadTime(t, 2) < 4*time.Second)
 			f.loss = 0.05
 			f.configure(f.nodes[n-1], 3)
-			is.True(f.spread(t, 3) < 4*time.Second)
+			is.True(f.spreadTime(t, 3) < 4*time.Second)
 		})
 	}
 }
 
 // spread returns the time until all daemons have the version.
-func (f *fleet) spread(t *testing.T, version uint64) time.Duration {
+func (f *fleet) spreadTime(t *testing.T, version uint64) time.Duration {
 	t.Helper()
 	took := f.until(time.Minute, func() bool { return f.configuredAt(version) })
 	t.Logf("version %d in force everywhere after %v, with %.0f%% loss", version, took, 100*f.loss)
--- a/internal/peer/beat/wire.go
+++ b/internal/peer/swim/wire.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"net/netip"
@@ -81,7 +81,7 @@
 		w.News = append(w.News, packMember(m))
 	}
 	for _, c := range p.Claims {
-		w.Claims = append(w.Claims, claim{Name: c.Name, Incarnation: c.Incarnation, Serial: c.Serial, State: number(c.State)})
+		w.Claims = append(w.Claims, claim{Name: c.Name, Incarnation: c.Incarnation, Serial: c.Serial, State: stateCode(c.State)})
 	}
 	for _, m := range p.Marks {
 		w.Marks = append(w.Marks, mark{Name: m.Name, Incarnation: m.Incarnation, Config: m.Config})
@@ -108,7 +108,7 @@
 		p.News = append(p.News, m.unpack())
 	}
 	for _, c := range w.Claims {
-		p.Claims = append(p.Claims, Claim{Name: c.Name, Incarnation: c.Incarnation, Serial: c.Serial, State: state(c.State)})
+		p.Claims = append(p.Claims, Claim{Name: c.Name, Incarnation: c.Incarnation, Serial: c.Serial, State: stateFromCode(c.State)})
 	}
 	for _, m := range w.Marks {
 		p.Marks = append(p.Marks, Mark{Name: m.Name, Incarnation: m.Incarnation, Config: m.Config})
@@ -119,7 +119,7 @@
 func packMember(m Member) member {
 	w := member{
 		Name: m.Name, Address: packAddress(m.Address), Peer: packAddress(m.Peer),
-		FailureDomain: m.FailureDomain, Disk: m.Disk, State: number(m.State),
+		FailureDomain: m.FailureDomain, Disk: m.Disk, State: stateCode(m.State),
 		Incarnation: m.Incarnation, Serial: m.Serial, Config: m.Config,
 	}
 	for _, s := range m.Shards {
@@ -131,7 +131,7 @@
 func (w member) unpack() Member {
 	m := Member{
 		Name: w.Name, Address: unpackAddress(w.Address), Peer: unpackAddress(w.Peer),
-		FailureDomain: w.FailureDomain, Disk: w.Disk, State: state(w.State),
+		FailureDomain: w.FailureDomain, Disk: w.Disk, State: stateFromCode(w.State),
 		Incarnation: w.Incarnation, Serial: w.Serial, Config: w.Config,
 	}
 	for i := 0; i+1 < len(w.Shards); i += 2 {
@@ -140,7 +140,7 @@
 	return m
 }
 
-func number(s State) uint8 {
+func stateCode(s State) uint8 {
 	for i, known := range states {
 		if s == known {
 			return uint8(i)
@@ -149,7 +149,7 @@
 	return 0
 }
 
-func state(n uint8) State {
+func stateFromCode(n uint8) State {
 	if int(n) < len(states) {
 		return states[n]
 	}
--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
@@ -34,8 +34,8 @@
 		Rand   func() uint64 // spreads the claims of several daemons
 		Shards int
 
-		members  []beat.Member
-		plan     []beat.Member // who should own each shard
+		members  []swim.Member
+		plan     []swim.Member // who should own each shard
 		planned  string        // the daemons that the plan was made for
 		owned    map[int]bool
 		claiming map[int]bool
@@ -51,7 +51,7 @@
 	Message interface{ message() }
 
 	// View is the present picture of the daemons.
-	View struct{ Members []beat.Member }
+	View struct{ Members []swim.Member }
 
 	// Leased tells whether the daemon holds a lease to claim under.
 	Leased struct{ OK bool }
@@ -86,7 +86,7 @@
 	// answer is Gone.
 	Give struct {
 		Shard int
-		To    beat.Member
+		To    swim.Member
 	}
 )
 
@@ -149,11 +149,11 @@
 
 // view takes a new picture in. Working the plan out costs a hash for each shard
 // and daemon, so it is done only when a daemon came, left or changed its state.
-func (a *Assign) view(members []beat.Member) {
+func (a *Assign) view(members []swim.Member) {
 	a.members = members
 	var b strings.Builder
 	for _, m := range members {
-		if m.State == beat.Alive {
+		if m.State == swim.Alive {
 			b.WriteString(m.Name)
 			b.WriteByte(0)
 		}
@@ -165,9 +165,9 @@
 }
 
 // preferred is the daemon that should own the shard.
-func (a *Assign) preferred(shard int) (beat.Member, bool) {
+func (a *Assign) preferred(shard int) (swim.Member, bool) {
 	if shard >= len(a.plan) {
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	return a.plan[shard], true
 }
@@ -217,22 +217,22 @@
 }
 
 // successor tells whether an owned shard should go to another daemon.
-func (a *Assign) successor(now time.Time, shard int) (beat.Member, bool) {
+func (a *Assign) successor(now time.Time, shard int) (swim.Member, bool) {
 	to, ok := a.preferred(shard)
 	if a.draining {
 		if to.Name == a.Self {
-			to = beat.Member{}
+			to = swim.Member{}
 		}
 		return to, true
 	}
 	if !ok || to.Name == a.Self {
 		delete(a.moved, shard)
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	since, known := a.moved[shard]
 	if !known {
 		a.moved[shard] = now
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	return to, now.Sub(since) >= settleTime
 }
--- a/internal/shard/assign/assign_test.go
+++ b/internal/shard/assign/assign_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/shard/assign"
 )
 
@@ -19,7 +19,7 @@
 // fleet is several daemons' machines with one picture, and who owns what.
 type fleet struct {
 	now     time.Time
-	members []beat.Member
+	members []swim.Member
 	all     map[string]*assign.Assign
 	owner   map[int]string
 	deaf    map[string]bool // claims of these fail
@@ -41,11 +41,11 @@
 		seed = seed*6364136223846793005 + 1442695040888963407
 		return seed >> 33
 	}}
-	f.members = append(f.members, beat.Member{Name: name, State: beat.Alive})
+	f.members = append(f.members, swim.Member{Name: name, State: swim.Alive})
 	f.all[name].Step(f.now, assign.Leased{OK: true})
 }
 
-func (f *fleet) state(name string, s beat.State) {
+func (f *fleet) state(name string, s swim.State) {
 	for i := range f.members {
 		if f.members[i].Name == name {
 			f.members[i].State = s
@@ -61,12 +61,12 @@
 			f.members[i].Shards = nil
 			for s := range shards {
 				if f.owner[s] == f.members[i].Name {
-					f.members[i].Shards = append(f.members[i].Shards, beat.Shard{Shard: s, Epoch: 1})
+					f.members[i].Shards = append(f.members[i].Shards, swim.Shard{Shard: s, Epoch: 1})
 				}
 			}
 		}
 		for _, m := range f.members {
-			if m.State == beat.Down {
+			if m.State == swim.Down {
 				continue
 			}
 			a := f.all[m.Name]
@@ -101,7 +101,7 @@
 }
 
 func (f *fleet) die(name string) {
-	f.state(name, beat.Down)
+	f.state(name, swim.Down)
 	for s, o := range f.owner {
 		if o == name {
 			delete(f.owner, s)
@@ -115,7 +115,7 @@
 	tests := map[string]func(f *fleet){
 		"at start":    func(*fleet) {},
 		"one dies":    func(f *fleet) { f.die(f.owner[0]) },
-		"one drains":  func(f *fleet) { f.state(f.owner[0], beat.Draining); f.all[f.owner[0]].Step(f.now, assign.Drain{}) },
+		"one drains":  func(f *fleet) { f.state(f.owner[0], swim.Draining); f.all[f.owner[0]].Step(f.now, assign.Drain{}) },
 		"one joins":   func(f *fleet) { f.join("new") },
 		"can't claim": func(f *fleet) { name := f.owner[0]; f.die(f.owner[1]); f.deaf[name] = true },
 		"none can for a while": func(f *fleet) {
@@ -140,7 +140,7 @@
 			for s, o := range f.owner {
 				per[o]++
 				for _, m := range f.members {
-					is.True(m.Name != o || m.State == beat.Alive)
+					is.True(m.Name != o || m.State == swim.Alive)
 				}
 				want, ok := locate.Preferred(f.members, s, shards)
 				is.True(ok)
@@ -191,13 +191,13 @@
 	for _, n := range []int{8, 80, 320} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
 			a := &assign.Assign{Self: "d0", Shards: 64, Rand: func() uint64 { return 1 }}
-			members := make([]beat.Member, n)
+			members := make([]swim.Member, n)
 			for i := range members {
-				members[i] = beat.Member{Name: fmt.Sprint("d", i), State: beat.Alive}
+				members[i] = swim.Member{Name: fmt.Sprint("d", i), State: swim.Alive}
 			}
 			for s := range 64 {
 				i := s % n
-				members[i].Shards = append(members[i].Shards, beat.Shard{Shard: s, Epoch: 1})
+				members[i].Shards = append(members[i].Shards, swim.Shard{Shard: s, Epoch: 1})
 			}
 			a.Step(start, assign.Leased{OK: true})
 			for b.Loop() {
--- a/internal/shard/blobs/audit.go
+++ b/internal/shard/blobs/audit.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // due queues a holder whose list is to be compared.
@@ -31,7 +31,7 @@
 	for len(h.audits) > 0 {
 		name := h.audits[0]
 		h.audits = h.audits[1:]
-		if m := h.members[name]; m.Disk && m.State != beat.Down {
+		if m := h.members[name]; m.Disk && m.State != swim.Down {
 			h.audit = &audit{holder: name, until: now.Add(auditTimeout), expect: h.at(name)}
 			return []Effect{List{To: name}}
 		}
--- a/internal/shard/blobs/copies.go
+++ b/internal/shard/blobs/copies.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // known takes over a reference from the journal. A holder that nobody has heard
@@ -18,7 +18,7 @@
 	}
 	for _, name := range k.Holders {
 		if h.members[name] == nil {
-			h.members[name] = &member{Member: beat.Member{Name: name, Disk: true, State: beat.Down}, since: now}
+			h.members[name] = &member{Member: swim.Member{Name: name, Disk: true, State: swim.Down}, since: now}
 		}
 	}
 	h.blobs[k.Digest] = &blob{size: k.Size, refs: 1, copies: slices.Clone(k.Holders)}
@@ -201,9 +201,9 @@
 func (h *Holders) rank(name string) int {
 	m := h.members[name]
 	switch {
-	case m == nil || !m.Disk || m.State == beat.Down:
+	case m == nil || !m.Disk || m.State == swim.Down:
 		return 0
-	case m.State == beat.Suspect:
+	case m.State == swim.Suspect:
 		return 1
 	case m.FailureDomain != h.domain:
 		return 2
@@ -219,7 +219,7 @@
 	taken := h.domains(b, w)
 	top := uint64(0)
 	for name, m := range h.members {
-		if !m.Disk || m.State != beat.Alive || m.leaving || slices.Contains(taken, m.FailureDomain) {
+		if !m.Disk || m.State != swim.Alive || m.leaving || slices.Contains(taken, m.FailureDomain) {
 			continue
 		}
 		if slices.Contains(b.copies, name) || w != nil && slices.Contains(w.failed, name) {
--- a/internal/shard/blobs/holders.go
+++ b/internal/shard/blobs/holders.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
@@ -41,7 +41,7 @@
 	}
 
 	member struct {
-		beat.Member
+		swim.Member
 		since   time.Time // when it went down; zero while it is up
 		lost    bool      // it has been down for longer than a restart takes
 		leaving bool
@@ -85,7 +85,7 @@
 	Self struct{ FailureDomain string }
 
 	// Member brings the picture of a daemon, as heartbeats change it.
-	Member struct{ Member beat.Member }
+	Member struct{ Member swim.Member }
 
 	// Leaving tells that a daemon's VM is going to be replaced. It is ignored
 	// before the daemon's Member and ends with its next start.
--- a/internal/shard/blobs/holders_test.go
+++ b/internal/shard/blobs/holders_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // bench drives the machine with a clock of its own.
@@ -18,7 +18,7 @@
 
 var one, two = Sum([]byte("1")), Sum([]byte("2"))
 
-func newBench(t *testing.T, members ...beat.Member) *bench {
+func newBench(t *testing.T, members ...swim.Member) *bench {
 	b := &bench{I: is.New(t), now: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)}
 	b.step(Self{FailureDomain: "temeke"})
 	for _, m := range members {
@@ -62,12 +62,12 @@
 	return kept
 }
 
-func vm(name, domain string) beat.Member {
-	return beat.Member{Name: name, FailureDomain: domain, Disk: true, State: beat.Alive, Incarnation: 1}
+func vm(name, domain string) swim.Member {
+	return swim.Member{Name: name, FailureDomain: domain, Disk: true, State: swim.Alive, Incarnation: 1}
 }
 
-func down(m beat.Member) Member {
-	m.State = beat.Down
+func down(m swim.Member) Member {
+	m.State = swim.Down
 	return Member{Member: m}
 }
 
@@ -82,30 +82,30 @@
 	plain := vm("p", "mikocheni")
 	plain.Disk = false
 	tests := map[string]struct {
-		members []beat.Member
+		members []swim.Member
 		run     func(b *bench)
 	}{
-		"kept after both copies": {[]beat.Member{a1, t1, plain}, func(b *bench) {
+		"kept after both copies": {[]swim.Member{a1, t1, plain}, func(b *bench) {
 			out := b.step(Store{Digest: one, Size: 10})
 			b.Equal(len(out), 2)
 			first, second := out[0].(Copy).To, out[1].(Copy).To
 			b.want(Copied{Digest: one, To: first})
 			b.want(Copied{Digest: one, To: second}, Kept{Digest: one, Size: 10, Holders: []string{first, second}})
 		}},
-		"two failure domains": {[]beat.Member{a1, a2, t1}, func(b *bench) {
+		"two failure domains": {[]swim.Member{a1, a2, t1}, func(b *bench) {
 			for i := range 32 {
 				k := b.stored(Sum([]byte{byte(i)}))
 				b.True(k.Holders[0] == "t1" || k.Holders[1] == "t1")
 			}
 		}},
-		"stored once, asked twice": {[]beat.Member{a1, t1}, func(b *bench) {
+		"stored once, asked twice": {[]swim.Member{a1, t1}, func(b *bench) {
 			k := b.stored(one)
 			b.want(Store{Digest: one, Size: 10}, k)
 			b.want(Release{Digest: one})
 			b.Equal(len(b.step(Release{Digest: one})), 2)
 			b.want(Release{Digest: one})
 		}},
-		"asked twice at once": {[]beat.Member{a1, t1}, func(b *bench) {
+		"asked twice at once": {[]swim.Member{a1, t1}, func(b *bench) {
 			out := b.step(Store{Digest: one, Size: 10})
 			b.want(Store{Digest: one, Size: 10})
 			b.want(Copied{Digest: one, To: out[0].(Copy).To})
@@ -116,14 +116,14 @@
 		// All VMs with a disk are in one failure domain, or there are none.
 		// One failure would take all copies, so the text goes into the
 		// journal at once.
-		"one failure domain": {[]beat.Member{a1, a2, plain}, func(b *bench) {
+		"one failure domain": {[]swim.Member{a1, a2, plain}, func(b *bench) {
 			b.want(Store{Digest: one, Size: 10}, Inline{Digest: one})
 		}},
 		"no folder": {nil, func(b *bench) {
 			b.want(Store{Digest: one, Size: 10}, Inline{Digest: one})
 		}},
 		// A folder is full. The copy goes to another VM.
-		"one refuses": {[]beat.Member{a1, t1, u1}, func(b *bench) {
+		"one refuses": {[]swim.Member{a1, t1, u1}, func(b *bench) {
 			out := b.step(Store{Digest: one, Size: 10})
 			refused, other := out[0].(Copy).To, out[1].(Copy).To
 			next := b.step(Failed{Digest: one, To: refused})
@@ -133,7 +133,7 @@
 			b.want(Copied{Digest: one, To: third})
 			b.want(Copied{Digest: one, To: other}, Kept{Digest: one, Size: 10, Holders: []string{third, other}})
 		}},
-		"all but one refuse": {[]beat.Member{a1, t1}, func(b *bench) {
+		"all but one refuse": {[]swim.Member{a1, t1}, func(b *bench) {
 			out := b.step(Store{Digest: one, Size: 10})
 			b.want(Copied{Digest: one, To: out[0].(Copy).To})
 			b.want(Failed{Digest: one, To: out[1].(Copy).To}, Inline{Digest: one})
@@ -141,7 +141,7 @@
 		// A VM takes the copy and never answers, because its disk hangs. The
 		// program does not wait for it: the copy goes elsewhere, and in the
 		// end into the journal.
-		"one hangs": {[]beat.Member{a1, t1, u1}, func(b *bench) {
+		"one hangs": {[]swim.Member{a1, t1, u1}, func(b *bench) {
 			out := b.step(Store{Digest: one, Size: 10})
 			b.want(Copied{Digest: one, To: out[0].(Copy).To})
 			next := b.pass(storeTimeout)
@@ -153,7 +153,7 @@
 		// The VM with the first copy is going to be replaced before the second
 		// copy is there. The text needs a third place, or its program waits
 		// for an answer that never comes.
-		"the first holder leaves before the second copy": {[]beat.Member{a1, t1, u1}, func(b *bench) {
+		"the first holder leaves before the second copy": {[]swim.Member{a1, t1, u1}, func(b *bench) {
 			out := b.step(Store{Digest: one, Size: 10})
 			first, second := out[0].(Copy).To, out[1].(Copy).To
 			b.want(Copied{Digest: one, To: first})
@@ -163,7 +163,7 @@
 			third := next[0].(Copy).To
 			b.want(Copied{Digest: one, To: third}, Kept{Digest: one, Size: 10, Holders: []string{second, third}})
 		}},
-		"a leaving VM gets nothing new": {[]beat.Member{a1, t1, u1}, func(b *bench) {
+		"a leaving VM gets nothing new": {[]swim.Member{a1, t1, u1}, func(b *bench) {
 			b.want(Leaving{Name: "u1"})
 			for i := range 32 {
 				for _, name := range b.stored(Sum([]byte{byte(i)})).Holders {
@@ -295,7 +295,7 @@
 		},
 		"a suspect comes last": func(b *bench) {
 			suspect := t1
-			suspect.State = beat.Suspect
+			suspect.State = swim.Suspect
 			b.step(Member{Member: suspect})
 			b.want(Read{Digest: one}, Fetch{Digest: one, From: "a1"})
 			b.step(down(a1))
--- a/internal/shard/blobs/repair.go
+++ b/internal/shard/blobs/repair.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // meet takes a daemon's new picture; only those that have a folder, or are
 // thought to have one, matter. One that was started again may have come back
 // without its blobs, so its list is compared soon.
-func (h *Holders) meet(now time.Time, p beat.Member) {
+func (h *Holders) meet(now time.Time, p swim.Member) {
 	m := h.members[p.Name]
 	if m == nil && !p.Disk {
 		return
@@ -27,7 +27,7 @@
 		h.due(p.Name)
 	}
 	m.Member = p
-	if p.State != beat.Down {
+	if p.State != swim.Down {
 		m.since, m.lost = time.Time{}, false
 	} else if m.since.IsZero() {
 		m.since = now
@@ -77,7 +77,7 @@
 func (h *Holders) tick(now time.Time) (out []Effect) {
 	for _, name := range slices.Sorted(maps.Keys(h.members)) {
 		m := h.members[name]
-		if m.State == beat.Down && !m.lost && now.Sub(m.since) >= grace {
+		if m.State == swim.Down && !m.lost && now.Sub(m.since) >= grace {
 			m.lost = true
 			h.weakenAll(name)
 		}
--- a/internal/shard/blobs/world_test.go
+++ b/internal/shard/blobs/world_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // world plays the folders and the journal around the machine. A step of it
@@ -19,7 +19,7 @@
 	*rapid.T
 	h       Holders
 	now     time.Time
-	vms     map[string]beat.Member
+	vms     map[string]swim.Member
 	disks   map[string]map[Digest]bool
 	journal map[Digest][]string
 	refs    map[Digest]int
@@ -29,7 +29,7 @@
 
 func newWorld(t *rapid.T) *world {
 	w := &world{T: t, now: time.Unix(0, 0), journal: map[Digest][]string{}, refs: map[Digest]int{}}
-	w.vms, w.disks = map[string]beat.Member{}, map[string]map[Digest]bool{}
+	w.vms, w.disks = map[string]swim.Member{}, map[string]map[Digest]bool{}
 	for _, domain := range []string{"d0", "d0", "d1", "d2", "d2"} {
 		name := fmt.Sprintf("v%d", len(w.vms))
 		w.vms[name], w.disks[name] = vm(name, domain), map[Digest]bool{}
@@ -86,7 +86,7 @@
 }
 
 func (w *world) list(e List) {
-	if w.vms[e.To].State == beat.Down {
+	if w.vms[e.To].State == swim.Down {
 		return
 	}
 	all := slices.SortedFunc(maps.Keys(w.disks[e.To]), compare)
@@ -97,8 +97,8 @@
 func (w *world) land(i int, ok bool) {
 	c := w.flying[i]
 	w.flying = slices.Delete(w.flying, i, i+1)
-	there := c.From == "" || w.disks[c.From][c.Digest] && w.vms[c.From].State != beat.Down
-	if !ok || !there || w.vms[c.To].State == beat.Down {
+	there := c.From == "" || w.disks[c.From][c.Digest] && w.vms[c.From].State != swim.Down
+	if !ok || !there || w.vms[c.To].State == swim.Down {
 		w.do(Failed{Digest: c.Digest, To: c.To})
 		return
 	}
@@ -156,9 +156,9 @@
 	}
 }
 
-func (w *world) set(name string, s beat.State) {
+func (w *world) set(name string, s swim.State) {
 	m := w.vms[name]
-	if m.State == beat.Down && s != beat.Down {
+	if m.State == swim.Down && s != swim.Down {
 		m.Incarnation++
 	}
 	m.State = s
@@ -171,8 +171,8 @@
 func (w *world) heal() {
 	w.healed = true
 	for _, name := range slices.Sorted(maps.Keys(w.vms)) {
-		w.set(name, beat.Down)
-		w.set(name, beat.Alive)
+		w.set(name, swim.Down)
+		w.set(name, swim.Alive)
 	}
 	w.pass(2*int(auditEvery/Interval) + 300)
 }
@@ -227,13 +227,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"store":   func(*rapid.T) { w.store() },
 			"release": func(*rapid.T) { w.release() },
-			"down":    func(*rapid.T) { w.set(w.pick(), beat.Down) },
-			"up":      func(*rapid.T) { w.set(w.pick(), beat.Alive) },
-			"suspect": func(*rapid.T) { w.set(w.pick(), beat.Suspect) },
+			"down":    func(*rapid.T) { w.set(w.pick(), swim.Down) },
+			"up":      func(*rapid.T) { w.set(w.pick(), swim.Alive) },
+			"suspect": func(*rapid.T) { w.set(w.pick(), swim.Suspect) },
 			"leaving": func(*rapid.T) { w.do(Leaving{Name: w.pick()}) },
 			"replaced": func(*rapid.T) {
 				name := w.pick()
-				w.set(name, beat.Down)
+				w.set(name, swim.Down)
 				w.disks[name] = map[Digest]bool{}
 			},
 			"spoilt": func(*rapid.T) {
--- a/internal/shard/bulk/bulk_test.go
+++ b/internal/shard/bulk/bulk_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
 	"github.com/slaterock/slaterock/internal/shard/bulk"
 )
@@ -98,8 +98,8 @@
 	return err
 }
 
-func member(name string, s beat.State) blobs.Member {
-	return blobs.Member{Member: beat.Member{Name: name, FailureDomain: "of " + name, Disk: true, State: s, Incarnation: 1}}
+func member(name string, s swim.State) blobs.Member {
+	return blobs.Member{Member: swim.Member{Name: name, FailureDomain: "of " + name, Disk: true, State: s, Incarnation: 1}}
 }
 
 func run(t *testing.T, names []string, test func(r *rig)) {
@@ -111,7 +111,7 @@
 		r.Bulk = &bulk.Bulk{Peers: f, Shard: 3, Epoch: 1, Changed: r.changed}
 		for _, name := range names {
 			f.dirs[name] = &blobs.Folder{Dir: filepath.Join(root, name)}
-			r.Tell(member(name, beat.Alive))
+			r.Tell(member(name, swim.Alive))
 		}
 		r.Tell(blobs.Ready{})
 		end := make(chan struct{})
@@ -136,7 +136,7 @@
 	r.folders.mu.Lock()
 	r.down[name] = true
 	r.folders.mu.Unlock()
-	r.Tell(member(name, beat.Down))
+	r.Tell(member(name, swim.Down))
 }
 
 // hang makes these daemons give no answer, and all others answer.
