--- a/internal/disk/quorum/quorum.go
+++ b/internal/disk/quorum/quorum.go
@@ -169,7 +169,7 @@
 	req := recsrv.WriteRequest{Target: recsrv.Target{Version: version, DiskID: p.DiskID}, Record: rec}
 	out := reply{replica: p}
 	began := time.Now()
-	out.err = link.Ask(ctx, c.Peer(p.Address), recsrv.MethodWrite, req, &out.write)
+	out.err = link.InvokeTyped(ctx, c.Peer(p.Address), recsrv.MethodWrite, req, &out.write)
 	c.writeLatency.observe(p, time.Since(began), out.err)
 	replies <- out
 }
@@ -308,7 +308,7 @@
 			out := reply{replica: p}
 			req := recsrv.ReadRequest{Target: recsrv.Target{Version: version, DiskID: p.DiskID}, Turn: turn}
 			began := time.Now()
-			out.err = link.Ask(limited, c.Peer(p.Address), recsrv.MethodRead, req, &out.read)
+			out.err = link.InvokeTyped(limited, c.Peer(p.Address), recsrv.MethodRead, req, &out.read)
 			c.readLatency.observe(p, time.Since(began), out.err)
 			replies <- out
 		}()
--- a/internal/disk/recsrv/copy.go
+++ b/internal/disk/recsrv/copy.go
@@ -142,7 +142,7 @@
 func call(ctx context.Context, p link.Invoker, method string, in, out any) error {
 	ctx, stop := context.WithTimeout(ctx, pageTimeout)
 	defer stop()
-	return link.Ask(ctx, p, method, in, out)
+	return link.InvokeTyped(ctx, p, method, in, out)
 }
 
 // CopyToOthers copies all records to every other replica. It is used to retire this
--- a/internal/disk/recsrv/recsrv.go
+++ b/internal/disk/recsrv/recsrv.go
@@ -101,11 +101,11 @@
 
 func (s *Server) methods() map[string]link.Handler {
 	return map[string]link.Handler{
-		MethodWrite:  link.Answer(s.Write),
-		MethodRead:   link.Answer(s.Read),
-		MethodPull:   link.Answer(s.Pull),
-		MethodImport: link.Answer(s.handleImport),
-		MethodDiskID: link.Answer(func(context.Context, struct{}) (string, error) { return s.diskID, nil }),
+		MethodWrite:  link.TypedHandler(s.Write),
+		MethodRead:   link.TypedHandler(s.Read),
+		MethodPull:   link.TypedHandler(s.Pull),
+		MethodImport: link.TypedHandler(s.handleImport),
+		MethodDiskID: link.TypedHandler(func(context.Context, struct{}) (string, error) { return s.diskID, nil }),
 	}
 }
 
--- a/internal/disk/snap/snap.go
+++ b/internal/disk/snap/snap.go
@@ -66,8 +66,8 @@
 
 // Register registers the methods with the link.
 func (s *Snapshotter) Register(l *link.Link) {
-	l.Handle(MethodSave, link.Answer(func(_ context.Context, snap Snapshot) (struct{}, error) { return struct{}{}, s.Save(snap) }))
-	l.Handle(MethodLoad, link.Answer(func(context.Context, struct{}) (Snapshot, error) { return s.Load() }))
+	l.Handle(MethodSave, link.TypedHandler(func(_ context.Context, snap Snapshot) (struct{}, error) { return struct{}{}, s.Save(snap) }))
+	l.Handle(MethodLoad, link.TypedHandler(func(context.Context, struct{}) (Snapshot, error) { return s.Load() }))
 }
 
 // Save makes the snapshot durable, unless a newer one is stored already.
--- a/internal/node/diskd/claim.go
+++ b/internal/node/diskd/claim.go
@@ -94,6 +94,6 @@
 	ctx, stop := context.WithTimeout(ctx, aliveTimeout)
 	defer stop()
 	var life string
-	err := link.Ask(ctx, d.peers()(p.Address), recsrv.MethodDiskID, struct{}{}, &life)
+	err := link.InvokeTyped(ctx, d.peers()(p.Address), recsrv.MethodDiskID, struct{}{}, &life)
 	return err == nil && life == p.DiskID
 }
--- a/internal/node/diskd/diskd_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -99,7 +99,7 @@
 func (l diskPeer) Invoke(_ context.Context, _ string, _, out any) error {
 	raw, ok := out.(*link.Raw)
 	if l == "" || !ok {
-		return link.ErrSilent
+		return link.ErrUnresponsive
 	}
 	data, err := cbor.Marshal(string(l))
 	*raw = data
--- a/internal/node/frontd/backup.go
+++ b/internal/node/frontd/backup.go
@@ -104,7 +104,7 @@
 	var work sync.WaitGroup
 	for _, address := range addresses {
 		work.Go(func() {
-			err := link.Ask(ctx, d.link.Peer(address), snap.MethodSave, snap.Snapshot{Revision: s.Revision, Data: data}, nil)
+			err := link.InvokeTyped(ctx, d.link.Peer(address), snap.MethodSave, snap.Snapshot{Revision: s.Revision, Data: data}, nil)
 			d.backups.record(address, next, err == nil)
 			if err != nil && ctx.Err() == nil {
 				d.Log.Warn().Err(err).Str("peer", address).Msg("state not backed up on a disk")
@@ -158,7 +158,7 @@
 	ctx, stop := context.WithTimeout(ctx, peerTimeout)
 	defer stop()
 	var n snap.Snapshot
-	if err = link.Ask(ctx, d.link.Peer(address), snap.MethodLoad, struct{}{}, &n); err != nil {
+	if err = link.InvokeTyped(ctx, d.link.Peer(address), snap.MethodLoad, struct{}{}, &n); err != nil {
 		return err
 	}
 	if len(n.Data) == 0 {
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -144,8 +144,8 @@
 	d.limits.Tolerance = d.Settings.Tolerance
 	d.picker.Idle, d.picker.Age = d.pool.Idle, d.meshio.Age
 	d.link.Address, d.link.Scope = d.Settings.Peer, d.Scope
-	d.link.DialTime, d.link.BackOff = dialTimeout, maxDialBackoff
-	d.link.Handle(methodSnapshot, link.Answer(d.serveSnapshot))
+	d.link.DialTimeout, d.link.BackOff = dialTimeout, maxDialBackoff
+	d.link.Handle(methodSnapshot, link.TypedHandler(d.serveSnapshot))
 	if err := d.link.Start(ctx); err != nil {
 		return err
 	}
--- a/internal/node/frontd/state.go
+++ b/internal/node/frontd/state.go
@@ -162,7 +162,7 @@
 	ctx, stop := context.WithTimeout(d.proxy.Stop, peerTimeout)
 	defer stop()
 	var s snapshot
-	err := link.Ask(ctx, d.link.Peer(e.Peer), methodSnapshot, d.baseline(), &s)
+	err := link.InvokeTyped(ctx, d.link.Peer(e.Peer), methodSnapshot, d.baseline(), &s)
 	d.fetches.end(e.Node)
 	if err == nil {
 		err = d.applySnapshot(s, 0)
--- a/internal/peer/link/bench_test.go
+++ b/internal/peer/link/bench_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	idlePeers = 320
-	tokens    = 200 // of one answer
-	streams   = 100 // answers at a time
+	idlePeers       = 320
+	piecesPerAnswer = 200 // of one answer
+	parallelAnswers = 100 // answers at a time
 )
 
 // serveTCP serves a Link on a loopback port until the benchmark ends.
@@ -45,7 +45,7 @@
 }
 
 // processor returns the processor time of this process, for both ends.
-func processor() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -53,8 +53,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func report(b *testing.B, start time.Duration, n int, unit string) {
-	b.ReportMetric(float64((processor()-start).Nanoseconds())/1000/float64(n), unit)
+func reportCPU(b *testing.B, start time.Duration, n int, unit string) {
+	b.ReportMetric(float64((cpuTime()-start).Nanoseconds())/1000/float64(n), unit)
 }
 
 func echo(_ context.Context, c call.Call, _ runner.Sink) result.Result {
@@ -72,13 +72,13 @@
 			peer := client.Peer(serveTCP(b, &server))
 			serveTCP(b, &client)
 			body := []byte(strings.Repeat(`{"role":"user","content":"text"},`, size/33+1)[:size])
-			start := processor()
+			start := cpuTime()
 			for b.Loop() {
 				if !peer.Call(b.Context(), call.Call{Body: body}, nil).OK() {
 					b.Fatal("call failed")
 				}
 			}
-			report(b, start, b.N, "cpu-us/call")
+			reportCPU(b, start, b.N, "cpu-us/call")
 		})
 	}
 }
@@ -88,7 +88,7 @@
 func BenchmarkPieces(b *testing.B) {
 	var client, server Link
 	server.Runner = scripted{call: func(_ context.Context, _ call.Call, sink runner.Sink) result.Result {
-		for range tokens {
+		for range piecesPerAnswer {
 			if sink(" token") != nil {
 				return result.Result{}
 			}
@@ -97,15 +97,15 @@
 	}}
 	peer := client.Peer(serveTCP(b, &server))
 	serveTCP(b, &client)
-	start := processor()
+	start := cpuTime()
 	for b.Loop() {
 		var all sync.WaitGroup
-		for range streams {
+		for range parallelAnswers {
 			all.Go(func() { peer.Call(b.Context(), call.Call{}, func(string) error { return nil }) })
 		}
 		all.Wait()
 	}
-	report(b, start, b.N*streams*tokens, "cpu-us/piece")
+	reportCPU(b, start, b.N*parallelAnswers*piecesPerAnswer, "cpu-us/piece")
 }
 
 // BenchmarkPacket measures a packet of the membership, both ends.
@@ -115,18 +115,18 @@
 	server.OnPacket = func(swim.Packet) { got <- struct{}{} }
 	peer := client.Peer(serveTCP(b, &server))
 	serveTCP(b, &client)
-	start := processor()
+	start := cpuTime()
 	for b.Loop() {
 		peer.Send(swim.Packet{From: "10.0.0.1:7401", Round: 5})
 		<-got
 	}
-	report(b, start, b.N, "cpu-us/packet")
+	reportCPU(b, start, b.N, "cpu-us/packet")
 }
 
 // BenchmarkIdle measures the memory that an idle connection holds, for one end.
 func BenchmarkIdle(b *testing.B) {
 	for b.Loop() {
-		before := held()
+		before := heapInUse()
 		var client Link
 		serveTCP(b, &client)
 		for range idlePeers {
@@ -136,11 +136,11 @@
 				b.Fatal("not reached")
 			}
 		}
-		b.ReportMetric(float64(held()-before)/idlePeers/1024, "KB/connection")
+		b.ReportMetric(float64(heapInUse()-before)/idlePeers/1024, "KB/connection")
 	}
 }
 
-func held() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/peer/link/typed.go
+++ b/internal/peer/link/cbor.go
@@ -15,7 +15,7 @@
 
 // Ask invokes a method that Answer has made. In and what out points to are the
 // types of that method; with a nil out the answer is not looked at.
-func Ask(ctx context.Context, p Invoker, name string, in, out any) error {
+func InvokeTyped(ctx context.Context, p Invoker, name string, in, out any) error {
 	data, err := cbor.Marshal(in)
 	if err != nil {
 		return errors.Wrapf(err, "encode %s", name)
@@ -29,13 +29,13 @@
 
 // Answer makes a Handler of a function, whose types travel in CBOR: records and
 // knowledge of the fleet have bytes in them, which JSON would blow up by a third.
-func Answer[In, Out any](do func(context.Context, In) (Out, error)) Handler {
+func TypedHandler[In, Out any](serve func(context.Context, In) (Out, error)) Handler {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		var in In
 		if err := cbor.Unmarshal(params, &in); err != nil {
 			return nil, errors.Wrap(err, "decode")
 		}
-		out, err := do(ctx, in)
+		out, err := serve(ctx, in)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/peer/link/typed_test.go
+++ b/internal/peer/link/cbor_test.go
@@ -16,20 +16,20 @@
 		is := is.New(t)
 		p := newPair(t, scripted{})
 		defer p.end()
-		p.b.Handle("test.double", Answer(func(_ context.Context, n int) (int, error) {
+		p.b.Handle("test.double", TypedHandler(func(_ context.Context, n int) (int, error) {
 			if n < 0 {
 				return 0, errors.New("below zero")
 			}
 			return 2 * n, nil
 		}))
 		var n int
-		is.NoErr(Ask(t.Context(), p.a.Peer("b"), "test.double", 21, &n))
+		is.NoErr(InvokeTyped(t.Context(), p.a.Peer("b"), "test.double", 21, &n))
 		is.Equal(n, 42)
-		is.NoErr(Ask(t.Context(), p.a.Peer("b"), "test.double", 21, nil))
-		is.True(Ask(t.Context(), p.a.Peer("b"), "test.double", -1, &n) != nil)
-		is.True(Ask(t.Context(), p.a.Peer("b"), "test.double", "no number", &n) != nil)
+		is.NoErr(InvokeTyped(t.Context(), p.a.Peer("b"), "test.double", 21, nil))
+		is.True(InvokeTyped(t.Context(), p.a.Peer("b"), "test.double", -1, &n) != nil)
+		is.True(InvokeTyped(t.Context(), p.a.Peer("b"), "test.double", "no number", &n) != nil)
 		var list []string
-		is.True(Ask(t.Context(), p.a.Peer("b"), "test.double", 1, &list) != nil)
+		is.True(InvokeTyped(t.Context(), p.a.Peer("b"), "test.double", 1, &list) != nil)
 		is.Equal(n, 42)
 	})
 }
--- a/internal/peer/link/fault.go
+++ b/internal/peer/link/errors.go
@@ -8,20 +8,20 @@
 
 var (
 	// ErrKey tells that the peer does not hold the shared key.
-	ErrKey = errors.New("peer does not hold the shared key")
+	ErrWrongKey = errors.New("peer does not hold the shared key")
 	// ErrSilent tells that a connection was given up because nothing came.
-	ErrSilent = errors.New("connection went silent")
+	ErrUnresponsive = errors.New("connection went silent")
 	// ErrLost is the cause of a served call's context when its connection
 	// ended: the caller may come back over another one.
-	ErrLost = errors.New("connection lost")
+	ErrConnLost = errors.New("connection lost")
 	// ErrCancelled is the cause of a served call's context when the caller
 	// gave the call up.
 	ErrCancelled = errors.New("cancelled by the caller")
 
 	errNotStarted = errors.New("link not started")
-	errFrame      = errors.New("not a frame")
+	errBadFrame   = errors.New("not a frame")
 	errTooLarge   = errors.New("message too large")
-	errIdle       = errors.New("connection idle")
+	errIdleClosed = errors.New("connection idle")
 )
 
 type (
@@ -34,7 +34,7 @@
 	}
 
 	// Refused is a method's own error, as the peer told it.
-	Refused struct {
+	MethodError struct {
 		Method  string
 		Message string
 	}
@@ -49,4 +49,4 @@
 
 func (e *Error) Unwrap() error { return e.Cause }
 
-func (e *Refused) Error() string { return e.Method + ": " + e.Message }
+func (e *MethodError) Error() string { return e.Method + ": " + e.Message }
--- a/internal/peer/link/prove.go
+++ b/internal/peer/link/handshake.go
@@ -14,8 +14,8 @@
 	dialling  role = "dialling"
 	accepting role = "accepting"
 
-	nonceSize     = 16
-	handshakeTime = 2 * time.Second
+	nonceSize        = 16
+	handshakeTimeout = 2 * time.Second
 )
 
 type (
@@ -39,18 +39,18 @@
 // accepting side proves itself first: a daemon that dialled a wrong address
 // sends no proof there. Nothing else is read before both have proved
 // themselves.
-func (s *stream) prove(ctx context.Context, key []byte, address string, as role) (peer string, err error) {
+func (s *stream) handshake(ctx context.Context, key []byte, address string, as role) (peer string, err error) {
 	defer func() { err = errors.Wrap(err, "handshake") }()
-	defer s.guard(ctx)()
-	if err = s.conn.SetReadDeadline(time.Now().Add(handshakeTime)); err != nil {
+	defer s.closeOnDone(ctx)()
+	if err = s.conn.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", err
 	}
 	own := hello{Nonce: make([]byte, nonceSize), Address: address}
 	_, _ = rand.Read(own.Nonce) // never fails
 	if as == dialling {
-		peer, err = s.proveDialling(key, own)
+		peer, err = s.dialHandshake(key, own)
 	} else {
-		peer, err = s.proveAccepting(key, own)
+		peer, err = s.acceptHandshake(key, own)
 	}
 	if err != nil {
 		return "", err
@@ -59,7 +59,7 @@
 	return peer, s.conn.SetReadDeadline(time.Time{})
 }
 
-func (s *stream) proveDialling(key []byte, own hello) (string, error) {
+func (s *stream) dialHandshake(key []byte, own hello) (string, error) {
 	if err := s.WriteObject(own); err != nil {
 		return "", err
 	}
@@ -68,12 +68,12 @@
 		return "", err
 	}
 	if !hmac.Equal(theirs.Proof, sign(key, accepting, own, theirs)) {
-		return "", ErrKey
+		return "", ErrWrongKey
 	}
 	return theirs.Address, s.WriteObject(proof{Proof: sign(key, dialling, own, theirs)})
 }
 
-func (s *stream) proveAccepting(key []byte, own hello) (string, error) {
+func (s *stream) acceptHandshake(key []byte, own hello) (string, error) {
 	var theirs hello
 	if err := s.ReadObject(&theirs); err != nil {
 		return "", err
@@ -87,7 +87,7 @@
 		return "", err
 	}
 	if !hmac.Equal(p.Proof, sign(key, dialling, theirs, own)) {
-		return "", ErrKey
+		return "", ErrWrongKey
 	}
 	return theirs.Address, nil
 }
--- a/internal/peer/link/life_test.go
+++ b/internal/peer/link/lifecycle_test.go
@@ -42,19 +42,19 @@
 
 // An unused connection is closed by the side that opened it, and the next call
 // opens another one, without a failed call between.
-func TestIdle(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-		elapse(DefaultIdle - time.Second)
-		is.True(p.a.Peer("b").live() != nil)
-		elapse(2 * time.Second)
+		sleep(DefaultIdleTimeout - time.Second)
+		is.True(p.a.Peer("b").liveSession() != nil)
+		sleep(2 * time.Second)
 		synctest.Wait()
-		is.True(p.a.Peer("b").live() == nil)
+		is.True(p.a.Peer("b").liveSession() == nil)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-		is.Equal(p.memory.dials, 2)
+		is.Equal(p.network.dials, 2)
 	})
 }
 
@@ -63,7 +63,7 @@
 func TestBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		p.stopB()
 		synctest.Wait()
@@ -71,12 +71,12 @@
 			res := p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
 			is.Equal(res.Ran, result.No)
 			is.True(res.RetryAfter > 0)
-			elapse(10 * time.Millisecond)
+			sleep(10 * time.Millisecond)
 		}
-		is.True(p.memory.dials <= 70) // a minute at one dial in one to two seconds
-		b := Link{Address: "b", Key: []byte("key"), Dial: p.memory.dial, Runner: scripted{call: twenty}}
+		is.True(p.network.dials <= 70) // a minute at one dial in one to two seconds
+		b := Link{Address: "b", Key: []byte("key"), Dial: p.network.dial, Runner: scripted{call: twentyPieces}}
 		p.serve(p.ctx, &b, "b")
-		elapse(backOffMax)
+		sleep(backOffMax)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
@@ -87,25 +87,25 @@
 func TestShortBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		p.a.BackOff = 300 * time.Millisecond
 		p.stopB()
 		synctest.Wait()
 		for range 10 * 100 {
 			is.True(!p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-			elapse(10 * time.Millisecond)
+			sleep(10 * time.Millisecond)
 		}
-		b := Link{Address: "b", Key: []byte("key"), Dial: p.memory.dial, Runner: scripted{call: twenty}}
+		b := Link{Address: "b", Key: []byte("key"), Dial: p.network.dial, Runner: scripted{call: twentyPieces}}
 		p.serve(p.ctx, &b, "b")
-		elapse(p.a.BackOff)
+		sleep(p.a.BackOff)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
 
 // The caller's side is gone without a word while its call waits for an engine.
 // The owner must not work for it for ever.
-func TestCallerGoesSilent(t *testing.T) {
+func TestCallerUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cause := make(chan error, 1)
@@ -117,19 +117,19 @@
 		defer p.end()
 		go p.a.Peer("b").Call(p.ctx, call.Call{}, nil)
 		synctest.Wait()
-		p.memory.silence()
+		p.network.silence()
 		start := time.Now()
-		is.True(errors.Is(<-cause, ErrLost))
+		is.True(errors.Is(<-cause, ErrConnLost))
 		is.True(time.Since(start) <= serverDeadAfter+time.Second)
 	})
 }
 
 // This process itself is paused, as when its VM is moved. What its peers sent
 // meanwhile waits to be read; their connections must not be given up for it.
-func TestOwnPause(t *testing.T) {
+func TestProcessStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 		s := p.a.Peer("b").session
@@ -144,7 +144,7 @@
 func TestTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Body: make([]byte, maxMessage+1)}, nil)
 		var failure *Error
@@ -175,14 +175,14 @@
 					return result.Result{}
 				}})
 				defer p.end()
-				conn, err := p.memory.dial(t.Context(), "b")
+				conn, err := p.network.dial(t.Context(), "b")
 				is.NoErr(err)
 				go func() { _, _ = conn.Write([]byte(text)) }()
 				start := time.Now()
 				for err == nil {
 					_, err = conn.Read(make([]byte, 1024))
 				}
-				is.True(time.Since(start) <= handshakeTime)
+				is.True(time.Since(start) <= handshakeTimeout)
 				synctest.Wait()
 				is.True(!opened)
 				is.Equal(p.count("link_handshake_failed")+p.count("link_wrong_key"), int64(1))
@@ -196,7 +196,7 @@
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
 	var client Link
-	server := Link{Runner: scripted{call: twenty}}
+	server := Link{Runner: scripted{call: twentyPieces}}
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	done := make(chan error, 1)
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -34,10 +34,10 @@
 	// DefaultWorkers bounds the relayed calls that a Link serves at a time.
 	DefaultWorkers = 8192
 	// DefaultIdle is how long an unused connection is kept.
-	DefaultIdle = 5 * time.Minute
+	DefaultIdleTimeout = 5 * time.Minute
 
 	otherWorkers = 256
-	scanEvery    = 500 * time.Millisecond
+	scanInterval = 500 * time.Millisecond
 	dialTimeout  = 2 * time.Second
 )
 
@@ -52,27 +52,27 @@
 	// and handlers are set before Start or Serve. The zero value offers
 	// nothing and dials TCP with an empty key.
 	Link struct {
-		Address  string            // own peer address, told to the others
-		Key      []byte            // shared by all daemons, never sent
-		Runner   runner.Runner     // serves relayed calls
-		OnPacket func(swim.Packet) // must return at once
-		Dial     Dialer
-		Workers  int
-		Idle     time.Duration
-		DialTime time.Duration // until a connection must be open
-		BackOff  time.Duration // longest pause between dials
-		Scope    tally.Scope
+		Address     string            // own peer address, told to the others
+		Key         []byte            // shared by all daemons, never sent
+		Runner      runner.Runner     // serves relayed calls
+		OnPacket    func(swim.Packet) // must return at once
+		Dial        Dialer
+		Workers     int
+		IdleTimeout time.Duration
+		DialTimeout time.Duration // until a connection must be open
+		BackOff     time.Duration // longest pause between dials
+		Scope       tally.Scope
 
-		handlers map[string]Handler
-		mu       sync.Mutex
-		ctx      context.Context // ends all work; set by Start
-		calls    *ants.Pool      // relayed calls, which may take long
-		others   *ants.Pool      // all else, so that calls can't starve it
-		peers    map[string]*Peer
-		sessions map[*session]struct{}
-		closed   bool
-		scanned  time.Time
-		work     sync.WaitGroup
+		handlers  map[string]Handler
+		mu        sync.Mutex
+		ctx       context.Context // ends all work; set by Start
+		callPool  *ants.Pool      // relayed calls, which may take long
+		otherPool *ants.Pool      // all else, so that calls can't starve it
+		peers     map[string]*Peer
+		sessions  map[*session]struct{}
+		closed    bool
+		lastScan  time.Time
+		wg        sync.WaitGroup
 	}
 )
 
@@ -93,17 +93,17 @@
 		return nil
 	}
 	l.setDefaults()
-	l.calls, err = ants.NewPool(l.Workers, ants.WithNonblocking(true))
+	l.callPool, err = ants.NewPool(l.Workers, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
-	l.others, err = ants.NewPool(otherWorkers, ants.WithNonblocking(true))
+	l.otherPool, err = ants.NewPool(otherWorkers, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
 	l.ctx = ctx
-	l.scanned = time.Now()
-	l.work.Go(func() { l.watch(ctx) })
+	l.lastScan = time.Now()
+	l.wg.Go(func() { l.monitor(ctx) })
 	return nil
 }
 
@@ -111,11 +111,11 @@
 	if l.Workers == 0 {
 		l.Workers = DefaultWorkers
 	}
-	if l.Idle == 0 {
-		l.Idle = DefaultIdle
+	if l.IdleTimeout == 0 {
+		l.IdleTimeout = DefaultIdleTimeout
 	}
-	if l.DialTime == 0 {
-		l.DialTime = dialTimeout
+	if l.DialTimeout == 0 {
+		l.DialTimeout = dialTimeout
 	}
 	if l.BackOff == 0 {
 		l.BackOff = backOffMax
@@ -124,7 +124,7 @@
 		l.Scope = tally.NoopScope
 	}
 	if l.Dial == nil {
-		d := &net.Dialer{Timeout: l.DialTime}
+		d := &net.Dialer{Timeout: l.DialTimeout}
 		l.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		}
@@ -162,7 +162,7 @@
 
 // Wait returns when ctx has ended and all that the Link started has ended.
 func (l *Link) Wait() {
-	l.work.Wait()
+	l.wg.Wait()
 }
 
 // Peer returns the way to the daemon at a peer address. It dials when used.
@@ -183,7 +183,7 @@
 // accept authenticates an incoming connection and serves it.
 func (l *Link) accept(conn net.Conn) {
 	s := &session{link: l, stream: newStream(conn)}
-	address, err := s.stream.prove(l.ctx, l.Key, l.Address, accepting)
+	address, err := s.stream.handshake(l.ctx, l.Key, l.Address, accepting)
 	if err != nil {
 		l.countHandshake(err)
 		_ = conn.Close()
@@ -199,7 +199,7 @@
 }
 
 func (l *Link) countHandshake(err error) {
-	if errors.Is(err, ErrKey) {
+	if errors.Is(err, ErrWrongKey) {
 		l.Scope.Counter("link_wrong_key").Inc(1)
 		return
 	}
@@ -208,8 +208,8 @@
 
 // watch looks after all sessions with one timer, since a timer for each would
 // wake a daemon with hundreds of idle connections for nothing.
-func (l *Link) watch(ctx context.Context) {
-	ticker := time.NewTicker(scanEvery)
+func (l *Link) monitor(ctx context.Context) {
+	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -227,15 +227,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.calls.Release()
-	l.others.Release()
+	l.callPool.Release()
+	l.otherPool.Release()
 }
 
 func (l *Link) scan(now time.Time) {
 	// After a pause of this process nothing was heard, but the connections
 	// are not to blame: what came meanwhile waits to be read.
-	paused := now.Sub(l.scanned) > 2*scanEvery
-	l.scanned = now
+	paused := now.Sub(l.lastScan) > 2*scanInterval
+	l.lastScan = now
 	l.mu.Lock()
 	all := make([]*session, 0, len(l.sessions))
 	for s := range l.sessions {
@@ -244,7 +244,7 @@
 	l.mu.Unlock()
 	for _, s := range all {
 		if paused {
-			s.stream.heard.Store(now.UnixNano())
+			s.stream.lastRead.Store(now.UnixNano())
 		}
 		s.check(now)
 	}
@@ -263,43 +263,43 @@
 }
 
 // enter counts a piece of work that Wait waits for; leave ends it.
-func (l *Link) enter() error {
+func (l *Link) beginWork() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx == nil {
 		return errNotStarted
 	}
 	if l.closed {
-		return ErrLost
+		return ErrConnLost
 	}
-	l.work.Add(1)
+	l.wg.Add(1)
 	return nil
 }
 
-func (l *Link) leave() { l.work.Done() }
+func (l *Link) endWork() { l.wg.Done() }
 
 // submit runs f on a pool, if there is room.
 func (l *Link) submit(pool *ants.Pool, f func()) error {
-	if err := l.enter(); err != nil {
+	if err := l.beginWork(); err != nil {
 		return err
 	}
 	err := pool.Submit(func() {
-		defer l.leave()
+		defer l.endWork()
 		f()
 	})
 	if err != nil {
-		l.leave()
+		l.endWork()
 	}
 	return err
 }
 
 // spawn runs f on a goroutine of its own; f ends with ctx.
 func (l *Link) spawn(f func(ctx context.Context)) error {
-	if err := l.enter(); err != nil {
+	if err := l.beginWork(); err != nil {
 		return err
 	}
 	go func() {
-		defer l.leave()
+		defer l.endWork()
 		f(l.ctx)
 	}()
 	return nil
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -20,7 +20,7 @@
 )
 
 // twenty answers a call with pieces that only this call can have.
-func twenty(_ context.Context, c call.Call, sink runner.Sink) result.Result {
+func twentyPieces(_ context.Context, c call.Call, sink runner.Sink) result.Result {
 	var all strings.Builder
 	for i := range 20 {
 		text := fmt.Sprintf("%s/%d ", c.Request, i)
@@ -35,7 +35,7 @@
 func TestMethods(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		peer := p.a.Peer("b")
 		is.True(peer.Open(t.Context(), call.Open{Program: "p"}).OK())
@@ -70,7 +70,7 @@
 		var out string
 		is.NoErr(p.a.Peer("b").Invoke(t.Context(), "test.upper", "text", &out))
 		is.Equal(out, "TEXT")
-		var refused *Refused
+		var refused *MethodError
 		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.upper", "", &out), &refused))
 		is.Equal(refused.Message, "empty")
 		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.other", "", &out), &refused))
@@ -82,7 +82,7 @@
 func TestCrossedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		var all sync.WaitGroup
 		for i := range 100 {
@@ -100,14 +100,14 @@
 			})
 		}
 		all.Wait()
-		is.Equal(p.memory.dials, 1)
+		is.Equal(p.network.dials, 1)
 	})
 }
 
 // Something between two daemons forgets their connection: neither an end nor a
 // reset comes, only silence. Without a check a rider's call would hang until
 // the rider gives up.
-func TestSilentConnection(t *testing.T) {
+func TestUnresponsiveConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		begun := make(chan struct{}, 1)
@@ -116,19 +116,19 @@
 				begun <- struct{}{}
 				<-ctx.Done()
 			}
-			return twenty(ctx, c, sink)
+			return twentyPieces(ctx, c, sink)
 		}})
 		defer p.end()
 		go func() {
 			<-begun
-			p.memory.silence()
+			p.network.silence()
 		}()
 		start := time.Now()
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Number: 1}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
 		is.True(failure.Sent)
-		is.True(errors.Is(err, ErrSilent))
+		is.True(errors.Is(err, ErrUnresponsive))
 		is.True(time.Since(start) <= 3*time.Second)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK()) // over a new connection
 		is.Equal(p.count("link_silent"), int64(1))
@@ -137,14 +137,14 @@
 
 // An idle connection goes silent unseen; the first call after that finds out
 // only by waiting, and must not wait for longer than any other call.
-func TestSilentWhileIdle(t *testing.T) {
+func TestUnresponsiveWhileIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-		elapse(time.Minute)
-		p.memory.silence()
+		sleep(time.Minute)
+		p.network.silence()
 		start := time.Now()
 		res := p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
 		is.Equal(res.Ran, result.Unknown)
@@ -154,12 +154,12 @@
 
 // A peer that waits for its engine for long still answers heartbeats: its call
 // must not be taken for lost.
-func TestSlowAnswerIsNotSilence(t *testing.T) {
+func TestSlowAnswerKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, scripted{call: func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
-			elapse(time.Minute)
-			return twenty(ctx, c, sink)
+			sleep(time.Minute)
+			return twentyPieces(ctx, c, sink)
 		}})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
@@ -176,7 +176,7 @@
 		produced := 0
 		p := newPair(t, scripted{call: func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 			if c.Number == 0 {
-				return twenty(ctx, c, sink)
+				return twentyPieces(ctx, c, sink)
 			}
 			for range 1000 {
 				if sink(piece) != nil {
@@ -251,7 +251,7 @@
 
 // The owner dies while an answer streams. What came is no answer, and whether
 // the request ran can't be told here.
-func TestServerGone(t *testing.T) {
+func TestServerStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, scripted{call: func(ctx context.Context, _ call.Call, sink runner.Sink) result.Result {
@@ -283,7 +283,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		packets := 0
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		p.b.OnPacket = func(swim.Packet) { packets++ }
 		p.a.Key = []byte("other")
@@ -291,8 +291,8 @@
 		var failure *Error
 		is.True(errors.As(err, &failure))
 		is.True(!failure.Sent)
-		is.True(errors.Is(err, ErrKey))
-		elapse(time.Minute)
+		is.True(errors.Is(err, ErrWrongKey))
+		sleep(time.Minute)
 		p.a.Peer("b").Send(swim.Packet{From: "a"})
 		synctest.Wait()
 		is.Equal(packets, 0)
@@ -342,7 +342,7 @@
 		synctest.Wait()
 		is.Equal(len(got), 1)
 		is.Equal(got[0].Ack, uint64(7))
-		is.Equal(p.memory.dials, 1)
+		is.Equal(p.network.dials, 1)
 	})
 }
 
@@ -357,7 +357,7 @@
 			return result.Result{Code: result.CodeOK}
 		}})
 		defer p.end()
-		p.b.calls.Tune(2)
+		p.b.callPool.Tune(2)
 		var all sync.WaitGroup
 		for range 2 {
 			all.Go(func() { is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK()) })
--- a/internal/peer/link/memory_test.go
+++ b/internal/peer/link/network_test.go
@@ -19,10 +19,10 @@
 
 type (
 	// memory is a network of pipes with faults to switch on.
-	memory struct {
+	network struct {
 		mu        sync.Mutex
 		listeners map[string]*listener
-		conns     []*faulty
+		conns     []*dropConn
 		dials     int
 	}
 
@@ -34,7 +34,7 @@
 
 	// faulty is a connection that can go silent: what is written is swallowed
 	// and nothing more is read, without an error.
-	faulty struct {
+	dropConn struct {
 		net.Conn
 		silent chan struct{}
 		closed chan struct{}
@@ -47,7 +47,7 @@
 	}
 )
 
-func (m *memory) listen(address string) net.Listener {
+func (m *network) listen(address string) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := &listener{conns: make(chan net.Conn)}
@@ -59,7 +59,7 @@
 	return l
 }
 
-func (m *memory) dial(ctx context.Context, address string) (net.Conn, error) {
+func (m *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	m.mu.Lock()
 	l := m.listeners[address]
 	m.dials++
@@ -68,7 +68,7 @@
 		return nil, errors.New("connection refused")
 	}
 	a, b := net.Pipe()
-	f := &faulty{Conn: a, silent: make(chan struct{}), closed: make(chan struct{})}
+	f := &dropConn{Conn: a, silent: make(chan struct{}), closed: make(chan struct{})}
 	select {
 	case l.conns <- b:
 	case <-l.ctx.Done():
@@ -83,7 +83,7 @@
 }
 
 // silence makes all connections that are open now go silent.
-func (m *memory) silence() {
+func (m *network) silence() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.conns {
@@ -92,7 +92,7 @@
 	m.conns = nil
 }
 
-func (f *faulty) isSilent() bool {
+func (f *dropConn) isSilent() bool {
 	select {
 	case <-f.silent:
 		return true
@@ -101,7 +101,7 @@
 	}
 }
 
-func (f *faulty) Read(p []byte) (int, error) {
+func (f *dropConn) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
 	if !f.isSilent() {
 		return n, err
@@ -110,14 +110,14 @@
 	return 0, io.ErrClosedPipe
 }
 
-func (f *faulty) Write(p []byte) (int, error) {
+func (f *dropConn) Write(p []byte) (int, error) {
 	if f.isSilent() {
 		return len(p), nil
 	}
 	return f.Conn.Write(p)
 }
 
-func (f *faulty) Close() error {
+func (f *dropConn) Close() error {
 	f.once.Do(func() { close(f.closed) })
 	return f.Conn.Close()
 }
@@ -163,30 +163,30 @@
 
 // pair is two linked daemons, a and b, until the test ends.
 type pair struct {
-	memory memory
-	a, b   Link
-	ctx    context.Context
-	stop   context.CancelFunc
-	stopB  context.CancelFunc
-	counts tally.TestScope
-	work   sync.WaitGroup
+	network network
+	a, b    Link
+	ctx     context.Context
+	stop    context.CancelFunc
+	stopB   context.CancelFunc
+	scope   tally.TestScope
+	work    sync.WaitGroup
 }
 
 func newPair(t *testing.T, run runner.Runner) *pair {
 	t.Helper()
-	p := &pair{counts: tally.NewTestScope("", nil)}
+	p := &pair{scope: tally.NewTestScope("", nil)}
 	p.ctx, p.stop = context.WithCancel(t.Context())
 	var ctxB context.Context
 	ctxB, p.stopB = context.WithCancel(p.ctx)
-	p.a = Link{Address: "a", Key: []byte("key"), Dial: p.memory.dial, Scope: p.counts}
-	p.b = Link{Address: "b", Key: []byte("key"), Dial: p.memory.dial, Scope: p.counts, Runner: run}
+	p.a = Link{Address: "a", Key: []byte("key"), Dial: p.network.dial, Scope: p.scope}
+	p.b = Link{Address: "b", Key: []byte("key"), Dial: p.network.dial, Scope: p.scope, Runner: run}
 	p.serve(p.ctx, &p.a, "a")
 	p.serve(ctxB, &p.b, "b")
 	return p
 }
 
 func (p *pair) serve(ctx context.Context, l *Link, address string) {
-	ln := p.memory.listen(address)
+	ln := p.network.listen(address)
 	_ = l.Start(ctx)
 	p.work.Go(func() { _ = l.Serve(ctx, ln) })
 }
@@ -199,7 +199,7 @@
 }
 
 func (p *pair) count(name string) int64 {
-	c := p.counts.Snapshot().Counters()[name+"+"]
+	c := p.scope.Snapshot().Counters()[name+"+"]
 	if c == nil {
 		return 0
 	}
@@ -207,6 +207,6 @@
 }
 
 // elapse lets d pass on the test's own clock.
-func elapse(d time.Duration) {
+func sleep(d time.Duration) {
 	<-time.After(d)
 }
--- a/internal/peer/link/peer.go
+++ b/internal/peer/link/peer.go
@@ -28,19 +28,19 @@
 	link    *Link
 	address string
 
-	mu      sync.Mutex
-	session *session
-	dialing chan struct{} // closed when the dial under way ends
-	wait    time.Duration // back-off after the last failure
-	next    time.Time     // no dial before
-	failure error
+	mu       sync.Mutex
+	session  *session
+	dialing  chan struct{} // closed when the dial under way ends
+	backOff  time.Duration // back-off after the last failure
+	nextDial time.Time     // no dial before
+	dialErr  error
 }
 
 var _ runner.Runner = (*Peer)(nil)
 
 // Open opens a program there.
 func (p *Peer) Open(ctx context.Context, o call.Open) result.Result {
-	return p.ask(ctx, methodOpen, request{Open: &o})
+	return p.roundTrip(ctx, methodOpen, request{Open: &o})
 }
 
 // Call runs a call there. A failure of the link after the request was sent
@@ -48,7 +48,7 @@
 func (p *Peer) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 	r, err := p.Try(ctx, c, sink)
 	if err != nil {
-		return failed(err)
+		return failureResult(err)
 	}
 	return r
 }
@@ -59,7 +59,7 @@
 // sink comes again then, from the start.
 func (p *Peer) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
 	var out response
-	body, err := p.exchange(ctx, methodCall, packCall(c), sink, &out)
+	body, err := p.exchange(ctx, methodCall, newCallRequest(c), sink, &out)
 	if err != nil {
 		return result.Result{}, err
 	}
@@ -69,7 +69,7 @@
 
 // End ends a program there.
 func (p *Peer) End(ctx context.Context, e call.End) result.Result {
-	return p.ask(ctx, methodEnd, request{End: &e})
+	return p.roundTrip(ctx, methodEnd, request{End: &e})
 }
 
 // History returns a program's history from there.
@@ -110,7 +110,7 @@
 // sent after a dial.
 func (p *Peer) Send(packet swim.Packet) {
 	p.mu.Lock()
-	s := p.live()
+	s := p.liveSession()
 	p.mu.Unlock()
 	if s != nil {
 		s.packet(packet)
@@ -123,11 +123,11 @@
 	})
 }
 
-func (p *Peer) ask(ctx context.Context, method string, r request) result.Result {
+func (p *Peer) roundTrip(ctx context.Context, method string, r request) result.Result {
 	var out response
 	body, err := p.exchange(ctx, method, r, nil, &out)
 	if err != nil {
-		return failed(err)
+		return failureResult(err)
 	}
 	out.Result.Body = body
 	return out.Result
@@ -137,7 +137,7 @@
 	var out response
 	body, err := p.exchange(ctx, method, request{Query: &q}, nil, &out)
 	if err != nil {
-		return hist.History{}, failed(err)
+		return hist.History{}, failureResult(err)
 	}
 	out.Result.Body = body
 	if out.History == nil {
@@ -148,7 +148,7 @@
 
 // failed tells a failure of the link as an outcome. Nothing but a request
 // that certainly was not sent may be told as not run.
-func failed(err error) result.Result {
+func failureResult(err error) result.Result {
 	var e *Error
 	switch {
 	case errors.As(err, &e) && !e.Sent:
@@ -170,7 +170,7 @@
 }
 
 // live returns the session if it can be used.
-func (p *Peer) live() *session {
+func (p *Peer) liveSession() *session {
 	if p.session == nil || p.session.ended() {
 		return nil
 	}
@@ -181,9 +181,9 @@
 func (p *Peer) adopt(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wait = 0
-	p.next = time.Time{}
-	if p.live() == nil {
+	p.backOff = 0
+	p.nextDial = time.Time{}
+	if p.liveSession() == nil {
 		p.session = s
 	}
 }
@@ -192,7 +192,7 @@
 func (p *Peer) connect(ctx context.Context) (*session, error) {
 	for {
 		p.mu.Lock()
-		if s := p.live(); s != nil {
+		if s := p.liveSession(); s != nil {
 			p.mu.Unlock()
 			return s, nil
 		}
@@ -216,13 +216,13 @@
 // startDial dials in the background, unless the last failure is too recent:
 // then callers get that failure at once, so that they can go elsewhere.
 func (p *Peer) startDial() (chan struct{}, error) {
-	if time.Now().Before(p.next) {
-		return nil, errors.Wrap(p.failure, "not dialled again yet")
+	if time.Now().Before(p.nextDial) {
+		return nil, errors.Wrap(p.dialErr, "not dialled again yet")
 	}
 	done := make(chan struct{})
 	err := p.link.spawn(func(ctx context.Context) {
 		s, err := p.dial(ctx)
-		p.dialled(s, err)
+		p.dialDone(s, err)
 		close(done)
 	})
 	if err != nil {
@@ -232,20 +232,20 @@
 	return done, nil
 }
 
-func (p *Peer) dialled(s *session, err error) {
+func (p *Peer) dialDone(s *session, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialing = nil
 	if err == nil {
 		p.session = s
-		p.wait = 0
-		p.next = time.Time{}
+		p.backOff = 0
+		p.nextDial = time.Time{}
 		return
 	}
-	p.failure = err
-	p.wait = min(max(2*p.wait, backOffFirst), p.link.BackOff)
+	p.dialErr = err
+	p.backOff = min(max(2*p.backOff, backOffFirst), p.link.BackOff)
 	// The jitter keeps daemons apart that lost the same peer together.
-	p.next = time.Now().Add(p.wait/2 + rand.N(p.wait/2))
+	p.nextDial = time.Now().Add(p.backOff/2 + rand.N(p.backOff/2))
 }
 
 func (p *Peer) dial(ctx context.Context) (*session, error) {
@@ -256,7 +256,7 @@
 		return nil, err
 	}
 	s := &session{link: p.link, peer: p.address, stream: newStream(conn), dialled: true}
-	if _, err := s.stream.prove(limited, p.link.Key, p.link.Address, dialling); err != nil {
+	if _, err := s.stream.handshake(limited, p.link.Key, p.link.Address, dialling); err != nil {
 		p.link.countHandshake(err)
 		_ = conn.Close()
 		return nil, err
--- a/internal/peer/link/answer.go
+++ b/internal/peer/link/pending.go
@@ -13,38 +13,38 @@
 // answer collects what comes back for one call that was made: pieces for its
 // sink, then the outcome. What waits here is bounded by the window that the
 // other side keeps to.
-type answer struct {
-	mu     sync.Mutex
-	pieces []string
-	signal chan struct{} // holds one signal that pieces came
-	done   chan error    // the outcome
-	body   []byte        // attached to the request
-	taken  int           // bytes that the sink took since the last credit
+type pendingCall struct {
+	mu       sync.Mutex
+	pieces   []string
+	signal   chan struct{} // holds one signal that pieces came
+	done     chan error    // the outcome
+	body     []byte        // attached to the request
+	consumed int           // bytes that the sink took since the last credit
 
 	// Guarded by the session's mu:
 	sent  bool   // the write began
 	reply []byte // attached to the outcome
 }
 
-func newAnswer(body []byte) *answer {
-	return &answer{body: body, signal: make(chan struct{}, 1), done: make(chan error, 1)}
+func newPendingCall(body []byte) *pendingCall {
+	return &pendingCall{body: body, signal: make(chan struct{}, 1), done: make(chan error, 1)}
 }
 
-func (a *answer) put(text string) {
-	a.mu.Lock()
-	a.pieces = append(a.pieces, text)
-	a.mu.Unlock()
+func (c *pendingCall) push(text string) {
+	c.mu.Lock()
+	c.pieces = append(c.pieces, text)
+	c.mu.Unlock()
 	select {
-	case a.signal <- struct{}{}:
+	case c.signal <- struct{}{}:
 	default:
 	}
 }
 
-func (a *answer) take() []string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	all := a.pieces
-	a.pieces = nil
+func (c *pendingCall) drain() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := c.pieces
+	c.pieces = nil
 	return all
 }
 
@@ -53,42 +53,42 @@
 func (s *session) exchange(ctx context.Context, method string, r request, sink runner.Sink, out any) ([]byte, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	a := newAnswer(r.attachment)
-	id := s.open(a)
+	c := newPendingCall(r.attachment)
+	id := s.register(c)
 	s.awaiting.Add(1)
 	defer s.awaiting.Add(-1)
-	s.expect()
+	s.noteRequest()
 	// The write may wait for other writes on this connection; ctx must not.
 	err := s.link.spawn(func(context.Context) {
-		a.done <- s.roundTrip(ctx, id, method, r, out)
+		c.done <- s.roundTrip(ctx, id, method, r, out)
 	})
 	if err != nil {
-		s.forget(id)
+		s.unregister(id)
 		return nil, &Error{Peer: s.peer, Cause: err}
 	}
-	if err = s.collect(ctx, id, a, sink); err != nil {
+	if err = s.collect(ctx, id, c, sink); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return a.reply, nil
+	return c.reply, nil
 }
 
-func (s *session) open(a *answer) uint64 {
+func (s *session) register(c *pendingCall) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next++
-	s.answers[s.next] = a
+	s.pending[s.next] = c
 	return s.next
 }
 
 // forget ends the routing of pieces and reports whether the write had begun.
-func (s *session) forget(id uint64) (sent bool) {
+func (s *session) unregister(id uint64) (sent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.answers[id]
-	delete(s.answers, id)
-	return a != nil && a.sent
+	c := s.pending[id]
+	delete(s.pending, id)
+	return c != nil && c.sent
 }
 
 // roundTrip sends the request and waits for the outcome. Once sent, the end of
@@ -98,23 +98,23 @@
 	if err == nil {
 		err = w.Wait(ctx, out)
 	}
-	sent := s.forget(id)
+	sent := s.unregister(id)
 	var refused *jsonrpc2.Error
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &refused) && refused.Code == codeOverloaded:
-		return s.broken(false, err)
+		return s.linkError(false, err)
 	case errors.As(err, &refused):
-		return &Refused{Method: method, Message: refused.Message}
+		return &MethodError{Method: method, Message: refused.Message}
 	case ctx.Err() != nil:
-		s.post(outgoing{method: methodCancel, params: cancel{ID: id}})
+		s.enqueue(outgoing{method: methodCancel, params: cancel{ID: id}})
 		return ctx.Err()
 	}
-	return s.broken(sent && !errors.Is(err, errTooLarge), err)
+	return s.linkError(sent && !errors.Is(err, errTooLarge), err)
 }
 
-func (s *session) broken(sent bool, err error) error {
+func (s *session) linkError(sent bool, err error) error {
 	if errors.Is(err, jsonrpc2.ErrClosed) {
 		err = s.reason()
 	}
@@ -122,19 +122,19 @@
 }
 
 // collect hands pieces to the sink until the outcome is there.
-func (s *session) collect(ctx context.Context, id uint64, a *answer, sink runner.Sink) error {
+func (s *session) collect(ctx context.Context, id uint64, c *pendingCall, sink runner.Sink) error {
 	for {
 		select {
-		case <-a.signal:
-			if err := s.pass(id, a, sink); err != nil {
+		case <-c.signal:
+			if err := s.deliver(id, c, sink); err != nil {
 				return err
 			}
-		case err := <-a.done:
+		case err := <-c.done:
 			if err != nil {
 				return err
 			}
 			// The reader put all pieces before it saw the outcome.
-			return s.pass(id, a, sink)
+			return s.deliver(id, c, sink)
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), s.peer)
 		}
@@ -143,9 +143,9 @@
 
 // pass gives what came to the sink and lets the other side send as much again,
 // once that is worth a message.
-func (s *session) pass(id uint64, a *answer, sink runner.Sink) error {
-	for _, text := range a.take() {
-		a.taken += len(text) + pieceCost
+func (s *session) deliver(id uint64, c *pendingCall, sink runner.Sink) error {
+	for _, text := range c.drain() {
+		c.consumed += len(text) + pieceCost
 		if sink == nil {
 			continue
 		}
@@ -153,9 +153,9 @@
 			return err
 		}
 	}
-	if a.taken >= window/4 {
-		s.post(outgoing{method: methodCredit, params: credit{ID: id, Bytes: a.taken}})
-		a.taken = 0
+	if c.consumed >= window/4 {
+		s.enqueue(outgoing{method: methodCredit, params: credit{ID: id, Bytes: c.consumed}})
+		c.consumed = 0
 	}
 	return nil
 }
--- a/internal/peer/link/serve.go
+++ b/internal/peer/link/serve.go
@@ -17,15 +17,15 @@
 )
 
 // serve is one call that is served.
-type serve struct {
+type servedCall struct {
 	session *session
 	id      uint64
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 
-	mu    sync.Mutex
-	room  int
-	grown chan struct{} // holds one signal that room grew
+	mu           sync.Mutex
+	credit       int
+	creditSignal chan struct{} // holds one signal that room grew
 
 	body []byte // attached to the answer; guarded by the session's mu
 }
@@ -34,44 +34,44 @@
 func (s *session) serve(r *jsonrpc2.Request, params json.RawMessage) {
 	var q request
 	if err := json.Unmarshal(params, &q); err != nil {
-		s.fail(r, jsonrpc2.CodeInvalidParams, err)
+		s.replyError(r, jsonrpc2.CodeInvalidParams, err)
 		return
 	}
 	q.attachment = s.stream.attached
-	pool := s.link.others
+	pool := s.link.otherPool
 	if r.Method != methodInvoke {
-		pool = s.link.calls
+		pool = s.link.callPool
 	}
-	v := s.begin(r.ID.Num)
+	v := s.beginServing(r.ID.Num)
 	err := s.link.submit(pool, func() {
-		defer s.finish(v)
-		s.answer(v, r, q)
+		defer s.finishServing(v)
+		s.runAndReply(v, r, q)
 	})
 	if err != nil {
-		s.finish(v)
-		s.refuse(r, err)
+		s.finishServing(v)
+		s.rejectOverload(r, err)
 	}
 }
 
-func (s *session) refuse(r *jsonrpc2.Request, err error) {
+func (s *session) rejectOverload(r *jsonrpc2.Request, err error) {
 	s.link.Scope.Counter("link_refused").Inc(1)
-	s.fail(r, codeOverloaded, err)
+	s.replyError(r, codeOverloaded, err)
 }
 
-func (s *session) begin(id uint64) *serve {
-	v := &serve{session: s, id: id, room: window, grown: make(chan struct{}, 1)}
+func (s *session) beginServing(id uint64) *servedCall {
+	v := &servedCall{session: s, id: id, credit: window, creditSignal: make(chan struct{}, 1)}
 	v.ctx, v.cancel = context.WithCancelCause(s.link.ctx)
 	s.serving.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served[id] = v
 	if s.ended() {
-		v.cancel(ErrLost)
+		v.cancel(ErrConnLost)
 	}
 	return v
 }
 
-func (s *session) finish(v *serve) {
+func (s *session) finishServing(v *servedCall) {
 	v.cancel(nil)
 	s.serving.Add(-1)
 	s.mu.Lock()
@@ -79,7 +79,7 @@
 	delete(s.served, v.id)
 }
 
-func (s *session) answer(v *serve, r *jsonrpc2.Request, q request) {
+func (s *session) runAndReply(v *servedCall, r *jsonrpc2.Request, q request) {
 	out, body, err := v.run(r.Method, q)
 	if cause := context.Cause(v.ctx); cause != nil && !errors.Is(cause, ErrCancelled) {
 		// This daemon ends or the connection did. What a runner returns then is
@@ -87,7 +87,7 @@
 		return
 	}
 	if err != nil {
-		s.fail(r, codeFailed, err)
+		s.replyError(r, codeFailed, err)
 		return
 	}
 	s.mu.Lock()
@@ -98,44 +98,44 @@
 
 // fail answers with an error. The reader calls it too, which must not block:
 // two readers that wait for each other to read would stop both directions.
-func (s *session) fail(r *jsonrpc2.Request, code int64, err error) {
+func (s *session) replyError(r *jsonrpc2.Request, code int64, err error) {
 	if r.Notif {
 		return
 	}
 	reply := &jsonrpc2.Response{ID: r.ID, Error: &jsonrpc2.Error{Code: code, Message: err.Error()}}
-	s.post(outgoing{reply: reply})
+	s.enqueue(outgoing{reply: reply})
 }
 
 // run returns the answer and what is attached to it.
-func (v *serve) run(method string, q request) (out any, body []byte, err error) {
+func (v *servedCall) run(method string, q request) (out any, body []byte, err error) {
 	if method == methodInvoke {
 		return v.invoke(q)
 	}
 	run := v.session.link.Runner
 	if run == nil {
-		out, body = packResult(result.Refuse(result.CodeNotOwner, "this daemon serves no programs"), nil)
+		out, body = splitResult(result.Refuse(result.CodeNotOwner, "this daemon serves no programs"), nil)
 		return out, body, nil
 	}
 	switch {
 	case method == methodOpen && q.Open != nil:
-		out, body = packResult(run.Open(v.ctx, *q.Open), nil)
+		out, body = splitResult(run.Open(v.ctx, *q.Open), nil)
 	case method == methodCall && q.Call != nil:
-		out, body = packResult(run.Call(v.ctx, q.call(), v.sink), nil)
+		out, body = splitResult(run.Call(v.ctx, q.call(), v.sink), nil)
 	case method == methodEnd && q.End != nil:
-		out, body = packResult(run.End(v.ctx, *q.End), nil)
+		out, body = splitResult(run.End(v.ctx, *q.End), nil)
 	case method == methodHistory && q.Query != nil:
 		h, res := run.History(v.ctx, q.Query.Account, q.Query.Name)
-		out, body = packResult(res, &h)
+		out, body = splitResult(res, &h)
 	case method == methodRequest && q.Query != nil:
 		h, res := run.Request(v.ctx, q.Query.Account, q.Query.Name)
-		out, body = packResult(res, &h)
+		out, body = splitResult(res, &h)
 	default:
 		err = errors.Newf("no method %s", method)
 	}
 	return out, body, err
 }
 
-func (v *serve) invoke(q request) (out any, body []byte, err error) {
+func (v *servedCall) invoke(q request) (out any, body []byte, err error) {
 	h := v.session.link.handlers[q.Name]
 	if h == nil {
 		return nil, nil, errors.Newf("no method %s", q.Name)
@@ -154,41 +154,41 @@
 // sink sends a piece of the answer. It waits while the caller's side has not
 // taken what was sent before: without this bound a slow caller would fill this
 // daemon's or the relay's memory, or stop all other answers on the connection.
-func (v *serve) sink(text string) error {
-	if err := v.take(len(text) + pieceCost); err != nil {
+func (v *servedCall) sink(text string) error {
+	if err := v.consumeCredit(len(text) + pieceCost); err != nil {
 		return err
 	}
 	if v.session.stream.writePiece(v.id, text) != nil {
-		return ErrLost
+		return ErrConnLost
 	}
 	return nil
 }
 
 // take waits until there is room for any bytes at all, so that a piece larger
 // than the window passes too.
-func (v *serve) take(n int) error {
+func (v *servedCall) consumeCredit(n int) error {
 	for {
 		v.mu.Lock()
-		if v.room > 0 {
-			v.room -= n
+		if v.credit > 0 {
+			v.credit -= n
 			v.mu.Unlock()
 			return context.Cause(v.ctx)
 		}
 		v.mu.Unlock()
 		select {
-		case <-v.grown:
+		case <-v.creditSignal:
 		case <-v.ctx.Done():
 			return context.Cause(v.ctx)
 		}
 	}
 }
 
-func (v *serve) grant(n int) {
+func (v *servedCall) addCredit(n int) {
 	v.mu.Lock()
-	v.room += n
+	v.credit += n
 	v.mu.Unlock()
 	select {
-	case v.grown <- struct{}{}:
+	case v.creditSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/peer/link/session.go
+++ b/internal/peer/link/session.go
@@ -15,15 +15,15 @@
 const (
 	// A side that waits for an answer asks for a sign of life after this long
 	// and gives up after the other: with scanEvery that is within 3 s.
-	askAfter  = time.Second
+	pingAfter = time.Second
 	deadAfter = 2500 * time.Millisecond
 	// A side that only serves loses no more than wasted work when it notices
 	// late, so it spends fewer bytes.
-	serverAskAfter  = 5 * time.Second
+	serverPingAfter = 5 * time.Second
 	serverDeadAfter = 10 * time.Second
 
-	outbox     = 64 << 10 // small messages waiting for a connection
-	packetRoom = 256      // of them, how many may wait before packets are dropped
+	maxQueued        = 64 << 10 // small messages waiting for a connection
+	maxQueuedPackets = 256      // of them, how many may wait before packets are dropped
 
 	methodPing   = "link.ping"
 	methodPong   = "link.pong"
@@ -41,20 +41,20 @@
 		rpc    *jsonrpc2.Conn
 		ready  chan struct{} // closed once rpc is set, which reads before that
 
-		asked    atomic.Int64 // Unix time of the first send since something was heard
-		pinged   atomic.Int64
-		used     atomic.Int64
-		awaiting atomic.Int64 // calls made that wait for an answer
-		serving  atomic.Int64 // calls served
-		dialled  bool
+		awaitingSince atomic.Int64 // Unix time of the first send since something was heard
+		lastPing      atomic.Int64
+		lastUsed      atomic.Int64
+		awaiting      atomic.Int64 // calls made that wait for an answer
+		serving       atomic.Int64 // calls served
+		dialled       bool
 
-		mu      sync.Mutex
-		next    uint64
-		answers map[uint64]*answer // of calls made
-		served  map[uint64]*serve  // of calls served
-		out     []outgoing
-		posted  chan struct{} // holds one signal that out grew
-		cause   error         // why the session ended
+		mu        sync.Mutex
+		next      uint64
+		pending   map[uint64]*pendingCall // of calls made
+		served    map[uint64]*servedCall  // of calls served
+		outQueue  []outgoing
+		outSignal chan struct{} // holds one signal that out grew
+		cause     error         // why the session ended
 	}
 
 	// outgoing is a notification, or a response if reply is set.
@@ -76,11 +76,11 @@
 		ID uint64 `json:"id"`
 	}
 
-	silent struct{}
+	nopLogger struct{}
 )
 
 // Printf drops the library's log lines: what ends a session is counted.
-func (silent) Printf(string, ...any) {}
+func (nopLogger) Printf(string, ...any) {}
 
 // run starts the session; it ends with ctx or its connection.
 func (s *session) run(ctx context.Context) error {
@@ -88,16 +88,16 @@
 		_ = s.stream.Close()
 		return err
 	}
-	s.posted = make(chan struct{}, 1)
-	s.answers = map[uint64]*answer{}
-	s.served = map[uint64]*serve{}
-	s.used.Store(time.Now().UnixNano())
-	s.stream.onPiece = s.takePiece
+	s.outSignal = make(chan struct{}, 1)
+	s.pending = map[uint64]*pendingCall{}
+	s.served = map[uint64]*servedCall{}
+	s.lastUsed.Store(time.Now().UnixNano())
+	s.stream.onPiece = s.handlePiece
 	s.ready = make(chan struct{})
 	defer close(s.ready)
-	s.rpc = jsonrpc2.NewConn(ctx, s.stream, s, jsonrpc2.SetLogger(silent{}), jsonrpc2.OnSend(s.sending), jsonrpc2.OnRecv(s.received))
+	s.rpc = jsonrpc2.NewConn(ctx, s.stream, s, jsonrpc2.SetLogger(nopLogger{}), jsonrpc2.OnSend(s.onSend), jsonrpc2.OnRecv(s.onReceive))
 	s.link.add(s)
-	s.link.work.Go(func() { s.send(ctx) })
+	s.link.wg.Go(func() { s.send(ctx) })
 	return nil
 }
 
@@ -106,23 +106,23 @@
 	gone := s.rpc.DisconnectNotify()
 	for {
 		select {
-		case <-s.posted:
-			for _, m := range s.takeOut() {
+		case <-s.outSignal:
+			for _, m := range s.drainQueue() {
 				s.write(ctx, m)
 			}
 		case <-gone:
-			s.end()
+			s.cleanUp()
 			return
 		}
 	}
 }
 
-func (s *session) takeOut() []outgoing {
+func (s *session) drainQueue() []outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.out
-	s.out = nil
-	return out
+	outQueue := s.outQueue
+	s.outQueue = nil
+	return outQueue
 }
 
 func (s *session) write(ctx context.Context, m outgoing) {
@@ -133,12 +133,12 @@
 	_ = s.rpc.Notify(ctx, m.method, m.params)
 }
 
-func (s *session) end() {
+func (s *session) cleanUp() {
 	s.link.remove(s)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.served {
-		v.cancel(ErrLost)
+		v.cancel(ErrConnLost)
 	}
 }
 
@@ -171,22 +171,22 @@
 	if s.cause != nil {
 		return s.cause
 	}
-	return ErrLost
+	return ErrConnLost
 }
 
 // expect notes that an answer is due from now on.
-func (s *session) expect() {
+func (s *session) noteRequest() {
 	now := time.Now().UnixNano()
-	s.used.Store(now)
-	if asked := s.asked.Load(); asked <= s.stream.heard.Load() {
-		s.asked.CompareAndSwap(asked, now)
+	s.lastUsed.Store(now)
+	if awaitingSince := s.awaitingSince.Load(); awaitingSince <= s.stream.lastRead.Load() {
+		s.awaitingSince.CompareAndSwap(awaitingSince, now)
 	}
 }
 
 // sending runs right before each write, one at a time. It attaches what
 // belongs to the message, and notes that the write of a call begins: from then
 // on the peer may have it. The library's own errors don't tell this.
-func (s *session) sending(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
+func (s *session) onSend(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	s.stream.attach = nil
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,7 @@
 			s.stream.attach = v.body
 		}
 	case !r.Notif:
-		if a := s.answers[r.ID.Num]; a != nil {
+		if a := s.pending[r.ID.Num]; a != nil {
 			a.sent = true
 			s.stream.attach = a.body
 		}
@@ -204,42 +204,42 @@
 }
 
 // received runs in the reader before the caller of an answered call goes on.
-func (s *session) received(_ *jsonrpc2.Request, reply *jsonrpc2.Response) {
+func (s *session) onReceive(_ *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	if reply == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.answers[reply.ID.Num]; a != nil {
+	if a := s.pending[reply.ID.Num]; a != nil {
 		a.reply = s.stream.attached
 	}
 }
 
 // post queues a small message without blocking. Where it doesn't fit, the
 // connection has taken nothing for long, and is given up.
-func (s *session) post(m outgoing) {
+func (s *session) enqueue(m outgoing) {
 	s.mu.Lock()
-	s.out = append(s.out, m)
-	full := len(s.out) > outbox
+	s.outQueue = append(s.outQueue, m)
+	full := len(s.outQueue) > maxQueued
 	s.mu.Unlock()
 	if full {
-		s.close(ErrSilent)
+		s.close(ErrUnresponsive)
 		return
 	}
 	select {
-	case s.posted <- struct{}{}:
+	case s.outSignal <- struct{}{}:
 	default:
 	}
 }
 
-func (s *session) waitingOut() int {
+func (s *session) queueLen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.out)
+	return len(s.outQueue)
 }
 
 func (s *session) packet(p swim.Packet) {
-	if s.waitingOut() >= packetRoom {
+	if s.queueLen() >= maxQueuedPackets {
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
@@ -248,47 +248,47 @@
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
-	s.expect()
-	s.post(outgoing{method: methodPacket, params: data})
+	s.noteRequest()
+	s.enqueue(outgoing{method: methodPacket, params: data})
 }
 
 // check asks for a sign of life where one is due, gives up a silent session
 // and closes an idle one.
 func (s *session) check(now time.Time) {
-	heard, asked := s.stream.heard.Load(), s.asked.Load()
-	quiet := now.Sub(time.Unix(0, max(heard, asked)))
+	lastRead, awaitingSince := s.stream.lastRead.Load(), s.awaitingSince.Load()
+	idle := now.Sub(time.Unix(0, max(lastRead, awaitingSince)))
 	switch {
-	case s.awaiting.Load() > 0 || asked > heard:
-		s.checkQuiet(now, quiet, askAfter, deadAfter)
+	case s.awaiting.Load() > 0 || awaitingSince > lastRead:
+		s.checkLiveness(now, idle, pingAfter, deadAfter)
 	case s.serving.Load() > 0:
-		s.checkQuiet(now, quiet, serverAskAfter, serverDeadAfter)
+		s.checkLiveness(now, idle, serverPingAfter, serverDeadAfter)
 	default:
 		s.checkIdle(now)
 	}
 }
 
-func (s *session) checkQuiet(now time.Time, quiet, ask, dead time.Duration) {
-	if quiet >= dead {
+func (s *session) checkLiveness(now time.Time, idle, pingAfter, deadAfter time.Duration) {
+	if idle >= deadAfter {
 		s.link.Scope.Counter("link_silent").Inc(1)
-		s.close(ErrSilent)
+		s.close(ErrUnresponsive)
 		return
 	}
-	if quiet >= ask && now.Sub(time.Unix(0, s.pinged.Load())) >= ask {
-		s.pinged.Store(now.UnixNano())
-		s.post(outgoing{method: methodPing})
+	if idle >= pingAfter && now.Sub(time.Unix(0, s.lastPing.Load())) >= pingAfter {
+		s.lastPing.Store(now.UnixNano())
+		s.enqueue(outgoing{method: methodPing})
 	}
 }
 
 // checkIdle closes an unused session. The side that dialled does so first, so
 // that rarely a call meets the close under way.
 func (s *session) checkIdle(now time.Time) {
-	limit := s.link.Idle
+	limit := s.link.IdleTimeout
 	if !s.dialled {
 		limit *= 2
 	}
-	last := max(s.used.Load(), s.stream.heard.Load())
+	last := max(s.lastUsed.Load(), s.stream.lastRead.Load())
 	if now.Sub(time.Unix(0, last)) >= limit {
-		s.close(errIdle)
+		s.close(errIdleClosed)
 	}
 }
 
@@ -302,20 +302,20 @@
 	}
 	switch r.Method {
 	case methodPing:
-		s.post(outgoing{method: methodPong})
+		s.enqueue(outgoing{method: methodPong})
 	case methodPong:
 	case methodPacket:
-		s.takePacket(params)
+		s.handlePacket(params)
 	case methodCredit:
-		s.takeCredit(params)
+		s.handleCredit(params)
 	case methodCancel:
-		s.takeCancel(params)
+		s.handleCancel(params)
 	default:
 		s.serve(r, params)
 	}
 }
 
-func (s *session) takePacket(params json.RawMessage) {
+func (s *session) handlePacket(params json.RawMessage) {
 	var data []byte
 	var p swim.Packet
 	err := json.Unmarshal(params, &data)
@@ -326,42 +326,42 @@
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
-	s.used.Store(time.Now().UnixNano())
+	s.lastUsed.Store(time.Now().UnixNano())
 	s.link.OnPacket(p)
 }
 
-func (s *session) takePiece(id uint64, text []byte) {
+func (s *session) handlePiece(id uint64, text []byte) {
 	s.mu.Lock()
-	a := s.answers[id]
+	a := s.pending[id]
 	s.mu.Unlock()
 	if a != nil {
-		a.put(string(text))
+		a.push(string(text))
 	}
 }
 
-func (s *session) takeCredit(params json.RawMessage) {
+func (s *session) handleCredit(params json.RawMessage) {
 	var c credit
 	if json.Unmarshal(params, &c) != nil {
 		return
 	}
-	if v := s.servedCall(c.ID); v != nil {
-		v.grant(c.Bytes)
+	if v := s.findServed(c.ID); v != nil {
+		v.addCredit(c.Bytes)
 	}
 }
 
 // servedCall is the call of that number which is served here, nil if it has ended.
-func (s *session) servedCall(id uint64) *serve {
+func (s *session) findServed(id uint64) *servedCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.served[id]
 }
 
-func (s *session) takeCancel(params json.RawMessage) {
+func (s *session) handleCancel(params json.RawMessage) {
 	var c cancel
 	if json.Unmarshal(params, &c) != nil {
 		return
 	}
-	if v := s.servedCall(c.ID); v != nil {
+	if v := s.findServed(c.ID); v != nil {
 		v.cancel(ErrCancelled)
 	}
 }
--- a/internal/peer/link/stream.go
+++ b/internal/peer/link/stream.go
@@ -32,21 +32,21 @@
 // that some other program sent to this port would otherwise be allocated. It
 // notes when bytes last came.
 type stream struct {
-	conn    net.Conn
-	r       *bufio.Reader
-	limit   uint64
-	heard   atomic.Int64 // nanoseconds of Unix time
-	onPiece func(id uint64, text []byte)
+	conn     net.Conn
+	r        *bufio.Reader
+	limit    uint64
+	lastRead atomic.Int64 // nanoseconds of Unix time
+	onPiece  func(id uint64, text []byte)
 
 	attached []byte // what came with the last object; of the reader
 	attach   []byte // what goes with the next object; of who writes it
-	writing  sync.Mutex
+	writeMu  sync.Mutex
 }
 
 func newStream(conn net.Conn) *stream {
 	s := &stream{conn: conn, limit: maxHandshake}
 	s.r = bufio.NewReaderSize(s, bufferSize)
-	s.heard.Store(time.Now().UnixNano())
+	s.lastRead.Store(time.Now().UnixNano())
 	return s
 }
 
@@ -54,7 +54,7 @@
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.conn.Read(p)
 	if n > 0 {
-		s.heard.Store(time.Now().UnixNano())
+		s.lastRead.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
@@ -62,11 +62,11 @@
 // ReadObject reads the next object, handing on the pieces before it.
 func (s *stream) ReadObject(v any) error {
 	for {
-		object, err := s.readPart()
+		object, err := s.readField()
 		if err != nil {
 			return err
 		}
-		s.attached, err = s.readPart()
+		s.attached, err = s.readField()
 		if err != nil {
 			return err
 		}
@@ -75,13 +75,13 @@
 		}
 		id, n := binary.Uvarint(s.attached)
 		if n <= 0 || s.onPiece == nil {
-			return errFrame
+			return errBadFrame
 		}
 		s.onPiece(id, s.attached[n:])
 	}
 }
 
-func (s *stream) readPart() ([]byte, error) {
+func (s *stream) readField() ([]byte, error) {
 	n, err := binary.ReadUvarint(s.r)
 	if err != nil || n == 0 {
 		return nil, err
@@ -128,8 +128,8 @@
 // block every sender for good. What follows half a frame can't be read, so the
 // connection ends with it.
 func (s *stream) write(head, tail []byte) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if len(tail) <= bufferSize {
 		head = append(head, tail...)
 		tail = nil
@@ -161,6 +161,6 @@
 func (s *stream) Close() error { return s.conn.Close() }
 
 // guard closes the connection when ctx ends before stop is called.
-func (s *stream) guard(ctx context.Context) (stop func() bool) {
+func (s *stream) closeOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 }
--- a/internal/peer/link/wire.go
+++ b/internal/peer/link/wire.go
@@ -51,7 +51,7 @@
 	}
 )
 
-func packCall(c call.Call) request {
+func newCallRequest(c call.Call) request {
 	body := c.Body
 	c.Body = nil
 	return request{Call: &c, attachment: body}
@@ -64,7 +64,7 @@
 }
 
 // packResult returns the result without its body, and the body.
-func packResult(r result.Result, h *hist.History) (out response, body []byte) {
+func splitResult(r result.Result, h *hist.History) (out response, body []byte) {
 	body = r.Body
 	r.Body = nil
 	return response{Result: r, History: h}, body
