--- a/internal/peer/swim/bench_test.go
+++ b/internal/peer/swim/bench_test.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// What TCP and IP add to a packet: its own headers and, at worst, an
-	// acknowledgement that travels alone.
+	// TCP and IP overhead of a packet: its own headers and, at worst, a
+	// separate acknowledgement.
 	headers = 2 * 52
 
 	quietPeriod  = 2 * time.Minute // measured without changes
 	changePeriod = time.Minute     // measured after a change
 )
 
-// sizes are those of today, of the way there and of the target.
+// sizes are fleet sizes from today's to the target.
 var sizes = []int{4, 8, 20, 80, 160, 320}
 
-// rate returns the bytes a second that a daemon sends and receives in d, and
-// the processor time of its machine and codec as a share of a core.
+// rate runs the fleet for d. It returns the bytes per second that a daemon
+// sends and receives, and the CPU time of its state machine and codec as a
+// fraction of a core.
 func (f *fleet) rate(d time.Duration) (bytes, core float64) {
 	f.bytes, f.packets, f.stepTime = 0, 0, 0
 	f.measure = true
@@ -36,14 +37,14 @@
 	f := newFleet(n, seed)
 	f.until(5*time.Minute, f.agree)
 	if !f.agree() {
-		b.Fatal("the daemons do not agree")
+		b.Fatal("views did not converge within 5 min")
 	}
 	f.until(20*time.Minute, f.queuesEmpty)
 	f.run(time.Minute)
 	return f
 }
 
-// told reports whether no daemon has news left to pass on.
+// queuesEmpty reports whether no daemon has updates left to send.
 func (f *fleet) queuesEmpty() bool {
 	for _, n := range f.nodes {
 		if len(n.beat.updates.entries) > 0 {
@@ -53,7 +54,7 @@
 	return true
 }
 
-// BenchmarkQuiet measures a fleet in which nothing changes.
+// BenchmarkQuiet measures the control traffic of a fleet without changes.
 func BenchmarkQuiet(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -70,8 +71,8 @@
 }
 
 // BenchmarkConfigure measures one change of configuration: the time until it
-// is in force everywhere, until everybody knows that, and the bytes that it
-// adds for each daemon.
+// is in force everywhere, the time until all daemons know that, and the
+// additional bytes per daemon.
 func BenchmarkConfigure(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -93,7 +94,8 @@
 	}
 }
 
-// BenchmarkReplace measures a death and the start of a replacement.
+// BenchmarkReplace measures the failure of a daemon and the start of its
+// replacement.
 func BenchmarkReplace(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -118,7 +120,7 @@
 	}
 }
 
-// BenchmarkLoss measures wrong suspicions and deaths under lost packets.
+// BenchmarkLoss measures false suspicions and false failures under packet loss.
 func BenchmarkLoss(b *testing.B) {
 	for _, n := range sizes {
 		for _, loss := range []float64{0.01, 0.05} {
@@ -129,7 +131,7 @@
 					f.suspected, f.falseDown = 0, 0
 					bytes, _ := f.rate(10 * time.Minute)
 					b.ReportMetric(bytes, "bytes/s")
-					// A suspicion that all hear of counts once for each.
+					// A suspicion counts once for each daemon that learns of it.
 					b.ReportMetric(float64(f.suspected)/float64(n)*6, "suspicions/h/daemon")
 					b.ReportMetric(float64(f.falseDown), "false-deaths")
 				}
@@ -138,8 +140,8 @@
 	}
 }
 
-// BenchmarkPartition measures how long two halves need to find each other
-// again after four minutes.
+// BenchmarkPartition measures the time to converge after a partition into two
+// halves that lasted four minutes.
 func BenchmarkPartition(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -158,7 +160,7 @@
 	}
 }
 
-// BenchmarkMemory measures what one daemon's machine holds.
+// BenchmarkMemory measures the heap of one daemon's state machine.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -168,7 +170,7 @@
 				f.queue = nil
 				b.ReportMetric(float64(heapAlloc()-before)/float64(n)/1000, "KB/daemon")
 				if len(f.nodes) != n {
-					b.Fatal("daemons are missing")
+					b.Fatal("the fleet does not have n daemons")
 				}
 			}
 		})
--- a/internal/peer/swim/fault_test.go
+++ b/internal/peer/swim/fault_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// outside returns the state that each of the others gives to a daemon.
+// statesOf returns the states that the other live daemons hold daemon i in.
 func (f *fleet) statesOf(i int) (states []State) {
 	for k, n := range f.nodes {
 		if k == i || n.dead {
@@ -34,8 +34,8 @@
 	return len(states) > 0
 }
 
-// Packets get lost on busy days. If that made daemons take each other for
-// dead, owners would be asked to give up shards that they serve well.
+// Under load some packets are lost. If daemons then held live ones down, owners
+// would be asked to give up shards that they serve well.
 func TestLoss(t *testing.T) {
 	tests := map[string]struct {
 		n    int
@@ -61,8 +61,8 @@
 	}
 }
 
-// A switch passes packets one way only. The two ends can't hear each other,
-// but both live and everybody else hears them.
+// A link passes packets between two daemons in one direction only. Both are
+// alive and reachable by all others, so neither may be held down.
 func TestOneWayCut(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 4)
@@ -71,9 +71,9 @@
 	is.Equal(f.falseDown, 0)
 }
 
-// A daemon can send but hears nothing. It must be held for down, since no
-// answer could reach it, and must not talk the others into suspecting each
-// other.
+// A daemon can send but receives nothing. It must be held down, since no
+// response could reach it, and its claims must not make the others suspect
+// each other.
 func TestInboundLoss(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 5)
@@ -86,16 +86,16 @@
 			is.True(!f.allSeeDown(f.nodes[i].member.Name))
 		}
 	}
-	is.Equal(f.falseDown, 7) // of the deaf one only, once by each
+	is.Equal(f.falseDown, 7) // of that daemon only, once by each other
 	f.cut = nil
 	took := f.until(time.Minute, f.agree)
 	is.True(f.agree())
-	t.Logf("all agree %v after it hears again", took)
+	t.Logf("views converged %v after it receives again", took)
 }
 
-// Two regions lose each other for minutes and each takes the other for down.
-// When they meet again, neither may talk the other into holding its own
-// neighbours for down, and all must be found again without anybody's help.
+// Two regions are partitioned for minutes and each holds the other down. When
+// the network heals, claims from one side must not make the other hold its own
+// members down, and all views must converge without intervention.
 func TestPartition(t *testing.T) {
 	for _, n := range []int{4, 8, 20, 80} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -117,14 +117,13 @@
 			took := f.until(2*time.Minute, f.agree)
 			is.True(f.agree())
 			is.Equal(f.falseDown, 0)
-			t.Logf("all agree %v after the regions meet", took)
+			t.Logf("views converged %v after the partition healed", took)
 		})
 	}
 }
 
-// A process is paused for a minute and finds itself declared down. It must not
-// hold the others for dead because it did not hear them, and must be taken
-// back.
+// A process is paused for a minute and meanwhile held down. It must not hold
+// the others down for packets that it could not read, and must rejoin.
 func TestPause(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 20, 7)
@@ -138,11 +137,11 @@
 	is.True(f.agree())
 	is.Equal(f.falseDown, 0)
 	is.Equal(f.suspected, 0)
-	t.Logf("all agree %v after it wakes", took)
+	t.Logf("views converged %v after it resumed", took)
 }
 
-// A daemon restarts within seconds, before anybody missed it. Its old words
-// must not hold: it owns nothing any more.
+// A daemon restarts, also before any other suspected it. Its entry from before
+// the restart must be replaced: it owns no shards any more.
 func TestRestart(t *testing.T) {
 	tests := map[string]time.Duration{
 		"at once":       0,
@@ -164,13 +163,14 @@
 					is.Equal(len(m.Shards), 0)
 				}
 			}
-			t.Logf("all know of the restart after %v", took)
+			t.Logf("views include the restart after %v", took)
 		})
 	}
 }
 
-// A VM comes back with a clock that is behind. The others hold its words for
-// old ones, and would go on sending callers to what it was before.
+// A VM restarts with a clock that is behind, so its incarnation is lower than
+// before. The others would ignore its entry as outdated and keep routing calls
+// by the old one.
 func TestRestartWithSlowClock(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 9)
@@ -186,8 +186,8 @@
 	is.True(f.agree())
 }
 
-// A VM is replaced and the new one gets its address, but another name. The new
-// one answers for the old one, which would otherwise never be missed.
+// A VM is replaced by one with the same address and another name. The new one
+// answers the probes of the old one, which would never be held down.
 func TestReplacedAtSameAddress(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 10)
@@ -206,8 +206,8 @@
 	is.True(took < 15*time.Second)
 }
 
-// Ten VMs are replaced by one rollout, or a rack of sixteen loses its switch.
-// All others must notice, and hold nobody else for down.
+// Ten VMs are replaced in one rollout, or a rack of sixteen loses its switch.
+// All others must hold them down, and no other daemon.
 func TestManyAtOnce(t *testing.T) {
 	tests := map[string]struct{ from, count int }{
 		"10 replaced":     {30, 10},
@@ -232,19 +232,19 @@
 			took := f.until(2*time.Minute, gone)
 			is.True(gone())
 			is.Equal(f.falseDown, 0)
-			t.Logf("all know that %d are gone after %v", test.count, took)
+			t.Logf("all hold the %d failed daemons down after %v", test.count, took)
 			for i := range test.count {
 				f.start(test.from+i, 1)
 			}
 			took = f.until(2*time.Minute, f.agree)
 			is.True(f.agree())
-			t.Logf("all know of the %d new ones after %v", test.count, took)
+			t.Logf("views include the %d new daemons after %v", test.count, took)
 		})
 	}
 }
 
-// The store is out of reach for some. An owner stops when it learns that
-// others still reach it, so how old their last success is must spread.
+// Some daemons can't reach the store. An owner stops when it learns that others
+// still reach it, so the age of the last successful call must spread.
 func TestStoreAge(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 20, 12)
@@ -254,7 +254,7 @@
 	f.run(15 * time.Second)
 	for _, n := range f.nodes {
 		age := n.beat.StoreAge(f.now)
-		is.True(age > 14*time.Second) // never newer than it was, but for the way
+		is.True(age > 14*time.Second) // too small by no more than transit times
 		is.True(age <= f.now.Sub(at))
 	}
 	is.True(!f.nodes[3].beat.Alone(f.now))
@@ -263,8 +263,8 @@
 	is.True(f.nodes[3].beat.Alone(f.now))
 }
 
-// Whatever faults come together, once they are over all daemons must agree,
-// without a restart.
+// Random faults overlap. Once they are over, all views must converge without
+// a restart.
 func TestRandomFaults(t *testing.T) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		t.Fatal(err)
@@ -282,10 +282,10 @@
 		f.endFaults()
 		f.until(3*time.Minute, f.agree)
 		if !f.agree() {
-			rt.Fatal("the daemons do not agree")
+			rt.Fatal("views did not converge within 3 min")
 		}
 		if f.largest > 4096 {
-			rt.Fatalf("a packet of %d bytes", f.largest)
+			rt.Fatalf("packet of %d bytes, want at most 4096", f.largest)
 		}
 	})
 }
--- a/internal/peer/swim/fleet_test.go
+++ b/internal/peer/swim/fleet_test.go
@@ -15,8 +15,8 @@
 const methodPacket = "link.packet"
 
 type (
-	// fleet is many Beats on a virtual clock before a network that loses
-	// packets. Everything in it follows from its seed.
+	// fleet simulates many Memberships on a virtual clock and a lossy network.
+	// All but the measured times follows from its seed.
 	fleet struct {
 		now       time.Time
 		rng       *rand.Rand
@@ -27,10 +27,10 @@
 		queue     events
 		serial    int
 		measure   bool
-		uncounted *node // whose own picture isn't counted
+		uncounted *node // its view is not counted in the totals
 		// Totals.
 		bytes, packets       int64
-		stepTime             time.Duration // real time, of the machine under test
+		stepTime             time.Duration // real time spent in Step and the codec
 		suspected, falseDown int
 		largest              int
 	}
@@ -70,8 +70,8 @@
 	return last
 }
 
-// newFleet returns n daemons that have all just started; the first two are the
-// seeds of all others.
+// newFleet returns n daemons that have all just started. The first two are the
+// seeds of all.
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{
 		now:    time.Unix(1_800_000_000, 0),
@@ -129,7 +129,8 @@
 	}
 }
 
-// count counts what is wrongly held of live daemons.
+// countFalse counts the suspicions and failures that a daemon wrongly holds of
+// live ones.
 func (f *fleet) countFalse(by *node, m Member) {
 	n := f.byPeer[m.Peer]
 	before := by.seen[m.Name]
@@ -148,7 +149,7 @@
 	}
 }
 
-// fetch takes a newer configuration from its holder after a round trip.
+// fetch applies a newer configuration after a round trip to the peer that has it.
 func (f *fleet) fetch(n *node, e Newer) {
 	holder := f.byPeer[e.From]
 	if holder.dead || f.lost(n, holder) {
@@ -187,8 +188,8 @@
 	f.schedule(time.Millisecond+time.Duration(f.rng.Int64N(int64(4*time.Millisecond))), to, s.Packet)
 }
 
-// wireSize returns the bytes of a packet as link frames it: a JSON-RPC
-// notification behind its length.
+// wireSize returns the size in bytes of a packet as link frames it: a JSON-RPC
+// notification with its length.
 func wireSize(p Packet) int {
 	data, err := p.MarshalBinary()
 	if err != nil {
@@ -205,12 +206,13 @@
 	return len(frame) + 2
 }
 
-// run lets d pass.
+// run advances the clock by d.
 func (f *fleet) run(d time.Duration) {
 	f.until(d, func() bool { return false })
 }
 
-// until lets time pass until done, at most d, and returns how long it took.
+// until advances the clock until done, at most by d, and returns the time that
+// passed.
 func (f *fleet) until(d time.Duration, done func() bool) time.Duration {
 	start, end := f.now, f.now.Add(d)
 	check := f.now
@@ -250,7 +252,7 @@
 	}
 }
 
-// wake ends a pause: what came meanwhile is read at once.
+// wake ends a pause: packets that came meanwhile are read at once.
 func (f *fleet) wake(n *node) {
 	n.paused = false
 	for _, p := range n.waiting {
@@ -259,8 +261,8 @@
 	n.waiting = nil
 }
 
-// agree reports whether each live daemon holds exactly the live ones for
-// alive, with their present incarnations and configurations.
+// agree reports whether each live daemon that is not paused holds exactly the
+// live ones alive, with their present incarnations and configurations.
 func (f *fleet) agree() bool {
 	alive := 0
 	for _, n := range f.nodes {
@@ -291,7 +293,8 @@
 	return count == alive
 }
 
-// knows reports whether all live daemons hold one for down.
+// allSeeDown reports whether no live daemon holds the named one in any state
+// other than down.
 func (f *fleet) allSeeDown(name string) bool {
 	for _, n := range f.nodes {
 		if n.dead {
@@ -306,14 +309,14 @@
 	return true
 }
 
-// settled returns a fleet whose daemons all know each other.
+// convergedFleet returns a fleet whose daemons all know each other.
 func convergedFleet(t *testing.T, n int, seed uint64) *fleet {
 	t.Helper()
 	is := is.New(t)
 	f := newFleet(n, seed)
 	took := f.until(2*time.Minute, f.agree)
 	is.True(f.agree()) // all know all
-	t.Logf("%d daemons that start at once know each other after %v", n, took)
+	t.Logf("%d daemons that start at once have converged after %v", n, took)
 	return f
 }
 
--- a/internal/peer/swim/fuzz_test.go
+++ b/internal/peer/swim/fuzz_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// FuzzPacket feeds damaged packets to a daemon, as a peer of another version or
-// a broken one might send. It must get an error or a packet that its machine
-// can take, and never fall over.
+// FuzzPacket decodes arbitrary bytes, as a faulty peer or one of another version
+// might send. Decoding must give an error or a packet that Step accepts, and
+// nothing may panic.
 func FuzzPacket(f *testing.F) {
 	whole := Packet{
 		From: "10.0.0.1:7410", Round: 7, Ack: 3, Full: true, Age: time.Second, Head: 5,
--- a/internal/peer/swim/merge.go
+++ b/internal/peer/swim/merge.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// take merges a packet and answers it.
+// handlePacket merges a packet and answers it.
 func (ms *Membership) handlePacket(now time.Time, p Packet, out *effects) {
 	if ms.self.Name == "" || p.From == ms.self.Peer {
 		return
@@ -34,8 +34,9 @@
 	ms.reply(now, p, out)
 }
 
-// takeWords takes what a daemon said of itself. Whoever made a packet without
-// Claims may have put a claim in the State.
+// mergeMember merges an entry that a daemon reported of itself. An entry whose
+// State is Suspect is taken for a claim: a sender that does not use Claims may
+// put it there.
 func (ms *Membership) mergeMember(now time.Time, m Member, out *effects) {
 	if m.State == Suspect {
 		ms.mergeClaim(now, Claim{Name: m.Name, Incarnation: m.Incarnation, Serial: m.Serial, State: m.State}, out)
@@ -73,7 +74,7 @@
 	ms.publish(now, r, out)
 }
 
-// admit adds a daemon that was not known.
+// addMember adds an unknown daemon, unless it is down.
 func (ms *Membership) addMember(now time.Time, m Member, out *effects) {
 	if m.State == Down {
 		return
@@ -82,8 +83,8 @@
 	ms.records[m.Name] = r
 	i, _ := slices.BinarySearch(ms.names, m.Name)
 	ms.names = slices.Insert(ms.names, i, m.Name)
-	// The place in the ring is random, so that a newcomer is not probed by
-	// all at once.
+	// The position in the ring is random, so that not all daemons probe a new
+	// one at the same time.
 	at := 0
 	if len(ms.ring) > 0 {
 		at = ms.rng.IntN(len(ms.ring))
@@ -93,9 +94,9 @@
 	ms.publish(now, r, out)
 }
 
-// setPeer notes whose a peer address is. Where a daemon was replaced by one
-// with another name at the same address, the new one would answer the probes
-// meant for the old one, which would live on for ever.
+// indexPeer maps a peer address to its daemon. Another daemon at that address
+// with no higher Incarnation has been replaced and is set down: the new one
+// answers its probes, so it would otherwise stay alive for ever.
 func (ms *Membership) indexPeer(now time.Time, m Member, oldPeer string, out *effects) {
 	if oldPeer != m.Peer && ms.byPeer[oldPeer] == m.Name {
 		delete(ms.byPeer, oldPeer)
@@ -121,10 +122,10 @@
 	ms.names = slices.Delete(ms.names, i, i+1)
 }
 
-// takeClaim takes what another says of a daemon. Down is believed at once only
-// of a daemon that was suspected here before; otherwise it gets the time to
-// refute. When two halves of the fleet meet again, each holds the other for
-// down, and would believe that even of itself.
+// mergeClaim merges another daemon's claim. Down is accepted at once only for
+// a daemon that is already suspected here; otherwise it starts a suspicion,
+// which leaves time to refute. After a partition each half holds the other
+// down, and would otherwise accept that of its own live members too.
 func (ms *Membership) mergeClaim(now time.Time, c Claim, out *effects) {
 	if c.Name == ms.self.Name {
 		ms.refute(now, c.Incarnation, c.Serial, true, out)
@@ -143,7 +144,7 @@
 	ms.setClaim(now, r, c.State, c.Serial, out)
 }
 
-// accuse sets a claim, unless a stronger one holds.
+// setClaim sets a claim, unless the same or a stronger one holds.
 func (ms *Membership) setClaim(now time.Time, r *record, claim State, claimSerial uint64, out *effects) {
 	if r.claim == Down || r.claim == claim {
 		r.claimSerial = max(r.claimSerial, claimSerial)
@@ -155,8 +156,9 @@
 	ms.publish(now, r, out)
 }
 
-// defend outbids what is said of this daemon itself: a claim, or an older life
-// of the same name that had a faster clock.
+// refute raises this daemon's Serial or Incarnation above what others hold of
+// it: a claim, or the entry of an earlier process of the same name whose clock
+// was ahead.
 func (ms *Membership) refute(now time.Time, incarnation, serial uint64, claimed bool, out *effects) {
 	switch {
 	case incarnation > ms.self.Incarnation:
@@ -183,8 +185,9 @@
 	out.add(MemberChanged{Member: r.member()})
 }
 
-// takeHead learns which configuration the sender has in force. A fetch may
-// fail, so a newer one is told of again from other senders.
+// handleHead merges the configuration version that the sender has in force.
+// A fetch may fail, so a newer version is reported again with later packets,
+// at most once per Interval.
 func (ms *Membership) handleHead(now time.Time, p Packet, out *effects) {
 	if r := ms.records[ms.byPeer[p.From]]; r != nil {
 		ms.mergeMark(now, Mark{Name: r.reported.Name, Incarnation: r.reported.Incarnation, Config: p.Head}, out)
@@ -200,9 +203,9 @@
 	out.add(Newer{Version: p.Head, From: p.From})
 }
 
-// tell passes on what changed. A daemon that hears nobody at all keeps its
-// claims to itself: it is itself what is cut off, and what it could still send
-// would make all others refute.
+// publish queues a change for other daemons and reports it to the caller. A
+// daemon that receives nothing queues nothing: it is cut off itself, and
+// claims that it could still send would make all others refute.
 func (ms *Membership) publish(now time.Time, r *record, out *effects) {
 	if !ms.Alone(now) {
 		ms.updates.add(r.reported.Name, memberUpdate)
@@ -210,7 +213,8 @@
 	out.add(MemberChanged{Member: r.member()})
 }
 
-// takeAck ends the probe that was answered, or passes the answer on.
+// handleAck ends the probe that was answered, or forwards the ack of an
+// indirect probe to its requester.
 func (ms *Membership) handleAck(now time.Time, p Packet, out *effects) {
 	if p.Ack == 0 {
 		return
@@ -242,8 +246,9 @@
 	}
 }
 
-// sendAll answers with the whole picture, in packets of bounded size. A sender
-// whose digest differs, or who isn't known here, is asked for its own.
+// sendFullState answers with all entries that are not down, in packets of
+// bounded size. If the request was a digest, the sender is asked for its full
+// state in turn.
 func (ms *Membership) sendFullState(now time.Time, p Packet, out *effects) {
 	first := Packet{Ack: p.Round, Full: true}
 	if p.Digest != 0 {
@@ -273,7 +278,7 @@
 	return Claim{Name: r.reported.Name, Incarnation: r.reported.Incarnation, Serial: r.claimSerial, State: r.claim}
 }
 
-// digest sums up all that is held of daemons that are not down.
+// digest hashes the entries of all daemons that are not down; it is never 0.
 func (ms *Membership) digest() uint64 {
 	h := xxhash.New()
 	var buf [25]byte
--- a/internal/peer/swim/probe.go
+++ b/internal/peer/swim/probe.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	indirectProbers    = 3  // daemons asked to probe one that did not answer
-	indirectRounds     = 3  // how long an answer is passed on to who asked
-	downProbeOneIn     = 10 // rounds between probes of one that is down, on average
-	digestOneIn        = 20 // rounds between comparisons of whole pictures, on average
-	startupRounds      = 20 // rounds after the start with more comparisons
-	startupDigestOneIn = 3  // for that time
-	rejoinRounds       = 5  // how long a return makes others that are down be probed
-	rejoinProbes       = 3  // of them in each round
-	configSettleTime   = 60 * Interval
-	membersPerPacket   = 30 // in one packet
-	suspectFactor      = 2  // of the logarithm: rounds to refute
-	suspectExtraRounds = 2  // rounds added to that
+	indirectProbers    = 3             // daemons asked to probe one that did not answer
+	indirectRounds     = 3             // rounds for which the ack of an indirect probe is forwarded
+	downProbeOneIn     = 10            // rounds between probes of a down daemon, on average
+	digestOneIn        = 20            // rounds between digest comparisons, on average
+	startupRounds      = 20            // rounds after the start with more comparisons
+	startupDigestOneIn = 3             // like digestOneIn, during startupRounds
+	rejoinRounds       = 5             // rounds after a rejoin with more probes of down daemons
+	rejoinProbes       = 3             // down daemons probed in each of these rounds
+	configSettleTime   = 60 * Interval // no digest comparisons for so long after a configuration change
+	membersPerPacket   = 30            // of a full state
+	suspectFactor      = 2             // times spreadRounds: rounds to refute a suspicion
+	suspectExtraRounds = 2             // added to that
 )
 
 type (
-	// probe waits for an answer. Stage counts the ticks since it was sent.
+	// probe is an outstanding probe. Stage counts the ticks since it was sent.
 	probe struct {
 		round uint64
 		name  string
 		stage int
 	}
 
-	// help is a probe made for another daemon.
+	// indirectProbe is a probe made on behalf of another daemon.
 	indirectProbe struct {
 		round        uint64
 		stage        int
-		requester    string // who asked
-		requestRound uint64 // the round that was asked in
-		target       string // peer address that is probed
+		requester    string // peer address
+		requestRound uint64 // Round of the request, which the ack carries
+		target       string // peer address
 	}
 
 	effects []Effect
@@ -59,8 +59,9 @@
 	ms.compareDigests(now, paused, out)
 }
 
-// forgive drops what was due while this process itself was paused. Without
-// that it would wake and hold others for gone that had answered in time.
+// extendDeadlines drops outstanding probes and extends suspicions after this
+// process itself was paused. Otherwise it would take daemons for down whose
+// acks it could not read in time.
 func (ms *Membership) extendDeadlines(pause time.Duration) {
 	ms.probes = nil
 	ms.indirect = nil
@@ -71,9 +72,10 @@
 	}
 }
 
-// advance asks others to try the daemons that did not answer by now, and
-// suspects the ones that nobody reached. Loss between two daemons alone, or a
-// cut in one direction, is thus not taken for a death.
+// advanceProbes requests indirect probes of daemons that have not answered
+// yet, and suspects those that did not answer these either. Packet loss between
+// two daemons only, or a link that fails in one direction, thus raises no
+// suspicion.
 func (ms *Membership) advanceProbes(now time.Time, out *effects) {
 	due := ms.probes
 	ms.probes = nil
@@ -103,7 +105,8 @@
 	}
 }
 
-// expire turns suspicions that were not refuted into deaths.
+// expire sets daemons down whose suspicion was not refuted in time, and
+// removes those that have been down for removeDownAfter.
 func (ms *Membership) expire(now time.Time, out *effects) {
 	limit := time.Duration(suspectFactor*ms.spreadRounds()+suspectExtraRounds) * Interval
 	for _, name := range slices.Clone(ms.names) {
@@ -117,8 +120,8 @@
 	}
 }
 
-// probeNext probes the next of a shuffled ring: each daemon is probed within
-// a known time, not only on average.
+// probeNext probes the next daemon of a shuffled ring, so that each is probed
+// within a bounded time, not only on average. Without any it joins.
 func (ms *Membership) probeNext(now time.Time, out *effects) {
 	for range 2 {
 		for len(ms.ring) > 0 {
@@ -141,7 +144,7 @@
 	ms.send(now, r.reported.Peer, p, out)
 }
 
-// join asks a seed for the whole picture.
+// join requests the full state from a random seed.
 func (ms *Membership) join(now time.Time, out *effects) {
 	seeds := ms.otherSeeds()
 	if len(seeds) == 0 {
@@ -156,9 +159,9 @@
 	return slices.DeleteFunc(slices.Clone(ms.seeds), func(s string) bool { return s == ms.self.Peer })
 }
 
-// probeDown tries daemons that are down. Regions that lost each other for
-// minutes hold each other for down, and nobody else would ever try. When one
-// comes back, many may.
+// probeDown probes random daemons that are down, more of them after a rejoin.
+// After a partition of some minutes each side holds the other down, and
+// nothing else would reconnect them. When one daemon returns, many may.
 func (ms *Membership) probeDown(now time.Time, out *effects) {
 	n := 0
 	switch {
@@ -175,8 +178,9 @@
 	}
 }
 
-// repair compares the whole picture with one other daemon, or with a seed, now
-// and then: news is sent only so often, and all of it may have been lost.
+// compareDigests compares digests with a random daemon, and less often with a
+// seed: updates are sent a bounded number of times, and all may have been lost.
+// It always does so after a pause of this process.
 func (ms *Membership) compareDigests(now time.Time, paused bool, out *effects) {
 	oneIn := digestOneIn
 	if ms.ticks < startupRounds {
--- a/internal/peer/swim/step.go
+++ b/internal/peer/swim/step.go
@@ -14,14 +14,14 @@
 	Interval = time.Second
 
 	aloneAfter      = 5 * Interval
-	pausedAfter     = 3 * Interval
-	removeDownAfter = 30 * time.Minute // daemons that are down
-	pushFanout      = 3                // daemons told at once of a change of one's own
+	pausedAfter     = 3 * Interval // between two Ticks
+	removeDownAfter = 30 * time.Minute
+	pushFanout      = 3 // daemons that an own change is sent to at once
 )
 
 type (
-	// Beat is the membership as one daemon sees it. Seed makes its random
-	// choices differ between deployments; daemons differ by their names.
+	// Membership is one daemon's view of all daemons. Its random choices follow
+	// from Seed, which differs between deployments, and the daemon's name.
 	Membership struct {
 		Seed uint64
 
@@ -30,32 +30,32 @@
 		seeds          []string
 		names          []string // sorted, without self
 		records        map[string]*record
-		byPeer         map[string]string // names
-		ring           []string          // who is probed next
-		round          uint64
+		byPeer         map[string]string // names by peer address
+		ring           []string          // names still to probe, in order
+		round          uint64            // of the last probe or request sent
 		probes         []probe
 		indirect       []indirectProbe
 		updates        updates
 		ticks          int
 		lastTick       time.Time
 		lastReceived   time.Time
-		storeReached   time.Time // by anybody
-		rejoined       time.Time // somebody down came back
-		configChanged  time.Time // last change of the configuration seen anywhere
-		newestConfig   uint64    // configuration told by Newer
-		newestReported time.Time
+		storeReached   time.Time // by any daemon
+		rejoined       time.Time // last return of a daemon from down, or of contact after Alone
+		configChanged  time.Time // last change of configuration seen in any entry
+		newestConfig   uint64    // highest version reported by Newer
+		newestReported time.Time // last Newer
 	}
 
-	// record is one other daemon: its own words and what others claim.
+	// record is one other daemon: its own entry and what others claim.
 	record struct {
 		reported    Member
 		claim       State // empty, Suspect or Down
 		claimSerial uint64
-		since       time.Time // of the claim
+		since       time.Time // of the claim, or of its own report of Down
 	}
 )
 
-// Step takes one message and returns what to do about it.
+// Step handles one message and returns the effects to carry out, in order.
 func (ms *Membership) Step(now time.Time, m Message) []Effect {
 	var out effects
 	switch m := m.(type) {
@@ -71,7 +71,7 @@
 	return out
 }
 
-// Members returns all known daemons, itself too, in the order of their names.
+// Members returns all known daemons including this one, sorted by name.
 func (ms *Membership) Members() []Member {
 	all := make([]Member, 0, len(ms.names)+1)
 	ms.each(func(m *Member, s State) {
@@ -81,8 +81,8 @@
 	return all
 }
 
-// each visits all daemons in the order of their names, each with the state
-// that holds.
+// each visits all daemons sorted by name, each with its effective state:
+// claims included.
 func (ms *Membership) each(visit func(m *Member, s State)) {
 	if ms.self.Name == "" {
 		return
@@ -99,8 +99,9 @@
 	}
 }
 
-// StoreAge returns the time since anybody is known to have reached the store;
-// negative is never. A packet that was long under way makes it too small.
+// StoreAge returns the time since any daemon is known to have reached the
+// store; negative is never. It does not include packets' transit times, so a
+// delayed packet makes it too small.
 func (ms *Membership) StoreAge(now time.Time) time.Duration {
 	if ms.storeReached.IsZero() {
 		return -1
@@ -108,7 +109,8 @@
 	return max(0, now.Sub(ms.storeReached))
 }
 
-// Alone reports whether no other daemon has been heard lately.
+// Alone reports whether no packet came from any other daemon within the last
+// five intervals.
 func (ms *Membership) Alone(now time.Time) bool {
 	return ms.lastReceived.IsZero() || now.Sub(ms.lastReceived) > aloneAfter
 }
@@ -147,22 +149,24 @@
 	}
 }
 
-// same compares what a Serial stands for.
+// equalBySerial compares the fields whose changes raise the Serial.
 func equalBySerial(x, y Member) bool {
 	return x.Name == y.Name && x.Address == y.Address && x.Peer == y.Peer &&
 		x.FailureDomain == y.FailureDomain && x.Disk == y.Disk && x.State == y.State &&
 		x.Incarnation == y.Incarnation && slices.Equal(x.Shards, y.Shards)
 }
 
-// push tells a few others at once instead of at the next round. With each that
-// a new configuration reaches doing the same, it spreads within round trips.
+// pushNow sends to a few random daemons at once instead of in the next round.
+// As each daemon does so when it applies a new configuration, this spreads
+// within a few round trips.
 func (ms *Membership) pushNow(now time.Time, out *effects) {
 	for _, name := range ms.sample(pushFanout, ms.notDown) {
 		ms.send(now, ms.records[name].reported.Peer, Packet{}, out)
 	}
 }
 
-// choose returns up to n different daemons that ok accepts, at random.
+// sample returns the names of up to n different random daemons that accept
+// admits.
 func (ms *Membership) sample(n int, accept func(*record) bool) []string {
 	var all []string
 	for _, name := range ms.names {
@@ -178,7 +182,8 @@
 
 func (ms *Membership) isDown(r *record) bool { return r.state() == Down }
 
-// logarithm returns how many rounds news needs to reach the fleet, roughly.
+// spreadRounds estimates the rounds that an update needs to reach all daemons:
+// the binary logarithm of their number.
 func (ms *Membership) spreadRounds() int {
 	return bits.Len(uint(len(ms.names) + 1))
 }
--- a/internal/peer/swim/swim.go
+++ b/internal/peer/swim/swim.go
@@ -1,20 +1,20 @@
-// Package beat keeps each daemon's picture of all the others: who is alive,
-// which shards each owns under which epoch, which configuration each runs, and
-// when anyone last reached the store.
+// Package swim is a gossip membership protocol for daemons, after SWIM: which
+// daemons are alive, which shards each owns under which epoch, which
+// configuration each runs, and when any of them last reached the store.
 //
-// Beat is a state machine: Step takes the time and one message and returns the
-// effects to carry out. There is no full mesh: in each round a daemon probes
-// one other, and news travels with probes and their answers, each item a
-// bounded number of times. Nothing here decides ownership; that is settled in
-// the store. A wrong picture costs a relayed request or a slow takeover.
+// Membership is a state machine: Step takes the time and one message and
+// returns the effects to carry out. There is no full mesh: in each round a
+// daemon probes one other, and updates are piggybacked on probes and their
+// acks, each a bounded number of times. Ownership is not decided here but in
+// the store; an outdated view costs a relayed request or a slow takeover.
 //
-// Of each daemon a Beat keeps its own words, which only it can change, and
-// apart from them what others claim of it. A claim starts a suspicion; the
-// daemon refutes it with a higher Serial, or is down when the time for that,
-// which grows with the logarithm of the fleet, is over. A packet to a daemon
-// that is claimed to be gone always says so, so that it can refute.
+// For each daemon a Membership keeps the entry that it reported of itself,
+// which only it can change, and separately what others claim of it. A claim
+// starts a suspicion. The daemon refutes it with a higher Serial; otherwise it
+// is down after a time that grows with the logarithm of the fleet size. Every
+// packet to a daemon under a claim carries that claim, so that it can refute.
 //
-// The zero Beat works once it has been told its Self.
+// The zero Membership is usable after its first Self message.
 package swim
 
 import (
@@ -26,14 +26,14 @@
 	Alive State = "alive"
 	// Draining answers probes but takes no new work.
 	Draining State = "draining"
-	// Suspect did not answer and may be down.
+	// Suspect did not answer probes and may be down.
 	Suspect State = "suspect"
-	// Down is taken for gone.
+	// Down did not refute the suspicion in time.
 	Down State = "down"
 )
 
 type (
-	// State is what is known of a daemon's life.
+	// State is the liveness of a daemon.
 	State string
 
 	// Shard is the ownership of one shard.
@@ -42,9 +42,10 @@
 		Epoch uint64 `json:"epoch"`
 	}
 
-	// Member is one daemon as known here. Of two pictures of a daemon the one
-	// with the higher Incarnation holds, then the one with the higher Serial;
-	// Suspect and Down are others' words and overrule only an equal Serial.
+	// Member is one daemon's entry. Of two entries for a daemon the one with the
+	// higher Incarnation wins, then the one with the higher Serial. A claim by
+	// others (Suspect or Down) holds until the daemon reports a higher Serial
+	// than the claim's.
 	Member struct {
 		Name          string  `json:"name"`
 		Address       string  `json:"address"` // for callers, IP and port
@@ -53,37 +54,39 @@
 		Disk          bool    `json:"disk,omitempty"` // has a data folder for blobs
 		State         State   `json:"state"`
 		Incarnation   uint64  `json:"incarnation"` // start time in nanoseconds
-		Serial        uint64  `json:"serial"`      // rises with each change of its own
-		Config        uint64  `json:"config"`      // version in force
+		Serial        uint64  `json:"serial"`      // rises with each change it reports, except of Config
+		Config        uint64  `json:"config"`      // configuration version in force
 		Shards        []Shard `json:"shards,omitempty"`
 	}
 
-	// Message is what Beat reacts to.
+	// Message is an input of Step.
 	Message interface{ message() }
 
-	// Self tells the machine what its own daemon is. Seeds are peer addresses
-	// to try first.
+	// Self sets the entry of this daemon itself. Seeds are peer addresses to
+	// join through; digests are also compared with them from time to time.
 	Self struct {
 		Member Member
 		Seeds  []string
 	}
 
-	// Reached tells that this daemon's call to the store succeeded.
+	// Reached reports that a call to the store, sent by this daemon at At, succeeded.
 	Reached struct{ At time.Time }
 
 	// Tick starts a round; one is due every Interval.
 	Tick struct{}
 
-	// Packet is what one daemon tells another. Age is the time since anybody
-	// known to the sender last reached the store; negative is never. Ack is
-	// the round that is answered, 0 in a probe. Full asks for, or is, the
-	// whole picture.
+	// Packet is one protocol message between daemons. Age is the time since any
+	// daemon, as far as the sender knows, last reached the store; negative is
+	// never. Ack is the Round of the probe that is answered, 0 in a probe. Full
+	// with a Round requests the receiver's full state; a Full packet may also
+	// carry the sender's.
 	//
-	// Round 0 asks for no answer. Ask names a peer address that the receiver is
-	// to probe for the sender, and For, in the answer, the one that answered
-	// such a probe. Head is what the sender has in force, so that it can be
-	// fetched there. Digest, unless 0, sums up the sender's picture: a receiver
-	// whose own differs answers with all of it.
+	// Round 0 asks for no ack. Ask is a peer address that the receiver is to
+	// probe on the sender's behalf (an indirect probe), and For, in the ack, the
+	// address that answered it. Head is the sender's configuration version, which
+	// can be fetched from it. Digest, unless 0, is a hash of the sender's view:
+	// a receiver with another digest answers with its full state. News holds
+	// entries as reported by the daemons themselves.
 	Packet struct {
 		From   string        `json:"from"` // peer address
 		Round  uint64        `json:"round"`
@@ -99,7 +102,7 @@
 		Marks  []Mark        `json:"marks,omitempty"`
 	}
 
-	// Claim is what others say of a daemon: Suspect or Down.
+	// Claim is a statement by other daemons that one is Suspect or Down.
 	Claim struct {
 		Name        string `json:"name"`
 		Incarnation uint64 `json:"incarnation"`
@@ -107,29 +110,29 @@
 		State       State  `json:"state"`
 	}
 
-	// Mark is the configuration that a daemon has in force. It only rises, so
-	// it travels without a Serial: all daemons change it together, and their
-	// whole entries would take many times the bytes.
+	// Mark is the configuration version that a daemon has in force. It only
+	// rises, so it needs no Serial. All daemons change it at about the same
+	// time, and sending their whole entries would take many times the bytes.
 	Mark struct {
 		Name        string `json:"name"`
 		Incarnation uint64 `json:"incarnation"`
 		Config      uint64 `json:"config"`
 	}
 
-	// Effect is what Beat wants done.
+	// Effect is an output of Step, to be carried out by the caller.
 	Effect interface{ effect() }
 
-	// Send delivers a packet to a peer address; it may be lost.
+	// Send asks to send a packet to a peer address; it may be lost.
 	Send struct {
 		To     string
 		Packet Packet
 	}
 
-	// Changed tells that the picture of a daemon changed.
+	// MemberChanged reports the new entry of another daemon.
 	MemberChanged struct{ Member Member }
 
-	// Newer tells that a peer knows a newer configuration than was told to
-	// this machine. From is the peer address to fetch it from.
+	// Newer reports that the peer at From has a newer configuration in force
+	// than this daemon. It can be fetched from there.
 	Newer struct {
 		Version uint64
 		From    string
--- a/internal/peer/swim/updates.go
+++ b/internal/peer/swim/updates.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	memberUpdate kind = 0 // a daemon's words or a claim
-	configUpdate kind = 1 // its configuration
+	memberUpdate kind = 0 // a daemon's own entry or a claim
+	configUpdate kind = 1 // its configuration version
 
-	memberSendFactor = 2   // of the logarithm: how often life news is sent
-	configSends      = 8   // how often a mark is sent; comparisons repair the rest
-	updateBytes      = 900 // bytes of news in one packet, roughly
-	maxUpdates       = 24
+	memberSendFactor = 2   // times spreadRounds: how often an update is sent
+	configSends      = 8   // how often a Mark is sent at most; digest comparisons repair the rest
+	updateBytes      = 900 // of updates in one packet, approximate
+	maxUpdates       = 24  // in one packet
 
-	memberCost = 34 // bytes besides its texts and shards
+	// Approximate encoded sizes in bytes, without names and failure domains.
+	memberCost = 34 // without shards
 	shardCost  = 6
 	claimCost  = 20
 	markCost   = 16
@@ -28,20 +29,21 @@
 		kind kind
 	}
 
-	// item is one thing to pass on. What is sent is what is known when it is.
+	// update is one change to pass on. Its content is looked up when it is sent.
 	update struct {
 		updateKey
 		sends int
 	}
 
-	// news is what others may not know yet, the least often sent first.
+	// updates is the dissemination queue. Updates of members go first, then the
+	// least often sent.
 	updates struct {
 		entries []*update
 		index   map[updateKey]*update
 	}
 )
 
-// add makes news of something that changed.
+// add queues an update; one that is already queued starts over.
 func (u *updates) add(name string, k kind) {
 	s := updateKey{name, k}
 	if known := u.index[s]; known != nil {
@@ -55,7 +57,7 @@
 	u.entries = append(u.entries, u.index[s])
 }
 
-// remove drops the items that a test picks.
+// remove drops the updates that match.
 func (u *updates) remove(match func(*update) bool) {
 	u.entries = slices.DeleteFunc(u.entries, func(i *update) bool {
 		if !match(i) {
@@ -66,7 +68,8 @@
 	})
 }
 
-// send completes a packet and sends it.
+// send sends a packet after adding the sender's state, claims of the receiver
+// and, unless it carries the full state, queued updates.
 func (ms *Membership) send(now time.Time, to string, p Packet, out *effects) {
 	p.From = ms.self.Peer
 	p.Age = ms.StoreAge(now)
@@ -78,7 +81,8 @@
 	out.add(Send{To: to, Packet: p})
 }
 
-// addClaimOf tells the receiver what is claimed of itself.
+// addReceiverClaim adds a claim against the receiver itself, so that it can
+// refute it.
 func (ms *Membership) addReceiverClaim(peer string, p *Packet) {
 	r := ms.records[ms.byPeer[peer]]
 	if r != nil && r.claim != "" {
@@ -86,7 +90,8 @@
 	}
 }
 
-// fill adds news up to the size of a packet.
+// addUpdates adds queued updates up to the limits of a packet and drops those
+// that have been sent often enough.
 func (ms *Membership) addUpdates(p *Packet) {
 	entries := ms.updates.entries
 	slices.SortStableFunc(entries, func(x, y *update) int {
@@ -110,7 +115,7 @@
 	})
 }
 
-// put adds one item and returns its size.
+// addUpdate adds one update and returns its approximate size in bytes.
 func (ms *Membership) addUpdate(i *update, p *Packet) int {
 	m, r := ms.self, ms.records[i.name]
 	if i.name != ms.self.Name {
--- a/internal/peer/swim/wire.go
+++ b/internal/peer/swim/wire.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// packet, member, claim and mark are the forms on the wire: CBOR arrays,
-	// since names of fields would double the bytes for control.
+	// packet, member, claim and mark are the wire forms: CBOR arrays, since
+	// field names would double the bytes of control traffic.
 	packet struct {
 		_      struct{} `cbor:",toarray"`
 		From   []byte
@@ -44,7 +44,7 @@
 		Incarnation   uint64
 		Serial        uint64
 		Config        uint64
-		Shards        []uint64 // number and epoch in turn
+		Shards        []uint64 // shard numbers and epochs, alternating
 	}
 
 	claim struct {
@@ -63,7 +63,7 @@
 	}
 )
 
-// states gives each State its number on the wire; numbers are never reused.
+// states lists each State at its wire code; codes are never reused.
 var states = [...]State{Alive, Draining, Suspect, Down}
 
 // MarshalBinary encodes the packet for the wire.
@@ -156,7 +156,8 @@
 	return Alive
 }
 
-// packAddress makes seven bytes of an IPv4 address with its port.
+// packAddress encodes an IPv4 address with its port in seven bytes and
+// anything else as text behind a zero byte.
 func packAddress(s string) []byte {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || !a.Addr().Is4() || a.String() != s {
