--- a/internal/peer/swim/bench_test.go
+++ b/internal/peer/swim/bench_test.go
@@ -47,7 +47,7 @@
 // queuesEmpty reports whether no daemon has updates left to send.
 func (f *fleet) queuesEmpty() bool {
 	for _, n := range f.nodes {
-		if len(n.beat.updates.entries) > 0 {
+		if len(n.membership.updates.entries) > 0 {
 			return false
 		}
 	}
--- a/internal/peer/swim/fault_test.go
+++ b/internal/peer/swim/fault_test.go
@@ -16,7 +16,7 @@
 		if k == i || n.dead {
 			continue
 		}
-		for _, m := range n.beat.Members() {
+		for _, m := range n.membership.Members() {
 			if m.Name == f.nodes[i].member.Name {
 				states = append(states, m.State)
 			}
@@ -107,7 +107,7 @@
 			}
 			f.cut = func(from, to *node) bool { return side[from] != side[to] }
 			f.run(4 * time.Minute)
-			for _, m := range f.nodes[0].beat.Members() {
+			for _, m := range f.nodes[0].membership.Members() {
 				is.Equal(m.State == Down, !side[f.byPeer[m.Peer]])
 			}
 			f.configure(f.nodes[n-1], 2) // applied on one side
@@ -155,10 +155,10 @@
 			f.run(pause)
 			n := f.start(5, 1)
 			n.member.Shards = nil
-			f.step(n, Self{Member: n.member, Seeds: n.beat.seeds})
+			f.step(n, Self{Member: n.member, Seeds: n.membership.seeds})
 			took := f.until(time.Minute, f.agree)
 			is.True(f.agree())
-			for _, m := range f.nodes[9].beat.Members() {
+			for _, m := range f.nodes[9].membership.Members() {
 				if m.Name == n.member.Name {
 					is.Equal(len(m.Shards), 0)
 				}
@@ -178,7 +178,7 @@
 	f.nodes[5].dead = true
 	f.run(time.Minute)
 	n := f.start(5, 1)
-	n.beat = Membership{}
+	n.membership = Membership{}
 	n.member.Incarnation = old.Incarnation - uint64(time.Hour)
 	n.member.Shards = nil
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401)}})
@@ -248,19 +248,19 @@
 func TestStoreAge(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 20, 12)
-	is.Equal(f.nodes[3].beat.StoreAge(f.now), time.Duration(-1))
+	is.Equal(f.nodes[3].membership.StoreAge(f.now), time.Duration(-1))
 	f.step(f.nodes[7], Reached{At: f.now})
 	at := f.now
 	f.run(15 * time.Second)
 	for _, n := range f.nodes {
-		age := n.beat.StoreAge(f.now)
+		age := n.membership.StoreAge(f.now)
 		is.True(age > 14*time.Second) // too small by no more than transit times
 		is.True(age <= f.now.Sub(at))
 	}
-	is.True(!f.nodes[3].beat.Alone(f.now))
+	is.True(!f.nodes[3].membership.Alone(f.now))
 	f.cut = func(_, to *node) bool { return to == f.nodes[3] }
 	f.run(10 * time.Second)
-	is.True(f.nodes[3].beat.Alone(f.now))
+	is.True(f.nodes[3].membership.Alone(f.now))
 }
 
 // Random faults overlap. Once they are over, all views must converge without
--- a/internal/peer/swim/fleet_test.go
+++ b/internal/peer/swim/fleet_test.go
@@ -36,13 +36,13 @@
 	}
 
 	node struct {
-		beat     Membership
-		member   Member
-		dead     bool
-		paused   bool
-		outgoing int64    // bytes
-		waiting  []Packet // while paused
-		seen     map[string]State
+		membership Membership
+		member     Member
+		dead       bool
+		paused     bool
+		outgoing   int64    // bytes
+		waiting    []Packet // while paused
+		seen       map[string]State
 	}
 
 	event struct {
@@ -115,7 +115,7 @@
 
 func (f *fleet) step(n *node, m Message) {
 	start := time.Now()
-	out := n.beat.Step(f.now, m)
+	out := n.membership.Step(f.now, m)
 	f.stepTime += time.Since(start)
 	for _, e := range out {
 		switch e := e.(type) {
@@ -164,7 +164,7 @@
 
 func (f *fleet) configure(n *node, version uint64) {
 	n.member.Config = max(n.member.Config, version)
-	f.step(n, Self{Member: n.member, Seeds: n.beat.seeds})
+	f.step(n, Self{Member: n.member, Seeds: n.membership.seeds})
 }
 
 func (f *fleet) lost(from, to *node) bool {
@@ -280,13 +280,13 @@
 
 func (f *fleet) viewCorrect(n *node, alive int) bool {
 	count := 0
-	for _, m := range n.beat.Members() {
+	for _, m := range n.membership.Members() {
 		if m.State == Down {
 			continue
 		}
 		count++
 		of := f.byPeer[m.Peer]
-		if m.State != Alive || of.dead || of.beat.self.Incarnation != m.Incarnation || of.member.Config != m.Config {
+		if m.State != Alive || of.dead || of.membership.self.Incarnation != m.Incarnation || of.member.Config != m.Config {
 			return false
 		}
 	}
@@ -300,7 +300,7 @@
 		if n.dead {
 			continue
 		}
-		for _, m := range n.beat.Members() {
+		for _, m := range n.membership.Members() {
 			if m.Name == name && m.State != Down {
 				return false
 			}
--- a/internal/peer/swim/swim_test.go
+++ b/internal/peer/swim/swim_test.go
@@ -30,7 +30,7 @@
 }
 
 // An operator applies a configuration at one daemon. It must be in force
-// everywhere within 4 s, also while packets are lost and the store is down.
+// everywhere within 4 s, also with 5 % packet loss, without use of the store.
 func TestConfigurationSpreads(t *testing.T) {
 	for _, n := range []int{4, 8, 80, 320} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// spread returns the time until all daemons have the version.
+// spreadTime returns the time until all daemons have the version.
 func (f *fleet) spreadTime(t *testing.T, version uint64) time.Duration {
 	t.Helper()
 	took := f.until(time.Minute, func() bool { return f.configuredAt(version) })
