--- a/internal/peer/link/bench_test.go
+++ b/internal/peer/link/bench_test.go
@@ -18,8 +18,8 @@
 
 const (
 	idlePeers       = 320
-	piecesPerAnswer = 200 // of one answer
-	parallelAnswers = 100 // answers at a time
+	piecesPerAnswer = 200
+	parallelAnswers = 100
 )
 
 // serveTCP serves a Link on a loopback port until the benchmark ends.
@@ -44,7 +44,7 @@
 	return l.Address
 }
 
-// processor returns the processor time of this process, for both ends.
+// cpuTime returns the CPU time of this process, in which both ends run.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -61,8 +61,8 @@
 	return result.Result{Code: result.CodeOK, Ran: result.Yes, Body: c.Body}
 }
 
-// BenchmarkCall measures a relayed call with a request and an answer of that
-// size each.
+// BenchmarkCall measures a relayed call whose request and answer both have the
+// given size.
 func BenchmarkCall(b *testing.B) {
 	sizes := map[string]int{"1KB": 1 << 10, "10KB": 10 << 10, "1MB": 1 << 20}
 	for name, size := range sizes {
@@ -83,8 +83,8 @@
 	}
 }
 
-// BenchmarkPieces measures streamed answers, many at a time over one
-// connection, for each piece.
+// BenchmarkPieces measures the CPU time per piece of streamed answers, many at a
+// time over one connection.
 func BenchmarkPieces(b *testing.B) {
 	var client, server Link
 	server.Runner = scripted{call: func(_ context.Context, _ call.Call, sink runner.Sink) result.Result {
@@ -108,7 +108,7 @@
 	reportCPU(b, start, b.N*parallelAnswers*piecesPerAnswer, "cpu-us/piece")
 }
 
-// BenchmarkPacket measures a packet of the membership, both ends.
+// BenchmarkPacket measures sending and receiving a membership packet.
 func BenchmarkPacket(b *testing.B) {
 	var client, server Link
 	got := make(chan struct{}, 1)
@@ -123,7 +123,8 @@
 	reportCPU(b, start, b.N, "cpu-us/packet")
 }
 
-// BenchmarkIdle measures the memory that an idle connection holds, for one end.
+// BenchmarkIdle measures the memory of an idle connection, including the server
+// Link at its other end.
 func BenchmarkIdle(b *testing.B) {
 	for b.Loop() {
 		before := heapInUse()
@@ -133,7 +134,7 @@
 			server := &Link{Workers: 1}
 			address := serveTCP(b, server)
 			if client.Peer(address).Open(b.Context(), call.Open{}).Code == "" {
-				b.Fatal("not reached")
+				b.Fatal("no result from the server")
 			}
 		}
 		b.ReportMetric(float64(heapInUse()-before)/idlePeers/1024, "KB/connection")
--- a/internal/peer/link/cbor.go
+++ b/internal/peer/link/cbor.go
@@ -13,33 +13,34 @@
 	Invoke(ctx context.Context, name string, params, out any) error
 }
 
-// Ask invokes a method that Answer has made. In and what out points to are the
-// types of that method; with a nil out the answer is not looked at.
+// InvokeTyped invokes a method served by a TypedHandler. The types of in and of
+// what out points to must be that method's; with a nil out the result is
+// discarded. Errors are those of Invoke, or of encoding and decoding.
 func InvokeTyped(ctx context.Context, p Invoker, name string, in, out any) error {
 	data, err := cbor.Marshal(in)
 	if err != nil {
-		return errors.Wrapf(err, "encode %s", name)
+		return errors.Wrapf(err, "encode parameters of %s", name)
 	}
 	var raw Raw
 	if err = p.Invoke(ctx, name, Raw(data), &raw); err != nil || out == nil {
 		return err
 	}
-	return errors.Wrapf(cbor.Unmarshal(raw, out), "decode answer to %s", name)
+	return errors.Wrapf(cbor.Unmarshal(raw, out), "decode result of %s", name)
 }
 
-// Answer makes a Handler of a function, whose types travel in CBOR: records and
-// knowledge of the fleet have bytes in them, which JSON would blow up by a third.
+// TypedHandler makes a Handler from a function and encodes its types in CBOR:
+// records and fleet state contain bytes, which JSON would inflate by a third.
 func TypedHandler[In, Out any](serve func(context.Context, In) (Out, error)) Handler {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		var in In
 		if err := cbor.Unmarshal(params, &in); err != nil {
-			return nil, errors.Wrap(err, "decode")
+			return nil, errors.Wrap(err, "decode parameters")
 		}
 		out, err := serve(ctx, in)
 		if err != nil {
 			return nil, err
 		}
 		data, err := cbor.Marshal(out)
-		return Raw(data), errors.Wrap(err, "encode")
+		return Raw(data), errors.Wrap(err, "encode result")
 	}
 }
--- a/internal/peer/link/cbor_test.go
+++ b/internal/peer/link/cbor_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// What is asked and answered has types of its own. Bytes that are no such type
-// must be an error at the side that reads them, not an empty value.
+// Parameters and results have fixed types. Bytes that do not decode to them must
+// give an error at the side that reads them, not a zero value.
 func TestAsk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/peer/link/errors.go
+++ b/internal/peer/link/errors.go
@@ -7,15 +7,16 @@
 )
 
 var (
-	// ErrKey tells that the peer does not hold the shared key.
+	// ErrWrongKey is returned if the peer does not hold the shared key.
 	ErrWrongKey = errors.New("peer does not hold the shared key")
-	// ErrSilent tells that a connection was given up because nothing came.
+	// ErrUnresponsive is the cause of a call's failure if its connection was
+	// closed because the peer sent or accepted no data for too long.
 	ErrUnresponsive = errors.New("connection went silent")
-	// ErrLost is the cause of a served call's context when its connection
-	// ended: the caller may come back over another one.
+	// ErrConnLost is the cause of a served call's context when its connection
+	// ended: the caller may repeat the call over another one.
 	ErrConnLost = errors.New("connection lost")
 	// ErrCancelled is the cause of a served call's context when the caller
-	// gave the call up.
+	// cancelled the call.
 	ErrCancelled = errors.New("cancelled by the caller")
 
 	errNotStarted = errors.New("link not started")
@@ -25,15 +26,15 @@
 )
 
 type (
-	// Error is a failure of the link, not of what was asked. Sent is false
-	// only if the request certainly did not reach the peer.
+	// Error is a failure of the link, not of the method. Sent is false only if
+	// the request certainly did not reach the peer.
 	Error struct {
 		Peer  string
 		Sent  bool
 		Cause error
 	}
 
-	// Refused is a method's own error, as the peer told it.
+	// MethodError is an error that the method returned at the peer.
 	MethodError struct {
 		Method  string
 		Message string
--- a/internal/peer/link/handshake.go
+++ b/internal/peer/link/handshake.go
@@ -25,7 +25,7 @@
 	hello struct {
 		Nonce   []byte `json:"nonce"`
 		Address string `json:"address"`
-		Proof   []byte `json:"proof,omitempty"` // of the accepting side, at once
+		Proof   []byte `json:"proof,omitempty"` // set by the accepting side only
 	}
 
 	proof struct {
@@ -33,12 +33,11 @@
 	}
 )
 
-// prove shows the peer that this side holds the key, and the reverse, and
-// returns the peer's address. Each side signs both nonces, both addresses and
-// its own role, so that no answer can be replayed or turned round. The
-// accepting side proves itself first: a daemon that dialled a wrong address
-// sends no proof there. Nothing else is read before both have proved
-// themselves.
+// handshake authenticates both sides by the shared key and returns the peer's
+// address. Each side signs both nonces, both addresses and its own role, so that
+// no proof can be replayed or reflected. The accepting side sends its proof
+// first: a daemon that dialled a wrong address sends none there. Nothing else is
+// read before both proofs are verified.
 func (s *stream) handshake(ctx context.Context, key []byte, address string, as role) (peer string, err error) {
 	defer func() { err = errors.Wrap(err, "handshake") }()
 	defer s.closeOnDone(ctx)()
@@ -92,8 +91,8 @@
 	return theirs.Address, nil
 }
 
-// sign returns the proof of the side in the given role. Lengths are signed
-// too, so that no two sets of fields give the same bytes.
+// sign returns the proof for the side in the given role. Lengths are signed too,
+// so that the signed bytes are unambiguous.
 func sign(key []byte, as role, dialled, accepted hello) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, field := range [][]byte{
--- a/internal/peer/link/lifecycle_test.go
+++ b/internal/peer/link/lifecycle_test.go
@@ -17,7 +17,7 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// Bytes pass unchanged in both directions, whatever they are.
+// Raw parameters and results pass unchanged, whatever bytes they hold.
 func TestRaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,7 +41,7 @@
 }
 
 // An unused connection is closed by the side that opened it, and the next call
-// opens another one, without a failed call between.
+// opens another one without failing.
 func TestIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -59,7 +59,7 @@
 }
 
 // A peer is down for a while. Dialling it for each call would flood it when it
-// comes back; not dialling it for long would keep callers from it.
+// restarts; a long back-off would delay callers after that.
 func TestBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,9 +81,9 @@
 	})
 }
 
-// A VM is without power for some seconds. Daemons that depend on it must reach it
-// soon after its return; with the usual pause their callers would wait for up to
-// two seconds although it is there.
+// A VM loses power for some seconds. Daemons that depend on it must reach it soon
+// after its restart; with the default back-off their callers would wait for up to
+// two more seconds.
 func TestShortBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -103,8 +103,8 @@
 	})
 }
 
-// The caller's side is gone without a word while its call waits for an engine.
-// The owner must not work for it for ever.
+// The caller's daemon stops responding, without closing the connection, while its
+// call waits for an engine. The owner must not run the call for ever.
 func TestCallerUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,15 +117,15 @@
 		defer p.end()
 		go p.a.Peer("b").Call(p.ctx, call.Call{}, nil)
 		synctest.Wait()
-		p.network.silence()
+		p.network.dropAll()
 		start := time.Now()
 		is.True(errors.Is(<-cause, ErrConnLost))
 		is.True(time.Since(start) <= serverDeadAfter+time.Second)
 	})
 }
 
-// This process itself is paused, as when its VM is moved. What its peers sent
-// meanwhile waits to be read; their connections must not be given up for it.
+// This process itself is paused, for example while its VM is migrated. Data that
+// peers sent meanwhile is still to be read, so their connections must be kept.
 func TestProcessStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -140,7 +140,7 @@
 	})
 }
 
-// A call whose message can't be sent was not sent, and says so.
+// A call whose message exceeds the limit is not sent, and its error says so.
 func TestTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,8 +154,8 @@
 	})
 }
 
-// Whatever reaches the port before both sides have proved themselves must
-// neither be allocated for nor be taken for a request.
+// Bytes that arrive before both sides are authenticated must neither cause an
+// allocation of the length they give nor be handled as a request.
 func TestNoHandshake(t *testing.T) {
 	tests := map[string]string{
 		"a web browser":     "GET / HTTP/1.1\r\nHost: daemon\r\n\r\n",
@@ -191,7 +191,7 @@
 	}
 }
 
-// Over real connections all is as over pipes, up to the end of the context.
+// A call and the end of the context work over TCP as they do over pipes.
 func TestOverTCP(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -1,18 +1,18 @@
-// Package link carries what daemons tell each other: relayed calls with their
-// streamed answers, packets of the membership and any further method that a
-// part of the daemon offers.
+// Package link is the RPC transport between daemons. It carries relayed calls
+// with their streamed answers, membership packets, and the methods that other
+// parts of a daemon register.
 //
-// Every daemon has one Link. It serves what its fields offer to whoever proves
-// the shared key, and Peer returns the way to another daemon. Between two
-// daemons there is JSON-RPC over as few TCP connections as can be: one that
-// either side opened serves both. Connections are kept while they are used.
+// Every daemon has one Link. It serves peers that authenticate with the shared
+// key, and Peer returns the client for another daemon. Two daemons speak
+// JSON-RPC over as few TCP connections as possible: each side sends requests
+// over a connection that either opened. Connections are kept while in use.
 //
-// A connection can go silent for good, without an end and without a reset,
-// because something between the two ends has lost track of it. Calls over it
-// would hang. So a side that waits for something and hears nothing asks for a
-// sign of life, and gives the connection up when none comes; the next call
-// dials anew. Idle connections carry no heartbeats, as at the target size they
-// alone would exceed a daemon's bytes for control.
+// A connection can stop passing data without FIN or RST, for example when a
+// middlebox dropped its state, and calls over it would hang. So a side that
+// waits for data and receives none sends a ping, and closes the connection if
+// it still receives nothing; the next call dials again. Idle connections carry
+// no heartbeats: at the target fleet size these alone would exceed a daemon's
+// budget for control traffic.
 package link
 
 import (
@@ -31,9 +31,9 @@
 )
 
 const (
-	// DefaultWorkers bounds the relayed calls that a Link serves at a time.
+	// DefaultWorkers is the limit of relayed calls that a Link serves at a time.
 	DefaultWorkers = 8192
-	// DefaultIdle is how long an unused connection is kept.
+	// DefaultIdleTimeout is how long an unused connection is kept.
 	DefaultIdleTimeout = 5 * time.Minute
 
 	otherWorkers = 256
@@ -42,32 +42,32 @@
 )
 
 type (
-	// Handler serves one method. Its error reaches the peer as text only.
+	// Handler serves one method. Only the text of its error reaches the peer.
 	Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
 	// Dialer opens a connection to a peer address.
 	Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-	// Link is one daemon's end of the connections to all others. Its fields
-	// and handlers are set before Start or Serve. The zero value offers
-	// nothing and dials TCP with an empty key.
+	// Link is one daemon's endpoint of the connections to all others. Its
+	// fields and handlers are set before Start or Serve. The zero value serves
+	// no methods and dials TCP with an empty key.
 	Link struct {
-		Address     string            // own peer address, told to the others
+		Address     string            // own peer address, sent to peers
 		Key         []byte            // shared by all daemons, never sent
 		Runner      runner.Runner     // serves relayed calls
 		OnPacket    func(swim.Packet) // must return at once
 		Dial        Dialer
 		Workers     int
 		IdleTimeout time.Duration
-		DialTimeout time.Duration // until a connection must be open
-		BackOff     time.Duration // longest pause between dials
+		DialTimeout time.Duration // of the default Dial; any dial with its handshake ends after 2 s
+		BackOff     time.Duration // maximum pause between dials
 		Scope       tally.Scope
 
 		handlers  map[string]Handler
 		mu        sync.Mutex
 		ctx       context.Context // ends all work; set by Start
 		callPool  *ants.Pool      // relayed calls, which may take long
-		otherPool *ants.Pool      // all else, so that calls can't starve it
+		otherPool *ants.Pool      // other methods, so that calls can't starve them
 		peers     map[string]*Peer
 		sessions  map[*session]struct{}
 		closed    bool
@@ -76,7 +76,7 @@
 	}
 )
 
-// Handle offers a method under a name of the form area.verb.
+// Handle registers a method under a name of the form area.verb.
 func (l *Link) Handle(name string, h Handler) {
 	if l.handlers == nil {
 		l.handlers = map[string]Handler{}
@@ -136,7 +136,7 @@
 }
 
 // Serve accepts connections until ctx ends or the listener fails, and closes
-// the listener. It returns nil when ctx ended, after all work has.
+// the listener. When ctx ended, it returns nil after all work has ended.
 func (l *Link) Serve(ctx context.Context, ln net.Listener) (err error) {
 	defer func() { err = errors.Wrap(err, "serve link") }()
 	if err = l.Start(ctx); err != nil {
@@ -160,12 +160,12 @@
 	}
 }
 
-// Wait returns when ctx has ended and all that the Link started has ended.
+// Wait blocks until ctx and all work that the Link started have ended.
 func (l *Link) Wait() {
 	l.wg.Wait()
 }
 
-// Peer returns the way to the daemon at a peer address. It dials when used.
+// Peer returns the client for the daemon at a peer address. It dials on use.
 func (l *Link) Peer(address string) *Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,8 +206,8 @@
 	l.Scope.Counter("link_handshake_failed").Inc(1)
 }
 
-// watch looks after all sessions with one timer, since a timer for each would
-// wake a daemon with hundreds of idle connections for nothing.
+// monitor checks all sessions on one timer, since a timer for each would wake a
+// daemon with hundreds of idle connections needlessly.
 func (l *Link) monitor(ctx context.Context) {
 	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
@@ -222,7 +222,7 @@
 	}
 }
 
-// close makes sure that nothing starts after Wait may have returned.
+// close prevents new work: Wait may already have returned.
 func (l *Link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,8 +232,8 @@
 }
 
 func (l *Link) scan(now time.Time) {
-	// After a pause of this process nothing was heard, but the connections
-	// are not to blame: what came meanwhile waits to be read.
+	// After a pause of this process nothing was received, but the connections
+	// may be sound: data that came meanwhile is still to be read.
 	paused := now.Sub(l.lastScan) > 2*scanInterval
 	l.lastScan = now
 	l.mu.Lock()
@@ -262,7 +262,8 @@
 	delete(l.sessions, s)
 }
 
-// enter counts a piece of work that Wait waits for; leave ends it.
+// beginWork registers work that Wait waits for; endWork ends it. It fails before
+// Start and after the Link has closed.
 func (l *Link) beginWork() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -278,7 +279,7 @@
 
 func (l *Link) endWork() { l.wg.Done() }
 
-// submit runs f on a pool, if there is room.
+// submit runs f on a pool; it fails if the pool is full.
 func (l *Link) submit(pool *ants.Pool, f func()) error {
 	if err := l.beginWork(); err != nil {
 		return err
@@ -293,7 +294,7 @@
 	return err
 }
 
-// spawn runs f on a goroutine of its own; f ends with ctx.
+// spawn runs f on its own goroutine; f must return when its ctx ends.
 func (l *Link) spawn(f func(ctx context.Context)) error {
 	if err := l.beginWork(); err != nil {
 		return err
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -19,7 +19,7 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// twenty answers a call with pieces that only this call can have.
+// twentyPieces answers a call with 20 pieces that contain the call's request id.
 func twentyPieces(_ context.Context, c call.Call, sink runner.Sink) result.Result {
 	var all strings.Builder
 	for i := range 20 {
@@ -70,15 +70,15 @@
 		var out string
 		is.NoErr(p.a.Peer("b").Invoke(t.Context(), "test.upper", "text", &out))
 		is.Equal(out, "TEXT")
-		var refused *MethodError
-		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.upper", "", &out), &refused))
-		is.Equal(refused.Message, "empty")
-		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.other", "", &out), &refused))
+		var methodErr *MethodError
+		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.upper", "", &out), &methodErr))
+		is.Equal(methodErr.Message, "empty")
+		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.other", "", &out), &methodErr))
 	})
 }
 
-// Many callers share one connection, and a program's pieces must never turn up
-// in another's answer, whatever order the answers come in.
+// Many callers share one connection. Pieces of one call must never be delivered
+// to another, however the answers interleave.
 func TestCrossedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,9 +104,9 @@
 	})
 }
 
-// Something between two daemons forgets their connection: neither an end nor a
-// reset comes, only silence. Without a check a rider's call would hang until
-// the rider gives up.
+// A middlebox drops the state of a connection between two daemons: packets are
+// lost without FIN or RST. Without a liveness check a call would hang until its
+// caller times out.
 func TestUnresponsiveConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -121,7 +121,7 @@
 		defer p.end()
 		go func() {
 			<-begun
-			p.network.silence()
+			p.network.dropAll()
 		}()
 		start := time.Now()
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Number: 1}, nil)
@@ -135,8 +135,8 @@
 	})
 }
 
-// An idle connection goes silent unseen; the first call after that finds out
-// only by waiting, and must not wait for longer than any other call.
+// An idle connection becomes unresponsive, which only the next call can detect.
+// It must do so as fast as any other call.
 func TestUnresponsiveWhileIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,7 +144,7 @@
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 		sleep(time.Minute)
-		p.network.silence()
+		p.network.dropAll()
 		start := time.Now()
 		res := p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
 		is.Equal(res.Ran, result.Unknown)
@@ -152,8 +152,8 @@
 	})
 }
 
-// A peer that waits for its engine for long still answers heartbeats: its call
-// must not be taken for lost.
+// A peer whose engine takes long still answers pings, so the connection must not
+// be closed as unresponsive.
 func TestSlowAnswerKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -166,9 +166,8 @@
 	})
 }
 
-// A caller whose own network is slow takes its answer slowly. Others whose
-// answers share the connection would stall with it if nothing held back the
-// slow one alone.
+// A caller with a slow network reads its answer slowly. Without flow control per
+// call, all other answers on the connection would stall with it.
 func TestSlowSink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,29 +187,29 @@
 		}})
 		defer p.end()
 		blocked := make(chan struct{})
-		taken := 0
+		received := 0
 		var slow sync.WaitGroup
 		slow.Go(func() {
 			res := p.a.Peer("b").Call(t.Context(), call.Call{Number: 1}, func(text string) error {
 				<-blocked
-				taken += len(text)
+				received += len(text)
 				return nil
 			})
 			is.True(res.OK())
 		})
 		synctest.Wait()
-		is.True(produced*len(piece) <= 2*window) // bounded, in spite of a megabyte to send
+		is.True(produced*len(piece) <= 2*window) // bounded, of a megabyte to send
 		for range 10 {
 			is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 		}
 		close(blocked)
 		slow.Wait()
-		is.Equal(taken, 1000*len(piece))
+		is.Equal(received, 1000*len(piece))
 	})
 }
 
-// A caller gives up; the owner must learn it, or an engine goes on generating
-// for nobody.
+// A caller's context ends. The owner must be notified, or its engine goes on
+// generating a discarded answer.
 func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -230,7 +229,8 @@
 	})
 }
 
-// The caller's own connection breaks while its answer streams: its sink fails.
+// The caller's own connection breaks while its answer streams, so the sink fails.
+// The owner must be notified.
 func TestSinkFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -242,15 +242,15 @@
 			return result.Failed(result.CodeCancelled, result.Yes, "gone")
 		}})
 		defer p.end()
-		gone := errors.New("caller gone")
-		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, func(string) error { return gone })
-		is.True(errors.Is(err, gone))
+		sinkErr := errors.New("caller gone")
+		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, func(string) error { return sinkErr })
+		is.True(errors.Is(err, sinkErr))
 		is.True(errors.Is(<-ended, ErrCancelled))
 	})
 }
 
-// The owner dies while an answer streams. What came is no answer, and whether
-// the request ran can't be told here.
+// The owner stops while an answer streams. The partial answer must not count as
+// one, and whether the request ran is unknown.
 func TestServerStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -272,13 +272,13 @@
 		synctest.Wait()
 		start := time.Now()
 		res = p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
-		is.Equal(res.Ran, result.No) // nobody listens: certainly not sent
+		is.Equal(res.Ran, result.No) // connection refused: certainly not sent
 		is.True(time.Since(start) < time.Second)
 	})
 }
 
-// A process with another key, say of another deployment, dials a daemon. It
-// must reach nothing, and the operators must see that it tries.
+// A process with another key, for example of another deployment, dials a daemon.
+// No request or packet of it may be handled, and a counter must show the attempt.
 func TestWrongKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -329,7 +329,7 @@
 	}
 }
 
-// Packets go both ways over the one connection that either side opened.
+// Packets pass in both directions over one connection.
 func TestPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -346,8 +346,8 @@
 	})
 }
 
-// A daemon that serves all the calls it can must say so at once: a request
-// that it only kept would hang.
+// A daemon at its limit of calls must reject the next one at once: queued, it
+// would hang.
 func TestFullPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/peer/link/network_test.go
+++ b/internal/peer/link/network_test.go
@@ -18,7 +18,8 @@
 )
 
 type (
-	// memory is a network of pipes with faults to switch on.
+	// network is an in-memory network of pipes whose connections can be made to
+	// drop all data.
 	network struct {
 		mu        sync.Mutex
 		listeners map[string]*listener
@@ -32,16 +33,16 @@
 		conns chan net.Conn
 	}
 
-	// faulty is a connection that can go silent: what is written is swallowed
-	// and nothing more is read, without an error.
+	// dropConn is a connection that can be made unresponsive: written data is then
+	// dropped and reads block until Close, without an error.
 	dropConn struct {
 		net.Conn
-		silent chan struct{}
+		drop   chan struct{}
 		closed chan struct{}
 		once   sync.Once
 	}
 
-	// scripted is a runner whose calls do what a test says.
+	// scripted is a runner with a call function set by the test.
 	scripted struct {
 		call func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
 	}
@@ -68,7 +69,7 @@
 		return nil, errors.New("connection refused")
 	}
 	a, b := net.Pipe()
-	f := &dropConn{Conn: a, silent: make(chan struct{}), closed: make(chan struct{})}
+	f := &dropConn{Conn: a, drop: make(chan struct{}), closed: make(chan struct{})}
 	select {
 	case l.conns <- b:
 	case <-l.ctx.Done():
@@ -82,19 +83,19 @@
 	return f, nil
 }
 
-// silence makes all connections that are open now go silent.
-func (m *network) silence() {
+// dropAll makes all open connections unresponsive.
+func (m *network) dropAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.conns {
-		close(f.silent)
+		close(f.drop)
 	}
 	m.conns = nil
 }
 
-func (f *dropConn) isSilent() bool {
+func (f *dropConn) isDropping() bool {
 	select {
-	case <-f.silent:
+	case <-f.drop:
 		return true
 	default:
 		return false
@@ -103,7 +104,7 @@
 
 func (f *dropConn) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
-	if !f.isSilent() {
+	if !f.isDropping() {
 		return n, err
 	}
 	<-f.closed
@@ -111,7 +112,7 @@
 }
 
 func (f *dropConn) Write(p []byte) (int, error) {
-	if f.isSilent() {
+	if f.isDropping() {
 		return len(p), nil
 	}
 	return f.Conn.Write(p)
@@ -161,7 +162,7 @@
 	return hist.History{Calls: []hist.Call{{Request: request}}}, result.Result{Code: result.CodeOK}
 }
 
-// pair is two linked daemons, a and b, until the test ends.
+// pair is two linked daemons, a and b, that run until end.
 type pair struct {
 	network network
 	a, b    Link
@@ -191,8 +192,8 @@
 	p.work.Go(func() { _ = l.Serve(ctx, ln) })
 }
 
-// end ends all work and returns when none is left. The bubble that a test runs
-// in fails it if any goroutine stays behind after that.
+// end stops all work and waits for it. The synctest bubble fails the test if
+// any goroutine is left after that.
 func (p *pair) end() {
 	p.stop()
 	p.work.Wait()
@@ -206,7 +207,7 @@
 	return c.Value()
 }
 
-// elapse lets d pass on the test's own clock.
+// sleep advances the test's fake clock by d.
 func sleep(d time.Duration) {
 	<-time.After(d)
 }
--- a/internal/peer/link/peer.go
+++ b/internal/peer/link/peer.go
@@ -19,20 +19,20 @@
 const (
 	backOffFirst = 50 * time.Millisecond
 	backOffMax   = 2 * time.Second
-	retryAfter   = time.Second // told to callers whose owner was not reached
+	retryAfter   = time.Second // sent to callers whose request failed on the link
 )
 
-// Peer is the way to one other daemon. It is a runner.Runner that runs there;
-// a failure of the link is told as a result. Try tells it as an *Error.
+// Peer is the client for one other daemon. As a runner.Runner it runs programs
+// there and returns link failures as results; Try returns them as an *Error.
 type Peer struct {
 	link    *Link
 	address string
 
 	mu       sync.Mutex
 	session  *session
-	dialing  chan struct{} // closed when the dial under way ends
-	backOff  time.Duration // back-off after the last failure
-	nextDial time.Time     // no dial before
+	dialing  chan struct{} // closed when the running dial ends; nil if there is none
+	backOff  time.Duration // after the last failure
+	nextDial time.Time     // no dial before this time
 	dialErr  error
 }
 
@@ -43,8 +43,8 @@
 	return p.roundTrip(ctx, methodOpen, request{Open: &o})
 }
 
-// Call runs a call there. A failure of the link after the request was sent
-// gives outcome_unknown, although repeating the call would join it: see Try.
+// Call runs a call there. A link failure after the request was sent gives
+// outcome_unknown, although repeating the call would join it: see Try.
 func (p *Peer) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 	r, err := p.Try(ctx, c, sink)
 	if err != nil {
@@ -53,10 +53,10 @@
 	return r
 }
 
-// Try is like Call, but gives a failure of the link as an *Error. The owner
-// joins calls by their number, so the same call may then be tried again,
-// through the same or a new owner, whether or not it was sent; text given to
-// sink comes again then, from the start.
+// Try is like Call, but returns a link failure as an *Error. The owner
+// deduplicates calls by their number, so the same call may then be repeated
+// at the same or a new owner, whether or not it was sent; its sink gets the
+// text again from the start.
 func (p *Peer) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
 	var out response
 	body, err := p.exchange(ctx, methodCall, newCallRequest(c), sink, &out)
@@ -77,13 +77,13 @@
 	return p.query(ctx, methodHistory, query{Account: account, Name: program})
 }
 
-// Request returns what became of one request from there.
+// Request returns the outcome of one request from there.
 func (p *Peer) Request(ctx context.Context, account, name string) (hist.History, result.Result) {
 	return p.query(ctx, methodRequest, query{Account: account, Name: name})
 }
 
-// Invoke calls a method that the peer offers by Handle. The error is a
-// *Refused if the method itself failed, an *Error if the link did.
+// Invoke calls a method that the peer registered with Handle. The error is a
+// *MethodError if the method itself failed, an *Error if the link did.
 func (p *Peer) Invoke(ctx context.Context, name string, params, out any) (err error) {
 	defer func() { err = errors.Wrapf(err, "invoke %s", name) }()
 	r := request{Name: name}
@@ -92,8 +92,8 @@
 	} else if r.Value, err = json.Marshal(params); err != nil {
 		return err
 	}
-	// The answer may still come in when ctx has ended and out is the caller's
-	// own again.
+	// The response may still be decoded after ctx has ended and Invoke has
+	// returned, so it must not be decoded into out.
 	var raw json.RawMessage
 	body, err := p.exchange(ctx, methodInvoke, r, nil, &raw)
 	if err != nil || out == nil {
@@ -106,8 +106,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// Send sends a packet if that can be done without waiting; else it is lost, or
-// sent after a dial.
+// Send queues a packet without blocking. Without a connection it dials in the
+// background first. The packet is dropped if the dial fails or too many wait.
 func (p *Peer) Send(packet swim.Packet) {
 	p.mu.Lock()
 	s := p.liveSession()
@@ -146,8 +146,8 @@
 	return *out.History, out.Result
 }
 
-// failed tells a failure of the link as an outcome. Nothing but a request
-// that certainly was not sent may be told as not run.
+// failureResult maps an error of an exchange to a result. Only a request that
+// certainly was not sent may be reported as not run.
 func failureResult(err error) result.Result {
 	var e *Error
 	switch {
@@ -169,7 +169,7 @@
 	return s.exchange(ctx, method, r, sink, out)
 }
 
-// live returns the session if it can be used.
+// liveSession returns the session, nil if there is none or it has ended.
 func (p *Peer) liveSession() *session {
 	if p.session == nil || p.session.ended() {
 		return nil
@@ -177,7 +177,7 @@
 	return p.session
 }
 
-// adopt takes a connection that the other side opened.
+// adopt uses a session that the other side opened, unless there is a live one.
 func (p *Peer) adopt(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// connect returns a live session. Callers that come meanwhile share one dial.
+// connect returns a live session. Concurrent callers share one dial.
 func (p *Peer) connect(ctx context.Context) (*session, error) {
 	for {
 		p.mu.Lock()
@@ -213,8 +213,8 @@
 	}
 }
 
-// startDial dials in the background, unless the last failure is too recent:
-// then callers get that failure at once, so that they can go elsewhere.
+// startDial dials in the background. During the back-off after a failure it
+// returns that failure at once, so that callers can try another daemon.
 func (p *Peer) startDial() (chan struct{}, error) {
 	if time.Now().Before(p.nextDial) {
 		return nil, errors.Wrap(p.dialErr, "not dialled again yet")
@@ -244,7 +244,7 @@
 	}
 	p.dialErr = err
 	p.backOff = min(max(2*p.backOff, backOffFirst), p.link.BackOff)
-	// The jitter keeps daemons apart that lost the same peer together.
+	// Jitter spreads the dials of daemons that lost the same peer together.
 	p.nextDial = time.Now().Add(p.backOff/2 + rand.N(p.backOff/2))
 }
 
--- a/internal/peer/link/pending.go
+++ b/internal/peer/link/pending.go
@@ -10,20 +10,20 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// answer collects what comes back for one call that was made: pieces for its
-// sink, then the outcome. What waits here is bounded by the window that the
-// other side keeps to.
+// pendingCall collects the response to one call that was made: pieces for its
+// sink, then the outcome. The peer's flow control bounds the pieces held here
+// to about window.
 type pendingCall struct {
 	mu       sync.Mutex
 	pieces   []string
-	signal   chan struct{} // holds one signal that pieces came
+	signal   chan struct{} // holds one signal that pieces were added
 	done     chan error    // the outcome
 	body     []byte        // attached to the request
-	consumed int           // bytes that the sink took since the last credit
+	consumed int           // bytes passed to the sink since the last credit
 
 	// Guarded by the session's mu:
 	sent  bool   // the write began
-	reply []byte // attached to the outcome
+	reply []byte // attached to the response
 }
 
 func newPendingCall(body []byte) *pendingCall {
@@ -48,8 +48,8 @@
 	return all
 }
 
-// exchange makes one call over the session and waits for its outcome. It
-// returns what is attached to that.
+// exchange makes one call over the session, waits for its outcome and returns
+// the attachment of the response.
 func (s *session) exchange(ctx context.Context, method string, r request, sink runner.Sink, out any) ([]byte, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -57,8 +57,9 @@
 	id := s.register(c)
 	s.awaiting.Add(1)
 	defer s.awaiting.Add(-1)
-	s.noteRequest()
-	// The write may wait for other writes on this connection; ctx must not.
+	s.noteSend()
+	// The write may block behind other writes on this connection, but the end of
+	// ctx must take effect at once.
 	err := s.link.spawn(func(context.Context) {
 		c.done <- s.roundTrip(ctx, id, method, r, out)
 	})
@@ -82,7 +83,8 @@
 	return s.next
 }
 
-// forget ends the routing of pieces and reports whether the write had begun.
+// unregister ends the routing of pieces to the call and reports whether its
+// write had begun.
 func (s *session) unregister(id uint64) (sent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,22 +93,22 @@
 	return c != nil && c.sent
 }
 
-// roundTrip sends the request and waits for the outcome. Once sent, the end of
-// ctx is passed on, after the request and never before it.
+// roundTrip sends the request and waits for the response. When ctx ends, it sends
+// a cancel message, always after the request.
 func (s *session) roundTrip(ctx context.Context, id uint64, method string, r request, out any) error {
 	w, err := s.rpc.DispatchCall(ctx, method, r, jsonrpc2.PickID(jsonrpc2.ID{Num: id}))
 	if err == nil {
 		err = w.Wait(ctx, out)
 	}
 	sent := s.unregister(id)
-	var refused *jsonrpc2.Error
+	var rpcErr *jsonrpc2.Error
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &refused) && refused.Code == codeOverloaded:
+	case errors.As(err, &rpcErr) && rpcErr.Code == codeOverloaded:
 		return s.linkError(false, err)
-	case errors.As(err, &refused):
-		return &MethodError{Method: method, Message: refused.Message}
+	case errors.As(err, &rpcErr):
+		return &MethodError{Method: method, Message: rpcErr.Message}
 	case ctx.Err() != nil:
 		s.enqueue(outgoing{method: methodCancel, params: cancel{ID: id}})
 		return ctx.Err()
@@ -121,7 +123,7 @@
 	return &Error{Peer: s.peer, Sent: sent, Cause: err}
 }
 
-// collect hands pieces to the sink until the outcome is there.
+// collect delivers pieces to the sink until the outcome is known.
 func (s *session) collect(ctx context.Context, id uint64, c *pendingCall, sink runner.Sink) error {
 	for {
 		select {
@@ -133,7 +135,7 @@
 			if err != nil {
 				return err
 			}
-			// The reader put all pieces before it saw the outcome.
+			// The reader pushes all pieces before it reads the response.
 			return s.deliver(id, c, sink)
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), s.peer)
@@ -141,8 +143,8 @@
 	}
 }
 
-// pass gives what came to the sink and lets the other side send as much again,
-// once that is worth a message.
+// deliver passes the received pieces to the sink, and returns their credit to
+// the peer once it amounts to a quarter of the window.
 func (s *session) deliver(id uint64, c *pendingCall, sink runner.Sink) error {
 	for _, text := range c.drain() {
 		c.consumed += len(text) + pieceCost
--- a/internal/peer/link/serve.go
+++ b/internal/peer/link/serve.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	window    = 64 << 10 // bytes of one answer under way to a sink
-	pieceCost = 64       // counted for each piece besides its text
+	window    = 64 << 10 // bytes of one answer in flight to a sink
+	pieceCost = 64       // bytes counted for each piece besides its text
 )
 
-// serve is one call that is served.
+// servedCall is one call being served.
 type servedCall struct {
 	session *session
 	id      uint64
@@ -25,12 +25,12 @@
 
 	mu           sync.Mutex
 	credit       int
-	creditSignal chan struct{} // holds one signal that room grew
+	creditSignal chan struct{} // holds one signal that credit grew
 
-	body []byte // attached to the answer; guarded by the session's mu
+	body []byte // attached to the response; guarded by the session's mu
 }
 
-// serve answers a request on a pool; a full pool refuses it at once.
+// serve runs a request on a pool; if the pool is full it is rejected at once.
 func (s *session) serve(r *jsonrpc2.Request, params json.RawMessage) {
 	var q request
 	if err := json.Unmarshal(params, &q); err != nil {
@@ -82,8 +82,8 @@
 func (s *session) runAndReply(v *servedCall, r *jsonrpc2.Request, q request) {
 	out, body, err := v.run(r.Method, q)
 	if cause := context.Cause(v.ctx); cause != nil && !errors.Is(cause, ErrCancelled) {
-		// This daemon ends or the connection did. What a runner returns then is
-		// no outcome, and a caller that took it for one would not come back.
+		// This daemon is stopping or the connection was lost. What the runner
+		// returned is not an outcome: a caller that got it would not retry.
 		return
 	}
 	if err != nil {
@@ -96,8 +96,9 @@
 	_ = s.rpc.Reply(v.ctx, r.ID, out)
 }
 
-// fail answers with an error. The reader calls it too, which must not block:
-// two readers that wait for each other to read would stop both directions.
+// replyError responds with an error. It only queues the response, since it is
+// also called by the reader: if both sides' readers blocked on writing, neither
+// direction would make progress.
 func (s *session) replyError(r *jsonrpc2.Request, code int64, err error) {
 	if r.Notif {
 		return
@@ -106,7 +107,7 @@
 	s.enqueue(outgoing{reply: reply})
 }
 
-// run returns the answer and what is attached to it.
+// run runs the request and returns the response and its attachment.
 func (v *servedCall) run(method string, q request) (out any, body []byte, err error) {
 	if method == methodInvoke {
 		return v.invoke(q)
@@ -151,9 +152,9 @@
 	return out, nil, err
 }
 
-// sink sends a piece of the answer. It waits while the caller's side has not
-// taken what was sent before: without this bound a slow caller would fill this
-// daemon's or the relay's memory, or stop all other answers on the connection.
+// sink sends a piece of the answer. It blocks while there is no credit: without
+// this flow control a slow caller would fill the memory of this daemon or of
+// the relay, or stall all other answers on the connection.
 func (v *servedCall) sink(text string) error {
 	if err := v.consumeCredit(len(text) + pieceCost); err != nil {
 		return err
@@ -164,8 +165,8 @@
 	return nil
 }
 
-// take waits until there is room for any bytes at all, so that a piece larger
-// than the window passes too.
+// consumeCredit blocks until there is any credit, even if less than n, so that
+// a piece larger than the window passes too. The credit may become negative.
 func (v *servedCall) consumeCredit(n int) error {
 	for {
 		v.mu.Lock()
--- a/internal/peer/link/session.go
+++ b/internal/peer/link/session.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// A side that waits for an answer asks for a sign of life after this long
-	// and gives up after the other: with scanEvery that is within 3 s.
+	// A side that waits for a response pings after pingAfter without data and
+	// closes the connection after deadAfter. With scanInterval that is within 3 s.
 	pingAfter = time.Second
 	deadAfter = 2500 * time.Millisecond
-	// A side that only serves loses no more than wasted work when it notices
-	// late, so it spends fewer bytes.
+	// For a side that only serves, late detection costs no more than wasted
+	// work, so it pings less often.
 	serverPingAfter = 5 * time.Second
 	serverDeadAfter = 10 * time.Second
 
-	maxQueued        = 64 << 10 // small messages waiting for a connection
-	maxQueuedPackets = 256      // of them, how many may wait before packets are dropped
+	maxQueued        = 64 << 10 // messages in outQueue
+	maxQueuedPackets = 256      // messages in outQueue from which on packets are dropped
 
 	methodPing   = "link.ping"
 	methodPong   = "link.pong"
@@ -33,27 +33,28 @@
 )
 
 type (
-	// session is one authenticated connection. Both sides may call over it.
+	// session is one authenticated connection. Both sides may send requests.
 	session struct {
 		link   *Link
 		peer   string
 		stream *stream
 		rpc    *jsonrpc2.Conn
-		ready  chan struct{} // closed once rpc is set, which reads before that
+		ready  chan struct{} // closed once rpc is set; its reader starts before that
 
-		awaitingSince atomic.Int64 // Unix time of the first send since something was heard
+		// Times are in nanoseconds of Unix time.
+		awaitingSince atomic.Int64 // first call or packet sent since data was last read
 		lastPing      atomic.Int64
 		lastUsed      atomic.Int64
-		awaiting      atomic.Int64 // calls made that wait for an answer
-		serving       atomic.Int64 // calls served
+		awaiting      atomic.Int64 // number of calls made that wait for a response
+		serving       atomic.Int64 // number of calls being served
 		dialled       bool
 
 		mu        sync.Mutex
 		next      uint64
-		pending   map[uint64]*pendingCall // of calls made
-		served    map[uint64]*servedCall  // of calls served
+		pending   map[uint64]*pendingCall // calls made, by request id
+		served    map[uint64]*servedCall  // calls being served, by request id
 		outQueue  []outgoing
-		outSignal chan struct{} // holds one signal that out grew
+		outSignal chan struct{} // holds one signal that outQueue grew
 		cause     error         // why the session ended
 	}
 
@@ -64,9 +65,8 @@
 		reply  *jsonrpc2.Response
 	}
 
-	// A message about a call names it by the id of its JSON-RPC request.
-	//
-	// credit lets the server send so many more bytes of an answer.
+	// credit allows the server to send that many more bytes of an answer. It and
+	// cancel identify the call by the id of its JSON-RPC request.
 	credit struct {
 		ID    uint64 `json:"id"`
 		Bytes int    `json:"bytes"`
@@ -79,7 +79,7 @@
 	nopLogger struct{}
 )
 
-// Printf drops the library's log lines: what ends a session is counted.
+// Printf drops the library's log lines; unresponsive sessions are counted instead.
 func (nopLogger) Printf(string, ...any) {}
 
 // run starts the session; it ends with ctx or its connection.
@@ -101,16 +101,16 @@
 	return nil
 }
 
-// send writes what must not block its sender, and cleans up at the end.
+// send writes the messages of outQueue until the connection ends.
 func (s *session) send(ctx context.Context) {
-	gone := s.rpc.DisconnectNotify()
+	disconnected := s.rpc.DisconnectNotify()
 	for {
 		select {
 		case <-s.outSignal:
 			for _, m := range s.drainQueue() {
 				s.write(ctx, m)
 			}
-		case <-gone:
+		case <-disconnected:
 			s.cleanUp()
 			return
 		}
@@ -142,15 +142,15 @@
 	}
 }
 
-// close ends the session for a reason that its calls are told.
+// close ends the session; its outstanding calls fail with cause.
 func (s *session) close(cause error) {
 	s.mu.Lock()
 	if s.cause == nil {
 		s.cause = cause
 	}
 	s.mu.Unlock()
-	// The connection goes first: closing the RPC connection waits for nothing,
-	// but a writer that is stuck in the connection would stay there.
+	// The network connection is closed first, to unblock a writer that is stuck
+	// in it; closing the RPC connection would not.
 	_ = s.stream.Close()
 	_ = s.rpc.Close()
 }
@@ -174,8 +174,9 @@
 	return ErrConnLost
 }
 
-// expect notes that an answer is due from now on.
-func (s *session) noteRequest() {
+// noteSend records the send of a call or packet, from which on data is due from
+// the peer.
+func (s *session) noteSend() {
 	now := time.Now().UnixNano()
 	s.lastUsed.Store(now)
 	if awaitingSince := s.awaitingSince.Load(); awaitingSince <= s.stream.lastRead.Load() {
@@ -183,9 +184,9 @@
 	}
 }
 
-// sending runs right before each write, one at a time. It attaches what
-// belongs to the message, and notes that the write of a call begins: from then
-// on the peer may have it. The library's own errors don't tell this.
+// onSend runs right before each write, one at a time. It sets the message's
+// attachment and marks a call as sent: from then on the peer may have it. The
+// library's errors don't reveal that.
 func (s *session) onSend(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	s.stream.attach = nil
 	s.mu.Lock()
@@ -196,27 +197,27 @@
 			s.stream.attach = v.body
 		}
 	case !r.Notif:
-		if a := s.pending[r.ID.Num]; a != nil {
-			a.sent = true
-			s.stream.attach = a.body
+		if c := s.pending[r.ID.Num]; c != nil {
+			c.sent = true
+			s.stream.attach = c.body
 		}
 	}
 }
 
-// received runs in the reader before the caller of an answered call goes on.
+// onReceive runs in the reader before the waiting call of a response resumes.
 func (s *session) onReceive(_ *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	if reply == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.pending[reply.ID.Num]; a != nil {
-		a.reply = s.stream.attached
+	if c := s.pending[reply.ID.Num]; c != nil {
+		c.reply = s.stream.attached
 	}
 }
 
-// post queues a small message without blocking. Where it doesn't fit, the
-// connection has taken nothing for long, and is given up.
+// enqueue queues a message without blocking. If the queue is full, the peer has
+// accepted no data for long, and the session is closed.
 func (s *session) enqueue(m outgoing) {
 	s.mu.Lock()
 	s.outQueue = append(s.outQueue, m)
@@ -248,12 +249,12 @@
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
-	s.noteRequest()
+	s.noteSend()
 	s.enqueue(outgoing{method: methodPacket, params: data})
 }
 
-// check asks for a sign of life where one is due, gives up a silent session
-// and closes an idle one.
+// check pings where data is due, and closes the session if it is unresponsive
+// or has been unused for IdleTimeout.
 func (s *session) check(now time.Time) {
 	lastRead, awaitingSince := s.stream.lastRead.Load(), s.awaitingSince.Load()
 	idle := now.Sub(time.Unix(0, max(lastRead, awaitingSince)))
@@ -279,8 +280,8 @@
 	}
 }
 
-// checkIdle closes an unused session. The side that dialled does so first, so
-// that rarely a call meets the close under way.
+// checkIdle closes an unused session. The accepting side waits twice as long as
+// the dialling side, so that a call rarely races with a close.
 func (s *session) checkIdle(now time.Time) {
 	limit := s.link.IdleTimeout
 	if !s.dialled {
@@ -292,8 +293,8 @@
 	}
 }
 
-// Handle takes the peer's messages in their order; it must not block, since
-// signs of life come the same way.
+// Handle receives the peer's messages in order. It must not block, since pings
+// and pongs pass through it too.
 func (s *session) Handle(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	<-s.ready
 	var params json.RawMessage
@@ -332,10 +333,10 @@
 
 func (s *session) handlePiece(id uint64, text []byte) {
 	s.mu.Lock()
-	a := s.pending[id]
+	c := s.pending[id]
 	s.mu.Unlock()
-	if a != nil {
-		a.push(string(text))
+	if c != nil {
+		c.push(string(text))
 	}
 }
 
@@ -349,7 +350,7 @@
 	}
 }
 
-// servedCall is the call of that number which is served here, nil if it has ended.
+// findServed returns the call with that request id, nil if it has ended.
 func (s *session) findServed(id uint64) *servedCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/link/stream.go
+++ b/internal/peer/link/stream.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxMessage   = 64 << 20 // bytes of a message, and of what is attached
+	maxMessage   = 64 << 20 // bytes of an object, and of an attachment
 	maxHandshake = 1 << 10
 	writeChunk   = 64 << 10
 	writeTimeout = 2500 * time.Millisecond // for each chunk
@@ -22,15 +22,15 @@
 
 // stream frames JSON-RPC messages; it is a jsonrpc2.ObjectStream. A frame is
 // the length of a JSON object as a varint, the object, the length of an
-// attachment, the attachment. Bodies and texts are attached as they are:
-// inside JSON they would be escaped and scanned several times over at both
-// ends, which took a hundred times the processor time. A frame with an empty
-// object is a piece of an answer: its attachment is the id of the call as a
-// varint, then text.
+// attachment as a varint, the attachment. Bodies and texts are attached
+// verbatim: inside JSON they would be escaped and scanned several times at both
+// ends, which took a hundred times the CPU time. A frame with an empty object is
+// a piece of an answer: its attachment is the id of the call as a varint, then
+// text.
 //
-// Unlike the library's own framing it bounds what it reads, since a length
-// that some other program sent to this port would otherwise be allocated. It
-// notes when bytes last came.
+// Unlike the library's framing it limits message sizes: bytes that another
+// program sends to this port could otherwise be read as a length to allocate.
+// It records when data was last read.
 type stream struct {
 	conn     net.Conn
 	r        *bufio.Reader
@@ -38,8 +38,8 @@
 	lastRead atomic.Int64 // nanoseconds of Unix time
 	onPiece  func(id uint64, text []byte)
 
-	attached []byte // what came with the last object; of the reader
-	attach   []byte // what goes with the next object; of who writes it
+	attached []byte // attachment of the last object read; used by the reader only
+	attach   []byte // attachment of the next object to write; used by its writer only
 	writeMu  sync.Mutex
 }
 
@@ -50,7 +50,7 @@
 	return s
 }
 
-// Read reads from the connection for the buffer above.
+// Read reads from the connection to fill r.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.conn.Read(p)
 	if n > 0 {
@@ -59,7 +59,7 @@
 	return n, err
 }
 
-// ReadObject reads the next object, handing on the pieces before it.
+// ReadObject reads the next object, passing pieces before it to onPiece.
 func (s *stream) ReadObject(v any) error {
 	for {
 		object, err := s.readField()
@@ -94,7 +94,7 @@
 	return data, err
 }
 
-// WriteObject writes an object and what is attached to it.
+// WriteObject writes an object and its attachment.
 func (s *stream) WriteObject(v any) error {
 	attachment := s.attach
 	s.attach = nil
@@ -123,10 +123,10 @@
 	return s.write(append(head, text...), nil)
 }
 
-// write writes a frame. It gives up when the peer takes nothing for
-// writeTimeout: a full send buffer of a silent connection would otherwise
-// block every sender for good. What follows half a frame can't be read, so the
-// connection ends with it.
+// write writes a frame. It fails if a chunk can't be written within
+// writeTimeout: a full send buffer of an unresponsive connection would
+// otherwise block every sender for ever. The peer can't parse what follows a
+// partial frame, so an error closes the connection.
 func (s *stream) write(head, tail []byte) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -160,7 +160,7 @@
 // Close closes the connection.
 func (s *stream) Close() error { return s.conn.Close() }
 
-// guard closes the connection when ctx ends before stop is called.
+// closeOnDone closes the connection if ctx ends before stop is called.
 func (s *stream) closeOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 }
--- a/internal/peer/link/wire.go
+++ b/internal/peer/link/wire.go
@@ -17,23 +17,24 @@
 
 	methodInvoke = "link.invoke"
 
-	codeOverloaded = 1 // of a jsonrpc2.Error: refused before it ran
-	codeFailed     = 2 // of a jsonrpc2.Error: the method's own error
+	codeOverloaded = 1 // of a jsonrpc2.Error: rejected before it ran
+	codeFailed     = 2 // of a jsonrpc2.Error: returned by the method
 )
 
 type (
-	// Raw is bytes that are attached as they are instead of put into JSON. As
-	// the params of Invoke they reach the Handler as its params; a Handler may
-	// return them, and Invoke stores them in a *Raw.
+	// Raw is bytes that are attached to the message instead of encoded in JSON.
+	// As the params of Invoke they reach the Handler as its params. A Handler may
+	// return a Raw, which Invoke stores in a *Raw.
 	Raw []byte
 
-	// request wraps what is asked. The body of a call is attached.
+	// request holds the parameters of all methods. The body of a call and
+	// parameters of type Raw are attached.
 	request struct {
 		Open  *call.Open      `json:"open,omitempty"`
 		Call  *call.Call      `json:"call,omitempty"`
 		End   *call.End       `json:"end,omitempty"`
 		Query *query          `json:"query,omitempty"`
-		Name  string          `json:"name,omitempty"` // of a method of the table
+		Name  string          `json:"name,omitempty"` // of a registered method
 		Value json.RawMessage `json:"value,omitempty"`
 
 		attachment []byte
@@ -44,7 +45,8 @@
 		Name    string `json:"name"`
 	}
 
-	// response carries an outcome. The body of the result is attached.
+	// response holds the outcome of a runner's method. The body of the result is
+	// attached.
 	response struct {
 		Result  result.Result `json:"result"`
 		History *hist.History `json:"history,omitempty"`
@@ -63,7 +65,7 @@
 	return c
 }
 
-// packResult returns the result without its body, and the body.
+// splitResult returns the response without the result's body, and the body.
 func splitResult(r result.Result, h *hist.History) (out response, body []byte) {
 	body = r.Body
 	r.Body = nil
