--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -1,8 +1,8 @@
-// Package gossip runs a daemon's Beat: it gives it the time, its packets and
-// what changes in the daemon, and carries out its effects.
+// Package gossip runs a daemon's swim.Membership: it passes the time, received
+// packets and the daemon's own changes to it, and carries out its effects.
 //
-// All messages pass through one goroutine, so that changes are told in their
-// order. Whoever asks for members or ages may do so from anywhere.
+// All messages are handled by one goroutine, so that changes are reported in
+// order. All methods but Run are safe for concurrent use.
 package gossip
 
 import (
@@ -18,13 +18,13 @@
 
 const queueSize = 1024
 
-// Gossip is the shell of one Beat. Its fields are set before Run; the functions
-// are called one at a time and must return at once.
+// Gossip runs one Membership. Its fields are set before Run. Send, MemberChanged
+// and Newer are called one at a time and must return at once.
 type Gossip struct {
 	Seed          uint64
-	Send          func(to string, p swim.Packet) // may lose the packet
-	MemberChanged func(m swim.Member)
-	Newer         func(version uint64, from string)
+	Send          func(to string, p swim.Packet)    // to is a peer address; may drop the packet
+	MemberChanged func(m swim.Member)               // new entry of another daemon
+	Newer         func(version uint64, from string) // configuration to fetch; from is a peer address
 	Now           func() time.Time
 	Scope         tally.Scope
 
@@ -34,11 +34,11 @@
 	swim     swim.Membership
 }
 
-// Run keeps the membership until ctx ends.
+// Run handles messages and ticks until ctx ends.
 func (g *Gossip) Run(ctx context.Context, self swim.Self) {
 	g.once.Do(g.init)
 	g.step(self)
-	// A random phase keeps daemons that start together from probing together.
+	// A random phase spreads the probes of daemons that start together.
 	phase := time.NewTimer(rand.N(swim.Interval))
 	defer phase.Stop()
 	ticker := time.NewTicker(swim.Interval)
@@ -71,8 +71,8 @@
 	}
 }
 
-// Take hands in a packet; link.Link's OnPacket. When too many wait it is lost,
-// as it could have been on its way.
+// HandlePacket queues a received packet; it is meant for link.Link's OnPacket.
+// If the queue is full the packet is dropped, which the protocol tolerates.
 func (g *Gossip) HandlePacket(p swim.Packet) {
 	g.once.Do(g.init)
 	select {
@@ -82,13 +82,14 @@
 	}
 }
 
-// Update tells what this daemon is from now on: its state, configuration and
-// shards. It waits for room, or for ctx.
+// UpdateSelf replaces this daemon's own entry: its state, configuration and
+// shards. It blocks while the queue is full, until ctx ends.
 func (g *Gossip) UpdateSelf(ctx context.Context, self swim.Self) {
 	g.enqueue(ctx, self)
 }
 
-// Reached tells that a call to the store succeeded that was sent at that time.
+// Reached reports that a call to the store, sent at the given time, succeeded. It
+// blocks while the queue is full, until ctx ends.
 func (g *Gossip) Reached(ctx context.Context, at time.Time) {
 	g.enqueue(ctx, swim.Reached{At: at})
 }
@@ -101,7 +102,7 @@
 	}
 }
 
-// Members returns all known daemons, in the order of their names.
+// Members returns all known daemons including this one, sorted by name.
 func (g *Gossip) Members() []swim.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,7 +118,8 @@
 	return g.swim.StoreAge(g.Now())
 }
 
-// Alone reports whether no other daemon was heard lately.
+// Alone reports whether no packet came from any other daemon recently; see
+// swim.Membership.Alone.
 func (g *Gossip) Alone() bool {
 	g.once.Do(g.init)
 	g.mu.Lock()
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -16,8 +16,8 @@
 )
 
 type (
-	// pipes is a network in memory.
-	pipes struct {
+	// network is an in-memory network of pipes.
+	network struct {
 		mu        sync.Mutex
 		listeners map[string]chan net.Conn
 	}
@@ -37,7 +37,7 @@
 	}
 )
 
-func (p *pipes) dial(ctx context.Context, address string) (net.Conn, error) {
+func (p *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	p.mu.Lock()
 	conns := p.listeners[address]
 	p.mu.Unlock()
@@ -69,7 +69,7 @@
 
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) start(ctx context.Context, work *sync.WaitGroup, name string, config uint64) *daemon {
+func (p *network) start(ctx context.Context, work *sync.WaitGroup, name string, config uint64) *daemon {
 	d := &daemon{newer: make(chan uint64, 100)}
 	ctx, d.stop = context.WithCancel(ctx)
 	conns := make(chan net.Conn)
@@ -97,7 +97,7 @@
 func TestOverLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := &pipes{listeners: map[string]chan net.Conn{}}
+		p := &network{listeners: map[string]chan net.Conn{}}
 		ctx, stop := context.WithCancel(t.Context())
 		var work sync.WaitGroup
 		defer work.Wait()
@@ -107,7 +107,7 @@
 		c := p.start(ctx, &work, "c", 2)
 		is.True(a.gossip.Alone())
 		is.Equal(a.gossip.StoreAge(), time.Duration(-1))
-		elapse(10 * time.Second)
+		sleep(10 * time.Second)
 		everyone := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Alive}
 		for _, d := range []*daemon{a, b, c} {
 			is.Equal(states(d), everyone)
@@ -116,20 +116,20 @@
 		is.Equal(<-a.newer, uint64(2))
 		is.Equal(<-b.newer, uint64(2))
 		b.gossip.Reached(ctx, time.Now())
-		elapse(10 * time.Second)
+		sleep(10 * time.Second)
 		is.True(a.gossip.StoreAge() >= 9*time.Second)
 		is.True(a.gossip.StoreAge() <= 11*time.Second)
 		c.stop()
-		elapse(20 * time.Second)
+		sleep(20 * time.Second)
 		is.Equal(states(a)["c"], swim.Down)
 		is.Equal(states(b)["c"], swim.Down)
 		b.stop()
-		elapse(10 * time.Second)
+		sleep(10 * time.Second)
 		is.True(a.gossip.Alone())
 	})
 }
 
-// elapse lets d pass on the test's own clock.
-func elapse(d time.Duration) {
+// sleep advances the test's fake clock by d.
+func sleep(d time.Duration) {
 	<-time.After(d)
 }
