--- a/internal/peer/stall/stall.go
+++ b/internal/peer/stall/stall.go
@@ -1,24 +1,25 @@
-// Package awake notices that this process did not run for a while: its VM was
-// frozen, suspended or starved.
+// Package stall detects that this process did not run for a while because its VM
+// was frozen, suspended or starved of CPU.
 //
-// What a process knew before is then old, whatever its own clock says: the steady
-// clock stands still while a VM is suspended. So both clocks are asked, and the one
-// that went on further counts. A time of day that somebody sets looks the same; to
-// take what is known for older than it is does little harm.
+// State that the process held before is then outdated, even if the monotonic clock
+// shows no gap: that clock stops while a VM is suspended. So the monotonic clock and
+// the wall clock are both read, and the larger difference counts. Setting the wall
+// clock forward looks like a stall; treating state as older than it is does little
+// harm.
 package stall
 
 import "time"
 
-// Least is the shortest time that counts: several times what a busy VM delays a
-// process by.
+// MinStall is the shortest stall that is reported: several times the scheduling
+// delay of a process on a busy VM.
 const MinStall = time.Second
 
-// Awake compares moments. The zero value is ready.
+// Detector compares the times of successive checks. The zero value is ready to use.
 type Detector struct{ last time.Time }
 
-// Look is called now and then, no further apart than due. It returns for how long the
-// process did not run, 0 if it ran, and for how much of that its steady clock stood
-// still.
+// Check is called regularly, with interval as the expected time since the last call.
+// It returns for how long the process did not run, 0 if that is below MinStall, and
+// for how much of that time its monotonic clock stopped.
 func (d *Detector) Check(now time.Time, interval time.Duration) (stalled, suspended time.Duration) {
 	last := d.last
 	d.last = now
@@ -26,7 +27,7 @@
 		return 0, 0
 	}
 	mono := now.Sub(last)
-	wall := now.Round(0).Sub(last.Round(0)) // without the steady clock
+	wall := now.Round(0).Sub(last.Round(0)) // Round(0) strips the monotonic reading
 	stalled = max(mono, wall) - interval
 	if stalled < MinStall {
 		return 0, 0
--- a/internal/peer/stall/stall_test.go
+++ b/internal/peer/stall/stall_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A VM is frozen for some seconds. Its process goes on as if nothing had happened: it
-// sends requests to upstreams that have left meanwhile.
+// A VM is frozen for some seconds. Undetected, its process continues with outdated
+// state and sends requests to upstreams that have been removed meanwhile.
 func TestFreeze(t *testing.T) {
 	cases := map[string]struct {
 		frozen time.Duration
@@ -23,28 +23,28 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var a Detector
-				const due = 100 * time.Millisecond
-				a.Check(time.Now(), due)
-				time.Sleep(due + c.frozen)
-				away, stood := a.Check(time.Now(), due)
-				is.Equal(away, c.want)
-				is.Equal(stood, time.Duration(0))
+				var d Detector
+				const interval = 100 * time.Millisecond
+				d.Check(time.Now(), interval)
+				time.Sleep(interval + c.frozen)
+				stalled, suspended := d.Check(time.Now(), interval)
+				is.Equal(stalled, c.want)
+				is.Equal(suspended, time.Duration(0))
 			})
 		})
 	}
 }
 
-// A VM is suspended: its steady clock stands still, and only the time of day shows it.
+// A VM is suspended: its monotonic clock stops, and only the wall clock shows the gap.
 func TestSuspension(t *testing.T) {
 	is := is.New(t)
-	var a Detector
+	var d Detector
 	begin := time.Now()
-	a.Check(begin.Round(0), 0)
-	// Both moments without a steady clock: the time of day is all there is.
-	away, _ := a.Check(begin.Round(0).Add(4*time.Second), 0)
-	is.Equal(away, 4*time.Second)
-	a.Check(begin, 0)
-	away, _ = a.Check(begin.Round(0).Add(-time.Hour), 0) // set back: nothing is known of it
-	is.Equal(away, time.Duration(0))
+	d.Check(begin.Round(0), 0)
+	// Neither time has a monotonic reading, so only the wall clock counts.
+	stalled, _ := d.Check(begin.Round(0).Add(4*time.Second), 0)
+	is.Equal(stalled, 4*time.Second)
+	d.Check(begin, 0)
+	stalled, _ = d.Check(begin.Round(0).Add(-time.Hour), 0) // clock set back: not a stall
+	is.Equal(stalled, time.Duration(0))
 }
