--- a/internal/peer/pause/pause.go
+++ b/internal/peer/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits without outliving its context.
+// Package pause sleeps until a time has passed or a context ends.
 package pause
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d and is true, or false as soon as ctx ends.
+// For blocks for d and returns true. If ctx ends before that, it returns false at
+// once.
 func For(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/peer/pause/pause_test.go
+++ b/internal/peer/pause/pause_test.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// A daemon stops while one of its loops waits. The loop must end then, not when
-// its wait is over: the process would hang for as long.
+// A daemon stops while one of its loops sleeps. For must return at once, or the
+// process would not exit until the sleep is over.
 func TestFor(t *testing.T) {
 	cases := map[string]struct {
 		ends time.Duration // the context
