--- a/internal/peer/swim/merge.go
+++ b/internal/peer/swim/merge.go
@@ -204,8 +204,8 @@
 }
 
 // publish queues a change for other daemons and reports it to the caller. A
-// daemon that receives nothing queues nothing: it is cut off itself, and
-// claims that it could still send would make all others refute.
+// daemon that is Alone queues nothing: it is cut off itself, and claims that it
+// could still send would make all others refute.
 func (ms *Membership) publish(now time.Time, r *record, out *effects) {
 	if !ms.Alone(now) {
 		ms.updates.add(r.reported.Name, memberUpdate)
--- a/internal/peer/swim/probe.go
+++ b/internal/peer/swim/probe.go
@@ -14,7 +14,7 @@
 	startupDigestOneIn = 3             // like digestOneIn, during startupRounds
 	rejoinRounds       = 5             // rounds after a rejoin with more probes of down daemons
 	rejoinProbes       = 3             // down daemons probed in each of these rounds
-	configSettleTime   = 60 * Interval // no digest comparisons for so long after a configuration change
+	configSettleTime   = 60 * Interval // no regular digest comparisons for so long after a configuration change
 	membersPerPacket   = 30            // of a full state
 	suspectFactor      = 2             // times spreadRounds: rounds to refute a suspicion
 	suspectExtraRounds = 2             // added to that
@@ -91,7 +91,7 @@
 			ms.setClaim(now, r, Suspect, r.reported.Serial, out)
 		}
 	}
-	ms.indirect = slices.DeleteFunc(ms.indirect, func(h indirectProbe) bool { return h.stage >= indirectRounds })
+	ms.indirect = slices.DeleteFunc(ms.indirect, func(ip indirectProbe) bool { return ip.stage >= indirectRounds })
 	for i := range ms.indirect {
 		ms.indirect[i].stage++
 	}
--- a/internal/peer/swim/step.go
+++ b/internal/peer/swim/step.go
@@ -14,7 +14,7 @@
 	Interval = time.Second
 
 	aloneAfter      = 5 * Interval
-	pausedAfter     = 3 * Interval // between two Ticks
+	pausedAfter     = 3 * Interval // time between two Ticks that counts as a pause of this process
 	removeDownAfter = 30 * time.Minute
 	pushFanout      = 3 // daemons that an own change is sent to at once
 )
--- a/internal/peer/swim/swim.go
+++ b/internal/peer/swim/swim.go
@@ -28,7 +28,7 @@
 	Draining State = "draining"
 	// Suspect did not answer probes and may be down.
 	Suspect State = "suspect"
-	// Down did not refute the suspicion in time.
+	// Down is taken for failed, stopped or replaced.
 	Down State = "down"
 )
 
@@ -77,16 +77,16 @@
 
 	// Packet is one protocol message between daemons. Age is the time since any
 	// daemon, as far as the sender knows, last reached the store; negative is
-	// never. Ack is the Round of the probe that is answered, 0 in a probe. Full
-	// with a Round requests the receiver's full state; a Full packet may also
-	// carry the sender's.
+	// never. Round numbers the sender's requests; 0 asks for no ack. Ack is the
+	// Round that is answered, or 0. Full with a Round requests the receiver's
+	// full state; a Full packet may also carry the sender's.
 	//
-	// Round 0 asks for no ack. Ask is a peer address that the receiver is to
-	// probe on the sender's behalf (an indirect probe), and For, in the ack, the
-	// address that answered it. Head is the sender's configuration version, which
-	// can be fetched from it. Digest, unless 0, is a hash of the sender's view:
-	// a receiver with another digest answers with its full state. News holds
-	// entries as reported by the daemons themselves.
+	// Ask is a peer address that the receiver is to probe on the sender's behalf
+	// (an indirect probe), and For, in the ack, the address that answered it.
+	// Head is the sender's configuration version, which can be fetched from it.
+	// Digest, unless 0, is a hash of the sender's view: a receiver with another
+	// digest answers with its full state. News holds entries as reported by the
+	// daemons themselves.
 	Packet struct {
 		From   string        `json:"from"` // peer address
 		Round  uint64        `json:"round"`
--- a/internal/peer/swim/updates.go
+++ b/internal/peer/swim/updates.go
@@ -68,8 +68,9 @@
 	})
 }
 
-// send sends a packet after adding the sender's state, claims of the receiver
-// and, unless it carries the full state, queued updates.
+// send sends a packet after adding the store age, the configuration version, a
+// claim against the receiver if there is one, and queued updates unless the
+// packet is Full.
 func (ms *Membership) send(now time.Time, to string, p Packet, out *effects) {
 	p.From = ms.self.Peer
 	p.Age = ms.StoreAge(now)
@@ -116,15 +117,15 @@
 }
 
 // addUpdate adds one update and returns its approximate size in bytes.
-func (ms *Membership) addUpdate(i *update, p *Packet) int {
-	m, r := ms.self, ms.records[i.name]
-	if i.name != ms.self.Name {
+func (ms *Membership) addUpdate(u *update, p *Packet) int {
+	m, r := ms.self, ms.records[u.name]
+	if u.name != ms.self.Name {
 		if r == nil {
 			return 0
 		}
 		m = r.reported
 	}
-	if i.kind == configUpdate {
+	if u.kind == configUpdate {
 		p.Marks = append(p.Marks, Mark{Name: m.Name, Incarnation: m.Incarnation, Config: m.Config})
 		return markCost + len(m.Name)
 	}
