--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -40,7 +40,7 @@
 		Peer:    d.peer,
 		Unsent: func(err error) bool {
 			var e *link.Error
-			return errors.As(err, &e) && !e.Sent
+			return errors.As(err, &e) && !e.MayHaveRun
 		},
 	}
 	b, t := d.Settings.Bounds, d.Settings.Timeouts
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -51,7 +51,7 @@
 var errNoOwner = errors.New("daemon: no owner known")
 
 func (d *Daemon) assemblePeers(ctx context.Context) {
-	d.gossip.Seed = d.self.Incarnation
+	d.gossip.RandomSeed = d.self.Incarnation
 	d.gossip.Send = func(to string, p swim.Packet) { d.link.Peer(to).Send(p) }
 	d.gossip.MemberChanged = func(swim.Member) { d.run(func() { d.picture(ctx) }) }
 	d.gossip.Newer = func(version uint64, from string) { d.run(func() { d.keeper.Newer(version, from) }) }
--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -21,7 +21,7 @@
 // Gossip runs one Membership. Its fields are set before Run. Send, MemberChanged
 // and Newer are called one at a time and must return at once.
 type Gossip struct {
-	Seed          uint64
+	RandomSeed    uint64
 	Send          func(to string, p swim.Packet)    // to is a peer address; may drop the packet
 	MemberChanged func(m swim.Member)               // new entry of another daemon
 	Newer         func(version uint64, from string) // configuration to fetch; from is a peer address
@@ -62,7 +62,7 @@
 
 func (g *Gossip) init() {
 	g.messages = make(chan swim.Message, queueSize)
-	g.swim.Seed = g.Seed
+	g.swim.RandomSeed = g.RandomSeed
 	if g.Now == nil {
 		g.Now = time.Now
 	}
--- a/internal/peer/link/cbor_test.go
+++ b/internal/peer/link/cbor_test.go
@@ -11,7 +11,7 @@
 
 // Parameters and results have fixed types. Bytes that do not decode to them must
 // give an error at the side that reads them, not a zero value.
-func TestAsk(t *testing.T) {
+func TestInvokeTyped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, scripted{})
--- a/internal/peer/link/errors.go
+++ b/internal/peer/link/errors.go
@@ -29,9 +29,9 @@
 	// Error is a failure of the link, not of the method. Sent is false only if
 	// the request certainly did not reach the peer.
 	Error struct {
-		Peer  string
-		Sent  bool
-		Cause error
+		Peer       string
+		MayHaveRun bool
+		Cause      error
 	}
 
 	// MethodError is an error that the method returned at the peer.
@@ -42,7 +42,7 @@
 )
 
 func (e *Error) Error() string {
-	if e.Sent {
+	if e.MayHaveRun {
 		return fmt.Sprintf("lost the answer of %s: %v", e.Peer, e.Cause)
 	}
 	return fmt.Sprintf("%s not reached: %v", e.Peer, e.Cause)
--- a/internal/peer/link/lifecycle_test.go
+++ b/internal/peer/link/lifecycle_test.go
@@ -149,7 +149,7 @@
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Body: make([]byte, maxMessage+1)}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(!failure.Sent)
+		is.True(!failure.MayHaveRun)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
@@ -169,9 +169,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				opened := false
+				called := false
 				p := newPair(t, scripted{call: func(context.Context, call.Call, runner.Sink) result.Result {
-					opened = true
+					called = true
 					return result.Result{}
 				}})
 				defer p.end()
@@ -184,7 +184,7 @@
 				}
 				is.True(time.Since(start) <= handshakeTimeout)
 				synctest.Wait()
-				is.True(!opened)
+				is.True(!called)
 				is.Equal(p.count("link_handshake_failed")+p.count("link_wrong_key"), int64(1))
 			})
 		})
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -36,9 +36,9 @@
 	// DefaultIdleTimeout is how long an unused connection is kept.
 	DefaultIdleTimeout = 5 * time.Minute
 
-	otherWorkers = 256
-	scanInterval = 500 * time.Millisecond
-	dialTimeout  = 2 * time.Second
+	handlerWorkers = 256
+	scanInterval   = 500 * time.Millisecond
+	dialTimeout    = 2 * time.Second
 )
 
 type (
@@ -63,16 +63,16 @@
 		BackOff     time.Duration // maximum pause between dials
 		Scope       tally.Scope
 
-		handlers  map[string]Handler
-		mu        sync.Mutex
-		ctx       context.Context // ends all work; set by Start
-		callPool  *ants.Pool      // relayed calls, which may take long
-		otherPool *ants.Pool      // other methods, so that calls can't starve them
-		peers     map[string]*Peer
-		sessions  map[*session]struct{}
-		closed    bool
-		lastScan  time.Time
-		wg        sync.WaitGroup
+		handlers    map[string]Handler
+		mu          sync.Mutex
+		ctx         context.Context // ends all work; set by Start
+		runnerPool  *ants.Pool      // relayed calls, which may take long
+		handlerPool *ants.Pool      // other methods, so that calls can't starve them
+		peers       map[string]*Peer
+		sessions    map[*session]struct{}
+		closed      bool
+		lastScan    time.Time
+		wg          sync.WaitGroup
 	}
 )
 
@@ -93,11 +93,11 @@
 		return nil
 	}
 	l.setDefaults()
-	l.callPool, err = ants.NewPool(l.Workers, ants.WithNonblocking(true))
+	l.runnerPool, err = ants.NewPool(l.Workers, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
-	l.otherPool, err = ants.NewPool(otherWorkers, ants.WithNonblocking(true))
+	l.handlerPool, err = ants.NewPool(handlerWorkers, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 		return
 	}
 	s.peer = address
-	if s.run(l.ctx) != nil {
+	if s.start(l.ctx) != nil {
 		return
 	}
 	if address != "" {
@@ -227,8 +227,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.callPool.Release()
-	l.otherPool.Release()
+	l.runnerPool.Release()
+	l.handlerPool.Release()
 }
 
 func (l *Link) scan(now time.Time) {
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -127,7 +127,7 @@
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Number: 1}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(failure.Sent)
+		is.True(failure.MayHaveRun)
 		is.True(errors.Is(err, ErrUnresponsive))
 		is.True(time.Since(start) <= 3*time.Second)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK()) // over a new connection
@@ -290,7 +290,7 @@
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(!failure.Sent)
+		is.True(!failure.MayHaveRun)
 		is.True(errors.Is(err, ErrWrongKey))
 		sleep(time.Minute)
 		p.a.Peer("b").Send(swim.Packet{From: "a"})
@@ -357,7 +357,7 @@
 			return result.Result{Code: result.CodeOK}
 		}})
 		defer p.end()
-		p.b.callPool.Tune(2)
+		p.b.runnerPool.Tune(2)
 		var all sync.WaitGroup
 		for range 2 {
 			all.Go(func() { is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK()) })
@@ -366,7 +366,7 @@
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(!failure.Sent)
+		is.True(!failure.MayHaveRun)
 		close(release)
 		all.Wait()
 	})
--- a/internal/peer/link/peer.go
+++ b/internal/peer/link/peer.go
@@ -40,7 +40,7 @@
 
 // Open opens a program there.
 func (p *Peer) Open(ctx context.Context, o call.Open) result.Result {
-	return p.roundTrip(ctx, methodOpen, request{Open: &o})
+	return p.callRunner(ctx, methodOpen, request{Open: &o})
 }
 
 // Call runs a call there. A link failure after the request was sent gives
@@ -69,7 +69,7 @@
 
 // End ends a program there.
 func (p *Peer) End(ctx context.Context, e call.End) result.Result {
-	return p.roundTrip(ctx, methodEnd, request{End: &e})
+	return p.callRunner(ctx, methodEnd, request{End: &e})
 }
 
 // History returns a program's history from there.
@@ -123,7 +123,7 @@
 	})
 }
 
-func (p *Peer) roundTrip(ctx context.Context, method string, r request) result.Result {
+func (p *Peer) callRunner(ctx context.Context, method string, r request) result.Result {
 	var out response
 	body, err := p.exchange(ctx, method, r, nil, &out)
 	if err != nil {
@@ -151,7 +151,7 @@
 func failureResult(err error) result.Result {
 	var e *Error
 	switch {
-	case errors.As(err, &e) && !e.Sent:
+	case errors.As(err, &e) && !e.MayHaveRun:
 		return result.Refuse(result.CodeNotOwner, "%v", err).WithRetryAfter(retryAfter)
 	case errors.Is(err, context.DeadlineExceeded):
 		return result.Failed(result.CodeTimeout, result.Unknown, "%v", err)
@@ -261,5 +261,5 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	return s, s.run(ctx)
+	return s, s.start(ctx)
 }
--- a/internal/peer/link/pending.go
+++ b/internal/peer/link/pending.go
@@ -13,24 +13,24 @@
 // pendingCall collects the response to one call that was made: pieces for its
 // sink, then the outcome. The peer's flow control bounds the pieces held here
 // to about window.
-type pendingCall struct {
-	mu       sync.Mutex
-	pieces   []string
-	signal   chan struct{} // holds one signal that pieces were added
-	done     chan error    // the outcome
-	body     []byte        // attached to the request
-	consumed int           // bytes passed to the sink since the last credit
+type pendingRequest struct {
+	mu         sync.Mutex
+	pieces     []string
+	signal     chan struct{} // holds one signal that pieces were added
+	done       chan error    // the outcome
+	attachment []byte        // attached to the request
+	consumed   int           // bytes passed to the sink since the last credit
 
 	// Guarded by the session's mu:
 	sent  bool   // the write began
 	reply []byte // attached to the response
 }
 
-func newPendingCall(body []byte) *pendingCall {
-	return &pendingCall{body: body, signal: make(chan struct{}, 1), done: make(chan error, 1)}
+func newPendingRequest(attachment []byte) *pendingRequest {
+	return &pendingRequest{attachment: attachment, signal: make(chan struct{}, 1), done: make(chan error, 1)}
 }
 
-func (c *pendingCall) push(text string) {
+func (c *pendingRequest) push(text string) {
 	c.mu.Lock()
 	c.pieces = append(c.pieces, text)
 	c.mu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-func (c *pendingCall) drain() []string {
+func (c *pendingRequest) drain() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := c.pieces
@@ -53,7 +53,7 @@
 func (s *session) exchange(ctx context.Context, method string, r request, sink runner.Sink, out any) ([]byte, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	c := newPendingCall(r.attachment)
+	c := newPendingRequest(r.attachment)
 	id := s.register(c)
 	s.awaiting.Add(1)
 	defer s.awaiting.Add(-1)
@@ -61,7 +61,7 @@
 	// The write may block behind other writes on this connection, but the end of
 	// ctx must take effect at once.
 	err := s.link.spawn(func(context.Context) {
-		c.done <- s.roundTrip(ctx, id, method, r, out)
+		c.done <- s.sendAndWait(ctx, id, method, r, out)
 	})
 	if err != nil {
 		s.unregister(id)
@@ -75,12 +75,12 @@
 	return c.reply, nil
 }
 
-func (s *session) register(c *pendingCall) uint64 {
+func (s *session) register(c *pendingRequest) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	s.pending[s.next] = c
-	return s.next
+	s.lastID++
+	s.pending[s.lastID] = c
+	return s.lastID
 }
 
 // unregister ends the routing of pieces to the call and reports whether its
@@ -95,7 +95,7 @@
 
 // roundTrip sends the request and waits for the response. When ctx ends, it sends
 // a cancel message, always after the request.
-func (s *session) roundTrip(ctx context.Context, id uint64, method string, r request, out any) error {
+func (s *session) sendAndWait(ctx context.Context, id uint64, method string, r request, out any) error {
 	w, err := s.rpc.DispatchCall(ctx, method, r, jsonrpc2.PickID(jsonrpc2.ID{Num: id}))
 	if err == nil {
 		err = w.Wait(ctx, out)
@@ -120,11 +120,11 @@
 	if errors.Is(err, jsonrpc2.ErrClosed) {
 		err = s.reason()
 	}
-	return &Error{Peer: s.peer, Sent: sent, Cause: err}
+	return &Error{Peer: s.peer, MayHaveRun: sent, Cause: err}
 }
 
 // collect delivers pieces to the sink until the outcome is known.
-func (s *session) collect(ctx context.Context, id uint64, c *pendingCall, sink runner.Sink) error {
+func (s *session) collect(ctx context.Context, id uint64, c *pendingRequest, sink runner.Sink) error {
 	for {
 		select {
 		case <-c.signal:
@@ -145,7 +145,7 @@
 
 // deliver passes the received pieces to the sink, and returns their credit to
 // the peer once it amounts to a quarter of the window.
-func (s *session) deliver(id uint64, c *pendingCall, sink runner.Sink) error {
+func (s *session) deliver(id uint64, c *pendingRequest, sink runner.Sink) error {
 	for _, text := range c.drain() {
 		c.consumed += len(text) + pieceCost
 		if sink == nil {
--- a/internal/peer/link/serve.go
+++ b/internal/peer/link/serve.go
@@ -17,7 +17,7 @@
 )
 
 // servedCall is one call being served.
-type servedCall struct {
+type servedRequest struct {
 	session *session
 	id      uint64
 	ctx     context.Context
@@ -27,7 +27,7 @@
 	credit       int
 	creditSignal chan struct{} // holds one signal that credit grew
 
-	body []byte // attached to the response; guarded by the session's mu
+	attachment []byte // attached to the response; guarded by the session's mu
 }
 
 // serve runs a request on a pool; if the pool is full it is rejected at once.
@@ -37,10 +37,10 @@
 		s.replyError(r, jsonrpc2.CodeInvalidParams, err)
 		return
 	}
-	q.attachment = s.stream.attached
-	pool := s.link.otherPool
+	q.attachment = s.stream.lastAttachment
+	pool := s.link.handlerPool
 	if r.Method != methodInvoke {
-		pool = s.link.callPool
+		pool = s.link.runnerPool
 	}
 	v := s.beginServing(r.ID.Num)
 	err := s.link.submit(pool, func() {
@@ -58,8 +58,8 @@
 	s.replyError(r, codeOverloaded, err)
 }
 
-func (s *session) beginServing(id uint64) *servedCall {
-	v := &servedCall{session: s, id: id, credit: window, creditSignal: make(chan struct{}, 1)}
+func (s *session) beginServing(id uint64) *servedRequest {
+	v := &servedRequest{session: s, id: id, credit: window, creditSignal: make(chan struct{}, 1)}
 	v.ctx, v.cancel = context.WithCancelCause(s.link.ctx)
 	s.serving.Add(1)
 	s.mu.Lock()
@@ -71,7 +71,7 @@
 	return v
 }
 
-func (s *session) finishServing(v *servedCall) {
+func (s *session) finishServing(v *servedRequest) {
 	v.cancel(nil)
 	s.serving.Add(-1)
 	s.mu.Lock()
@@ -79,8 +79,8 @@
 	delete(s.served, v.id)
 }
 
-func (s *session) runAndReply(v *servedCall, r *jsonrpc2.Request, q request) {
-	out, body, err := v.run(r.Method, q)
+func (s *session) runAndReply(v *servedRequest, r *jsonrpc2.Request, q request) {
+	out, attachment, err := v.run(r.Method, q)
 	if cause := context.Cause(v.ctx); cause != nil && !errors.Is(cause, ErrCancelled) {
 		// This daemon is stopping or the connection was lost. What the runner
 		// returned is not an outcome: a caller that got it would not retry.
@@ -91,7 +91,7 @@
 		return
 	}
 	s.mu.Lock()
-	v.body = body
+	v.attachment = attachment
 	s.mu.Unlock()
 	_ = s.rpc.Reply(v.ctx, r.ID, out)
 }
@@ -108,7 +108,7 @@
 }
 
 // run runs the request and returns the response and its attachment.
-func (v *servedCall) run(method string, q request) (out any, body []byte, err error) {
+func (v *servedRequest) run(method string, q request) (out any, body []byte, err error) {
 	if method == methodInvoke {
 		return v.invoke(q)
 	}
@@ -136,7 +136,7 @@
 	return out, body, err
 }
 
-func (v *servedCall) invoke(q request) (out any, body []byte, err error) {
+func (v *servedRequest) invoke(q request) (out any, body []byte, err error) {
 	h := v.session.link.handlers[q.Name]
 	if h == nil {
 		return nil, nil, errors.Newf("no method %s", q.Name)
@@ -155,7 +155,7 @@
 // sink sends a piece of the answer. It blocks while there is no credit: without
 // this flow control a slow caller would fill the memory of this daemon or of
 // the relay, or stall all other answers on the connection.
-func (v *servedCall) sink(text string) error {
+func (v *servedRequest) sink(text string) error {
 	if err := v.consumeCredit(len(text) + pieceCost); err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 
 // consumeCredit blocks until there is any credit, even if less than n, so that
 // a piece larger than the window passes too. The credit may become negative.
-func (v *servedCall) consumeCredit(n int) error {
+func (v *servedRequest) consumeCredit(n int) error {
 	for {
 		v.mu.Lock()
 		if v.credit > 0 {
@@ -184,7 +184,7 @@
 	}
 }
 
-func (v *servedCall) addCredit(n int) {
+func (v *servedRequest) addCredit(n int) {
 	v.mu.Lock()
 	v.credit += n
 	v.mu.Unlock()
--- a/internal/peer/link/session.go
+++ b/internal/peer/link/session.go
@@ -50,9 +50,9 @@
 		dialled       bool
 
 		mu        sync.Mutex
-		next      uint64
-		pending   map[uint64]*pendingCall // calls made, by request id
-		served    map[uint64]*servedCall  // calls being served, by request id
+		lastID    uint64
+		pending   map[uint64]*pendingRequest // calls made, by request id
+		served    map[uint64]*servedRequest  // calls being served, by request id
 		outQueue  []outgoing
 		outSignal chan struct{} // holds one signal that outQueue grew
 		cause     error         // why the session ended
@@ -83,14 +83,14 @@
 func (nopLogger) Printf(string, ...any) {}
 
 // run starts the session; it ends with ctx or its connection.
-func (s *session) run(ctx context.Context) error {
+func (s *session) start(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		_ = s.stream.Close()
 		return err
 	}
 	s.outSignal = make(chan struct{}, 1)
-	s.pending = map[uint64]*pendingCall{}
-	s.served = map[uint64]*servedCall{}
+	s.pending = map[uint64]*pendingRequest{}
+	s.served = map[uint64]*servedRequest{}
 	s.lastUsed.Store(time.Now().UnixNano())
 	s.stream.onPiece = s.handlePiece
 	s.ready = make(chan struct{})
@@ -188,18 +188,18 @@
 // attachment and marks a call as sent: from then on the peer may have it. The
 // library's errors don't reveal that.
 func (s *session) onSend(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
-	s.stream.attach = nil
+	s.stream.nextAttachment = nil
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case reply != nil:
 		if v := s.served[reply.ID.Num]; v != nil {
-			s.stream.attach = v.body
+			s.stream.nextAttachment = v.attachment
 		}
 	case !r.Notif:
 		if c := s.pending[r.ID.Num]; c != nil {
 			c.sent = true
-			s.stream.attach = c.body
+			s.stream.nextAttachment = c.attachment
 		}
 	}
 }
@@ -212,7 +212,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.pending[reply.ID.Num]; c != nil {
-		c.reply = s.stream.attached
+		c.reply = s.stream.lastAttachment
 	}
 }
 
@@ -257,24 +257,24 @@
 // or has been unused for IdleTimeout.
 func (s *session) check(now time.Time) {
 	lastRead, awaitingSince := s.stream.lastRead.Load(), s.awaitingSince.Load()
-	idle := now.Sub(time.Unix(0, max(lastRead, awaitingSince)))
+	sinceRead := now.Sub(time.Unix(0, max(lastRead, awaitingSince)))
 	switch {
 	case s.awaiting.Load() > 0 || awaitingSince > lastRead:
-		s.checkLiveness(now, idle, pingAfter, deadAfter)
+		s.checkLiveness(now, sinceRead, pingAfter, deadAfter)
 	case s.serving.Load() > 0:
-		s.checkLiveness(now, idle, serverPingAfter, serverDeadAfter)
+		s.checkLiveness(now, sinceRead, serverPingAfter, serverDeadAfter)
 	default:
 		s.checkIdle(now)
 	}
 }
 
-func (s *session) checkLiveness(now time.Time, idle, pingAfter, deadAfter time.Duration) {
-	if idle >= deadAfter {
+func (s *session) checkLiveness(now time.Time, sinceRead, pingAfter, deadAfter time.Duration) {
+	if sinceRead >= deadAfter {
 		s.link.Scope.Counter("link_silent").Inc(1)
 		s.close(ErrUnresponsive)
 		return
 	}
-	if idle >= pingAfter && now.Sub(time.Unix(0, s.lastPing.Load())) >= pingAfter {
+	if sinceRead >= pingAfter && now.Sub(time.Unix(0, s.lastPing.Load())) >= pingAfter {
 		s.lastPing.Store(now.UnixNano())
 		s.enqueue(outgoing{method: methodPing})
 	}
@@ -351,7 +351,7 @@
 }
 
 // findServed returns the call with that request id, nil if it has ended.
-func (s *session) findServed(id uint64) *servedCall {
+func (s *session) findServed(id uint64) *servedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.served[id]
--- a/internal/peer/link/stream.go
+++ b/internal/peer/link/stream.go
@@ -38,9 +38,9 @@
 	lastRead atomic.Int64 // nanoseconds of Unix time
 	onPiece  func(id uint64, text []byte)
 
-	attached []byte // attachment of the last object read; used by the reader only
-	attach   []byte // attachment of the next object to write; used by its writer only
-	writeMu  sync.Mutex
+	lastAttachment []byte // attachment of the last object read; used by the reader only
+	nextAttachment []byte // attachment of the next object to write; used by its writer only
+	writeMu        sync.Mutex
 }
 
 func newStream(conn net.Conn) *stream {
@@ -66,18 +66,18 @@
 		if err != nil {
 			return err
 		}
-		s.attached, err = s.readField()
+		s.lastAttachment, err = s.readField()
 		if err != nil {
 			return err
 		}
 		if len(object) > 0 {
 			return json.Unmarshal(object, v)
 		}
-		id, n := binary.Uvarint(s.attached)
+		id, n := binary.Uvarint(s.lastAttachment)
 		if n <= 0 || s.onPiece == nil {
 			return errBadFrame
 		}
-		s.onPiece(id, s.attached[n:])
+		s.onPiece(id, s.lastAttachment[n:])
 	}
 }
 
@@ -96,8 +96,8 @@
 
 // WriteObject writes an object and its attachment.
 func (s *stream) WriteObject(v any) error {
-	attachment := s.attach
-	s.attach = nil
+	attachment := s.nextAttachment
+	s.nextAttachment = nil
 	object, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/internal/peer/swim/bench_test.go
+++ b/internal/peer/swim/bench_test.go
@@ -106,7 +106,7 @@
 				f.measure = true
 				f.bytes, f.packets = 0, 0
 				name := f.nodes[n-1].member.Name
-				died := f.until(changePeriod, func() bool { return f.allSeeDown(name) })
+				died := f.until(changePeriod, func() bool { return f.allConsiderDown(name) })
 				b.ReportMetric(died.Seconds(), "s-death-known")
 				f.run(changePeriod - died)
 				f.start(n-1, 1)
--- a/internal/peer/swim/fault_test.go
+++ b/internal/peer/swim/fault_test.go
@@ -83,7 +83,7 @@
 	is.True(allInState(f.statesOf(3), Down))
 	for i := range f.nodes {
 		if i != 3 {
-			is.True(!f.allSeeDown(f.nodes[i].member.Name))
+			is.True(!f.allConsiderDown(f.nodes[i].member.Name))
 		}
 	}
 	is.Equal(f.falseDown, 7) // of that daemon only, once by each other
@@ -171,7 +171,7 @@
 // A VM restarts with a clock that is behind, so its incarnation is lower than
 // before. The others would ignore its entry as outdated and keep routing calls
 // by the old one.
-func TestRestartWithSlowClock(t *testing.T) {
+func TestRestartWithClockBehind(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 9)
 	old := f.nodes[5].member
@@ -200,8 +200,8 @@
 	f.byPeer[n.member.Peer] = n
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401)}})
 	f.schedule(0, n, Tick{})
-	took := f.until(time.Minute, func() bool { return f.allSeeDown(old) && f.agree() })
-	is.True(f.allSeeDown(old))
+	took := f.until(time.Minute, func() bool { return f.allConsiderDown(old) && f.agree() })
+	is.True(f.allConsiderDown(old))
 	is.True(f.agree())
 	is.True(took < 15*time.Second)
 }
@@ -223,7 +223,7 @@
 			}
 			gone := func() bool {
 				for i := range test.count {
-					if !f.allSeeDown(f.nodes[test.from+i].member.Name) {
+					if !f.allConsiderDown(f.nodes[test.from+i].member.Name) {
 						return false
 					}
 				}
--- a/internal/peer/swim/fleet_test.go
+++ b/internal/peer/swim/fleet_test.go
@@ -295,7 +295,7 @@
 
 // allSeeDown reports whether no live daemon holds the named one in any state
 // other than down.
-func (f *fleet) allSeeDown(name string) bool {
+func (f *fleet) allConsiderDown(name string) bool {
 	for _, n := range f.nodes {
 		if n.dead {
 			continue
--- a/internal/peer/swim/fuzz_test.go
+++ b/internal/peer/swim/fuzz_test.go
@@ -30,7 +30,7 @@
 			return
 		}
 		now := time.Unix(1_800_000_000, 0)
-		b := Membership{Seed: 1}
+		b := Membership{RandomSeed: 1}
 		b.Step(now, Self{Member: Member{Name: "d0", Address: "10.0.0.9:7400", Peer: "10.0.0.9:7410", State: Alive, Incarnation: 1}})
 		b.Step(now, p)
 		b.Step(now.Add(Interval), Tick{})
--- a/internal/peer/swim/merge.go
+++ b/internal/peer/swim/merge.go
@@ -86,10 +86,10 @@
 	// The position in the ring is random, so that not all daemons probe a new
 	// one at the same time.
 	at := 0
-	if len(ms.ring) > 0 {
-		at = ms.rng.IntN(len(ms.ring))
+	if len(ms.toProbe) > 0 {
+		at = ms.rng.IntN(len(ms.toProbe))
 	}
-	ms.ring = slices.Insert(ms.ring, at, m.Name)
+	ms.toProbe = slices.Insert(ms.toProbe, at, m.Name)
 	ms.indexPeer(now, m, "", out)
 	ms.publish(now, r, out)
 }
@@ -250,10 +250,10 @@
 // bounded size. If the request was a digest, the sender is asked for its full
 // state in turn.
 func (ms *Membership) sendFullState(now time.Time, p Packet, out *effects) {
-	first := Packet{Ack: p.Round, Full: true}
+	next := Packet{Ack: p.Round, Full: true}
 	if p.Digest != 0 {
 		ms.round++
-		first.Round = ms.round
+		next.Round = ms.round
 	}
 	all, claims := []Member{ms.self}, []Claim(nil)
 	for _, name := range ms.names {
@@ -266,11 +266,11 @@
 			claims = append(claims, r.toClaim())
 		}
 	}
-	first.Claims = claims[:min(len(claims), membersPerPacket)]
+	next.Claims = claims[:min(len(claims), membersPerPacket)]
 	for chunk := range slices.Chunk(all, membersPerPacket) {
-		first.News = chunk
-		ms.send(now, p.From, first, out)
-		first = Packet{Full: true}
+		next.News = chunk
+		ms.send(now, p.From, next, out)
+		next = Packet{Full: true}
 	}
 }
 
--- a/internal/peer/swim/probe.go
+++ b/internal/peer/swim/probe.go
@@ -7,17 +7,17 @@
 
 const (
 	indirectProbers    = 3             // daemons asked to probe one that did not answer
-	indirectRounds     = 3             // rounds for which the ack of an indirect probe is forwarded
+	indirectTicks      = 3             // rounds for which the ack of an indirect probe is forwarded
 	downProbeOneIn     = 10            // rounds between probes of a down daemon, on average
 	digestOneIn        = 20            // rounds between digest comparisons, on average
-	startupRounds      = 20            // rounds after the start with more comparisons
+	startupTicks       = 20            // rounds after the start with more comparisons
 	startupDigestOneIn = 3             // like digestOneIn, during startupRounds
-	rejoinRounds       = 5             // rounds after a rejoin with more probes of down daemons
+	rejoinTicks        = 5             // rounds after a rejoin with more probes of down daemons
 	rejoinProbes       = 3             // down daemons probed in each of these rounds
 	configSettleTime   = 60 * Interval // no regular digest comparisons for so long after a configuration change
 	membersPerPacket   = 30            // of a full state
 	suspectFactor      = 2             // times spreadRounds: rounds to refute a suspicion
-	suspectExtraRounds = 2             // added to that
+	suspectExtraTicks  = 2             // added to that
 )
 
 type (
@@ -86,18 +86,18 @@
 		case r == nil || r.state() == Down:
 		case p.stage == 1:
 			ms.probes = append(ms.probes, p)
-			ms.requestIndirectProbes(now, p, r, out)
+			ms.retryProbe(now, p, r, out)
 		case p.stage > 1:
 			ms.setClaim(now, r, Suspect, r.reported.Serial, out)
 		}
 	}
-	ms.indirect = slices.DeleteFunc(ms.indirect, func(ip indirectProbe) bool { return ip.stage >= indirectRounds })
+	ms.indirect = slices.DeleteFunc(ms.indirect, func(ip indirectProbe) bool { return ip.stage >= indirectTicks })
 	for i := range ms.indirect {
 		ms.indirect[i].stage++
 	}
 }
 
-func (ms *Membership) requestIndirectProbes(now time.Time, p probe, r *record, out *effects) {
+func (ms *Membership) retryProbe(now time.Time, p probe, r *record, out *effects) {
 	ms.send(now, r.reported.Peer, Packet{Round: p.round}, out)
 	others := ms.sample(indirectProbers, func(o *record) bool { return o != r && o.state() == Alive })
 	for _, name := range others {
@@ -108,7 +108,7 @@
 // expire sets daemons down whose suspicion was not refuted in time, and
 // removes those that have been down for removeDownAfter.
 func (ms *Membership) expire(now time.Time, out *effects) {
-	limit := time.Duration(suspectFactor*ms.spreadRounds()+suspectExtraRounds) * Interval
+	limit := time.Duration(suspectFactor*ms.spreadTicks()+suspectExtraTicks) * Interval
 	for _, name := range slices.Clone(ms.names) {
 		r := ms.records[name]
 		switch {
@@ -124,15 +124,15 @@
 // within a bounded time, not only on average. Without any it joins.
 func (ms *Membership) probeNext(now time.Time, out *effects) {
 	for range 2 {
-		for len(ms.ring) > 0 {
-			name := ms.ring[0]
-			ms.ring = ms.ring[1:]
+		for len(ms.toProbe) > 0 {
+			name := ms.toProbe[0]
+			ms.toProbe = ms.toProbe[1:]
 			if r := ms.records[name]; r != nil && ms.notDown(r) {
 				ms.probe(now, r, Packet{}, out)
 				return
 			}
 		}
-		ms.ring = ms.sample(len(ms.names), ms.notDown)
+		ms.toProbe = ms.sample(len(ms.names), ms.notDown)
 	}
 	ms.join(now, out)
 }
@@ -165,7 +165,7 @@
 func (ms *Membership) probeDown(now time.Time, out *effects) {
 	n := 0
 	switch {
-	case !ms.rejoined.IsZero() && now.Sub(ms.rejoined) <= rejoinRounds*Interval:
+	case !ms.rejoined.IsZero() && now.Sub(ms.rejoined) <= rejoinTicks*Interval:
 		n = rejoinProbes
 	case ms.rng.IntN(downProbeOneIn) == 0:
 		n = 1
@@ -183,7 +183,7 @@
 // It always does so after a pause of this process.
 func (ms *Membership) compareDigests(now time.Time, paused bool, out *effects) {
 	oneIn := digestOneIn
-	if ms.ticks < startupRounds {
+	if ms.ticks < startupTicks {
 		oneIn = startupDigestOneIn
 	}
 	if !paused && (ms.rng.IntN(oneIn) != 0 || now.Sub(ms.configChanged) < configSettleTime) {
--- a/internal/peer/swim/step.go
+++ b/internal/peer/swim/step.go
@@ -23,7 +23,7 @@
 	// Membership is one daemon's view of all daemons. Its random choices follow
 	// from Seed, which differs between deployments, and the daemon's name.
 	Membership struct {
-		Seed uint64
+		RandomSeed uint64
 
 		rng            *rand.Rand
 		self           Member
@@ -31,7 +31,7 @@
 		names          []string // sorted, without self
 		records        map[string]*record
 		byPeer         map[string]string // names by peer address
-		ring           []string          // names still to probe, in order
+		toProbe        []string          // names still to probe, in order
 		round          uint64            // of the last probe or request sent
 		probes         []probe
 		indirect       []indirectProbe
@@ -119,7 +119,7 @@
 	first := ms.self.Name == ""
 	ms.seeds = m.Seeds
 	if first {
-		ms.rng = rand.New(rand.NewPCG(ms.Seed, xxhash.Sum64String(m.Member.Name)))
+		ms.rng = rand.New(rand.NewPCG(ms.RandomSeed, xxhash.Sum64String(m.Member.Name)))
 		ms.records = map[string]*record{}
 		ms.byPeer = map[string]string{}
 	}
@@ -184,7 +184,7 @@
 
 // spreadRounds estimates the rounds that an update needs to reach all daemons:
 // the binary logarithm of their number.
-func (ms *Membership) spreadRounds() int {
+func (ms *Membership) spreadTicks() int {
 	return bits.Len(uint(len(ms.names) + 1))
 }
 
--- a/internal/peer/swim/swim_test.go
+++ b/internal/peer/swim/swim_test.go
@@ -22,8 +22,8 @@
 		f := convergedFleet(t, n, 2)
 		f.nodes[n-1].dead = true
 		name := f.nodes[n-1].member.Name
-		took := f.until(2*time.Minute, func() bool { return f.allSeeDown(name) })
-		is.True(f.allSeeDown(name))
+		took := f.until(2*time.Minute, func() bool { return f.allConsiderDown(name) })
+		is.True(f.allConsiderDown(name))
 		t.Logf("%d daemons hold the failed one down after %v", n, took)
 		is.Equal(f.falseDown, 0)
 	}
--- a/internal/peer/swim/updates.go
+++ b/internal/peer/swim/updates.go
@@ -45,16 +45,16 @@
 
 // add queues an update; one that is already queued starts over.
 func (u *updates) add(name string, k kind) {
-	s := updateKey{name, k}
-	if known := u.index[s]; known != nil {
+	key := updateKey{name, k}
+	if known := u.index[key]; known != nil {
 		known.sends = 0
 		return
 	}
 	if u.index == nil {
 		u.index = map[updateKey]*update{}
 	}
-	u.index[s] = &update{updateKey: s}
-	u.entries = append(u.entries, u.index[s])
+	u.index[key] = &update{updateKey: key}
+	u.entries = append(u.entries, u.index[key])
 }
 
 // remove drops the updates that match.
@@ -110,7 +110,7 @@
 		entries[i].sends++
 		count++
 	}
-	limit := memberSendFactor * ms.spreadRounds()
+	limit := memberSendFactor * ms.spreadTicks()
 	ms.updates.remove(func(i *update) bool {
 		return i.sends >= limit || (i.kind == configUpdate && i.sends >= configSends)
 	})
