--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip runs a daemon's swim.Membership: it passes the time, received
-// packets and the daemon's own changes to it, and carries out its effects.
+// Package gossip runs a daemon's swim.Membership: it calls Step with each tick,
+// received packet and change of the daemon's own entry, and carries out the
+// effects.
 //
 // All messages are handled by one goroutine, so that changes are reported in
 // order. All methods but Run are safe for concurrent use.
@@ -21,10 +22,10 @@
 // Gossip runs one Membership. Its fields are set before Run. Send, MemberChanged
 // and Newer are called one at a time and must return at once.
 type Gossip struct {
-	RandomSeed    uint64
+	RandomSeed    uint64                            // of the protocol's random choices
 	Send          func(to string, p swim.Packet)    // to is a peer address; may drop the packet
 	MemberChanged func(m swim.Member)               // new entry of another daemon
-	Newer         func(version uint64, from string) // configuration to fetch; from is a peer address
+	Newer         func(version uint64, from string) // the peer at address from has a newer configuration in force
 	Now           func() time.Time
 	Scope         tally.Scope
 
@@ -109,8 +110,8 @@
 	return g.swim.Members()
 }
 
-// StoreAge returns the time since any daemon is known to have reached the
-// store; negative is never.
+// StoreAge returns the time since the last successful call of any daemon to the
+// store that is known here, -1 if none is.
 func (g *Gossip) StoreAge() time.Duration {
 	g.once.Do(g.init)
 	g.mu.Lock()
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	// DefaultWorkers is the limit of relayed calls that a Link serves at a time.
+	// DefaultWorkers is the limit of requests to Runner that a Link serves at a time.
 	DefaultWorkers = 8192
 	// DefaultIdleTimeout is how long an unused connection is kept.
 	DefaultIdleTimeout = 5 * time.Minute
@@ -66,8 +66,8 @@
 		handlers    map[string]Handler
 		mu          sync.Mutex
 		ctx         context.Context // ends all work; set by Start
-		runnerPool  *ants.Pool      // relayed calls, which may take long
-		handlerPool *ants.Pool      // other methods, so that calls can't starve them
+		runnerPool  *ants.Pool      // requests to Runner, which may take long
+		handlerPool *ants.Pool      // methods registered with Handle, so that calls can't starve them
 		peers       map[string]*Peer
 		sessions    map[*session]struct{}
 		closed      bool
@@ -222,7 +222,8 @@
 	}
 }
 
-// close prevents new work: Wait may already have returned.
+// close prevents new work, since nothing may start once Wait has returned.
+// Sessions end by themselves with ctx.
 func (l *Link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peer/link/peer.go
+++ b/internal/peer/link/peer.go
@@ -22,8 +22,8 @@
 	retryAfter   = time.Second // sent to callers whose request failed on the link
 )
 
-// Peer is the client for one other daemon. As a runner.Runner it runs programs
-// there and returns link failures as results; Try returns them as an *Error.
+// Peer is the client for one other daemon. As a runner.Runner it runs programs at
+// that daemon and returns link failures as results; Try returns them as an *Error.
 type Peer struct {
 	link    *Link
 	address string
@@ -38,13 +38,13 @@
 
 var _ runner.Runner = (*Peer)(nil)
 
-// Open opens a program there.
+// Open opens a program at the peer.
 func (p *Peer) Open(ctx context.Context, o call.Open) result.Result {
 	return p.callRunner(ctx, methodOpen, request{Open: &o})
 }
 
-// Call runs a call there. A link failure after the request was sent gives
-// outcome_unknown, although repeating the call would join it: see Try.
+// Call runs a call at the peer. A link failure after the request was sent gives
+// outcome_unknown; a caller that wants to repeat the call instead uses Try.
 func (p *Peer) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 	r, err := p.Try(ctx, c, sink)
 	if err != nil {
@@ -55,7 +55,7 @@
 
 // Try is like Call, but returns a link failure as an *Error. The owner
 // deduplicates calls by their number, so the same call may then be repeated
-// at the same or a new owner, whether or not it was sent; its sink gets the
+// at the same or a new owner, whether or not it may have run; its sink gets the
 // text again from the start.
 func (p *Peer) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
 	var out response
@@ -67,17 +67,17 @@
 	return out.Result, nil
 }
 
-// End ends a program there.
+// End ends a program at the peer.
 func (p *Peer) End(ctx context.Context, e call.End) result.Result {
 	return p.callRunner(ctx, methodEnd, request{End: &e})
 }
 
-// History returns a program's history from there.
+// History returns a program's history from the peer.
 func (p *Peer) History(ctx context.Context, account, program string) (hist.History, result.Result) {
 	return p.query(ctx, methodHistory, query{Account: account, Name: program})
 }
 
-// Request returns the outcome of one request from there.
+// Request returns the outcome of one request from the peer.
 func (p *Peer) Request(ctx context.Context, account, name string) (hist.History, result.Result) {
 	return p.query(ctx, methodRequest, query{Account: account, Name: name})
 }
@@ -146,8 +146,9 @@
 	return *out.History, out.Result
 }
 
-// failureResult maps an error of an exchange to a result. Only a request that
-// certainly was not sent may be reported as not run.
+// failureResult maps an error of an exchange to a result. Only a request that was
+// not sent, or that the peer rejected before running it, may be reported as not
+// run.
 func failureResult(err error) result.Result {
 	var e *Error
 	switch {
--- a/internal/peer/link/pending.go
+++ b/internal/peer/link/pending.go
@@ -10,20 +10,20 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// pendingCall collects the response to one call that was made: pieces for its
-// sink, then the outcome. The peer's flow control bounds the pieces held here
-// to about window.
+// pendingRequest collects the response to one request that this side sent: pieces
+// for its sink, then the outcome. Flow control bounds the pieces buffered here to
+// about window.
 type pendingRequest struct {
 	mu         sync.Mutex
 	pieces     []string
 	signal     chan struct{} // holds one signal that pieces were added
 	done       chan error    // the outcome
-	attachment []byte        // attached to the request
+	attachment []byte        // of the request
 	consumed   int           // bytes passed to the sink since the last credit
 
 	// Guarded by the session's mu:
 	sent  bool   // the write began
-	reply []byte // attached to the response
+	reply []byte // attachment of the response
 }
 
 func newPendingRequest(attachment []byte) *pendingRequest {
@@ -48,7 +48,7 @@
 	return all
 }
 
-// exchange makes one call over the session, waits for its outcome and returns
+// exchange sends one request over the session, waits for its outcome and returns
 // the attachment of the response.
 func (s *session) exchange(ctx context.Context, method string, r request, sink runner.Sink, out any) ([]byte, error) {
 	ctx, stop := context.WithCancel(ctx)
@@ -83,7 +83,7 @@
 	return s.lastID
 }
 
-// unregister ends the routing of pieces to the call and reports whether its
+// unregister ends the routing of pieces to the request and reports whether its
 // write had begun.
 func (s *session) unregister(id uint64) (sent bool) {
 	s.mu.Lock()
@@ -93,7 +93,7 @@
 	return c != nil && c.sent
 }
 
-// roundTrip sends the request and waits for the response. When ctx ends, it sends
+// sendAndWait sends the request and waits for the response. When ctx ends, it sends
 // a cancel message, always after the request.
 func (s *session) sendAndWait(ctx context.Context, id uint64, method string, r request, out any) error {
 	w, err := s.rpc.DispatchCall(ctx, method, r, jsonrpc2.PickID(jsonrpc2.ID{Num: id}))
@@ -116,11 +116,11 @@
 	return s.linkError(sent && !errors.Is(err, errTooLarge), err)
 }
 
-func (s *session) linkError(sent bool, err error) error {
+func (s *session) linkError(mayHaveRun bool, err error) error {
 	if errors.Is(err, jsonrpc2.ErrClosed) {
 		err = s.reason()
 	}
-	return &Error{Peer: s.peer, MayHaveRun: sent, Cause: err}
+	return &Error{Peer: s.peer, MayHaveRun: mayHaveRun, Cause: err}
 }
 
 // collect delivers pieces to the sink until the outcome is known.
--- a/internal/peer/link/serve.go
+++ b/internal/peer/link/serve.go
@@ -16,7 +16,7 @@
 	pieceCost = 64       // bytes counted for each piece besides its text
 )
 
-// servedCall is one call being served.
+// servedRequest is one request being served.
 type servedRequest struct {
 	session *session
 	id      uint64
@@ -27,7 +27,7 @@
 	credit       int
 	creditSignal chan struct{} // holds one signal that credit grew
 
-	attachment []byte // attached to the response; guarded by the session's mu
+	attachment []byte // of the response; guarded by the session's mu
 }
 
 // serve runs a request on a pool; if the pool is full it is rejected at once.
--- a/internal/peer/link/session.go
+++ b/internal/peer/link/session.go
@@ -42,17 +42,17 @@
 		ready  chan struct{} // closed once rpc is set; its reader starts before that
 
 		// Times are in nanoseconds of Unix time.
-		awaitingSince atomic.Int64 // first call or packet sent since data was last read
+		awaitingSince atomic.Int64 // first request or packet sent since data was last read
 		lastPing      atomic.Int64
 		lastUsed      atomic.Int64
-		awaiting      atomic.Int64 // number of calls made that wait for a response
-		serving       atomic.Int64 // number of calls being served
+		awaiting      atomic.Int64 // number of requests sent that wait for a response
+		serving       atomic.Int64 // number of requests being served
 		dialled       bool
 
 		mu        sync.Mutex
-		lastID    uint64
-		pending   map[uint64]*pendingRequest // calls made, by request id
-		served    map[uint64]*servedRequest  // calls being served, by request id
+		lastID    uint64                     // of the requests this side sent
+		pending   map[uint64]*pendingRequest // requests sent, by id
+		served    map[uint64]*servedRequest  // requests being served, by id
 		outQueue  []outgoing
 		outSignal chan struct{} // holds one signal that outQueue grew
 		cause     error         // why the session ended
@@ -65,8 +65,8 @@
 		reply  *jsonrpc2.Response
 	}
 
-	// credit allows the server to send that many more bytes of an answer. It and
-	// cancel identify the call by the id of its JSON-RPC request.
+	// credit allows the peer to send that many more bytes of an answer. Its ID and
+	// that of cancel are the id of the JSON-RPC request.
 	credit struct {
 		ID    uint64 `json:"id"`
 		Bytes int    `json:"bytes"`
@@ -82,7 +82,7 @@
 // Printf drops the library's log lines; unresponsive sessions are counted instead.
 func (nopLogger) Printf(string, ...any) {}
 
-// run starts the session; it ends with ctx or its connection.
+// start starts the session, which ends with ctx or its connection.
 func (s *session) start(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		_ = s.stream.Close()
@@ -142,7 +142,7 @@
 	}
 }
 
-// close ends the session; its outstanding calls fail with cause.
+// close ends the session; its outstanding requests fail with cause.
 func (s *session) close(cause error) {
 	s.mu.Lock()
 	if s.cause == nil {
@@ -174,8 +174,8 @@
 	return ErrConnLost
 }
 
-// noteSend records the send of a call or packet, from which on data is due from
-// the peer.
+// noteSend records that a request or packet is sent, so that data from the peer is
+// expected.
 func (s *session) noteSend() {
 	now := time.Now().UnixNano()
 	s.lastUsed.Store(now)
@@ -185,7 +185,7 @@
 }
 
 // onSend runs right before each write, one at a time. It sets the message's
-// attachment and marks a call as sent: from then on the peer may have it. The
+// attachment and marks a request as sent: from then on the peer may have it. The
 // library's errors don't reveal that.
 func (s *session) onSend(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	s.stream.nextAttachment = nil
@@ -204,7 +204,7 @@
 	}
 }
 
-// onReceive runs in the reader before the waiting call of a response resumes.
+// onReceive runs in the reader before a response is passed to its waiting request.
 func (s *session) onReceive(_ *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	if reply == nil {
 		return
@@ -253,8 +253,8 @@
 	s.enqueue(outgoing{method: methodPacket, params: data})
 }
 
-// check pings where data is due, and closes the session if it is unresponsive
-// or has been unused for IdleTimeout.
+// check pings if the peer is expected to send data or has a request served here,
+// and closes the session if it is unresponsive or has been unused for IdleTimeout.
 func (s *session) check(now time.Time) {
 	lastRead, awaitingSince := s.stream.lastRead.Load(), s.awaitingSince.Load()
 	sinceRead := now.Sub(time.Unix(0, max(lastRead, awaitingSince)))
@@ -350,7 +350,7 @@
 	}
 }
 
-// findServed returns the call with that request id, nil if it has ended.
+// findServed returns the request being served under that id, nil if it has ended.
 func (s *session) findServed(id uint64) *servedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/link/stream.go
+++ b/internal/peer/link/stream.go
@@ -24,9 +24,9 @@
 // the length of a JSON object as a varint, the object, the length of an
 // attachment as a varint, the attachment. Bodies and texts are attached
 // verbatim: inside JSON they would be escaped and scanned several times at both
-// ends, which took a hundred times the CPU time. A frame with an empty object is
-// a piece of an answer: its attachment is the id of the call as a varint, then
-// text.
+// ends, which costs about a hundred times the CPU time. A frame with an empty
+// object is a piece of an answer: its attachment is the id of the call as a
+// varint, then text.
 //
 // Unlike the library's framing it limits message sizes: bytes that another
 // program sends to this port could otherwise be read as a length to allocate.
--- a/internal/peer/swim/bench_test.go
+++ b/internal/peer/swim/bench_test.go
@@ -16,7 +16,7 @@
 	changePeriod = time.Minute     // measured after a change
 )
 
-// sizes are fleet sizes from today's to the target.
+// sizes are fleet sizes up to the largest supported one.
 var sizes = []int{4, 8, 20, 80, 160, 320}
 
 // rate runs the fleet for d. It returns the bytes per second that a daemon
@@ -169,7 +169,7 @@
 				f := quietFleet(b, n, 26)
 				f.queue = nil
 				b.ReportMetric(float64(heapAlloc()-before)/float64(n)/1000, "KB/daemon")
-				if len(f.nodes) != n {
+				if len(f.nodes) != n { // also keeps f reachable while the heap is measured
 					b.Fatal("the fleet does not have n daemons")
 				}
 			}
--- a/internal/peer/swim/fault_test.go
+++ b/internal/peer/swim/fault_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// statesOf returns the states that the other live daemons hold daemon i in.
+// statesOf returns the states of daemon i as the other live daemons see it.
 func (f *fleet) statesOf(i int) (states []State) {
 	for k, n := range f.nodes {
 		if k == i || n.dead {
@@ -34,8 +34,8 @@
 	return len(states) > 0
 }
 
-// Under load some packets are lost. If daemons then held live ones down, owners
-// would be asked to give up shards that they serve well.
+// Under load some packets are lost. If daemons then considered live ones down,
+// owners would be asked to release shards that they still serve.
 func TestLoss(t *testing.T) {
 	tests := map[string]struct {
 		n    int
@@ -62,7 +62,7 @@
 }
 
 // A link passes packets between two daemons in one direction only. Both are
-// alive and reachable by all others, so neither may be held down.
+// alive and reachable by all others, so neither may be considered down.
 func TestOneWayCut(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 4)
@@ -71,9 +71,9 @@
 	is.Equal(f.falseDown, 0)
 }
 
-// A daemon can send but receives nothing. It must be held down, since no
-// response could reach it, and its claims must not make the others suspect
-// each other.
+// A daemon can send but receives nothing. It must be considered down, since no
+// response could reach it, and its claims must not make the others consider
+// each other down.
 func TestInboundLoss(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 5)
@@ -93,8 +93,8 @@
 	t.Logf("views converged %v after it receives again", took)
 }
 
-// Two regions are partitioned for minutes and each holds the other down. When
-// the network heals, claims from one side must not make the other hold its own
+// Two regions are partitioned for minutes and each considers the other down. When
+// the network heals, claims from one side must not make the other consider its own
 // members down, and all views must converge without intervention.
 func TestPartition(t *testing.T) {
 	for _, n := range []int{4, 8, 20, 80} {
@@ -122,8 +122,8 @@
 	}
 }
 
-// A process is paused for a minute and meanwhile held down. It must not hold
-// the others down for packets that it could not read, and must rejoin.
+// A process is paused for a minute and meanwhile considered down. It must not
+// suspect the others because of packets that it could not read, and must rejoin.
 func TestPause(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 20, 7)
@@ -187,7 +187,7 @@
 }
 
 // A VM is replaced by one with the same address and another name. The new one
-// answers the probes of the old one, which would never be held down.
+// answers probes meant for the old one, which would never be considered down.
 func TestReplacedAtSameAddress(t *testing.T) {
 	is := is.New(t)
 	f := convergedFleet(t, 8, 10)
@@ -207,7 +207,7 @@
 }
 
 // Ten VMs are replaced in one rollout, or a rack of sixteen loses its switch.
-// All others must hold them down, and no other daemon.
+// All others must consider them down, and no other daemon.
 func TestManyAtOnce(t *testing.T) {
 	tests := map[string]struct{ from, count int }{
 		"10 replaced":     {30, 10},
@@ -232,7 +232,7 @@
 			took := f.until(2*time.Minute, gone)
 			is.True(gone())
 			is.Equal(f.falseDown, 0)
-			t.Logf("all hold the %d failed daemons down after %v", test.count, took)
+			t.Logf("all consider the %d failed daemons down after %v", test.count, took)
 			for i := range test.count {
 				f.start(test.from+i, 1)
 			}
@@ -243,7 +243,7 @@
 	}
 }
 
-// Some daemons can't reach the store. An owner stops when it learns that others
+// Some daemons can't reach the store. An owner among them stops if other daemons
 // still reach it, so the age of the last successful call must spread.
 func TestStoreAge(t *testing.T) {
 	is := is.New(t)
--- a/internal/peer/swim/fleet_test.go
+++ b/internal/peer/swim/fleet_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// countFalse counts the suspicions and failures that a daemon wrongly holds of
-// live ones.
+// countFalse counts the changes by which a daemon wrongly considers a live one
+// suspect or down.
 func (f *fleet) countFalse(by *node, m Member) {
 	n := f.byPeer[m.Peer]
 	before := by.seen[m.Name]
@@ -188,8 +188,8 @@
 	f.schedule(time.Millisecond+time.Duration(f.rng.Int64N(int64(4*time.Millisecond))), to, s.Packet)
 }
 
-// wireSize returns the size in bytes of a packet as link frames it: a JSON-RPC
-// notification with its length.
+// wireSize returns the approximate size in bytes of a packet as link frames it: a
+// JSON-RPC notification and two bytes for the lengths.
 func wireSize(p Packet) int {
 	data, err := p.MarshalBinary()
 	if err != nil {
@@ -261,7 +261,7 @@
 	n.waiting = nil
 }
 
-// agree reports whether each live daemon that is not paused holds exactly the
+// agree reports whether each live daemon that is not paused considers exactly the
 // live ones alive, with their present incarnations and configurations.
 func (f *fleet) agree() bool {
 	alive := 0
@@ -293,8 +293,8 @@
 	return count == alive
 }
 
-// allSeeDown reports whether no live daemon holds the named one in any state
-// other than down.
+// allConsiderDown reports whether no live daemon knows the named one in any other
+// state than down.
 func (f *fleet) allConsiderDown(name string) bool {
 	for _, n := range f.nodes {
 		if n.dead {
--- a/internal/peer/swim/merge.go
+++ b/internal/peer/swim/merge.go
@@ -34,9 +34,8 @@
 	ms.reply(now, p, out)
 }
 
-// mergeMember merges an entry that a daemon reported of itself. An entry whose
-// State is Suspect is taken for a claim: a sender that does not use Claims may
-// put it there.
+// mergeMember merges an entry that a daemon reported of itself. Reported states
+// are never Suspect; an entry that contains Suspect is handled as a claim.
 func (ms *Membership) mergeMember(now time.Time, m Member, out *effects) {
 	if m.State == Suspect {
 		ms.mergeClaim(now, Claim{Name: m.Name, Incarnation: m.Incarnation, Serial: m.Serial, State: m.State}, out)
@@ -94,9 +93,10 @@
 	ms.publish(now, r, out)
 }
 
-// indexPeer maps a peer address to its daemon. Another daemon at that address
-// with no higher Incarnation has been replaced and is set down: the new one
-// answers its probes, so it would otherwise stay alive for ever.
+// indexPeer maps a peer address to its daemon. If another daemon was known at that
+// address and its Incarnation is not higher, it has been replaced and a Down claim
+// is set: the new daemon answers probes sent to the address, so the old one would
+// otherwise never be suspected.
 func (ms *Membership) indexPeer(now time.Time, m Member, oldPeer string, out *effects) {
 	if oldPeer != m.Peer && ms.byPeer[oldPeer] == m.Name {
 		delete(ms.byPeer, oldPeer)
@@ -124,8 +124,9 @@
 
 // mergeClaim merges another daemon's claim. Down is accepted at once only for
 // a daemon that is already suspected here; otherwise it starts a suspicion,
-// which leaves time to refute. After a partition each half holds the other
-// down, and would otherwise accept that of its own live members too.
+// which leaves time to refute. After a partition each half reports the members
+// of the other as Down. Accepted at once, these claims would make each half
+// consider its own live members down.
 func (ms *Membership) mergeClaim(now time.Time, c Claim, out *effects) {
 	if c.Name == ms.self.Name {
 		ms.refute(now, c.Incarnation, c.Serial, true, out)
@@ -144,7 +145,8 @@
 	ms.setClaim(now, r, c.State, c.Serial, out)
 }
 
-// setClaim sets a claim, unless the same or a stronger one holds.
+// setClaim sets a claim. If the same or a stronger one is set already, it only
+// raises its serial.
 func (ms *Membership) setClaim(now time.Time, r *record, claim State, claimSerial uint64, out *effects) {
 	if r.claim == Down || r.claim == claim {
 		r.claimSerial = max(r.claimSerial, claimSerial)
@@ -156,9 +158,8 @@
 	ms.publish(now, r, out)
 }
 
-// refute raises this daemon's Serial or Incarnation above what others hold of
-// it: a claim, or the entry of an earlier process of the same name whose clock
-// was ahead.
+// refute raises this daemon's Serial or Incarnation above those of a claim, or of
+// the entry of an earlier process of the same name whose clock was ahead.
 func (ms *Membership) refute(now time.Time, incarnation, serial uint64, claimed bool, out *effects) {
 	switch {
 	case incarnation > ms.self.Incarnation:
@@ -246,9 +247,9 @@
 	}
 }
 
-// sendFullState answers with all entries that are not down, in packets of
-// bounded size. If the request was a digest, the sender is asked for its full
-// state in turn.
+// sendFullState answers with all entries that are not down, in packets of bounded
+// size; the first one also carries up to membersPerPacket claims. If the request
+// was a digest, the sender is asked for its full state in turn.
 func (ms *Membership) sendFullState(now time.Time, p Packet, out *effects) {
 	next := Packet{Ack: p.Round, Full: true}
 	if p.Digest != 0 {
--- a/internal/peer/swim/probe.go
+++ b/internal/peer/swim/probe.go
@@ -7,16 +7,16 @@
 
 const (
 	indirectProbers    = 3             // daemons asked to probe one that did not answer
-	indirectTicks      = 3             // rounds for which the ack of an indirect probe is forwarded
-	downProbeOneIn     = 10            // rounds between probes of a down daemon, on average
-	digestOneIn        = 20            // rounds between digest comparisons, on average
-	startupTicks       = 20            // rounds after the start with more comparisons
+	indirectTicks      = 3             // ticks for which the ack of an indirect probe is forwarded
+	downProbeOneIn     = 10            // ticks between probes of a down daemon, on average
+	digestOneIn        = 20            // ticks between digest comparisons, on average
+	startupTicks       = 20            // ticks after the start with more comparisons
 	startupDigestOneIn = 3             // like digestOneIn, during startupRounds
-	rejoinTicks        = 5             // rounds after a rejoin with more probes of down daemons
-	rejoinProbes       = 3             // down daemons probed in each of these rounds
+	rejoinTicks        = 5             // ticks after a rejoin with more probes of down daemons
+	rejoinProbes       = 3             // down daemons probed at each of these ticks
 	configSettleTime   = 60 * Interval // no regular digest comparisons for so long after a configuration change
 	membersPerPacket   = 30            // of a full state
-	suspectFactor      = 2             // times spreadRounds: rounds to refute a suspicion
+	suspectFactor      = 2             // times spreadTicks: ticks to refute a suspicion
 	suspectExtraTicks  = 2             // added to that
 )
 
@@ -60,8 +60,8 @@
 }
 
 // extendDeadlines drops outstanding probes and extends suspicions after this
-// process itself was paused. Otherwise it would take daemons for down whose
-// acks it could not read in time.
+// process itself was paused. Otherwise it would consider daemons down whose acks
+// it could not read in time.
 func (ms *Membership) extendDeadlines(pause time.Duration) {
 	ms.probes = nil
 	ms.indirect = nil
@@ -72,10 +72,9 @@
 	}
 }
 
-// advanceProbes requests indirect probes of daemons that have not answered
-// yet, and suspects those that did not answer these either. Packet loss between
-// two daemons only, or a link that fails in one direction, thus raises no
-// suspicion.
+// advanceProbes retries probes that have not been answered yet, and suspects the
+// daemons that did not answer the retries either. Packet loss between two daemons
+// only, or a link that fails in one direction, thus raises no suspicion.
 func (ms *Membership) advanceProbes(now time.Time, out *effects) {
 	due := ms.probes
 	ms.probes = nil
@@ -97,6 +96,7 @@
 	}
 }
 
+// retryProbe sends the probe once more and asks other daemons to probe too.
 func (ms *Membership) retryProbe(now time.Time, p probe, r *record, out *effects) {
 	ms.send(now, r.reported.Peer, Packet{Round: p.round}, out)
 	others := ms.sample(indirectProbers, func(o *record) bool { return o != r && o.state() == Alive })
@@ -120,8 +120,9 @@
 	}
 }
 
-// probeNext probes the next daemon of a shuffled ring, so that each is probed
-// within a bounded time, not only on average. Without any it joins.
+// probeNext probes the next daemon of a shuffled list, which it refills once it is
+// empty, so that each daemon is probed within a bounded time, not only on average.
+// With no daemon to probe, it joins through a seed.
 func (ms *Membership) probeNext(now time.Time, out *effects) {
 	for range 2 {
 		for len(ms.toProbe) > 0 {
@@ -144,7 +145,7 @@
 	ms.send(now, r.reported.Peer, p, out)
 }
 
-// join requests the full state from a random seed.
+// join requests the full state from a random one of the seed addresses.
 func (ms *Membership) join(now time.Time, out *effects) {
 	seeds := ms.otherSeeds()
 	if len(seeds) == 0 {
@@ -159,9 +160,10 @@
 	return slices.DeleteFunc(slices.Clone(ms.seeds), func(s string) bool { return s == ms.self.Peer })
 }
 
-// probeDown probes random daemons that are down, more of them after a rejoin.
-// After a partition of some minutes each side holds the other down, and
-// nothing else would reconnect them. When one daemon returns, many may.
+// probeDown probes random daemons that are down. After a partition of some minutes
+// each side considers the other down, and nothing else would reconnect them. When
+// one such daemon answers again, the partition has probably ended, so several are
+// probed at each of the next ticks.
 func (ms *Membership) probeDown(now time.Time, out *effects) {
 	n := 0
 	switch {
@@ -178,8 +180,8 @@
 	}
 }
 
-// compareDigests compares digests with a random daemon, and less often with a
-// seed: updates are sent a bounded number of times, and all may have been lost.
+// compareDigests compares digests with a random daemon, and less often with a seed
+// address: updates are sent a bounded number of times, and all may have been lost.
 // It always does so after a pause of this process.
 func (ms *Membership) compareDigests(now time.Time, paused bool, out *effects) {
 	oneIn := digestOneIn
--- a/internal/peer/swim/step.go
+++ b/internal/peer/swim/step.go
@@ -20,19 +20,19 @@
 )
 
 type (
-	// Membership is one daemon's view of all daemons. Its random choices follow
-	// from Seed, which differs between deployments, and the daemon's name.
+	// Membership is one daemon's view of all daemons. RandomSeed and the daemon's
+	// name seed the generator of its random choices.
 	Membership struct {
 		RandomSeed uint64
 
 		rng            *rand.Rand
 		self           Member
-		seeds          []string
+		seeds          []string // peer addresses
 		names          []string // sorted, without self
 		records        map[string]*record
 		byPeer         map[string]string // names by peer address
-		toProbe        []string          // names still to probe, in order
-		round          uint64            // of the last probe or request sent
+		toProbe        []string          // names, in order
+		round          uint64            // number of the last request sent
 		probes         []probe
 		indirect       []indirectProbe
 		updates        updates
@@ -40,7 +40,7 @@
 		lastTick       time.Time
 		lastReceived   time.Time
 		storeReached   time.Time // by any daemon
-		rejoined       time.Time // last return of a daemon from down, or of contact after Alone
+		rejoined       time.Time // last newer entry of a daemon under a Down claim, or first packet after Alone
 		configChanged  time.Time // last change of configuration seen in any entry
 		newestConfig   uint64    // highest version reported by Newer
 		newestReported time.Time // last Newer
@@ -99,9 +99,9 @@
 	}
 }
 
-// StoreAge returns the time since any daemon is known to have reached the
-// store; negative is never. It does not include packets' transit times, so a
-// delayed packet makes it too small.
+// StoreAge returns the time since the last successful call of any daemon to the
+// store that is known here, -1 if none is. It does not include packets' transit
+// times, so a delayed packet makes it too small.
 func (ms *Membership) StoreAge(now time.Time) time.Duration {
 	if ms.storeReached.IsZero() {
 		return -1
@@ -156,9 +156,9 @@
 		x.Incarnation == y.Incarnation && slices.Equal(x.Shards, y.Shards)
 }
 
-// pushNow sends to a few random daemons at once instead of in the next round.
-// As each daemon does so when it applies a new configuration, this spreads
-// within a few round trips.
+// pushNow sends the queued updates to a few random daemons at once instead of at
+// the next tick. Each daemon does so when it applies a new configuration, so that
+// a configuration version spreads within a few round trips.
 func (ms *Membership) pushNow(now time.Time, out *effects) {
 	for _, name := range ms.sample(pushFanout, ms.notDown) {
 		ms.send(now, ms.records[name].reported.Peer, Packet{}, out)
@@ -182,7 +182,7 @@
 
 func (ms *Membership) isDown(r *record) bool { return r.state() == Down }
 
-// spreadRounds estimates the rounds that an update needs to reach all daemons:
+// spreadTicks estimates the ticks that an update needs to reach all daemons:
 // the binary logarithm of their number.
 func (ms *Membership) spreadTicks() int {
 	return bits.Len(uint(len(ms.names) + 1))
--- a/internal/peer/swim/swim.go
+++ b/internal/peer/swim/swim.go
@@ -3,7 +3,7 @@
 // configuration each runs, and when any of them last reached the store.
 //
 // Membership is a state machine: Step takes the time and one message and
-// returns the effects to carry out. There is no full mesh: in each round a
+// returns the effects to carry out. There is no full mesh: at each tick a
 // daemon probes one other, and updates are piggybacked on probes and their
 // acks, each a bounded number of times. Ownership is not decided here but in
 // the store; an outdated view costs a relayed request or a slow takeover.
@@ -44,7 +44,7 @@
 
 	// Member is one daemon's entry. Of two entries for a daemon the one with the
 	// higher Incarnation wins, then the one with the higher Serial. A claim by
-	// others (Suspect or Down) holds until the daemon reports a higher Serial
+	// others (Suspect or Down) is valid until the daemon reports a higher Serial
 	// than the claim's.
 	Member struct {
 		Name          string  `json:"name"`
@@ -69,10 +69,11 @@
 		Seeds  []string
 	}
 
-	// Reached reports that a call to the store, sent by this daemon at At, succeeded.
+	// Reached reports that a call to the store, sent by this daemon at At,
+	// succeeded.
 	Reached struct{ At time.Time }
 
-	// Tick starts a round; one is due every Interval.
+	// Tick advances the protocol; one is due every Interval.
 	Tick struct{}
 
 	// Packet is one protocol message between daemons. Age is the time since any
@@ -85,8 +86,8 @@
 	// (an indirect probe), and For, in the ack, the address that answered it.
 	// Head is the sender's configuration version, which can be fetched from it.
 	// Digest, unless 0, is a hash of the sender's view: a receiver with another
-	// digest answers with its full state. News holds entries as reported by the
-	// daemons themselves.
+	// digest answers with its full state. News contains entries as reported by
+	// the daemons themselves.
 	Packet struct {
 		From   string        `json:"from"` // peer address
 		Round  uint64        `json:"round"`
@@ -131,8 +132,8 @@
 	// MemberChanged reports the new entry of another daemon.
 	MemberChanged struct{ Member Member }
 
-	// Newer reports that the peer at From has a newer configuration in force
-	// than this daemon. It can be fetched from there.
+	// Newer reports that the daemon at the peer address From has a newer
+	// configuration version in force than this daemon. It can be fetched there.
 	Newer struct {
 		Version uint64
 		From    string
--- a/internal/peer/swim/swim_test.go
+++ b/internal/peer/swim/swim_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// A VM fails without notice. Until the others hold it down, they relay calls to
-// it.
+// A VM fails without notice. Until the others consider it down, they relay calls
+// to it.
 func TestCrash(t *testing.T) {
 	for _, n := range []int{4, 8, 20, 80} {
 		is := is.New(t)
@@ -24,7 +24,7 @@
 		name := f.nodes[n-1].member.Name
 		took := f.until(2*time.Minute, func() bool { return f.allConsiderDown(name) })
 		is.True(f.allConsiderDown(name))
-		t.Logf("%d daemons hold the failed one down after %v", n, took)
+		t.Logf("%d daemons consider the failed one down after %v", n, took)
 		is.Equal(f.falseDown, 0)
 	}
 }
--- a/internal/peer/swim/updates.go
+++ b/internal/peer/swim/updates.go
@@ -9,7 +9,7 @@
 	memberUpdate kind = 0 // a daemon's own entry or a claim
 	configUpdate kind = 1 // its configuration version
 
-	memberSendFactor = 2   // times spreadRounds: how often an update is sent
+	memberSendFactor = 2   // times spreadTicks: how often an update is sent
 	configSends      = 8   // how often a Mark is sent at most; digest comparisons repair the rest
 	updateBytes      = 900 // of updates in one packet, approximate
 	maxUpdates       = 24  // in one packet
@@ -35,8 +35,8 @@
 		sends int
 	}
 
-	// updates is the dissemination queue. Updates of members go first, then the
-	// least often sent.
+	// updates is the dissemination queue. Member updates are sent before
+	// configuration updates, and within a kind those sent less often first.
 	updates struct {
 		entries []*update
 		index   map[updateKey]*update
@@ -59,11 +59,11 @@
 
 // remove drops the updates that match.
 func (u *updates) remove(match func(*update) bool) {
-	u.entries = slices.DeleteFunc(u.entries, func(i *update) bool {
-		if !match(i) {
+	u.entries = slices.DeleteFunc(u.entries, func(e *update) bool {
+		if !match(e) {
 			return false
 		}
-		delete(u.index, i.updateKey)
+		delete(u.index, e.updateKey)
 		return true
 	})
 }
