--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
 	"github.com/slaterock/slaterock/internal/edge/reqid"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -45,7 +45,7 @@
 	// owner is known.
 	fakeCluster struct {
 		daemons map[string]*fakeDaemon
-		owners  []beat.Member
+		owners  []swim.Member
 		lookups int
 	}
 )
@@ -100,18 +100,18 @@
 }
 
 // owner returns a daemon that claims the program's shard.
-func owner(name string, epoch uint64) beat.Member {
-	own := beat.Shard{Shard: locate.Shard(program, shards), Epoch: epoch}
-	return beat.Member{Name: name, Peer: name, State: beat.Alive, Shards: []beat.Shard{own}}
+func owner(name string, epoch uint64) swim.Member {
+	own := swim.Shard{Shard: locate.Shard(program, shards), Epoch: epoch}
+	return swim.Member{Name: name, Peer: name, State: swim.Alive, Shards: []swim.Shard{own}}
 }
 
-func (w *fakeCluster) members() []beat.Member {
+func (w *fakeCluster) members() []swim.Member {
 	i := min(w.lookups, len(w.owners)-1)
 	w.lookups++
 	if i < 0 || w.owners[i].Name == "" {
 		return nil
 	}
-	return []beat.Member{w.owners[i]}
+	return []swim.Member{w.owners[i]}
 }
 
 func (w *fakeCluster) relay() *Relay {
@@ -136,7 +136,7 @@
 	type script map[string]*fakeDaemon
 	tests := map[string]struct {
 		daemons  script
-		owners   []beat.Member
+		owners   []swim.Member
 		code     result.Code
 		ran      result.Ran
 		text     string         // sent to the caller
@@ -145,28 +145,28 @@
 	}{
 		"owned here": {
 			script{"here": {script: []attempt{{pieces: []string{fullText}, result: answered}}}},
-			[]beat.Member{owner("here", 1)},
+			[]swim.Member{owner("here", 1)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"here": 1},
 			0,
 		},
 		"owned by a peer": {
 			script{"a": {script: []attempt{{pieces: []string{"karibu ", "sana"}, result: answered}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 1},
 			0,
 		},
 		"picture stale, owner moved": {
 			script{"a": {script: []attempt{{result: notOwner}}}, "b": {script: []attempt{{pieces: []string{fullText}, result: answered}}}},
-			[]beat.Member{owner("a", 1), owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("a", 1), owner("b", 2)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 2, "b": 1},
 			time.Second,
 		},
 		"owner not known at first": {
 			script{"b": {script: []attempt{{pieces: []string{fullText}, result: answered}}}},
-			[]beat.Member{{}, {}, owner("b", 2)},
+			[]swim.Member{{}, {}, owner("b", 2)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"b": 1},
 			time.Second,
@@ -178,7 +178,7 @@
 		},
 		"owner never reached": {
 			script{"a": {script: []attempt{{err: errUnsent}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeNotOwner, result.No, "", nil, 10 * time.Second,
 		},
 		"link broke, same owner joins": {
@@ -186,7 +186,7 @@
 				{pieces: []string{"kar"}, err: errBroken},
 				{pieces: []string{"karibu", " sana"}, result: answered},
 			}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 2},
 			time.Second,
@@ -197,7 +197,7 @@
 				{pieces: []string{"ka", "ri"}, err: errBroken},
 				{pieces: []string{"k", "aribu ", "sa", "na"}, result: answered},
 			}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 3},
 			time.Second,
@@ -207,49 +207,49 @@
 				"a": {script: []attempt{{pieces: []string{"kar"}, err: errBroken}}},
 				"b": {script: []attempt{{pieces: []string{"jambo"}, result: answered}}},
 			},
-			[]beat.Member{owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("b", 2)},
 			result.CodeUpstreamFailed, result.Yes, "kar",
 			map[string]int{"a": 1, "b": 1},
 			time.Second,
 		},
 		"owner died, new owner refuses": { // it can't know whether the call ran at a
 			script{"a": {script: []attempt{{err: errBroken}}}, "b": {script: []attempt{{result: refused}}}},
-			[]beat.Member{owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("b", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 1, "b": 1},
 			time.Second,
 		},
 		"link broke, same owner refuses": { // it knows that the call did not run
 			script{"a": {script: []attempt{{err: errBroken}, {result: refused}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOverloaded, result.No, "",
 			map[string]int{"a": 2},
 			time.Second,
 		},
 		"same daemon, new epoch, refuses": {
 			script{"a": {script: []attempt{{err: errBroken}, {result: refused}}}},
-			[]beat.Member{owner("a", 1), owner("a", 2)},
+			[]swim.Member{owner("a", 1), owner("a", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 2},
 			time.Second,
 		},
 		"broke at two owners, second refuses": {
 			script{"a": {script: []attempt{{err: errBroken}}}, "b": {script: []attempt{{err: errBroken}, {result: refused}}}},
-			[]beat.Member{owner("a", 1), owner("b", 2)},
+			[]swim.Member{owner("a", 1), owner("b", 2)},
 			result.CodeOverloaded, result.Unknown, "",
 			map[string]int{"a": 1, "b": 2},
 			time.Second,
 		},
 		"moved while it ran, then nobody": {
 			script{"here": {script: []attempt{{result: moved}}}},
-			[]beat.Member{owner("here", 1), {}},
+			[]swim.Member{owner("here", 1), {}},
 			result.CodeNotOwner, result.Unknown, "",
 			map[string]int{"here": 1},
 			10 * time.Second,
 		},
 		"unknown outcome on record": { // recorded, so final
 			script{"a": {script: []attempt{{result: unknown}}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeUnknown, result.Unknown, "",
 			map[string]int{"a": 1},
 			0,
@@ -260,7 +260,7 @@
 				{pieces: []string{"karibu"}, err: errBroken, duration: time.Minute},
 				{pieces: []string{fullText}, result: answered},
 			}}},
-			[]beat.Member{owner("a", 1)},
+			[]swim.Member{owner("a", 1)},
 			result.CodeOK, result.Yes, fullText,
 			map[string]int{"a": 3},
 			time.Minute + time.Second,
@@ -305,7 +305,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := fakeCluster{daemons: map[string]*fakeDaemon{"a": {script: []attempt{tt.attempt}}}, owners: []beat.Member{owner("a", 1)}}
+				w := fakeCluster{daemons: map[string]*fakeDaemon{"a": {script: []attempt{tt.attempt}}}, owners: []swim.Member{owner("a", 1)}}
 				ctx, stop := context.WithTimeout(t.Context(), time.Second)
 				defer stop()
 				began := time.Now()
@@ -339,7 +339,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				a := &fakeDaemon{script: []attempt{{result: unknown}, {result: notOwner}, {result: found}}}
-				w := fakeCluster{daemons: map[string]*fakeDaemon{"a": a}, owners: []beat.Member{owner("a", 1)}}
+				w := fakeCluster{daemons: map[string]*fakeDaemon{"a": a}, owners: []swim.Member{owner("a", 1)}}
 				is.Equal(do(w.relay()).Code, result.CodeOK)
 				is.Equal(a.attempts, 3)
 			})
@@ -350,7 +350,7 @@
 // A support engineer mistypes a request id. The Relay rejects it without a lookup.
 func TestMalformedRequestID(t *testing.T) {
 	is := is.New(t)
-	w := fakeCluster{owners: []beat.Member{owner("a", 1)}}
+	w := fakeCluster{owners: []swim.Member{owner("a", 1)}}
 	_, res := w.relay().Request(t.Context(), "", "receipt 12")
 	is.Equal(res.Code, result.CodeNotFound)
 	is.Equal(w.lookups, 0)
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/edge/locate"
 	"github.com/slaterock/slaterock/internal/edge/relay"
 	"github.com/slaterock/slaterock/internal/edge/server"
-	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/plat/meter"
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
@@ -25,7 +25,7 @@
 		Daemon  string        `json:"daemon"`
 		Version uint64        `json:"config_version"`
 		Shards  int           `json:"shards"`
-		Members []beat.Member `json:"members"`
+		Members []swim.Member `json:"members"`
 		Store   meter.Counts  `json:"store"`
 		Age     time.Duration `json:"store_age"` // time since any daemon is known to have reached the store
 	}
@@ -40,7 +40,7 @@
 		Peer:    d.remote,
 		Unsent: func(err error) bool {
 			var e *link.Error
-			return errors.As(err, &e) && !e.Sent
+			return errors.As(err, &e) && !e.MayHaveRun
 		},
 	}
 	b, t := d.Settings.Bounds, d.Settings.Timeouts
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -17,7 +17,7 @@
 
 	"github.com/slaterock/slaterock/internal/node/feed"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/prog/hist"
@@ -83,7 +83,7 @@
 		saving     bool
 		fenced     bool
 		blobio     *blobio.BlobStore      // nil until a data folder is known or the shard has stored texts
-		folders    map[string]beat.Member // daemons with a data folder, by name
+		folders    map[string]swim.Member // daemons with a data folder, by name
 		movedMu    sync.Mutex
 		moved      []hist.Blob // blobs whose new holders are not in the journal yet
 	}
--- a/internal/node/host/texts.go
+++ b/internal/node/host/texts.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/shard/blobio"
 	"github.com/slaterock/slaterock/internal/shard/blobs"
@@ -13,7 +13,7 @@
 
 // UpdateFolders sets the daemons that have a data folder, with their states. Bulk storage
 // of long texts is started for the first such daemon, if Start has not started it.
-func (h *Host) UpdateFolders(ms []beat.Member) {
+func (h *Host) UpdateFolders(ms []swim.Member) {
 	h.mu.Lock()
 	if h.blobio == nil && len(ms) == 0 {
 		h.mu.Unlock()
@@ -22,7 +22,7 @@
 	h.startBulk()
 	b := h.blobio
 	removed := h.folders
-	h.folders = map[string]beat.Member{}
+	h.folders = map[string]swim.Member{}
 	for _, m := range ms {
 		delete(removed, m.Name)
 		h.folders[m.Name] = m
@@ -32,17 +32,17 @@
 		b.Tell(blobs.Member{Member: m})
 	}
 	for _, m := range removed {
-		m.State = beat.Down
+		m.State = swim.Down
 		b.Tell(blobs.Member{Member: m})
 	}
 	h.Tell(owner.OffloadEnabled{On: twoDomainsUp(ms)})
 }
 
 // twoDomainsUp reports whether at least two failure domains have a folder on an alive daemon.
-func twoDomainsUp(ms []beat.Member) bool {
+func twoDomainsUp(ms []swim.Member) bool {
 	domains := map[string]bool{}
 	for _, m := range ms {
-		if m.Disk && m.State == beat.Alive {
+		if m.Disk && m.State == swim.Alive {
 			domains[m.FailureDomain] = true
 		}
 	}
--- a/internal/node/quotas/quotas.go
+++ b/internal/node/quotas/quotas.go
@@ -15,7 +15,7 @@
 
 	"github.com/slaterock/slaterock/internal/conf/file"
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/quota"
@@ -35,7 +35,7 @@
 // Limiter enforces accounts' limits. Set the exported fields before Init.
 type Limiter struct {
 	Self    string
-	Members func() []beat.Member
+	Members func() []swim.Member
 	Config  func() file.File
 	// Send sends an Ask to the daemon at a peer address.
 	Send func(ctx context.Context, peer string, a quota.Request) (quota.Answer, error)
@@ -240,10 +240,10 @@
 // Home returns the daemon that keeps an account's record. It is the owner of the account's
 // shard if that is alive or draining, and otherwise the daemon that should own the shard: an
 // account must not wait until a lease expires or an outage of the store ends.
-func Home(members []beat.Member, account string, shards int) (beat.Member, bool) {
+func Home(members []swim.Member, account string, shards int) (swim.Member, bool) {
 	shard := locate.Shard(homePrefix+account, shards)
 	m, ok := locate.Owner(members, shard)
-	if ok && (m.State == beat.Alive || m.State == beat.Draining) {
+	if ok && (m.State == swim.Alive || m.State == swim.Draining) {
 		return m, true
 	}
 	return locate.Preferred(members, shard, shards)
--- a/internal/node/shards/shards.go
+++ b/internal/node/shards/shards.go
@@ -18,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/node/host"
 	"github.com/slaterock/slaterock/internal/node/quotas"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/plat/store"
 	"github.com/slaterock/slaterock/internal/shard/assign"
@@ -46,7 +46,7 @@
 		Rand    func() uint64
 		Go      func(f func())
 		Log     zerolog.Logger
-		Members func() []beat.Member
+		Members func() []swim.Member
 		// StoreAge is the time since any daemon is known to have reached the store,
 		// negative for never. Alone reports whether no peer has been in contact lately.
 		StoreAge func() time.Duration
@@ -59,12 +59,12 @@
 		Place       func(h *host.Host, m sched.Message)
 		// OnCallEnd is called when a call has ended, OnOwned when the owned shards have changed.
 		OnCallEnd func(l owner.Log)
-		OnOwned   func(s []beat.Shard)
+		OnOwned   func(s []swim.Shard)
 		// Peers is the client of all data folders. Domain is this daemon's failure domain.
 		Peers  blobio.Peers
 		Domain string
 		// Offer sends another daemon the request to take a shard that was released for it.
-		Offer   func(ctx context.Context, to beat.Member, shard int) error
+		Offer   func(ctx context.Context, to swim.Member, shard int) error
 		Limiter *quotas.Limiter // nil: accounts have no limits
 		// Tell sends a report of a continued attempt to the present owner of its shard.
 		Tell func(ctx context.Context, r host.Report) (host.ReportReply, error)
@@ -81,7 +81,7 @@
 		cfg   file.File
 		hosts map[int]*ownedShard
 
-		folders []beat.Member // daemons with a data folder, as last sent to the hosts
+		folders []swim.Member // daemons with a data folder, as last sent to the hosts
 	}
 
 	// ownedShard is one shard owned here.
@@ -165,14 +165,14 @@
 }
 
 // List returns the shards owned here.
-func (s *Shards) List() []beat.Shard {
+func (s *Shards) List() []swim.Shard {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	out := make([]beat.Shard, 0, len(s.hosts))
+	out := make([]swim.Shard, 0, len(s.hosts))
 	for n, w := range s.hosts {
-		out = append(out, beat.Shard{Shard: n, Epoch: w.Epoch()})
+		out = append(out, swim.Shard{Shard: n, Epoch: w.Epoch()})
 	}
-	slices.SortFunc(out, func(a, b beat.Shard) int { return a.Shard - b.Shard })
+	slices.SortFunc(out, func(a, b swim.Shard) int { return a.Shard - b.Shard })
 	return out
 }
 
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
 	"github.com/slaterock/slaterock/internal/peer/link"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 type (
-	// pipes is a network in memory.
-	pipes struct {
+	// network is an in-memory network of pipes.
+	network struct {
 		mu        sync.Mutex
 		listeners map[string]chan net.Conn
 	}
@@ -37,7 +37,7 @@
 	}
 )
 
-func (p *pipes) dial(ctx context.Context, address string) (net.Conn, error) {
+func (p *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	p.mu.Lock()
 	conns := p.listeners[address]
 	p.mu.Unlock()
@@ -69,25 +69,25 @@
 
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) start(ctx context.Context, work *sync.WaitGroup, name string, config uint64) *daemon {
+func (p *network) start(ctx context.Context, work *sync.WaitGroup, name string, config uint64) *daemon {
 	d := &daemon{newer: make(chan uint64, 100)}
 	ctx, d.stop = context.WithCancel(ctx)
 	conns := make(chan net.Conn)
 	p.mu.Lock()
 	p.listeners[name] = conns
 	p.mu.Unlock()
-	d.link = link.Link{Address: name, Dial: p.dial, OnPacket: d.gossip.Take}
-	d.gossip.Send = func(to string, packet beat.Packet) { d.link.Peer(to).Send(packet) }
+	d.link = link.Link{Address: name, Dial: p.dial, OnPacket: d.gossip.HandlePacket}
+	d.gossip.Send = func(to string, packet swim.Packet) { d.link.Peer(to).Send(packet) }
 	d.gossip.Newer = func(version uint64, _ string) { d.newer <- version }
 	_ = d.link.Start(ctx)
 	work.Go(func() { _ = d.link.Serve(ctx, &listener{conns: conns, done: make(chan struct{})}) })
-	self := beat.Member{Name: name, Peer: name, Config: config, Incarnation: uint64(time.Now().UnixNano())}
-	work.Go(func() { d.gossip.Run(ctx, beat.Self{Member: self, Seeds: []string{"a", "b"}}) })
+	self := swim.Member{Name: name, Peer: name, Config: config, Incarnation: uint64(time.Now().UnixNano())}
+	work.Go(func() { d.gossip.Run(ctx, swim.Self{Member: self, Seeds: []string{"a", "b"}}) })
 	return d
 }
 
-func states(d *daemon) map[string]beat.State {
-	all := map[string]beat.State{}
+func states(d *daemon) map[string]swim.State {
+	all := map[string]swim.State{}
 	for _, m := range d.gossip.Members() {
 		all[m.Name] = m.State
 	}
@@ -97,7 +97,7 @@
 func TestOverLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := &pipes{listeners: map[string]chan net.Conn{}}
+		p := &network{listeners: map[string]chan net.Conn{}}
 		ctx, stop := context.WithCancel(t.Context())
 		var work sync.WaitGroup
 		defer work.Wait()
@@ -107,8 +107,8 @@
 		c := p.start(ctx, &work, "c", 2)
 		is.True(a.gossip.Alone())
 		is.Equal(a.gossip.StoreAge(), time.Duration(-1))
-		elapse(10 * time.Second)
-		everyone := map[string]beat.State{"a": beat.Alive, "b": beat.Alive, "c": beat.Alive}
+		sleep(10 * time.Second)
+		everyone := map[string]swim.State{"a": swim.Alive, "b": swim.Alive, "c": swim.Alive}
 		for _, d := range []*daemon{a, b, c} {
 			is.Equal(states(d), everyone)
 			is.True(!d.gossip.Alone())
@@ -116,20 +116,20 @@
 		is.Equal(<-a.newer, uint64(2))
 		is.Equal(<-b.newer, uint64(2))
 		b.gossip.Reached(ctx, time.Now())
-		elapse(10 * time.Second)
+		sleep(10 * time.Second)
 		is.True(a.gossip.StoreAge() >= 9*time.Second)
 		is.True(a.gossip.StoreAge() <= 11*time.Second)
 		c.stop()
-		elapse(20 * time.Second)
-		is.Equal(states(a)["c"], beat.Down)
-		is.Equal(states(b)["c"], beat.Down)
+		sleep(20 * time.Second)
+		is.Equal(states(a)["c"], swim.Down)
+		is.Equal(states(b)["c"], swim.Down)
 		b.stop()
-		elapse(10 * time.Second)
+		sleep(10 * time.Second)
 		is.True(a.gossip.Alone())
 	})
 }
 
-// elapse lets d pass on the test's own clock.
-func elapse(d time.Duration) {
+// sleep advances the test's fake clock by d.
+func sleep(d time.Duration) {
 	<-time.After(d)
 }
--- a/internal/peer/link/prove.go
+++ b/internal/peer/link/handshake.go
@@ -14,8 +14,8 @@
 	dialling  role = "dialling"
 	accepting role = "accepting"
 
-	nonceSize     = 16
-	handshakeTime = 2 * time.Second
+	nonceSize        = 16
+	handshakeTimeout = 2 * time.Second
 )
 
 type (
@@ -25,7 +25,7 @@
 	hello struct {
 		Nonce   []byte `json:"nonce"`
 		Address string `json:"address"`
-		Proof   []byte `json:"proof,omitempty"` // of the accepting side, at once
+		Proof   []byte `json:"proof,omitempty"` // set by the accepting side only
 	}
 
 	proof struct {
@@ -33,24 +33,23 @@
 	}
 )
 
-// prove shows the peer that this side holds the key, and the reverse, and
-// returns the peer's address. Each side signs both nonces, both addresses and
-// its own role, so that no answer can be replayed or turned round. The
-// accepting side proves itself first: a daemon that dialled a wrong address
-// sends no proof there. Nothing else is read before both have proved
-// themselves.
-func (s *stream) prove(ctx context.Context, key []byte, address string, as role) (peer string, err error) {
+// handshake authenticates both sides by the shared key and returns the peer's
+// address. Each side signs both nonces, both addresses and its own role, so that
+// no proof can be replayed or reflected. The accepting side sends its proof
+// first: a daemon that dialled a wrong address sends none there. Nothing else is
+// read before both proofs are verified.
+func (s *stream) handshake(ctx context.Context, key []byte, address string, as role) (peer string, err error) {
 	defer func() { err = errors.Wrap(err, "handshake") }()
-	defer s.guard(ctx)()
-	if err = s.conn.SetReadDeadline(time.Now().Add(handshakeTime)); err != nil {
+	defer s.closeOnDone(ctx)()
+	if err = s.conn.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", err
 	}
 	own := hello{Nonce: make([]byte, nonceSize), Address: address}
 	_, _ = rand.Read(own.Nonce) // never fails
 	if as == dialling {
-		peer, err = s.proveDialling(key, own)
+		peer, err = s.dialHandshake(key, own)
 	} else {
-		peer, err = s.proveAccepting(key, own)
+		peer, err = s.acceptHandshake(key, own)
 	}
 	if err != nil {
 		return "", err
@@ -59,7 +58,7 @@
 	return peer, s.conn.SetReadDeadline(time.Time{})
 }
 
-func (s *stream) proveDialling(key []byte, own hello) (string, error) {
+func (s *stream) dialHandshake(key []byte, own hello) (string, error) {
 	if err := s.WriteObject(own); err != nil {
 		return "", err
 	}
@@ -68,12 +67,12 @@
 		return "", err
 	}
 	if !hmac.Equal(theirs.Proof, sign(key, accepting, own, theirs)) {
-		return "", ErrKey
+		return "", ErrWrongKey
 	}
 	return theirs.Address, s.WriteObject(proof{Proof: sign(key, dialling, own, theirs)})
 }
 
-func (s *stream) proveAccepting(key []byte, own hello) (string, error) {
+func (s *stream) acceptHandshake(key []byte, own hello) (string, error) {
 	var theirs hello
 	if err := s.ReadObject(&theirs); err != nil {
 		return "", err
@@ -87,13 +86,13 @@
 		return "", err
 	}
 	if !hmac.Equal(p.Proof, sign(key, dialling, theirs, own)) {
-		return "", ErrKey
+		return "", ErrWrongKey
 	}
 	return theirs.Address, nil
 }
 
-// sign returns the proof of the side in the given role. Lengths are signed
-// too, so that no two sets of fields give the same bytes.
+// sign returns the proof for the side in the given role. Lengths are signed too,
+// so that the signed bytes are unambiguous.
 func sign(key []byte, as role, dialled, accepted hello) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, field := range [][]byte{
--- a/internal/peer/link/life_test.go
+++ b/internal/peer/link/lifecycle_test.go
@@ -17,7 +17,7 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// Bytes pass unchanged in both directions, whatever they are.
+// Raw parameters and results pass unchanged, whatever bytes they hold.
 func TestRaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,29 +41,29 @@
 }
 
 // An unused connection is closed by the side that opened it, and the next call
-// opens another one, without a failed call between.
-func TestIdle(t *testing.T) {
+// opens another one without failing.
+func TestIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-		elapse(DefaultIdle - time.Second)
-		is.True(p.a.Peer("b").live() != nil)
-		elapse(2 * time.Second)
+		sleep(DefaultIdleTimeout - time.Second)
+		is.True(p.a.Peer("b").liveSession() != nil)
+		sleep(2 * time.Second)
 		synctest.Wait()
-		is.True(p.a.Peer("b").live() == nil)
+		is.True(p.a.Peer("b").liveSession() == nil)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-		is.Equal(p.memory.dials, 2)
+		is.Equal(p.network.dials, 2)
 	})
 }
 
 // A peer is down for a while. Dialling it for each call would flood it when it
-// comes back; not dialling it for long would keep callers from it.
+// restarts; a long back-off would delay callers after that.
 func TestBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		p.stopB()
 		synctest.Wait()
@@ -71,41 +71,41 @@
 			res := p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
 			is.Equal(res.Ran, result.No)
 			is.True(res.RetryAfter > 0)
-			elapse(10 * time.Millisecond)
+			sleep(10 * time.Millisecond)
 		}
-		is.True(p.memory.dials <= 70) // a minute at one dial in one to two seconds
-		b := Link{Address: "b", Key: []byte("key"), Dial: p.memory.dial, Runner: scripted{call: twenty}}
+		is.True(p.network.dials <= 70) // a minute at one dial in one to two seconds
+		b := Link{Address: "b", Key: []byte("key"), Dial: p.network.dial, Runner: scripted{call: twentyPieces}}
 		p.serve(p.ctx, &b, "b")
-		elapse(backOffMax)
+		sleep(backOffMax)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
 
-// A VM is without power for some seconds. Daemons that depend on it must reach it
-// soon after its return; with the usual pause their callers would wait for up to
-// two seconds although it is there.
+// A VM loses power for some seconds. Daemons that depend on it must reach it soon
+// after its restart; with the default back-off their callers would wait for up to
+// two more seconds.
 func TestShortBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		p.a.BackOff = 300 * time.Millisecond
 		p.stopB()
 		synctest.Wait()
 		for range 10 * 100 {
 			is.True(!p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-			elapse(10 * time.Millisecond)
+			sleep(10 * time.Millisecond)
 		}
-		b := Link{Address: "b", Key: []byte("key"), Dial: p.memory.dial, Runner: scripted{call: twenty}}
+		b := Link{Address: "b", Key: []byte("key"), Dial: p.network.dial, Runner: scripted{call: twentyPieces}}
 		p.serve(p.ctx, &b, "b")
-		elapse(p.a.BackOff)
+		sleep(p.a.BackOff)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
 
-// The caller's side is gone without a word while its call waits for an engine.
-// The owner must not work for it for ever.
-func TestCallerGoesSilent(t *testing.T) {
+// The caller's daemon stops responding, without closing the connection, while its
+// call waits for an engine. The owner must not run the call for ever.
+func TestCallerUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cause := make(chan error, 1)
@@ -117,19 +117,19 @@
 		defer p.end()
 		go p.a.Peer("b").Call(p.ctx, call.Call{}, nil)
 		synctest.Wait()
-		p.memory.silence()
+		p.network.dropAll()
 		start := time.Now()
-		is.True(errors.Is(<-cause, ErrLost))
+		is.True(errors.Is(<-cause, ErrConnLost))
 		is.True(time.Since(start) <= serverDeadAfter+time.Second)
 	})
 }
 
-// This process itself is paused, as when its VM is moved. What its peers sent
-// meanwhile waits to be read; their connections must not be given up for it.
-func TestOwnPause(t *testing.T) {
+// This process itself is paused, for example while its VM is migrated. Data that
+// peers sent meanwhile is still to be read, so their connections must be kept.
+func TestProcessStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 		s := p.a.Peer("b").session
@@ -140,22 +140,22 @@
 	})
 }
 
-// A call whose message can't be sent was not sent, and says so.
+// A call whose message exceeds the limit is not sent, and its error says so.
 func TestTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Body: make([]byte, maxMessage+1)}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(!failure.Sent)
+		is.True(!failure.MayHaveRun)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
 
-// Whatever reaches the port before both sides have proved themselves must
-// neither be allocated for nor be taken for a request.
+// Bytes that arrive before both sides are authenticated must neither cause an
+// allocation of the length they give nor be handled as a request.
 func TestNoHandshake(t *testing.T) {
 	tests := map[string]string{
 		"a web browser":     "GET / HTTP/1.1\r\nHost: daemon\r\n\r\n",
@@ -169,34 +169,34 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				opened := false
+				called := false
 				p := newPair(t, scripted{call: func(context.Context, call.Call, runner.Sink) result.Result {
-					opened = true
+					called = true
 					return result.Result{}
 				}})
 				defer p.end()
-				conn, err := p.memory.dial(t.Context(), "b")
+				conn, err := p.network.dial(t.Context(), "b")
 				is.NoErr(err)
 				go func() { _, _ = conn.Write([]byte(text)) }()
 				start := time.Now()
 				for err == nil {
 					_, err = conn.Read(make([]byte, 1024))
 				}
-				is.True(time.Since(start) <= handshakeTime)
+				is.True(time.Since(start) <= handshakeTimeout)
 				synctest.Wait()
-				is.True(!opened)
+				is.True(!called)
 				is.Equal(p.count("link_handshake_failed")+p.count("link_wrong_key"), int64(1))
 			})
 		})
 	}
 }
 
-// Over real connections all is as over pipes, up to the end of the context.
+// A call and the end of the context work over TCP as they do over pipes.
 func TestOverTCP(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
 	var client Link
-	server := Link{Runner: scripted{call: twenty}}
+	server := Link{Runner: scripted{call: twentyPieces}}
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	done := make(chan error, 1)
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -1,18 +1,18 @@
-// Package link carries what daemons tell each other: relayed calls with their
-// streamed answers, packets of the membership and any further method that a
-// part of the daemon offers.
+// Package link is the RPC transport between daemons. It carries relayed calls
+// with their streamed answers, membership packets, and the methods that other
+// parts of a daemon register.
 //
-// Every daemon has one Link. It serves what its fields offer to whoever proves
-// the shared key, and Peer returns the way to another daemon. Between two
-// daemons there is JSON-RPC over as few TCP connections as can be: one that
-// either side opened serves both. Connections are kept while they are used.
+// Every daemon has one Link. It serves peers that authenticate with the shared
+// key, and Peer returns the client for another daemon. Two daemons speak
+// JSON-RPC over as few TCP connections as possible: each side sends requests
+// over a connection that either opened. Connections are kept while in use.
 //
-// A connection can go silent for good, without an end and without a reset,
-// because something between the two ends has lost track of it. Calls over it
-// would hang. So a side that waits for something and hears nothing asks for a
-// sign of life, and gives the connection up when none comes; the next call
-// dials anew. Idle connections carry no heartbeats, as at the target size they
-// alone would exceed a daemon's bytes for control.
+// A connection can stop passing data without FIN or RST, for example when a
+// middlebox dropped its state, and calls over it would hang. So a side that
+// waits for data and receives none sends a ping, and closes the connection if
+// it still receives nothing; the next call dials again. Idle connections carry
+// no heartbeats: at the target fleet size these alone would exceed a daemon's
+// budget for control traffic.
 package link
 
 import (
@@ -26,57 +26,57 @@
 	"github.com/panjf2000/ants/v2"
 	"github.com/uber-go/tally/v4"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
 const (
-	// DefaultWorkers bounds the relayed calls that a Link serves at a time.
+	// DefaultWorkers is the limit of requests to Runner that a Link serves at a time.
 	DefaultWorkers = 8192
-	// DefaultIdle is how long an unused connection is kept.
-	DefaultIdle = 5 * time.Minute
+	// DefaultIdleTimeout is how long an unused connection is kept.
+	DefaultIdleTimeout = 5 * time.Minute
 
-	otherWorkers = 256
-	scanEvery    = 500 * time.Millisecond
-	dialTimeout  = 2 * time.Second
+	handlerWorkers = 256
+	scanInterval   = 500 * time.Millisecond
+	dialTimeout    = 2 * time.Second
 )
 
 type (
-	// Handler serves one method. Its error reaches the peer as text only.
+	// Handler serves one method. Only the text of its error reaches the peer.
 	Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
 	// Dialer opens a connection to a peer address.
 	Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-	// Link is one daemon's end of the connections to all others. Its fields
-	// and handlers are set before Start or Serve. The zero value offers
-	// nothing and dials TCP with an empty key.
+	// Link is one daemon's endpoint of the connections to all others. Its
+	// fields and handlers are set before Start or Serve. The zero value serves
+	// no methods and dials TCP with an empty key.
 	Link struct {
-		Address  string            // own peer address, told to the others
-		Key      []byte            // shared by all daemons, never sent
-		Runner   runner.Runner     // serves relayed calls
-		OnPacket func(beat.Packet) // must return at once
-		Dial     Dialer
-		Workers  int
-		Idle     time.Duration
-		DialTime time.Duration // until a connection must be open
-		BackOff  time.Duration // longest pause between dials
-		Scope    tally.Scope
+		Address     string            // own peer address, sent to peers
+		Key         []byte            // shared by all daemons, never sent
+		Runner      runner.Runner     // serves relayed calls
+		OnPacket    func(swim.Packet) // must return at once
+		Dial        Dialer
+		Workers     int
+		IdleTimeout time.Duration
+		DialTimeout time.Duration // of the default Dial; any dial with its handshake ends after 2 s
+		BackOff     time.Duration // maximum pause between dials
+		Scope       tally.Scope
 
-		handlers map[string]Handler
-		mu       sync.Mutex
-		ctx      context.Context // ends all work; set by Start
-		calls    *ants.Pool      // relayed calls, which may take long
-		others   *ants.Pool      // all else, so that calls can't starve it
-		peers    map[string]*Peer
-		sessions map[*session]struct{}
-		closed   bool
-		scanned  time.Time
-		work     sync.WaitGroup
+		handlers    map[string]Handler
+		mu          sync.Mutex
+		ctx         context.Context // ends all work; set by Start
+		runnerPool  *ants.Pool      // requests to Runner, which may take long
+		handlerPool *ants.Pool      // methods registered with Handle, so that calls can't starve them
+		peers       map[string]*Peer
+		sessions    map[*session]struct{}
+		closed      bool
+		lastScan    time.Time
+		wg          sync.WaitGroup
 	}
 )
 
-// Handle offers a method under a name of the form area.verb.
+// Handle registers a method under a name of the form area.verb.
 func (l *Link) Handle(name string, h Handler) {
 	if l.handlers == nil {
 		l.handlers = map[string]Handler{}
@@ -93,17 +93,17 @@
 		return nil
 	}
 	l.setDefaults()
-	l.calls, err = ants.NewPool(l.Workers, ants.WithNonblocking(true))
+	l.runnerPool, err = ants.NewPool(l.Workers, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
-	l.others, err = ants.NewPool(otherWorkers, ants.WithNonblocking(true))
+	l.handlerPool, err = ants.NewPool(handlerWorkers, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
 	l.ctx = ctx
-	l.scanned = time.Now()
-	l.work.Go(func() { l.watch(ctx) })
+	l.lastScan = time.Now()
+	l.wg.Go(func() { l.monitor(ctx) })
 	return nil
 }
 
@@ -111,11 +111,11 @@
 	if l.Workers == 0 {
 		l.Workers = DefaultWorkers
 	}
-	if l.Idle == 0 {
-		l.Idle = DefaultIdle
+	if l.IdleTimeout == 0 {
+		l.IdleTimeout = DefaultIdleTimeout
 	}
-	if l.DialTime == 0 {
-		l.DialTime = dialTimeout
+	if l.DialTimeout == 0 {
+		l.DialTimeout = dialTimeout
 	}
 	if l.BackOff == 0 {
 		l.BackOff = backOffMax
@@ -124,7 +124,7 @@
 		l.Scope = tally.NoopScope
 	}
 	if l.Dial == nil {
-		d := &net.Dialer{Timeout: l.DialTime}
+		d := &net.Dialer{Timeout: l.DialTimeout}
 		l.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		}
@@ -136,7 +136,7 @@
 }
 
 // Serve accepts connections until ctx ends or the listener fails, and closes
-// the listener. It returns nil when ctx ended, after all work has.
+// the listener. When ctx ended, it returns nil after all work has ended.
 func (l *Link) Serve(ctx context.Context, ln net.Listener) (err error) {
 	defer func() { err = errors.Wrap(err, "serve link") }()
 	if err = l.Start(ctx); err != nil {
@@ -160,12 +160,12 @@
 	}
 }
 
-// Wait returns when ctx has ended and all that the Link started has ended.
+// Wait blocks until ctx and all work that the Link started have ended.
 func (l *Link) Wait() {
-	l.work.Wait()
+	l.wg.Wait()
 }
 
-// Peer returns the way to the daemon at a peer address. It dials when used.
+// Peer returns the client for the daemon at a peer address. It dials on use.
 func (l *Link) Peer(address string) *Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,14 +183,14 @@
 // accept authenticates an incoming connection and serves it.
 func (l *Link) accept(conn net.Conn) {
 	s := &session{link: l, stream: newStream(conn)}
-	address, err := s.stream.prove(l.ctx, l.Key, l.Address, accepting)
+	address, err := s.stream.handshake(l.ctx, l.Key, l.Address, accepting)
 	if err != nil {
 		l.countHandshake(err)
 		_ = conn.Close()
 		return
 	}
 	s.peer = address
-	if s.run(l.ctx) != nil {
+	if s.start(l.ctx) != nil {
 		return
 	}
 	if address != "" {
@@ -199,17 +199,17 @@
 }
 
 func (l *Link) countHandshake(err error) {
-	if errors.Is(err, ErrKey) {
+	if errors.Is(err, ErrWrongKey) {
 		l.Scope.Counter("link_wrong_key").Inc(1)
 		return
 	}
 	l.Scope.Counter("link_handshake_failed").Inc(1)
 }
 
-// watch looks after all sessions with one timer, since a timer for each would
-// wake a daemon with hundreds of idle connections for nothing.
-func (l *Link) watch(ctx context.Context) {
-	ticker := time.NewTicker(scanEvery)
+// monitor checks all sessions on one timer, since a timer for each would wake a
+// daemon with hundreds of idle connections needlessly.
+func (l *Link) monitor(ctx context.Context) {
+	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -222,20 +222,21 @@
 	}
 }
 
-// close makes sure that nothing starts after Wait may have returned.
+// close prevents new work, since nothing may start once Wait has returned.
+// Sessions end by themselves with ctx.
 func (l *Link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.calls.Release()
-	l.others.Release()
+	l.runnerPool.Release()
+	l.handlerPool.Release()
 }
 
 func (l *Link) scan(now time.Time) {
-	// After a pause of this process nothing was heard, but the connections
-	// are not to blame: what came meanwhile waits to be read.
-	paused := now.Sub(l.scanned) > 2*scanEvery
-	l.scanned = now
+	// After a pause of this process nothing was received, but the connections
+	// may be sound: data that came meanwhile is still to be read.
+	paused := now.Sub(l.lastScan) > 2*scanInterval
+	l.lastScan = now
 	l.mu.Lock()
 	all := make([]*session, 0, len(l.sessions))
 	for s := range l.sessions {
@@ -244,7 +245,7 @@
 	l.mu.Unlock()
 	for _, s := range all {
 		if paused {
-			s.stream.heard.Store(now.UnixNano())
+			s.stream.lastRead.Store(now.UnixNano())
 		}
 		s.check(now)
 	}
@@ -262,44 +263,45 @@
 	delete(l.sessions, s)
 }
 
-// enter counts a piece of work that Wait waits for; leave ends it.
-func (l *Link) enter() error {
+// beginWork registers work that Wait waits for; endWork ends it. It fails before
+// Start and after the Link has closed.
+func (l *Link) beginWork() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx == nil {
 		return errNotStarted
 	}
 	if l.closed {
-		return ErrLost
+		return ErrConnLost
 	}
-	l.work.Add(1)
+	l.wg.Add(1)
 	return nil
 }
 
-func (l *Link) leave() { l.work.Done() }
+func (l *Link) endWork() { l.wg.Done() }
 
-// submit runs f on a pool, if there is room.
+// submit runs f on a pool; it fails if the pool is full.
 func (l *Link) submit(pool *ants.Pool, f func()) error {
-	if err := l.enter(); err != nil {
+	if err := l.beginWork(); err != nil {
 		return err
 	}
 	err := pool.Submit(func() {
-		defer l.leave()
+		defer l.endWork()
 		f()
 	})
 	if err != nil {
-		l.leave()
+		l.endWork()
 	}
 	return err
 }
 
-// spawn runs f on a goroutine of its own; f ends with ctx.
+// spawn runs f on its own goroutine; f must return when its ctx ends.
 func (l *Link) spawn(f func(ctx context.Context)) error {
-	if err := l.enter(); err != nil {
+	if err := l.beginWork(); err != nil {
 		return err
 	}
 	go func() {
-		defer l.leave()
+		defer l.endWork()
 		f(l.ctx)
 	}()
 	return nil
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -13,14 +13,14 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// twenty answers a call with pieces that only this call can have.
-func twenty(_ context.Context, c call.Call, sink runner.Sink) result.Result {
+// twentyPieces answers a call with 20 pieces that contain the call's request id.
+func twentyPieces(_ context.Context, c call.Call, sink runner.Sink) result.Result {
 	var all strings.Builder
 	for i := range 20 {
 		text := fmt.Sprintf("%s/%d ", c.Request, i)
@@ -35,7 +35,7 @@
 func TestMethods(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		peer := p.a.Peer("b")
 		is.True(peer.Open(t.Context(), call.Open{Program: "p"}).OK())
@@ -70,19 +70,19 @@
 		var out string
 		is.NoErr(p.a.Peer("b").Invoke(t.Context(), "test.upper", "text", &out))
 		is.Equal(out, "TEXT")
-		var refused *Refused
-		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.upper", "", &out), &refused))
-		is.Equal(refused.Message, "empty")
-		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.other", "", &out), &refused))
+		var methodErr *MethodError
+		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.upper", "", &out), &methodErr))
+		is.Equal(methodErr.Message, "empty")
+		is.True(errors.As(p.a.Peer("b").Invoke(t.Context(), "test.other", "", &out), &methodErr))
 	})
 }
 
-// Many callers share one connection, and a program's pieces must never turn up
-// in another's answer, whatever order the answers come in.
+// Many callers share one connection. Pieces of one call must never be delivered
+// to another, however the answers interleave.
 func TestCrossedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		var all sync.WaitGroup
 		for i := range 100 {
@@ -100,14 +100,14 @@
 			})
 		}
 		all.Wait()
-		is.Equal(p.memory.dials, 1)
+		is.Equal(p.network.dials, 1)
 	})
 }
 
-// Something between two daemons forgets their connection: neither an end nor a
-// reset comes, only silence. Without a check a rider's call would hang until
-// the rider gives up.
-func TestSilentConnection(t *testing.T) {
+// A middlebox drops the state of a connection between two daemons: packets are
+// lost without FIN or RST. Without a liveness check a call would hang until its
+// caller times out.
+func TestUnresponsiveConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		begun := make(chan struct{}, 1)
@@ -116,35 +116,35 @@
 				begun <- struct{}{}
 				<-ctx.Done()
 			}
-			return twenty(ctx, c, sink)
+			return twentyPieces(ctx, c, sink)
 		}})
 		defer p.end()
 		go func() {
 			<-begun
-			p.memory.silence()
+			p.network.dropAll()
 		}()
 		start := time.Now()
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{Number: 1}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(failure.Sent)
-		is.True(errors.Is(err, ErrSilent))
+		is.True(failure.MayHaveRun)
+		is.True(errors.Is(err, ErrUnresponsive))
 		is.True(time.Since(start) <= 3*time.Second)
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK()) // over a new connection
 		is.Equal(p.count("link_silent"), int64(1))
 	})
 }
 
-// An idle connection goes silent unseen; the first call after that finds out
-// only by waiting, and must not wait for longer than any other call.
-func TestSilentWhileIdle(t *testing.T) {
+// An idle connection becomes unresponsive, which only the next call can detect.
+// It must do so as fast as any other call.
+func TestUnresponsiveWhileIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
-		elapse(time.Minute)
-		p.memory.silence()
+		sleep(time.Minute)
+		p.network.dropAll()
 		start := time.Now()
 		res := p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
 		is.Equal(res.Ran, result.Unknown)
@@ -152,23 +152,22 @@
 	})
 }
 
-// A peer that waits for its engine for long still answers heartbeats: its call
-// must not be taken for lost.
-func TestSlowAnswerIsNotSilence(t *testing.T) {
+// A peer whose engine takes long still answers pings, so the connection must not
+// be closed as unresponsive.
+func TestSlowAnswerKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, scripted{call: func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
-			elapse(time.Minute)
-			return twenty(ctx, c, sink)
+			sleep(time.Minute)
+			return twentyPieces(ctx, c, sink)
 		}})
 		defer p.end()
 		is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 	})
 }
 
-// A caller whose own network is slow takes its answer slowly. Others whose
-// answers share the connection would stall with it if nothing held back the
-// slow one alone.
+// A caller with a slow network reads its answer slowly. Without flow control per
+// call, all other answers on the connection would stall with it.
 func TestSlowSink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -176,7 +175,7 @@
 		produced := 0
 		p := newPair(t, scripted{call: func(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 			if c.Number == 0 {
-				return twenty(ctx, c, sink)
+				return twentyPieces(ctx, c, sink)
 			}
 			for range 1000 {
 				if sink(piece) != nil {
@@ -188,29 +187,29 @@
 		}})
 		defer p.end()
 		blocked := make(chan struct{})
-		taken := 0
+		received := 0
 		var slow sync.WaitGroup
 		slow.Go(func() {
 			res := p.a.Peer("b").Call(t.Context(), call.Call{Number: 1}, func(text string) error {
 				<-blocked
-				taken += len(text)
+				received += len(text)
 				return nil
 			})
 			is.True(res.OK())
 		})
 		synctest.Wait()
-		is.True(produced*len(piece) <= 2*window) // bounded, in spite of a megabyte to send
+		is.True(produced*len(piece) <= 2*window) // bounded, of a megabyte to send
 		for range 10 {
 			is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK())
 		}
 		close(blocked)
 		slow.Wait()
-		is.Equal(taken, 1000*len(piece))
+		is.Equal(received, 1000*len(piece))
 	})
 }
 
-// A caller gives up; the owner must learn it, or an engine goes on generating
-// for nobody.
+// A caller's context ends. The owner must be notified, or its engine goes on
+// generating a discarded answer.
 func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -230,7 +229,8 @@
 	})
 }
 
-// The caller's own connection breaks while its answer streams: its sink fails.
+// The caller's own connection breaks while its answer streams, so the sink fails.
+// The owner must be notified.
 func TestSinkFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -242,16 +242,16 @@
 			return result.Failed(result.CodeCancelled, result.Yes, "gone")
 		}})
 		defer p.end()
-		gone := errors.New("caller gone")
-		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, func(string) error { return gone })
-		is.True(errors.Is(err, gone))
+		sinkErr := errors.New("caller gone")
+		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, func(string) error { return sinkErr })
+		is.True(errors.Is(err, sinkErr))
 		is.True(errors.Is(<-ended, ErrCancelled))
 	})
 }
 
-// The owner dies while an answer streams. What came is no answer, and whether
-// the request ran can't be told here.
-func TestServerGone(t *testing.T) {
+// The owner stops while an answer streams. The partial answer must not count as
+// one, and whether the request ran is unknown.
+func TestServerStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, scripted{call: func(ctx context.Context, _ call.Call, sink runner.Sink) result.Result {
@@ -272,28 +272,28 @@
 		synctest.Wait()
 		start := time.Now()
 		res = p.a.Peer("b").Call(t.Context(), call.Call{}, nil)
-		is.Equal(res.Ran, result.No) // nobody listens: certainly not sent
+		is.Equal(res.Ran, result.No) // connection refused: certainly not sent
 		is.True(time.Since(start) < time.Second)
 	})
 }
 
-// A process with another key, say of another deployment, dials a daemon. It
-// must reach nothing, and the operators must see that it tries.
+// A process with another key, for example of another deployment, dials a daemon.
+// No request or packet of it may be handled, and a counter must show the attempt.
 func TestWrongKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		packets := 0
-		p := newPair(t, scripted{call: twenty})
+		p := newPair(t, scripted{call: twentyPieces})
 		defer p.end()
-		p.b.OnPacket = func(beat.Packet) { packets++ }
+		p.b.OnPacket = func(swim.Packet) { packets++ }
 		p.a.Key = []byte("other")
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(!failure.Sent)
-		is.True(errors.Is(err, ErrKey))
-		elapse(time.Minute)
-		p.a.Peer("b").Send(beat.Packet{From: "a"})
+		is.True(!failure.MayHaveRun)
+		is.True(errors.Is(err, ErrWrongKey))
+		sleep(time.Minute)
+		p.a.Peer("b").Send(swim.Packet{From: "a"})
 		synctest.Wait()
 		is.Equal(packets, 0)
 		is.True(p.count("link_wrong_key") >= 1)
@@ -329,25 +329,25 @@
 	}
 }
 
-// Packets go both ways over the one connection that either side opened.
+// Packets pass in both directions over one connection.
 func TestPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, nil)
 		defer p.end()
-		var got []beat.Packet
-		p.a.OnPacket = func(packet beat.Packet) { got = append(got, packet) }
-		p.b.OnPacket = func(packet beat.Packet) { p.b.Peer("a").Send(beat.Packet{From: "b", Ack: packet.Round}) }
-		p.a.Peer("b").Send(beat.Packet{From: "a", Round: 7})
+		var got []swim.Packet
+		p.a.OnPacket = func(packet swim.Packet) { got = append(got, packet) }
+		p.b.OnPacket = func(packet swim.Packet) { p.b.Peer("a").Send(swim.Packet{From: "b", Ack: packet.Round}) }
+		p.a.Peer("b").Send(swim.Packet{From: "a", Round: 7})
 		synctest.Wait()
 		is.Equal(len(got), 1)
 		is.Equal(got[0].Ack, uint64(7))
-		is.Equal(p.memory.dials, 1)
+		is.Equal(p.network.dials, 1)
 	})
 }
 
-// A daemon that serves all the calls it can must say so at once: a request
-// that it only kept would hang.
+// A daemon at its limit of calls must reject the next one at once: queued, it
+// would hang.
 func TestFullPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -357,7 +357,7 @@
 			return result.Result{Code: result.CodeOK}
 		}})
 		defer p.end()
-		p.b.calls.Tune(2)
+		p.b.runnerPool.Tune(2)
 		var all sync.WaitGroup
 		for range 2 {
 			all.Go(func() { is.True(p.a.Peer("b").Call(t.Context(), call.Call{}, nil).OK()) })
@@ -366,7 +366,7 @@
 		_, err := p.a.Peer("b").Try(t.Context(), call.Call{}, nil)
 		var failure *Error
 		is.True(errors.As(err, &failure))
-		is.True(!failure.Sent)
+		is.True(!failure.MayHaveRun)
 		close(release)
 		all.Wait()
 	})
--- a/internal/peer/link/memory_test.go
+++ b/internal/peer/link/network_test.go
@@ -18,11 +18,12 @@
 )
 
 type (
-	// memory is a network of pipes with faults to switch on.
-	memory struct {
+	// network is an in-memory network of pipes whose connections can be made to
+	// drop all data.
+	network struct {
 		mu        sync.Mutex
 		listeners map[string]*listener
-		conns     []*faulty
+		conns     []*dropConn
 		dials     int
 	}
 
@@ -32,22 +33,22 @@
 		conns chan net.Conn
 	}
 
-	// faulty is a connection that can go silent: what is written is swallowed
-	// and nothing more is read, without an error.
-	faulty struct {
+	// dropConn is a connection that can be made unresponsive: written data is then
+	// dropped and reads block until Close, without an error.
+	dropConn struct {
 		net.Conn
-		silent chan struct{}
+		drop   chan struct{}
 		closed chan struct{}
 		once   sync.Once
 	}
 
-	// scripted is a runner whose calls do what a test says.
+	// scripted is a runner with a call function set by the test.
 	scripted struct {
 		call func(ctx context.Context, c call.Call, sink runner.Sink) result.Result
 	}
 )
 
-func (m *memory) listen(address string) net.Listener {
+func (m *network) listen(address string) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := &listener{conns: make(chan net.Conn)}
@@ -59,7 +60,7 @@
 	return l
 }
 
-func (m *memory) dial(ctx context.Context, address string) (net.Conn, error) {
+func (m *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	m.mu.Lock()
 	l := m.listeners[address]
 	m.dials++
@@ -68,7 +69,7 @@
 		return nil, errors.New("connection refused")
 	}
 	a, b := net.Pipe()
-	f := &faulty{Conn: a, silent: make(chan struct{}), closed: make(chan struct{})}
+	f := &dropConn{Conn: a, drop: make(chan struct{}), closed: make(chan struct{})}
 	select {
 	case l.conns <- b:
 	case <-l.ctx.Done():
@@ -82,42 +83,42 @@
 	return f, nil
 }
 
-// silence makes all connections that are open now go silent.
-func (m *memory) silence() {
+// dropAll makes all open connections unresponsive.
+func (m *network) dropAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.conns {
-		close(f.silent)
+		close(f.drop)
 	}
 	m.conns = nil
 }
 
-func (f *faulty) isSilent() bool {
+func (f *dropConn) isDropping() bool {
 	select {
-	case <-f.silent:
+	case <-f.drop:
 		return true
 	default:
 		return false
 	}
 }
 
-func (f *faulty) Read(p []byte) (int, error) {
+func (f *dropConn) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
-	if !f.isSilent() {
+	if !f.isDropping() {
 		return n, err
 	}
 	<-f.closed
 	return 0, io.ErrClosedPipe
 }
 
-func (f *faulty) Write(p []byte) (int, error) {
-	if f.isSilent() {
+func (f *dropConn) Write(p []byte) (int, error) {
+	if f.isDropping() {
 		return len(p), nil
 	}
 	return f.Conn.Write(p)
 }
 
-func (f *faulty) Close() error {
+func (f *dropConn) Close() error {
 	f.once.Do(func() { close(f.closed) })
 	return f.Conn.Close()
 }
@@ -161,52 +162,52 @@
 	return hist.History{Calls: []hist.Call{{Request: request}}}, result.Result{Code: result.CodeOK}
 }
 
-// pair is two linked daemons, a and b, until the test ends.
+// pair is two linked daemons, a and b, that run until end.
 type pair struct {
-	memory memory
-	a, b   Link
-	ctx    context.Context
-	stop   context.CancelFunc
-	stopB  context.CancelFunc
-	counts tally.TestScope
-	work   sync.WaitGroup
+	network network
+	a, b    Link
+	ctx     context.Context
+	stop    context.CancelFunc
+	stopB   context.CancelFunc
+	scope   tally.TestScope
+	work    sync.WaitGroup
 }
 
 func newPair(t *testing.T, run runner.Runner) *pair {
 	t.Helper()
-	p := &pair{counts: tally.NewTestScope("", nil)}
+	p := &pair{scope: tally.NewTestScope("", nil)}
 	p.ctx, p.stop = context.WithCancel(t.Context())
 	var ctxB context.Context
 	ctxB, p.stopB = context.WithCancel(p.ctx)
-	p.a = Link{Address: "a", Key: []byte("key"), Dial: p.memory.dial, Scope: p.counts}
-	p.b = Link{Address: "b", Key: []byte("key"), Dial: p.memory.dial, Scope: p.counts, Runner: run}
+	p.a = Link{Address: "a", Key: []byte("key"), Dial: p.network.dial, Scope: p.scope}
+	p.b = Link{Address: "b", Key: []byte("key"), Dial: p.network.dial, Scope: p.scope, Runner: run}
 	p.serve(p.ctx, &p.a, "a")
 	p.serve(ctxB, &p.b, "b")
 	return p
 }
 
 func (p *pair) serve(ctx context.Context, l *Link, address string) {
-	ln := p.memory.listen(address)
+	ln := p.network.listen(address)
 	_ = l.Start(ctx)
 	p.work.Go(func() { _ = l.Serve(ctx, ln) })
 }
 
-// end ends all work and returns when none is left. The bubble that a test runs
-// in fails it if any goroutine stays behind after that.
+// end stops all work and waits for it. The synctest bubble fails the test if
+// any goroutine is left after that.
 func (p *pair) end() {
 	p.stop()
 	p.work.Wait()
 }
 
 func (p *pair) count(name string) int64 {
-	c := p.counts.Snapshot().Counters()[name+"+"]
+	c := p.scope.Snapshot().Counters()[name+"+"]
 	if c == nil {
 		return 0
 	}
 	return c.Value()
 }
 
-// elapse lets d pass on the test's own clock.
-func elapse(d time.Duration) {
+// sleep advances the test's fake clock by d.
+func sleep(d time.Duration) {
 	<-time.After(d)
 }
--- a/internal/peer/link/peer.go
+++ b/internal/peer/link/peer.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -19,47 +19,47 @@
 const (
 	backOffFirst = 50 * time.Millisecond
 	backOffMax   = 2 * time.Second
-	retryAfter   = time.Second // told to callers whose owner was not reached
+	retryAfter   = time.Second // sent to callers whose request failed on the link
 )
 
-// Peer is the way to one other daemon. It is a runner.Runner that runs there;
-// a failure of the link is told as a result. Try tells it as an *Error.
+// Peer is the client for one other daemon. As a runner.Runner it runs programs at
+// that daemon and returns link failures as results; Try returns them as an *Error.
 type Peer struct {
 	link    *Link
 	address string
 
-	mu      sync.Mutex
-	session *session
-	dialing chan struct{} // closed when the dial under way ends
-	wait    time.Duration // back-off after the last failure
-	next    time.Time     // no dial before
-	failure error
+	mu       sync.Mutex
+	session  *session
+	dialing  chan struct{} // closed when the running dial ends; nil if there is none
+	backOff  time.Duration // after the last failure
+	nextDial time.Time     // no dial before this time
+	dialErr  error
 }
 
 var _ runner.Runner = (*Peer)(nil)
 
-// Open opens a program there.
+// Open opens a program at the peer.
 func (p *Peer) Open(ctx context.Context, o call.Open) result.Result {
-	return p.ask(ctx, methodOpen, request{Open: &o})
+	return p.callRunner(ctx, methodOpen, request{Open: &o})
 }
 
-// Call runs a call there. A failure of the link after the request was sent
-// gives outcome_unknown, although repeating the call would join it: see Try.
+// Call runs a call at the peer. A link failure after the request was sent gives
+// outcome_unknown; a caller that wants to repeat the call instead uses Try.
 func (p *Peer) Call(ctx context.Context, c call.Call, sink runner.Sink) result.Result {
 	r, err := p.Try(ctx, c, sink)
 	if err != nil {
-		return failed(err)
+		return failureResult(err)
 	}
 	return r
 }
 
-// Try is like Call, but gives a failure of the link as an *Error. The owner
-// joins calls by their number, so the same call may then be tried again,
-// through the same or a new owner, whether or not it was sent; text given to
-// sink comes again then, from the start.
+// Try is like Call, but returns a link failure as an *Error. The owner
+// deduplicates calls by their number, so the same call may then be repeated
+// at the same or a new owner, whether or not it may have run; its sink gets the
+// text again from the start.
 func (p *Peer) Try(ctx context.Context, c call.Call, sink runner.Sink) (result.Result, error) {
 	var out response
-	body, err := p.exchange(ctx, methodCall, packCall(c), sink, &out)
+	body, err := p.exchange(ctx, methodCall, newCallRequest(c), sink, &out)
 	if err != nil {
 		return result.Result{}, err
 	}
@@ -67,23 +67,23 @@
 	return out.Result, nil
 }
 
-// End ends a program there.
+// End ends a program at the peer.
 func (p *Peer) End(ctx context.Context, e call.End) result.Result {
-	return p.ask(ctx, methodEnd, request{End: &e})
+	return p.callRunner(ctx, methodEnd, request{End: &e})
 }
 
-// History returns a program's history from there.
+// History returns a program's history from the peer.
 func (p *Peer) History(ctx context.Context, account, program string) (hist.History, result.Result) {
 	return p.query(ctx, methodHistory, query{Account: account, Name: program})
 }
 
-// Request returns what became of one request from there.
+// Request returns the outcome of one request from the peer.
 func (p *Peer) Request(ctx context.Context, account, name string) (hist.History, result.Result) {
 	return p.query(ctx, methodRequest, query{Account: account, Name: name})
 }
 
-// Invoke calls a method that the peer offers by Handle. The error is a
-// *Refused if the method itself failed, an *Error if the link did.
+// Invoke calls a method that the peer registered with Handle. The error is a
+// *MethodError if the method itself failed, an *Error if the link did.
 func (p *Peer) Invoke(ctx context.Context, name string, params, out any) (err error) {
 	defer func() { err = errors.Wrapf(err, "invoke %s", name) }()
 	r := request{Name: name}
@@ -92,8 +92,8 @@
 	} else if r.Value, err = json.Marshal(params); err != nil {
 		return err
 	}
-	// The answer may still come in when ctx has ended and out is the caller's
-	// own again.
+	// The response may still be decoded after ctx has ended and Invoke has
+	// returned, so it must not be decoded into out.
 	var raw json.RawMessage
 	body, err := p.exchange(ctx, methodInvoke, r, nil, &raw)
 	if err != nil || out == nil {
@@ -106,11 +106,11 @@
 	return json.Unmarshal(raw, out)
 }
 
-// Send sends a packet if that can be done without waiting; else it is lost, or
-// sent after a dial.
-func (p *Peer) Send(packet beat.Packet) {
+// Send queues a packet without blocking. Without a connection it dials in the
+// background first. The packet is dropped if the dial fails or too many wait.
+func (p *Peer) Send(packet swim.Packet) {
 	p.mu.Lock()
-	s := p.live()
+	s := p.liveSession()
 	p.mu.Unlock()
 	if s != nil {
 		s.packet(packet)
@@ -123,11 +123,11 @@
 	})
 }
 
-func (p *Peer) ask(ctx context.Context, method string, r request) result.Result {
+func (p *Peer) callRunner(ctx context.Context, method string, r request) result.Result {
 	var out response
 	body, err := p.exchange(ctx, method, r, nil, &out)
 	if err != nil {
-		return failed(err)
+		return failureResult(err)
 	}
 	out.Result.Body = body
 	return out.Result
@@ -137,7 +137,7 @@
 	var out response
 	body, err := p.exchange(ctx, method, request{Query: &q}, nil, &out)
 	if err != nil {
-		return hist.History{}, failed(err)
+		return hist.History{}, failureResult(err)
 	}
 	out.Result.Body = body
 	if out.History == nil {
@@ -146,12 +146,13 @@
 	return *out.History, out.Result
 }
 
-// failed tells a failure of the link as an outcome. Nothing but a request
-// that certainly was not sent may be told as not run.
-func failed(err error) result.Result {
+// failureResult maps an error of an exchange to a result. Only a request that was
+// not sent, or that the peer rejected before running it, may be reported as not
+// run.
+func failureResult(err error) result.Result {
 	var e *Error
 	switch {
-	case errors.As(err, &e) && !e.Sent:
+	case errors.As(err, &e) && !e.MayHaveRun:
 		return result.Refuse(result.CodeNotOwner, "%v", err).WithRetryAfter(retryAfter)
 	case errors.Is(err, context.DeadlineExceeded):
 		return result.Failed(result.CodeTimeout, result.Unknown, "%v", err)
@@ -169,30 +170,30 @@
 	return s.exchange(ctx, method, r, sink, out)
 }
 
-// live returns the session if it can be used.
-func (p *Peer) live() *session {
+// liveSession returns the session, nil if there is none or it has ended.
+func (p *Peer) liveSession() *session {
 	if p.session == nil || p.session.ended() {
 		return nil
 	}
 	return p.session
 }
 
-// adopt takes a connection that the other side opened.
+// adopt uses a session that the other side opened, unless there is a live one.
 func (p *Peer) adopt(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wait = 0
-	p.next = time.Time{}
-	if p.live() == nil {
+	p.backOff = 0
+	p.nextDial = time.Time{}
+	if p.liveSession() == nil {
 		p.session = s
 	}
 }
 
-// connect returns a live session. Callers that come meanwhile share one dial.
+// connect returns a live session. Concurrent callers share one dial.
 func (p *Peer) connect(ctx context.Context) (*session, error) {
 	for {
 		p.mu.Lock()
-		if s := p.live(); s != nil {
+		if s := p.liveSession(); s != nil {
 			p.mu.Unlock()
 			return s, nil
 		}
@@ -213,16 +214,16 @@
 	}
 }
 
-// startDial dials in the background, unless the last failure is too recent:
-// then callers get that failure at once, so that they can go elsewhere.
+// startDial dials in the background. During the back-off after a failure it
+// returns that failure at once, so that callers can try another daemon.
 func (p *Peer) startDial() (chan struct{}, error) {
-	if time.Now().Before(p.next) {
-		return nil, errors.Wrap(p.failure, "not dialled again yet")
+	if time.Now().Before(p.nextDial) {
+		return nil, errors.Wrap(p.dialErr, "not dialled again yet")
 	}
 	done := make(chan struct{})
 	err := p.link.spawn(func(ctx context.Context) {
 		s, err := p.dial(ctx)
-		p.dialled(s, err)
+		p.dialDone(s, err)
 		close(done)
 	})
 	if err != nil {
@@ -232,20 +233,20 @@
 	return done, nil
 }
 
-func (p *Peer) dialled(s *session, err error) {
+func (p *Peer) dialDone(s *session, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialing = nil
 	if err == nil {
 		p.session = s
-		p.wait = 0
-		p.next = time.Time{}
+		p.backOff = 0
+		p.nextDial = time.Time{}
 		return
 	}
-	p.failure = err
-	p.wait = min(max(2*p.wait, backOffFirst), p.link.BackOff)
-	// The jitter keeps daemons apart that lost the same peer together.
-	p.next = time.Now().Add(p.wait/2 + rand.N(p.wait/2))
+	p.dialErr = err
+	p.backOff = min(max(2*p.backOff, backOffFirst), p.link.BackOff)
+	// Jitter spreads the dials of daemons that lost the same peer together.
+	p.nextDial = time.Now().Add(p.backOff/2 + rand.N(p.backOff/2))
 }
 
 func (p *Peer) dial(ctx context.Context) (*session, error) {
@@ -256,10 +257,10 @@
 		return nil, err
 	}
 	s := &session{link: p.link, peer: p.address, stream: newStream(conn), dialled: true}
-	if _, err := s.stream.prove(limited, p.link.Key, p.link.Address, dialling); err != nil {
+	if _, err := s.stream.handshake(limited, p.link.Key, p.link.Address, dialling); err != nil {
 		p.link.countHandshake(err)
 		_ = conn.Close()
 		return nil, err
 	}
-	return s, s.run(ctx)
+	return s, s.start(ctx)
 }
--- a/internal/peer/link/session.go
+++ b/internal/peer/link/session.go
@@ -9,21 +9,21 @@
 
 	"github.com/sourcegraph/jsonrpc2"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
-	// A side that waits for an answer asks for a sign of life after this long
-	// and gives up after the other: with scanEvery that is within 3 s.
-	askAfter  = time.Second
+	// A side that waits for a response pings after pingAfter without data and
+	// closes the connection after deadAfter. With scanInterval that is within 3 s.
+	pingAfter = time.Second
 	deadAfter = 2500 * time.Millisecond
-	// A side that only serves loses no more than wasted work when it notices
-	// late, so it spends fewer bytes.
-	serverAskAfter  = 5 * time.Second
+	// For a side that only serves, late detection costs no more than wasted
+	// work, so it pings less often.
+	serverPingAfter = 5 * time.Second
 	serverDeadAfter = 10 * time.Second
 
-	outbox     = 64 << 10 // small messages waiting for a connection
-	packetRoom = 256      // of them, how many may wait before packets are dropped
+	maxQueued        = 64 << 10 // messages in outQueue
+	maxQueuedPackets = 256      // messages in outQueue from which on packets are dropped
 
 	methodPing   = "link.ping"
 	methodPong   = "link.pong"
@@ -33,28 +33,29 @@
 )
 
 type (
-	// session is one authenticated connection. Both sides may call over it.
+	// session is one authenticated connection. Both sides may send requests.
 	session struct {
 		link   *Link
 		peer   string
 		stream *stream
 		rpc    *jsonrpc2.Conn
-		ready  chan struct{} // closed once rpc is set, which reads before that
+		ready  chan struct{} // closed once rpc is set; its reader starts before that
 
-		asked    atomic.Int64 // Unix time of the first send since something was heard
-		pinged   atomic.Int64
-		used     atomic.Int64
-		awaiting atomic.Int64 // calls made that wait for an answer
-		serving  atomic.Int64 // calls served
-		dialled  bool
+		// Times are in nanoseconds of Unix time.
+		awaitingSince atomic.Int64 // first request or packet sent since data was last read
+		lastPing      atomic.Int64
+		lastUsed      atomic.Int64
+		awaiting      atomic.Int64 // number of requests sent that wait for a response
+		serving       atomic.Int64 // number of requests being served
+		dialled       bool
 
-		mu      sync.Mutex
-		next    uint64
-		answers map[uint64]*answer // of calls made
-		served  map[uint64]*serve  // of calls served
-		out     []outgoing
-		posted  chan struct{} // holds one signal that out grew
-		cause   error         // why the session ended
+		mu        sync.Mutex
+		lastID    uint64                     // of the requests this side sent
+		pending   map[uint64]*pendingRequest // requests sent, by id
+		served    map[uint64]*servedRequest  // requests being served, by id
+		outQueue  []outgoing
+		outSignal chan struct{} // holds one signal that outQueue grew
+		cause     error         // why the session ended
 	}
 
 	// outgoing is a notification, or a response if reply is set.
@@ -64,9 +65,8 @@
 		reply  *jsonrpc2.Response
 	}
 
-	// A message about a call names it by the id of its JSON-RPC request.
-	//
-	// credit lets the server send so many more bytes of an answer.
+	// credit allows the peer to send that many more bytes of an answer. Its ID and
+	// that of cancel are the id of the JSON-RPC request.
 	credit struct {
 		ID    uint64 `json:"id"`
 		Bytes int    `json:"bytes"`
@@ -76,53 +76,53 @@
 		ID uint64 `json:"id"`
 	}
 
-	silent struct{}
+	nopLogger struct{}
 )
 
-// Printf drops the library's log lines: what ends a session is counted.
-func (silent) Printf(string, ...any) {}
+// Printf drops the library's log lines; unresponsive sessions are counted instead.
+func (nopLogger) Printf(string, ...any) {}
 
-// run starts the session; it ends with ctx or its connection.
-func (s *session) run(ctx context.Context) error {
+// start starts the session, which ends with ctx or its connection.
+func (s *session) start(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		_ = s.stream.Close()
 		return err
 	}
-	s.posted = make(chan struct{}, 1)
-	s.answers = map[uint64]*answer{}
-	s.served = map[uint64]*serve{}
-	s.used.Store(time.Now().UnixNano())
-	s.stream.onPiece = s.takePiece
+	s.outSignal = make(chan struct{}, 1)
+	s.pending = map[uint64]*pendingRequest{}
+	s.served = map[uint64]*servedRequest{}
+	s.lastUsed.Store(time.Now().UnixNano())
+	s.stream.onPiece = s.handlePiece
 	s.ready = make(chan struct{})
 	defer close(s.ready)
-	s.rpc = jsonrpc2.NewConn(ctx, s.stream, s, jsonrpc2.SetLogger(silent{}), jsonrpc2.OnSend(s.sending), jsonrpc2.OnRecv(s.received))
+	s.rpc = jsonrpc2.NewConn(ctx, s.stream, s, jsonrpc2.SetLogger(nopLogger{}), jsonrpc2.OnSend(s.onSend), jsonrpc2.OnRecv(s.onReceive))
 	s.link.add(s)
-	s.link.work.Go(func() { s.send(ctx) })
+	s.link.wg.Go(func() { s.send(ctx) })
 	return nil
 }
 
-// send writes what must not block its sender, and cleans up at the end.
+// send writes the messages of outQueue until the connection ends.
 func (s *session) send(ctx context.Context) {
-	gone := s.rpc.DisconnectNotify()
+	disconnected := s.rpc.DisconnectNotify()
 	for {
 		select {
-		case <-s.posted:
-			for _, m := range s.takeOut() {
+		case <-s.outSignal:
+			for _, m := range s.drainQueue() {
 				s.write(ctx, m)
 			}
-		case <-gone:
-			s.end()
+		case <-disconnected:
+			s.cleanUp()
 			return
 		}
 	}
 }
 
-func (s *session) takeOut() []outgoing {
+func (s *session) drainQueue() []outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.out
-	s.out = nil
-	return out
+	outQueue := s.outQueue
+	s.outQueue = nil
+	return outQueue
 }
 
 func (s *session) write(ctx context.Context, m outgoing) {
@@ -133,24 +133,24 @@
 	_ = s.rpc.Notify(ctx, m.method, m.params)
 }
 
-func (s *session) end() {
+func (s *session) cleanUp() {
 	s.link.remove(s)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.served {
-		v.cancel(ErrLost)
+		v.cancel(ErrConnLost)
 	}
 }
 
-// close ends the session for a reason that its calls are told.
+// close ends the session; its outstanding requests fail with cause.
 func (s *session) close(cause error) {
 	s.mu.Lock()
 	if s.cause == nil {
 		s.cause = cause
 	}
 	s.mu.Unlock()
-	// The connection goes first: closing the RPC connection waits for nothing,
-	// but a writer that is stuck in the connection would stay there.
+	// The network connection is closed first, to unblock a writer that is stuck
+	// in it; closing the RPC connection would not.
 	_ = s.stream.Close()
 	_ = s.rpc.Close()
 }
@@ -171,75 +171,76 @@
 	if s.cause != nil {
 		return s.cause
 	}
-	return ErrLost
+	return ErrConnLost
 }
 
-// expect notes that an answer is due from now on.
-func (s *session) expect() {
+// noteSend records that a request or packet is sent, so that data from the peer is
+// expected.
+func (s *session) noteSend() {
 	now := time.Now().UnixNano()
-	s.used.Store(now)
-	if asked := s.asked.Load(); asked <= s.stream.heard.Load() {
-		s.asked.CompareAndSwap(asked, now)
+	s.lastUsed.Store(now)
+	if awaitingSince := s.awaitingSince.Load(); awaitingSince <= s.stream.lastRead.Load() {
+		s.awaitingSince.CompareAndSwap(awaitingSince, now)
 	}
 }
 
-// sending runs right before each write, one at a time. It attaches what
-// belongs to the message, and notes that the write of a call begins: from then
-// on the peer may have it. The library's own errors don't tell this.
-func (s *session) sending(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
-	s.stream.attach = nil
+// onSend runs right before each write, one at a time. It sets the message's
+// attachment and marks a request as sent: from then on the peer may have it. The
+// library's errors don't reveal that.
+func (s *session) onSend(r *jsonrpc2.Request, reply *jsonrpc2.Response) {
+	s.stream.nextAttachment = nil
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case reply != nil:
 		if v := s.served[reply.ID.Num]; v != nil {
-			s.stream.attach = v.body
+			s.stream.nextAttachment = v.attachment
 		}
 	case !r.Notif:
-		if a := s.answers[r.ID.Num]; a != nil {
-			a.sent = true
-			s.stream.attach = a.body
+		if c := s.pending[r.ID.Num]; c != nil {
+			c.sent = true
+			s.stream.nextAttachment = c.attachment
 		}
 	}
 }
 
-// received runs in the reader before the caller of an answered call goes on.
-func (s *session) received(_ *jsonrpc2.Request, reply *jsonrpc2.Response) {
+// onReceive runs in the reader before a response is passed to its waiting request.
+func (s *session) onReceive(_ *jsonrpc2.Request, reply *jsonrpc2.Response) {
 	if reply == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.answers[reply.ID.Num]; a != nil {
-		a.reply = s.stream.attached
+	if c := s.pending[reply.ID.Num]; c != nil {
+		c.reply = s.stream.lastAttachment
 	}
 }
 
-// post queues a small message without blocking. Where it doesn't fit, the
-// connection has taken nothing for long, and is given up.
-func (s *session) post(m outgoing) {
+// enqueue queues a message without blocking. If the queue is full, the peer has
+// accepted no data for long, and the session is closed.
+func (s *session) enqueue(m outgoing) {
 	s.mu.Lock()
-	s.out = append(s.out, m)
-	full := len(s.out) > outbox
+	s.outQueue = append(s.outQueue, m)
+	full := len(s.outQueue) > maxQueued
 	s.mu.Unlock()
 	if full {
-		s.close(ErrSilent)
+		s.close(ErrUnresponsive)
 		return
 	}
 	select {
-	case s.posted <- struct{}{}:
+	case s.outSignal <- struct{}{}:
 	default:
 	}
 }
 
-func (s *session) waitingOut() int {
+func (s *session) queueLen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.out)
+	return len(s.outQueue)
 }
 
-func (s *session) packet(p beat.Packet) {
-	if s.waitingOut() >= packetRoom {
+func (s *session) packet(p swim.Packet) {
+	if s.queueLen() >= maxQueuedPackets {
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
@@ -248,52 +249,52 @@
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
-	s.expect()
-	s.post(outgoing{method: methodPacket, params: data})
+	s.noteSend()
+	s.enqueue(outgoing{method: methodPacket, params: data})
 }
 
-// check asks for a sign of life where one is due, gives up a silent session
-// and closes an idle one.
+// check pings if the peer is expected to send data or has a request served here,
+// and closes the session if it is unresponsive or has been unused for IdleTimeout.
 func (s *session) check(now time.Time) {
-	heard, asked := s.stream.heard.Load(), s.asked.Load()
-	quiet := now.Sub(time.Unix(0, max(heard, asked)))
+	lastRead, awaitingSince := s.stream.lastRead.Load(), s.awaitingSince.Load()
+	sinceRead := now.Sub(time.Unix(0, max(lastRead, awaitingSince)))
 	switch {
-	case s.awaiting.Load() > 0 || asked > heard:
-		s.checkQuiet(now, quiet, askAfter, deadAfter)
+	case s.awaiting.Load() > 0 || awaitingSince > lastRead:
+		s.checkLiveness(now, sinceRead, pingAfter, deadAfter)
 	case s.serving.Load() > 0:
-		s.checkQuiet(now, quiet, serverAskAfter, serverDeadAfter)
+		s.checkLiveness(now, sinceRead, serverPingAfter, serverDeadAfter)
 	default:
 		s.checkIdle(now)
 	}
 }
 
-func (s *session) checkQuiet(now time.Time, quiet, ask, dead time.Duration) {
-	if quiet >= dead {
+func (s *session) checkLiveness(now time.Time, sinceRead, pingAfter, deadAfter time.Duration) {
+	if sinceRead >= deadAfter {
 		s.link.Scope.Counter("link_silent").Inc(1)
-		s.close(ErrSilent)
+		s.close(ErrUnresponsive)
 		return
 	}
-	if quiet >= ask && now.Sub(time.Unix(0, s.pinged.Load())) >= ask {
-		s.pinged.Store(now.UnixNano())
-		s.post(outgoing{method: methodPing})
+	if sinceRead >= pingAfter && now.Sub(time.Unix(0, s.lastPing.Load())) >= pingAfter {
+		s.lastPing.Store(now.UnixNano())
+		s.enqueue(outgoing{method: methodPing})
 	}
 }
 
-// checkIdle closes an unused session. The side that dialled does so first, so
-// that rarely a call meets the close under way.
+// checkIdle closes an unused session. The accepting side waits twice as long as
+// the dialling side, so that a call rarely races with a close.
 func (s *session) checkIdle(now time.Time) {
-	limit := s.link.Idle
+	limit := s.link.IdleTimeout
 	if !s.dialled {
 		limit *= 2
 	}
-	last := max(s.used.Load(), s.stream.heard.Load())
+	last := max(s.lastUsed.Load(), s.stream.lastRead.Load())
 	if now.Sub(time.Unix(0, last)) >= limit {
-		s.close(errIdle)
+		s.close(errIdleClosed)
 	}
 }
 
-// Handle takes the peer's messages in their order; it must not block, since
-// signs of life come the same way.
+// Handle receives the peer's messages in order. It must not block, since pings
+// and pongs pass through it too.
 func (s *session) Handle(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	<-s.ready
 	var params json.RawMessage
@@ -302,22 +303,22 @@
 	}
 	switch r.Method {
 	case methodPing:
-		s.post(outgoing{method: methodPong})
+		s.enqueue(outgoing{method: methodPong})
 	case methodPong:
 	case methodPacket:
-		s.takePacket(params)
+		s.handlePacket(params)
 	case methodCredit:
-		s.takeCredit(params)
+		s.handleCredit(params)
 	case methodCancel:
-		s.takeCancel(params)
+		s.handleCancel(params)
 	default:
 		s.serve(r, params)
 	}
 }
 
-func (s *session) takePacket(params json.RawMessage) {
+func (s *session) handlePacket(params json.RawMessage) {
 	var data []byte
-	var p beat.Packet
+	var p swim.Packet
 	err := json.Unmarshal(params, &data)
 	if err == nil {
 		err = p.UnmarshalBinary(data)
@@ -326,42 +327,42 @@
 		s.link.Scope.Counter("link_packets_dropped").Inc(1)
 		return
 	}
-	s.used.Store(time.Now().UnixNano())
+	s.lastUsed.Store(time.Now().UnixNano())
 	s.link.OnPacket(p)
 }
 
-func (s *session) takePiece(id uint64, text []byte) {
+func (s *session) handlePiece(id uint64, text []byte) {
 	s.mu.Lock()
-	a := s.answers[id]
+	c := s.pending[id]
 	s.mu.Unlock()
-	if a != nil {
-		a.put(string(text))
+	if c != nil {
+		c.push(string(text))
 	}
 }
 
-func (s *session) takeCredit(params json.RawMessage) {
+func (s *session) handleCredit(params json.RawMessage) {
 	var c credit
 	if json.Unmarshal(params, &c) != nil {
 		return
 	}
-	if v := s.servedCall(c.ID); v != nil {
-		v.grant(c.Bytes)
+	if v := s.findServed(c.ID); v != nil {
+		v.addCredit(c.Bytes)
 	}
 }
 
-// servedCall is the call of that number which is served here, nil if it has ended.
-func (s *session) servedCall(id uint64) *serve {
+// findServed returns the request being served under that id, nil if it has ended.
+func (s *session) findServed(id uint64) *servedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.served[id]
 }
 
-func (s *session) takeCancel(params json.RawMessage) {
+func (s *session) handleCancel(params json.RawMessage) {
 	var c cancel
 	if json.Unmarshal(params, &c) != nil {
 		return
 	}
-	if v := s.servedCall(c.ID); v != nil {
+	if v := s.findServed(c.ID); v != nil {
 		v.cancel(ErrCancelled)
 	}
 }
--- a/internal/peer/beat/fault_test.go
+++ b/internal/peer/swim/fault_test.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"flag"
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// outside returns the state that each of the others gives to a daemon.
-func (f *fleet) outside(i int) (states []State) {
+// statesOf returns the states of daemon i as the other live daemons see it.
+func (f *fleet) statesOf(i int) (states []State) {
 	for k, n := range f.nodes {
 		if k == i || n.dead {
 			continue
 		}
-		for _, m := range n.beat.Members() {
+		for _, m := range n.membership.Members() {
 			if m.Name == f.nodes[i].member.Name {
 				states = append(states, m.State)
 			}
@@ -25,7 +25,7 @@
 	return states
 }
 
-func all(states []State, s State) bool {
+func allInState(states []State, s State) bool {
 	for _, each := range states {
 		if each != s {
 			return false
@@ -34,8 +34,8 @@
 	return len(states) > 0
 }
 
-// Packets get lost on busy days. If that made daemons take each other for
-// dead, owners would be asked to give up shards that they serve well.
+// Under load some packets are lost. If daemons then considered live ones down,
+// owners would be asked to release shards that they still serve.
 func TestLoss(t *testing.T) {
 	tests := map[string]struct {
 		n    int
@@ -50,7 +50,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, test.n, 3)
+			f := convergedFleet(t, test.n, 3)
 			f.loss = test.loss
 			f.run(5 * time.Minute)
 			is.Equal(f.falseDown, 0)
@@ -61,53 +61,53 @@
 	}
 }
 
-// A switch passes packets one way only. The two ends can't hear each other,
-// but both live and everybody else hears them.
+// A link passes packets between two daemons in one direction only. Both are
+// alive and reachable by all others, so neither may be considered down.
 func TestOneWayCut(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 4)
+	f := convergedFleet(t, 8, 4)
 	f.cut = func(from, to *node) bool { return from == f.nodes[2] && to == f.nodes[5] }
 	f.run(5 * time.Minute)
 	is.Equal(f.falseDown, 0)
 }
 
-// A daemon can send but hears nothing. It must be held for down, since no
-// answer could reach it, and must not talk the others into suspecting each
-// other.
-func TestDeaf(t *testing.T) {
+// A daemon can send but receives nothing. It must be considered down, since no
+// response could reach it, and its claims must not make the others consider
+// each other down.
+func TestInboundLoss(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 5)
+	f := convergedFleet(t, 8, 5)
 	f.cut = func(_, to *node) bool { return to == f.nodes[3] }
-	f.ignored = f.nodes[3]
+	f.uncounted = f.nodes[3]
 	f.run(5 * time.Minute)
-	is.True(all(f.outside(3), Down))
+	is.True(allInState(f.statesOf(3), Down))
 	for i := range f.nodes {
 		if i != 3 {
-			is.True(!f.knowsDown(f.nodes[i].member.Name))
+			is.True(!f.allConsiderDown(f.nodes[i].member.Name))
 		}
 	}
-	is.Equal(f.falseDown, 7) // of the deaf one only, once by each
+	is.Equal(f.falseDown, 7) // of that daemon only, once by each other
 	f.cut = nil
 	took := f.until(time.Minute, f.agree)
 	is.True(f.agree())
-	t.Logf("all agree %v after it hears again", took)
+	t.Logf("views converged %v after it receives again", took)
 }
 
-// Two regions lose each other for minutes and each takes the other for down.
-// When they meet again, neither may talk the other into holding its own
-// neighbours for down, and all must be found again without anybody's help.
+// Two regions are partitioned for minutes and each considers the other down. When
+// the network heals, claims from one side must not make the other consider its own
+// members down, and all views must converge without intervention.
 func TestPartition(t *testing.T) {
 	for _, n := range []int{4, 8, 20, 80} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, n, 6)
+			f := convergedFleet(t, n, 6)
 			side := map[*node]bool{}
 			for i, node := range f.nodes {
 				side[node] = i < n/2
 			}
 			f.cut = func(from, to *node) bool { return side[from] != side[to] }
 			f.run(4 * time.Minute)
-			for _, m := range f.nodes[0].beat.Members() {
+			for _, m := range f.nodes[0].membership.Members() {
 				is.Equal(m.State == Down, !side[f.byPeer[m.Peer]])
 			}
 			f.configure(f.nodes[n-1], 2) // applied on one side
@@ -117,20 +117,19 @@
 			took := f.until(2*time.Minute, f.agree)
 			is.True(f.agree())
 			is.Equal(f.falseDown, 0)
-			t.Logf("all agree %v after the regions meet", took)
+			t.Logf("views converged %v after the partition healed", took)
 		})
 	}
 }
 
-// A process is paused for a minute and finds itself declared down. It must not
-// hold the others for dead because it did not hear them, and must be taken
-// back.
+// A process is paused for a minute and meanwhile considered down. It must not
+// suspect the others because of packets that it could not read, and must rejoin.
 func TestPause(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 20, 7)
+	f := convergedFleet(t, 20, 7)
 	f.nodes[4].paused = true
 	f.run(time.Minute)
-	is.True(all(f.outside(4), Down))
+	is.True(allInState(f.statesOf(4), Down))
 	f.falseDown = 0
 	f.suspected = 0
 	f.wake(f.nodes[4])
@@ -138,11 +137,11 @@
 	is.True(f.agree())
 	is.Equal(f.falseDown, 0)
 	is.Equal(f.suspected, 0)
-	t.Logf("all agree %v after it wakes", took)
+	t.Logf("views converged %v after it resumed", took)
 }
 
-// A daemon restarts within seconds, before anybody missed it. Its old words
-// must not hold: it owns nothing any more.
+// A daemon restarts, also before any other suspected it. Its entry from before
+// the restart must be replaced: it owns no shards any more.
 func TestRestart(t *testing.T) {
 	tests := map[string]time.Duration{
 		"at once":       0,
@@ -151,34 +150,35 @@
 	for name, pause := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, 20, 8)
+			f := convergedFleet(t, 20, 8)
 			f.nodes[5].dead = true
 			f.run(pause)
 			n := f.start(5, 1)
 			n.member.Shards = nil
-			f.step(n, Self{Member: n.member, Seeds: n.beat.seeds})
+			f.step(n, Self{Member: n.member, Seeds: n.membership.seeds})
 			took := f.until(time.Minute, f.agree)
 			is.True(f.agree())
-			for _, m := range f.nodes[9].beat.Members() {
+			for _, m := range f.nodes[9].membership.Members() {
 				if m.Name == n.member.Name {
 					is.Equal(len(m.Shards), 0)
 				}
 			}
-			t.Logf("all know of the restart after %v", took)
+			t.Logf("views include the restart after %v", took)
 		})
 	}
 }
 
-// A VM comes back with a clock that is behind. The others hold its words for
-// old ones, and would go on sending callers to what it was before.
-func TestRestartWithSlowClock(t *testing.T) {
+// A VM restarts with a clock that is behind, so its incarnation is lower than
+// before. The others would ignore its entry as outdated and keep routing calls
+// by the old one.
+func TestRestartWithClockBehind(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 9)
+	f := convergedFleet(t, 8, 9)
 	old := f.nodes[5].member
 	f.nodes[5].dead = true
 	f.run(time.Minute)
 	n := f.start(5, 1)
-	n.beat = Beat{}
+	n.membership = Membership{}
 	n.member.Incarnation = old.Incarnation - uint64(time.Hour)
 	n.member.Shards = nil
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401)}})
@@ -186,28 +186,28 @@
 	is.True(f.agree())
 }
 
-// A VM is replaced and the new one gets its address, but another name. The new
-// one answers for the old one, which would otherwise never be missed.
+// A VM is replaced by one with the same address and another name. The new one
+// answers probes meant for the old one, which would never be considered down.
 func TestReplacedAtSameAddress(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 8, 10)
+	f := convergedFleet(t, 8, 10)
 	old := f.nodes[5].member.Name
 	f.nodes[5].dead = true
-	n := &node{member: f.nodes[5].member, held: map[string]State{}}
+	n := &node{member: f.nodes[5].member, seen: map[string]State{}}
 	n.member.Name = "vm900"
 	n.member.Incarnation = uint64(f.now.UnixNano())
 	f.nodes = append(f.nodes, n)
 	f.byPeer[n.member.Peer] = n
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401)}})
-	f.after(0, n, Tick{})
-	took := f.until(time.Minute, func() bool { return f.knowsDown(old) && f.agree() })
-	is.True(f.knowsDown(old))
+	f.schedule(0, n, Tick{})
+	took := f.until(time.Minute, func() bool { return f.allConsiderDown(old) && f.agree() })
+	is.True(f.allConsiderDown(old))
 	is.True(f.agree())
 	is.True(took < 15*time.Second)
 }
 
-// Ten VMs are replaced by one rollout, or a rack of sixteen loses its switch.
-// All others must notice, and hold nobody else for down.
+// Ten VMs are replaced in one rollout, or a rack of sixteen loses its switch.
+// All others must consider them down, and no other daemon.
 func TestManyAtOnce(t *testing.T) {
 	tests := map[string]struct{ from, count int }{
 		"10 replaced":     {30, 10},
@@ -217,13 +217,13 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := settled(t, 80, 11)
+			f := convergedFleet(t, 80, 11)
 			for i := range test.count {
 				f.nodes[test.from+i].dead = true
 			}
 			gone := func() bool {
 				for i := range test.count {
-					if !f.knowsDown(f.nodes[test.from+i].member.Name) {
+					if !f.allConsiderDown(f.nodes[test.from+i].member.Name) {
 						return false
 					}
 				}
@@ -232,40 +232,40 @@
 			took := f.until(2*time.Minute, gone)
 			is.True(gone())
 			is.Equal(f.falseDown, 0)
-			t.Logf("all know that %d are gone after %v", test.count, took)
+			t.Logf("all consider the %d failed daemons down after %v", test.count, took)
 			for i := range test.count {
 				f.start(test.from+i, 1)
 			}
 			took = f.until(2*time.Minute, f.agree)
 			is.True(f.agree())
-			t.Logf("all know of the %d new ones after %v", test.count, took)
+			t.Logf("views include the %d new daemons after %v", test.count, took)
 		})
 	}
 }
 
-// The store is out of reach for some. An owner stops when it learns that
-// others still reach it, so how old their last success is must spread.
+// Some daemons can't reach the store. An owner among them stops if other daemons
+// still reach it, so the age of the last successful call must spread.
 func TestStoreAge(t *testing.T) {
 	is := is.New(t)
-	f := settled(t, 20, 12)
-	is.Equal(f.nodes[3].beat.StoreAge(f.now), time.Duration(-1))
+	f := convergedFleet(t, 20, 12)
+	is.Equal(f.nodes[3].membership.StoreAge(f.now), time.Duration(-1))
 	f.step(f.nodes[7], Reached{At: f.now})
 	at := f.now
 	f.run(15 * time.Second)
 	for _, n := range f.nodes {
-		age := n.beat.StoreAge(f.now)
-		is.True(age > 14*time.Second) // never newer than it was, but for the way
+		age := n.membership.StoreAge(f.now)
+		is.True(age > 14*time.Second) // too small by no more than transit times
 		is.True(age <= f.now.Sub(at))
 	}
-	is.True(!f.nodes[3].beat.Alone(f.now))
+	is.True(!f.nodes[3].membership.Alone(f.now))
 	f.cut = func(_, to *node) bool { return to == f.nodes[3] }
 	f.run(10 * time.Second)
-	is.True(f.nodes[3].beat.Alone(f.now))
+	is.True(f.nodes[3].membership.Alone(f.now))
 }
 
-// Whatever faults come together, once they are over all daemons must agree,
-// without a restart.
-func TestAnyFaults(t *testing.T) {
+// Random faults overlap. Once they are over, all views must converge without
+// a restart.
+func TestRandomFaults(t *testing.T) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		t.Fatal(err)
 	}
@@ -279,13 +279,13 @@
 			f.fault(rt)
 			f.run(time.Duration(rapid.IntRange(1, 90).Draw(rt, "seconds")) * time.Second)
 		}
-		f.mend()
+		f.endFaults()
 		f.until(3*time.Minute, f.agree)
 		if !f.agree() {
-			rt.Fatal("the daemons do not agree")
+			rt.Fatal("views did not converge within 3 min")
 		}
 		if f.largest > 4096 {
-			rt.Fatalf("a packet of %d bytes", f.largest)
+			rt.Fatalf("packet of %d bytes, want at most 4096", f.largest)
 		}
 	})
 }
@@ -312,7 +312,7 @@
 		}
 		f.cut = func(from, to *node) bool { return side[from] != side[to] }
 	case "mend":
-		f.mend()
+		f.endFaults()
 	case "configure":
 		if !n.dead && !n.paused {
 			f.configure(n, n.member.Config+1)
@@ -320,7 +320,7 @@
 	}
 }
 
-func (f *fleet) mend() {
+func (f *fleet) endFaults() {
 	f.loss, f.cut = 0, nil
 	for _, n := range f.nodes {
 		if n.paused {
--- a/internal/peer/beat/fleet_test.go
+++ b/internal/peer/swim/fleet_test.go
@@ -1,4 +1,4 @@
-package beat
+package swim
 
 import (
 	"container/heap"
@@ -15,34 +15,34 @@
 const methodPacket = "link.packet"
 
 type (
-	// fleet is many Beats on a virtual clock before a network that loses
-	// packets. Everything in it follows from its seed.
+	// fleet simulates many Memberships on a virtual clock and a lossy network.
+	// All but the measured times follows from its seed.
 	fleet struct {
-		now     time.Time
-		rng     *rand.Rand
-		loss    float64
-		cut     func(from, to *node) bool
-		nodes   []*node
-		byPeer  map[string]*node
-		queue   events
-		serial  int
-		measure bool
-		ignored *node // whose own picture isn't counted
+		now       time.Time
+		rng       *rand.Rand
+		loss      float64
+		cut       func(from, to *node) bool
+		nodes     []*node
+		byPeer    map[string]*node
+		queue     events
+		serial    int
+		measure   bool
+		uncounted *node // its view is not counted in the totals
 		// Totals.
 		bytes, packets       int64
-		steps                time.Duration // real time, of the machine under test
+		stepTime             time.Duration // real time spent in Step and the codec
 		suspected, falseDown int
 		largest              int
 	}
 
 	node struct {
-		beat     Beat
-		member   Member
-		dead     bool
-		paused   bool
-		outgoing int64    // bytes
-		waiting  []Packet // while paused
-		held     map[string]State
+		membership Membership
+		member     Member
+		dead       bool
+		paused     bool
+		outgoing   int64    // bytes
+		waiting    []Packet // while paused
+		seen       map[string]State
 	}
 
 	event struct {
@@ -70,8 +70,8 @@
 	return last
 }
 
-// newFleet returns n daemons that have all just started; the first two are the
-// seeds of all others.
+// newFleet returns n daemons that have all just started. The first two are the
+// seeds of all.
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{
 		now:    time.Unix(1_800_000_000, 0),
@@ -88,7 +88,7 @@
 
 // start starts daemon i; the incarnation rises with each start.
 func (f *fleet) start(i int, config uint64) *node {
-	n := &node{held: map[string]State{}, member: Member{
+	n := &node{seen: map[string]State{}, member: Member{
 		Name: fmt.Sprintf("vm%03d", i), Address: address(i, 7400), Peer: address(i, 7401),
 		FailureDomain: fmt.Sprintf("domain%d", i%10), State: Alive, Config: config,
 		Incarnation: uint64(f.now.UnixNano()) + uint64(i),
@@ -104,37 +104,38 @@
 	}
 	f.byPeer[n.member.Peer] = n
 	f.step(n, Self{Member: n.member, Seeds: []string{address(0, 7401), address(1, 7401)}})
-	f.after(time.Duration(f.rng.Int64N(int64(Interval))), n, Tick{})
+	f.schedule(time.Duration(f.rng.Int64N(int64(Interval))), n, Tick{})
 	return n
 }
 
-func (f *fleet) after(d time.Duration, n *node, m Message) {
+func (f *fleet) schedule(d time.Duration, n *node, m Message) {
 	f.serial++
 	heap.Push(&f.queue, event{at: f.now.Add(d), serial: f.serial, node: n, m: m})
 }
 
 func (f *fleet) step(n *node, m Message) {
 	start := time.Now()
-	out := n.beat.Step(f.now, m)
-	f.steps += time.Since(start)
+	out := n.membership.Step(f.now, m)
+	f.stepTime += time.Since(start)
 	for _, e := range out {
 		switch e := e.(type) {
 		case Send:
 			f.send(n, e)
-		case Changed:
-			f.count(n, e.Member)
+		case MemberChanged:
+			f.countFalse(n, e.Member)
 		case Newer:
 			f.fetch(n, e)
 		}
 	}
 }
 
-// count counts what is wrongly held of live daemons.
-func (f *fleet) count(by *node, m Member) {
+// countFalse counts the changes by which a daemon wrongly considers a live one
+// suspect or down.
+func (f *fleet) countFalse(by *node, m Member) {
 	n := f.byPeer[m.Peer]
-	before := by.held[m.Name]
-	by.held[m.Name] = m.State
-	if by == f.ignored || before == m.State {
+	before := by.seen[m.Name]
+	by.seen[m.Name] = m.State
+	if by == f.uncounted || before == m.State {
 		return
 	}
 	if n.dead || n.member.Name != m.Name || n.member.Incarnation > m.Incarnation {
@@ -148,13 +149,13 @@
 	}
 }
 
-// fetch takes a newer configuration from its holder after a round trip.
+// fetch applies a newer configuration after a round trip to the peer that has it.
 func (f *fleet) fetch(n *node, e Newer) {
 	holder := f.byPeer[e.From]
 	if holder.dead || f.lost(n, holder) {
 		return
 	}
-	f.after(10*time.Millisecond, n, configured{e.Version})
+	f.schedule(10*time.Millisecond, n, configured{e.Version})
 }
 
 type configured struct{ version uint64 }
@@ -163,7 +164,7 @@
 
 func (f *fleet) configure(n *node, version uint64) {
 	n.member.Config = max(n.member.Config, version)
-	f.step(n, Self{Member: n.member, Seeds: n.beat.seeds})
+	f.step(n, Self{Member: n.member, Seeds: n.membership.seeds})
 }
 
 func (f *fleet) lost(from, to *node) bool {
@@ -174,7 +175,7 @@
 	if f.measure {
 		start := time.Now()
 		size := wireSize(s.Packet)
-		f.steps += time.Since(start)
+		f.stepTime += time.Since(start)
 		f.bytes += int64(size)
 		f.packets++
 		f.largest = max(f.largest, size)
@@ -184,11 +185,11 @@
 	if to == nil || f.lost(n, to) {
 		return
 	}
-	f.after(time.Millisecond+time.Duration(f.rng.Int64N(int64(4*time.Millisecond))), to, s.Packet)
+	f.schedule(time.Millisecond+time.Duration(f.rng.Int64N(int64(4*time.Millisecond))), to, s.Packet)
 }
 
-// wireSize returns the bytes of a packet as link frames it: a JSON-RPC
-// notification behind its length.
+// wireSize returns the approximate size in bytes of a packet as link frames it: a
+// JSON-RPC notification and two bytes for the lengths.
 func wireSize(p Packet) int {
 	data, err := p.MarshalBinary()
 	if err != nil {
@@ -205,12 +206,13 @@
 	return len(frame) + 2
 }
 
-// run lets d pass.
+// run advances the clock by d.
 func (f *fleet) run(d time.Duration) {
 	f.until(d, func() bool { return false })
 }
 
-// until lets time pass until done, at most d, and returns how long it took.
+// until advances the clock until done, at most by d, and returns the time that
+// passed.
 func (f *fleet) until(d time.Duration, done func() bool) time.Duration {
 	start, end := f.now, f.now.Add(d)
 	check := f.now
@@ -235,7 +237,7 @@
 	}
 	switch m := e.m.(type) {
 	case Tick:
-		f.after(Interval, e.node, m)
+		f.schedule(Interval, e.node, m)
 		if !e.node.paused {
 			f.step(e.node, m)
 		}
@@ -250,7 +252,7 @@
 	}
 }
 
-// wake ends a pause: what came meanwhile is read at once.
+// wake ends a pause: packets that came meanwhile are read at once.
 func (f *fleet) wake(n *node) {
 	n.paused = false
 	for _, p := range n.waiting {
@@ -259,8 +261,8 @@
 	n.waiting = nil
 }
 
-// agree reports whether each live daemon holds exactly the live ones for
-// alive, with their present incarnations and configurations.
+// agree reports whether each live daemon that is not paused considers exactly the
+// live ones alive, with their present incarnations and configurations.
 func (f *fleet) agree() bool {
 	alive := 0
 	for _, n := range f.nodes {
@@ -269,35 +271,36 @@
 		}
 	}
 	for _, n := range f.nodes {
-		if !n.dead && !n.paused && !f.sees(n, alive) {
+		if !n.dead && !n.paused && !f.viewCorrect(n, alive) {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleet) sees(n *node, alive int) bool {
+func (f *fleet) viewCorrect(n *node, alive int) bool {
 	count := 0
-	for _, m := range n.beat.Members() {
+	for _, m := range n.membership.Members() {
 		if m.State == Down {
 			continue
 		}
 		count++
 		of := f.byPeer[m.Peer]
-		if m.State != Alive || of.dead || of.beat.self.Incarnation != m.Incarnation || of.member.Config != m.Config {
+		if m.State != Alive || of.dead || of.membership.self.Incarnation != m.Incarnation || of.member.Config != m.Config {
 			return false
 		}
 	}
 	return count == alive
 }
 
-// knows reports whether all live daemons hold one for down.
-func (f *fleet) knowsDown(name string) bool {
+// allConsiderDown reports whether no live daemon knows the named one in any other
+// state than down.
+func (f *fleet) allConsiderDown(name string) bool {
 	for _, n := range f.nodes {
 		if n.dead {
 			continue
 		}
-		for _, m := range n.beat.Members() {
+		for _, m := range n.membership.Members() {
 			if m.Name == name && m.State != Down {
 				return false
 			}
@@ -306,14 +309,14 @@
 	return true
 }
 
-// settled returns a fleet whose daemons all know each other.
-func settled(t *testing.T, n int, seed uint64) *fleet {
+// convergedFleet returns a fleet whose daemons all know each other.
+func convergedFleet(t *testing.T, n int, seed uint64) *fleet {
 	t.Helper()
 	is := is.New(t)
 	f := newFleet(n, seed)
 	took := f.until(2*time.Minute, f.agree)
 	is.True(f.agree()) // all know all
-	t.Logf("%d daemons that start at once know each other after %v", n, took)
+	t.Logf("%d daemons that start at once have converged after %v", n, took)
 	return f
 }
 
--- a/internal/peer/beat/fuzz_test.go
+++ b/internal/peer/swim/fuzz_test.go
@@ -1,13 +1,13 @@
-package beat
+package swim
 
 import (
 	"testing"
 	"time"
 )
 
-// FuzzPacket feeds damaged packets to a daemon, as a peer of another version or
-// a broken one might send. It must get an error or a packet that its machine
-// can take, and never fall over.
+// FuzzPacket decodes arbitrary bytes, as a faulty peer or one of another version
+// might send. Decoding must give an error or a packet that Step accepts, and
+// nothing may panic.
 func FuzzPacket(f *testing.F) {
 	whole := Packet{
 		From: "10.0.0.1:7410", Round: 7, Ack: 3, Full: true, Age: time.Second, Head: 5,
@@ -30,7 +30,7 @@
 			return
 		}
 		now := time.Unix(1_800_000_000, 0)
-		b := Beat{Seed: 1}
+		b := Membership{RandomSeed: 1}
 		b.Step(now, Self{Member: Member{Name: "d0", Address: "10.0.0.9:7400", Peer: "10.0.0.9:7410", State: Alive, Incarnation: 1}})
 		b.Step(now, p)
 		b.Step(now.Add(Interval), Tick{})
--- a/internal/shard/assign/assign.go
+++ b/internal/shard/assign/assign.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"github.com/slaterock/slaterock/internal/edge/locate"
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
@@ -36,8 +36,8 @@
 		Rand   func() uint64 // spreads the claims of several daemons
 		Shards int
 
-		members             []beat.Member
-		plan                []beat.Member // preferred owner of each shard
+		members             []swim.Member
+		plan                []swim.Member // preferred owner of each shard
 		plannedFor          string        // shards and live daemons that the plan was made for
 		owned               map[int]bool
 		claiming            map[int]bool
@@ -53,7 +53,7 @@
 	Message interface{ message() }
 
 	// View is the current membership view.
-	View struct{ Members []beat.Member }
+	View struct{ Members []swim.Member }
 
 	// Leased reports whether the daemon holds the lease that claims need.
 	Leased struct{ OK bool }
@@ -89,7 +89,7 @@
 	// The answer is Released.
 	HandOver struct {
 		Shard int
-		To    beat.Member
+		To    swim.Member
 	}
 )
 
@@ -152,11 +152,11 @@
 
 // setView sets the membership view. Computing the plan takes a hash for each
 // shard and daemon, so it is done only when the set of live daemons has changed.
-func (a *Assigner) setView(members []beat.Member) {
+func (a *Assigner) setView(members []swim.Member) {
 	a.members = members
 	var b strings.Builder
 	for _, m := range members {
-		if m.State == beat.Alive {
+		if m.State == swim.Alive {
 			b.WriteString(m.Name)
 			b.WriteByte(0)
 		}
@@ -168,9 +168,9 @@
 }
 
 // preferred returns the daemon that should own the shard.
-func (a *Assigner) preferred(shard int) (beat.Member, bool) {
+func (a *Assigner) preferred(shard int) (swim.Member, bool) {
 	if shard >= len(a.plan) {
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	return a.plan[shard], true
 }
@@ -223,22 +223,22 @@
 // handoverTarget reports whether an owned shard should be handed over now, and to
 // which daemon. While draining, the daemon returned is empty if no other one is
 // preferred. It also updates otherPreferredSince.
-func (a *Assigner) handoverTarget(now time.Time, shard int) (beat.Member, bool) {
+func (a *Assigner) handoverTarget(now time.Time, shard int) (swim.Member, bool) {
 	to, ok := a.preferred(shard)
 	if a.draining {
 		if to.Name == a.Self {
-			to = beat.Member{}
+			to = swim.Member{}
 		}
 		return to, true
 	}
 	if !ok || to.Name == a.Self {
 		delete(a.otherPreferredSince, shard)
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	since, known := a.otherPreferredSince[shard]
 	if !known {
 		a.otherPreferredSince[shard] = now
-		return beat.Member{}, false
+		return swim.Member{}, false
 	}
 	return to, now.Sub(since) >= handoverDelay
 }
--- a/internal/shard/blobs/audit.go
+++ b/internal/shard/blobs/audit.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // queueAudit queues a holder whose blob list is to be compared with the expected
@@ -32,7 +32,7 @@
 	for len(h.auditQueue) > 0 {
 		name := h.auditQueue[0]
 		h.auditQueue = h.auditQueue[1:]
-		if m := h.members[name]; m.Disk && m.State != beat.Down {
+		if m := h.members[name]; m.Disk && m.State != swim.Down {
 			h.audit = &audit{holder: name, expires: now.Add(auditTimeout), expected: h.heldAt(name)}
 			return []Effect{List{To: name}}
 		}
--- a/internal/shard/blobs/holders.go
+++ b/internal/shard/blobs/holders.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 const (
@@ -41,7 +41,7 @@
 	}
 
 	member struct {
-		beat.Member
+		swim.Member
 		downSince time.Time // when it went down; zero while it is up
 		lost      bool      // it has been down for lostAfter
 		leaving   bool
@@ -85,7 +85,7 @@
 	Self struct{ FailureDomain string }
 
 	// Member gives a daemon's current membership state, from heartbeats.
-	Member struct{ Member beat.Member }
+	Member struct{ Member swim.Member }
 
 	// Leaving reports that a daemon's VM is about to be replaced. It is
 	// ignored for daemons that are not known yet and ends with the daemon's
--- a/internal/shard/blobs/holders_test.go
+++ b/internal/shard/blobs/holders_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // harness drives the state machine with a clock of its own.
@@ -18,7 +18,7 @@
 
 var one, two = Sum([]byte("1")), Sum([]byte("2"))
 
-func newHarness(t *testing.T, members ...beat.Member) *harness {
+func newHarness(t *testing.T, members ...swim.Member) *harness {
 	h := &harness{I: is.New(t), now: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)}
 	h.step(Self{FailureDomain: "temeke"})
 	for _, m := range members {
@@ -62,12 +62,12 @@
 	return stored
 }
 
-func vm(name, domain string) beat.Member {
-	return beat.Member{Name: name, FailureDomain: domain, Disk: true, State: beat.Alive, Incarnation: 1}
+func vm(name, domain string) swim.Member {
+	return swim.Member{Name: name, FailureDomain: domain, Disk: true, State: swim.Alive, Incarnation: 1}
 }
 
-func down(m beat.Member) Member {
-	m.State = beat.Down
+func down(m swim.Member) Member {
+	m.State = swim.Down
 	return Member{Member: m}
 }
 
@@ -82,30 +82,30 @@
 	plain := vm("p", "mikocheni")
 	plain.Disk = false
 	tests := map[string]struct {
-		members []beat.Member
+		members []swim.Member
 		run     func(h *harness)
 	}{
-		"kept after both copies": {[]beat.Member{a1, t1, plain}, func(h *harness) {
+		"kept after both copies": {[]swim.Member{a1, t1, plain}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			h.Equal(len(out), 2)
 			first, second := out[0].(Copy).To, out[1].(Copy).To
 			h.want(Copied{Digest: one, To: first})
 			h.want(Copied{Digest: one, To: second}, Stored{Digest: one, Size: 10, Holders: []string{first, second}})
 		}},
-		"two failure domains": {[]beat.Member{a1, a2, t1}, func(h *harness) {
+		"two failure domains": {[]swim.Member{a1, a2, t1}, func(h *harness) {
 			for i := range 32 {
 				s := h.storeBlob(Sum([]byte{byte(i)}))
 				h.True(s.Holders[0] == "t1" || s.Holders[1] == "t1")
 			}
 		}},
-		"stored once, asked twice": {[]beat.Member{a1, t1}, func(h *harness) {
+		"stored once, asked twice": {[]swim.Member{a1, t1}, func(h *harness) {
 			s := h.storeBlob(one)
 			h.want(Store{Digest: one, Size: 10}, s)
 			h.want(Release{Digest: one})
 			h.Equal(len(h.step(Release{Digest: one})), 2)
 			h.want(Release{Digest: one})
 		}},
-		"asked twice at once": {[]beat.Member{a1, t1}, func(h *harness) {
+		"asked twice at once": {[]swim.Member{a1, t1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			h.want(Store{Digest: one, Size: 10})
 			h.want(Copied{Digest: one, To: out[0].(Copy).To})
@@ -115,14 +115,14 @@
 		}},
 		// All VMs with a disk are in one failure domain. One failure could
 		// destroy all copies, so the text goes into the journal at once.
-		"one failure domain": {[]beat.Member{a1, a2, plain}, func(h *harness) {
+		"one failure domain": {[]swim.Member{a1, a2, plain}, func(h *harness) {
 			h.want(Store{Digest: one, Size: 10}, Inline{Digest: one})
 		}},
 		"no folder": {nil, func(h *harness) {
 			h.want(Store{Digest: one, Size: 10}, Inline{Digest: one})
 		}},
 		// A folder is full. The copy goes to another VM.
-		"one refuses": {[]beat.Member{a1, t1, u1}, func(h *harness) {
+		"one refuses": {[]swim.Member{a1, t1, u1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			refused, other := out[0].(Copy).To, out[1].(Copy).To
 			next := h.step(CopyFailed{Digest: one, To: refused})
@@ -132,7 +132,7 @@
 			h.want(Copied{Digest: one, To: third})
 			h.want(Copied{Digest: one, To: other}, Stored{Digest: one, Size: 10, Holders: []string{third, other}})
 		}},
-		"all but one refuse": {[]beat.Member{a1, t1}, func(h *harness) {
+		"all but one refuse": {[]swim.Member{a1, t1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			h.want(Copied{Digest: one, To: out[0].(Copy).To})
 			h.want(CopyFailed{Digest: one, To: out[1].(Copy).To}, Inline{Digest: one})
@@ -140,7 +140,7 @@
 		// A VM does not answer the copy request, because its disk hangs. The
 		// program waits only for the timeout: then the copy goes to another VM,
 		// and after a second timeout the text goes into the journal.
-		"one hangs": {[]beat.Member{a1, t1, u1}, func(h *harness) {
+		"one hangs": {[]swim.Member{a1, t1, u1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			h.want(Copied{Digest: one, To: out[0].(Copy).To})
 			next := h.advance(storeTimeout)
@@ -152,7 +152,7 @@
 		// The VM with the first copy is about to be replaced before the second
 		// copy is made. The text then needs a third holder; if no further copy
 		// were started, the Store would never be answered.
-		"the first holder leaves before the second copy": {[]beat.Member{a1, t1, u1}, func(h *harness) {
+		"the first holder leaves before the second copy": {[]swim.Member{a1, t1, u1}, func(h *harness) {
 			out := h.step(Store{Digest: one, Size: 10})
 			first, second := out[0].(Copy).To, out[1].(Copy).To
 			h.want(Copied{Digest: one, To: first})
@@ -162,7 +162,7 @@
 			third := next[0].(Copy).To
 			h.want(Copied{Digest: one, To: third}, Stored{Digest: one, Size: 10, Holders: []string{second, third}})
 		}},
-		"a leaving VM gets nothing new": {[]beat.Member{a1, t1, u1}, func(h *harness) {
+		"a leaving VM gets nothing new": {[]swim.Member{a1, t1, u1}, func(h *harness) {
 			h.want(Leaving{Name: "u1"})
 			for i := range 32 {
 				for _, name := range h.storeBlob(Sum([]byte{byte(i)})).Holders {
@@ -297,7 +297,7 @@
 		},
 		"a suspect comes last": func(h *harness) {
 			suspect := t1
-			suspect.State = beat.Suspect
+			suspect.State = swim.Suspect
 			h.step(Member{Member: suspect})
 			h.want(Read{Digest: one}, Fetch{Digest: one, From: "a1"})
 			h.step(down(a1))
--- a/internal/shard/blobs/model_test.go
+++ b/internal/shard/blobs/model_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // model simulates the folders and the journal around the state machine. Its
@@ -20,7 +20,7 @@
 	*rapid.T
 	holders Holders
 	now     time.Time
-	vms     map[string]beat.Member
+	vms     map[string]swim.Member
 	disks   map[string]map[Digest]bool
 	journal map[Digest][]string
 	refs    map[Digest]int
@@ -30,7 +30,7 @@
 
 func newModel(t *rapid.T) *model {
 	md := &model{T: t, now: time.Unix(0, 0), journal: map[Digest][]string{}, refs: map[Digest]int{}}
-	md.vms, md.disks = map[string]beat.Member{}, map[string]map[Digest]bool{}
+	md.vms, md.disks = map[string]swim.Member{}, map[string]map[Digest]bool{}
 	for _, domain := range []string{"d0", "d0", "d1", "d2", "d2"} {
 		name := fmt.Sprintf("v%d", len(md.vms))
 		md.vms[name], md.disks[name] = vm(name, domain), map[Digest]bool{}
@@ -87,7 +87,7 @@
 }
 
 func (md *model) list(e List) {
-	if md.vms[e.To].State == beat.Down {
+	if md.vms[e.To].State == swim.Down {
 		return
 	}
 	all := slices.SortedFunc(maps.Keys(md.disks[e.To]), compare)
@@ -98,8 +98,8 @@
 func (md *model) endCopy(i int, ok bool) {
 	c := md.copying[i]
 	md.copying = slices.Delete(md.copying, i, i+1)
-	there := c.From == "" || md.disks[c.From][c.Digest] && md.vms[c.From].State != beat.Down
-	if !ok || !there || md.vms[c.To].State == beat.Down {
+	there := c.From == "" || md.disks[c.From][c.Digest] && md.vms[c.From].State != swim.Down
+	if !ok || !there || md.vms[c.To].State == swim.Down {
 		md.do(CopyFailed{Digest: c.Digest, To: c.To})
 		return
 	}
@@ -157,9 +157,9 @@
 	}
 }
 
-func (md *model) setState(name string, s beat.State) {
+func (md *model) setState(name string, s swim.State) {
 	m := md.vms[name]
-	if m.State == beat.Down && s != beat.Down {
+	if m.State == swim.Down && s != swim.Down {
 		m.Incarnation++
 	}
 	m.State = s
@@ -172,8 +172,8 @@
 func (md *model) heal() {
 	md.healed = true
 	for _, name := range slices.Sorted(maps.Keys(md.vms)) {
-		md.setState(name, beat.Down)
-		md.setState(name, beat.Alive)
+		md.setState(name, swim.Down)
+		md.setState(name, swim.Alive)
 	}
 	md.advance(2*int(auditInterval/Interval) + 300)
 }
@@ -228,13 +228,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"store":   func(*rapid.T) { md.store() },
 			"release": func(*rapid.T) { md.release() },
-			"down":    func(*rapid.T) { md.setState(md.drawVM(), beat.Down) },
-			"up":      func(*rapid.T) { md.setState(md.drawVM(), beat.Alive) },
-			"suspect": func(*rapid.T) { md.setState(md.drawVM(), beat.Suspect) },
+			"down":    func(*rapid.T) { md.setState(md.drawVM(), swim.Down) },
+			"up":      func(*rapid.T) { md.setState(md.drawVM(), swim.Alive) },
+			"suspect": func(*rapid.T) { md.setState(md.drawVM(), swim.Suspect) },
 			"leaving": func(*rapid.T) { md.do(Leaving{Name: md.drawVM()}) },
 			"replaced": func(*rapid.T) {
 				name := md.drawVM()
-				md.setState(name, beat.Down)
+				md.setState(name, swim.Down)
 				md.disks[name] = map[Digest]bool{}
 			},
 			"spoilt": func(*rapid.T) {
--- a/internal/shard/blobs/repair.go
+++ b/internal/shard/blobs/repair.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"github.com/slaterock/slaterock/internal/peer/beat"
+	"github.com/slaterock/slaterock/internal/peer/swim"
 )
 
 // updateMember applies a daemon's new membership state. A daemon without a data
 // folder is ignored unless it is known as a holder. A daemon that has restarted
 // may have lost its blobs, so its list is audited soon.
-func (h *Holders) updateMember(now time.Time, p beat.Member) {
+func (h *Holders) updateMember(now time.Time, p swim.Member) {
 	m := h.members[p.Name]
 	if m == nil && !p.Disk {
 		return
@@ -27,7 +27,7 @@
 		h.queueAudit(p.Name)
 	}
 	m.Member = p
-	if p.State != beat.Down {
+	if p.State != swim.Down {
 		m.downSince, m.lost = time.Time{}, false
 	} else if m.downSince.IsZero() {
 		m.downSince = now
@@ -77,7 +77,7 @@
 func (h *Holders) tick(now time.Time) (out []Effect) {
 	for _, name := range slices.Sorted(maps.Keys(h.members)) {
 		m := h.members[name]
-		if m.State == beat.Down && !m.lost && now.Sub(m.downSince) >= lostAfter {
+		if m.State == swim.Down && !m.lost && now.Sub(m.downSince) >= lostAfter {
 			m.lost = true
 			h.queueRepairsAt(name)
 		}
