--- a/cmd/slaterock/load.go
+++ b/cmd/slaterock/load.go
@@ -11,7 +11,7 @@
 )
 
 func loadCommand() *cobra.Command {
-	var l load.Load
+	var l load.Generator
 	var shape string
 	var json, quiet bool
 	c := &cobra.Command{
@@ -24,7 +24,7 @@
 		Args: cobra.NoArgs,
 	}
 	f := c.Flags()
-	f.StringSliceVar(&l.Entry, "address", []string{defaultAddress}, "addresses of daemons for callers")
+	f.StringSliceVar(&l.Addresses, "address", []string{defaultAddress}, "addresses of daemons for callers")
 	f.StringVar(&l.Key, "key", "", "the key of an account; "+keyVariable+" if empty")
 	f.StringVar(&l.Engine, "engine", "", "an engine to call directly as well, for comparison")
 	f.StringVar(&shape, "shape", "pickup", "the kind of programs: pickup or shelf")
@@ -46,7 +46,7 @@
 			l.Progress = c.ErrOrStderr()
 		}
 		r, err := l.Run(c.Context())
-		if err != nil && !errors.Is(err, load.ErrBroken) && !errors.Is(err, load.ErrNothing) {
+		if err != nil && !errors.Is(err, load.ErrFaults) && !errors.Is(err, load.ErrNoPrograms) {
 			return err
 		}
 		if json {
--- a/cmd/slaterock/rolling_test.go
+++ b/cmd/slaterock/rolling_test.go
@@ -86,7 +86,7 @@
 	is.NoErr(err)
 	r, err := replay.Replay(t, replay.Options{Seed: 1})
 	is.NoErr(err)
-	for _, b := range r.Broken {
+	for _, b := range r.Unmet {
 		s.t.Errorf("broken in the replay: %+v", b)
 	}
 	s.t.Logf("the record of daemon %d has %d programs, %d of them complete in its replay", i, len(t.Programs), r.Completed)
--- a/cmd/slaterock/serve.go
+++ b/cmd/slaterock/serve.go
@@ -15,7 +15,7 @@
 	"github.com/slaterock/slaterock/internal/obs/logs"
 	"github.com/slaterock/slaterock/internal/obs/metric"
 	"github.com/slaterock/slaterock/internal/obs/trace"
-	"github.com/slaterock/slaterock/internal/play/tape"
+	"github.com/slaterock/slaterock/internal/play/trcrec"
 )
 
 // closeTime bounds the export of the last spans.
@@ -74,7 +74,7 @@
 		if record, err = os.OpenFile(s.RecordFile, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600); err != nil {
 			return nil, errors.Wrap(err, "record file")
 		}
-		d.Tape = &tape.Tape{W: record, Name: d.Settings.Daemon.Name}
+		d.Recorder = &trcrec.Recorder{W: record, Name: d.Settings.Daemon.Name}
 	}
 	log := d.Logs.Logger()
 	t.OnError = func(err error) { log.Warn().Err(err).Msg("spans were lost") }
@@ -87,7 +87,7 @@
 		_ = d.Trace.Close(last)
 		_ = d.Metric.Close()
 		if record != nil {
-			if err := errors.CombineErrors(d.Tape.Close(), record.Close()); err != nil {
+			if err := errors.CombineErrors(d.Recorder.Close(), record.Close()); err != nil {
 				log.Warn().Err(err).Msg("the record is not whole")
 			}
 		}
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -40,7 +40,7 @@
 	"github.com/slaterock/slaterock/internal/plat/tool"
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
 	"github.com/slaterock/slaterock/internal/plat/weight"
-	"github.com/slaterock/slaterock/internal/play/tape"
+	"github.com/slaterock/slaterock/internal/play/trcrec"
 	"github.com/slaterock/slaterock/internal/shard/shelf"
 )
 
@@ -62,7 +62,7 @@
 		Logs     logs.Logs
 		Trace    *trace.Trace
 		Metric   *metric.Metric
-		Tape     *tape.Tape // records what programs do; nil records nothing
+		Recorder *trcrec.Recorder // records what programs do; nil records nothing
 		// Listen and Peers replace listening on the addresses of the settings.
 		Listen, Peers net.Listener
 		Leave         time.Duration // how long a draining daemon goes on serving; zero is six seconds
@@ -254,7 +254,7 @@
 func (d *Daemon) configure(ctx context.Context, f file.File) {
 	d.log.Info().Uint64("version", f.Version).Msg("configuration in force")
 	d.share()
-	d.Tape.Configure(f)
+	d.Recorder.Configure(f)
 	d.shards.Configure(ctx, f)
 	d.placer.Tell(ctx, nil, sched.Configure{File: f})
 	d.update(ctx, func(m *beat.Member) { m.Config = f.Version })
@@ -281,7 +281,7 @@
 
 func (d *Daemon) place(ctx context.Context, h *host.Host, m sched.Message) {
 	if e, ok := m.(sched.ProgramEnded); ok {
-		d.Tape.End(e.Program)
+		d.Recorder.End(e.Program)
 	}
 	d.placer.Tell(ctx, h, m)
 }
@@ -329,7 +329,7 @@
 		Fence:   d.fence,
 		Forward: d.forward,
 		Live:    d.live,
-		Loaded:  d.Tape.Load,
+		Loaded:  d.Recorder.Load,
 	}
 	d.placer.Init()
 }
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -112,7 +112,7 @@
 // engineers of it is written where the caller was met.
 func (d *Daemon) ended(l owner.Log) {
 	c := l.Call
-	d.Tape.Call(l.Account, l.Program, c)
+	d.Recorder.Call(l.Account, l.Program, c)
 	scope := d.scope.Tagged(map[string]string{"kind": string(c.Kind), "code": string(c.Result.Code)})
 	scope.Counter("calls_ended").Inc(1)
 	scope.Timer("call_time").Record(c.End.Sub(c.Start))
--- a/internal/play/load/check.go
+++ b/internal/play/load/check.go
@@ -28,15 +28,15 @@
 	// check holds what was seen, to find answers that are mixed, lost or given
 	// twice. Stand-ins answer with what they were asked, so every answer tells
 	// whose it is.
-	check struct {
-		mu       sync.Mutex
-		requests map[string]string // a request's name to the call that had it
-		receipts map[int]string    // a receipt's number to the call that had it
-		asked    int               // service calls, each counted once
-		least    int
-		most     int
-		faults   int
-		notes    []string
+	checker struct {
+		mu           sync.Mutex
+		requests     map[string]string // a request's name to the call that had it
+		receipts     map[int]string    // a receipt's number to the call that had it
+		serviceCalls int               // service calls, each counted once
+		minReceipt   int
+		maxReceipt   int
+		faults       int
+		notes        []string
 	}
 
 	receipt struct {
@@ -46,7 +46,7 @@
 	}
 )
 
-func (c *check) init() {
+func (c *checker) init() {
 	c.requests = map[string]string{}
 	c.receipts = map[int]string{}
 }
@@ -55,13 +55,13 @@
 
 func callName(program string, number int) string { return fmt.Sprintf("%s call %d", program, number) }
 
-func (c *check) count() int {
+func (c *checker) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faults
 }
 
-func (c *check) fault(format string, args ...any) {
+func (c *checker) fault(format string, args ...any) {
 	c.faults++
 	if len(c.notes) < maxNotes {
 		c.notes = append(c.notes, fmt.Sprintf(format, args...))
@@ -70,7 +70,7 @@
 
 // answer checks a model's answer: that it was asked by this call, that it is
 // whole, and that no other call got it.
-func (c *check) answer(program string, number int, a client.Answer) {
+func (c *checker) checkAnswer(program string, number int, a client.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := callName(program, number)
@@ -86,17 +86,17 @@
 		c.checkShort(name, marker(program, number), a.Text)
 		return
 	}
-	c.owner(program, number, found[1])
+	c.checkOwner(program, number, found[1])
 	var asked string
 	if json.Unmarshal([]byte(found[2]), &asked) != nil || !strings.HasPrefix(asked, head(marker(program, number))) {
 		c.fault("%s: the answer is to %s", name, found[2])
 	}
-	c.rest(name, a.Text[len(found[0]):])
+	c.checkNumbers(name, a.Text[len(found[0]):])
 }
 
 // checkShort checks an answer that was cut before its first number, which the
 // bound on its tokens allows: it must still be a beginning.
-func (c *check) checkShort(name, want, text string) {
+func (c *checker) checkShort(name, want, text string) {
 	if len(text) < excerptSize*bytesPerToken && strings.Contains(text, " answers ") {
 		return
 	}
@@ -107,7 +107,7 @@
 
 // rest checks the numbers that follow; a piece that is missing, repeated or
 // from another answer breaks their order.
-func (c *check) rest(name, text string) {
+func (c *checker) checkNumbers(name, text string) {
 	for i := 0; text != ""; i++ {
 		want := fmt.Sprintf(" %03d", i%1000)
 		n := min(len(want), len(text))
@@ -121,7 +121,7 @@
 
 // owner checks that a request's name belongs to the call, and that no other
 // call was answered under it.
-func (c *check) owner(program string, number int, request string) {
+func (c *checker) checkOwner(program string, number int, request string) {
 	name := callName(program, number)
 	id, err := reqid.Parse(request)
 	if err != nil || id.Root != reqid.Hash(program) || id.Number != number {
@@ -135,15 +135,15 @@
 }
 
 // sentService counts a call to a service, before it is first tried.
-func (c *check) sentService(string) {
+func (c *checker) countServiceCall(string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
+	c.serviceCalls++
 }
 
 // receipt checks the answer of the stand-in ledger, which numbers what it
 // executes.
-func (c *check) receipt(program string, number int, service, text string) {
+func (c *checker) receipt(program string, number int, service, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := callName(program, number)
@@ -155,19 +155,19 @@
 	if _, path, _ := strings.Cut(service, "/"); r.Path != "/"+path {
 		c.fault("%s: a receipt for %s", name, r.Path)
 	}
-	c.owner(program, number, r.Request)
+	c.checkOwner(program, number, r.Request)
 	if other, ok := c.receipts[r.Receipt]; ok && other != name {
 		c.fault("receipt %d went to %s and %s", r.Receipt, other, name)
 	}
 	c.receipts[r.Receipt] = name
-	if c.least == 0 || r.Receipt < c.least {
-		c.least = r.Receipt
+	if c.minReceipt == 0 || r.Receipt < c.minReceipt {
+		c.minReceipt = r.Receipt
 	}
-	c.most = max(c.most, r.Receipt)
+	c.maxReceipt = max(c.maxReceipt, r.Receipt)
 }
 
 // history compares what a program was told with what its history says.
-func (c *check) history(program string, texts []string, h hist.History) {
+func (c *checker) checkHistory(program string, texts []string, h hist.History) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h.Program != program {
@@ -210,18 +210,18 @@
 
 // twice reports executions that no call accounts for, where this load alone
 // used the ledger.
-func (c *check) twice() int {
-	if c.least == 0 {
+func (c *checker) extraExecutions() int {
+	if c.minReceipt == 0 {
 		return 0
 	}
-	return max(0, c.most-c.least+1-c.asked)
+	return max(0, c.maxReceipt-c.minReceipt+1-c.serviceCalls)
 }
 
 // end makes the last checks.
-func (c *check) end() (faults int, notes []string) {
+func (c *checker) finish() (faults int, notes []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.twice(); n > 0 {
+	if n := c.extraExecutions(); n > 0 {
 		c.fault("the ledger executed at least %d more calls than were made", n)
 	}
 	return c.faults, c.notes
--- a/internal/play/load/direct.go
+++ b/internal/play/load/direct.go
@@ -35,23 +35,23 @@
 // pairs reports whether the program's first prompt is also measured directly.
 // What it takes at an engine is what the system can't better; the difference
 // is what the system adds.
-func (d *drive) pairs(p plan) bool {
+func (d *driver) isPaired(p plan) bool {
 	return d.load.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
 }
 
 // fresh returns a context that no engine has cached: prompts of a pair must
 // both be computed whole, or one would make the other cheaper.
-func fresh(name string, size int) string {
+func uncachedContext(name string, size int) string {
 	return words(rand.New(rand.NewPCG(hash(name), 2)), size/bytesPerToken)
 }
 
 // direct sends a prompt of the same size straight to an engine.
-func (d *drive) direct(ctx context.Context, p plan, s step) {
+func (d *driver) direct(ctx context.Context, p plan, s step) {
 	name := directPrefix + p.Name
 	body, err := json.Marshal(struct {
 		Messages []client.Message `json:"messages"`
 	}{[]client.Message{
-		{Role: "system", Content: fresh(name, len(p.Context))},
+		{Role: "system", Content: uncachedContext(name, len(p.Context))},
 		{Role: "user", Content: marker(p.Name, 0) + s.Text},
 	}})
 	if err != nil {
--- a/internal/play/load/drive.go
+++ b/internal/play/load/drive.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxTries     = 8
+	maxAttempts  = 8
 	callTimeout  = 5 * time.Minute
 	compareOneIn = 10 // programs whose history is read at their end
 	directOneIn  = 3  // programs whose first prompt also goes to an engine
@@ -22,8 +22,8 @@
 
 type (
 	// drive runs one program as its caller would.
-	drive struct {
-		load    *Load
+	driver struct {
+		load    *Generator
 		due     time.Time
 		entries entries
 		paused  time.Duration // that the program itself wanted
@@ -38,21 +38,21 @@
 )
 
 // run runs a root program and counts it.
-func (d *drive) run(ctx context.Context, p plan) {
+func (d *driver) run(ctx context.Context, p plan) {
 	d.entries = entries{load: d.load}
 	err := d.program(ctx, p)
 	d.load.tally.finish(time.Since(d.due), time.Since(d.due)-d.paused, err)
 }
 
-func (d *drive) program(ctx context.Context, p plan) error {
+func (d *driver) program(ctx context.Context, p plan) error {
 	err := d.retry(ctx, p.Name, func(c client.Client) error {
 		return c.Open(ctx, call.Open{Program: p.Name, Agent: p.Agent, Parent: p.Parent})
 	})
 	if err != nil {
 		return err
 	}
-	if d.pairs(p) {
-		p.Context = fresh(p.Name, len(p.Context))
+	if d.isPaired(p) {
+		p.Context = uncachedContext(p.Name, len(p.Context))
 	}
 	talk := conversation{messages: []client.Message{{Role: "system", Content: p.Context}}}
 	number := 0
@@ -81,24 +81,24 @@
 	return d.compare(ctx, p)
 }
 
-func (d *drive) sub(ctx context.Context, p plan) error {
-	child := &drive{load: d.load, entries: entries{load: d.load}}
+func (d *driver) sub(ctx context.Context, p plan) error {
+	child := &driver{load: d.load, entries: entries{load: d.load}}
 	err := child.program(ctx, p)
 	d.paused += child.paused
 	return err
 }
 
-func (d *drive) pause(ctx context.Context, length time.Duration) error {
+func (d *driver) pause(ctx context.Context, length time.Duration) error {
 	length = d.load.scaled(length)
 	d.paused += length
 	return sleep(ctx, length)
 }
 
 // model makes one model call and adds it to the conversation.
-func (d *drive) model(ctx context.Context, p plan, s step, number int, talk *conversation) error {
+func (d *driver) model(ctx context.Context, p plan, s step, number int, talk *conversation) error {
 	m := marker(p.Name, number)
 	talk.messages = append(talk.messages, client.Message{Role: "user", Content: m + s.Text})
-	paired := number == 0 && d.pairs(p)
+	paired := number == 0 && d.isPaired(p)
 	if paired {
 		d.direct(ctx, p, s)
 	}
@@ -107,14 +107,14 @@
 		watch := stopwatch{start: time.Now()}
 		a, err = c.Chat(ctx, p.Name, number, s.Output, talk.messages, watch.piece)
 		if err == nil {
-			d.load.tally.times(watch, paired)
+			d.load.tally.recordStream(watch, paired)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	d.load.check.answer(p.Name, number, a)
+	d.load.checker.checkAnswer(p.Name, number, a)
 	d.load.tally.model(a, talk.sent)
 	talk.sent = a.Prompt
 	talk.messages = append(talk.messages, client.Message{Role: "assistant", Content: a.Text})
@@ -124,9 +124,9 @@
 
 // service makes one call to a plain service. One that may have run and whose
 // outcome is lost is not an error of the program: its agent goes on.
-func (d *drive) service(ctx context.Context, p plan, s step, number int, talk *conversation) error {
+func (d *driver) service(ctx context.Context, p plan, s step, number int, talk *conversation) error {
 	var a client.Answer
-	d.load.check.sentService(s.Service)
+	d.load.checker.countServiceCall(s.Service)
 	err := d.retry(ctx, p.Name, func(c client.Client) (err error) {
 		a, err = c.Service(ctx, p.Name, number, s.Service, []byte(s.Text))
 		return err
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	d.load.check.receipt(p.Name, number, s.Service, a.Text)
+	d.load.checker.receipt(p.Name, number, s.Service, a.Text)
 	d.load.tally.service()
 	talk.messages = append(talk.messages, client.Message{Role: "tool", Content: a.Text})
 	d.texts = append(d.texts, a.Text)
@@ -147,14 +147,14 @@
 }
 
 // compare reads the history of some programs at their end.
-func (d *drive) compare(ctx context.Context, p plan) error {
+func (d *driver) compare(ctx context.Context, p plan) error {
 	if hash(p.Name)%compareOneIn != 0 {
 		return nil
 	}
 	return d.retry(ctx, p.Name, func(c client.Client) error {
 		h, err := c.History(ctx, p.Name)
 		if err == nil {
-			d.load.check.history(p.Name, d.texts, h)
+			d.load.checker.checkHistory(p.Name, d.texts, h)
 		}
 		return err
 	})
@@ -163,27 +163,27 @@
 // retry asks until there is an answer, as the system says that callers may: a
 // repeat carries the same call number, so it joins or returns the recorded
 // outcome. Each try goes to the next address.
-func (d *drive) retry(ctx context.Context, program string, ask func(client.Client) error) (err error) {
-	for try := range maxTries {
+func (d *driver) retry(ctx context.Context, program string, ask func(client.Client) error) (err error) {
+	for try := range maxAttempts {
 		if try > 0 {
 			d.load.tally.repeat()
 		}
-		err = refused(ask(client.Client{Address: d.entries.next(ctx, program, try), Key: d.load.Key}))
+		err = parseRefusal(ask(client.Client{Address: d.entries.next(ctx, program, try), Key: d.load.Key}))
 		var r *refusal
 		if err == nil {
 			return nil
 		}
 		if errors.As(err, &r) {
 			d.load.tally.refuse(r.code)
-			if !r.again() {
+			if !r.retryable() {
 				return err
 			}
 		}
-		if err := sleep(ctx, r.wait(d.load.Wait)); err != nil {
+		if err := sleep(ctx, r.retryDelay(d.load.RetryDelay)); err != nil {
 			return err
 		}
 	}
-	return errors.Wrapf(err, "given up after %d tries", maxTries)
+	return errors.Wrapf(err, "given up after %d tries", maxAttempts)
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -204,10 +204,10 @@
 
 // entries are the addresses that the system told this program to use.
 type entries struct {
-	load  *Load
-	mu    sync.Mutex
-	known []string
-	until time.Time
+	load      *Generator
+	mu        sync.Mutex
+	addresses []string
+	expires   time.Time
 }
 
 // next returns the best address, or on later tries the ones after it. What the
@@ -215,30 +215,30 @@
 func (e *entries) next(ctx context.Context, program string, try int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().After(e.until) || try > 0 {
-		e.ask(ctx, program, try)
+	if time.Now().After(e.expires) || try > 0 {
+		e.refresh(ctx, program, try)
 	}
-	if len(e.known) == 0 {
-		return e.load.Entry[rand.IntN(len(e.load.Entry))]
+	if len(e.addresses) == 0 {
+		return e.load.Addresses[rand.IntN(len(e.load.Addresses))]
 	}
-	return e.known[try%len(e.known)]
+	return e.addresses[try%len(e.addresses)]
 }
 
-func (e *entries) ask(ctx context.Context, program string, try int) {
-	var told struct {
+func (e *entries) refresh(ctx context.Context, program string, try int) {
+	var answer struct {
 		Entries []struct {
 			Address string `json:"address"`
 		} `json:"entries"`
 		TTLSeconds int `json:"ttl_seconds"`
 	}
-	from := e.load.Entry[(int(hash(program)%uint64(len(e.load.Entry)))+try)%len(e.load.Entry)]
+	from := e.load.Addresses[(int(hash(program)%uint64(len(e.load.Addresses)))+try)%len(e.load.Addresses)]
 	c := client.Client{Address: from, Key: e.load.Key}
-	if c.JSON(ctx, "GET", "/v1/entries?program="+program, nil, &told) != nil {
+	if c.JSON(ctx, "GET", "/v1/entries?program="+program, nil, &answer) != nil {
 		return
 	}
-	e.known = nil
-	for _, entry := range told.Entries {
-		e.known = append(e.known, entry.Address)
+	e.addresses = nil
+	for _, entry := range answer.Entries {
+		e.addresses = append(e.addresses, entry.Address)
 	}
-	e.until = time.Now().Add(time.Duration(told.TTLSeconds) * time.Second)
+	e.expires = time.Now().Add(time.Duration(answer.TTLSeconds) * time.Second)
 }
--- a/internal/play/load/load.go
+++ b/internal/play/load/load.go
@@ -28,47 +28,47 @@
 )
 
 const (
-	defaultRate     = 2 // programs a second
-	defaultDuration = 30 * time.Second
-	defaultWait     = time.Second
-	maxPrograms     = 1 << 17 // under way at a time
-	progressEvery   = time.Second
-	drainTime       = 10 * time.Minute
-	tagBase         = 36
+	defaultRate       = 2 // programs a second
+	defaultDuration   = 30 * time.Second
+	defaultRetryDelay = time.Second
+	maxPrograms       = 1 << 17 // under way at a time
+	progressEvery     = time.Second
+	drainTime         = 10 * time.Minute
+	tagBase           = 36
 )
 
 var (
 	// ErrBroken tells that an answer was mixed, lost or given twice.
-	ErrBroken = errors.New("the system broke a promise")
+	ErrFaults = errors.New("the system broke a promise")
 	// ErrNothing tells that no program finished, so that nothing was checked.
-	ErrNothing = errors.New("no program finished")
+	ErrNoPrograms = errors.New("no program finished")
 )
 
 // Load is one run. Entry and Key must be set; the zero value of every other
 // field is ready for use.
-type Load struct {
-	Entry    []string // addresses of daemons, IP and port
-	Key      string   // of the account that calls
-	Engine   string   // address of an engine for direct calls, if any
-	Shape    Shape    // the zero value is Pickup
-	Rate     float64  // programs a second
-	Duration time.Duration
-	Speed    float64 // divides pauses and the time between arrivals; 0 is 1
-	Seed     uint64
-	Wait     time.Duration // before another try, where the system names no time
-	Tag      string        // makes program ids unique between runs
-	Progress io.Writer     // gets a line each second, if set
+type Generator struct {
+	Addresses  []string // addresses of daemons, IP and port
+	Key        string   // of the account that calls
+	Engine     string   // address of an engine for direct calls, if any
+	Shape      Shape    // the zero value is Pickup
+	Rate       float64  // programs a second
+	Duration   time.Duration
+	Speed      float64 // divides pauses and the time between arrivals; 0 is 1
+	Seed       uint64
+	RetryDelay time.Duration // before another try, where the system names no time
+	Tag        string        // makes program ids unique between runs
+	Progress   io.Writer     // gets a line each second, if set
 
-	check check
-	tally tally
-	work  sync.WaitGroup
+	checker checker
+	tally   tally
+	wg      sync.WaitGroup
 }
 
 // Run runs the load until all its programs ended, and reports. The error is
 // ErrBroken if a check failed, and ErrNothing if there was nothing to check.
-func (l *Load) Run(ctx context.Context) (r Report, err error) {
+func (l *Generator) Run(ctx context.Context) (r Report, err error) {
 	defer func() { err = errors.Wrap(err, "load") }()
-	if len(l.Entry) == 0 {
+	if len(l.Addresses) == 0 {
 		return Report{}, errors.New("no entry address")
 	}
 	l.setDefaults()
@@ -80,24 +80,24 @@
 	ctx, stop := context.WithTimeout(ctx, l.Duration+drainTime)
 	defer stop()
 	done := make(chan struct{})
-	l.work.Go(func() { l.report(done) })
+	l.wg.Go(func() { l.report(done) })
 	start := time.Now()
 	l.arrive(ctx, pool, start)
 	l.tally.waitIdle()
 	l.tally.end(time.Since(start))
 	close(done)
-	l.work.Wait()
-	r = l.tally.result(&l.check)
+	l.wg.Wait()
+	r = l.tally.result(&l.checker)
 	if r.Faults > 0 {
-		return r, ErrBroken
+		return r, ErrFaults
 	}
 	if r.Finished == 0 {
-		return r, ErrNothing
+		return r, ErrNoPrograms
 	}
 	return r, nil
 }
 
-func (l *Load) setDefaults() {
+func (l *Generator) setDefaults() {
 	if l.Rate <= 0 {
 		l.Rate = defaultRate
 	}
@@ -107,8 +107,8 @@
 	if l.Speed <= 0 {
 		l.Speed = 1
 	}
-	if l.Wait <= 0 {
-		l.Wait = defaultWait
+	if l.RetryDelay <= 0 {
+		l.RetryDelay = defaultRetryDelay
 	}
 	if l.Shape.Name == "" {
 		l.Shape = Pickup()
@@ -117,11 +117,11 @@
 		l.Tag = strconv.FormatInt(time.Now().Unix(), tagBase)
 	}
 	l.tally.init()
-	l.check.init()
+	l.checker.init()
 }
 
 // arrive starts programs when they are due. It never waits for one.
-func (l *Load) arrive(ctx context.Context, pool *ants.Pool, start time.Time) {
+func (l *Generator) arrive(ctx context.Context, pool *ants.Pool, start time.Time) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for _, p := range l.Shape.schedule(l.Tag, l.Seed, l.Rate, l.Duration) {
@@ -133,19 +133,19 @@
 			return
 		}
 		l.tally.start()
-		d := &drive{load: l, due: due}
+		d := &driver{load: l, due: due}
 		if pool.Submit(func() { d.run(ctx, p) }) != nil {
 			l.tally.notStarted()
 		}
 	}
 }
 
-func (l *Load) scaled(d time.Duration) time.Duration {
+func (l *Generator) scaled(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / l.Speed)
 }
 
 // report writes the progress until done.
-func (l *Load) report(done <-chan struct{}) {
+func (l *Generator) report(done <-chan struct{}) {
 	if l.Progress == nil {
 		return
 	}
@@ -154,7 +154,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			_, _ = fmt.Fprintln(l.Progress, l.tally.line(l.check.count()))
+			_, _ = fmt.Fprintln(l.Progress, l.tally.line(l.checker.count()))
 		case <-done:
 			return
 		}
--- a/internal/play/load/load_test.go
+++ b/internal/play/load/load_test.go
@@ -144,14 +144,14 @@
 
 func runOn(t *testing.T, s *system) (Report, error) {
 	t.Helper()
-	l := Load{
-		Entry: []string{s.address}, Key: key, Rate: 4, Duration: 10 * time.Second,
-		Speed: fast, Seed: 7, Tag: "t", Wait: time.Millisecond,
+	l := Generator{
+		Addresses: []string{s.address}, Key: key, Rate: 4, Duration: 10 * time.Second,
+		Speed: fast, Seed: 7, Tag: "t", RetryDelay: time.Millisecond,
 	}
 	return l.Run(t.Context())
 }
 
-func TestSound(t *testing.T) {
+func TestNoFaultsInCorrectSystem(t *testing.T) {
 	is := is.New(t)
 	var s system
 	start(t, &s)
@@ -174,7 +174,7 @@
 
 // A system breaks a promise to some of its callers under load. The run must
 // notice, since no caller of it would.
-func TestBrokenPromises(t *testing.T) {
+func TestFaultsAreReported(t *testing.T) {
 	tests := map[string]struct {
 		system *system
 		note   string
@@ -236,7 +236,7 @@
 			s := test.system
 			start(t, s)
 			r, err := runOn(t, s)
-			is.True(errors.Is(err, ErrBroken))
+			is.True(errors.Is(err, ErrFaults))
 			is.True(r.Faults > 0)
 			is.True(strings.Contains(strings.Join(r.Notes, "\n"), test.note))
 		})
@@ -245,7 +245,7 @@
 
 // The system refuses some calls for now and says when to come back; the caller
 // does, with the same number, and no program is lost to it.
-func TestComesBack(t *testing.T) {
+func TestRefusedCallsAreRetried(t *testing.T) {
 	is := is.New(t)
 	s := system{alter: func(s *system, c call.Call, r result.Result) result.Result {
 		if s.count%10 == 9 {
@@ -269,16 +269,16 @@
 
 // Nobody answers at the address. No promise is broken, but a run that checked
 // nothing must not pass for one that found no fault.
-func TestNobodyThere(t *testing.T) {
+func TestUnreachableSystem(t *testing.T) {
 	is := is.New(t)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(ln.Close())
 	r, err := runOn(t, &system{address: ln.Addr().String()})
-	is.True(errors.Is(err, ErrNothing))
+	is.True(errors.Is(err, ErrNoPrograms))
 	is.Equal(r.Failed, r.Started)
-	is.True(r.Refusals[codeBroken] > 0)
-	_, err = (&Load{}).Run(t.Context())
+	is.True(r.Refusals[codeConnection] > 0)
+	_, err = (&Generator{}).Run(t.Context())
 	is.True(err != nil) // no entry address
 }
 
--- a/internal/play/load/refuse.go
+++ b/internal/play/load/refuse.go
@@ -10,7 +10,7 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-const codeBroken result.Code = "connection" // no answer from the daemon
+const codeConnection result.Code = "connection" // no answer from the daemon
 
 // refusal is an answer that is no success, or none at all.
 type refusal struct {
@@ -25,13 +25,13 @@
 func (r *refusal) Unwrap() error { return r.cause }
 
 // refused reads what the system said about a call that failed.
-func refused(err error) error {
+func parseRefusal(err error) error {
 	if err == nil {
 		return nil
 	}
 	var status *client.StatusError
 	if !errors.As(err, &status) {
-		return &refusal{code: codeBroken, ran: result.Unknown, cause: err}
+		return &refusal{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	var body struct {
 		Error struct {
@@ -41,7 +41,7 @@
 		} `json:"error"`
 	}
 	if json.Unmarshal([]byte(status.Body), &body) != nil || body.Error.Code == "" {
-		return &refusal{code: codeBroken, ran: result.Unknown, cause: err}
+		return &refusal{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	e := body.Error
 	return &refusal{code: e.Code, ran: e.Ran, cause: err, after: time.Duration(e.RetryAfter * float64(time.Second))}
@@ -51,13 +51,13 @@
 func (r *refusal) unknown() bool { return r.code == result.CodeUnknown }
 
 // again reports whether the caller should try again.
-func (r *refusal) again() bool {
-	return r.code == codeBroken || r.after > 0
+func (r *refusal) retryable() bool {
+	return r.code == codeConnection || r.after > 0
 }
 
 // wait is how long to wait before that, as the system said or else the other
 // time.
-func (r *refusal) wait(other time.Duration) time.Duration {
+func (r *refusal) retryDelay(other time.Duration) time.Duration {
 	if r == nil || r.after == 0 {
 		return other
 	}
--- a/internal/play/load/tally.go
+++ b/internal/play/load/tally.go
@@ -71,15 +71,15 @@
 
 	// tally counts while the load runs.
 	tally struct {
-		mu       sync.Mutex
-		idle     *sync.Cond
-		open     int
-		report   Report
-		program  *hdrhistogram.Histogram
-		active   *hdrhistogram.Histogram
-		all      streams
-		paired   streams
-		straight streams
+		mu          sync.Mutex
+		idle        *sync.Cond
+		open        int
+		report      Report
+		program     *hdrhistogram.Histogram
+		active      *hdrhistogram.Histogram
+		all         streams
+		paired      streams
+		directTimes streams
 	}
 )
 
@@ -87,7 +87,7 @@
 	t.idle = sync.NewCond(&t.mu)
 	t.report.Refusals = map[result.Code]int{}
 	t.program, t.active = newHistogram(), newHistogram()
-	for _, s := range []*streams{&t.all, &t.paired, &t.straight} {
+	for _, s := range []*streams{&t.all, &t.paired, &t.directTimes} {
 		*s = streams{first: newHistogram(), between: newHistogram()}
 	}
 }
@@ -168,7 +168,7 @@
 	return Pair{First: quantiles(s.first), Between: quantiles(s.between)}
 }
 
-func (t *tally) times(w stopwatch, paired bool) {
+func (t *tally) recordStream(w stopwatch, paired bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.all.record(w)
@@ -180,7 +180,7 @@
 func (t *tally) direct(w stopwatch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.straight.record(w)
+	t.directTimes.record(w)
 }
 
 func (t *tally) service() {
@@ -223,19 +223,19 @@
 	return n
 }
 
-func (t *tally) result(c *check) Report {
+func (t *tally) result(c *checker) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.report
 	r.Refusals = maps.Clone(r.Refusals)
 	r.Program, r.Active = quantiles(t.program), quantiles(t.active)
 	r.First, r.Between = quantiles(t.all.first), quantiles(t.all.between)
-	r.Paired, r.Direct = t.paired.quantiles(), t.straight.quantiles()
+	r.Paired, r.Direct = t.paired.quantiles(), t.directTimes.quantiles()
 	r.Added = Pair{
 		First:   added(r.Paired.First, r.Direct.First),
 		Between: added(r.Paired.Between, r.Direct.Between),
 	}
-	r.Faults, r.Notes = c.end()
+	r.Faults, r.Notes = c.finish()
 	return r
 }
 
--- a/internal/play/basis/basis.go
+++ b/internal/play/naive/naive.go
@@ -2,7 +2,7 @@
 // against: round robin, least outstanding and sticky hash. They take the same
 // messages as sched.Sched, keep off leaving and avoided upstreams, release the
 // memory of programs that end, and neither queue nor refuse.
-package basis
+package naive
 
 import (
 	"maps"
@@ -31,14 +31,14 @@
 	Policy string
 
 	// Basis is one owner under a baseline.
-	Basis struct {
+	Balancer struct {
 		Policy Policy
 
 		cfg      file.File
 		names    []string
 		inflight map[string]int
 		leaving  map[string]bool
-		turn     map[string]int
+		next     map[string]int
 		held     map[string][]string // upstreams by program
 	}
 )
@@ -47,16 +47,16 @@
 func Policies() []Policy { return []Policy{RoundRobin, LeastOutstanding, StickyHash} }
 
 // Step applies one message and returns what to do.
-func (b *Basis) Step(_ time.Time, m sched.Message) []sched.Effect {
+func (b *Balancer) Step(_ time.Time, m sched.Message) []sched.Effect {
 	if b.inflight == nil {
 		b.inflight, b.leaving = map[string]int{}, map[string]bool{}
-		b.turn, b.held = map[string]int{}, map[string][]string{}
+		b.next, b.held = map[string]int{}, map[string][]string{}
 	}
 	switch m := m.(type) {
 	case sched.Configure:
 		b.cfg, b.names = m.File, slices.Sorted(maps.Keys(m.File.Upstreams))
 	case sched.Submit:
-		return b.ask(m)
+		return b.submit(m)
 	case sched.Done:
 		b.inflight[m.Upstream]--
 	case sched.Load:
@@ -66,12 +66,12 @@
 			b.leaving[vm.Name] = b.leaving[vm.Name] || vm.State == vmlist.Leaving
 		}
 	case sched.ProgramEnded:
-		return b.ended(m.Program)
+		return b.programEnded(m.Program)
 	}
 	return nil
 }
 
-func (b *Basis) ended(program string) (out []sched.Effect) {
+func (b *Balancer) programEnded(program string) (out []sched.Effect) {
 	for _, name := range b.held[program] {
 		out = append(out, sched.Release{Upstream: name, Program: program})
 	}
@@ -79,17 +79,17 @@
 	return out
 }
 
-func (b *Basis) ask(a sched.Submit) []sched.Effect {
-	var able []string
+func (b *Balancer) submit(a sched.Submit) []sched.Effect {
+	var eligible []string
 	for _, name := range b.names {
 		if b.cfg.Upstreams[name].Group == a.Group && !b.leaving[name] && !slices.Contains(a.Avoid, name) {
-			able = append(able, name)
+			eligible = append(eligible, name)
 		}
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return []sched.Effect{sched.Refuse{ID: a.ID, Code: result.CodeNoUpstream, RetryAfter: time.Second}}
 	}
-	name := b.choose(able, a)
+	name := b.pick(eligible, a)
 	b.inflight[name]++
 	if a.Model != "" && !slices.Contains(b.held[a.Program], name) {
 		b.held[a.Program] = append(b.held[a.Program], name)
@@ -97,20 +97,20 @@
 	return []sched.Effect{sched.Assign{ID: a.ID, Upstream: name, Address: b.cfg.Upstreams[name].Address}}
 }
 
-func (b *Basis) choose(able []string, a sched.Submit) string {
+func (b *Balancer) pick(eligible []string, a sched.Submit) string {
 	switch b.Policy {
 	case StickyHash:
-		return slices.MaxFunc(able, func(x, y string) int {
+		return slices.MaxFunc(eligible, func(x, y string) int {
 			return compare(xxhash.Sum64String(x+"/"+a.Root), xxhash.Sum64String(y+"/"+a.Root))
 		})
 	case LeastOutstanding:
-		b.turn[a.Group]++ // equals in turn
-		first := b.turn[a.Group] % len(able)
-		able = append(slices.Clone(able[first:]), able[:first]...)
-		return slices.MinFunc(able, func(x, y string) int { return b.inflight[x] - b.inflight[y] })
+		b.next[a.Group]++ // equals in turn
+		first := b.next[a.Group] % len(eligible)
+		eligible = append(slices.Clone(eligible[first:]), eligible[:first]...)
+		return slices.MinFunc(eligible, func(x, y string) int { return b.inflight[x] - b.inflight[y] })
 	default:
-		b.turn[a.Group]++
-		return able[b.turn[a.Group]%len(able)]
+		b.next[a.Group]++
+		return eligible[b.next[a.Group]%len(eligible)]
 	}
 }
 
--- a/internal/play/replay/cache.go
+++ b/internal/play/replay/cache.go
@@ -10,10 +10,10 @@
 	// cache is an engine's prefix cache: blocks in the order of use, each
 	// tagged with the programs that left it. A block without a tag is free.
 	cache struct {
-		room    int // tokens
-		used    int
-		order   *list.List // of *entry, the most recently used first
-		entries map[uint64]*list.Element
+		capacity int // tokens
+		used     int
+		lru      *list.List // of *entry, the most recently used first
+		entries  map[uint64]*list.Element
 	}
 
 	entry struct {
@@ -23,12 +23,12 @@
 	}
 )
 
-func newCache(room int) cache {
-	return cache{room: room, order: list.New(), entries: map[uint64]*list.Element{}}
+func newCache(capacity int) cache {
+	return cache{capacity: capacity, lru: list.New(), entries: map[uint64]*list.Element{}}
 }
 
 // match returns how many blocks from the beginning are held.
-func (c *cache) match(blocks []engine.Block) int {
+func (c *cache) matchPrefix(blocks []engine.Block) int {
 	for i, b := range blocks {
 		if c.entries[b.Hash] == nil {
 			return i
@@ -45,22 +45,22 @@
 		b := blocks[i]
 		el := c.entries[b.Hash]
 		if el == nil {
-			el = c.order.PushFront(&entry{hash: b.Hash, tokens: b.Tokens, tags: map[string]bool{}})
+			el = c.lru.PushFront(&entry{hash: b.Hash, tokens: b.Tokens, tags: map[string]bool{}})
 			c.entries[b.Hash] = el
 			c.used += b.Tokens
 			stored = append(stored, b.Hash)
 		}
-		c.order.MoveToFront(el)
+		c.lru.MoveToFront(el)
 		el.Value.(*entry).tags[program] = true
 	}
-	for c.used > c.room && c.order.Len() > 1 {
-		evicted = append(evicted, c.remove(c.order.Back()))
+	for c.used > c.capacity && c.lru.Len() > 1 {
+		evicted = append(evicted, c.remove(c.lru.Back()))
 	}
 	return stored, evicted
 }
 
 func (c *cache) remove(el *list.Element) uint64 {
-	e := c.order.Remove(el).(*entry)
+	e := c.lru.Remove(el).(*entry)
 	delete(c.entries, e.hash)
 	c.used -= e.tokens
 	return e.hash
@@ -68,7 +68,7 @@
 
 // release takes the program's tag away and frees what has no other.
 func (c *cache) release(program string) (evicted []uint64) {
-	for el := c.order.Front(); el != nil; {
+	for el := c.lru.Front(); el != nil; {
 		next := el.Next()
 		e := el.Value.(*entry)
 		delete(e.tags, program)
@@ -82,7 +82,7 @@
 
 // blocksOf returns the blocks that the program left, the last used first.
 func (c *cache) blocksOf(program string) (out []engine.Block) {
-	for el := c.order.Front(); el != nil; el = el.Next() {
+	for el := c.lru.Front(); el != nil; el = el.Next() {
 		if e := el.Value.(*entry); e.tags[program] {
 			out = append(out, engine.Block{Hash: e.hash, Tokens: e.tokens})
 		}
@@ -92,7 +92,7 @@
 
 // programs adds the programs that the cache holds memory for.
 func (c *cache) programs(into map[string]bool) {
-	for el := c.order.Front(); el != nil; el = el.Next() {
+	for el := c.lru.Front(); el != nil; el = el.Next() {
 		for p := range el.Value.(*entry).tags {
 			into[p] = true
 		}
--- a/internal/play/replay/clock.go
+++ b/internal/play/replay/clock.go
@@ -11,13 +11,13 @@
 	clock struct {
 		now    time.Time
 		events events
-		n      int
+		seq    int
 	}
 
 	event struct {
-		at time.Time
-		n  int
-		f  func()
+		at  time.Time
+		seq int
+		f   func()
 	}
 
 	events []event
@@ -27,7 +27,7 @@
 
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].n < e[j].n
+		return e[i].seq < e[j].seq
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -44,8 +44,8 @@
 }
 
 func (c *clock) after(d time.Duration, f func()) {
-	c.n++
-	heap.Push(&c.events, event{at: c.now.Add(max(d, 0)), n: c.n, f: f})
+	c.seq++
+	heap.Push(&c.events, event{at: c.now.Add(max(d, 0)), seq: c.seq, f: f})
 }
 
 // every calls f each d until f returns false.
--- a/internal/play/replay/program.go
+++ b/internal/play/replay/program.go
@@ -12,55 +12,55 @@
 )
 
 const (
-	maxTries   = 3
-	comeBack   = 500 * time.Millisecond // without a hint
-	storeHint  = 30 * time.Second       // for a call whose intent needs the store
-	completed  = "completed"
-	refused    = "refused"
-	failed     = "failed"
-	unknown    = "unknown"
-	gaveUp     = "gave_up"
-	cancelled  = "cancelled"
-	overBudget = string(result.CodeBudget)
-	overTurns  = string(result.CodeTurns)
+	maxAttempts     = 3
+	backoff         = 500 * time.Millisecond // without a hint
+	storeRetryDelay = 30 * time.Second       // for a call whose intent needs the store
+	completed       = "completed"
+	refused         = "refused"
+	failed          = "failed"
+	unknown         = "unknown"
+	gaveUp          = "gave_up"
+	cancelled       = "cancelled"
+	budgetExceeded  = string(result.CodeBudget)
+	turnLimit       = string(result.CodeTurns)
 )
 
 type (
 	// program is one program as it runs through the trace.
 	program struct {
-		t       *trace.Program
-		owner   *owner
-		begin   time.Duration // virtual time of arrival, -1 before
-		started time.Time
-		paused  time.Duration
-		number  int // of the next call
-		returns int // after refusals
-		spent   int64
-		chain   []engine.Block
-		req     *request
-		ended   bool
-		outcome string
-		latency time.Duration
+		t              *trace.Program
+		owner          *owner
+		begin          time.Duration // virtual time of arrival, -1 before
+		started        time.Time
+		paused         time.Duration
+		callIndex      int // of the next call
+		refusalRetries int // after refusals
+		spentTokens    int64
+		prefix         []engine.Block
+		req            *request
+		ended          bool
+		outcome        string
+		latency        time.Duration
 	}
 
 	// request is one call with its attempts.
 	request struct {
-		id       string
-		p        *program
-		call     trace.Call
-		ask      sched.Submit
-		blocks   []engine.Block
-		attempts []*attempt // under way
-		tries    int
-		sent     bool // an attempt may have run
-		runs     int
+		id             string
+		p              *program
+		call           trace.Call
+		msg            sched.Submit
+		blocks         []engine.Block
+		attempts       []*attempt // under way
+		failedAttempts int
+		maybeRan       bool // an attempt may have run
+		runs           int
 	}
 )
 
 func (p *program) arrive(w *world) {
 	p.started = w.now
 	if p.t.Context != "" {
-		p.chain = append(p.chain, engine.Block{Hash: blockHash("context/%s", p.t.Context), Tokens: p.t.ContextTokens})
+		p.prefix = append(p.prefix, engine.Block{Hash: blockHash("context/%s", p.t.Context), Tokens: p.t.ContextTokens})
 	}
 	if d := w.t.Header.DeadlineMS; d > 0 {
 		w.after(ms(d), func() { p.stop(w, gaveUp) })
@@ -68,15 +68,15 @@
 	if p.t.CancelMS > 0 {
 		w.after(ms(p.t.CancelMS), func() { p.stop(w, cancelled) })
 	}
-	p.next(w)
+	p.startNextCall(w)
 }
 
 // next makes the program's next call, or ends it after the last.
-func (p *program) next(w *world) {
+func (p *program) startNextCall(w *world) {
 	if p.ended {
 		return
 	}
-	if p.number >= len(p.t.Calls) && !p.t.Loop {
+	if p.callIndex >= len(p.t.Calls) && !p.t.Loop {
 		p.stop(w, completed)
 		return
 	}
@@ -84,43 +84,43 @@
 		p.stop(w, outcome)
 		return
 	}
-	c := p.t.Calls[p.number%len(p.t.Calls)]
-	r := &request{id: fmt.Sprintf("%s/%d/%d", p.t.Name, p.number, p.returns), p: p, call: c}
-	r.ask = sched.Submit{
+	c := p.t.Calls[p.callIndex%len(p.t.Calls)]
+	r := &request{id: fmt.Sprintf("%s/%d/%d", p.t.Name, p.callIndex, p.refusalRetries), p: p, call: c}
+	r.msg = sched.Submit{
 		ID: r.id, Account: p.t.Account, Program: p.t.Name, Root: p.t.Name,
-		Priority: p.t.Priority, Attained: p.spent, Group: p.t.Group, Model: p.t.Group,
+		Priority: p.t.Priority, Attained: p.spentTokens, Group: p.t.Group, Model: p.t.Group,
 	}
 	if c.Service != "" {
 		s := w.service(c.Service)
-		r.ask.Group, r.ask.Model, r.ask.Service, r.ask.Idempotent = s.Group, "", s.Name, s.Idempotent
-		if w.storeOut > 0 && !s.Idempotent {
-			p.comeBack(w, storeHint) // its intent can't be committed
+		r.msg.Group, r.msg.Model, r.msg.Service, r.msg.Idempotent = s.Group, "", s.Name, s.Idempotent
+		if w.storeOutages > 0 && !s.Idempotent {
+			p.backoff(w, storeRetryDelay) // its intent can't be committed
 			return
 		}
 	} else {
-		hash := blockHash("%s/%d", p.t.Name, p.number)
-		r.blocks = append(slices.Clone(p.chain), engine.Block{Hash: hash, Tokens: c.Prompt})
-		r.ask.Blocks, r.ask.MaxTokens = r.blocks, c.Output
+		hash := blockHash("%s/%d", p.t.Name, p.callIndex)
+		r.blocks = append(slices.Clone(p.prefix), engine.Block{Hash: hash, Tokens: c.Prompt})
+		r.msg.Blocks, r.msg.MaxTokens = r.blocks, c.Output
 		for _, b := range r.blocks {
-			r.ask.Prompt += b.Tokens
+			r.msg.Prompt += b.Tokens
 		}
 	}
 	p.req = r
 	w.byID[r.id] = r
 	w.requests = append(w.requests, r)
-	w.step(p.owner, r.ask)
+	w.step(p.owner, r.msg)
 }
 
 func (w *world) admit(p *program) (outcome string) {
-	if w.gate != nil {
-		return w.gate.Admit(w.now, *p.t, p.number, p.spent)
+	if w.admission != nil {
+		return w.admission.Admit(w.now, *p.t, p.callIndex, p.spentTokens)
 	}
-	c := p.t.Calls[p.number%len(p.t.Calls)]
+	c := p.t.Calls[p.callIndex%len(p.t.Calls)]
 	switch {
-	case p.t.MaxTurns > 0 && p.number >= p.t.MaxTurns:
-		return overTurns
-	case p.t.Budget > 0 && p.spent+int64(c.Prompt+c.Output) > p.t.Budget:
-		return overBudget
+	case p.t.MaxTurns > 0 && p.callIndex >= p.t.MaxTurns:
+		return turnLimit
+	case p.t.Budget > 0 && p.spentTokens+int64(c.Prompt+c.Output) > p.t.Budget:
+		return budgetExceeded
 	}
 	return ""
 }
@@ -135,10 +135,10 @@
 
 // began notes that an upstream began to run the request. A second run of a
 // call that is not idempotent is the worst that can happen.
-func (r *request) began(w *world) {
+func (r *request) recordStart(w *world) {
 	r.runs++
 	w.report.Dispatched++
-	if r.runs > 1 && r.ask.Service != "" && !r.ask.Idempotent {
+	if r.runs > 1 && r.msg.Service != "" && !r.msg.Idempotent {
 		w.report.Repeated++
 	}
 	if r.p.req != r {
@@ -157,8 +157,8 @@
 	a := &attempt{r: r, u: u}
 	r.attempts = append(r.attempts, a)
 	limit := ms(w.t.Header.TimeoutMS)
-	if r.ask.Service != "" {
-		limit = ms(w.service(r.ask.Service).TimeoutMS)
+	if r.msg.Service != "" {
+		limit = ms(w.service(r.msg.Service).TimeoutMS)
 	}
 	w.after(limit, func() { w.attemptEnded(a, sched.Failed, engine.Usage{}) })
 	u.submit(a)
@@ -171,15 +171,15 @@
 		return
 	}
 	r.attempts = slices.Delete(r.attempts, i, i+1)
-	a.u.drop(a)
+	a.u.removeAttempt(a)
 	w.step(r.p.owner, sched.Done{ID: r.id, Upstream: a.u.t.Name, Outcome: out, Usage: usage})
 	switch out {
 	case sched.Succeeded:
 		w.cancel(r)
-		r.p.answered(w, r, usage)
+		r.p.handleSuccess(w, r, usage)
 	case sched.Failed, sched.Unsent:
-		r.sent = r.sent || out == sched.Failed
-		w.again(a)
+		r.maybeRan = r.maybeRan || out == sched.Failed
+		w.retry(a)
 	}
 }
 
@@ -191,14 +191,14 @@
 }
 
 // again makes a further attempt where that is safe.
-func (w *world) again(a *attempt) {
+func (w *world) retry(a *attempt) {
 	r := a.r
 	if len(r.attempts) > 0 {
 		return // a hedge is still under way
 	}
-	r.tries++
-	safe := r.ask.Service == "" || r.ask.Idempotent || !r.sent
-	if !safe || r.tries >= maxTries {
+	r.failedAttempts++
+	safe := r.msg.Service == "" || r.msg.Idempotent || !r.maybeRan
+	if !safe || r.failedAttempts >= maxAttempts {
 		outcome := failed
 		if !safe {
 			outcome = unknown
@@ -207,9 +207,9 @@
 		return
 	}
 	w.report.Retries++
-	r.ask.Retry = true
-	r.ask.Avoid = append(slices.Clone(r.ask.Avoid), a.u.t.Name)
-	w.step(r.p.owner, r.ask)
+	r.msg.Retry = true
+	r.msg.Avoid = append(slices.Clone(r.msg.Avoid), a.u.t.Name)
+	w.step(r.p.owner, r.msg)
 }
 
 func (w *world) refuse(e sched.Refuse) {
@@ -228,35 +228,35 @@
 		r.p.stop(w, unknown)
 		return
 	}
-	r.p.comeBack(w, e.RetryAfter)
+	r.p.backoff(w, e.RetryAfter)
 }
 
 // comeBack repeats a call that was refused as not run, as often as the trace
 // says that callers do.
-func (p *program) comeBack(w *world, after time.Duration) {
-	if p.returns >= w.t.Header.Returns {
+func (p *program) backoff(w *world, after time.Duration) {
+	if p.refusalRetries >= w.t.Header.MaxRetries {
 		p.stop(w, refused)
 		return
 	}
-	p.returns++
-	w.after(max(after, comeBack), func() { p.next(w) })
+	p.refusalRetries++
+	w.after(max(after, backoff), func() { p.startNextCall(w) })
 }
 
-func (p *program) answered(w *world, r *request, usage engine.Usage) {
+func (p *program) handleSuccess(w *world, r *request, usage engine.Usage) {
 	w.remove(r)
 	p.req = nil
-	if w.gate != nil {
-		w.gate.Settle(w.now, *p.t, p.number, usage)
+	if w.admission != nil {
+		w.admission.Settle(w.now, *p.t, p.callIndex, usage)
 	}
 	if r.call.Service == "" {
-		p.spent += int64(r.call.Prompt + r.call.Output)
-		answer := engine.Block{Hash: blockHash("%s/%d/answer", p.t.Name, p.number), Tokens: r.call.Output}
-		p.chain = append(slices.Clone(r.blocks), answer)
+		p.spentTokens += int64(r.call.Prompt + r.call.Output)
+		answer := engine.Block{Hash: blockHash("%s/%d/answer", p.t.Name, p.callIndex), Tokens: r.call.Output}
+		p.prefix = append(slices.Clone(r.blocks), answer)
 	}
-	p.number++
+	p.callIndex++
 	pause := ms(r.call.PauseMS)
 	p.paused += pause
-	w.after(pause, func() { p.next(w) })
+	w.after(pause, func() { p.startNextCall(w) })
 }
 
 // stop ends the program and has its memory released.
@@ -266,7 +266,7 @@
 	}
 	p.ended, p.outcome = true, outcome
 	p.latency = w.now.Sub(p.started) - p.paused
-	w.open--
+	w.openPrograms--
 	if r := p.req; r != nil {
 		if len(r.attempts) == 0 {
 			w.step(p.owner, sched.Cancel{ID: r.id})
--- a/internal/play/replay/replay.go
+++ b/internal/play/replay/replay.go
@@ -15,7 +15,7 @@
 
 	"github.com/slaterock/slaterock/internal/place/sched"
 	"github.com/slaterock/slaterock/internal/place/sweep"
-	"github.com/slaterock/slaterock/internal/play/basis"
+	"github.com/slaterock/slaterock/internal/play/naive"
 	"github.com/slaterock/slaterock/internal/play/trace"
 )
 
@@ -23,9 +23,9 @@
 	// Production names the policy that the daemon runs.
 	Production = "slaterock"
 
-	sweepEvery = sweep.Interval
-	jitterMS   = 1000
-	jitterPart = 0.1
+	sweepInterval   = sweep.Interval
+	arrivalJitterMS = 1000
+	sizeJitter      = 0.1
 )
 
 type (
@@ -35,16 +35,16 @@
 		Policy string // Production or a baseline's name
 		// Seed shifts arrivals by up to a second and sizes and pauses by a
 		// tenth, and feeds the owners' sampling. 0 leaves the trace as it is.
-		Seed    uint64
-		Gate    Gate
-		Decider func(owner int) Decider // instead of Policy
+		Seed      uint64
+		Admission Admission
+		Scheduler func(owner int) Scheduler // instead of Policy
 	}
 )
 
 // Policies returns the names of all policies, the production one first.
 func Policies() []string {
 	out := []string{Production}
-	for _, p := range basis.Policies() {
+	for _, p := range naive.Policies() {
 		out = append(out, string(p))
 	}
 	return out
@@ -55,23 +55,23 @@
 	if o.Policy == "" {
 		o.Policy = Production
 	}
-	if o.Decider == nil && !slices.Contains(Policies(), o.Policy) {
+	if o.Scheduler == nil && !slices.Contains(Policies(), o.Policy) {
 		return r, fmt.Errorf("unknown policy %q, known are %v", o.Policy, Policies())
 	}
 	w := newWorld(perturb(t, o.Seed), o)
 	w.start()
 	w.run()
-	return w.finish(o.Policy), nil
+	return w.buildReport(o.Policy), nil
 }
 
-func (o Options) decider(i int) Decider {
+func (o Options) scheduler(i int) Scheduler {
 	switch {
-	case o.Decider != nil:
-		return o.Decider(i)
+	case o.Scheduler != nil:
+		return o.Scheduler(i)
 	case o.Policy == Production:
 		return &sched.Sched{Seed: o.Seed<<16 + uint64(i)}
 	default:
-		return &basis.Basis{Policy: basis.Policy(o.Policy)}
+		return &naive.Balancer{Policy: naive.Policy(o.Policy)}
 	}
 }
 
@@ -82,16 +82,16 @@
 		return t
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	part := func(n int) int { return int(float64(n) * (1 + jitterPart*(2*rng.Float64()-1))) }
+	scale := func(n int) int { return int(float64(n) * (1 + sizeJitter*(2*rng.Float64()-1))) }
 	t.Programs = slices.Clone(t.Programs)
 	for i := range t.Programs {
 		p := &t.Programs[i]
-		p.AtMS = max(0, p.AtMS+rng.Int64N(2*jitterMS)-jitterMS)
+		p.AtMS = max(0, p.AtMS+rng.Int64N(2*arrivalJitterMS)-arrivalJitterMS)
 		p.Calls = slices.Clone(p.Calls)
 		for j := range p.Calls {
 			c := &p.Calls[j]
-			c.Prompt, c.Output = part(c.Prompt), part(c.Output)
-			c.PauseMS, c.WorkMS = int64(part(int(c.PauseMS))), int64(part(int(c.WorkMS)))
+			c.Prompt, c.Output = scale(c.Prompt), scale(c.Output)
+			c.PauseMS, c.WorkMS = int64(scale(int(c.PauseMS))), int64(scale(int(c.WorkMS)))
 		}
 	}
 	return t
--- a/internal/play/replay/replay_test.go
+++ b/internal/play/replay/replay_test.go
@@ -14,25 +14,25 @@
 	"github.com/matryer/is"
 
 	"github.com/slaterock/slaterock/internal/place/sched"
-	"github.com/slaterock/slaterock/internal/play/gener"
+	"github.com/slaterock/slaterock/internal/play/synth"
 	"github.com/slaterock/slaterock/internal/play/trace"
 )
 
 var update = flag.Bool("update", false, "write the traces that the generator makes")
 
-const folder = "../../../traces/"
+const tracesDir = "../../../traces/"
 
 func scenario(t *testing.T, name string) trace.Trace {
 	t.Helper()
-	tr, err := load(folder + name + ".jsonl")
+	tr, err := load(tracesDir + name + ".jsonl")
 	is.New(t).NoErr(err)
 	return tr
 }
 
-func TestTracesHold(t *testing.T) {
-	paths, err := filepath.Glob(folder + "*.jsonl")
+func TestTracesMeetExpectations(t *testing.T) {
+	paths, err := filepath.Glob(tracesDir + "*.jsonl")
 	is.New(t).NoErr(err)
-	is.New(t).Equal(len(paths), len(gener.Scenarios()))
+	is.New(t).Equal(len(paths), len(synth.Scenarios()))
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			var out bytes.Buffer
@@ -46,15 +46,15 @@
 // The committed traces must be what the generator makes, or a change of it
 // would go unmeasured.
 func TestTracesAreGenerated(t *testing.T) {
-	for _, s := range gener.Scenarios() {
+	for _, s := range synth.Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			is := is.New(t)
 			var want bytes.Buffer
 			is.NoErr(s.Build(1).Write(&want))
 			if *update {
-				is.NoErr(os.WriteFile(folder+s.Name+".jsonl", want.Bytes(), 0o600))
+				is.NoErr(os.WriteFile(tracesDir+s.Name+".jsonl", want.Bytes(), 0o600))
 			}
-			got, err := os.ReadFile(folder + s.Name + ".jsonl")
+			got, err := os.ReadFile(tracesDir + s.Name + ".jsonl")
 			is.NoErr(err)
 			is.True(bytes.Equal(got, want.Bytes()))
 			is.True(len(got) < 300_000)
@@ -82,24 +82,24 @@
 	is := is.New(t)
 	peak, last := 0.0, 0.0
 	for _, times := range []float64{1, 1.5, 3} {
-		r, err := Replay(gener.Press(times, 1), Options{})
+		r, err := Replay(synth.Overload(times, 1), Options{})
 		is.NoErr(err)
 		t.Logf("%.2f times the capacity: goodput %.2f/s, completed %d, refused %d, gave up %d", times, r.Goodput, r.Completed, r.Refused, r.GaveUp)
 		peak, last = max(peak, r.Goodput), r.Goodput
 		is.Equal(r.FalseRefusals, 0)
-		is.Equal(r.Held, 0)
+		is.Equal(r.HeldPrograms, 0)
 	}
 	is.True(last >= 0.9*peak)
 }
 
 // wrong makes one mistake in what production decides.
-type wrong struct {
+type faultyScheduler struct {
 	sched.Sched
-	spoil func(now time.Time, m sched.Message, out []sched.Effect) []sched.Effect
+	alter func(now time.Time, m sched.Message, out []sched.Effect) []sched.Effect
 }
 
-func (w *wrong) Step(now time.Time, m sched.Message) []sched.Effect {
-	return w.spoil(now, m, w.Sched.Step(now, m))
+func (w *faultyScheduler) Step(now time.Time, m sched.Message) []sched.Effect {
+	return w.alter(now, m, w.Sched.Step(now, m))
 }
 
 // A check that can't fail proves nothing. Each mistake here is one that the
@@ -118,7 +118,7 @@
 	}
 	tests := map[string]struct {
 		trace  string
-		spoil  mistake
+		alter  mistake
 		broken string
 	}{
 		"memory is not released": {"mafuta_day", drop(func(e sched.Effect) bool {
@@ -145,10 +145,10 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, err := Replay(scenario(t, tt.trace), Options{Decider: func(int) Decider { return &wrong{spoil: tt.spoil} }})
+			r, err := Replay(scenario(t, tt.trace), Options{Scheduler: func(int) Scheduler { return &faultyScheduler{alter: tt.alter} }})
 			is.NoErr(err)
 			found := false
-			for _, b := range r.Broken {
+			for _, b := range r.Unmet {
 				found = found || strings.HasPrefix(b.Text, tt.broken)
 			}
 			is.True(found)
@@ -159,15 +159,15 @@
 // deaf never learns that an upstream leaves.
 func TestLateDispatchIsCaught(t *testing.T) {
 	is := is.New(t)
-	r, err := Replay(scenario(t, "rolling_replacement"), Options{Decider: func(int) Decider { return &deaf{} }})
+	r, err := Replay(scenario(t, "rolling_replacement"), Options{Scheduler: func(int) Scheduler { return &leaveBlindScheduler{} }})
 	is.NoErr(err)
 	is.True(r.LateDispatches > 0)
 	is.True(r.CutStreams > 0)
 }
 
-type deaf struct{ sched.Sched }
+type leaveBlindScheduler struct{ sched.Sched }
 
-func (d *deaf) Step(now time.Time, m sched.Message) []sched.Effect {
+func (d *leaveBlindScheduler) Step(now time.Time, m sched.Message) []sched.Effect {
 	switch m := m.(type) {
 	case sched.VMs:
 		return nil
@@ -178,7 +178,7 @@
 	return d.Sched.Step(now, m)
 }
 
-func TestBrokenOutcomesAreNamed(t *testing.T) {
+func TestUnmetExpectationsAreReported(t *testing.T) {
 	bound := 1.0
 	tests := map[string]struct {
 		expect trace.Expect
@@ -196,9 +196,9 @@
 			tr.Expects = []trace.Expect{tt.expect}
 			r, err := Replay(tr, Options{})
 			is.NoErr(err)
-			is.Equal(len(r.Broken), 1)
-			is.Equal(r.Broken[0].Line, 7)
-			is.True(strings.Contains(r.Broken[0].Text, tt.want))
+			is.Equal(len(r.Unmet), 1)
+			is.Equal(r.Unmet[0].Line, 7)
+			is.True(strings.Contains(r.Unmet[0].Text, tt.want))
 		})
 	}
 }
@@ -206,7 +206,7 @@
 func TestRunComparesPolicies(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	paths := []string{folder + "looping_program.jsonl"}
+	paths := []string{tracesDir + "looping_program.jsonl"}
 	is.NoErr(Run(&out, Args{Paths: paths, Policy: "round_robin"}))
 	is.True(strings.Contains(out.String(), "difference"))
 	is.True(strings.Contains(out.String(), "1 traces, 0 broken outcomes"))
@@ -221,7 +221,7 @@
 	is.NoErr(tr.Write(&b))
 	is.NoErr(os.WriteFile(broken, b.Bytes(), 0o600))
 	out.Reset()
-	is.True(errors.Is(Run(&out, Args{Paths: []string{broken}}), ErrBroken))
+	is.True(errors.Is(Run(&out, Args{Paths: []string{broken}}), ErrUnmet))
 	last := bytes.Count(b.Bytes(), []byte("\n"))
 	is.True(strings.Contains(out.String(), filepath.Base(broken)+":"+strconv.Itoa(last)+": completed is"))
 }
--- a/internal/play/replay/report.go
+++ b/internal/play/replay/report.go
@@ -34,22 +34,22 @@
 		Repeated       int // runs of non-idempotent calls beyond the first
 		OutOfOrder     int
 		OverBudget     int     // programs that spent more than their budget
-		Held           int     // programs that ended and still hold memory
+		HeldPrograms   int     // programs that ended and still hold memory
 		LateDispatches int     // to upstreams that had said they leave
 		CutStreams     int     // under way when a leaving upstream went
 		Goodput        float64 // programs completed in a second
 		Outcomes       map[string]string
-		Broken         []Broken
+		Unmet          []Unmet
 	}
 
 	// Broken is a stated outcome that was not met.
-	Broken struct {
+	Unmet struct {
 		Line int
 		Text string
 	}
 )
 
-func (w *world) finish(policy string) Report {
+func (w *world) buildReport(policy string) Report {
 	r := w.report
 	r.Policy, r.Programs, r.Outcomes = policy, len(w.programs), map[string]string{}
 	var latencies []time.Duration
@@ -57,8 +57,8 @@
 	ends := make([]time.Time, 0, len(w.programs))
 	for _, p := range w.programs {
 		r.Outcomes[p.t.Name] = p.outcome
-		r.Spent += p.spent
-		if p.t.Budget > 0 && p.spent > p.t.Budget {
+		r.Spent += p.spentTokens
+		if p.t.Budget > 0 && p.spentTokens > p.t.Budget {
 			r.OverBudget++
 		}
 		if first.IsZero() || p.started.Before(first) {
@@ -89,8 +89,8 @@
 	for _, u := range w.workers {
 		u.cache.programs(held)
 	}
-	r.Held = len(held)
-	r.Broken = r.check(w.t.Expects)
+	r.HeldPrograms = len(held)
+	r.Unmet = r.check(w.t.Expects)
 	return r
 }
 
@@ -123,24 +123,24 @@
 		"p50_ms": millis(r.P50), "p95_ms": millis(r.P95), "p99_ms": millis(r.P99),
 		"wasted_tokens": float64(r.Wasted), "dispatched": float64(r.Dispatched), "retries": float64(r.Retries),
 		"repeated": float64(r.Repeated), "out_of_order": float64(r.OutOfOrder), "over_budget": float64(r.OverBudget),
-		"held_programs": float64(r.Held), "late_dispatches": float64(r.LateDispatches),
+		"held_programs": float64(r.HeldPrograms), "late_dispatches": float64(r.LateDispatches),
 		"cut_streams": float64(r.CutStreams), "false_refusals": float64(r.FalseRefusals),
 		"goodput_per_s": r.Goodput, "spent_tokens": float64(r.Spent), "refusals": float64(r.Refusals),
 	}[name]
 	return v, ok
 }
 
-func (r Report) check(expects []trace.Expect) (broken []Broken) {
+func (r Report) check(expects []trace.Expect) (unmet []Unmet) {
 	for _, e := range expects {
-		if text := r.miss(e); text != "" {
-			broken = append(broken, Broken{Line: e.Line, Text: text})
+		if text := r.mismatch(e); text != "" {
+			unmet = append(unmet, Unmet{Line: e.Line, Text: text})
 		}
 	}
-	return broken
+	return unmet
 }
 
 // miss says how the expectation is missed, or nothing.
-func (r Report) miss(e trace.Expect) string {
+func (r Report) mismatch(e trace.Expect) string {
 	if e.Program != "" {
 		if got := r.Outcomes[e.Program]; got != e.Outcome {
 			return fmt.Sprintf("program %s ended as %q, expected %q", e.Program, got, e.Outcome)
--- a/internal/play/replay/run.go
+++ b/internal/play/replay/run.go
@@ -14,16 +14,16 @@
 type (
 	// Args are those of the command that replays traces.
 	Args struct {
-		Paths  []string
-		Policy string // replay under this one too and print the difference
-		Seeds  int    // with Table: how many
-		Table  bool   // print all policies side by side, in Markdown
-		Gate   Gate
+		Paths     []string
+		Policy    string // replay under this one too and print the difference
+		Seeds     int    // with Table: how many
+		Table     bool   // print all policies side by side, in Markdown
+		Admission Admission
 	}
 )
 
 // ErrBroken reports stated outcomes that were not met.
-var ErrBroken = errors.New("stated outcomes are broken")
+var ErrUnmet = errors.New("stated outcomes are broken")
 
 // printer keeps the first error of writing.
 type printer struct {
@@ -39,17 +39,17 @@
 	if a.Table {
 		return p.table(a)
 	}
-	broken := 0
+	unmet := 0
 	for _, path := range a.Paths {
 		n, err := p.replay(path, a)
 		if err != nil {
 			return err
 		}
-		broken += n
+		unmet += n
 	}
-	p.printf("%d traces, %d broken outcomes\n", len(a.Paths), broken)
-	if p.err == nil && broken > 0 {
-		return ErrBroken
+	p.printf("%d traces, %d broken outcomes\n", len(a.Paths), unmet)
+	if p.err == nil && unmet > 0 {
+		return ErrUnmet
 	}
 	return p.err
 }
@@ -60,28 +60,28 @@
 	}
 }
 
-func (p *printer) replay(path string, a Args) (broken int, err error) {
+func (p *printer) replay(path string, a Args) (unmet int, err error) {
 	t, err := load(path)
 	if err != nil {
 		return 0, err
 	}
-	r, err := Replay(t, Options{Gate: a.Gate})
+	r, err := Replay(t, Options{Admission: a.Admission})
 	if err != nil {
 		return 0, err
 	}
 	p.printf("%s: %d of %d programs completed, p50 %s p95 %s p99 %s, wasted %d of %d prefilled tokens\n",
 		path, r.Completed, r.Programs, round(r.P50), round(r.P95), round(r.P99), r.Wasted, r.Prefilled)
-	for _, b := range r.Broken {
+	for _, b := range r.Unmet {
 		p.printf("%s:%d: %s\n", path, b.Line, b.Text)
 	}
 	if a.Policy != "" {
-		other, err := Replay(t, Options{Policy: a.Policy, Gate: a.Gate})
+		other, err := Replay(t, Options{Policy: a.Policy, Admission: a.Admission})
 		if err != nil {
 			return 0, err
 		}
-		p.difference(r, other)
+		p.compare(r, other)
 	}
-	return len(r.Broken), nil
+	return len(r.Unmet), nil
 }
 
 func load(path string) (t trace.Trace, err error) {
@@ -94,7 +94,7 @@
 	return trace.Read(f)
 }
 
-func (p *printer) difference(a, b Report) {
+func (p *printer) compare(a, b Report) {
 	p.printf("%16s %18s %18s %12s\n", "", a.Policy, b.Policy, "difference")
 	for _, m := range []string{"completed", "refused", "gave_up", "p50_ms", "p95_ms", "p99_ms", "wasted_tokens", "dispatched", "retries"} {
 		x, _ := a.measure(m)
@@ -124,7 +124,7 @@
 	var completed, p50, p95, p99, wasted float64
 	n := float64(max(a.Seeds, 1))
 	for seed := range uint64(n) {
-		r, err := Replay(t, Options{Policy: policy, Seed: seed + 1, Gate: a.Gate})
+		r, err := Replay(t, Options{Policy: policy, Seed: seed + 1, Admission: a.Admission})
 		if err != nil {
 			return err
 		}
--- a/internal/play/replay/worker.go
+++ b/internal/play/replay/worker.go
@@ -8,61 +8,61 @@
 	"github.com/slaterock/slaterock/internal/play/trace"
 )
 
-const refusedAfter = time.Millisecond // a connection that is refused
+const refusedConnDelay = time.Millisecond // a connection that is refused
 
 type (
 	// worker is a small model of one upstream: so many requests at a time,
 	// one prefill after the other, decoding that slows with the batch, and a
 	// cache. All its numbers come from the trace.
 	worker struct {
-		w       *world
-		t       trace.Upstream
-		faults  map[trace.What]int // how many of each are on
-		slow    float64
-		running map[*attempt]bool
-		waiting []*attempt
-		prefill time.Time // the engine's prefill is busy until then
-		cache   cache
-		seq     uint64 // of cache events
-		reports uint64
-		events  []engine.Event // not yet delivered
-		left    time.Time      // since when its leaving was published
+		w                *world
+		t                trace.Upstream
+		faults           map[trace.Mode]int // how many of each are on
+		slowdown         float64
+		running          map[*attempt]bool
+		waiting          []*attempt
+		prefillBusyUntil time.Time // the engine's prefill is busy until then
+		cache            cache
+		eventSeq         uint64 // of cache events
+		reportSeq        uint64
+		events           []engine.Event // not yet delivered
+		leavingSince     time.Time      // since when its leaving was published
 	}
 
 	// attempt is one request at one worker.
 	attempt struct {
-		r      *request
-		u      *worker
-		ended  bool
-		cached int
+		r            *request
+		u            *worker
+		ended        bool
+		cachedTokens int
 	}
 )
 
 func newWorker(w *world, t trace.Upstream) *worker {
 	return &worker{
-		w: w, t: t, faults: map[trace.What]int{}, slow: 1,
+		w: w, t: t, faults: map[trace.Mode]int{}, slowdown: 1,
 		running: map[*attempt]bool{}, cache: newCache(t.CacheTokens),
 	}
 }
 
-func (u *worker) on(what trace.What) bool { return u.faults[what] > 0 }
+func (u *worker) active(what trace.Mode) bool { return u.faults[what] > 0 }
 
 // submit takes a request.
 func (u *worker) submit(a *attempt) {
-	if u.on(trace.Down) {
-		u.w.after(refusedAfter, func() { u.w.attemptEnded(a, sched.Unsent, engine.Usage{}) })
+	if u.active(trace.Down) {
+		u.w.after(refusedConnDelay, func() { u.w.attemptEnded(a, sched.Unsent, engine.Usage{}) })
 		return
 	}
-	if !u.left.IsZero() && u.w.now.Sub(u.left) > leavingGrace {
+	if !u.leavingSince.IsZero() && u.w.now.Sub(u.leavingSince) > leavingGrace {
 		u.w.report.LateDispatches++
 	}
 	u.waiting = append(u.waiting, a)
-	u.next()
+	u.startWaiting()
 }
 
 // next begins waiting requests while there are free slots, the highest
 // priority first.
-func (u *worker) next() {
+func (u *worker) startWaiting() {
 	for len(u.running) < u.t.Slots && len(u.waiting) > 0 {
 		best := 0
 		for i, a := range u.waiting {
@@ -78,55 +78,55 @@
 }
 
 func (u *worker) begin(a *attempt) {
-	a.r.began(u.w)
-	if u.on(trace.Hang) {
+	a.r.recordStart(u.w)
+	if u.active(trace.Hang) {
 		return
 	}
 	c := a.r.call
 	if u.t.Service {
-		u.w.after(seconds(u.slow*ms(c.WorkMS).Seconds()), func() { u.finish(a, engine.Usage{}) })
+		u.w.after(seconds(u.slowdown*ms(c.WorkMS).Seconds()), func() { u.finish(a, engine.Usage{}) })
 		return
 	}
-	n := u.cache.match(a.r.blocks)
+	n := u.cache.matchPrefix(a.r.blocks)
 	prompt := 0
 	for i, b := range a.r.blocks {
 		prompt += b.Tokens
 		if i < n {
-			a.cached += b.Tokens
+			a.cachedTokens += b.Tokens
 		} else {
-			u.w.computed(b)
+			u.w.recordPrefill(b)
 		}
 	}
 	stored, evicted := u.cache.store(a.r.p.t.Name, a.r.blocks)
-	u.note(stored, evicted)
+	u.recordEvent(stored, evicted)
 	start := u.w.now
-	if u.prefill.After(start) {
-		start = u.prefill
+	if u.prefillBusyUntil.After(start) {
+		start = u.prefillBusyUntil
 	}
-	u.prefill = start.Add(seconds(u.slow * float64(prompt-a.cached) / u.t.PrefillPerS))
-	u.w.after(u.prefill.Sub(u.w.now), func() { u.first(a, prompt) })
+	u.prefillBusyUntil = start.Add(seconds(u.slowdown * float64(prompt-a.cachedTokens) / u.t.PrefillPerS))
+	u.w.after(u.prefillBusyUntil.Sub(u.w.now), func() { u.firstToken(a, prompt) })
 }
 
-func (u *worker) first(a *attempt, prompt int) {
+func (u *worker) firstToken(a *attempt, prompt int) {
 	if a.ended {
 		return
 	}
 	u.w.step(a.r.p.owner, sched.First{ID: a.r.id, Upstream: u.t.Name})
-	beside := float64(len(u.running) - 1)
-	each := u.slow * u.t.DecodeMS / 1000 * (1 + u.t.BatchSlope*beside)
-	usage := engine.Usage{Prompt: prompt, Cached: a.cached, Output: a.r.call.Output, Finish: "stop"}
-	u.w.after(seconds(each*float64(a.r.call.Output)), func() { u.finish(a, usage) })
+	others := float64(len(u.running) - 1)
+	perToken := u.slowdown * u.t.DecodeMS / 1000 * (1 + u.t.BatchSlope*others)
+	usage := engine.Usage{Prompt: prompt, Cached: a.cachedTokens, Output: a.r.call.Output, Finish: "stop"}
+	u.w.after(seconds(perToken*float64(a.r.call.Output)), func() { u.finish(a, usage) })
 }
 
 func (u *worker) finish(a *attempt, usage engine.Usage) {
-	if a.ended || u.on(trace.Hang) {
+	if a.ended || u.active(trace.Hang) {
 		return
 	}
 	u.w.attemptEnded(a, sched.Succeeded, usage)
 }
 
 // drop takes the attempt out, whatever became of it.
-func (u *worker) drop(a *attempt) {
+func (u *worker) removeAttempt(a *attempt) {
 	a.ended = true
 	delete(u.running, a)
 	for i, v := range u.waiting {
@@ -135,7 +135,7 @@
 			break
 		}
 	}
-	u.next()
+	u.startWaiting()
 }
 
 // crash fails all that runs and empties the cache. What waited inside may
@@ -150,39 +150,39 @@
 			}
 		}
 	}
-	u.cache, u.seq, u.reports, u.events, u.prefill = newCache(u.t.CacheTokens), 0, 0, nil, time.Time{}
+	u.cache, u.eventSeq, u.reportSeq, u.events, u.prefillBusyUntil = newCache(u.t.CacheTokens), 0, 0, nil, time.Time{}
 	for _, a := range all {
 		u.w.attemptEnded(a, sched.Failed, engine.Usage{})
 	}
 }
 
-func (u *worker) note(stored, evicted []uint64) {
+func (u *worker) recordEvent(stored, evicted []uint64) {
 	if len(stored)+len(evicted) == 0 {
 		return
 	}
-	u.seq++
-	if u.on(trace.Gaps) && u.w.rng.IntN(2) == 0 {
+	u.eventSeq++
+	if u.active(trace.EventLoss) && u.w.rng.IntN(2) == 0 {
 		return
 	}
-	u.events = append(u.events, engine.Event{Seq: u.seq, Stored: stored, Evicted: evicted})
+	u.events = append(u.events, engine.Event{Seq: u.eventSeq, Stored: stored, Evicted: evicted})
 }
 
 // publish sends a load report and the cache events, which arrive later.
 func (u *worker) publish() {
-	if u.on(trace.Down) {
+	if u.active(trace.Down) {
 		return
 	}
-	u.reports++
+	u.reportSeq++
 	report := engine.Load{
-		Seq: u.reports, At: u.w.now, Running: len(u.running), Waiting: len(u.waiting),
-		Used: u.cache.used, Total: u.t.CacheTokens, Leaving: u.on(trace.Leave),
+		Seq: u.reportSeq, At: u.w.now, Running: len(u.running), Waiting: len(u.waiting),
+		Used: u.cache.used, Total: u.t.CacheTokens, Leaving: u.active(trace.Leave),
 	}
 	events := u.events
 	u.events = nil
-	silent := u.on(trace.Silent)
+	silent := u.active(trace.NoReports)
 	u.w.after(ms(u.t.LagMS), func() {
-		if report.Leaving && u.left.IsZero() && u.on(trace.Leave) {
-			u.left = u.w.now
+		if report.Leaving && u.leavingSince.IsZero() && u.active(trace.Leave) {
+			u.leavingSince = u.w.now
 		}
 		for _, o := range u.w.owners {
 			if !silent {
--- a/internal/play/replay/world.go
+++ b/internal/play/replay/world.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	tickEvery    = 100 * time.Millisecond
-	listEvery    = time.Second
-	answerAfter  = 5 * time.Millisecond // of an engine to List
-	leavingGrace = 2 * time.Second
+	tickInterval   = 100 * time.Millisecond
+	vmListInterval = time.Second
+	listReplyDelay = 5 * time.Millisecond // of an engine to List
+	leavingGrace   = 2 * time.Second
 	// After the last program the replay goes on until the sweep has read
 	// every engine twice, and at least this long.
-	settle = 10 * time.Second
+	minDrain = 10 * time.Second
 	// A replay that has not ended after this much virtual time is stuck.
-	longest = 2 * time.Hour
+	maxDuration = 2 * time.Hour
 )
 
 type (
 	// Decider is one owner's decisions: sched.Sched in production.
-	Decider interface {
+	Scheduler interface {
 		Step(now time.Time, m sched.Message) []sched.Effect
 	}
 
 	// Gate is asked before each call whether the program may make it, and
 	// told what each answer cost. Without one, the budget and the turn limit
 	// in the trace are kept by simple counting.
-	Gate interface {
+	Admission interface {
 		Admit(now time.Time, p trace.Program, number int, spent int64) (outcome string)
 		Settle(now time.Time, p trace.Program, number int, usage engine.Usage)
 	}
@@ -44,32 +44,32 @@
 	// world is one replay under way.
 	world struct {
 		clock
-		t        trace.Trace
-		rng      *rand.Rand
-		gate     Gate
-		owners   []*owner
-		workers  []*worker
-		byName   map[string]*worker
-		programs []*program
-		requests []*request // under way
-		byID     map[string]*request
-		known    map[uint64]bool // blocks that were computed once
-		storeOut int
-		open     int
-		report   Report
+		t              trace.Trace
+		rng            *rand.Rand
+		admission      Admission
+		owners         []*owner
+		workers        []*worker
+		byName         map[string]*worker
+		programs       []*program
+		requests       []*request // under way
+		byID           map[string]*request
+		computedBlocks map[uint64]bool // blocks that were computed once
+		storeOutages   int
+		openPrograms   int
+		report         Report
 	}
 
-	owner struct{ d Decider }
+	owner struct{ s Scheduler }
 )
 
 func newWorld(t trace.Trace, o Options) *world {
 	w := &world{
-		t: t, gate: o.Gate, rng: rand.New(rand.NewPCG(o.Seed, 2)),
-		byName: map[string]*worker{}, byID: map[string]*request{}, known: map[uint64]bool{},
+		t: t, admission: o.Admission, rng: rand.New(rand.NewPCG(o.Seed, 2)),
+		byName: map[string]*worker{}, byID: map[string]*request{}, computedBlocks: map[uint64]bool{},
 	}
 	w.now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for i := range max(t.Header.Owners, 1) {
-		w.owners = append(w.owners, &owner{d: o.decider(i)})
+		w.owners = append(w.owners, &owner{s: o.scheduler(i)})
 	}
 	for _, u := range t.Upstreams {
 		wk := newWorker(w, u)
@@ -83,8 +83,8 @@
 	cfg := configuration(w.t)
 	for i, o := range w.owners {
 		w.step(o, sched.Configure{File: cfg})
-		first := tickEvery * time.Duration(i) / time.Duration(len(w.owners))
-		w.every(first, tickEvery, func() bool { w.step(o, sched.Tick{}); return true })
+		first := tickInterval * time.Duration(i) / time.Duration(len(w.owners))
+		w.every(first, tickInterval, func() bool { w.step(o, sched.Tick{}); return true })
 	}
 	for i, u := range w.workers {
 		if u.t.ReportMS > 0 {
@@ -92,7 +92,7 @@
 			w.every(first, ms(u.t.ReportMS), func() bool { u.publish(); return true })
 		}
 	}
-	w.every(0, listEvery, func() bool { w.list(); return true })
+	w.every(0, vmListInterval, func() bool { w.publishVMs(); return true })
 	for _, f := range w.t.Faults {
 		w.after(ms(f.AtMS), func() { w.fault(f, true) })
 		w.after(ms(f.UntilMS), func() { w.fault(f, false) })
@@ -101,7 +101,7 @@
 		p := &program{t: &w.t.Programs[i], begin: -1}
 		p.owner = w.owners[xxhash.Sum64String(p.t.Name)%uint64(len(w.owners))]
 		w.programs = append(w.programs, p)
-		w.open++
+		w.openPrograms++
 		w.after(ms(p.t.AtMS), func() { p.arrive(w) })
 	}
 }
@@ -110,15 +110,15 @@
 func (w *world) run() {
 	begin := w.now
 	var ended time.Time
-	rounds := time.Duration(2*len(w.workers)) * sweepEvery / time.Duration(len(w.owners))
+	rounds := time.Duration(2*len(w.workers)) * sweepInterval / time.Duration(len(w.owners))
 	w.clock.run(func() bool {
-		if w.open > 0 {
-			return w.now.Sub(begin) > longest
+		if w.openPrograms > 0 {
+			return w.now.Sub(begin) > maxDuration
 		}
 		if ended.IsZero() {
 			ended = w.now
 		}
-		return w.now.Sub(ended) > settle+2*rounds
+		return w.now.Sub(ended) > minDrain+2*rounds
 	})
 }
 
@@ -144,7 +144,7 @@
 }
 
 func (w *world) step(o *owner, m sched.Message) {
-	for _, e := range o.d.Step(w.now, m) {
+	for _, e := range o.s.Step(w.now, m) {
 		switch e := e.(type) {
 		case sched.Assign:
 			w.assign(e)
@@ -152,18 +152,18 @@
 			w.refuse(e)
 		case sched.Release:
 			u := w.byName[e.Upstream]
-			u.note(nil, u.cache.release(e.Program))
+			u.recordEvent(nil, u.cache.release(e.Program))
 		case sched.Export:
 			w.export(e)
 		case sched.List:
-			w.after(answerAfter, func() { w.held(o, e.Upstream) })
+			w.after(listReplyDelay, func() { w.replyHeld(o, e.Upstream) })
 		}
 	}
 }
 
-func (w *world) held(o *owner, name string) {
+func (w *world) replyHeld(o *owner, name string) {
 	u := w.byName[name]
-	if u.on(trace.Down) {
+	if u.active(trace.Down) {
 		return
 	}
 	set := map[string]bool{}
@@ -182,29 +182,29 @@
 
 func (w *world) export(e sched.Export) {
 	from, to := w.byName[e.Upstream], w.byName[e.To]
-	if from.on(trace.Down) || to.on(trace.Down) {
+	if from.active(trace.Down) || to.active(trace.Down) {
 		return
 	}
 	blocks := from.cache.blocksOf(e.Program)
 	stored, evicted := to.cache.store(e.Program, blocks)
-	to.note(stored, evicted)
+	to.recordEvent(stored, evicted)
 	w.report.Exports++
 }
 
 // list delivers the platform's list of VMs, late.
-func (w *world) list() {
+func (w *world) publishVMs() {
 	var m sched.VMs
 	for _, u := range w.workers {
 		vm := vmlist.VM{Name: u.t.Name, Address: u.t.Name, FailureDomain: u.t.FailureDomain, State: vmlist.Live}
-		if u.on(trace.Leave) {
+		if u.active(trace.Leave) {
 			vm.State = vmlist.Leaving
 		}
 		m.List = append(m.List, vm)
 	}
 	w.after(ms(w.t.Header.ListLagMS), func() {
 		for i, u := range w.workers {
-			if m.List[i].State == vmlist.Leaving && u.left.IsZero() && u.on(trace.Leave) {
-				u.left = w.now
+			if m.List[i].State == vmlist.Leaving && u.leavingSince.IsZero() && u.active(trace.Leave) {
+				u.leavingSince = w.now
 			}
 		}
 		for _, o := range w.owners {
@@ -218,37 +218,37 @@
 	if !begins {
 		delta = -1
 	}
-	if f.What == trace.Store {
-		w.storeOut += delta
+	if f.Mode == trace.StoreOutage {
+		w.storeOutages += delta
 		return
 	}
 	for _, u := range w.workers {
 		if f.Upstream != u.t.Name && (f.FailureDomain == "" || f.FailureDomain != u.t.FailureDomain) {
 			continue
 		}
-		u.faults[f.What] += delta
+		u.faults[f.Mode] += delta
 		switch {
-		case f.What == trace.Slow && begins:
-			u.slow = max(f.Factor, 1)
-		case f.What == trace.Slow:
-			u.slow = 1
-		case f.What == trace.Down && begins:
+		case f.Mode == trace.Slow && begins:
+			u.slowdown = max(f.Factor, 1)
+		case f.Mode == trace.Slow:
+			u.slowdown = 1
+		case f.Mode == trace.Down && begins:
 			u.crash()
-		case f.What == trace.Leave && !begins:
+		case f.Mode == trace.Leave && !begins:
 			w.report.CutStreams += len(u.running)
 			u.crash()
-			u.left = time.Time{}
+			u.leavingSince = time.Time{}
 		}
 	}
 }
 
 // computed counts a block that an engine had to prefill.
-func (w *world) computed(b engine.Block) {
+func (w *world) recordPrefill(b engine.Block) {
 	w.report.Prefilled += b.Tokens
-	if w.known[b.Hash] {
+	if w.computedBlocks[b.Hash] {
 		w.report.Wasted += b.Tokens
 	}
-	w.known[b.Hash] = true
+	w.computedBlocks[b.Hash] = true
 }
 
 func (w *world) remove(r *request) {
--- a/internal/play/sizes/sizes.go
+++ b/internal/play/sizes/sizes.go
@@ -142,16 +142,16 @@
 			return r, err
 		}
 	}
-	r.Total = show(total)
+	r.Total = formatNumber(total)
 	switch {
 	case math.IsNaN(total):
 		r.Result = NotMeasured
 	case math.IsNaN(limit):
 		r.Result = unlimited
 	case total > limit:
-		r.Result = "misses by " + show(total-limit) + " " + r.Unit
+		r.Result = "misses by " + formatNumber(total-limit) + " " + r.Unit
 	default:
-		r.Result = "fits, " + show(100*total/limit) + "% used"
+		r.Result = "fits, " + formatNumber(100*total/limit) + "% used"
 	}
 	return r, nil
 }
@@ -172,7 +172,7 @@
 }
 
 // show gives a number with three digits that count.
-func show(v float64) string {
+func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return NotMeasured
 	}
--- a/internal/play/gener/bounds.go
+++ b/internal/play/synth/bounds.go
@@ -1,4 +1,4 @@
-package gener
+package synth
 
 // bound is what a scenario must come to at seed 1: at least so many programs
 // completed, at most so much latency, so many wasted tokens and attempts. They
@@ -27,11 +27,11 @@
 }
 
 // state adds the scenario's bounds to its trace.
-func (b bound) state(g *builder) {
-	g.least("completed", b.completed)
-	g.most("p95_ms", b.p95)
-	g.most("wasted_tokens", b.wasted)
-	g.most("dispatched", b.dispatched)
+func (b bound) addTo(g *builder) {
+	g.atLeast("completed", b.completed)
+	g.atMost("p95_ms", b.p95)
+	g.atMost("wasted_tokens", b.wasted)
+	g.atMost("dispatched", b.dispatched)
 	if int(b.completed) < len(g.Programs) {
 		return
 	}
@@ -42,6 +42,6 @@
 			spent += c.Prompt + c.Output
 		}
 	}
-	g.least("spent_tokens", float64(spent))
-	g.most("spent_tokens", float64(spent))
+	g.atLeast("spent_tokens", float64(spent))
+	g.atMost("spent_tokens", float64(spent))
 }
--- a/internal/play/gener/gener.go
+++ b/internal/play/synth/synth.go
@@ -3,7 +3,7 @@
 // scheduler is meant for. The numbers of programs, turns and tokens follow the
 // deployments' own description; where it gives none they are assumptions,
 // listed in docs/design/traces.md. A scenario is the same for the same seed.
-package gener
+package synth
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 		rng *rand.Rand
 	}
 
-	span struct{ from, to int }
+	interval struct{ from, to int }
 )
 
 // Scenarios returns all scenarios.
@@ -38,39 +38,39 @@
 		{"supermarket_peak", func(g *builder) { g.supermarket(2.6, 90) }},
 		{"domain_lost", func(g *builder) {
 			g.mafuta(1.6, 110)
-			g.fault(trace.Fault{AtMS: 40_000, UntilMS: 80_000, What: trace.Down, FailureDomain: "temeke"})
+			g.fault(trace.Fault{AtMS: 40_000, UntilMS: 80_000, Mode: trace.Down, FailureDomain: "temeke"})
 		}},
 		{"store_outage", func(g *builder) {
 			g.mafuta(0.3, 800)
-			g.Header.Returns = 40
-			g.fault(trace.Fault{AtMS: 60_000, UntilMS: 660_000, What: trace.Store})
+			g.Header.MaxRetries = 40
+			g.fault(trace.Fault{AtMS: 60_000, UntilMS: 660_000, Mode: trace.StoreOutage})
 		}},
 		{"stale_load", func(g *builder) {
 			g.kexanh(1.6, 100)
-			g.everywhere("agent", trace.Fault{AtMS: 20_000, UntilMS: 80_000, What: trace.Silent})
-			g.fault(trace.Fault{AtMS: 30_000, UntilMS: 70_000, What: trace.Slow, Upstream: "agent-03", Factor: 4})
+			g.faultGroup("agent", trace.Fault{AtMS: 20_000, UntilMS: 80_000, Mode: trace.NoReports})
+			g.fault(trace.Fault{AtMS: 30_000, UntilMS: 70_000, Mode: trace.Slow, Upstream: "agent-03", Factor: 4})
 		}},
 		{"event_gaps", func(g *builder) {
 			g.kexanh(1.2, 120)
-			g.everywhere("agent", trace.Fault{AtMS: 10_000, UntilMS: 100_000, What: trace.Gaps})
+			g.faultGroup("agent", trace.Fault{AtMS: 10_000, UntilMS: 100_000, Mode: trace.EventLoss})
 		}},
 		{"looping_program", func(g *builder) {
 			g.mafuta(1.2, 60)
-			g.loops()
+			g.addLoopingPrograms()
 		}},
 		{"hung_tool", func(g *builder) {
 			g.mafuta(1.6, 90)
-			g.fault(trace.Fault{AtMS: 20_000, UntilMS: 60_000, What: trace.Hang, Upstream: "ledger-02"})
+			g.fault(trace.Fault{AtMS: 20_000, UntilMS: 60_000, Mode: trace.Hang, Upstream: "ledger-02"})
 		}},
 		{"rolling_replacement", func(g *builder) {
 			g.kexanh(1.0, 130)
 			for i := range int64(10) {
 				at := 15_000 + 8_000*i
-				g.fault(trace.Fault{AtMS: at, UntilMS: at + 40_000, What: trace.Leave, Upstream: fmt.Sprintf("agent-%02d", 2*i)})
+				g.fault(trace.Fault{AtMS: at, UntilMS: at + 40_000, Mode: trace.Leave, Upstream: fmt.Sprintf("agent-%02d", 2*i)})
 			}
 		}},
-		{"hot_prefix", func(g *builder) { g.hot() }},
-		{"overload_3x", func(g *builder) { g.press(3, 40) }},
+		{"hot_prefix", func(g *builder) { g.hotPrefix() }},
+		{"overload_3x", func(g *builder) { g.overload(3, 40) }},
 	}
 }
 
@@ -80,21 +80,21 @@
 	g.Header = trace.Header{
 		Version: trace.Version, Name: s.Name, Seed: seed, LatencyWeight: 1, CacheWeight: 1, Owners: 7,
 		QueueLimit: 200, QueueWaitMS: 10_000, RetryShare: 0.2, HedgeShare: 0.05,
-		TimeoutMS: 60_000, ListLagMS: 1500, Returns: 5,
+		TimeoutMS: 60_000, ListLagMS: 1500, MaxRetries: 5,
 	}
 	s.build(g)
 	slices.SortStableFunc(g.Programs, func(a, b trace.Program) int { return int(a.AtMS - b.AtMS) })
 	g.invariants()
 	if b, ok := bounds[s.Name]; ok {
-		b.state(g)
+		b.addTo(g)
 	}
 	return g.Trace
 }
 
 // Press returns the trace of the goodput measurement: the same short programs
 // at so many times the rate that the engines can serve.
-func Press(times float64, seed uint64) trace.Trace {
-	return Scenario{"press", func(g *builder) { g.press(times, 180) }}.Build(seed)
+func Overload(times float64, seed uint64) trace.Trace {
+	return Scenario{"press", func(g *builder) { g.overload(times, 180) }}.Build(seed)
 }
 
 // invariants states what must hold whatever happens.
@@ -102,21 +102,21 @@
 	for _, m := range []string{
 		"repeated", "out_of_order", "over_budget", "held_programs", "late_dispatches", "cut_streams", "false_refusals",
 	} {
-		g.most(m, 0)
+		g.atMost(m, 0)
 	}
 }
 
-func (g *builder) most(measure string, v float64) {
+func (g *builder) atMost(measure string, v float64) {
 	g.Expects = append(g.Expects, trace.Expect{Measure: measure, AtMost: &v})
 }
 
-func (g *builder) least(measure string, v float64) {
+func (g *builder) atLeast(measure string, v float64) {
 	g.Expects = append(g.Expects, trace.Expect{Measure: measure, AtLeast: v})
 }
 
 func (g *builder) fault(f trace.Fault) { g.Faults = append(g.Faults, f) }
 
-func (g *builder) everywhere(group string, f trace.Fault) {
+func (g *builder) faultGroup(group string, f trace.Fault) {
 	for _, u := range g.Upstreams {
 		if u.Group == group {
 			f.Upstream = u.Name
@@ -125,9 +125,9 @@
 	}
 }
 
-func (g *builder) in(s span) int { return s.from + g.rng.IntN(s.to-s.from+1) }
+func (g *builder) uniform(s interval) int { return s.from + g.rng.IntN(s.to-s.from+1) }
 
-func (g *builder) pause(s span) int64 { return int64(g.in(s)) * 100 }
+func (g *builder) pause(s interval) int64 { return int64(g.uniform(s)) * 100 }
 
 // arrivals calls f at Poisson times of the rate, in milliseconds.
 func (g *builder) arrivals(perSecond, seconds float64, f func(at int64)) {
--- a/internal/play/gener/users.go
+++ b/internal/play/synth/workloads.go
@@ -1,4 +1,4 @@
-package gener
+package synth
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 	hoChiMinh   = []string{"district-1", "district-7", "thu-duc"}
 )
 
-func (g *builder) engines(n int, domains []string, cache int) {
+func (g *builder) addEngines(n int, domains []string, cacheTokens int) {
 	for i := range n {
 		g.Upstreams = append(g.Upstreams, trace.Upstream{
 			Name: fmt.Sprintf("agent-%02d", i), Group: "agent", FailureDomain: domains[i%len(domains)],
-			Slots: 6, PrefillPerS: 7000, DecodeMS: 18, BatchSlope: 0.06, CacheTokens: cache, ReportMS: 1000, LagMS: 800,
+			Slots: 6, PrefillPerS: 7000, DecodeMS: 18, BatchSlope: 0.06, CacheTokens: cacheTokens, ReportMS: 1000, LagMS: 800,
 		})
 	}
 }
 
-func (g *builder) tools(group string, n int, domains []string, services ...trace.Service) {
+func (g *builder) addServices(group string, n int, domains []string, services ...trace.Service) {
 	for i := range n {
 		g.Upstreams = append(g.Upstreams, trace.Upstream{
 			Name: fmt.Sprintf("%s-%02d", group, i), Group: group, FailureDomain: domains[i%len(domains)],
@@ -36,8 +36,8 @@
 // mafutaFleet is Mafuta Mzunguko's, which weighs latency more.
 func (g *builder) mafutaFleet() {
 	g.Header.LatencyWeight, g.Header.CacheWeight = 2, 1
-	g.engines(10, darEsSalaam, 60_000)
-	g.tools("ledger", 10, darEsSalaam,
+	g.addEngines(10, darEsSalaam, 60_000)
+	g.addServices("ledger", 10, darEsSalaam,
 		trace.Service{Name: "drum_log", Idempotent: true, Hedge: true}, trace.Service{Name: "receipt"}, trace.Service{Name: "payment"})
 }
 
@@ -55,22 +55,22 @@
 // kitchen is a conversation with a kitchen manager that ends in a pickup.
 func (g *builder) kitchen(at int64, account string) {
 	var calls []trace.Call
-	for range g.in(span{3, 7}) {
-		calls = append(calls, trace.Call{Prompt: g.in(span{60, 250}), Output: g.in(span{40, 160}), PauseMS: g.pause(span{20, 90})})
+	for range g.uniform(interval{3, 7}) {
+		calls = append(calls, trace.Call{Prompt: g.uniform(interval{60, 250}), Output: g.uniform(interval{40, 160}), PauseMS: g.pause(interval{20, 90})})
 	}
-	calls = append(calls, trace.Call{Service: "receipt", WorkMS: int64(g.in(span{60, 250}))})
+	calls = append(calls, trace.Call{Service: "receipt", WorkMS: int64(g.uniform(interval{60, 250}))})
 	g.add(trace.Program{AtMS: at, Account: account, Context: "kitchen", ContextTokens: 1800, Budget: 30_000, Calls: calls})
 }
 
 // rider guides a round: at each door a drum is weighed and logged.
 func (g *builder) rider(at int64) {
 	var calls []trace.Call
-	for range g.in(span{3, 6}) {
+	for range g.uniform(interval{3, 6}) {
 		calls = append(calls,
-			trace.Call{Prompt: g.in(span{40, 150}), Output: g.in(span{30, 100}), PauseMS: g.pause(span{30, 80})},
-			trace.Call{Service: "drum_log", WorkMS: int64(g.in(span{40, 200}))})
+			trace.Call{Prompt: g.uniform(interval{40, 150}), Output: g.uniform(interval{30, 100}), PauseMS: g.pause(interval{30, 80})},
+			trace.Call{Service: "drum_log", WorkMS: int64(g.uniform(interval{40, 200}))})
 	}
-	calls = append(calls, trace.Call{Service: "payment", WorkMS: int64(g.in(span{100, 400}))})
+	calls = append(calls, trace.Call{Service: "payment", WorkMS: int64(g.uniform(interval{100, 400}))})
 	g.add(trace.Program{
 		AtMS: at, Account: fmt.Sprintf("rider-%d", g.rng.IntN(40)), Priority: 1,
 		Context: "rider", ContextTokens: 1200, Budget: 30_000, Calls: calls,
@@ -93,8 +93,8 @@
 // kexanhFleet is Kệ Xanh's, which weighs wasted cache more.
 func (g *builder) kexanhFleet() {
 	g.Header.LatencyWeight, g.Header.CacheWeight = 1, 2
-	g.engines(20, hoChiMinh, 150_000)
-	g.tools("planogram", 20, hoChiMinh,
+	g.addEngines(20, hoChiMinh, 150_000)
+	g.addServices("planogram", 20, hoChiMinh,
 		trace.Service{Name: "sheet", Idempotent: true, Hedge: true}, trace.Service{Name: "reprint"}, trace.Service{Name: "push"})
 }
 
@@ -113,21 +113,21 @@
 
 // layout redraws a store's bays for a category manager.
 func (g *builder) layout(at int64, account string, store int) {
-	calls := []trace.Call{{Service: "sheet", WorkMS: int64(g.in(span{50, 300}))}}
-	for range g.in(span{3, 7}) {
-		calls = append(calls, trace.Call{Prompt: g.in(span{200, 900}), Output: g.in(span{150, 450}), PauseMS: g.pause(span{20, 100})})
+	calls := []trace.Call{{Service: "sheet", WorkMS: int64(g.uniform(interval{50, 300}))}}
+	for range g.uniform(interval{3, 7}) {
+		calls = append(calls, trace.Call{Prompt: g.uniform(interval{200, 900}), Output: g.uniform(interval{150, 450}), PauseMS: g.pause(interval{20, 100})})
 	}
-	calls = append(calls, trace.Call{Service: "reprint", WorkMS: int64(g.in(span{80, 300}))})
+	calls = append(calls, trace.Call{Service: "reprint", WorkMS: int64(g.uniform(interval{80, 300}))})
 	g.add(trace.Program{AtMS: at, Account: account, Context: fmt.Sprint("store-", store), ContextTokens: contextOf(store), Budget: 60_000, Calls: calls})
 }
 
 // compliance checks shelf photos and pushes tasks to merchandisers.
 func (g *builder) compliance(at int64, account string, store int) {
 	var calls []trace.Call
-	for range g.in(span{2, 4}) {
-		calls = append(calls, trace.Call{Prompt: g.in(span{400, 1500}), Output: g.in(span{80, 250}), PauseMS: g.pause(span{10, 60})})
+	for range g.uniform(interval{2, 4}) {
+		calls = append(calls, trace.Call{Prompt: g.uniform(interval{400, 1500}), Output: g.uniform(interval{80, 250}), PauseMS: g.pause(interval{10, 60})})
 	}
-	calls = append(calls, trace.Call{Service: "push", WorkMS: int64(g.in(span{50, 200}))})
+	calls = append(calls, trace.Call{Service: "push", WorkMS: int64(g.uniform(interval{50, 200}))})
 	g.add(trace.Program{AtMS: at, Account: account, Priority: 1, Context: fmt.Sprint("store-", store), ContextTokens: contextOf(store), Budget: 60_000, Calls: calls})
 }
 
@@ -145,7 +145,7 @@
 
 // loops adds programs that never come to an end by themselves: one is stopped
 // by its budget, one by its limit of turns, one by its caller.
-func (g *builder) loops() {
+func (g *builder) addLoopingPrograms() {
 	loop := []trace.Call{{Prompt: 100, Output: 80, PauseMS: 100}}
 	at := int64(5000)
 	for _, p := range []struct {
@@ -165,7 +165,7 @@
 }
 
 // hot is one store's context that most programs share.
-func (g *builder) hot() {
+func (g *builder) hotPrefix() {
 	g.kexanhFleet()
 	g.arrivals(2, 80, func(at int64) {
 		store := 0
@@ -178,14 +178,14 @@
 
 // press sends short programs at so many times the rate that the engines can
 // serve, from thousands of accounts, whose callers give up after a minute.
-func (g *builder) press(times, seconds float64) {
+func (g *builder) overload(times, seconds float64) {
 	const capacity = 9.0 // programs a second, measured; see docs/design/overload.md
 	g.mafutaFleet()
-	g.Header.QueueWaitMS, g.Header.DeadlineMS, g.Header.Returns = 5000, 60_000, 3
+	g.Header.QueueWaitMS, g.Header.DeadlineMS, g.Header.MaxRetries = 5000, 60_000, 3
 	g.arrivals(times*capacity, seconds, func(at int64) {
 		var calls []trace.Call
 		for range 3 {
-			calls = append(calls, trace.Call{Prompt: g.in(span{60, 250}), Output: g.in(span{40, 160}), PauseMS: g.pause(span{5, 20})})
+			calls = append(calls, trace.Call{Prompt: g.uniform(interval{60, 250}), Output: g.uniform(interval{40, 160}), PauseMS: g.pause(interval{5, 20})})
 		}
 		g.add(trace.Program{
 			AtMS: at, Account: fmt.Sprintf("a%d", g.rng.IntN(35_000)),
--- a/internal/play/trace/codec.go
+++ b/internal/play/trace/codec.go
@@ -18,7 +18,7 @@
 		Err  error
 	}
 
-	head struct {
+	lineKind struct {
 		Kind string `json:"kind"`
 	}
 )
@@ -53,7 +53,7 @@
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		if err = t.add(lines.Bytes(), n); err != nil {
+		if err = t.addLine(lines.Bytes(), n); err != nil {
 			return t, err
 		}
 	}
@@ -64,8 +64,8 @@
 	return t, err
 }
 
-func (t *Trace) add(line []byte, n int) (err error) {
-	var h head
+func (t *Trace) addLine(line []byte, n int) (err error) {
+	var h lineKind
 	if err = json.Unmarshal(line, &h); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	if err = Append(w, t.Header); err != nil {
 		return err
 	}
-	for _, lines := range [][]Line{list(t.Upstreams), list(t.Services), list(t.Faults), list(t.Programs), list(t.Expects)} {
+	for _, lines := range [][]Line{toLines(t.Upstreams), toLines(t.Services), toLines(t.Faults), toLines(t.Programs), toLines(t.Expects)} {
 		for _, l := range lines {
 			if err = Append(w, l); err != nil {
 				return err
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func list[T Line](in []T) []Line {
+func toLines[T Line](in []T) []Line {
 	out := make([]Line, len(in))
 	for i, v := range in {
 		out[i] = v
--- a/internal/play/trace/trace.go
+++ b/internal/play/trace/trace.go
@@ -11,19 +11,19 @@
 
 	// Down is an upstream, or a failure domain, that is gone: what runs there
 	// fails and connections are refused.
-	Down What = "down"
+	Down Mode = "down"
 	// Leave is an upstream that leaves and is replaced by an empty one.
-	Leave What = "leave"
+	Leave Mode = "leave"
 	// Silent is an upstream whose load reports stop.
-	Silent What = "silent"
+	NoReports Mode = "silent"
 	// Gaps is an upstream of whose cache events half are lost.
-	Gaps What = "gaps"
+	EventLoss Mode = "gaps"
 	// Hang is an upstream that takes requests and never answers.
-	Hang What = "hang"
+	Hang Mode = "hang"
 	// Slow is an upstream that works slower by Factor.
-	Slow What = "slow"
+	Slow Mode = "slow"
 	// Store is an outage of the platform's key-value service.
-	Store What = "store"
+	StoreOutage Mode = "store"
 )
 
 type (
@@ -31,7 +31,7 @@
 	Line interface{ kind() string }
 
 	// What names a fault.
-	What string
+	Mode string
 
 	// Header is the first line. Times are milliseconds from the beginning.
 	Header struct {
@@ -46,10 +46,10 @@
 		RetryShare    float64 `json:"retry_share,omitempty"`
 		HedgeShare    float64 `json:"hedge_share,omitempty"`
 		TimeoutMS     int64   `json:"timeout_ms"`            // of a model call
-		Returns       int     `json:"returns"`               // times that a caller comes back after a refusal
+		MaxRetries    int     `json:"returns"`               // times that a caller comes back after a refusal
 		ListLagMS     int64   `json:"list_lag_ms,omitempty"` // of the platform's list of VMs
 		DeadlineMS    int64   `json:"deadline_ms,omitempty"` // callers give up a program after this
-		Recorded      string  `json:"recorded_at,omitempty"` // when, for a recorded trace
+		RecordedAt    string  `json:"recorded_at,omitempty"` // when, for a recorded trace
 		Seed          uint64  `json:"seed,omitempty"`        // of the generator, for a declared trace
 	}
 
@@ -109,7 +109,7 @@
 	Fault struct {
 		AtMS          int64   `json:"at_ms"`
 		UntilMS       int64   `json:"until_ms"`
-		What          What    `json:"what"`
+		Mode          Mode    `json:"what"`
 		Upstream      string  `json:"upstream,omitempty"`
 		FailureDomain string  `json:"failure_domain,omitempty"`
 		Factor        float64 `json:"factor,omitempty"`
--- a/internal/play/trace/trace_test.go
+++ b/internal/play/trace/trace_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	zero := 0.0
 	in := Trace{
@@ -52,7 +52,7 @@
 		Upstreams: []Upstream{{Name: "e", Group: "g", Slots: 4, PrefillPerS: 100}},
 		Services:  []Service{{Name: "s", Group: "h", Idempotent: true, TimeoutMS: 10}},
 		Programs:  []Program{{AtMS: 1, Name: "p", Group: "g", Calls: []Call{{Prompt: 3, Output: 4}, {Service: "s", WorkMS: 2}}}},
-		Faults:    []Fault{{AtMS: 1, UntilMS: 2, What: Down, FailureDomain: "d"}},
+		Faults:    []Fault{{AtMS: 1, UntilMS: 2, Mode: Down, FailureDomain: "d"}},
 		Expects:   []Expect{{Measure: "repeated", AtMost: &zero, Line: 6}, {Program: "p", Outcome: "completed", Line: 7}},
 	}
 	var b bytes.Buffer
--- a/internal/play/tape/learn.go
+++ b/internal/play/trcrec/stats.go
@@ -1,4 +1,4 @@
-package tape
+package trcrec
 
 import (
 	"slices"
@@ -13,29 +13,29 @@
 	defaultPrefill = 5000 // tokens a second
 	defaultDecode  = 20   // milliseconds a token
 
-	fewest = 4    // answers from which speeds are told
-	recent = 1024 // attempts by which the most at a time is found
+	minAnswers  = 4    // answers from which speeds are told
+	maxOpenEnds = 1024 // attempts by which the most at a time is found
 )
 
 type (
 	// learnt is what attempts told of one upstream: the sums of a least-squares
 	// fit of an attempt's time to its uncached prompt and its output.
-	learnt struct {
+	upstreamStats struct {
 		n                  int
 		xx, xy, yy, xt, yt float64
-		most               int
-		cache              int
-		open               []time.Time // ends of attempts that may overlap
+		maxConcurrent      int
+		cacheTokens        int
+		openEnds           []time.Time // ends of attempts that may overlap
 	}
 )
 
 // attempt takes one attempt in. Only the one that gave the answer tells speeds.
-func (l *learnt) attempt(a hist.Try, c hist.Call, answered bool) {
-	l.open = slices.DeleteFunc(l.open, func(end time.Time) bool { return !end.After(a.Start) })
-	if len(l.open) < recent {
-		l.open = append(l.open, a.End)
+func (l *upstreamStats) addAttempt(a hist.Try, c hist.Call, answered bool) {
+	l.openEnds = slices.DeleteFunc(l.openEnds, func(end time.Time) bool { return !end.After(a.Start) })
+	if len(l.openEnds) < maxOpenEnds {
+		l.openEnds = append(l.openEnds, a.End)
 	}
-	l.most = max(l.most, len(l.open))
+	l.maxConcurrent = max(l.maxConcurrent, len(l.openEnds))
 	if !answered || c.Kind != call.Model {
 		return
 	}
@@ -52,9 +52,9 @@
 
 // speeds returns prefilled tokens a second and milliseconds for a generated
 // token.
-func (l *learnt) speeds() (prefill, decode float64) {
+func (l *upstreamStats) speeds() (prefill, decode float64) {
 	det := l.xx*l.yy - l.xy*l.xy
-	if l.n < fewest || det <= 0 {
+	if l.n < minAnswers || det <= 0 {
 		return defaultPrefill, defaultDecode
 	}
 	perPrompt := (l.xt*l.yy - l.yt*l.xy) / det
--- a/internal/play/tape/tape.go
+++ b/internal/play/trcrec/trcrec.go
@@ -6,7 +6,7 @@
 // as well, so Tape learns from each attempt how fast its upstream prefills and
 // generates, and writes that when it is closed. Texts, keys and answers are not
 // recorded.
-package tape
+package trcrec
 
 import (
 	"cmp"
@@ -27,15 +27,15 @@
 )
 
 const (
-	reportTime  = 500 * time.Millisecond // between load reports, as the daemon asks
-	maxPrograms = 1 << 16                // remembered at a time; others are not recorded
+	reportInterval = 500 * time.Millisecond // between load reports, as the daemon asks
+	maxPrograms    = 1 << 16                // remembered at a time; others are not recorded
 )
 
 type (
 	// Tape writes one daemon's trace. Its fields are set before the first
 	// call; all methods are safe for concurrent use. A nil Tape records
 	// nothing.
-	Tape struct {
+	Recorder struct {
 		W    io.Writer
 		Name string
 		Now  func() time.Time // nil is time.Now
@@ -44,19 +44,19 @@
 		start    time.Time
 		cfg      file.File
 		programs map[string]*program
-		seen     map[string]*learnt
+		stats    map[string]*upstreamStats
 		err      error
 	}
 
 	program struct {
 		trace.Program
-		size int       // tokens of the conversation so far
-		last time.Time // when the newest call ended
+		tokens  int       // tokens of the conversation so far
+		lastEnd time.Time // when the newest call ended
 	}
 )
 
 // Configure notes the configuration in force. The first one begins the trace.
-func (t *Tape) Configure(f file.File) {
+func (t *Recorder) Configure(f file.File) {
 	if t == nil {
 		return
 	}
@@ -66,7 +66,7 @@
 	if t.programs != nil {
 		return
 	}
-	t.programs, t.seen = map[string]*program{}, map[string]*learnt{}
+	t.programs, t.stats = map[string]*program{}, map[string]*upstreamStats{}
 	t.start = t.now()
 	h := trace.Header{
 		Version:       1,
@@ -77,8 +77,8 @@
 		RetryShare:    f.Limits.RetryShare,
 		HedgeShare:    f.Limits.HedgeShare,
 		TimeoutMS:     f.Limits.UpstreamTimeout.Milliseconds(),
-		Returns:       1,
-		Recorded:      t.start.UTC().Format(time.RFC3339),
+		MaxRetries:    1,
+		RecordedAt:    t.start.UTC().Format(time.RFC3339),
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Groups)) {
 		g := f.Groups[name]
@@ -94,42 +94,42 @@
 	}
 }
 
-func (t *Tape) now() time.Time {
+func (t *Recorder) now() time.Time {
 	if t.Now != nil {
 		return t.Now()
 	}
 	return time.Now()
 }
 
-func (t *Tape) append(l trace.Line) {
+func (t *Recorder) append(l trace.Line) {
 	if t.err == nil {
 		t.err = trace.Append(t.W, l)
 	}
 }
 
 // Load notes an engine's load report.
-func (t *Tape) Load(upstream string, l engine.Load) {
+func (t *Recorder) Load(upstream string, l engine.Load) {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.seen != nil {
-		t.learn(upstream).cache = l.Total
+	if t.stats != nil {
+		t.statsOf(upstream).cacheTokens = l.Total
 	}
 }
 
-func (t *Tape) learn(upstream string) *learnt {
-	u := t.seen[upstream]
+func (t *Recorder) statsOf(upstream string) *upstreamStats {
+	u := t.stats[upstream]
 	if u == nil {
-		u = &learnt{}
-		t.seen[upstream] = u
+		u = &upstreamStats{}
+		t.stats[upstream] = u
 	}
 	return u
 }
 
 // Call notes a call that ended.
-func (t *Tape) Call(account, id string, c hist.Call) {
+func (t *Recorder) Call(account, id string, c hist.Call) {
 	if t == nil {
 		return
 	}
@@ -140,7 +140,7 @@
 	}
 	for i, a := range c.Tries {
 		last := i == len(c.Tries)-1 && c.Result.OK()
-		t.learn(a.Upstream).attempt(a, c, last)
+		t.statsOf(a.Upstream).addAttempt(a, c, last)
 	}
 	p := t.programs[id]
 	if p == nil {
@@ -160,17 +160,17 @@
 // add appends the call, and the pause before it to the one before.
 func (p *program) add(c hist.Call, cfg file.File) {
 	if n := len(p.Calls); n > 0 {
-		p.Calls[n-1].PauseMS = max(0, c.Start.Sub(p.last).Milliseconds())
+		p.Calls[n-1].PauseMS = max(0, c.Start.Sub(p.lastEnd).Milliseconds())
 	}
-	p.last = c.End
+	p.lastEnd = c.End
 	out := trace.Call{}
 	if c.Kind == call.Service {
 		out.Service = serviceOf(c.Target)
-		out.WorkMS = work(c)
+		out.WorkMS = serviceTime(c)
 	} else {
 		p.Group = cfg.Models[c.Target].Group
-		out.Prompt, out.Output = max(1, c.Result.Prompt-p.size), max(1, c.Result.Output)
-		p.size = c.Result.Prompt + c.Result.Output
+		out.Prompt, out.Output = max(1, c.Result.Prompt-p.tokens), max(1, c.Result.Output)
+		p.tokens = c.Result.Prompt + c.Result.Output
 	}
 	p.Calls = append(p.Calls, out)
 }
@@ -185,7 +185,7 @@
 	return target
 }
 
-func work(c hist.Call) int64 {
+func serviceTime(c hist.Call) int64 {
 	if n := len(c.Tries); n > 0 {
 		return c.Tries[n-1].End.Sub(c.Tries[n-1].Start).Milliseconds()
 	}
@@ -193,7 +193,7 @@
 }
 
 // End writes a program that ended.
-func (t *Tape) End(id string) {
+func (t *Recorder) End(id string) {
 	if t == nil {
 		return
 	}
@@ -205,12 +205,12 @@
 		return
 	}
 	if p.Group == "" {
-		p.Group = t.anyEngines()
+		p.Group = t.firstEngineGroup()
 	}
 	t.append(p.Program)
 }
 
-func (t *Tape) anyEngines() string {
+func (t *Recorder) firstEngineGroup() string {
 	for _, name := range slices.Sorted(maps.Keys(t.cfg.Groups)) {
 		if t.cfg.Groups[name].Kind == file.Engines {
 			return name
@@ -221,7 +221,7 @@
 
 // Close writes the upstreams and the outcomes that must hold whatever policy
 // the trace is replayed under. It returns the first error of all writes.
-func (t *Tape) Close() (err error) {
+func (t *Recorder) Close() (err error) {
 	if t == nil {
 		return nil
 	}
@@ -241,17 +241,17 @@
 	return t.err
 }
 
-func (t *Tape) upstream(name string) trace.Upstream {
+func (t *Recorder) upstream(name string) trace.Upstream {
 	u := t.cfg.Upstreams[name]
 	g := t.cfg.Groups[u.Group]
-	l := t.learn(name)
-	out := trace.Upstream{Name: name, Group: u.Group, FailureDomain: u.FailureDomain, Slots: cmp.Or(l.most, g.MaxInflight, 1)}
+	l := t.statsOf(name)
+	out := trace.Upstream{Name: name, Group: u.Group, FailureDomain: u.FailureDomain, Slots: cmp.Or(l.maxConcurrent, g.MaxInflight, 1)}
 	if g.Kind == file.Services {
 		out.Service = true
 		return out
 	}
 	out.PrefillPerS, out.DecodeMS = l.speeds()
-	out.CacheTokens = cmp.Or(l.cache, 1)
-	out.ReportMS, out.LagMS = reportTime.Milliseconds(), reportTime.Milliseconds()
+	out.CacheTokens = cmp.Or(l.cacheTokens, 1)
+	out.ReportMS, out.LagMS = reportInterval.Milliseconds(), reportInterval.Milliseconds()
 	return out
 }
--- a/internal/play/tape/tape_test.go
+++ b/internal/play/trcrec/trcrec_test.go
@@ -1,4 +1,4 @@
-package tape_test
+package trcrec_test
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/conf/file"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/play/replay"
-	"github.com/slaterock/slaterock/internal/play/tape"
 	"github.com/slaterock/slaterock/internal/play/trace"
+	"github.com/slaterock/slaterock/internal/play/trcrec"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	start := time.Unix(1_800_000_000, 0)
 	var b bytes.Buffer
-	tp := &tape.Tape{W: &b, Name: "d1", Now: func() time.Time { return start }}
+	tp := &trcrec.Recorder{W: &b, Name: "d1", Now: func() time.Time { return start }}
 	tp.Configure(config())
 	tp.Load("e1", engine.Load{Total: 40000})
 	for i := range 10 {
@@ -94,5 +94,5 @@
 	r, err := replay.Replay(got, replay.Options{Seed: 1})
 	is.NoErr(err)
 	is.Equal(len(r.Outcomes), 10)
-	is.Equal(r.Broken, nil)
+	is.Equal(r.Unmet, nil)
 }
