--- a/internal/play/replay/cache.go
+++ b/internal/play/replay/cache.go
@@ -7,12 +7,12 @@
 )
 
 type (
-	// cache is an engine's prefix cache: blocks in the order of use, each
-	// tagged with the programs that left it. A block without a tag is free.
+	// cache models an engine's prefix cache: an LRU list of blocks, each tagged
+	// with the programs that use it. A block whose last tag is removed is freed.
 	cache struct {
 		capacity int // tokens
 		used     int
-		lru      *list.List // of *entry, the most recently used first
+		lru      *list.List // of *entry, most recently used first
 		entries  map[uint64]*list.Element
 	}
 
@@ -27,7 +27,7 @@
 	return cache{capacity: capacity, lru: list.New(), entries: map[uint64]*list.Element{}}
 }
 
-// match returns how many blocks from the beginning are held.
+// matchPrefix returns the length, in blocks, of the longest cached prefix.
 func (c *cache) matchPrefix(blocks []engine.Block) int {
 	for i, b := range blocks {
 		if c.entries[b.Hash] == nil {
@@ -37,9 +37,10 @@
 	return len(blocks)
 }
 
-// store holds the blocks for the program and returns what was stored anew and
-// what was evicted. The beginning of a prompt counts as used after its end, so
-// that ends are evicted first.
+// store caches the blocks, tagged with the program, and returns the hashes that
+// were added and those that were evicted to make room. Blocks are touched from
+// the last to the first, so that the end of a prompt is evicted before its
+// beginning.
 func (c *cache) store(program string, blocks []engine.Block) (stored, evicted []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
@@ -66,7 +67,8 @@
 	return e.hash
 }
 
-// release takes the program's tag away and frees what has no other.
+// release removes the program's tag from all blocks, frees the blocks left
+// without a tag and returns their hashes.
 func (c *cache) release(program string) (evicted []uint64) {
 	for el := c.lru.Front(); el != nil; {
 		next := el.Next()
@@ -80,7 +82,7 @@
 	return evicted
 }
 
-// blocksOf returns the blocks that the program left, the last used first.
+// blocksOf returns the blocks tagged with the program, most recently used first.
 func (c *cache) blocksOf(program string) (out []engine.Block) {
 	for el := c.lru.Front(); el != nil; el = el.Next() {
 		if e := el.Value.(*entry); e.tags[program] {
@@ -90,7 +92,7 @@
 	return out
 }
 
-// programs adds the programs that the cache holds memory for.
+// programs adds the programs that have blocks in the cache to the set.
 func (c *cache) programs(into map[string]bool) {
 	for el := c.lru.Front(); el != nil; el = el.Next() {
 		for p := range el.Value.(*entry).tags {
--- a/internal/play/replay/clock.go
+++ b/internal/play/replay/clock.go
@@ -6,8 +6,8 @@
 )
 
 type (
-	// clock runs events in the order of their times, and of their scheduling
-	// where the times are equal.
+	// clock is a virtual clock with an event queue. Events run in order of time;
+	// events of equal time run in the order in which they were scheduled.
 	clock struct {
 		now    time.Time
 		events events
@@ -48,7 +48,7 @@
 	heap.Push(&c.events, event{at: c.now.Add(max(d, 0)), seq: c.seq, f: f})
 }
 
-// every calls f each d until f returns false.
+// every calls f after first and then every d, until f returns false.
 func (c *clock) every(first, d time.Duration, f func() bool) {
 	c.after(first, func() {
 		if f() {
@@ -57,7 +57,7 @@
 	})
 }
 
-// run runs events until there are none or done says so.
+// run runs events until the queue is empty or done returns true.
 func (c *clock) run(done func() bool) {
 	for len(c.events) > 0 && !done() {
 		e := heap.Pop(&c.events).(event)
--- a/internal/play/replay/program.go
+++ b/internal/play/replay/program.go
@@ -13,8 +13,8 @@
 
 const (
 	maxAttempts     = 3
-	backoff         = 500 * time.Millisecond // without a hint
-	storeRetryDelay = 30 * time.Second       // for a call whose intent needs the store
+	backoff         = 500 * time.Millisecond // at least, between a refusal and the retry
+	storeRetryDelay = 30 * time.Second       // for a call whose intent can't be written to the store
 	completed       = "completed"
 	refused         = "refused"
 	failed          = "failed"
@@ -26,15 +26,15 @@
 )
 
 type (
-	// program is one program as it runs through the trace.
+	// program is the state of one program during the replay.
 	program struct {
 		t              *trace.Program
 		owner          *owner
 		begin          time.Duration // virtual time of arrival, -1 before
 		started        time.Time
 		paused         time.Duration
-		callIndex      int // of the next call
-		refusalRetries int // after refusals
+		callIndex      int // of the next call, across loops
+		refusalRetries int // retries after refusals, over all calls
 		spentTokens    int64
 		prefix         []engine.Block
 		req            *request
@@ -43,16 +43,16 @@
 		latency        time.Duration
 	}
 
-	// request is one call with its attempts.
+	// request is one call of a program with its attempts.
 	request struct {
 		id             string
 		p              *program
 		call           trace.Call
 		msg            sched.Submit
 		blocks         []engine.Block
-		attempts       []*attempt // under way
+		attempts       []*attempt // in flight
 		failedAttempts int
-		maybeRan       bool // an attempt may have run
+		maybeRan       bool // a failed attempt may have run
 		runs           int
 	}
 )
@@ -71,7 +71,8 @@
 	p.startNextCall(w)
 }
 
-// next makes the program's next call, or ends it after the last.
+// startNextCall submits the program's next call, or ends the program after the
+// last one.
 func (p *program) startNextCall(w *world) {
 	if p.ended {
 		return
@@ -94,7 +95,7 @@
 		s := w.service(c.Service)
 		r.msg.Group, r.msg.Model, r.msg.Service, r.msg.Idempotent = s.Group, "", s.Name, s.Idempotent
 		if w.storeOutages > 0 && !s.Idempotent {
-			p.backoff(w, storeRetryDelay) // its intent can't be committed
+			p.backoff(w, storeRetryDelay) // its intent can't be written during the outage
 			return
 		}
 	} else {
@@ -133,8 +134,9 @@
 	return w.t.Services[i]
 }
 
-// began notes that an upstream began to run the request. A second run of a
-// call that is not idempotent is the worst that can happen.
+// recordStart counts a run of the request that an upstream has started. More
+// than one run of a non-idempotent call counts as Repeated, a run of a request
+// that is not its program's current one as OutOfOrder.
 func (r *request) recordStart(w *world) {
 	r.runs++
 	w.report.Dispatched++
@@ -183,18 +185,19 @@
 	}
 }
 
-// cancel ends the attempts that are still under way.
+// cancel cancels the attempts that are in flight.
 func (w *world) cancel(r *request) {
 	for len(r.attempts) > 0 {
 		w.attemptEnded(r.attempts[0], sched.Cancelled, engine.Usage{})
 	}
 }
 
-// again makes a further attempt where that is safe.
+// retry submits the request again after a failed attempt, unless a second run
+// would be unsafe or maxAttempts is reached; in these cases the program ends.
 func (w *world) retry(a *attempt) {
 	r := a.r
 	if len(r.attempts) > 0 {
-		return // a hedge is still under way
+		return // another attempt (a hedge) is in flight
 	}
 	r.failedAttempts++
 	safe := r.msg.Service == "" || r.msg.Idempotent || !r.maybeRan
@@ -219,7 +222,7 @@
 	}
 	w.report.Refusals++
 	if len(r.attempts) > 0 {
-		w.report.FalseRefusals++ // the caller hears "not run" while it runs
+		w.report.FalseRefusals++ // refused as "not run" with an attempt in flight
 		w.cancel(r)
 	}
 	w.remove(r)
@@ -231,8 +234,8 @@
 	r.p.backoff(w, e.RetryAfter)
 }
 
-// comeBack repeats a call that was refused as not run, as often as the trace
-// says that callers do.
+// backoff schedules a retry of a call that was refused without being run. After
+// Header.MaxRetries retries the program ends as refused.
 func (p *program) backoff(w *world, after time.Duration) {
 	if p.refusalRetries >= w.t.Header.MaxRetries {
 		p.stop(w, refused)
@@ -259,7 +262,8 @@
 	w.after(pause, func() { p.startNextCall(w) })
 }
 
-// stop ends the program and has its memory released.
+// stop ends the program with the outcome, cancels its current request and
+// notifies its owner, which releases the program's blocks.
 func (p *program) stop(w *world, outcome string) {
 	if p.ended {
 		return
--- a/internal/play/replay/replay.go
+++ b/internal/play/replay/replay.go
@@ -1,11 +1,11 @@
-// Package replay runs a trace through the production decision code under a
-// virtual clock and checks its stated outcomes.
+// Package replay runs a trace through the production scheduler in a
+// discrete-event simulation and checks the trace's expectations.
 //
-// Each owner of the trace is one Decider, sched.Sched unless another policy is
-// named; several run side by side and know nothing of each other but what the
-// upstreams report. Upstreams are small models that know only what the trace
-// says of them. A replay of the same trace with the same seed gives the same
-// report, whatever the machine.
+// Each owner of the trace is one Scheduler, sched.Sched unless another policy is
+// selected. Owners share no state: each sees the others' load only through the
+// upstreams' reports. Upstreams are simple models parameterised by the trace. A
+// replay is deterministic: the same trace and seed give the same report on every
+// machine.
 package replay
 
 import (
@@ -20,7 +20,7 @@
 )
 
 const (
-	// Production names the policy that the daemon runs.
+	// Production is the name of the policy that the daemon runs.
 	Production = "slaterock"
 
 	sweepInterval   = sweep.Interval
@@ -29,15 +29,16 @@
 )
 
 type (
-	// Options tell how to replay. The zero value replays as recorded, under
-	// the production policy.
+	// Options configure a replay. The zero value replays the trace as recorded,
+	// under the production policy.
 	Options struct {
-		Policy string // Production or a baseline's name
-		// Seed shifts arrivals by up to a second and sizes and pauses by a
-		// tenth, and feeds the owners' sampling. 0 leaves the trace as it is.
+		Policy string // Production or the name of a baseline policy
+		// Seed shifts arrivals by up to a second, scales token counts, pauses
+		// and service times by up to 10%, and seeds the owners' sampling. With 0
+		// the trace is unchanged.
 		Seed      uint64
 		Admission Admission
-		Scheduler func(owner int) Scheduler // instead of Policy
+		Scheduler func(owner int) Scheduler // overrides Policy
 	}
 )
 
@@ -50,13 +51,13 @@
 	return out
 }
 
-// Replay runs the trace once.
+// Replay runs the trace once. The error reports an unknown policy.
 func Replay(t trace.Trace, o Options) (r Report, err error) {
 	if o.Policy == "" {
 		o.Policy = Production
 	}
 	if o.Scheduler == nil && !slices.Contains(Policies(), o.Policy) {
-		return r, fmt.Errorf("unknown policy %q, known are %v", o.Policy, Policies())
+		return r, fmt.Errorf("unknown policy %q, valid policies are %v", o.Policy, Policies())
 	}
 	w := newWorld(perturb(t, o.Seed), o)
 	w.start()
@@ -75,8 +76,8 @@
 	}
 }
 
-// perturb returns the trace shaken by the seed, so that a policy is not
-// measured on one accident of timing.
+// perturb returns the trace with random variations drawn from the seed, so that
+// a policy's result does not depend on one particular timing.
 func perturb(t trace.Trace, seed uint64) trace.Trace {
 	if seed == 0 {
 		return t
--- a/internal/play/replay/replay_test.go
+++ b/internal/play/replay/replay_test.go
@@ -18,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/play/trace"
 )
 
-var update = flag.Bool("update", false, "write the traces that the generator makes")
+var update = flag.Bool("update", false, "write the generated traces")
 
 const tracesDir = "../../../traces/"
 
@@ -43,8 +43,8 @@
 	}
 }
 
-// The committed traces must be what the generator makes, or a change of it
-// would go unmeasured.
+// The committed traces must equal the generator's output; otherwise a change of
+// the generator would have no effect on the measured traces.
 func TestTracesAreGenerated(t *testing.T) {
 	for _, s := range synth.Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -75,16 +75,16 @@
 	is.True(other.P95 != one.P95)
 }
 
-// Three times as much arrives as the engines can serve. Without refusals every
-// program gets slower until all callers have given up, and the work spent on
-// them is lost: goodput falls to nothing although every engine is busy.
+// Programs arrive at three times the engines' capacity. Without load shedding,
+// latency grows until all callers give up and the work for their programs is
+// wasted: goodput drops to zero with all engines busy.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	is := is.New(t)
 	peak, last := 0.0, 0.0
 	for _, times := range []float64{1, 1.5, 3} {
 		r, err := Replay(synth.Overload(times, 1), Options{})
 		is.NoErr(err)
-		t.Logf("%.2f times the capacity: goodput %.2f/s, completed %d, refused %d, gave up %d", times, r.Goodput, r.Completed, r.Refused, r.GaveUp)
+		t.Logf("%.2f times capacity: goodput %.2f/s, completed %d, refused %d, gave up %d", times, r.Goodput, r.Completed, r.Refused, r.GaveUp)
 		peak, last = max(peak, r.Goodput), r.Goodput
 		is.Equal(r.FalseRefusals, 0)
 		is.Equal(r.HeldPrograms, 0)
@@ -92,7 +92,7 @@
 	is.True(last >= 0.9*peak)
 }
 
-// wrong makes one mistake in what production decides.
+// faultyScheduler alters the production scheduler's effects.
 type faultyScheduler struct {
 	sched.Sched
 	alter func(now time.Time, m sched.Message, out []sched.Effect) []sched.Effect
@@ -102,14 +102,14 @@
 	return w.alter(now, m, w.Sched.Step(now, m))
 }
 
-// A check that can't fail proves nothing. Each mistake here is one that the
-// traces are there to catch.
+// Each alteration is a scheduler fault that the expectations of the traces must
+// detect.
 func TestMistakesAreCaught(t *testing.T) {
 	type mistake = func(now time.Time, m sched.Message, out []sched.Effect) []sched.Effect
-	drop := func(wanted func(sched.Effect) bool) mistake {
+	drop := func(unwanted func(sched.Effect) bool) mistake {
 		return func(_ time.Time, _ sched.Message, out []sched.Effect) (kept []sched.Effect) {
 			for _, e := range out {
-				if !wanted(e) {
+				if !unwanted(e) {
 					kept = append(kept, e)
 				}
 			}
@@ -117,9 +117,9 @@
 		}
 	}
 	tests := map[string]struct {
-		trace  string
-		alter  mistake
-		broken string
+		trace   string
+		alter   mistake
+		measure string // of the expectation that must fail
 	}{
 		"memory is not released": {"mafuta_day", drop(func(e sched.Effect) bool {
 			_, ok := e.(sched.Release)
@@ -149,14 +149,13 @@
 			is.NoErr(err)
 			found := false
 			for _, b := range r.Unmet {
-				found = found || strings.HasPrefix(b.Text, tt.broken)
+				found = found || strings.HasPrefix(b.Text, tt.measure)
 			}
 			is.True(found)
 		})
 	}
 }
 
-// deaf never learns that an upstream leaves.
 func TestLateDispatchIsCaught(t *testing.T) {
 	is := is.New(t)
 	r, err := Replay(scenario(t, "rolling_replacement"), Options{Scheduler: func(int) Scheduler { return &leaveBlindScheduler{} }})
@@ -165,6 +164,7 @@
 	is.True(r.CutStreams > 0)
 }
 
+// leaveBlindScheduler ignores all information that an upstream is leaving.
 type leaveBlindScheduler struct{ sched.Sched }
 
 func (d *leaveBlindScheduler) Step(now time.Time, m sched.Message) []sched.Effect {
@@ -209,19 +209,19 @@
 	paths := []string{tracesDir + "looping_program.jsonl"}
 	is.NoErr(Run(&out, Args{Paths: paths, Policy: "round_robin"}))
 	is.True(strings.Contains(out.String(), "difference"))
-	is.True(strings.Contains(out.String(), "1 traces, 0 broken outcomes"))
+	is.True(strings.Contains(out.String(), "1 traces, 0 expectations not met"))
 	is.NoErr(Run(&out, Args{Paths: paths, Table: true, Seeds: 1}))
 	is.True(strings.Contains(out.String(), "| looping_program | sticky_hash |"))
 	is.True(Run(&out, Args{Paths: paths, Policy: "guess"}) != nil)
 
-	broken := filepath.Join(t.TempDir(), "broken.jsonl")
+	failing := filepath.Join(t.TempDir(), "broken.jsonl")
 	tr := scenario(t, "looping_program")
 	tr.Expects = append(tr.Expects, trace.Expect{Measure: "completed", AtLeast: 1e6})
 	var b bytes.Buffer
 	is.NoErr(tr.Write(&b))
-	is.NoErr(os.WriteFile(broken, b.Bytes(), 0o600))
+	is.NoErr(os.WriteFile(failing, b.Bytes(), 0o600))
 	out.Reset()
-	is.True(errors.Is(Run(&out, Args{Paths: []string{broken}}), ErrUnmet))
+	is.True(errors.Is(Run(&out, Args{Paths: []string{failing}}), ErrUnmet))
 	last := bytes.Count(b.Bytes(), []byte("\n"))
-	is.True(strings.Contains(out.String(), filepath.Base(broken)+":"+strconv.Itoa(last)+": completed is"))
+	is.True(strings.Contains(out.String(), filepath.Base(failing)+":"+strconv.Itoa(last)+": completed is"))
 }
--- a/internal/play/replay/report.go
+++ b/internal/play/replay/report.go
@@ -9,40 +9,41 @@
 )
 
 type (
-	// Report is what came of one replay. Program latency is the time from a
-	// program's arrival to its end without the pauses that its caller made,
-	// over the programs that completed. Wasted are tokens that an engine had
-	// to prefill although some engine had computed them before.
+	// Report is the result of one replay. P50, P95 and P99 are program latencies
+	// over the completed programs: the time from arrival to end without the
+	// caller's pauses. Wasted counts the prefilled tokens of blocks that some
+	// engine had computed before.
 	Report struct {
 		Policy         string
 		Programs       int
 		Completed      int
-		Refused        int // callers that came back in vain
+		Refused        int // programs that ended after the last retry of a refused call
 		Failed         int
 		Unknown        int
 		GaveUp         int
 		P50, P95, P99  time.Duration
 		Wasted         int
 		Prefilled      int
-		Spent          int64 // tokens of model calls that were answered
-		Dispatched     int   // attempts that an upstream began
+		Spent          int64 // tokens of answered model calls, prompt and output
+		Dispatched     int   // attempts that an upstream started
 		Refusals       int
-		FalseRefusals  int // "not run" said of what ran
+		FalseRefusals  int // refusals as "not run" with an attempt in flight
 		Retries        int
 		Hedges         int
 		Exports        int
-		Repeated       int // runs of non-idempotent calls beyond the first
+		Repeated       int // runs of non-idempotent service calls beyond the first
 		OutOfOrder     int
-		OverBudget     int     // programs that spent more than their budget
-		HeldPrograms   int     // programs that ended and still hold memory
-		LateDispatches int     // to upstreams that had said they leave
-		CutStreams     int     // under way when a leaving upstream went
-		Goodput        float64 // programs completed in a second
-		Outcomes       map[string]string
+		OverBudget     int               // programs that spent more than their budget
+		HeldPrograms   int               // programs with blocks in a cache at the end of the replay
+		LateDispatches int               // to upstreams announced as leaving for more than leavingGrace
+		CutStreams     int               // requests in flight when a leaving upstream was replaced
+		Goodput        float64           // programs completed per second; see goodput
+		Outcomes       map[string]string // by program
 		Unmet          []Unmet
 	}
 
-	// Broken is a stated outcome that was not met.
+	// Unmet is an expectation of the trace that was not met. Line is its line in
+	// the trace, counted from 1.
 	Unmet struct {
 		Line int
 		Text string
@@ -94,8 +95,8 @@
 	return r
 }
 
-// goodput is the rate of completions in the second half of the arrivals, when
-// the load has had time to build up.
+// goodput returns the completions per second during the second half of the
+// arrival period. The first half is left out as warm-up.
 func goodput(ends []time.Time, first, last time.Time) float64 {
 	from := first.Add(last.Sub(first) / 2)
 	n := 0
@@ -114,7 +115,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// measure returns a measure by the name that traces use for it.
+// measure returns the measure with the given name in traces.
 func (r Report) measure(name string) (v float64, ok bool) {
 	millis := func(d time.Duration) float64 { return float64(d.Milliseconds()) }
 	v, ok = map[string]float64{
@@ -139,7 +140,7 @@
 	return unmet
 }
 
-// miss says how the expectation is missed, or nothing.
+// mismatch describes how the expectation is not met; it is empty if it is met.
 func (r Report) mismatch(e trace.Expect) string {
 	if e.Program != "" {
 		if got := r.Outcomes[e.Program]; got != e.Outcome {
--- a/internal/play/replay/run.go
+++ b/internal/play/replay/run.go
@@ -12,27 +12,28 @@
 )
 
 type (
-	// Args are those of the command that replays traces.
+	// Args are the arguments of the replay command.
 	Args struct {
 		Paths     []string
-		Policy    string // replay under this one too and print the difference
-		Seeds     int    // with Table: how many
-		Table     bool   // print all policies side by side, in Markdown
+		Policy    string // also replay under this policy and print the difference
+		Seeds     int    // with Table: number of seeds to average over
+		Table     bool   // print a Markdown table of all policies
 		Admission Admission
 	}
 )
 
-// ErrBroken reports stated outcomes that were not met.
-var ErrUnmet = errors.New("stated outcomes are broken")
+// ErrUnmet reports expectations that were not met.
+var ErrUnmet = errors.New("expectations not met")
 
-// printer keeps the first error of writing.
+// printer writes to w and keeps the first write error.
 type printer struct {
 	w   io.Writer
 	err error
 }
 
-// Run replays the traces and prints each broken outcome with its line, or the
-// comparison that the arguments ask for. The error is ErrBroken if one broke.
+// Run replays the traces and prints each unmet expectation with its line, or
+// the table if a.Table is set. The error is ErrUnmet if an expectation was not
+// met.
 func Run(w io.Writer, a Args) (err error) {
 	defer func() { err = errors.Wrap(err, "replay") }()
 	p := &printer{w: w}
@@ -47,7 +48,7 @@
 		}
 		unmet += n
 	}
-	p.printf("%d traces, %d broken outcomes\n", len(a.Paths), unmet)
+	p.printf("%d traces, %d expectations not met\n", len(a.Paths), unmet)
 	if p.err == nil && unmet > 0 {
 		return ErrUnmet
 	}
@@ -86,7 +87,7 @@
 
 func load(path string) (t trace.Trace, err error) {
 	defer func() { err = errors.Wrap(err, path) }()
-	f, err := os.Open(path) //nolint:gosec // the operator names the file
+	f, err := os.Open(path) //nolint:gosec // the path is the operator's argument
 	if err != nil {
 		return t, err
 	}
@@ -103,7 +104,7 @@
 	}
 }
 
-// table prints, for each trace and policy, the means over the seeds.
+// table prints the means over the seeds for each trace and policy.
 func (p *printer) table(a Args) error {
 	p.printf("| trace | policy | completed %% | p50 s | p95 s | p99 s | wasted tokens |\n|---|---|---:|---:|---:|---:|---:|\n")
 	for _, path := range a.Paths {
--- a/internal/play/replay/worker.go
+++ b/internal/play/replay/worker.go
@@ -8,28 +8,28 @@
 	"github.com/slaterock/slaterock/internal/play/trace"
 )
 
-const refusedConnDelay = time.Millisecond // a connection that is refused
+const refusedConnDelay = time.Millisecond // delay until a refused connection is reported
 
 type (
-	// worker is a small model of one upstream: so many requests at a time,
-	// one prefill after the other, decoding that slows with the batch, and a
-	// cache. All its numbers come from the trace.
+	// worker models one upstream: a limit on concurrent requests, serial
+	// prefill, decoding that slows down with the batch size, and a prefix cache.
+	// Its parameters come from the trace.
 	worker struct {
 		w                *world
 		t                trace.Upstream
-		faults           map[trace.Mode]int // how many of each are on
+		faults           map[trace.Mode]int // active faults by mode
 		slowdown         float64
 		running          map[*attempt]bool
 		waiting          []*attempt
-		prefillBusyUntil time.Time // the engine's prefill is busy until then
+		prefillBusyUntil time.Time // end of the last scheduled prefill
 		cache            cache
-		eventSeq         uint64 // of cache events
+		eventSeq         uint64 // of the last cache event
 		reportSeq        uint64
 		events           []engine.Event // not yet delivered
-		leavingSince     time.Time      // since when its leaving was published
+		leavingSince     time.Time      // when owners were notified that it leaves; zero if it doesn't
 	}
 
-	// attempt is one request at one worker.
+	// attempt is one submission of a request to a worker.
 	attempt struct {
 		r            *request
 		u            *worker
@@ -47,7 +47,7 @@
 
 func (u *worker) active(what trace.Mode) bool { return u.faults[what] > 0 }
 
-// submit takes a request.
+// submit queues the attempt, or fails it as unsent if the worker is down.
 func (u *worker) submit(a *attempt) {
 	if u.active(trace.Down) {
 		u.w.after(refusedConnDelay, func() { u.w.attemptEnded(a, sched.Unsent, engine.Usage{}) })
@@ -60,8 +60,8 @@
 	u.startWaiting()
 }
 
-// next begins waiting requests while there are free slots, the highest
-// priority first.
+// startWaiting starts queued attempts while slots are free, in order of
+// priority, then of arrival.
 func (u *worker) startWaiting() {
 	for len(u.running) < u.t.Slots && len(u.waiting) > 0 {
 		best := 0
@@ -125,7 +125,7 @@
 	u.w.attemptEnded(a, sched.Succeeded, usage)
 }
 
-// drop takes the attempt out, whatever became of it.
+// removeAttempt removes an ended attempt from the queue or its slot.
 func (u *worker) removeAttempt(a *attempt) {
 	a.ended = true
 	delete(u.running, a)
@@ -138,8 +138,8 @@
 	u.startWaiting()
 }
 
-// crash fails all that runs and empties the cache. What waited inside may
-// have been begun for all its sender knows.
+// crash fails all attempts and empties the cache. Queued attempts also end as
+// Failed, not Unsent: their sender can't tell whether they had started.
 func (u *worker) crash() {
 	all := u.waiting
 	u.waiting = nil
@@ -167,7 +167,8 @@
 	u.events = append(u.events, engine.Event{Seq: u.eventSeq, Stored: stored, Evicted: evicted})
 }
 
-// publish sends a load report and the cache events, which arrive later.
+// publish sends a load report and the pending cache events to all owners; they
+// arrive after the trace's LagMS.
 func (u *worker) publish() {
 	if u.active(trace.Down) {
 		return
--- a/internal/play/replay/world.go
+++ b/internal/play/replay/world.go
@@ -18,30 +18,33 @@
 const (
 	tickInterval   = 100 * time.Millisecond
 	vmListInterval = time.Second
-	listReplyDelay = 5 * time.Millisecond // of an engine to List
+	listReplyDelay = 5 * time.Millisecond // until an engine's reply to List arrives
 	leavingGrace   = 2 * time.Second
-	// After the last program the replay goes on until the sweep has read
-	// every engine twice, and at least this long.
+	// After the last program ends, the replay continues for at least this long,
+	// plus the time that the owners' sweeps need to read every upstream several
+	// times; see world.run.
 	minDrain = 10 * time.Second
-	// A replay that has not ended after this much virtual time is stuck.
+	// A replay that reaches this virtual time with open programs is stopped as
+	// stuck.
 	maxDuration = 2 * time.Hour
 )
 
 type (
-	// Decider is one owner's decisions: sched.Sched in production.
+	// Scheduler makes the decisions of one owner: sched.Sched in production.
 	Scheduler interface {
 		Step(now time.Time, m sched.Message) []sched.Effect
 	}
 
-	// Gate is asked before each call whether the program may make it, and
-	// told what each answer cost. Without one, the budget and the turn limit
-	// in the trace are kept by simple counting.
+	// Admission decides before each call whether the program may make it: a
+	// non-empty outcome ends the program. Settle is called with the usage of each
+	// answered call. Without an Admission, the trace's budgets and turn limits
+	// are enforced by counting the trace's tokens and calls.
 	Admission interface {
 		Admit(now time.Time, p trace.Program, number int, spent int64) (outcome string)
 		Settle(now time.Time, p trace.Program, number int, usage engine.Usage)
 	}
 
-	// world is one replay under way.
+	// world is the state of a replay.
 	world struct {
 		clock
 		t              trace.Trace
@@ -51,9 +54,9 @@
 		workers        []*worker
 		byName         map[string]*worker
 		programs       []*program
-		requests       []*request // under way
+		requests       []*request // open
 		byID           map[string]*request
-		computedBlocks map[uint64]bool // blocks that were computed once
+		computedBlocks map[uint64]bool // hashes of blocks that some engine has prefilled
 		storeOutages   int
 		openPrograms   int
 		report         Report
@@ -106,7 +109,8 @@
 	}
 }
 
-// run replays to the end and beyond, until the sweep has had its time.
+// run runs events until all programs have ended and the sweep has had the time
+// to release what they left in the caches.
 func (w *world) run() {
 	begin := w.now
 	var ended time.Time
@@ -191,7 +195,8 @@
 	w.report.Exports++
 }
 
-// list delivers the platform's list of VMs, late.
+// publishVMs delivers the platform's list of VMs to all owners after the trace's
+// ListLagMS.
 func (w *world) publishVMs() {
 	var m sched.VMs
 	for _, u := range w.workers {
@@ -242,7 +247,8 @@
 	}
 }
 
-// computed counts a block that an engine had to prefill.
+// recordPrefill counts the tokens of a block that an engine prefilled; they are
+// wasted if some engine had computed the block before.
 func (w *world) recordPrefill(b engine.Block) {
 	w.report.Prefilled += b.Tokens
 	if w.computedBlocks[b.Hash] {
