--- a/internal/play/replay/replay_test.go
+++ b/internal/play/replay/replay_test.go
@@ -18,7 +18,7 @@
 	"github.com/slaterock/slaterock/internal/play/trace"
 )
 
-var update = flag.Bool("update", false, "write the generated traces")
+var update = flag.Bool("update", false, "write the traces that the generator makes")
 
 const tracesDir = "../../../traces/"
 
@@ -209,7 +209,7 @@
 	paths := []string{tracesDir + "looping_program.jsonl"}
 	is.NoErr(Run(&out, Args{Paths: paths, Policy: "round_robin"}))
 	is.True(strings.Contains(out.String(), "difference"))
-	is.True(strings.Contains(out.String(), "1 traces, 0 expectations not met"))
+	is.True(strings.Contains(out.String(), "1 traces, 0 broken outcomes"))
 	is.NoErr(Run(&out, Args{Paths: paths, Table: true, Seeds: 1}))
 	is.True(strings.Contains(out.String(), "| looping_program | sticky_hash |"))
 	is.True(Run(&out, Args{Paths: paths, Policy: "guess"}) != nil)
--- a/internal/play/replay/run.go
+++ b/internal/play/replay/run.go
@@ -48,7 +48,7 @@
 		}
 		unmet += n
 	}
-	p.printf("%d traces, %d expectations not met\n", len(a.Paths), unmet)
+	p.printf("%d traces, %d broken outcomes\n", len(a.Paths), unmet)
 	if p.err == nil && unmet > 0 {
 		return ErrUnmet
 	}
