--- a/internal/play/trace/codec.go
+++ b/internal/play/trace/codec.go
@@ -12,7 +12,7 @@
 const maxLine = 1 << 20 // bytes
 
 type (
-	// LineError is an error in one line of a trace, counted from 1.
+	// LineError is an error in one line of a trace. Line counts from 1.
 	LineError struct {
 		Line int
 		Err  error
@@ -24,21 +24,21 @@
 )
 
 var (
-	// ErrKind reports a line of unknown kind.
+	// ErrKind reports a line of an unknown kind.
 	ErrKind = errors.New("unknown kind")
-	// ErrVersion reports a format that this package does not read.
+	// ErrVersion reports an unsupported format version.
 	ErrVersion = errors.New("unsupported version")
-	// ErrHeader reports a trace that does not begin with its header.
-	ErrHeader = errors.New("the first line must be the header")
+	// ErrHeader reports a trace whose header is missing, not first or repeated.
+	ErrHeader = errors.New("the header must be the first line and occur once")
 )
 
-// Error names the line.
+// Error returns the cause, prefixed with the line number.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Read reads a whole trace. Errors are of the type *LineError.
+// Read reads a whole trace. Empty lines are skipped; errors are *LineError.
 func Read(r io.Reader) (t Trace, err error) {
 	n := 0
 	defer func() {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// decode refuses unknown fields: a misspelt bound would otherwise be no bound.
+// decode rejects unknown fields: a misspelt bound would otherwise be ignored.
 func decode[T any](line []byte, v *T) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(line, &fields); err != nil {
@@ -120,7 +120,7 @@
 	return d.Decode(v)
 }
 
-// Append writes one line, for a recorder that writes as it goes.
+// Append writes one line. A recorder uses it to write a trace incrementally.
 func Append(w io.Writer, l Line) (err error) {
 	body, err := json.Marshal(l)
 	if err != nil {
--- a/internal/play/trace/trace.go
+++ b/internal/play/trace/trace.go
@@ -1,28 +1,30 @@
-// Package trace is the format of recorded and declared traces: JSON lines in
-// snake case, each with a kind. The first line is the header with the version
-// of the format. The others tell what arrived (programs), what the platform
-// and the upstreams were like and did (upstreams, services, faults) and what
-// must come of it (expect). docs/design/traces.md describes every field.
+// Package trace reads and writes the trace format: JSON lines with snake-case
+// keys, each with a kind. The first line is the header with the format version.
+// The other lines are the workload (program), the model of the upstreams and the
+// platform (upstream, service, fault) and the expectations on a replay (expect).
+// Traces are recorded by a daemon or generated. docs/design/traces.md describes
+// every field.
 package trace
 
 const (
 	// Version is the version of the format that this package reads and writes.
 	Version = 1
 
-	// Down is an upstream, or a failure domain, that is gone: what runs there
-	// fails and connections are refused.
+	// Down is a crash of an upstream or a failure domain: its requests fail and
+	// connections are refused.
 	Down Mode = "down"
-	// Leave is an upstream that leaves and is replaced by an empty one.
+	// Leave is an upstream that announces its leaving and is replaced by an empty
+	// one at the end of the fault.
 	Leave Mode = "leave"
-	// Silent is an upstream whose load reports stop.
+	// NoReports is an upstream that sends no load reports.
 	NoReports Mode = "silent"
-	// Gaps is an upstream of whose cache events half are lost.
+	// EventLoss is an upstream half of whose cache events are lost, at random.
 	EventLoss Mode = "gaps"
-	// Hang is an upstream that takes requests and never answers.
+	// Hang is an upstream that accepts requests and never answers.
 	Hang Mode = "hang"
-	// Slow is an upstream that works slower by Factor.
+	// Slow is an upstream whose processing times are multiplied by Factor.
 	Slow Mode = "slow"
-	// Store is an outage of the platform's key-value service.
+	// StoreOutage is an outage of the platform's key-value service.
 	StoreOutage Mode = "store"
 )
 
@@ -30,14 +32,15 @@
 	// Line is one line of a trace.
 	Line interface{ kind() string }
 
-	// What names a fault.
+	// Mode is a failure mode.
 	Mode string
 
-	// Header is the first line. Times are milliseconds from the beginning.
+	// Header is the first line. Fields named AtMS and UntilMS, in all lines, are
+	// milliseconds from the start of the trace.
 	Header struct {
 		Version       int     `json:"version"`
 		Name          string  `json:"name"`
-		Owners        int     `json:"owners"` // daemons that decide side by side
+		Owners        int     `json:"owners"` // number of daemons, each with a scheduler of its own
 		LatencyWeight float64 `json:"latency_weight"`
 		CacheWeight   float64 `json:"cache_weight"`
 		QueueLimit    int     `json:"queue_limit"`
@@ -46,27 +49,28 @@
 		RetryShare    float64 `json:"retry_share,omitempty"`
 		HedgeShare    float64 `json:"hedge_share,omitempty"`
 		TimeoutMS     int64   `json:"timeout_ms"`            // of a model call
-		MaxRetries    int     `json:"returns"`               // times that a caller comes back after a refusal
-		ListLagMS     int64   `json:"list_lag_ms,omitempty"` // of the platform's list of VMs
-		DeadlineMS    int64   `json:"deadline_ms,omitempty"` // callers give up a program after this
-		RecordedAt    string  `json:"recorded_at,omitempty"` // when, for a recorded trace
-		Seed          uint64  `json:"seed,omitempty"`        // of the generator, for a declared trace
+		MaxRetries    int     `json:"returns"`               // of refused calls, for each program
+		ListLagMS     int64   `json:"list_lag_ms,omitempty"` // delay of the platform's list of VMs
+		DeadlineMS    int64   `json:"deadline_ms,omitempty"` // after which callers cancel a program
+		RecordedAt    string  `json:"recorded_at,omitempty"` // RFC 3339, for a recorded trace
+		Seed          uint64  `json:"seed,omitempty"`        // of the generator, for a generated trace
 	}
 
-	// Upstream is one worker and how it was measured to behave. Service tells
-	// a plain service from an engine; of a service only Slots matter.
+	// Upstream is one upstream with its performance parameters. Service marks a
+	// plain service; the other upstreams are engines. For a service, Slots,
+	// ReportMS and LagMS are used.
 	Upstream struct {
 		Name          string  `json:"name"`
 		Group         string  `json:"group"`
 		FailureDomain string  `json:"failure_domain"`
 		Service       bool    `json:"service,omitempty"`
-		Slots         int     `json:"slots"`                   // requests served at a time
-		PrefillPerS   float64 `json:"prefill_per_s,omitempty"` // tokens
-		DecodeMS      float64 `json:"decode_ms,omitempty"`     // for each token, alone
-		BatchSlope    float64 `json:"batch_slope,omitempty"`   // longer by this share for each request beside it
+		Slots         int     `json:"slots"`                   // concurrent requests
+		PrefillPerS   float64 `json:"prefill_per_s,omitempty"` // tokens per second
+		DecodeMS      float64 `json:"decode_ms,omitempty"`     // per output token, without concurrent requests
+		BatchSlope    float64 `json:"batch_slope,omitempty"`   // relative increase of DecodeMS for each concurrent request
 		CacheTokens   int     `json:"cache_tokens,omitempty"`
-		ReportMS      int64   `json:"report_ms,omitempty"` // between load reports
-		LagMS         int64   `json:"lag_ms,omitempty"`    // of load reports and cache events
+		ReportMS      int64   `json:"report_ms,omitempty"` // interval between load reports
+		LagMS         int64   `json:"lag_ms,omitempty"`    // delay of load reports and cache events
 	}
 
 	// Service is one declared service.
@@ -78,8 +82,8 @@
 		TimeoutMS  int64  `json:"timeout_ms"`
 	}
 
-	// Program is one program that arrived, with the calls that it made. Its
-	// first prompt begins with Context, which other programs may share.
+	// Program is one program with its calls. Its first prompt begins with
+	// Context, a prefix that other programs may share.
 	Program struct {
 		AtMS          int64  `json:"at_ms"`
 		Name          string `json:"name"`
@@ -90,22 +94,22 @@
 		MaxTurns      int    `json:"max_turns,omitempty"`
 		Context       string `json:"context,omitempty"`
 		ContextTokens int    `json:"context_tokens,omitempty"`
-		Loop          bool   `json:"loop,omitempty"` // begins again after the last call
+		Loop          bool   `json:"loop,omitempty"` // repeats Calls until the program is stopped
 		CancelMS      int64  `json:"cancel_ms,omitempty"`
 		Calls         []Call `json:"calls"`
 	}
 
-	// Call is one call: to a service if it names one, otherwise to a model.
+	// Call is one call, to a service if Service is set, otherwise to a model.
 	Call struct {
-		Prompt  int    `json:"prompt,omitempty"` // tokens added since the last answer
-		Output  int    `json:"output,omitempty"` // tokens of the answer
+		Prompt  int    `json:"prompt,omitempty"` // tokens appended to the conversation so far
+		Output  int    `json:"output,omitempty"` // generated tokens
 		Service string `json:"service,omitempty"`
-		WorkMS  int64  `json:"work_ms,omitempty"`  // that the service takes
-		PauseMS int64  `json:"pause_ms,omitempty"` // before the next call
+		WorkMS  int64  `json:"work_ms,omitempty"`  // processing time of the service
+		PauseMS int64  `json:"pause_ms,omitempty"` // between the answer and the next call
 	}
 
-	// Fault is something that went wrong, at one upstream, at all of a
-	// failure domain, or at the store.
+	// Fault is a failure of one upstream, of all upstreams of a failure domain,
+	// or of the store.
 	Fault struct {
 		AtMS          int64   `json:"at_ms"`
 		UntilMS       int64   `json:"until_ms"`
@@ -115,15 +119,15 @@
 		Factor        float64 `json:"factor,omitempty"`
 	}
 
-	// Expect is a stated outcome: a measure and its bounds, or how one
-	// program ended.
+	// Expect is an expectation: a measure of the replay with its bounds, or the
+	// outcome of one program.
 	Expect struct {
 		Measure string   `json:"measure,omitempty"`
 		AtLeast float64  `json:"at_least,omitempty"`
 		AtMost  *float64 `json:"at_most,omitempty"`
 		Program string   `json:"program,omitempty"`
 		Outcome string   `json:"outcome,omitempty"`
-		Line    int      `json:"-"` // where it stands
+		Line    int      `json:"-"` // in the trace, from 1
 	}
 
 	// Trace is a whole trace.
--- a/internal/play/trace/trace_test.go
+++ b/internal/play/trace/trace_test.go
@@ -11,9 +11,8 @@
 
 const header = `{"kind":"trace","version":1,"name":"t","owners":1,"latency_weight":1,"cache_weight":1,"queue_limit":1,"queue_wait_ms":1,"timeout_ms":1,"returns":0}`
 
-// A trace was edited by hand and a line is wrong. Whoever replays it must be
-// told which, and no line may be passed over: a bound that is not read can't
-// be broken.
+// An error in a manually edited trace must be reported with its line. No line may
+// be skipped: a bound that is not read is never checked.
 func TestErrorsNameTheLine(t *testing.T) {
 	tests := map[string]struct {
 		lines []string
