--- a/internal/play/trcrec/stats.go
+++ b/internal/play/trcrec/stats.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// What is assumed of an engine that gave too few answers to tell.
-	defaultPrefill = 5000 // tokens a second
-	defaultDecode  = 20   // milliseconds a token
+	// Speeds of an engine with too few answers for an estimate.
+	defaultPrefill = 5000 // tokens per second
+	defaultDecode  = 20   // milliseconds per token
 
-	minAnswers  = 4    // answers from which speeds are told
-	maxOpenEnds = 1024 // attempts by which the most at a time is found
+	minAnswers  = 4    // needed to estimate speeds
+	maxOpenEnds = 1024 // bound on openEnds, and so on maxConcurrent
 )
 
 type (
-	// learnt is what attempts told of one upstream: the sums of a least-squares
-	// fit of an attempt's time to its uncached prompt and its output.
+	// upstreamStats accumulates the attempts at one upstream: the sums of a
+	// least-squares fit of an attempt's duration t (seconds) to its uncached
+	// prompt tokens x and output tokens y, and the highest concurrency.
 	upstreamStats struct {
 		n                  int
 		xx, xy, yy, xt, yt float64
 		maxConcurrent      int
 		cacheTokens        int
-		openEnds           []time.Time // ends of attempts that may overlap
+		openEnds           []time.Time // ends of attempts that may overlap the next one
 	}
 )
 
-// attempt takes one attempt in. Only the one that gave the answer tells speeds.
+// addAttempt adds one attempt. Only an attempt that answered a model call counts
+// towards the speeds.
 func (l *upstreamStats) addAttempt(a hist.Try, c hist.Call, answered bool) {
 	l.openEnds = slices.DeleteFunc(l.openEnds, func(end time.Time) bool { return !end.After(a.Start) })
 	if len(l.openEnds) < maxOpenEnds {
@@ -50,8 +52,8 @@
 	l.yt += y * t
 }
 
-// speeds returns prefilled tokens a second and milliseconds for a generated
-// token.
+// speeds returns the estimated prefill speed in tokens per second and the time
+// per output token in milliseconds.
 func (l *upstreamStats) speeds() (prefill, decode float64) {
 	det := l.xx*l.yy - l.xy*l.xy
 	if l.n < minAnswers || det <= 0 {
--- a/internal/play/trcrec/trcrec.go
+++ b/internal/play/trcrec/trcrec.go
@@ -1,11 +1,10 @@
-// Package tape records what a daemon's programs did as a trace that can be
-// replayed.
+// Package trcrec records a daemon's workload as a trace that package replay can
+// replay.
 //
-// A program is written when it ends: when it arrived, its calls with the tokens
-// that each added, and its pauses. What upstreams do to a replay must be known
-// as well, so Tape learns from each attempt how fast its upstream prefills and
-// generates, and writes that when it is closed. Texts, keys and answers are not
-// recorded.
+// A program is written when it ends: its arrival time, its calls with the tokens
+// that each added, and its pauses. A replay also needs the upstreams' speeds, so
+// Recorder estimates each upstream's prefill and decode speed from its attempts
+// and writes them on Close. Prompts, keys and answers are not recorded.
 package trcrec
 
 import (
@@ -27,14 +26,14 @@
 )
 
 const (
-	reportInterval = 500 * time.Millisecond // between load reports, as the daemon asks
-	maxPrograms    = 1 << 16                // remembered at a time; others are not recorded
+	reportInterval = 500 * time.Millisecond // between load reports, as the daemon requests them
+	maxPrograms    = 1 << 16                // open at a time; further ones are not recorded
 )
 
 type (
-	// Tape writes one daemon's trace. Its fields are set before the first
-	// call; all methods are safe for concurrent use. A nil Tape records
-	// nothing.
+	// Recorder writes one daemon's trace to W. Its exported fields must be set
+	// before the first call. Methods are safe for concurrent use; on a nil
+	// Recorder they do nothing. Write errors are kept until Close.
 	Recorder struct {
 		W    io.Writer
 		Name string
@@ -50,12 +49,13 @@
 
 	program struct {
 		trace.Program
-		tokens  int       // tokens of the conversation so far
-		lastEnd time.Time // when the newest call ended
+		tokens  int       // of the conversation so far
+		lastEnd time.Time // end of the latest call
 	}
 )
 
-// Configure notes the configuration in force. The first one begins the trace.
+// Configure sets the current configuration. The first call writes the header and
+// the services.
 func (t *Recorder) Configure(f file.File) {
 	if t == nil {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// Load notes an engine's load report.
+// Load records the cache size in an engine's load report.
 func (t *Recorder) Load(upstream string, l engine.Load) {
 	if t == nil {
 		return
@@ -128,7 +128,8 @@
 	return u
 }
 
-// Call notes a call that ended.
+// Call records a call that ended. id is the program's. A program whose first call
+// is not number 0 is not recorded.
 func (t *Recorder) Call(account, id string, c hist.Call) {
 	if t == nil {
 		return
@@ -145,7 +146,7 @@
 	p := t.programs[id]
 	if p == nil {
 		if len(t.programs) >= maxPrograms || c.Number != 0 {
-			return // what came before is not known, so a replay would mislead
+			return // earlier calls are unknown, so a replay would not match the program
 		}
 		p = &program{}
 		p.Name, p.Account, p.Budget = id, account, c.BudgetBefore
@@ -157,7 +158,7 @@
 	}
 }
 
-// add appends the call, and the pause before it to the one before.
+// add appends the call and sets the pause of the previous call.
 func (p *program) add(c hist.Call, cfg file.File) {
 	if n := len(p.Calls); n > 0 {
 		p.Calls[n-1].PauseMS = max(0, c.Start.Sub(p.lastEnd).Milliseconds())
@@ -175,7 +176,7 @@
 	p.Calls = append(p.Calls, out)
 }
 
-// serviceOf is the service in a target such as receipts/issue.
+// serviceOf returns the service name of a target such as receipts/issue.
 func serviceOf(target string) string {
 	for i, r := range target {
 		if r == '/' {
@@ -192,7 +193,7 @@
 	return 0
 }
 
-// End writes a program that ended.
+// End writes the program and forgets it. A program without calls is not written.
 func (t *Recorder) End(id string) {
 	if t == nil {
 		return
@@ -219,8 +220,8 @@
 	return ""
 }
 
-// Close writes the upstreams and the outcomes that must hold whatever policy
-// the trace is replayed under. It returns the first error of all writes.
+// Close writes the upstreams and the expectations that hold under every policy.
+// It returns the first write error of the whole recording.
 func (t *Recorder) Close() (err error) {
 	if t == nil {
 		return nil
--- a/internal/play/trcrec/trcrec_test.go
+++ b/internal/play/trcrec/trcrec_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// model is a call whose engine takes 1 ms for four tokens of prompt and 10 ms
-// for each token of output.
+// model returns a call at an engine that prefills four tokens in 1 ms and takes
+// 10 ms per output token.
 func model(number int, start time.Time, prompt, cached, output int) hist.Call {
 	took := time.Duration(prompt-cached)*time.Millisecond/4 + time.Duration(output)*10*time.Millisecond
 	c := hist.Call{Number: number, Kind: call.Model, Target: "m", Start: start, End: start.Add(took), BudgetBefore: 50000}
@@ -70,7 +70,7 @@
 		tp.Call("x", id, model(2, at.Add(3*time.Second), 500+10*i, 400+10*i, 30+i))
 		tp.End(id)
 	}
-	tp.Call("x", "cut", model(5, start, 10, 0, 10)) // its beginning was before the record
+	tp.Call("x", "cut", model(5, start, 10, 0, 10)) // started before the recording
 	tp.End("cut")
 	is.NoErr(tp.Close())
 
