--- a/internal/play/naive/naive.go
+++ b/internal/play/naive/naive.go
@@ -1,7 +1,8 @@
-// Package basis holds the simple policies that the scheduler is measured
-// against: round robin, least outstanding and sticky hash. They take the same
-// messages as sched.Sched, keep off leaving and avoided upstreams, release the
-// memory of programs that end, and neither queue nor refuse.
+// Package naive implements the baseline load-balancing policies that the
+// scheduler is compared with: round robin, least outstanding and sticky hash.
+// They process the same messages as sched.Sched, skip leaving and avoided
+// upstreams and release the memory of programs that end. They don't queue, and
+// refuse a request only if no upstream is eligible.
 package naive
 
 import (
@@ -18,19 +19,21 @@
 )
 
 const (
-	// RoundRobin takes the upstreams in turn.
+	// RoundRobin selects the upstreams in turn.
 	RoundRobin Policy = "round_robin"
-	// LeastOutstanding takes the one with the fewest own requests under way.
+	// LeastOutstanding selects the upstream with the fewest requests in flight
+	// from this owner.
 	LeastOutstanding Policy = "least_outstanding"
-	// StickyHash takes the one that the program's family hashes to.
+	// StickyHash selects by rendezvous hashing of the root program, so that a
+	// program and its sub-programs share an upstream.
 	StickyHash Policy = "sticky_hash"
 )
 
 type (
-	// Policy names a baseline.
+	// Policy is the name of a baseline policy.
 	Policy string
 
-	// Basis is one owner under a baseline.
+	// Balancer is the scheduler of one owner under a baseline policy.
 	Balancer struct {
 		Policy Policy
 
@@ -39,14 +42,14 @@
 		inflight map[string]int
 		leaving  map[string]bool
 		next     map[string]int
-		held     map[string][]string // upstreams by program
+		held     map[string][]string // upstreams with memory, by program
 	}
 )
 
 // Policies returns all baselines.
 func Policies() []Policy { return []Policy{RoundRobin, LeastOutstanding, StickyHash} }
 
-// Step applies one message and returns what to do.
+// Step applies one message and returns the resulting effects.
 func (b *Balancer) Step(_ time.Time, m sched.Message) []sched.Effect {
 	if b.inflight == nil {
 		b.inflight, b.leaving = map[string]int{}, map[string]bool{}
@@ -104,7 +107,7 @@
 			return compare(xxhash.Sum64String(x+"/"+a.Root), xxhash.Sum64String(y+"/"+a.Root))
 		})
 	case LeastOutstanding:
-		b.next[a.Group]++ // equals in turn
+		b.next[a.Group]++ // rotates among upstreams with equal counts
 		first := b.next[a.Group] % len(eligible)
 		eligible = append(slices.Clone(eligible[first:]), eligible[:first]...)
 		return slices.MinFunc(eligible, func(x, y string) int { return b.inflight[x] - b.inflight[y] })
