--- a/internal/play/synth/bounds.go
+++ b/internal/play/synth/bounds.go
@@ -1,8 +1,8 @@
 package synth
 
-// bound is what a scenario must come to at seed 1: at least so many programs
-// completed, at most so much latency, so many wasted tokens and attempts. They
-// are 10%, 20% and 3% above what was measured when docs/POLICY.md was written.
+// bound holds a scenario's expectations at seed 1: the minimum number of completed
+// programs and the maximum latency, wasted tokens and attempts. The maxima are
+// 10%, 20% and 3% above the values measured for docs/POLICY.md.
 type bound struct {
 	completed  float64
 	p95        float64 // milliseconds
@@ -26,7 +26,7 @@
 	"overload_3x":         {540, 52000, 325000, 1990},
 }
 
-// state adds the scenario's bounds to its trace.
+// addTo adds the bounds to the trace's expectations.
 func (b bound) addTo(g *builder) {
 	g.atLeast("completed", b.completed)
 	g.atMost("p95_ms", b.p95)
@@ -35,7 +35,7 @@
 	if int(b.completed) < len(g.Programs) {
 		return
 	}
-	// Where all programs complete, exactly their own calls are paid for.
+	// If all programs complete, the tokens spent are exactly those of their calls.
 	spent := 0
 	for _, p := range g.Programs {
 		for _, c := range p.Calls {
--- a/internal/play/synth/synth.go
+++ b/internal/play/synth/synth.go
@@ -1,8 +1,8 @@
-// Package gener declares the traces that are committed under traces/: the two
-// deployments on ordinary days and in their peaks, and the faults that the
-// scheduler is meant for. The numbers of programs, turns and tokens follow the
-// deployments' own description; where it gives none they are assumptions,
-// listed in docs/design/traces.md. A scenario is the same for the same seed.
+// Package synth generates the synthetic traces committed under traces/: two
+// deployments at normal and at peak load, and the faults that the scheduler must
+// tolerate. The numbers of programs, turns and tokens follow the descriptions of
+// the deployments; where these give none, the numbers are assumptions, listed in
+// docs/design/traces.md. Generation is deterministic for a seed.
 package synth
 
 import (
@@ -15,7 +15,7 @@
 )
 
 type (
-	// Scenario builds one trace.
+	// Scenario generates one trace.
 	Scenario struct {
 		Name  string
 		build func(g *builder)
@@ -91,13 +91,13 @@
 	return g.Trace
 }
 
-// Press returns the trace of the goodput measurement: the same short programs
-// at so many times the rate that the engines can serve.
+// Overload returns the trace of the goodput measurement: short programs that
+// arrive at the given multiple of the rate that the engines can serve.
 func Overload(times float64, seed uint64) trace.Trace {
 	return Scenario{"press", func(g *builder) { g.overload(times, 180) }}.Build(seed)
 }
 
-// invariants states what must hold whatever happens.
+// invariants adds the expectations that hold in every scenario.
 func (g *builder) invariants() {
 	for _, m := range []string{
 		"repeated", "out_of_order", "over_budget", "held_programs", "late_dispatches", "cut_streams", "false_refusals",
@@ -129,7 +129,8 @@
 
 func (g *builder) pause(s interval) int64 { return int64(g.uniform(s)) * 100 }
 
-// arrivals calls f at Poisson times of the rate, in milliseconds.
+// arrivals calls f with the times of a Poisson process of the given rate and
+// duration. at is in milliseconds.
 func (g *builder) arrivals(perSecond, seconds float64, f func(at int64)) {
 	for at := 0.0; ; {
 		at += g.rng.ExpFloat64() / perSecond
@@ -140,7 +141,7 @@
 	}
 }
 
-// zipf returns a number below n, small ones more often.
+// zipf returns a number from 0 to n-1 whose probability falls about as 1/(k+1).
 func (g *builder) zipf(n int) int {
 	return min(int(math.Pow(float64(n), g.rng.Float64()))-1, n-1)
 }
--- a/internal/play/synth/workloads.go
+++ b/internal/play/synth/workloads.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// mafutaFleet is Mafuta Mzunguko's, which weighs latency more.
+// mafutaFleet adds the upstreams and weights of Mafuta Mzunguko, which gives
+// latency more weight than cache use.
 func (g *builder) mafutaFleet() {
 	g.Header.LatencyWeight, g.Header.CacheWeight = 2, 1
 	g.addEngines(10, darEsSalaam, 60_000)
@@ -52,7 +53,8 @@
 	})
 }
 
-// kitchen is a conversation with a kitchen manager that ends in a pickup.
+// kitchen adds a program: a conversation with a kitchen manager that ends with a
+// receipt for the pickup.
 func (g *builder) kitchen(at int64, account string) {
 	var calls []trace.Call
 	for range g.uniform(interval{3, 7}) {
@@ -62,7 +64,8 @@
 	g.add(trace.Program{AtMS: at, Account: account, Context: "kitchen", ContextTokens: 1800, Budget: 30_000, Calls: calls})
 }
 
-// rider guides a round: at each door a drum is weighed and logged.
+// rider adds a program that guides a collection round: a drum is weighed and
+// logged at each stop, and a payment ends the round.
 func (g *builder) rider(at int64) {
 	var calls []trace.Call
 	for range g.uniform(interval{3, 6}) {
@@ -77,7 +80,8 @@
 	})
 }
 
-// hotels is a chain whose kitchens all close at the same hour.
+// hotels is the mafuta workload with half of its programs from one hotel chain,
+// whose kitchens all close at the same hour.
 func (g *builder) hotels(perSecond, seconds float64) {
 	g.mafutaFleet()
 	g.arrivals(perSecond/2, seconds, func(at int64) { g.kitchen(at, "hotel-chain") })
@@ -90,7 +94,8 @@
 	})
 }
 
-// kexanhFleet is Kệ Xanh's, which weighs wasted cache more.
+// kexanhFleet adds the upstreams and weights of Kệ Xanh, which gives cache use
+// more weight than latency.
 func (g *builder) kexanhFleet() {
 	g.Header.LatencyWeight, g.Header.CacheWeight = 1, 2
 	g.addEngines(20, hoChiMinh, 150_000)
@@ -111,7 +116,7 @@
 	})
 }
 
-// layout redraws a store's bays for a category manager.
+// layout adds a program that plans a store's shelves for a category manager.
 func (g *builder) layout(at int64, account string, store int) {
 	calls := []trace.Call{{Service: "sheet", WorkMS: int64(g.uniform(interval{50, 300}))}}
 	for range g.uniform(interval{3, 7}) {
@@ -121,7 +126,8 @@
 	g.add(trace.Program{AtMS: at, Account: account, Context: fmt.Sprint("store-", store), ContextTokens: contextOf(store), Budget: 60_000, Calls: calls})
 }
 
-// compliance checks shelf photos and pushes tasks to merchandisers.
+// compliance adds a program that checks shelf photos and pushes tasks to
+// merchandisers.
 func (g *builder) compliance(at int64, account string, store int) {
 	var calls []trace.Call
 	for range g.uniform(interval{2, 4}) {
@@ -133,7 +139,8 @@
 
 func contextOf(store int) int { return 14_000 + 1000*(store*7%17) }
 
-// supermarket is one chain that redraws all its stores before a holiday.
+// supermarket is the kexanh workload at a peak: one chain plans all its stores
+// before a holiday.
 func (g *builder) supermarket(perSecond, seconds float64) {
 	g.kexanhFleet()
 	g.arrivals(perSecond*0.7, seconds, func(at int64) { g.layout(at, "chain-0", 6*g.rng.IntN(4)) })
@@ -143,8 +150,8 @@
 	})
 }
 
-// loops adds programs that never come to an end by themselves: one is stopped
-// by its budget, one by its limit of turns, one by its caller.
+// addLoopingPrograms adds programs that never end by themselves: one is stopped by
+// its budget, one by its turn limit and one by its caller.
 func (g *builder) addLoopingPrograms() {
 	loop := []trace.Call{{Prompt: 100, Output: 80, PauseMS: 100}}
 	at := int64(5000)
@@ -164,7 +171,8 @@
 	}
 }
 
-// hot is one store's context that most programs share.
+// hotPrefix is a workload in which four of five programs share one store's
+// context.
 func (g *builder) hotPrefix() {
 	g.kexanhFleet()
 	g.arrivals(2, 80, func(at int64) {
@@ -176,10 +184,11 @@
 	})
 }
 
-// press sends short programs at so many times the rate that the engines can
-// serve, from thousands of accounts, whose callers give up after a minute.
+// overload is a workload of short programs from thousands of accounts, at the
+// given multiple of the rate that the engines can serve. Callers give up after a
+// minute.
 func (g *builder) overload(times, seconds float64) {
-	const capacity = 9.0 // programs a second, measured; see docs/design/overload.md
+	const capacity = 9.0 // programs per second, measured; see docs/design/overload.md
 	g.mafutaFleet()
 	g.Header.QueueWaitMS, g.Header.DeadlineMS, g.Header.MaxRetries = 5000, 60_000, 3
 	g.arrivals(times*capacity, seconds, func(at int64) {
