--- a/internal/play/load/check.go
+++ b/internal/play/load/check.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	excerptSize = 24 // bytes of the last message that a stand-in engine repeats
+	excerptSize = 24 // bytes of the last message that a fake engine quotes
 	maxNotes    = 20
 )
 
-// answerForm is how a stand-in engine answers: its name, the request's name and
-// an excerpt of the last message, then numbers that rise by one.
+// answerForm matches the start of a fake engine's answer: its name, the request
+// id and a quoted excerpt of the last message. Consecutive numbers follow.
 var answerForm = regexp.MustCompile(`^\S+ answers (\S+) to ("(?:[^"\\]|\\.)*"):`)
 
 type (
-	// check holds what was seen, to find answers that are mixed, lost or given
-	// twice. Stand-ins answer with what they were asked, so every answer tells
-	// whose it is.
+	// checker verifies answers and detects mixed-up, lost and duplicate ones. The
+	// answers of fake engines and services contain the request id, which
+	// identifies the call.
 	checker struct {
 		mu           sync.Mutex
-		requests     map[string]string // a request's name to the call that had it
-		receipts     map[int]string    // a receipt's number to the call that had it
-		serviceCalls int               // service calls, each counted once
+		requests     map[string]string // request id to the call that it answered
+		receipts     map[int]string    // receipt number to the call that received it
+		serviceCalls int               // each counted once, without retries
 		minReceipt   int
 		maxReceipt   int
 		faults       int
@@ -68,8 +68,8 @@
 	}
 }
 
-// answer checks a model's answer: that it was asked by this call, that it is
-// whole, and that no other call got it.
+// checkAnswer verifies that a model's answer belongs to this call, is complete and
+// was not returned to another call.
 func (c *checker) checkAnswer(program string, number int, a client.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +94,8 @@
 	c.checkNumbers(name, a.Text[len(found[0]):])
 }
 
-// checkShort checks an answer that was cut before its first number, which the
-// bound on its tokens allows: it must still be a beginning.
+// checkShort verifies an answer that the token limit truncated before its first
+// number: it must be short and have the form of an answer.
 func (c *checker) checkShort(name, want, text string) {
 	if len(text) < excerptSize*bytesPerToken && strings.Contains(text, " answers ") {
 		return
@@ -105,8 +105,8 @@
 
 func head(s string) string { return s[:min(len(s), excerptSize)] }
 
-// rest checks the numbers that follow; a piece that is missing, repeated or
-// from another answer breaks their order.
+// checkNumbers verifies the sequence of numbers that follows the start of an
+// answer. A piece that is missing, repeated or from another answer breaks it.
 func (c *checker) checkNumbers(name, text string) {
 	for i := 0; text != ""; i++ {
 		want := fmt.Sprintf(" %03d", i%1000)
@@ -119,8 +119,8 @@
 	}
 }
 
-// owner checks that a request's name belongs to the call, and that no other
-// call was answered under it.
+// checkOwner verifies that the request id belongs to the call and that no other
+// call was answered under it. c.mu must be held.
 func (c *checker) checkOwner(program string, number int, request string) {
 	name := callName(program, number)
 	id, err := reqid.Parse(request)
@@ -134,15 +134,15 @@
 	c.requests[request] = name
 }
 
-// sentService counts a call to a service, before it is first tried.
+// countServiceCall counts a service call, before its first attempt.
 func (c *checker) countServiceCall(string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serviceCalls++
 }
 
-// receipt checks the answer of the stand-in ledger, which numbers what it
-// executes.
+// receipt verifies the answer of the fake ledger service, which numbers its
+// executions.
 func (c *checker) receipt(program string, number int, service, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +166,8 @@
 	c.maxReceipt = max(c.maxReceipt, r.Receipt)
 }
 
-// history compares what a program was told with what its history says.
+// checkHistory compares the answers that a program received with its history. An
+// empty text is a call whose outcome is unknown.
 func (c *checker) checkHistory(program string, texts []string, h hist.History) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,8 +193,8 @@
 	}
 }
 
-// outcomes leaves out what a history tells of refusals that did not run and of
-// attempts that a repeat of the call came after.
+// outcomes returns the calls of the history without refusals that did not run and
+// without failures that a repeat of the same call superseded.
 func outcomes(h hist.History) (calls []hist.Call) {
 	for _, kept := range h.Calls {
 		n := len(calls)
@@ -208,8 +209,8 @@
 	return calls
 }
 
-// twice reports executions that no call accounts for, where this load alone
-// used the ledger.
+// extraExecutions returns the minimum number of executions beyond the service
+// calls made. It assumes that no other client uses the ledger.
 func (c *checker) extraExecutions() int {
 	if c.minReceipt == 0 {
 		return 0
@@ -217,7 +218,7 @@
 	return max(0, c.maxReceipt-c.minReceipt+1-c.serviceCalls)
 }
 
-// end makes the last checks.
+// finish makes the final checks and returns the number of faults and the notes.
 func (c *checker) finish() (faults int, notes []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/play/load/direct.go
+++ b/internal/play/load/direct.go
@@ -14,7 +14,7 @@
 
 const directPrefix = "direct-"
 
-// stopwatch notes when the pieces of one answer came.
+// stopwatch records the arrival times of the pieces of one streamed answer.
 type stopwatch struct {
 	start time.Time
 	first time.Duration // to the first piece
@@ -32,20 +32,22 @@
 	w.last = now
 }
 
-// pairs reports whether the program's first prompt is also measured directly.
-// What it takes at an engine is what the system can't better; the difference
-// is what the system adds.
+// isPaired reports whether the program's first prompt is also sent directly to an
+// engine. The latency of the direct call is the lower bound for the system; the
+// difference is the latency that the system adds.
 func (d *driver) isPaired(p plan) bool {
 	return d.load.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
 }
 
-// fresh returns a context that no engine has cached: prompts of a pair must
-// both be computed whole, or one would make the other cheaper.
+// uncachedContext returns a context of about size bytes, derived from the name,
+// that no engine has cached. Both prompts of a pair must be prefilled completely;
+// a shared prefix would make the second one faster.
 func uncachedContext(name string, size int) string {
 	return words(rand.New(rand.NewPCG(hash(name), 2)), size/bytesPerToken)
 }
 
-// direct sends a prompt of the same size straight to an engine.
+// direct sends a prompt of the same size directly to an engine and records its
+// times. Errors are ignored.
 func (d *driver) direct(ctx context.Context, p plan, s step) {
 	name := directPrefix + p.Name
 	body, err := json.Marshal(struct {
--- a/internal/play/load/drive.go
+++ b/internal/play/load/drive.go
@@ -16,28 +16,28 @@
 const (
 	maxAttempts  = 8
 	callTimeout  = 5 * time.Minute
-	compareOneIn = 10 // programs whose history is read at their end
-	directOneIn  = 3  // programs whose first prompt also goes to an engine
+	compareOneIn = 10 // one in so many programs has its history checked at its end
+	directOneIn  = 3  // one in so many programs also sends its first prompt to an engine
 )
 
 type (
-	// drive runs one program as its caller would.
+	// driver runs one program as a caller does.
 	driver struct {
 		load    *Generator
 		due     time.Time
 		entries entries
-		paused  time.Duration // that the program itself wanted
-		texts   []string      // of its calls, by number; empty for refused ones
+		paused  time.Duration // the program's own pauses
+		texts   []string      // answers by call number; empty for unknown outcomes
 	}
 
-	// conversation is what a program and its model said so far.
+	// conversation is the message history of a program.
 	conversation struct {
 		messages []client.Message
-		sent     int // prompt tokens that an earlier turn had sent
+		sent     int // prompt tokens of the previous turn
 	}
 )
 
-// run runs a root program and counts it.
+// run runs a root program and records its result.
 func (d *driver) run(ctx context.Context, p plan) {
 	d.entries = entries{load: d.load}
 	err := d.program(ctx, p)
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// service makes one call to a plain service. One that may have run and whose
-// outcome is lost is not an error of the program: its agent goes on.
+// service makes one call to a plain service. A call with an unknown outcome is not
+// an error of the program, which continues with its next step.
 func (d *driver) service(ctx context.Context, p plan, s step, number int, talk *conversation) error {
 	var a client.Answer
 	d.load.checker.countServiceCall(s.Service)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// compare reads the history of some programs at their end.
+// compare checks the history of one in compareOneIn programs.
 func (d *driver) compare(ctx context.Context, p plan) error {
 	if hash(p.Name)%compareOneIn != 0 {
 		return nil
@@ -160,9 +160,10 @@
 	})
 }
 
-// retry asks until there is an answer, as the system says that callers may: a
-// repeat carries the same call number, so it joins or returns the recorded
-// outcome. Each try goes to the next address.
+// retry calls ask until it succeeds, fails with an error that must not be retried,
+// or maxAttempts is reached. A repeat is safe: it carries the same call number, so
+// it joins the running call or returns the recorded outcome. Each attempt uses the
+// next address.
 func (d *driver) retry(ctx context.Context, program string, ask func(client.Client) error) (err error) {
 	for try := range maxAttempts {
 		if try > 0 {
@@ -183,7 +184,7 @@
 			return err
 		}
 	}
-	return errors.Wrapf(err, "given up after %d tries", maxAttempts)
+	return errors.Wrapf(err, "gave up after %d attempts", maxAttempts)
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -197,12 +198,13 @@
 	}
 }
 
-// marker begins the new message of a call; stand-in engines repeat it.
+// marker returns the start of a call's new message, which fake engines quote in
+// their answers.
 func marker(program string, number int) string {
 	return fmt.Sprintf("%s#%d ", program, number)
 }
 
-// entries are the addresses that the system told this program to use.
+// entries caches the daemon addresses that the system returned for a program.
 type entries struct {
 	load      *Generator
 	mu        sync.Mutex
@@ -210,8 +212,9 @@
 	expires   time.Time
 }
 
-// next returns the best address, or on later tries the ones after it. What the
-// system said is asked anew when its time is over or a try failed.
+// next returns the preferred address, and on retries the following ones. The
+// addresses are refreshed when they have expired and before each retry; without
+// any, it returns a random one of Generator.Addresses.
 func (e *entries) next(ctx context.Context, program string, try int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/play/load/load.go
+++ b/internal/play/load/load.go
@@ -1,17 +1,16 @@
-// Package load puts agent programs on a running system and measures what their
-// callers see.
+// Package load is a load generator: it runs agent programs against a running
+// system, measures latencies as callers see them and verifies the answers.
 //
-// The load is open: programs arrive by a schedule drawn from a seed, whether
-// or not earlier ones were answered, as callers' programs do. Each is a chain
-// of turns with pauses, service calls and sub-agents. A program's latency
-// counts from the time at which it was due, so that a system which stalls
-// arrivals can't hide that (coordinated omission).
+// The load is open-loop: programs arrive by a schedule drawn from a seed,
+// independently of the completion of earlier ones. Each is a sequence of turns
+// with pauses, service calls and sub-agents. A program's latency counts from its
+// scheduled start, so that delayed starts are included (no coordinated omission).
 //
-// While it runs, every answer is checked: the stand-in engines and services
-// derive theirs from the request, so an answer that is cut, mixed with another
-// one or given for two calls shows. Some programs are also compared with their
-// histories. A Load with Engine set sends a few of the same requests straight
-// to an engine, to tell what the system itself adds.
+// Every answer is verified. The fake engines and services derive their answers
+// from the request, so that truncated, mixed-up and duplicate answers are
+// detected. For a sample of programs the answers are also compared with the
+// history. If Engine is set, a sample of prompts is also sent directly to an
+// engine, to measure the latency that the system adds.
 package load
 
 import (
@@ -28,48 +27,49 @@
 )
 
 const (
-	defaultRate       = 2 // programs a second
+	defaultRate       = 2 // programs per second
 	defaultDuration   = 30 * time.Second
 	defaultRetryDelay = time.Second
-	maxPrograms       = 1 << 17 // under way at a time
+	maxPrograms       = 1 << 17 // running concurrently
 	progressEvery     = time.Second
 	drainTime         = 10 * time.Minute
 	tagBase           = 36
 )
 
 var (
-	// ErrBroken tells that an answer was mixed, lost or given twice.
-	ErrFaults = errors.New("the system broke a promise")
-	// ErrNothing tells that no program finished, so that nothing was checked.
+	// ErrFaults reports answers that failed verification.
+	ErrFaults = errors.New("answers failed verification")
+	// ErrNoPrograms reports that no program finished, so that nothing was verified.
 	ErrNoPrograms = errors.New("no program finished")
 )
 
-// Load is one run. Entry and Key must be set; the zero value of every other
-// field is ready for use.
+// Generator is one run of the load. Addresses and Key must be set; for every other
+// field the zero value selects the default.
 type Generator struct {
-	Addresses  []string // addresses of daemons, IP and port
-	Key        string   // of the account that calls
-	Engine     string   // address of an engine for direct calls, if any
-	Shape      Shape    // the zero value is Pickup
-	Rate       float64  // programs a second
+	Addresses  []string // of daemons, IP and port
+	Key        string   // API key of the caller's account
+	Engine     string   // address of an engine for direct calls; empty for none
+	Shape      Shape    // default Pickup
+	Rate       float64  // programs per second
 	Duration   time.Duration
-	Speed      float64 // divides pauses and the time between arrivals; 0 is 1
+	Speed      float64 // divides pauses and inter-arrival times; default 1
 	Seed       uint64
-	RetryDelay time.Duration // before another try, where the system names no time
-	Tag        string        // makes program ids unique between runs
-	Progress   io.Writer     // gets a line each second, if set
+	RetryDelay time.Duration // before a retry, unless the refusal has a retry time
+	Tag        string        // prefix of program ids, unique for each run
+	Progress   io.Writer     // receives a line per second if not nil
 
 	checker checker
 	tally   tally
 	wg      sync.WaitGroup
 }
 
-// Run runs the load until all its programs ended, and reports. The error is
-// ErrBroken if a check failed, and ErrNothing if there was nothing to check.
+// Run runs the load until all its programs have ended. The error is ErrFaults if
+// an answer failed verification and ErrNoPrograms if no program finished; the
+// report is valid with both.
 func (l *Generator) Run(ctx context.Context) (r Report, err error) {
 	defer func() { err = errors.Wrap(err, "load") }()
 	if len(l.Addresses) == 0 {
-		return Report{}, errors.New("no entry address")
+		return Report{}, errors.New("no daemon address")
 	}
 	l.setDefaults()
 	pool, err := ants.NewPool(maxPrograms, ants.WithNonblocking(true))
@@ -120,7 +120,7 @@
 	l.checker.init()
 }
 
-// arrive starts programs when they are due. It never waits for one.
+// arrive starts each program at its due time, without waiting for earlier ones.
 func (l *Generator) arrive(ctx context.Context, pool *ants.Pool, start time.Time) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -144,7 +144,7 @@
 	return time.Duration(float64(d) / l.Speed)
 }
 
-// report writes the progress until done.
+// report writes a progress line per interval until done is closed.
 func (l *Generator) report(done <-chan struct{}) {
 	if l.Progress == nil {
 		return
--- a/internal/play/load/load_test.go
+++ b/internal/play/load/load_test.go
@@ -25,11 +25,11 @@
 
 const (
 	key  = "account.secret"
-	fast = 1e9 // no pause that the clock could tell
+	fast = 1e9 // makes pauses negligible
 )
 
-// system is a daemon with a runner that keeps the promises, until a test
-// makes it break one.
+// system is a daemon with a correct runner. A test injects faults through alter
+// and forget.
 type system struct {
 	address string
 
@@ -116,7 +116,7 @@
 	return hist.History{}, result.Refuse(result.CodeNotFound, "not kept")
 }
 
-// start serves the system on a port that the machine chooses.
+// start serves the system on a free port.
 func start(t *testing.T, s *system) {
 	t.Helper()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -165,15 +165,15 @@
 	is.Equal(r.Calls+r.Services, s.count)
 	is.Equal(r.Program.Count, int64(r.Started))
 	is.Equal(r.First.Count, int64(r.Calls))
-	is.True(r.Wasted > 0) // this system caches nothing
+	is.True(r.Wasted > 0) // this system has no cache
 	var out strings.Builder
 	r.Print(&out)
 	is.True(strings.Contains(out.String(), fmt.Sprintf("%d programs started", r.Started)))
 	is.True(strings.HasSuffix(out.String(), "0 faults\n"))
 }
 
-// A system breaks a promise to some of its callers under load. The run must
-// notice, since no caller of it would.
+// Under load, a system returns wrong answers to some of its callers. The run must
+// detect them; a real caller can't.
 func TestFaultsAreReported(t *testing.T) {
 	tests := map[string]struct {
 		system *system
@@ -243,8 +243,8 @@
 	}
 }
 
-// The system refuses some calls for now and says when to come back; the caller
-// does, with the same number, and no program is lost to it.
+// The system refuses some calls with a retry time. The caller must retry them with
+// the same call number, and no program may fail.
 func TestRefusedCallsAreRetried(t *testing.T) {
 	is := is.New(t)
 	s := system{alter: func(s *system, c call.Call, r result.Result) result.Result {
@@ -267,8 +267,8 @@
 	is.Equal(r.Repeats, s.refused)
 }
 
-// Nobody answers at the address. No promise is broken, but a run that checked
-// nothing must not pass for one that found no fault.
+// No daemon listens at the address. There are no wrong answers, but a run that
+// verified nothing must not succeed.
 func TestUnreachableSystem(t *testing.T) {
 	is := is.New(t)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -279,10 +279,10 @@
 	is.Equal(r.Failed, r.Started)
 	is.True(r.Refusals[codeConnection] > 0)
 	_, err = (&Generator{}).Run(t.Context())
-	is.True(err != nil) // no entry address
+	is.True(err != nil) // no daemon address
 }
 
-// The same seed must give the same programs, or two runs can't be compared.
+// The same seed must give the same programs, so that runs can be compared.
 func TestSchedule(t *testing.T) {
 	is := is.New(t)
 	for _, shape := range []Shape{Pickup(), Shelf()} {
@@ -291,7 +291,7 @@
 		other := shape.schedule("t", 4, 5, 10*time.Second)
 		is.True(reflect.DeepEqual(a, b))
 		is.True(!reflect.DeepEqual(a, other))
-		is.True(len(a) > 25 && len(a) < 80) // 5 a second for 10 s
+		is.True(len(a) > 25 && len(a) < 80) // 5 per second for 10 s
 		for _, p := range a {
 			for _, s := range p.Steps {
 				is.True(s.Kind != subStep || call.ChildOf(s.Sub.Name, p.Name))
--- a/internal/play/load/print.go
+++ b/internal/play/load/print.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r Report) Print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "%.1f s: %d programs started, %d finished, %d failed, %d not started\n",
 		r.Seconds, r.Started, r.Finished, r.Failed, r.NotStarted)
--- a/internal/play/load/refuse.go
+++ b/internal/play/load/refuse.go
@@ -10,9 +10,9 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-const codeConnection result.Code = "connection" // no answer from the daemon
+const codeConnection result.Code = "connection" // connection failed or the answer has no error code
 
-// refusal is an answer that is no success, or none at all.
+// refusal is an error answer, or the lack of an answer.
 type refusal struct {
 	code  result.Code
 	ran   result.Ran
@@ -24,7 +24,7 @@
 
 func (r *refusal) Unwrap() error { return r.cause }
 
-// refused reads what the system said about a call that failed.
+// parseRefusal returns the error of a call as a *refusal; nil stays nil.
 func parseRefusal(err error) error {
 	if err == nil {
 		return nil
@@ -47,16 +47,16 @@
 	return &refusal{code: e.Code, ran: e.Ran, cause: err, after: time.Duration(e.RetryAfter * float64(time.Second))}
 }
 
-// unknown reports whether the call may have run and never will be told.
+// unknown reports whether the call may have run and its outcome is lost.
 func (r *refusal) unknown() bool { return r.code == result.CodeUnknown }
 
-// again reports whether the caller should try again.
+// retryable reports whether the caller should retry.
 func (r *refusal) retryable() bool {
 	return r.code == codeConnection || r.after > 0
 }
 
-// wait is how long to wait before that, as the system said or else the other
-// time.
+// retryDelay returns the delay before a retry: that of the answer, or else the
+// given default.
 func (r *refusal) retryDelay(other time.Duration) time.Duration {
 	if r == nil || r.after == 0 {
 		return other
--- a/internal/play/load/shape.go
+++ b/internal/play/load/shape.go
@@ -20,34 +20,34 @@
 type (
 	stepKind string
 
-	// Span is a range from which a number is drawn evenly.
+	// Span is an inclusive range from which a number is drawn uniformly.
 	Span struct{ Min, Max int }
 
-	// Shape is a kind of agent program. Numbers of tokens are of the stand-in
-	// engines, which count bytesPerToken bytes as one.
+	// Shape describes a kind of agent program. Token counts are those of the fake
+	// engines, which count bytesPerToken bytes as one token.
 	Shape struct {
 		Name     string
 		Agent    string
-		Models   []string // sent in the request; none leaves it to the agent
-		Context  int      // tokens that programs of one store share
-		Stores   int      // how many such contexts there are
+		Models   []string // not used
+		Context  int      // tokens of the prefix that programs of one store share
+		Stores   int      // number of such contexts
 		Turns    Span
 		Prompt   Span // tokens that a turn adds
 		Output   Span // tokens of an answer
 		Pause    Span // milliseconds before a turn
 		Service  []string
-		Services float64 // service calls for each model call
-		Subs     float64 // sub-agents for each turn of a root program
+		Services float64 // service calls per turn
+		Subs     float64 // sub-agents per turn of a root program
 		SubTurns Span
 	}
 
-	// plan is one program, drawn ahead.
+	// plan is one program, generated before the run.
 	plan struct {
 		Name    string
 		Agent   string
 		Parent  string
 		Context string
-		Due     time.Duration // after the start of the load
+		Due     time.Duration // offset from the start of the load
 		Steps   []step
 	}
 
@@ -61,8 +61,8 @@
 	}
 )
 
-// Pickup is the shape of programs that arrange pickups: short turns of a
-// conversation, long pauses for people, a receipt now and then.
+// Pickup is the shape of programs that arrange pickups: short turns, long pauses
+// for the user's replies and some calls for receipts.
 func Pickup() Shape {
 	return Shape{
 		Name: "pickup", Agent: "pickup", Context: 200, Stores: 1,
@@ -72,10 +72,10 @@
 	}
 }
 
-// Shelf is the shape of programs that redraw shelves: a long context that all
-// programs of a store share, more sub-agents, shorter pauses. It names no agent
-// and so gets the only one that is declared; its programs fit into the budget
-// of examples/dev.ini.
+// Shelf is the shape of programs that plan store shelves: a long context that all
+// programs of a store share, more sub-agents, shorter pauses. It sets no agent, so
+// that the only configured one is used; its programs fit the budget of
+// examples/dev.ini.
 func Shelf() Shape {
 	return Shape{
 		Name: "shelf", Context: 1200, Stores: 12,
@@ -85,14 +85,14 @@
 	}
 }
 
-// ShapeOf returns the shape of that name.
+// ShapeOf returns the shape with the name: pickup or shelf.
 func ShapeOf(name string) (Shape, error) {
 	for _, s := range []Shape{Pickup(), Shelf()} {
 		if s.Name == name {
 			return s, nil
 		}
 	}
-	return Shape{}, errors.Newf("no shape named %q: pickup or shelf", name)
+	return Shape{}, errors.Newf("unknown shape %q, valid shapes are pickup and shelf", name)
 }
 
 func (s Span) draw(rng *rand.Rand) int {
@@ -102,7 +102,8 @@
 	return s.Min + rng.IntN(s.Max-s.Min+1)
 }
 
-// schedule draws all programs of a run; arrivals are a Poisson process.
+// schedule generates all programs of a run, with arrivals of a Poisson process of
+// rate programs per second. The same arguments give the same programs.
 func (s Shape) schedule(tag string, seed uint64, rate float64, duration time.Duration) (all []plan) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	due := time.Duration(0)
@@ -164,13 +165,13 @@
 	return time.Duration(s.Pause.draw(rng)) * time.Millisecond
 }
 
-// context returns the text that all programs of one store begin with.
+// context returns the shared context of a randomly drawn store.
 func (s Shape) context(rng *rand.Rand) string {
 	store := rng.IntN(max(1, s.Stores))
 	return fmt.Sprintf("Store %d. ", store) + words(rand.New(rand.NewPCG(uint64(store), 1)), s.Context)
 }
 
-// words returns a text of so many tokens.
+// words returns a random text of at least the given number of tokens.
 func words(rng *rand.Rand, tokens int) string {
 	text := make([]byte, 0, tokens*bytesPerToken+len(wordForm))
 	for len(text) < tokens*bytesPerToken {
--- a/internal/play/load/tally.go
+++ b/internal/play/load/tally.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxMicros = 24 * 3600 * 1_000_000 // the longest time that is told apart
-	precision = 3                     // digits of a time
+	maxMicros = 24 * 3600 * 1_000_000 // upper bound of recorded times
+	precision = 3                     // significant digits
 )
 
 type (
-	// Quantiles are times in seconds.
+	// Quantiles are quantiles of a duration, in seconds.
 	Quantiles struct {
 		Count int64   `json:"count"`
 		P50   float64 `json:"p50"`
@@ -27,10 +27,10 @@
 		Max   float64 `json:"max"`
 	}
 
-	// Report is what a run measured. Program is the time from when a program
-	// was due to its end, Active the same without its own pauses. Of pairs of
-	// equal prompts one goes through the system, the other straight to an
-	// engine; Added is the difference of their quantiles.
+	// Report is the result of a run. Program is the time from a program's due time
+	// to its end, Active the same without the program's own pauses. Of each pair
+	// of prompts of equal size one goes through the system (Paired), the other
+	// directly to an engine (Direct); Added is the difference of their quantiles.
 	Report struct {
 		Seconds    float64             `json:"seconds"`
 		Started    int                 `json:"programs_started"`
@@ -43,7 +43,7 @@
 		Output     int                 `json:"output_tokens"`
 		Prompt     int                 `json:"prompt_tokens"`
 		Cached     int                 `json:"cached_tokens"`
-		Wasted     int                 `json:"wasted_tokens"` // an earlier turn had sent them
+		Wasted     int                 `json:"wasted_tokens"` // prefilled again although the previous turn had sent them
 		Program    Quantiles           `json:"program_seconds"`
 		Active     Quantiles           `json:"active_seconds"`
 		First      Quantiles           `json:"first_token_seconds"`
@@ -54,22 +54,22 @@
 		Refusals   map[result.Code]int `json:"refusals"`
 		Faults     int                 `json:"faults"`
 		Notes      []string            `json:"fault_notes,omitempty"`
-		Errors     []string            `json:"errors,omitempty"` // of failed programs, the first few
+		Errors     []string            `json:"errors,omitempty"` // of failed programs, the first maxNotes
 	}
 
-	// Pair are the times of one side of the pairs.
+	// Pair holds the times of one side of the pairs.
 	Pair struct {
 		First   Quantiles `json:"first_token_seconds"`
 		Between Quantiles `json:"between_pieces_seconds"`
 	}
 
-	// streams are the times of streamed answers.
+	// streams holds the histograms of streamed answers.
 	streams struct {
 		first   *hdrhistogram.Histogram
 		between *hdrhistogram.Histogram
 	}
 
-	// tally counts while the load runs.
+	// tally accumulates the results during a run. It is safe for concurrent use.
 	tally struct {
 		mu          sync.Mutex
 		idle        *sync.Cond
@@ -118,7 +118,7 @@
 	}
 }
 
-// waitIdle returns when no program is under way.
+// waitIdle blocks until no program is running.
 func (t *tally) waitIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,7 +207,7 @@
 	t.report.Seconds = took.Seconds()
 }
 
-// line is the progress so far.
+// line returns a progress line.
 func (t *tally) line(faults int) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -244,7 +244,7 @@
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1e6}
 }
 
-// added compares quantiles; without direct calls there is nothing to tell.
+// added returns the difference of the quantiles, or zero without direct calls.
 func added(system, direct Quantiles) Quantiles {
 	if direct.Count == 0 {
 		return Quantiles{}
