--- a/internal/play/sizes/journal_test.go
+++ b/internal/play/sizes/journal_test.go
@@ -19,7 +19,8 @@
 	callsPerCommit  = 80   // about 12,000 a second over 64 shards and 2.3 commits
 )
 
-// journal counts what an owner writes. A commit takes what waited for it.
+// journal counts the journal writes of an owner. Each commit contains the calls
+// that arrived while the previous one was pending.
 type journal struct {
 	rng    *rand.Rand
 	own    owner.Owner
@@ -51,7 +52,7 @@
 	}
 }
 
-// commit answers the writes until none is left.
+// commit acknowledges pending writes until none is left.
 func (j *journal) commit() {
 	for len(j.wrote) > 0 {
 		c := j.wrote[0].Effect.(chain.Create)
@@ -76,7 +77,7 @@
 	})
 }
 
-// text is of random words, which compress no better than a language does.
+// text returns random words, which compress no better than natural language.
 func (j *journal) text(size int) []byte {
 	var b []byte
 	for len(b) < size {
@@ -88,9 +89,9 @@
 	return b[:size]
 }
 
-// BenchmarkJournal measures the bytes that a call adds to the journal, with a
-// message and an answer of a few hundred bytes, at the commits and programs of
-// one shard of the target.
+// BenchmarkJournal measures the bytes that a call adds to the journal, without and
+// with text (400 bytes each of message and answer), with the number of programs
+// and the calls per commit of one shard of the target.
 func BenchmarkJournal(b *testing.B) {
 	for _, size := range []int{0, 400} {
 		b.Run(fmt.Sprint(2*size), func(b *testing.B) { benchmarkJournal(b, size) })
--- a/internal/play/sizes/sizes.go
+++ b/internal/play/sizes/sizes.go
@@ -1,13 +1,13 @@
-// Package sizes recomputes docs/CAPACITY.md from the numbers that stand in the
-// page itself, so that no total there can drift from what was measured.
+// Package sizes computes the totals in docs/CAPACITY.md from the input values on
+// the same page, so that the totals always match the measured values.
 //
-// The page holds two kinds of Markdown tables. One with the columns Name,
-// Value, Unit and Source gives numbers: what the target asks for, and slopes
-// that were measured with the command given as source. A value of "-" is not
-// measured yet. One with the columns Role, What, Unit, Formula, Total, Limit
-// and Result derives totals from these names by plain arithmetic. Total and
-// Result are computed; to add a row, leave them empty and run the test of this
-// package with -update. Other tables and text are left alone.
+// Two kinds of Markdown tables are evaluated. Tables with the columns Name, Value,
+// Unit and Source define values: requirements of the target, and slopes measured
+// with the command given as source. A value of "-" is not measured yet. Tables with
+// the columns Role, What, Unit, Formula, Total, Limit and Result compute totals
+// from these names by arithmetic. Total and Result are generated; to add a row,
+// leave them empty and run this package's test with -update. Other tables and text
+// are not changed.
 package sizes
 
 import (
@@ -24,7 +24,7 @@
 )
 
 const (
-	// NotMeasured is the total of a row with a name that has no value yet.
+	// NotMeasured is the total of a row whose formula uses a name without a value.
 	NotMeasured = "not measured"
 
 	unknown   = "-"
@@ -36,15 +36,15 @@
 )
 
 type (
-	// Page is the page with its numbers.
+	// Page is a parsed page.
 	Page struct {
-		Values map[string]float64 // NaN: not measured
+		Values map[string]float64 // by name; NaN if not measured
 		Rows   []Row
 
 		lines []string
 	}
 
-	// Row is one derived total.
+	// Row is one computed total.
 	Row struct {
 		Line    int // counted from 1
 		Role    string
@@ -57,7 +57,7 @@
 	}
 )
 
-// Parse reads a page.
+// Parse reads a page. Errors give the line number.
 func Parse(r io.Reader) (p Page, err error) {
 	defer func() { err = errors.Wrap(err, "parse sizes") }()
 	p.Values = map[string]float64{}
@@ -99,7 +99,7 @@
 		return p.addValue(cells)
 	case rowHeader:
 		if len(cells) != 7 {
-			return errors.Newf("%d cells instead of 7", len(cells))
+			return errors.Newf("got %d cells instead of 7", len(cells))
 		}
 		p.Rows = append(p.Rows, Row{
 			Line: len(p.lines), Role: cells[0], What: cells[1], Unit: cells[2],
@@ -111,11 +111,11 @@
 
 func (p *Page) addValue(cells []string) error {
 	if len(cells) != 4 {
-		return errors.Newf("%d cells instead of 4", len(cells))
+		return errors.Newf("got %d cells instead of 4", len(cells))
 	}
 	name := cells[0]
 	if _, ok := p.Values[name]; ok {
-		return errors.Newf("%s stands twice", name)
+		return errors.Newf("%s is defined twice", name)
 	}
 	if cells[1] == unknown {
 		p.Values[name] = math.NaN()
@@ -129,7 +129,7 @@
 	return err
 }
 
-// Compute returns the row with its Total and Result as they should be.
+// Compute returns the row with Total and Result computed.
 func (p Page) Compute(r Row) (_ Row, err error) {
 	defer func() { err = errors.Wrapf(err, "line %d: %s, %s", r.Line, r.Role, r.What) }()
 	total, err := p.evaluate(r.Formula)
@@ -156,7 +156,7 @@
 	return r, nil
 }
 
-// Update returns the page's text with all totals and results computed.
+// Update returns the text of the page with Total and Result of all rows computed.
 func (p Page) Update() (text string, err error) {
 	defer func() { err = errors.Wrap(err, "update sizes") }()
 	lines := append([]string(nil), p.lines...)
@@ -171,7 +171,7 @@
 	return strings.Join(lines, "\n") + "\n", nil
 }
 
-// show gives a number with three digits that count.
+// formatNumber formats v with three significant digits.
 func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return NotMeasured
@@ -183,8 +183,8 @@
 	return strconv.FormatFloat(math.Round(v*scale)/scale, 'f', -1, 64)
 }
 
-// evaluate computes an expression of names, numbers, + - * / and brackets. It
-// is NaN if a name in it has no value yet.
+// evaluate computes an expression of names, numbers, + - * / and parentheses. The
+// result is NaN if one of the names has no value yet.
 func (p Page) evaluate(expression string) (float64, error) {
 	e, err := parser.ParseExpr(strings.Trim(expression, "`"))
 	if err != nil {
@@ -216,7 +216,7 @@
 		}
 		return apply(e.Op, x, y)
 	}
-	return 0, errors.Newf("not arithmetic: %T", e)
+	return 0, errors.Newf("unsupported expression %T", e)
 }
 
 func apply(op token.Token, x, y float64) (float64, error) {
@@ -230,5 +230,5 @@
 	case token.QUO:
 		return x / y, nil
 	}
-	return 0, errors.Newf("operator %s", op)
+	return 0, errors.Newf("unsupported operator %s", op)
 }
--- a/internal/play/sizes/sizes_test.go
+++ b/internal/play/sizes/sizes_test.go
@@ -13,8 +13,8 @@
 
 var update = flag.Bool("update", false, "rewrite the totals of the page")
 
-// A figure of the page that no longer follows from the measured slopes would
-// let the operators order too few VMs.
+// A total that does not match the measured slopes can make operators provision too
+// few VMs.
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile(page)
@@ -32,7 +32,7 @@
 	is.Equal(len(after), len(before))
 	for i := range after {
 		if before[i] != after[i] {
-			t.Errorf("line %d\nhas  %s\nwant %s", i+1, before[i], after[i])
+			t.Errorf("line %d\ngot  %s\nwant %s", i+1, before[i], after[i])
 		}
 	}
 }
