--- a/internal/play/load/check.go
+++ b/internal/play/load/check.go
@@ -87,8 +87,8 @@
 		return
 	}
 	c.checkOwner(program, number, found[1])
-	var asked string
-	if json.Unmarshal([]byte(found[2]), &asked) != nil || !strings.HasPrefix(asked, head(marker(program, number))) {
+	var quoted string
+	if json.Unmarshal([]byte(found[2]), &quoted) != nil || !strings.HasPrefix(quoted, excerpt(marker(program, number))) {
 		c.fault("%s: the answer is to %s", name, found[2])
 	}
 	c.checkNumbers(name, a.Text[len(found[0]):])
@@ -103,7 +103,7 @@
 	c.fault("%s: %q is no answer to %q", name, text[:min(len(text), 80)], want)
 }
 
-func head(s string) string { return s[:min(len(s), excerptSize)] }
+func excerpt(s string) string { return s[:min(len(s), excerptSize)] }
 
 // checkNumbers verifies the sequence of numbers that follows the start of an
 // answer. A piece that is missing, repeated or from another answer breaks it.
@@ -168,7 +168,7 @@
 
 // checkHistory compares the answers that a program received with its history. An
 // empty text is a call whose outcome is unknown.
-func (c *checker) checkHistory(program string, texts []string, h hist.History) {
+func (c *checker) checkHistory(program string, answers []string, h hist.History) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h.Program != program {
@@ -176,18 +176,18 @@
 		return
 	}
 	calls := outcomes(h)
-	if len(calls) != len(texts) {
-		c.fault("%s: %d calls in the history of %d", program, len(calls), len(texts))
+	if len(calls) != len(answers) {
+		c.fault("%s: %d calls in the history of %d", program, len(calls), len(answers))
 		return
 	}
-	for i, kept := range calls {
-		if kept.Number != i {
-			c.fault("%s: call %d stands at place %d", program, kept.Number, i)
+	for i, recorded := range calls {
+		if recorded.Number != i {
+			c.fault("%s: call %d stands at place %d", program, recorded.Number, i)
 		}
-		if texts[i] != "" && string(kept.Result.Body) != texts[i] {
+		if answers[i] != "" && string(recorded.Result.Body) != answers[i] {
 			c.fault("%s: the history of call %d is not what was answered", program, i)
 		}
-		if texts[i] == "" && kept.Result.Code == result.CodeOK {
+		if answers[i] == "" && recorded.Result.Code == result.CodeOK {
 			c.fault("%s: call %d is ok in the history, its caller was told that nobody knows", program, i)
 		}
 	}
@@ -196,14 +196,14 @@
 // outcomes returns the calls of the history without refusals that did not run and
 // without failures that a repeat of the same call superseded.
 func outcomes(h hist.History) (calls []hist.Call) {
-	for _, kept := range h.Calls {
+	for _, recorded := range h.Calls {
 		n := len(calls)
 		switch {
-		case kept.Result.Ran == result.No:
-		case n > 0 && calls[n-1].Number == kept.Number && !calls[n-1].Result.OK():
-			calls[n-1] = kept
+		case recorded.Result.Ran == result.No:
+		case n > 0 && calls[n-1].Number == recorded.Number && !calls[n-1].Result.OK():
+			calls[n-1] = recorded
 		default:
-			calls = append(calls, kept)
+			calls = append(calls, recorded)
 		}
 	}
 	return calls
--- a/internal/play/load/direct.go
+++ b/internal/play/load/direct.go
@@ -36,7 +36,7 @@
 // engine. The latency of the direct call is the lower bound for the system; the
 // difference is the latency that the system adds.
 func (d *driver) isPaired(p plan) bool {
-	return d.load.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
+	return d.gen.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
 }
 
 // uncachedContext returns a context of about size bytes, derived from the name,
@@ -61,13 +61,13 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	c := chat.Client{Endpoint: httpc.Endpoint{Address: d.load.Engine}}
+	c := chat.Client{Endpoint: httpc.Endpoint{Address: d.gen.Engine}}
 	watch := stopwatch{start: time.Now()}
 	_, err = c.Chat(ctx, engine.Request{ID: name, Program: name, Body: body, MaxTokens: s.Output}, func(engine.Delta) error {
 		watch.piece("")
 		return nil
 	})
 	if err == nil {
-		d.load.tally.direct(watch)
+		d.gen.tally.direct(watch)
 	}
 }
--- a/internal/play/load/drive.go
+++ b/internal/play/load/drive.go
@@ -23,25 +23,25 @@
 type (
 	// driver runs one program as a caller does.
 	driver struct {
-		load    *Generator
+		gen     *Generator
 		due     time.Time
 		entries entries
 		paused  time.Duration // the program's own pauses
-		texts   []string      // answers by call number; empty for unknown outcomes
+		answers []string      // answers by call number; empty for unknown outcomes
 	}
 
 	// conversation is the message history of a program.
 	conversation struct {
-		messages []client.Message
-		sent     int // prompt tokens of the previous turn
+		messages         []client.Message
+		prevPromptTokens int // prompt tokens of the previous turn
 	}
 )
 
 // run runs a root program and records its result.
 func (d *driver) run(ctx context.Context, p plan) {
-	d.entries = entries{load: d.load}
+	d.entries = entries{gen: d.gen}
 	err := d.program(ctx, p)
-	d.load.tally.finish(time.Since(d.due), time.Since(d.due)-d.paused, err)
+	d.gen.tally.finish(time.Since(d.due), time.Since(d.due)-d.paused, err)
 }
 
 func (d *driver) program(ctx context.Context, p plan) error {
@@ -54,7 +54,7 @@
 	if d.isPaired(p) {
 		p.Context = uncachedContext(p.Name, len(p.Context))
 	}
-	talk := conversation{messages: []client.Message{{Role: "system", Content: p.Context}}}
+	conv := conversation{messages: []client.Message{{Role: "system", Content: p.Context}}}
 	number := 0
 	for _, s := range p.Steps {
 		if err = d.pause(ctx, s.Pause); err != nil {
@@ -62,10 +62,10 @@
 		}
 		switch s.Kind {
 		case modelStep:
-			err = d.model(ctx, p, s, number, &talk)
+			err = d.model(ctx, p, s, number, &conv)
 			number++
 		case serviceStep:
-			err = d.service(ctx, p, s, number, &talk)
+			err = d.service(ctx, p, s, number, &conv)
 			number++
 		case subStep:
 			err = d.sub(ctx, *s.Sub)
@@ -82,22 +82,22 @@
 }
 
 func (d *driver) sub(ctx context.Context, p plan) error {
-	child := &driver{load: d.load, entries: entries{load: d.load}}
+	child := &driver{gen: d.gen, entries: entries{gen: d.gen}}
 	err := child.program(ctx, p)
 	d.paused += child.paused
 	return err
 }
 
 func (d *driver) pause(ctx context.Context, length time.Duration) error {
-	length = d.load.scaled(length)
+	length = d.gen.scaled(length)
 	d.paused += length
 	return sleep(ctx, length)
 }
 
 // model makes one model call and adds it to the conversation.
-func (d *driver) model(ctx context.Context, p plan, s step, number int, talk *conversation) error {
+func (d *driver) model(ctx context.Context, p plan, s step, number int, conv *conversation) error {
 	m := marker(p.Name, number)
-	talk.messages = append(talk.messages, client.Message{Role: "user", Content: m + s.Text})
+	conv.messages = append(conv.messages, client.Message{Role: "user", Content: m + s.Text})
 	paired := number == 0 && d.isPaired(p)
 	if paired {
 		d.direct(ctx, p, s)
@@ -105,44 +105,44 @@
 	var a client.Answer
 	err := d.retry(ctx, p.Name, func(c client.Client) (err error) {
 		watch := stopwatch{start: time.Now()}
-		a, err = c.Chat(ctx, p.Name, number, s.Output, talk.messages, watch.piece)
+		a, err = c.Chat(ctx, p.Name, number, s.Output, conv.messages, watch.piece)
 		if err == nil {
-			d.load.tally.recordStream(watch, paired)
+			d.gen.tally.recordStream(watch, paired)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	d.load.checker.checkAnswer(p.Name, number, a)
-	d.load.tally.model(a, talk.sent)
-	talk.sent = a.Prompt
-	talk.messages = append(talk.messages, client.Message{Role: "assistant", Content: a.Text})
-	d.texts = append(d.texts, a.Text)
+	d.gen.checker.checkAnswer(p.Name, number, a)
+	d.gen.tally.model(a, conv.prevPromptTokens)
+	conv.prevPromptTokens = a.Prompt
+	conv.messages = append(conv.messages, client.Message{Role: "assistant", Content: a.Text})
+	d.answers = append(d.answers, a.Text)
 	return nil
 }
 
 // service makes one call to a plain service. A call with an unknown outcome is not
 // an error of the program, which continues with its next step.
-func (d *driver) service(ctx context.Context, p plan, s step, number int, talk *conversation) error {
+func (d *driver) service(ctx context.Context, p plan, s step, number int, conv *conversation) error {
 	var a client.Answer
-	d.load.checker.countServiceCall(s.Service)
+	d.gen.checker.countServiceCall(s.Service)
 	err := d.retry(ctx, p.Name, func(c client.Client) (err error) {
 		a, err = c.Service(ctx, p.Name, number, s.Service, []byte(s.Text))
 		return err
 	})
 	var lost *refusal
 	if errors.As(err, &lost) && lost.unknown() {
-		d.texts = append(d.texts, "")
+		d.answers = append(d.answers, "")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	d.load.checker.receipt(p.Name, number, s.Service, a.Text)
-	d.load.tally.service()
-	talk.messages = append(talk.messages, client.Message{Role: "tool", Content: a.Text})
-	d.texts = append(d.texts, a.Text)
+	d.gen.checker.receipt(p.Name, number, s.Service, a.Text)
+	d.gen.tally.service()
+	conv.messages = append(conv.messages, client.Message{Role: "tool", Content: a.Text})
+	d.answers = append(d.answers, a.Text)
 	return nil
 }
 
@@ -154,33 +154,33 @@
 	return d.retry(ctx, p.Name, func(c client.Client) error {
 		h, err := c.History(ctx, p.Name)
 		if err == nil {
-			d.load.checker.checkHistory(p.Name, d.texts, h)
+			d.gen.checker.checkHistory(p.Name, d.answers, h)
 		}
 		return err
 	})
 }
 
-// retry calls ask until it succeeds, fails with an error that must not be retried,
+// retry calls do until it succeeds, fails with an error that must not be retried,
 // or maxAttempts is reached. A repeat is safe: it carries the same call number, so
 // it joins the running call or returns the recorded outcome. Each attempt uses the
 // next address.
-func (d *driver) retry(ctx context.Context, program string, ask func(client.Client) error) (err error) {
+func (d *driver) retry(ctx context.Context, program string, do func(client.Client) error) (err error) {
 	for try := range maxAttempts {
 		if try > 0 {
-			d.load.tally.repeat()
+			d.gen.tally.repeat()
 		}
-		err = parseRefusal(ask(client.Client{Address: d.entries.next(ctx, program, try), Key: d.load.Key}))
+		err = parseRefusal(do(client.Client{Address: d.entries.next(ctx, program, try), Key: d.gen.Key}))
 		var r *refusal
 		if err == nil {
 			return nil
 		}
 		if errors.As(err, &r) {
-			d.load.tally.refuse(r.code)
+			d.gen.tally.refuse(r.code)
 			if !r.retryable() {
 				return err
 			}
 		}
-		if err := sleep(ctx, r.retryDelay(d.load.RetryDelay)); err != nil {
+		if err := sleep(ctx, r.retryDelay(d.gen.RetryDelay)); err != nil {
 			return err
 		}
 	}
@@ -206,7 +206,7 @@
 
 // entries caches the daemon addresses that the system returned for a program.
 type entries struct {
-	load      *Generator
+	gen       *Generator
 	mu        sync.Mutex
 	addresses []string
 	expires   time.Time
@@ -222,7 +222,7 @@
 		e.refresh(ctx, program, try)
 	}
 	if len(e.addresses) == 0 {
-		return e.load.Addresses[rand.IntN(len(e.load.Addresses))]
+		return e.gen.Addresses[rand.IntN(len(e.gen.Addresses))]
 	}
 	return e.addresses[try%len(e.addresses)]
 }
@@ -234,8 +234,8 @@
 		} `json:"entries"`
 		TTLSeconds int `json:"ttl_seconds"`
 	}
-	from := e.load.Addresses[(int(hash(program)%uint64(len(e.load.Addresses)))+try)%len(e.load.Addresses)]
-	c := client.Client{Address: from, Key: e.load.Key}
+	from := e.gen.Addresses[(int(hash(program)%uint64(len(e.gen.Addresses)))+try)%len(e.gen.Addresses)]
+	c := client.Client{Address: from, Key: e.gen.Key}
 	if c.JSON(ctx, "GET", "/v1/entries?program="+program, nil, &answer) != nil {
 		return
 	}
--- a/internal/play/load/load.go
+++ b/internal/play/load/load.go
@@ -31,8 +31,8 @@
 	defaultDuration   = 30 * time.Second
 	defaultRetryDelay = time.Second
 	maxPrograms       = 1 << 17 // running concurrently
-	progressEvery     = time.Second
-	drainTime         = 10 * time.Minute
+	progressInterval  = time.Second
+	drainTimeout      = 10 * time.Minute // after the last arrival, for programs to end
 	tagBase           = 36
 )
 
@@ -77,7 +77,7 @@
 		return Report{}, err
 	}
 	defer pool.Release()
-	ctx, stop := context.WithTimeout(ctx, l.Duration+drainTime)
+	ctx, stop := context.WithTimeout(ctx, l.Duration+drainTimeout)
 	defer stop()
 	done := make(chan struct{})
 	l.wg.Go(func() { l.report(done) })
@@ -133,7 +133,7 @@
 			return
 		}
 		l.tally.start()
-		d := &driver{load: l, due: due}
+		d := &driver{gen: l, due: due}
 		if pool.Submit(func() { d.run(ctx, p) }) != nil {
 			l.tally.notStarted()
 		}
@@ -149,7 +149,7 @@
 	if l.Progress == nil {
 		return
 	}
-	ticker := time.NewTicker(progressEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/play/load/load_test.go
+++ b/internal/play/load/load_test.go
@@ -29,18 +29,18 @@
 )
 
 // system is a daemon with a correct runner. A test injects faults through alter
-// and forget.
+// and dropFirstCall.
 type system struct {
 	address string
 
-	mu       sync.Mutex
-	programs map[string]*hist.History
-	last     result.Result // outcome of any program's last model call
-	receipts int
-	count    int // calls
-	refused  int
-	alter    func(s *system, c call.Call, r result.Result) result.Result
-	forget   bool // histories lose their first call
+	mu            sync.Mutex
+	programs      map[string]*hist.History
+	last          result.Result // outcome of any program's last model call
+	receipts      int
+	count         int // calls
+	refused       int
+	alter         func(s *system, c call.Call, r result.Result) result.Result
+	dropFirstCall bool // histories lose their first call
 }
 
 func (s *system) Open(_ context.Context, o call.Open) result.Result {
@@ -74,9 +74,9 @@
 	if h == nil {
 		return result.Refuse(result.CodeNotFound, "no program %s", c.Program)
 	}
-	for _, kept := range h.Calls {
-		if kept.Number == c.Number && kept.Result.Ran != result.No {
-			return kept.Result
+	for _, recorded := range h.Calls {
+		if recorded.Number == c.Number && recorded.Result.Ran != result.No {
+			return recorded.Result
 		}
 	}
 	r := result.Result{Code: result.CodeOK, Ran: result.Yes, Finish: "stop", Prompt: len(c.Body) / bytesPerToken, Output: c.MaxTokens}
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := *s.programs[program]
-	if s.forget {
+	if s.dropFirstCall {
 		h.Calls = h.Calls[1:]
 	}
 	return h, result.Result{Code: result.CodeOK}
@@ -226,7 +226,7 @@
 			note: "receipt 5 went to",
 		},
 		"a history without its first call": {
-			system: &system{forget: true},
+			system: &system{dropFirstCall: true},
 			note:   "calls in the history",
 		},
 	}
--- a/internal/play/load/refuse.go
+++ b/internal/play/load/refuse.go
@@ -14,10 +14,10 @@
 
 // refusal is an error answer, or the lack of an answer.
 type refusal struct {
-	code  result.Code
-	ran   result.Ran
-	after time.Duration
-	cause error
+	code       result.Code
+	ran        result.Ran
+	retryAfter time.Duration
+	cause      error
 }
 
 func (r *refusal) Error() string { return string(r.code) + ": " + r.cause.Error() }
@@ -44,7 +44,7 @@
 		return &refusal{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	e := body.Error
-	return &refusal{code: e.Code, ran: e.Ran, cause: err, after: time.Duration(e.RetryAfter * float64(time.Second))}
+	return &refusal{code: e.Code, ran: e.Ran, cause: err, retryAfter: time.Duration(e.RetryAfter * float64(time.Second))}
 }
 
 // unknown reports whether the call may have run and its outcome is lost.
@@ -52,14 +52,14 @@
 
 // retryable reports whether the caller should retry.
 func (r *refusal) retryable() bool {
-	return r.code == codeConnection || r.after > 0
+	return r.code == codeConnection || r.retryAfter > 0
 }
 
 // retryDelay returns the delay before a retry: that of the answer, or else the
 // given default.
 func (r *refusal) retryDelay(other time.Duration) time.Duration {
-	if r == nil || r.after == 0 {
+	if r == nil || r.retryAfter == 0 {
 		return other
 	}
-	return r.after
+	return r.retryAfter
 }
--- a/internal/play/load/tally.go
+++ b/internal/play/load/tally.go
@@ -48,23 +48,23 @@
 		Active     Quantiles           `json:"active_seconds"`
 		First      Quantiles           `json:"first_token_seconds"`
 		Between    Quantiles           `json:"between_pieces_seconds"`
-		Paired     Pair                `json:"paired"`
-		Direct     Pair                `json:"direct"`
-		Added      Pair                `json:"added"`
+		Paired     StreamTimes         `json:"paired"`
+		Direct     StreamTimes         `json:"direct"`
+		Added      StreamTimes         `json:"added"`
 		Refusals   map[result.Code]int `json:"refusals"`
 		Faults     int                 `json:"faults"`
 		Notes      []string            `json:"fault_notes,omitempty"`
 		Errors     []string            `json:"errors,omitempty"` // of failed programs, the first maxNotes
 	}
 
-	// Pair holds the times of one side of the pairs.
-	Pair struct {
+	// StreamTimes holds the quantiles of a set of streamed answers.
+	StreamTimes struct {
 		First   Quantiles `json:"first_token_seconds"`
 		Between Quantiles `json:"between_pieces_seconds"`
 	}
 
-	// streams holds the histograms of streamed answers.
-	streams struct {
+	// streamHistograms holds the histograms of streamed answers.
+	streamHistograms struct {
 		first   *hdrhistogram.Histogram
 		between *hdrhistogram.Histogram
 	}
@@ -77,9 +77,9 @@
 		report      Report
 		program     *hdrhistogram.Histogram
 		active      *hdrhistogram.Histogram
-		all         streams
-		paired      streams
-		directTimes streams
+		all         streamHistograms
+		paired      streamHistograms
+		directTimes streamHistograms
 	}
 )
 
@@ -87,8 +87,8 @@
 	t.idle = sync.NewCond(&t.mu)
 	t.report.Refusals = map[result.Code]int{}
 	t.program, t.active = newHistogram(), newHistogram()
-	for _, s := range []*streams{&t.all, &t.paired, &t.directTimes} {
-		*s = streams{first: newHistogram(), between: newHistogram()}
+	for _, s := range []*streamHistograms{&t.all, &t.paired, &t.directTimes} {
+		*s = streamHistograms{first: newHistogram(), between: newHistogram()}
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 }
 
-func (t *tally) finish(whole, active time.Duration, err error) {
+func (t *tally) finish(latency, active time.Duration, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer t.close()
@@ -139,7 +139,7 @@
 		return
 	}
 	t.report.Finished++
-	record(t.program, whole)
+	record(t.program, latency)
 	record(t.active, active)
 }
 
@@ -147,25 +147,25 @@
 	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicros))
 }
 
-func (t *tally) model(a client.Answer, sent int) {
+func (t *tally) model(a client.Answer, prevPromptTokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Calls++
 	t.report.Output += a.Output
 	t.report.Prompt += a.Prompt
 	t.report.Cached += a.Cached
-	t.report.Wasted += max(0, sent-a.Cached)
+	t.report.Wasted += max(0, prevPromptTokens-a.Cached)
 }
 
-func (s streams) record(w stopwatch) {
+func (s streamHistograms) record(w stopwatch) {
 	record(s.first, w.first)
 	for _, gap := range w.gaps {
 		record(s.between, gap)
 	}
 }
 
-func (s streams) quantiles() Pair {
-	return Pair{First: quantiles(s.first), Between: quantiles(s.between)}
+func (s streamHistograms) quantiles() StreamTimes {
+	return StreamTimes{First: quantiles(s.first), Between: quantiles(s.between)}
 }
 
 func (t *tally) recordStream(w stopwatch, paired bool) {
@@ -231,7 +231,7 @@
 	r.Program, r.Active = quantiles(t.program), quantiles(t.active)
 	r.First, r.Between = quantiles(t.all.first), quantiles(t.all.between)
 	r.Paired, r.Direct = t.paired.quantiles(), t.directTimes.quantiles()
-	r.Added = Pair{
+	r.Added = StreamTimes{
 		First:   added(r.Paired.First, r.Direct.First),
 		Between: added(r.Paired.Between, r.Direct.Between),
 	}
--- a/internal/play/replay/program.go
+++ b/internal/play/replay/program.go
@@ -30,7 +30,7 @@
 	program struct {
 		t              *trace.Program
 		owner          *owner
-		begin          time.Duration // virtual time of arrival, -1 before
+		begin          time.Duration // always -1; not used
 		started        time.Time
 		paused         time.Duration
 		callIndex      int // of the next call, across loops
--- a/internal/play/replay/replay_test.go
+++ b/internal/play/replay/replay_test.go
@@ -107,13 +107,13 @@
 func TestMistakesAreCaught(t *testing.T) {
 	type mistake = func(now time.Time, m sched.Message, out []sched.Effect) []sched.Effect
 	drop := func(unwanted func(sched.Effect) bool) mistake {
-		return func(_ time.Time, _ sched.Message, out []sched.Effect) (kept []sched.Effect) {
+		return func(_ time.Time, _ sched.Message, out []sched.Effect) (remaining []sched.Effect) {
 			for _, e := range out {
 				if !unwanted(e) {
-					kept = append(kept, e)
+					remaining = append(remaining, e)
 				}
 			}
-			return kept
+			return remaining
 		}
 	}
 	tests := map[string]struct {
--- a/internal/play/sizes/journal_test.go
+++ b/internal/play/sizes/journal_test.go
@@ -22,14 +22,14 @@
 // journal counts the journal writes of an owner. Each commit contains the calls
 // that arrived while the previous one was pending.
 type journal struct {
-	rng    *rand.Rand
-	own    owner.Owner
-	now    time.Time
-	ticket owner.Ticket
-	nonce  uint64
-	wrote  []owner.StoreRequest
-	bytes  int
-	writes int
+	rng     *rand.Rand
+	own     owner.Owner
+	now     time.Time
+	ticket  owner.Ticket
+	nonce   uint64
+	pending []owner.StoreRequest
+	bytes   int
+	writes  int
 }
 
 func newJournal() *journal {
@@ -47,16 +47,16 @@
 func (j *journal) step(m owner.Message) {
 	for _, e := range j.own.Step(j.now, m) {
 		if w, ok := e.(owner.StoreRequest); ok {
-			j.wrote = append(j.wrote, w)
+			j.pending = append(j.pending, w)
 		}
 	}
 }
 
 // commit acknowledges pending writes until none is left.
 func (j *journal) commit() {
-	for len(j.wrote) > 0 {
-		c := j.wrote[0].Effect.(chain.Create)
-		j.wrote = j.wrote[1:]
+	for len(j.pending) > 0 {
+		c := j.pending[0].Effect.(chain.Create)
+		j.pending = j.pending[1:]
 		j.bytes += len(c.Data)
 		j.writes++
 		j.step(owner.StoreReply{Message: chain.Wrote{Number: c.Number, Outcome: chain.Created}})
--- a/internal/play/sizes/sizes_test.go
+++ b/internal/play/sizes/sizes_test.go
@@ -51,17 +51,17 @@
 
 func TestRows(t *testing.T) {
 	tests := map[string]struct {
-		row, total, result, fault string
+		row, total, result, errText string
 	}{
 		"fits":         {row: "daemons * slope | | 8000 |", total: "4000", result: "fits, 50% used"},
 		"misses":       {row: "daemons * slope | | daemons |", total: "4000", result: "misses by 3680 B"},
 		"no limit":     {row: "(daemons + 1) / slope | | - |", total: "25.7", result: "no limit given"},
 		"not measured": {row: "daemons * later | | 10 |", total: "not measured", result: "not measured"},
 		"rounding":     {row: "daemons * 1000.4 - 1 | | 1e6 |", total: "320000", result: "fits, 32% used"},
-		"unknown name": {row: "daemon * slope | | - |", fault: "no value named daemon"},
-		"no formula":   {row: " | | - |", fault: "expected operand"},
-		"no cells":     {row: "daemons |", fault: "cells instead of 7"},
-		"not a number": {row: "\"a\" | | - |", fault: "invalid syntax"},
+		"unknown name": {row: "daemon * slope | | - |", errText: "no value named daemon"},
+		"no formula":   {row: " | | - |", errText: "expected operand"},
+		"no cells":     {row: "daemons |", errText: "cells instead of 7"},
+		"not a number": {row: "\"a\" | | - |", errText: "invalid syntax"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,9 +71,9 @@
 			if err == nil {
 				r, err = p.Compute(p.Rows[0])
 			}
-			if test.fault != "" {
+			if test.errText != "" {
 				is.True(err != nil)
-				is.True(strings.Contains(err.Error(), test.fault))
+				is.True(strings.Contains(err.Error(), test.errText))
 				return
 			}
 			is.NoErr(err)
