--- a/internal/play/load/check.go
+++ b/internal/play/load/check.go
@@ -30,8 +30,8 @@
 	// identifies the call.
 	checker struct {
 		mu           sync.Mutex
-		requests     map[string]string // request id to the call that it answered
-		receipts     map[int]string    // receipt number to the call that received it
+		requests     map[string]string // call by the request id in its answer
+		receipts     map[int]string    // call by receipt number
 		serviceCalls int               // each counted once, without retries
 		minReceipt   int
 		maxReceipt   int
@@ -94,8 +94,9 @@
 	c.checkNumbers(name, a.Text[len(found[0]):])
 }
 
-// checkShort verifies an answer that the token limit truncated before its first
-// number: it must be short and have the form of an answer.
+// checkShort verifies an answer that the token limit truncated within its opening
+// (engine name, request id and quote): it must have fewer than
+// excerptSize*bytesPerToken bytes and contain " answers ".
 func (c *checker) checkShort(name, want, text string) {
 	if len(text) < excerptSize*bytesPerToken && strings.Contains(text, " answers ") {
 		return
--- a/internal/play/load/direct.go
+++ b/internal/play/load/direct.go
@@ -32,9 +32,9 @@
 	w.last = now
 }
 
-// isPaired reports whether the program's first prompt is also sent directly to an
-// engine. The latency of the direct call is the lower bound for the system; the
-// difference is the latency that the system adds.
+// isPaired reports whether a prompt of the size of the program's first one is also
+// sent directly to an engine. The latency of the direct call is the lower bound for
+// the system; the difference is the latency that the system adds.
 func (d *driver) isPaired(p plan) bool {
 	return d.gen.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
 }
@@ -46,8 +46,9 @@
 	return words(rand.New(rand.NewPCG(hash(name), 2)), size/bytesPerToken)
 }
 
-// direct sends a prompt of the same size directly to an engine and records its
-// times. Errors are ignored.
+// direct sends a prompt of the size of the program's first one directly to an
+// engine, waits for the answer and records its times. Errors are ignored. The wait
+// counts in the program's latency.
 func (d *driver) direct(ctx context.Context, p plan, s step) {
 	name := directPrefix + p.Name
 	body, err := json.Marshal(struct {
--- a/internal/play/load/drive.go
+++ b/internal/play/load/drive.go
@@ -16,8 +16,8 @@
 const (
 	maxAttempts  = 8
 	callTimeout  = 5 * time.Minute
-	compareOneIn = 10 // one in so many programs has its history checked at its end
-	directOneIn  = 3  // one in so many programs also sends its first prompt to an engine
+	compareOneIn = 10 // the history of 1 in compareOneIn programs is checked
+	directOneIn  = 3  // 1 in directOneIn root programs is paired with a direct call
 )
 
 type (
@@ -131,7 +131,7 @@
 		a, err = c.Service(ctx, p.Name, number, s.Service, []byte(s.Text))
 		return err
 	})
-	var lost *refusal
+	var lost *callError
 	if errors.As(err, &lost) && lost.unknown() {
 		d.answers = append(d.answers, "")
 		return nil
@@ -161,21 +161,22 @@
 }
 
 // retry calls do until it succeeds, fails with an error that must not be retried,
-// or maxAttempts is reached. A repeat is safe: it carries the same call number, so
-// it joins the running call or returns the recorded outcome. Each attempt uses the
-// next address.
+// or maxAttempts is reached. Retries are safe: a call keeps its number, so a retry
+// joins the running call or returns the recorded outcome; opening and ending a
+// program and reading its history can be repeated. Each attempt uses the next
+// address.
 func (d *driver) retry(ctx context.Context, program string, do func(client.Client) error) (err error) {
 	for try := range maxAttempts {
 		if try > 0 {
-			d.gen.tally.repeat()
+			d.gen.tally.countRetry()
 		}
-		err = parseRefusal(do(client.Client{Address: d.entries.next(ctx, program, try), Key: d.gen.Key}))
-		var r *refusal
+		err = parseError(do(client.Client{Address: d.entries.next(ctx, program, try), Key: d.gen.Key}))
+		var r *callError
 		if err == nil {
 			return nil
 		}
 		if errors.As(err, &r) {
-			d.gen.tally.refuse(r.code)
+			d.gen.tally.countRefusal(r.code)
 			if !r.retryable() {
 				return err
 			}
--- a/internal/play/load/load.go
+++ b/internal/play/load/load.go
@@ -9,8 +9,9 @@
 // Every answer is verified. The fake engines and services derive their answers
 // from the request, so that truncated, mixed-up and duplicate answers are
 // detected. For a sample of programs the answers are also compared with the
-// history. If Engine is set, a sample of prompts is also sent directly to an
-// engine, to measure the latency that the system adds.
+// history. If Engine is set, prompts of the same size as a sample of the programs'
+// first prompts are also sent directly to an engine, to measure the latency that
+// the system adds.
 package load
 
 import (
@@ -32,7 +33,7 @@
 	defaultRetryDelay = time.Second
 	maxPrograms       = 1 << 17 // running concurrently
 	progressInterval  = time.Second
-	drainTimeout      = 10 * time.Minute // after the last arrival, for programs to end
+	drainTimeout      = 10 * time.Minute // added to Generator.Duration, for programs to end
 	tagBase           = 36
 )
 
@@ -46,13 +47,13 @@
 // Generator is one run of the load. Addresses and Key must be set; for every other
 // field the zero value selects the default.
 type Generator struct {
-	Addresses  []string // of daemons, IP and port
-	Key        string   // API key of the caller's account
-	Engine     string   // address of an engine for direct calls; empty for none
-	Shape      Shape    // default Pickup
-	Rate       float64  // programs per second
-	Duration   time.Duration
-	Speed      float64 // divides pauses and inter-arrival times; default 1
+	Addresses  []string      // of daemons, IP and port
+	Key        string        // API key of the caller's account
+	Engine     string        // address of an engine for direct calls; empty for none
+	Shape      Shape         // default Pickup
+	Rate       float64       // programs per second, before division by Speed
+	Duration   time.Duration // of the arrivals, before division by Speed
+	Speed      float64       // divides pauses and inter-arrival times; default 1
 	Seed       uint64
 	RetryDelay time.Duration // before a retry, unless the refusal has a retry time
 	Tag        string        // prefix of program ids, unique for each run
@@ -80,7 +81,7 @@
 	ctx, stop := context.WithTimeout(ctx, l.Duration+drainTimeout)
 	defer stop()
 	done := make(chan struct{})
-	l.wg.Go(func() { l.report(done) })
+	l.wg.Go(func() { l.printProgress(done) })
 	start := time.Now()
 	l.arrive(ctx, pool, start)
 	l.tally.waitIdle()
@@ -144,8 +145,8 @@
 	return time.Duration(float64(d) / l.Speed)
 }
 
-// report writes a progress line per interval until done is closed.
-func (l *Generator) report(done <-chan struct{}) {
+// printProgress writes a progress line per interval until done is closed.
+func (l *Generator) printProgress(done <-chan struct{}) {
 	if l.Progress == nil {
 		return
 	}
--- a/internal/play/load/load_test.go
+++ b/internal/play/load/load_test.go
@@ -207,6 +207,7 @@
 			}},
 			note: "was due",
 		},
+		// Each service call skips a receipt number, as if it had been executed twice.
 		"a receipt issued twice": {
 			system: &system{alter: func(s *system, c call.Call, r result.Result) result.Result {
 				if c.Kind == call.Service {
--- a/internal/play/load/refuse.go
+++ b/internal/play/load/refuse.go
@@ -12,26 +12,26 @@
 
 const codeConnection result.Code = "connection" // connection failed or the answer has no error code
 
-// refusal is an error answer, or the lack of an answer.
-type refusal struct {
+// callError is the error of a call: an error answer, or the lack of an answer.
+type callError struct {
 	code       result.Code
 	ran        result.Ran
 	retryAfter time.Duration
 	cause      error
 }
 
-func (r *refusal) Error() string { return string(r.code) + ": " + r.cause.Error() }
+func (r *callError) Error() string { return string(r.code) + ": " + r.cause.Error() }
 
-func (r *refusal) Unwrap() error { return r.cause }
+func (r *callError) Unwrap() error { return r.cause }
 
-// parseRefusal returns the error of a call as a *refusal; nil stays nil.
-func parseRefusal(err error) error {
+// parseError returns the error of a call as a *callError; nil stays nil.
+func parseError(err error) error {
 	if err == nil {
 		return nil
 	}
 	var status *client.StatusError
 	if !errors.As(err, &status) {
-		return &refusal{code: codeConnection, ran: result.Unknown, cause: err}
+		return &callError{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	var body struct {
 		Error struct {
@@ -41,23 +41,23 @@
 		} `json:"error"`
 	}
 	if json.Unmarshal([]byte(status.Body), &body) != nil || body.Error.Code == "" {
-		return &refusal{code: codeConnection, ran: result.Unknown, cause: err}
+		return &callError{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	e := body.Error
-	return &refusal{code: e.Code, ran: e.Ran, cause: err, retryAfter: time.Duration(e.RetryAfter * float64(time.Second))}
+	return &callError{code: e.Code, ran: e.Ran, cause: err, retryAfter: time.Duration(e.RetryAfter * float64(time.Second))}
 }
 
 // unknown reports whether the call may have run and its outcome is lost.
-func (r *refusal) unknown() bool { return r.code == result.CodeUnknown }
+func (r *callError) unknown() bool { return r.code == result.CodeUnknown }
 
 // retryable reports whether the caller should retry.
-func (r *refusal) retryable() bool {
+func (r *callError) retryable() bool {
 	return r.code == codeConnection || r.retryAfter > 0
 }
 
 // retryDelay returns the delay before a retry: that of the answer, or else the
 // given default.
-func (r *refusal) retryDelay(other time.Duration) time.Duration {
+func (r *callError) retryDelay(other time.Duration) time.Duration {
 	if r == nil || r.retryAfter == 0 {
 		return other
 	}
--- a/internal/play/load/shape.go
+++ b/internal/play/load/shape.go
@@ -26,19 +26,19 @@
 	// Shape describes a kind of agent program. Token counts are those of the fake
 	// engines, which count bytesPerToken bytes as one token.
 	Shape struct {
-		Name     string
-		Agent    string
-		Models   []string // not used
-		Context  int      // tokens of the prefix that programs of one store share
-		Stores   int      // number of such contexts
-		Turns    Span
-		Prompt   Span // tokens that a turn adds
-		Output   Span // tokens of an answer
-		Pause    Span // milliseconds before a turn
-		Service  []string
-		Services float64 // service calls per turn
-		Subs     float64 // sub-agents per turn of a root program
-		SubTurns Span
+		Name         string
+		Agent        string
+		Models       []string // not used
+		Context      int      // tokens of the prefix that programs of one store share
+		Stores       int      // number of such contexts
+		Turns        Span
+		Prompt       Span // tokens that a turn adds
+		Output       Span // tokens of an answer
+		Pause        Span // milliseconds before a turn
+		Service      []string
+		ServiceShare float64 // probability of a service call after a turn
+		SubShare     float64 // probability of a sub-agent after a turn of a root program
+		SubTurns     Span
 	}
 
 	// plan is one program, generated before the run.
@@ -67,8 +67,8 @@
 	return Shape{
 		Name: "pickup", Agent: "pickup", Context: 200, Stores: 1,
 		Turns: Span{4, 16}, Prompt: Span{20, 120}, Output: Span{20, 80}, Pause: Span{500, 4000},
-		Service: []string{"receipts/issue", "weights/log"}, Services: 0.4,
-		Subs: 0.05, SubTurns: Span{1, 3},
+		Service: []string{"receipts/issue", "weights/log"}, ServiceShare: 0.4,
+		SubShare: 0.05, SubTurns: Span{1, 3},
 	}
 }
 
@@ -80,8 +80,8 @@
 	return Shape{
 		Name: "shelf", Context: 1200, Stores: 12,
 		Turns: Span{3, 8}, Prompt: Span{40, 200}, Output: Span{30, 100}, Pause: Span{200, 2000},
-		Service: []string{"weights/log", "receipts/issue"}, Services: 0.25,
-		Subs: 0.1, SubTurns: Span{1, 2},
+		Service: []string{"weights/log", "receipts/issue"}, ServiceShare: 0.25,
+		SubShare: 0.1, SubTurns: Span{1, 2},
 	}
 }
 
@@ -123,10 +123,10 @@
 	subs := 0
 	for range s.Turns.draw(rng) {
 		p.Steps = append(p.Steps, s.turn(rng))
-		if rng.Float64() < s.Services {
+		if rng.Float64() < s.ServiceShare {
 			p.Steps = append(p.Steps, s.serviceCall(rng))
 		}
-		if rng.Float64() < s.Subs {
+		if rng.Float64() < s.SubShare {
 			subs++
 			sub := s.sub(rng, p, subs)
 			p.Steps = append(p.Steps, step{Kind: subStep, Sub: &sub})
--- a/internal/play/load/tally.go
+++ b/internal/play/load/tally.go
@@ -31,6 +31,8 @@
 	// to its end, Active the same without the program's own pauses. Of each pair
 	// of prompts of equal size one goes through the system (Paired), the other
 	// directly to an engine (Direct); Added is the difference of their quantiles.
+	// Program and Active include the wait for the direct call. Refusals counts all
+	// failed attempts by code, also connection failures and unknown outcomes.
 	Report struct {
 		Seconds    float64             `json:"seconds"`
 		Started    int                 `json:"programs_started"`
@@ -189,13 +191,13 @@
 	t.report.Services++
 }
 
-func (t *tally) repeat() {
+func (t *tally) countRetry() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Repeats++
 }
 
-func (t *tally) refuse(code result.Code) {
+func (t *tally) countRefusal(code result.Code) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Refusals[code]++
--- a/internal/play/naive/naive.go
+++ b/internal/play/naive/naive.go
@@ -1,8 +1,8 @@
 // Package naive implements the baseline load-balancing policies that the
 // scheduler is compared with: round robin, least outstanding and sticky hash.
-// They process the same messages as sched.Sched, skip leaving and avoided
-// upstreams and release the memory of programs that end. They don't queue, and
-// refuse a request only if no upstream is eligible.
+// They accept the messages of sched.Sched, skip leaving and avoided upstreams and
+// release the cached blocks of programs that end. They don't queue, and refuse a
+// request only if no upstream is eligible.
 package naive
 
 import (
@@ -42,7 +42,7 @@
 		inflight map[string]int
 		leaving  map[string]bool
 		next     map[string]int
-		held     map[string][]string // upstreams with memory, by program
+		held     map[string][]string // upstreams that may cache blocks of a program
 	}
 )
 
--- a/internal/play/replay/program.go
+++ b/internal/play/replay/program.go
@@ -28,9 +28,9 @@
 type (
 	// program is the state of one program during the replay.
 	program struct {
-		t              *trace.Program
+		spec           *trace.Program
 		owner          *owner
-		begin          time.Duration // always -1; not used
+		begin          time.Duration // not used; always -1
 		started        time.Time
 		paused         time.Duration
 		callIndex      int // of the next call, across loops
@@ -59,14 +59,14 @@
 
 func (p *program) arrive(w *world) {
 	p.started = w.now
-	if p.t.Context != "" {
-		p.prefix = append(p.prefix, engine.Block{Hash: blockHash("context/%s", p.t.Context), Tokens: p.t.ContextTokens})
+	if p.spec.Context != "" {
+		p.prefix = append(p.prefix, engine.Block{Hash: blockHash("context/%s", p.spec.Context), Tokens: p.spec.ContextTokens})
 	}
-	if d := w.t.Header.DeadlineMS; d > 0 {
+	if d := w.spec.Header.DeadlineMS; d > 0 {
 		w.after(ms(d), func() { p.stop(w, gaveUp) })
 	}
-	if p.t.CancelMS > 0 {
-		w.after(ms(p.t.CancelMS), func() { p.stop(w, cancelled) })
+	if p.spec.CancelMS > 0 {
+		w.after(ms(p.spec.CancelMS), func() { p.stop(w, cancelled) })
 	}
 	p.startNextCall(w)
 }
@@ -77,7 +77,7 @@
 	if p.ended {
 		return
 	}
-	if p.callIndex >= len(p.t.Calls) && !p.t.Loop {
+	if p.callIndex >= len(p.spec.Calls) && !p.spec.Loop {
 		p.stop(w, completed)
 		return
 	}
@@ -85,11 +85,11 @@
 		p.stop(w, outcome)
 		return
 	}
-	c := p.t.Calls[p.callIndex%len(p.t.Calls)]
-	r := &request{id: fmt.Sprintf("%s/%d/%d", p.t.Name, p.callIndex, p.refusalRetries), p: p, call: c}
+	c := p.spec.Calls[p.callIndex%len(p.spec.Calls)]
+	r := &request{id: fmt.Sprintf("%s/%d/%d", p.spec.Name, p.callIndex, p.refusalRetries), p: p, call: c}
 	r.msg = sched.Submit{
-		ID: r.id, Account: p.t.Account, Program: p.t.Name, Root: p.t.Name,
-		Priority: p.t.Priority, Attained: p.spentTokens, Group: p.t.Group, Model: p.t.Group,
+		ID: r.id, Account: p.spec.Account, Program: p.spec.Name, Root: p.spec.Name,
+		Priority: p.spec.Priority, Attained: p.spentTokens, Group: p.spec.Group, Model: p.spec.Group,
 	}
 	if c.Service != "" {
 		s := w.service(c.Service)
@@ -99,7 +99,7 @@
 			return
 		}
 	} else {
-		hash := blockHash("%s/%d", p.t.Name, p.callIndex)
+		hash := blockHash("%s/%d", p.spec.Name, p.callIndex)
 		r.blocks = append(slices.Clone(p.prefix), engine.Block{Hash: hash, Tokens: c.Prompt})
 		r.msg.Blocks, r.msg.MaxTokens = r.blocks, c.Output
 		for _, b := range r.blocks {
@@ -114,24 +114,24 @@
 
 func (w *world) admit(p *program) (outcome string) {
 	if w.admission != nil {
-		return w.admission.Admit(w.now, *p.t, p.callIndex, p.spentTokens)
+		return w.admission.Admit(w.now, *p.spec, p.callIndex, p.spentTokens)
 	}
-	c := p.t.Calls[p.callIndex%len(p.t.Calls)]
+	c := p.spec.Calls[p.callIndex%len(p.spec.Calls)]
 	switch {
-	case p.t.MaxTurns > 0 && p.callIndex >= p.t.MaxTurns:
+	case p.spec.MaxTurns > 0 && p.callIndex >= p.spec.MaxTurns:
 		return turnLimit
-	case p.t.Budget > 0 && p.spentTokens+int64(c.Prompt+c.Output) > p.t.Budget:
+	case p.spec.Budget > 0 && p.spentTokens+int64(c.Prompt+c.Output) > p.spec.Budget:
 		return budgetExceeded
 	}
 	return ""
 }
 
 func (w *world) service(name string) trace.Service {
-	i := slices.IndexFunc(w.t.Services, func(s trace.Service) bool { return s.Name == name })
+	i := slices.IndexFunc(w.spec.Services, func(s trace.Service) bool { return s.Name == name })
 	if i < 0 {
 		return trace.Service{Name: name}
 	}
-	return w.t.Services[i]
+	return w.spec.Services[i]
 }
 
 // recordStart counts a run of the request that an upstream has started. More
@@ -158,7 +158,7 @@
 	}
 	a := &attempt{r: r, u: u}
 	r.attempts = append(r.attempts, a)
-	limit := ms(w.t.Header.TimeoutMS)
+	limit := ms(w.spec.Header.TimeoutMS)
 	if r.msg.Service != "" {
 		limit = ms(w.service(r.msg.Service).TimeoutMS)
 	}
@@ -174,7 +174,7 @@
 	}
 	r.attempts = slices.Delete(r.attempts, i, i+1)
 	a.u.removeAttempt(a)
-	w.step(r.p.owner, sched.Done{ID: r.id, Upstream: a.u.t.Name, Outcome: out, Usage: usage})
+	w.step(r.p.owner, sched.Done{ID: r.id, Upstream: a.u.spec.Name, Outcome: out, Usage: usage})
 	switch out {
 	case sched.Succeeded:
 		w.cancel(r)
@@ -211,7 +211,7 @@
 	}
 	w.report.Retries++
 	r.msg.Retry = true
-	r.msg.Avoid = append(slices.Clone(r.msg.Avoid), a.u.t.Name)
+	r.msg.Avoid = append(slices.Clone(r.msg.Avoid), a.u.spec.Name)
 	w.step(r.p.owner, r.msg)
 }
 
@@ -234,10 +234,11 @@
 	r.p.backoff(w, e.RetryAfter)
 }
 
-// backoff schedules a retry of a call that was refused without being run. After
-// Header.MaxRetries retries the program ends as refused.
+// backoff schedules a retry of a call that was refused or could not be submitted.
+// After Header.MaxRetries retries, counted over all calls, the program ends as
+// refused.
 func (p *program) backoff(w *world, after time.Duration) {
-	if p.refusalRetries >= w.t.Header.MaxRetries {
+	if p.refusalRetries >= w.spec.Header.MaxRetries {
 		p.stop(w, refused)
 		return
 	}
@@ -249,11 +250,11 @@
 	w.remove(r)
 	p.req = nil
 	if w.admission != nil {
-		w.admission.Settle(w.now, *p.t, p.callIndex, usage)
+		w.admission.Settle(w.now, *p.spec, p.callIndex, usage)
 	}
 	if r.call.Service == "" {
 		p.spentTokens += int64(r.call.Prompt + r.call.Output)
-		answer := engine.Block{Hash: blockHash("%s/%d/answer", p.t.Name, p.callIndex), Tokens: r.call.Output}
+		answer := engine.Block{Hash: blockHash("%s/%d/answer", p.spec.Name, p.callIndex), Tokens: r.call.Output}
 		p.prefix = append(slices.Clone(r.blocks), answer)
 	}
 	p.callIndex++
@@ -279,5 +280,5 @@
 		w.remove(r)
 		p.req = nil
 	}
-	w.step(p.owner, sched.ProgramEnded{Program: p.t.Name})
+	w.step(p.owner, sched.ProgramEnded{Program: p.spec.Name})
 }
--- a/internal/play/replay/report.go
+++ b/internal/play/replay/report.go
@@ -18,7 +18,7 @@
 		Programs       int
 		Completed      int
 		Refused        int // programs that ended after the last retry of a refused call
-		Failed         int
+		Failed         int // includes programs still open at maxDuration
 		Unknown        int
 		GaveUp         int
 		P50, P95, P99  time.Duration
@@ -35,7 +35,7 @@
 		OutOfOrder     int
 		OverBudget     int               // programs that spent more than their budget
 		HeldPrograms   int               // programs with blocks in a cache at the end of the replay
-		LateDispatches int               // to upstreams announced as leaving for more than leavingGrace
+		LateDispatches int               // attempts submitted later than leavingGrace after the notice of leaving
 		CutStreams     int               // requests in flight when a leaving upstream was replaced
 		Goodput        float64           // programs completed per second; see goodput
 		Outcomes       map[string]string // by program
@@ -57,9 +57,9 @@
 	var first, last time.Time
 	ends := make([]time.Time, 0, len(w.programs))
 	for _, p := range w.programs {
-		r.Outcomes[p.t.Name] = p.outcome
+		r.Outcomes[p.spec.Name] = p.outcome
 		r.Spent += p.spentTokens
-		if p.t.Budget > 0 && p.spentTokens > p.t.Budget {
+		if p.spec.Budget > 0 && p.spentTokens > p.spec.Budget {
 			r.OverBudget++
 		}
 		if first.IsZero() || p.started.Before(first) {
@@ -87,11 +87,11 @@
 	r.P50, r.P95, r.P99 = quantile(latencies, 0.5), quantile(latencies, 0.95), quantile(latencies, 0.99)
 	r.Goodput = goodput(ends, first, last)
 	held := map[string]bool{}
-	for _, u := range w.workers {
+	for _, u := range w.upstreams {
 		u.cache.programs(held)
 	}
 	r.HeldPrograms = len(held)
-	r.Unmet = r.check(w.t.Expects)
+	r.Unmet = r.check(w.spec.Expects)
 	return r
 }
 
--- a/internal/play/replay/run.go
+++ b/internal/play/replay/run.go
@@ -15,7 +15,7 @@
 	// Args are the arguments of the replay command.
 	Args struct {
 		Paths     []string
-		Policy    string // also replay under this policy and print the difference
+		Policy    string // without Table: also replay under this policy and print the difference
 		Seeds     int    // with Table: number of seeds to average over
 		Table     bool   // print a Markdown table of all policies
 		Admission Admission
@@ -31,9 +31,9 @@
 	err error
 }
 
-// Run replays the traces and prints each unmet expectation with its line, or
-// the table if a.Table is set. The error is ErrUnmet if an expectation was not
-// met.
+// Run replays the traces. For each it prints a summary, the unmet expectations with
+// their lines and, with a.Policy, the comparison; with a.Table it prints only the
+// table. The error is ErrUnmet if an expectation was not met.
 func Run(w io.Writer, a Args) (err error) {
 	defer func() { err = errors.Wrap(err, "replay") }()
 	p := &printer{w: w}
@@ -72,8 +72,8 @@
 	}
 	p.printf("%s: %d of %d programs completed, p50 %s p95 %s p99 %s, wasted %d of %d prefilled tokens\n",
 		path, r.Completed, r.Programs, round(r.P50), round(r.P95), round(r.P99), r.Wasted, r.Prefilled)
-	for _, b := range r.Unmet {
-		p.printf("%s:%d: %s\n", path, b.Line, b.Text)
+	for _, u := range r.Unmet {
+		p.printf("%s:%d: %s\n", path, u.Line, u.Text)
 	}
 	if a.Policy != "" {
 		other, err := Replay(t, Options{Policy: a.Policy, Admission: a.Admission})
--- a/internal/play/replay/worker.go
+++ b/internal/play/replay/upstream.go
@@ -11,12 +11,12 @@
 const refusedConnDelay = time.Millisecond // delay until a refused connection is reported
 
 type (
-	// worker models one upstream: a limit on concurrent requests, serial
+	// upstream models one upstream of the trace: a limit on concurrent requests, serial
 	// prefill, decoding that slows down with the batch size, and a prefix cache.
 	// Its parameters come from the trace.
-	worker struct {
+	upstream struct {
 		w                *world
-		t                trace.Upstream
+		spec             trace.Upstream
 		faults           map[trace.Mode]int // active faults by mode
 		slowdown         float64
 		running          map[*attempt]bool
@@ -29,26 +29,26 @@
 		leavingSince     time.Time      // when owners were notified that it leaves; zero if it doesn't
 	}
 
-	// attempt is one submission of a request to a worker.
+	// attempt is one submission of a request to an upstream.
 	attempt struct {
 		r            *request
-		u            *worker
+		u            *upstream
 		ended        bool
 		cachedTokens int
 	}
 )
 
-func newWorker(w *world, t trace.Upstream) *worker {
-	return &worker{
-		w: w, t: t, faults: map[trace.Mode]int{}, slowdown: 1,
-		running: map[*attempt]bool{}, cache: newCache(t.CacheTokens),
+func newUpstream(w *world, spec trace.Upstream) *upstream {
+	return &upstream{
+		w: w, spec: spec, faults: map[trace.Mode]int{}, slowdown: 1,
+		running: map[*attempt]bool{}, cache: newCache(spec.CacheTokens),
 	}
 }
 
-func (u *worker) active(what trace.Mode) bool { return u.faults[what] > 0 }
+func (u *upstream) active(what trace.Mode) bool { return u.faults[what] > 0 }
 
-// submit queues the attempt, or fails it as unsent if the worker is down.
-func (u *worker) submit(a *attempt) {
+// submit queues the attempt, or fails it as unsent if the upstream is down.
+func (u *upstream) submit(a *attempt) {
 	if u.active(trace.Down) {
 		u.w.after(refusedConnDelay, func() { u.w.attemptEnded(a, sched.Unsent, engine.Usage{}) })
 		return
@@ -62,11 +62,11 @@
 
 // startWaiting starts queued attempts while slots are free, in order of
 // priority, then of arrival.
-func (u *worker) startWaiting() {
-	for len(u.running) < u.t.Slots && len(u.waiting) > 0 {
+func (u *upstream) startWaiting() {
+	for len(u.running) < u.spec.Slots && len(u.waiting) > 0 {
 		best := 0
 		for i, a := range u.waiting {
-			if a.r.p.t.Priority > u.waiting[best].r.p.t.Priority {
+			if a.r.p.spec.Priority > u.waiting[best].r.p.spec.Priority {
 				best = i
 			}
 		}
@@ -77,13 +77,13 @@
 	}
 }
 
-func (u *worker) begin(a *attempt) {
+func (u *upstream) begin(a *attempt) {
 	a.r.recordStart(u.w)
 	if u.active(trace.Hang) {
 		return
 	}
 	c := a.r.call
-	if u.t.Service {
+	if u.spec.Service {
 		u.w.after(seconds(u.slowdown*ms(c.WorkMS).Seconds()), func() { u.finish(a, engine.Usage{}) })
 		return
 	}
@@ -97,28 +97,28 @@
 			u.w.recordPrefill(b)
 		}
 	}
-	stored, evicted := u.cache.store(a.r.p.t.Name, a.r.blocks)
+	stored, evicted := u.cache.store(a.r.p.spec.Name, a.r.blocks)
 	u.recordEvent(stored, evicted)
 	start := u.w.now
 	if u.prefillBusyUntil.After(start) {
 		start = u.prefillBusyUntil
 	}
-	u.prefillBusyUntil = start.Add(seconds(u.slowdown * float64(prompt-a.cachedTokens) / u.t.PrefillPerS))
+	u.prefillBusyUntil = start.Add(seconds(u.slowdown * float64(prompt-a.cachedTokens) / u.spec.PrefillPerS))
 	u.w.after(u.prefillBusyUntil.Sub(u.w.now), func() { u.firstToken(a, prompt) })
 }
 
-func (u *worker) firstToken(a *attempt, prompt int) {
+func (u *upstream) firstToken(a *attempt, prompt int) {
 	if a.ended {
 		return
 	}
-	u.w.step(a.r.p.owner, sched.First{ID: a.r.id, Upstream: u.t.Name})
+	u.w.step(a.r.p.owner, sched.First{ID: a.r.id, Upstream: u.spec.Name})
 	others := float64(len(u.running) - 1)
-	perToken := u.slowdown * u.t.DecodeMS / 1000 * (1 + u.t.BatchSlope*others)
+	perToken := u.slowdown * u.spec.DecodeMS / 1000 * (1 + u.spec.BatchSlope*others)
 	usage := engine.Usage{Prompt: prompt, Cached: a.cachedTokens, Output: a.r.call.Output, Finish: "stop"}
 	u.w.after(seconds(perToken*float64(a.r.call.Output)), func() { u.finish(a, usage) })
 }
 
-func (u *worker) finish(a *attempt, usage engine.Usage) {
+func (u *upstream) finish(a *attempt, usage engine.Usage) {
 	if a.ended || u.active(trace.Hang) {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 // removeAttempt removes an ended attempt from the queue or its slot.
-func (u *worker) removeAttempt(a *attempt) {
+func (u *upstream) removeAttempt(a *attempt) {
 	a.ended = true
 	delete(u.running, a)
 	for i, v := range u.waiting {
@@ -140,7 +140,7 @@
 
 // crash fails all attempts and empties the cache. Queued attempts also end as
 // Failed, not Unsent: their sender can't tell whether they had started.
-func (u *worker) crash() {
+func (u *upstream) crash() {
 	all := u.waiting
 	u.waiting = nil
 	for _, r := range u.w.requests {
@@ -150,13 +150,13 @@
 			}
 		}
 	}
-	u.cache, u.eventSeq, u.reportSeq, u.events, u.prefillBusyUntil = newCache(u.t.CacheTokens), 0, 0, nil, time.Time{}
+	u.cache, u.eventSeq, u.reportSeq, u.events, u.prefillBusyUntil = newCache(u.spec.CacheTokens), 0, 0, nil, time.Time{}
 	for _, a := range all {
 		u.w.attemptEnded(a, sched.Failed, engine.Usage{})
 	}
 }
 
-func (u *worker) recordEvent(stored, evicted []uint64) {
+func (u *upstream) recordEvent(stored, evicted []uint64) {
 	if len(stored)+len(evicted) == 0 {
 		return
 	}
@@ -169,28 +169,28 @@
 
 // publish sends a load report and the pending cache events to all owners; they
 // arrive after the trace's LagMS.
-func (u *worker) publish() {
+func (u *upstream) publish() {
 	if u.active(trace.Down) {
 		return
 	}
 	u.reportSeq++
 	report := engine.Load{
 		Seq: u.reportSeq, At: u.w.now, Running: len(u.running), Waiting: len(u.waiting),
-		Used: u.cache.used, Total: u.t.CacheTokens, Leaving: u.active(trace.Leave),
+		Used: u.cache.used, Total: u.spec.CacheTokens, Leaving: u.active(trace.Leave),
 	}
 	events := u.events
 	u.events = nil
 	silent := u.active(trace.NoReports)
-	u.w.after(ms(u.t.LagMS), func() {
+	u.w.after(ms(u.spec.LagMS), func() {
 		if report.Leaving && u.leavingSince.IsZero() && u.active(trace.Leave) {
 			u.leavingSince = u.w.now
 		}
 		for _, o := range u.w.owners {
 			if !silent {
-				u.w.step(o, sched.Load{Upstream: u.t.Name, Report: report})
+				u.w.step(o, sched.Load{Upstream: u.spec.Name, Report: report})
 			}
 			if len(events) > 0 {
-				u.w.step(o, sched.Cache{Upstream: u.t.Name, Events: events})
+				u.w.step(o, sched.Cache{Upstream: u.spec.Name, Events: events})
 			}
 		}
 	})
--- a/internal/play/replay/world.go
+++ b/internal/play/replay/world.go
@@ -20,9 +20,9 @@
 	vmListInterval = time.Second
 	listReplyDelay = 5 * time.Millisecond // until an engine's reply to List arrives
 	leavingGrace   = 2 * time.Second
-	// After the last program ends, the replay continues for at least this long,
-	// plus the time that the owners' sweeps need to read every upstream several
-	// times; see world.run.
+	// After the last program ends, the replay continues for this long plus the
+	// time in which the owners together list every upstream four times. Each owner
+	// lists one upstream per sweepInterval, to release blocks of ended programs.
 	minDrain = 10 * time.Second
 	// A replay that reaches this virtual time with open programs is stopped as
 	// stuck.
@@ -44,15 +44,15 @@
 		Settle(now time.Time, p trace.Program, number int, usage engine.Usage)
 	}
 
-	// world is the state of a replay.
+	// world is the state of a replay; spec is the trace.
 	world struct {
 		clock
-		t              trace.Trace
+		spec           trace.Trace
 		rng            *rand.Rand
 		admission      Admission
 		owners         []*owner
-		workers        []*worker
-		byName         map[string]*worker
+		upstreams      []*upstream
+		byName         map[string]*upstream
 		programs       []*program
 		requests       []*request // open
 		byID           map[string]*request
@@ -65,56 +65,57 @@
 	owner struct{ s Scheduler }
 )
 
-func newWorld(t trace.Trace, o Options) *world {
+func newWorld(spec trace.Trace, o Options) *world {
 	w := &world{
-		t: t, admission: o.Admission, rng: rand.New(rand.NewPCG(o.Seed, 2)),
-		byName: map[string]*worker{}, byID: map[string]*request{}, computedBlocks: map[uint64]bool{},
+		spec: spec, admission: o.Admission, rng: rand.New(rand.NewPCG(o.Seed, 2)),
+		byName: map[string]*upstream{}, byID: map[string]*request{}, computedBlocks: map[uint64]bool{},
 	}
 	w.now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	for i := range max(t.Header.Owners, 1) {
+	for i := range max(spec.Header.Owners, 1) {
 		w.owners = append(w.owners, &owner{s: o.scheduler(i)})
 	}
-	for _, u := range t.Upstreams {
-		wk := newWorker(w, u)
-		w.workers = append(w.workers, wk)
+	for _, u := range spec.Upstreams {
+		wk := newUpstream(w, u)
+		w.upstreams = append(w.upstreams, wk)
 		w.byName[u.Name] = wk
 	}
 	return w
 }
 
 func (w *world) start() {
-	cfg := configuration(w.t)
+	cfg := configuration(w.spec)
 	for i, o := range w.owners {
 		w.step(o, sched.Configure{File: cfg})
 		first := tickInterval * time.Duration(i) / time.Duration(len(w.owners))
 		w.every(first, tickInterval, func() bool { w.step(o, sched.Tick{}); return true })
 	}
-	for i, u := range w.workers {
-		if u.t.ReportMS > 0 {
-			first := ms(u.t.ReportMS) * time.Duration(i) / time.Duration(len(w.workers))
-			w.every(first, ms(u.t.ReportMS), func() bool { u.publish(); return true })
+	for i, u := range w.upstreams {
+		if u.spec.ReportMS > 0 {
+			first := ms(u.spec.ReportMS) * time.Duration(i) / time.Duration(len(w.upstreams))
+			w.every(first, ms(u.spec.ReportMS), func() bool { u.publish(); return true })
 		}
 	}
 	w.every(0, vmListInterval, func() bool { w.publishVMs(); return true })
-	for _, f := range w.t.Faults {
+	for _, f := range w.spec.Faults {
 		w.after(ms(f.AtMS), func() { w.fault(f, true) })
 		w.after(ms(f.UntilMS), func() { w.fault(f, false) })
 	}
-	for i := range w.t.Programs {
-		p := &program{t: &w.t.Programs[i], begin: -1}
-		p.owner = w.owners[xxhash.Sum64String(p.t.Name)%uint64(len(w.owners))]
+	for i := range w.spec.Programs {
+		p := &program{spec: &w.spec.Programs[i], begin: -1}
+		p.owner = w.owners[xxhash.Sum64String(p.spec.Name)%uint64(len(w.owners))]
 		w.programs = append(w.programs, p)
 		w.openPrograms++
-		w.after(ms(p.t.AtMS), func() { p.arrive(w) })
+		w.after(ms(p.spec.AtMS), func() { p.arrive(w) })
 	}
 }
 
-// run runs events until all programs have ended and the sweep has had the time
-// to release what they left in the caches.
+// run runs events until all programs have ended and the owners' sweeps have had
+// time to release the blocks left in the caches, or until maxDuration is reached.
+// sweepTime is the time in which the owners together list every upstream twice.
 func (w *world) run() {
 	begin := w.now
 	var ended time.Time
-	rounds := time.Duration(2*len(w.workers)) * sweepInterval / time.Duration(len(w.owners))
+	sweepTime := time.Duration(2*len(w.upstreams)) * sweepInterval / time.Duration(len(w.owners))
 	w.clock.run(func() bool {
 		if w.openPrograms > 0 {
 			return w.now.Sub(begin) > maxDuration
@@ -122,7 +123,7 @@
 		if ended.IsZero() {
 			ended = w.now
 		}
-		return w.now.Sub(ended) > minDrain+2*rounds
+		return w.now.Sub(ended) > minDrain+2*sweepTime
 	})
 }
 
@@ -174,10 +175,10 @@
 	u.cache.programs(set)
 	m := sched.Held{Upstream: name}
 	for _, p := range w.programs {
-		if set[p.t.Name] {
-			m.Programs = append(m.Programs, p.t.Name)
+		if set[p.spec.Name] {
+			m.Programs = append(m.Programs, p.spec.Name)
 			if !p.ended {
-				m.Live = append(m.Live, p.t.Name)
+				m.Live = append(m.Live, p.spec.Name)
 			}
 		}
 	}
@@ -199,15 +200,15 @@
 // ListLagMS.
 func (w *world) publishVMs() {
 	var m sched.VMs
-	for _, u := range w.workers {
-		vm := vmlist.VM{Name: u.t.Name, Address: u.t.Name, FailureDomain: u.t.FailureDomain, State: vmlist.Live}
+	for _, u := range w.upstreams {
+		vm := vmlist.VM{Name: u.spec.Name, Address: u.spec.Name, FailureDomain: u.spec.FailureDomain, State: vmlist.Live}
 		if u.active(trace.Leave) {
 			vm.State = vmlist.Leaving
 		}
 		m.List = append(m.List, vm)
 	}
-	w.after(ms(w.t.Header.ListLagMS), func() {
-		for i, u := range w.workers {
+	w.after(ms(w.spec.Header.ListLagMS), func() {
+		for i, u := range w.upstreams {
 			if m.List[i].State == vmlist.Leaving && u.leavingSince.IsZero() && u.active(trace.Leave) {
 				u.leavingSince = w.now
 			}
@@ -227,8 +228,8 @@
 		w.storeOutages += delta
 		return
 	}
-	for _, u := range w.workers {
-		if f.Upstream != u.t.Name && (f.FailureDomain == "" || f.FailureDomain != u.t.FailureDomain) {
+	for _, u := range w.upstreams {
+		if f.Upstream != u.spec.Name && (f.FailureDomain == "" || f.FailureDomain != u.spec.FailureDomain) {
 			continue
 		}
 		u.faults[f.Mode] += delta
--- a/internal/play/sizes/journal_test.go
+++ b/internal/play/sizes/journal_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	journalPrograms = 4200 // about 270,000 over 64 shards
-	callsPerCommit  = 80   // about 12,000 a second over 64 shards and 2.3 commits
+	journalPrograms = 4200 // of one shard: about 270,000 in 64 shards
+	callsPerCommit  = 80   // about 12,000 calls per second: 64 shards with 2.3 commits per second each
 )
 
 // journal counts the journal writes of an owner. Each commit contains the calls
--- a/internal/play/sizes/sizes.go
+++ b/internal/play/sizes/sizes.go
@@ -2,8 +2,8 @@
 // the same page, so that the totals always match the measured values.
 //
 // Two kinds of Markdown tables are evaluated. Tables with the columns Name, Value,
-// Unit and Source define values: requirements of the target, and slopes measured
-// with the command given as source. A value of "-" is not measured yet. Tables with
+// Unit and Source define values: required numbers, and costs per unit (slopes, for
+// example bytes per call) measured with the command given as source. A value of "-" is not measured yet. Tables with
 // the columns Role, What, Unit, Formula, Total, Limit and Result compute totals
 // from these names by arithmetic. Total and Result are generated; to add a row,
 // leave them empty and run this package's test with -update. Other tables and text
@@ -27,9 +27,9 @@
 	// NotMeasured is the total of a row whose formula uses a name without a value.
 	NotMeasured = "not measured"
 
-	unknown   = "-"
-	unlimited = "no limit given"
-	digits    = 3
+	empty   = "-" // cell without a value
+	noLimit = "no limit given"
+	digits  = 3
 
 	valueHeader = "Name|Value|Unit|Source"
 	rowHeader   = "Role|What|Unit|Formula|Total|Limit|Result"
@@ -117,7 +117,7 @@
 	if _, ok := p.Values[name]; ok {
 		return errors.Newf("%s is defined twice", name)
 	}
-	if cells[1] == unknown {
+	if cells[1] == empty {
 		p.Values[name] = math.NaN()
 		return nil
 	}
@@ -137,7 +137,7 @@
 		return r, err
 	}
 	limit := math.NaN()
-	if r.Limit != unknown {
+	if r.Limit != empty {
 		if limit, err = p.evaluate(r.Limit); err != nil {
 			return r, err
 		}
@@ -147,7 +147,7 @@
 	case math.IsNaN(total):
 		r.Result = NotMeasured
 	case math.IsNaN(limit):
-		r.Result = unlimited
+		r.Result = noLimit
 	case total > limit:
 		r.Result = "misses by " + formatNumber(total-limit) + " " + r.Unit
 	default:
--- a/internal/play/sizes/sizes_test.go
+++ b/internal/play/sizes/sizes_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite the totals of the page")
 
-// A total that does not match the measured slopes can make operators provision too
+// A total that does not match the measured costs per unit can make operators provision too
 // few VMs.
 func TestPage(t *testing.T) {
 	is := is.New(t)
--- a/internal/play/synth/bounds.go
+++ b/internal/play/synth/bounds.go
@@ -1,8 +1,8 @@
 package synth
 
 // bound holds a scenario's expectations at seed 1: the minimum number of completed
-// programs and the maximum latency, wasted tokens and attempts. The maxima are
-// 10%, 20% and 3% above the values measured for docs/POLICY.md.
+// programs and the maximum latency, wasted tokens and attempts. The maxima have a
+// margin of 10%, 20% and 3% over the values in docs/POLICY.md.
 type bound struct {
 	completed  float64
 	p95        float64 // milliseconds
--- a/internal/play/synth/synth.go
+++ b/internal/play/synth/synth.go
@@ -125,9 +125,12 @@
 	}
 }
 
-func (g *builder) uniform(s interval) int { return s.from + g.rng.IntN(s.to-s.from+1) }
+// uniform returns a random number from the inclusive range.
+func (g *builder) uniform(i interval) int { return i.from + g.rng.IntN(i.to-i.from+1) }
 
-func (g *builder) pause(s interval) int64 { return int64(g.uniform(s)) * 100 }
+// pause returns a random pause in milliseconds, from an inclusive range in tenths
+// of a second.
+func (g *builder) pause(i interval) int64 { return int64(g.uniform(i)) * 100 }
 
 // arrivals calls f with the times of a Poisson process of the given rate and
 // duration. at is in milliseconds.
--- a/internal/play/synth/workloads.go
+++ b/internal/play/synth/workloads.go
@@ -80,8 +80,9 @@
 	})
 }
 
-// hotels is the mafuta workload with half of its programs from one hotel chain,
-// whose kitchens all close at the same hour.
+// hotels is the peak of mafuta's deployment when all kitchens of a hotel chain close
+// at the same hour: half of the programs are kitchens of the chain, a quarter are
+// riders and a quarter other kitchens.
 func (g *builder) hotels(perSecond, seconds float64) {
 	g.mafutaFleet()
 	g.arrivals(perSecond/2, seconds, func(at int64) { g.kitchen(at, "hotel-chain") })
@@ -123,7 +124,7 @@
 		calls = append(calls, trace.Call{Prompt: g.uniform(interval{200, 900}), Output: g.uniform(interval{150, 450}), PauseMS: g.pause(interval{20, 100})})
 	}
 	calls = append(calls, trace.Call{Service: "reprint", WorkMS: int64(g.uniform(interval{80, 300}))})
-	g.add(trace.Program{AtMS: at, Account: account, Context: fmt.Sprint("store-", store), ContextTokens: contextOf(store), Budget: 60_000, Calls: calls})
+	g.add(trace.Program{AtMS: at, Account: account, Context: fmt.Sprint("store-", store), ContextTokens: contextTokens(store), Budget: 60_000, Calls: calls})
 }
 
 // compliance adds a program that checks shelf photos and pushes tasks to
@@ -134,10 +135,12 @@
 		calls = append(calls, trace.Call{Prompt: g.uniform(interval{400, 1500}), Output: g.uniform(interval{80, 250}), PauseMS: g.pause(interval{10, 60})})
 	}
 	calls = append(calls, trace.Call{Service: "push", WorkMS: int64(g.uniform(interval{50, 200}))})
-	g.add(trace.Program{AtMS: at, Account: account, Priority: 1, Context: fmt.Sprint("store-", store), ContextTokens: contextOf(store), Budget: 60_000, Calls: calls})
+	g.add(trace.Program{AtMS: at, Account: account, Priority: 1, Context: fmt.Sprint("store-", store), ContextTokens: contextTokens(store), Budget: 60_000, Calls: calls})
 }
 
-func contextOf(store int) int { return 14_000 + 1000*(store*7%17) }
+// contextTokens returns the size of a store's context: 14,000 to 30,000 tokens,
+// spread over the stores.
+func contextTokens(store int) int { return 14_000 + 1000*(store*7%17) }
 
 // supermarket is the kexanh workload at a peak: one chain plans all its stores
 // before a holiday.
@@ -188,7 +191,7 @@
 // given multiple of the rate that the engines can serve. Callers give up after a
 // minute.
 func (g *builder) overload(times, seconds float64) {
-	const capacity = 9.0 // programs per second, measured; see docs/design/overload.md
+	const capacity = 9.0 // programs per second that mafutaFleet's engines can serve; see docs/design/overload.md
 	g.mafutaFleet()
 	g.Header.QueueWaitMS, g.Header.DeadlineMS, g.Header.MaxRetries = 5000, 60_000, 3
 	g.arrivals(times*capacity, seconds, func(at int64) {
--- a/internal/play/trace/trace.go
+++ b/internal/play/trace/trace.go
@@ -10,19 +10,18 @@
 	// Version is the version of the format that this package reads and writes.
 	Version = 1
 
-	// Down is a crash of an upstream or a failure domain: its requests fail and
-	// connections are refused.
+	// Down is a crash: the upstream's requests fail and connections are refused.
 	Down Mode = "down"
-	// Leave is an upstream that announces its leaving and is replaced by an empty
-	// one at the end of the fault.
+	// Leave is a replacement: the upstream announces that it leaves, and at the end
+	// of the fault it is replaced by an empty one.
 	Leave Mode = "leave"
-	// NoReports is an upstream that sends no load reports.
+	// NoReports is the loss of load reports: the upstream sends no load reports.
 	NoReports Mode = "silent"
-	// EventLoss is an upstream half of whose cache events are lost, at random.
+	// EventLoss is the random loss of half of the upstream's cache events.
 	EventLoss Mode = "gaps"
-	// Hang is an upstream that accepts requests and never answers.
+	// Hang is a stall: the upstream accepts requests and never answers.
 	Hang Mode = "hang"
-	// Slow is an upstream whose processing times are multiplied by Factor.
+	// Slow is a slowdown: the upstream's processing times are multiplied by Factor.
 	Slow Mode = "slow"
 	// StoreOutage is an outage of the platform's key-value service.
 	StoreOutage Mode = "store"
@@ -48,10 +47,10 @@
 		MaxInflight   int     `json:"max_inflight,omitempty"`
 		RetryShare    float64 `json:"retry_share,omitempty"`
 		HedgeShare    float64 `json:"hedge_share,omitempty"`
-		TimeoutMS     int64   `json:"timeout_ms"`            // of a model call
+		TimeoutMS     int64   `json:"timeout_ms"`            // of an attempt of a model call
 		MaxRetries    int     `json:"returns"`               // of refused calls, for each program
 		ListLagMS     int64   `json:"list_lag_ms,omitempty"` // delay of the platform's list of VMs
-		DeadlineMS    int64   `json:"deadline_ms,omitempty"` // after which callers cancel a program
+		DeadlineMS    int64   `json:"deadline_ms,omitempty"` // from arrival until the caller gives the program up
 		RecordedAt    string  `json:"recorded_at,omitempty"` // RFC 3339, for a recorded trace
 		Seed          uint64  `json:"seed,omitempty"`        // of the generator, for a generated trace
 	}
@@ -79,7 +78,7 @@
 		Group      string `json:"group"`
 		Idempotent bool   `json:"idempotent,omitempty"`
 		Hedge      bool   `json:"hedge,omitempty"`
-		TimeoutMS  int64  `json:"timeout_ms"`
+		TimeoutMS  int64  `json:"timeout_ms"` // of an attempt
 	}
 
 	// Program is one program with its calls. Its first prompt begins with
@@ -94,8 +93,8 @@
 		MaxTurns      int    `json:"max_turns,omitempty"`
 		Context       string `json:"context,omitempty"`
 		ContextTokens int    `json:"context_tokens,omitempty"`
-		Loop          bool   `json:"loop,omitempty"` // repeats Calls until the program is stopped
-		CancelMS      int64  `json:"cancel_ms,omitempty"`
+		Loop          bool   `json:"loop,omitempty"`      // repeats Calls until the program is stopped
+		CancelMS      int64  `json:"cancel_ms,omitempty"` // from arrival until the caller cancels the program
 		Calls         []Call `json:"calls"`
 	}
 
--- a/internal/play/trcrec/stats.go
+++ b/internal/play/trcrec/stats.go
@@ -14,7 +14,7 @@
 	defaultDecode  = 20   // milliseconds per token
 
 	minAnswers  = 4    // needed to estimate speeds
-	maxOpenEnds = 1024 // bound on openEnds, and so on maxConcurrent
+	maxOpenEnds = 1024 // maximum length of openEnds, and therefore of maxConcurrent
 )
 
 type (
--- a/internal/play/trcrec/trcrec.go
+++ b/internal/play/trcrec/trcrec.go
@@ -56,21 +56,21 @@
 
 // Configure sets the current configuration. The first call writes the header and
 // the services.
-func (t *Recorder) Configure(f file.File) {
-	if t == nil {
+func (r *Recorder) Configure(f file.File) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.cfg = f
-	if t.programs != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cfg = f
+	if r.programs != nil {
 		return
 	}
-	t.programs, t.stats = map[string]*program{}, map[string]*upstreamStats{}
-	t.start = t.now()
+	r.programs, r.stats = map[string]*program{}, map[string]*upstreamStats{}
+	r.start = r.now()
 	h := trace.Header{
 		Version:       1,
-		Name:          t.Name,
+		Name:          r.Name,
 		Owners:        1,
 		LatencyWeight: f.System.LatencyWeight,
 		CacheWeight:   f.System.CacheWeight,
@@ -78,7 +78,7 @@
 		HedgeShare:    f.Limits.HedgeShare,
 		TimeoutMS:     f.Limits.UpstreamTimeout.Milliseconds(),
 		MaxRetries:    1,
-		RecordedAt:    t.start.UTC().Format(time.RFC3339),
+		RecordedAt:    r.start.UTC().Format(time.RFC3339),
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Groups)) {
 		g := f.Groups[name]
@@ -87,74 +87,74 @@
 			break
 		}
 	}
-	t.append(h)
+	r.append(h)
 	for _, name := range slices.Sorted(maps.Keys(f.Services)) {
 		s := f.Services[name]
-		t.append(trace.Service{Name: name, Group: s.Group, Idempotent: s.Idempotent, Hedge: s.Hedge, TimeoutMS: s.Timeout.Milliseconds()})
+		r.append(trace.Service{Name: name, Group: s.Group, Idempotent: s.Idempotent, Hedge: s.Hedge, TimeoutMS: s.Timeout.Milliseconds()})
 	}
 }
 
-func (t *Recorder) now() time.Time {
-	if t.Now != nil {
-		return t.Now()
+func (r *Recorder) now() time.Time {
+	if r.Now != nil {
+		return r.Now()
 	}
 	return time.Now()
 }
 
-func (t *Recorder) append(l trace.Line) {
-	if t.err == nil {
-		t.err = trace.Append(t.W, l)
+func (r *Recorder) append(l trace.Line) {
+	if r.err == nil {
+		r.err = trace.Append(r.W, l)
 	}
 }
 
 // Load records the cache size in an engine's load report.
-func (t *Recorder) Load(upstream string, l engine.Load) {
-	if t == nil {
+func (r *Recorder) Load(upstream string, l engine.Load) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.stats != nil {
-		t.statsOf(upstream).cacheTokens = l.Total
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.stats != nil {
+		r.statsOf(upstream).cacheTokens = l.Total
 	}
 }
 
-func (t *Recorder) statsOf(upstream string) *upstreamStats {
-	u := t.stats[upstream]
+func (r *Recorder) statsOf(upstream string) *upstreamStats {
+	u := r.stats[upstream]
 	if u == nil {
 		u = &upstreamStats{}
-		t.stats[upstream] = u
+		r.stats[upstream] = u
 	}
 	return u
 }
 
-// Call records a call that ended. id is the program's. A program whose first call
-// is not number 0 is not recorded.
-func (t *Recorder) Call(account, id string, c hist.Call) {
-	if t == nil {
+// Call records a call that ended; id is the program's. A program is not recorded if
+// its first call seen is not number 0, or if maxPrograms are open.
+func (r *Recorder) Call(account, id string, c hist.Call) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.programs == nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.programs == nil {
 		return
 	}
 	for i, a := range c.Tries {
 		last := i == len(c.Tries)-1 && c.Result.OK()
-		t.statsOf(a.Upstream).addAttempt(a, c, last)
+		r.statsOf(a.Upstream).addAttempt(a, c, last)
 	}
-	p := t.programs[id]
+	p := r.programs[id]
 	if p == nil {
-		if len(t.programs) >= maxPrograms || c.Number != 0 {
-			return // earlier calls are unknown, so a replay would not match the program
+		if len(r.programs) >= maxPrograms || c.Number != 0 {
+			return // at the limit, or earlier calls are unknown and a replay would not match
 		}
 		p = &program{}
 		p.Name, p.Account, p.Budget = id, account, c.BudgetBefore
-		p.AtMS = c.Start.Sub(t.start).Milliseconds()
-		t.programs[id] = p
+		p.AtMS = c.Start.Sub(r.start).Milliseconds()
+		r.programs[id] = p
 	}
 	if c.Result.Ran != result.No {
-		p.add(c, t.cfg)
+		p.add(c, r.cfg)
 	}
 }
 
@@ -194,26 +194,26 @@
 }
 
 // End writes the program and forgets it. A program without calls is not written.
-func (t *Recorder) End(id string) {
-	if t == nil {
+func (r *Recorder) End(id string) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p := t.programs[id]
-	delete(t.programs, id)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	p := r.programs[id]
+	delete(r.programs, id)
 	if p == nil || len(p.Calls) == 0 {
 		return
 	}
 	if p.Group == "" {
-		p.Group = t.firstEngineGroup()
+		p.Group = r.firstEngineGroup()
 	}
-	t.append(p.Program)
+	r.append(p.Program)
 }
 
-func (t *Recorder) firstEngineGroup() string {
-	for _, name := range slices.Sorted(maps.Keys(t.cfg.Groups)) {
-		if t.cfg.Groups[name].Kind == file.Engines {
+func (r *Recorder) firstEngineGroup() string {
+	for _, name := range slices.Sorted(maps.Keys(r.cfg.Groups)) {
+		if r.cfg.Groups[name].Kind == file.Engines {
 			return name
 		}
 	}
@@ -222,30 +222,30 @@
 
 // Close writes the upstreams and the expectations that hold under every policy.
 // It returns the first write error of the whole recording.
-func (t *Recorder) Close() (err error) {
-	if t == nil {
+func (r *Recorder) Close() (err error) {
+	if r == nil {
 		return nil
 	}
 	defer func() { err = errors.Wrap(err, "tape") }()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.programs == nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.programs == nil {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(t.cfg.Upstreams)) {
-		t.append(t.upstream(name))
+	for _, name := range slices.Sorted(maps.Keys(r.cfg.Upstreams)) {
+		r.append(r.upstream(name))
 	}
 	none := 0.0
 	for _, m := range []string{"repeated", "out_of_order", "over_budget", "held_programs", "false_refusals"} {
-		t.append(trace.Expect{Measure: m, AtMost: &none})
+		r.append(trace.Expect{Measure: m, AtMost: &none})
 	}
-	return t.err
+	return r.err
 }
 
-func (t *Recorder) upstream(name string) trace.Upstream {
-	u := t.cfg.Upstreams[name]
-	g := t.cfg.Groups[u.Group]
-	l := t.statsOf(name)
+func (r *Recorder) upstream(name string) trace.Upstream {
+	u := r.cfg.Upstreams[name]
+	g := r.cfg.Groups[u.Group]
+	l := r.statsOf(name)
 	out := trace.Upstream{Name: name, Group: u.Group, FailureDomain: u.FailureDomain, Slots: cmp.Or(l.maxConcurrent, g.MaxInflight, 1)}
 	if g.Kind == file.Services {
 		out.Service = true
--- a/internal/play/trcrec/trcrec_test.go
+++ b/internal/play/trcrec/trcrec_test.go
@@ -56,23 +56,23 @@
 	is := is.New(t)
 	start := time.Unix(1_800_000_000, 0)
 	var b bytes.Buffer
-	tp := &trcrec.Recorder{W: &b, Name: "d1", Now: func() time.Time { return start }}
-	tp.Configure(config())
-	tp.Load("e1", engine.Load{Total: 40000})
+	rec := &trcrec.Recorder{W: &b, Name: "d1", Now: func() time.Time { return start }}
+	rec.Configure(config())
+	rec.Load("e1", engine.Load{Total: 40000})
 	for i := range 10 {
 		id := fmt.Sprint("p", i)
 		at := start.Add(time.Duration(i) * time.Second)
-		tp.Call("x", id, model(0, at, 400+10*i, 0, 20))
+		rec.Call("x", id, model(0, at, 400+10*i, 0, 20))
 		refused := service(1, at.Add(time.Second))
 		refused.Result = result.Refuse(result.CodeOverloaded, "full")
-		tp.Call("x", id, refused)
-		tp.Call("x", id, service(1, at.Add(2*time.Second)))
-		tp.Call("x", id, model(2, at.Add(3*time.Second), 500+10*i, 400+10*i, 30+i))
-		tp.End(id)
+		rec.Call("x", id, refused)
+		rec.Call("x", id, service(1, at.Add(2*time.Second)))
+		rec.Call("x", id, model(2, at.Add(3*time.Second), 500+10*i, 400+10*i, 30+i))
+		rec.End(id)
 	}
-	tp.Call("x", "cut", model(5, start, 10, 0, 10)) // started before the recording
-	tp.End("cut")
-	is.NoErr(tp.Close())
+	rec.Call("x", "cut", model(5, start, 10, 0, 10)) // started before the recording
+	rec.End("cut")
+	is.NoErr(rec.Close())
 
 	got, err := trace.Read(&b)
 	is.NoErr(err)
