--- a/cmd/slaterock/rolling_test.go
+++ b/cmd/slaterock/rolling_test.go
@@ -87,7 +87,7 @@
 	is.NoErr(err)
 	r, err := replay.Replay(t, replay.Options{Seed: 1})
 	is.NoErr(err)
-	for _, b := range r.Broken {
+	for _, b := range r.Unmet {
 		s.t.Errorf("broken guarantee in the replay: %+v", b)
 	}
 	s.t.Logf("recording of daemon %d: %d programs, %d completed in the replay", i, len(t.Programs), r.Completed)
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -40,7 +40,7 @@
 	"github.com/slaterock/slaterock/internal/plat/tool"
 	"github.com/slaterock/slaterock/internal/plat/vmlist"
 	"github.com/slaterock/slaterock/internal/plat/weight"
-	"github.com/slaterock/slaterock/internal/play/tape"
+	"github.com/slaterock/slaterock/internal/play/trcrec"
 	"github.com/slaterock/slaterock/internal/shard/xfer"
 )
 
@@ -62,7 +62,7 @@
 		Logs     logs.Logs
 		Trace    *trace.Trace
 		Metric   *metric.Metric
-		Tape     *tape.Tape // records the programs' calls for a replay; nil records nothing
+		Recorder *trcrec.Recorder // records the programs' calls for a replay; nil records nothing
 		// Listen and Peers are the listeners for callers and peers. Init opens those that are
 		// nil, at the addresses of the settings.
 		Listen, Peers net.Listener
@@ -256,7 +256,7 @@
 func (d *Daemon) configure(ctx context.Context, f file.File) {
 	d.log.Info().Uint64("version", f.Version).Msg("configuration applied")
 	d.allotStore()
-	d.Tape.Configure(f)
+	d.Recorder.Configure(f)
 	d.shards.Configure(ctx, f)
 	d.placer.Tell(ctx, nil, sched.Configure{File: f})
 	d.update(ctx, func(m *swim.Member) { m.Config = f.Version })
@@ -283,7 +283,7 @@
 
 func (d *Daemon) place(ctx context.Context, h *host.Host, m sched.Message) {
 	if e, ok := m.(sched.ProgramEnded); ok {
-		d.Tape.End(e.Program)
+		d.Recorder.End(e.Program)
 	}
 	d.placer.Tell(ctx, h, m)
 }
@@ -331,7 +331,7 @@
 		Fence:   d.fence,
 		Forward: d.forward,
 		Live:    d.live,
-		OnLoad:  d.Tape.Load,
+		OnLoad:  d.Recorder.Load,
 	}
 	d.placer.Init()
 }
--- a/internal/node/daemon/edge.go
+++ b/internal/node/daemon/edge.go
@@ -113,7 +113,7 @@
 // caller is connected to.
 func (d *Daemon) recordCall(l owner.Log) {
 	c := l.Call
-	d.Tape.Call(l.Account, l.Program, c)
+	d.Recorder.Call(l.Account, l.Program, c)
 	scope := d.scope.Tagged(map[string]string{"kind": string(c.Kind), "code": string(c.Result.Code)})
 	scope.Counter("calls_ended").Inc(1)
 	scope.Timer("call_time").Record(c.End.Sub(c.Start))
--- a/internal/play/load/check.go
+++ b/internal/play/load/check.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	excerptSize = 24 // bytes of the last message that a stand-in engine repeats
+	excerptSize = 24 // bytes of the last message that a fake engine quotes
 	maxNotes    = 20
 )
 
-// answerForm is how a stand-in engine answers: its name, the request's name and
-// an excerpt of the last message, then numbers that rise by one.
+// answerForm matches the start of a fake engine's answer: its name, the request
+// id and a quoted excerpt of the last message. Consecutive numbers follow.
 var answerForm = regexp.MustCompile(`^\S+ answers (\S+) to ("(?:[^"\\]|\\.)*"):`)
 
 type (
-	// check holds what was seen, to find answers that are mixed, lost or given
-	// twice. Stand-ins answer with what they were asked, so every answer tells
-	// whose it is.
-	check struct {
-		mu       sync.Mutex
-		requests map[string]string // a request's name to the call that had it
-		receipts map[int]string    // a receipt's number to the call that had it
-		asked    int               // service calls, each counted once
-		least    int
-		most     int
-		faults   int
-		notes    []string
+	// checker verifies answers and detects mixed-up, lost and duplicate ones. The
+	// answers of fake engines and services contain the request id, which
+	// identifies the call.
+	checker struct {
+		mu           sync.Mutex
+		requests     map[string]string // call by the request id in its answer
+		receipts     map[int]string    // call by receipt number
+		serviceCalls int               // each counted once, without retries
+		minReceipt   int
+		maxReceipt   int
+		faults       int
+		notes        []string
 	}
 
 	receipt struct {
@@ -46,7 +46,7 @@
 	}
 )
 
-func (c *check) init() {
+func (c *checker) init() {
 	c.requests = map[string]string{}
 	c.receipts = map[int]string{}
 }
@@ -55,22 +55,22 @@
 
 func callName(program string, number int) string { return fmt.Sprintf("%s call %d", program, number) }
 
-func (c *check) count() int {
+func (c *checker) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faults
 }
 
-func (c *check) fault(format string, args ...any) {
+func (c *checker) fault(format string, args ...any) {
 	c.faults++
 	if len(c.notes) < maxNotes {
 		c.notes = append(c.notes, fmt.Sprintf(format, args...))
 	}
 }
 
-// answer checks a model's answer: that it was asked by this call, that it is
-// whole, and that no other call got it.
-func (c *check) answer(program string, number int, a client.Answer) {
+// checkAnswer verifies that a model's answer belongs to this call, is complete and
+// was not returned to another call.
+func (c *checker) checkAnswer(program string, number int, a client.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := callName(program, number)
@@ -86,28 +86,29 @@
 		c.checkShort(name, marker(program, number), a.Text)
 		return
 	}
-	c.owner(program, number, found[1])
-	var asked string
-	if json.Unmarshal([]byte(found[2]), &asked) != nil || !strings.HasPrefix(asked, head(marker(program, number))) {
+	c.checkOwner(program, number, found[1])
+	var quoted string
+	if json.Unmarshal([]byte(found[2]), &quoted) != nil || !strings.HasPrefix(quoted, excerpt(marker(program, number))) {
 		c.fault("%s: the answer is to %s", name, found[2])
 	}
-	c.rest(name, a.Text[len(found[0]):])
+	c.checkNumbers(name, a.Text[len(found[0]):])
 }
 
-// checkShort checks an answer that was cut before its first number, which the
-// bound on its tokens allows: it must still be a beginning.
-func (c *check) checkShort(name, want, text string) {
+// checkShort verifies an answer that the token limit truncated within its opening
+// (engine name, request id and quote): it must have fewer than
+// excerptSize*bytesPerToken bytes and contain " answers ".
+func (c *checker) checkShort(name, want, text string) {
 	if len(text) < excerptSize*bytesPerToken && strings.Contains(text, " answers ") {
 		return
 	}
 	c.fault("%s: %q is no answer to %q", name, text[:min(len(text), 80)], want)
 }
 
-func head(s string) string { return s[:min(len(s), excerptSize)] }
+func excerpt(s string) string { return s[:min(len(s), excerptSize)] }
 
-// rest checks the numbers that follow; a piece that is missing, repeated or
-// from another answer breaks their order.
-func (c *check) rest(name, text string) {
+// checkNumbers verifies the sequence of numbers that follows the start of an
+// answer. A piece that is missing, repeated or from another answer breaks it.
+func (c *checker) checkNumbers(name, text string) {
 	for i := 0; text != ""; i++ {
 		want := fmt.Sprintf(" %03d", i%1000)
 		n := min(len(want), len(text))
@@ -119,9 +120,9 @@
 	}
 }
 
-// owner checks that a request's name belongs to the call, and that no other
-// call was answered under it.
-func (c *check) owner(program string, number int, request string) {
+// checkOwner verifies that the request id belongs to the call and that no other
+// call was answered under it. c.mu must be held.
+func (c *checker) checkOwner(program string, number int, request string) {
 	name := callName(program, number)
 	id, err := reqid.Parse(request)
 	if err != nil || id.RootHash != reqid.Hash(program) || id.Number != number {
@@ -134,16 +135,16 @@
 	c.requests[request] = name
 }
 
-// sentService counts a call to a service, before it is first tried.
-func (c *check) sentService(string) {
+// countServiceCall counts a service call, before its first attempt.
+func (c *checker) countServiceCall(string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
+	c.serviceCalls++
 }
 
-// receipt checks the answer of the stand-in ledger, which numbers what it
-// executes.
-func (c *check) receipt(program string, number int, service, text string) {
+// receipt verifies the answer of the fake ledger service, which numbers its
+// executions.
+func (c *checker) receipt(program string, number int, service, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := callName(program, number)
@@ -155,19 +156,20 @@
 	if _, path, _ := strings.Cut(service, "/"); r.Path != "/"+path {
 		c.fault("%s: a receipt for %s", name, r.Path)
 	}
-	c.owner(program, number, r.Request)
+	c.checkOwner(program, number, r.Request)
 	if other, ok := c.receipts[r.Receipt]; ok && other != name {
 		c.fault("receipt %d went to %s and %s", r.Receipt, other, name)
 	}
 	c.receipts[r.Receipt] = name
-	if c.least == 0 || r.Receipt < c.least {
-		c.least = r.Receipt
+	if c.minReceipt == 0 || r.Receipt < c.minReceipt {
+		c.minReceipt = r.Receipt
 	}
-	c.most = max(c.most, r.Receipt)
+	c.maxReceipt = max(c.maxReceipt, r.Receipt)
 }
 
-// history compares what a program was told with what its history says.
-func (c *check) history(program string, texts []string, h hist.History) {
+// checkHistory compares the answers that a program received with its history. An
+// empty text is a call whose outcome is unknown.
+func (c *checker) checkHistory(program string, answers []string, h hist.History) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h.Program != program {
@@ -175,53 +177,53 @@
 		return
 	}
 	calls := outcomes(h)
-	if len(calls) != len(texts) {
-		c.fault("%s: %d calls in the history of %d", program, len(calls), len(texts))
+	if len(calls) != len(answers) {
+		c.fault("%s: %d calls in the history of %d", program, len(calls), len(answers))
 		return
 	}
-	for i, kept := range calls {
-		if kept.Number != i {
-			c.fault("%s: call %d stands at place %d", program, kept.Number, i)
+	for i, recorded := range calls {
+		if recorded.Number != i {
+			c.fault("%s: call %d stands at place %d", program, recorded.Number, i)
 		}
-		if texts[i] != "" && string(kept.Result.Body) != texts[i] {
+		if answers[i] != "" && string(recorded.Result.Body) != answers[i] {
 			c.fault("%s: the history of call %d is not what was answered", program, i)
 		}
-		if texts[i] == "" && kept.Result.Code == result.CodeOK {
+		if answers[i] == "" && recorded.Result.Code == result.CodeOK {
 			c.fault("%s: call %d is ok in the history, its caller was told that nobody knows", program, i)
 		}
 	}
 }
 
-// outcomes leaves out what a history tells of refusals that did not run and of
-// attempts that a repeat of the call came after.
+// outcomes returns the calls of the history without refusals that did not run and
+// without failures that a repeat of the same call superseded.
 func outcomes(h hist.History) (calls []hist.Call) {
-	for _, kept := range h.Calls {
+	for _, recorded := range h.Calls {
 		n := len(calls)
 		switch {
-		case kept.Result.Ran == result.No:
-		case n > 0 && calls[n-1].Number == kept.Number && !calls[n-1].Result.OK():
-			calls[n-1] = kept
+		case recorded.Result.Ran == result.No:
+		case n > 0 && calls[n-1].Number == recorded.Number && !calls[n-1].Result.OK():
+			calls[n-1] = recorded
 		default:
-			calls = append(calls, kept)
+			calls = append(calls, recorded)
 		}
 	}
 	return calls
 }
 
-// twice reports executions that no call accounts for, where this load alone
-// used the ledger.
-func (c *check) twice() int {
-	if c.least == 0 {
+// extraExecutions returns the minimum number of executions beyond the service
+// calls made. It assumes that no other client uses the ledger.
+func (c *checker) extraExecutions() int {
+	if c.minReceipt == 0 {
 		return 0
 	}
-	return max(0, c.most-c.least+1-c.asked)
+	return max(0, c.maxReceipt-c.minReceipt+1-c.serviceCalls)
 }
 
-// end makes the last checks.
-func (c *check) end() (faults int, notes []string) {
+// finish makes the final checks and returns the number of faults and the notes.
+func (c *checker) finish() (faults int, notes []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.twice(); n > 0 {
+	if n := c.extraExecutions(); n > 0 {
 		c.fault("the ledger executed at least %d more calls than were made", n)
 	}
 	return c.faults, c.notes
--- a/internal/play/load/direct.go
+++ b/internal/play/load/direct.go
@@ -14,7 +14,7 @@
 
 const directPrefix = "direct-"
 
-// stopwatch notes when the pieces of one answer came.
+// stopwatch records the arrival times of the pieces of one streamed answer.
 type stopwatch struct {
 	start time.Time
 	first time.Duration // to the first piece
@@ -32,26 +32,29 @@
 	w.last = now
 }
 
-// pairs reports whether the program's first prompt is also measured directly.
-// What it takes at an engine is what the system can't better; the difference
-// is what the system adds.
-func (d *drive) pairs(p plan) bool {
-	return d.load.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
+// isPaired reports whether a prompt of the size of the program's first one is also
+// sent directly to an engine. The latency of the direct call is the lower bound for
+// the system; the difference is the latency that the system adds.
+func (d *driver) isPaired(p plan) bool {
+	return d.gen.Engine != "" && p.Parent == "" && hash(p.Name)%directOneIn == 0
 }
 
-// fresh returns a context that no engine has cached: prompts of a pair must
-// both be computed whole, or one would make the other cheaper.
-func fresh(name string, size int) string {
+// uncachedContext returns a context of about size bytes, derived from the name,
+// that no engine has cached. Both prompts of a pair must be prefilled completely;
+// a shared prefix would make the second one faster.
+func uncachedContext(name string, size int) string {
 	return words(rand.New(rand.NewPCG(hash(name), 2)), size/bytesPerToken)
 }
 
-// direct sends a prompt of the same size straight to an engine.
-func (d *drive) direct(ctx context.Context, p plan, s step) {
+// direct sends a prompt of the size of the program's first one directly to an
+// engine, waits for the answer and records its times. Errors are ignored. The wait
+// counts in the program's latency.
+func (d *driver) direct(ctx context.Context, p plan, s step) {
 	name := directPrefix + p.Name
 	body, err := json.Marshal(struct {
 		Messages []client.Message `json:"messages"`
 	}{[]client.Message{
-		{Role: "system", Content: fresh(name, len(p.Context))},
+		{Role: "system", Content: uncachedContext(name, len(p.Context))},
 		{Role: "user", Content: marker(p.Name, 0) + s.Text},
 	}})
 	if err != nil {
@@ -59,13 +62,13 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	c := chat.Client{Endpoint: httpc.Endpoint{Address: d.load.Engine}}
+	c := chat.Client{Endpoint: httpc.Endpoint{Address: d.gen.Engine}}
 	watch := stopwatch{start: time.Now()}
 	_, err = c.Chat(ctx, engine.Request{ID: name, Program: name, Body: body, MaxTokens: s.Output}, func(engine.Delta) error {
 		watch.piece("")
 		return nil
 	})
 	if err == nil {
-		d.load.tally.direct(watch)
+		d.gen.tally.direct(watch)
 	}
 }
--- a/internal/play/load/drive.go
+++ b/internal/play/load/drive.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	maxTries     = 8
+	maxAttempts  = 8
 	callTimeout  = 5 * time.Minute
-	compareOneIn = 10 // programs whose history is read at their end
-	directOneIn  = 3  // programs whose first prompt also goes to an engine
+	compareOneIn = 10 // the history of 1 in compareOneIn programs is checked
+	directOneIn  = 3  // 1 in directOneIn root programs is paired with a direct call
 )
 
 type (
-	// drive runs one program as its caller would.
-	drive struct {
-		load    *Load
+	// driver runs one program as a caller does.
+	driver struct {
+		gen     *Generator
 		due     time.Time
 		entries entries
-		paused  time.Duration // that the program itself wanted
-		texts   []string      // of its calls, by number; empty for refused ones
+		paused  time.Duration // the program's own pauses
+		answers []string      // answers by call number; empty for unknown outcomes
 	}
 
-	// conversation is what a program and its model said so far.
+	// conversation is the message history of a program.
 	conversation struct {
-		messages []client.Message
-		sent     int // prompt tokens that an earlier turn had sent
+		messages         []client.Message
+		prevPromptTokens int // prompt tokens of the previous turn
 	}
 )
 
-// run runs a root program and counts it.
-func (d *drive) run(ctx context.Context, p plan) {
-	d.entries = entries{load: d.load}
+// run runs a root program and records its result.
+func (d *driver) run(ctx context.Context, p plan) {
+	d.entries = entries{gen: d.gen}
 	err := d.program(ctx, p)
-	d.load.tally.finish(time.Since(d.due), time.Since(d.due)-d.paused, err)
+	d.gen.tally.finish(time.Since(d.due), time.Since(d.due)-d.paused, err)
 }
 
-func (d *drive) program(ctx context.Context, p plan) error {
+func (d *driver) program(ctx context.Context, p plan) error {
 	err := d.retry(ctx, p.Name, func(c client.Client) error {
 		return c.Open(ctx, call.Open{Program: p.Name, Agent: p.Agent, Parent: p.Parent})
 	})
 	if err != nil {
 		return err
 	}
-	if d.pairs(p) {
-		p.Context = fresh(p.Name, len(p.Context))
+	if d.isPaired(p) {
+		p.Context = uncachedContext(p.Name, len(p.Context))
 	}
-	talk := conversation{messages: []client.Message{{Role: "system", Content: p.Context}}}
+	conv := conversation{messages: []client.Message{{Role: "system", Content: p.Context}}}
 	number := 0
 	for _, s := range p.Steps {
 		if err = d.pause(ctx, s.Pause); err != nil {
@@ -62,10 +62,10 @@
 		}
 		switch s.Kind {
 		case modelStep:
-			err = d.model(ctx, p, s, number, &talk)
+			err = d.model(ctx, p, s, number, &conv)
 			number++
 		case serviceStep:
-			err = d.service(ctx, p, s, number, &talk)
+			err = d.service(ctx, p, s, number, &conv)
 			number++
 		case subStep:
 			err = d.sub(ctx, *s.Sub)
@@ -81,109 +81,111 @@
 	return d.compare(ctx, p)
 }
 
-func (d *drive) sub(ctx context.Context, p plan) error {
-	child := &drive{load: d.load, entries: entries{load: d.load}}
+func (d *driver) sub(ctx context.Context, p plan) error {
+	child := &driver{gen: d.gen, entries: entries{gen: d.gen}}
 	err := child.program(ctx, p)
 	d.paused += child.paused
 	return err
 }
 
-func (d *drive) pause(ctx context.Context, length time.Duration) error {
-	length = d.load.scaled(length)
+func (d *driver) pause(ctx context.Context, length time.Duration) error {
+	length = d.gen.scaled(length)
 	d.paused += length
 	return sleep(ctx, length)
 }
 
 // model makes one model call and adds it to the conversation.
-func (d *drive) model(ctx context.Context, p plan, s step, number int, talk *conversation) error {
+func (d *driver) model(ctx context.Context, p plan, s step, number int, conv *conversation) error {
 	m := marker(p.Name, number)
-	talk.messages = append(talk.messages, client.Message{Role: "user", Content: m + s.Text})
-	paired := number == 0 && d.pairs(p)
+	conv.messages = append(conv.messages, client.Message{Role: "user", Content: m + s.Text})
+	paired := number == 0 && d.isPaired(p)
 	if paired {
 		d.direct(ctx, p, s)
 	}
 	var a client.Answer
 	err := d.retry(ctx, p.Name, func(c client.Client) (err error) {
 		watch := stopwatch{start: time.Now()}
-		a, err = c.Chat(ctx, p.Name, number, s.Output, talk.messages, watch.piece)
+		a, err = c.Chat(ctx, p.Name, number, s.Output, conv.messages, watch.piece)
 		if err == nil {
-			d.load.tally.times(watch, paired)
+			d.gen.tally.recordStream(watch, paired)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	d.load.check.answer(p.Name, number, a)
-	d.load.tally.model(a, talk.sent)
-	talk.sent = a.Prompt
-	talk.messages = append(talk.messages, client.Message{Role: "assistant", Content: a.Text})
-	d.texts = append(d.texts, a.Text)
+	d.gen.checker.checkAnswer(p.Name, number, a)
+	d.gen.tally.model(a, conv.prevPromptTokens)
+	conv.prevPromptTokens = a.Prompt
+	conv.messages = append(conv.messages, client.Message{Role: "assistant", Content: a.Text})
+	d.answers = append(d.answers, a.Text)
 	return nil
 }
 
-// service makes one call to a plain service. One that may have run and whose
-// outcome is lost is not an error of the program: its agent goes on.
-func (d *drive) service(ctx context.Context, p plan, s step, number int, talk *conversation) error {
+// service makes one call to a plain service. A call with an unknown outcome is not
+// an error of the program, which continues with its next step.
+func (d *driver) service(ctx context.Context, p plan, s step, number int, conv *conversation) error {
 	var a client.Answer
-	d.load.check.sentService(s.Service)
+	d.gen.checker.countServiceCall(s.Service)
 	err := d.retry(ctx, p.Name, func(c client.Client) (err error) {
 		a, err = c.Service(ctx, p.Name, number, s.Service, []byte(s.Text))
 		return err
 	})
-	var lost *refusal
+	var lost *callError
 	if errors.As(err, &lost) && lost.unknown() {
-		d.texts = append(d.texts, "")
+		d.answers = append(d.answers, "")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	d.load.check.receipt(p.Name, number, s.Service, a.Text)
-	d.load.tally.service()
-	talk.messages = append(talk.messages, client.Message{Role: "tool", Content: a.Text})
-	d.texts = append(d.texts, a.Text)
+	d.gen.checker.receipt(p.Name, number, s.Service, a.Text)
+	d.gen.tally.service()
+	conv.messages = append(conv.messages, client.Message{Role: "tool", Content: a.Text})
+	d.answers = append(d.answers, a.Text)
 	return nil
 }
 
-// compare reads the history of some programs at their end.
-func (d *drive) compare(ctx context.Context, p plan) error {
+// compare checks the history of one in compareOneIn programs.
+func (d *driver) compare(ctx context.Context, p plan) error {
 	if hash(p.Name)%compareOneIn != 0 {
 		return nil
 	}
 	return d.retry(ctx, p.Name, func(c client.Client) error {
 		h, err := c.History(ctx, p.Name)
 		if err == nil {
-			d.load.check.history(p.Name, d.texts, h)
+			d.gen.checker.checkHistory(p.Name, d.answers, h)
 		}
 		return err
 	})
 }
 
-// retry asks until there is an answer, as the system says that callers may: a
-// repeat carries the same call number, so it joins or returns the recorded
-// outcome. Each try goes to the next address.
-func (d *drive) retry(ctx context.Context, program string, ask func(client.Client) error) (err error) {
-	for try := range maxTries {
+// retry calls do until it succeeds, fails with an error that must not be retried,
+// or maxAttempts is reached. Retries are safe: a call keeps its number, so a retry
+// joins the running call or returns the recorded outcome; opening and ending a
+// program and reading its history can be repeated. Each attempt uses the next
+// address.
+func (d *driver) retry(ctx context.Context, program string, do func(client.Client) error) (err error) {
+	for try := range maxAttempts {
 		if try > 0 {
-			d.load.tally.repeat()
+			d.gen.tally.countRetry()
 		}
-		err = refused(ask(client.Client{Address: d.entries.next(ctx, program, try), Key: d.load.Key}))
-		var r *refusal
+		err = parseError(do(client.Client{Address: d.entries.next(ctx, program, try), Key: d.gen.Key}))
+		var r *callError
 		if err == nil {
 			return nil
 		}
 		if errors.As(err, &r) {
-			d.load.tally.refuse(r.code)
-			if !r.again() {
+			d.gen.tally.countRefusal(r.code)
+			if !r.retryable() {
 				return err
 			}
 		}
-		if err := sleep(ctx, r.wait(d.load.Wait)); err != nil {
+		if err := sleep(ctx, r.retryDelay(d.gen.RetryDelay)); err != nil {
 			return err
 		}
 	}
-	return errors.Wrapf(err, "given up after %d tries", maxTries)
+	return errors.Wrapf(err, "gave up after %d attempts", maxAttempts)
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -197,48 +199,50 @@
 	}
 }
 
-// marker begins the new message of a call; stand-in engines repeat it.
+// marker returns the start of a call's new message, which fake engines quote in
+// their answers.
 func marker(program string, number int) string {
 	return fmt.Sprintf("%s#%d ", program, number)
 }
 
-// entries are the addresses that the system told this program to use.
+// entries caches the daemon addresses that the system returned for a program.
 type entries struct {
-	load  *Load
-	mu    sync.Mutex
-	known []string
-	until time.Time
+	gen       *Generator
+	mu        sync.Mutex
+	addresses []string
+	expires   time.Time
 }
 
-// next returns the best address, or on later tries the ones after it. What the
-// system said is asked anew when its time is over or a try failed.
+// next returns the preferred address, and on retries the following ones. The
+// addresses are refreshed when they have expired and before each retry; without
+// any, it returns a random one of Generator.Addresses.
 func (e *entries) next(ctx context.Context, program string, try int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().After(e.until) || try > 0 {
-		e.ask(ctx, program, try)
+	if time.Now().After(e.expires) || try > 0 {
+		e.refresh(ctx, program, try)
 	}
-	if len(e.known) == 0 {
-		return e.load.Entry[rand.IntN(len(e.load.Entry))]
+	if len(e.addresses) == 0 {
+		return e.gen.Addresses[rand.IntN(len(e.gen.Addresses))]
 	}
-	return e.known[try%len(e.known)]
+	return e.addresses[try%len(e.addresses)]
 }
 
-func (e *entries) ask(ctx context.Context, program string, try int) {
-	var told struct {
+func (e *entries) refresh(ctx context.Context, program string, try int) {
+	var answer struct {
 		Entries []struct {
 			Address string `json:"address"`
 		} `json:"entries"`
 		TTLSeconds int `json:"ttl_seconds"`
 	}
-	from := e.load.Entry[(int(hash(program)%uint64(len(e.load.Entry)))+try)%len(e.load.Entry)]
-	c := client.Client{Address: from, Key: e.load.Key}
-	if c.JSON(ctx, "GET", "/v1/entries?program="+program, nil, &told) != nil {
+	from := e.gen.Addresses[(int(hash(program)%uint64(len(e.gen.Addresses)))+try)%len(e.gen.Addresses)]
+	c := client.Client{Address: from, Key: e.gen.Key}
+	if c.JSON(ctx, "GET", "/v1/entries?program="+program, nil, &answer) != nil {
 		return
 	}
-	e.known = nil
-	for _, entry := range told.Entries {
-		e.known = append(e.known, entry.Address)
+	e.addresses = nil
+	for _, entry := range answer.Entries {
+		e.addresses = append(e.addresses, entry.Address)
 	}
-	e.until = time.Now().Add(time.Duration(told.TTLSeconds) * time.Second)
+	e.expires = time.Now().Add(time.Duration(answer.TTLSeconds) * time.Second)
 }
--- a/internal/play/load/load.go
+++ b/internal/play/load/load.go
@@ -1,17 +1,17 @@
-// Package load puts agent programs on a running system and measures what their
-// callers see.
+// Package load is a load generator: it runs agent programs against a running
+// system, measures latencies as callers see them and verifies the answers.
 //
-// The load is open: programs arrive by a schedule drawn from a seed, whether
-// or not earlier ones were answered, as callers' programs do. Each is a chain
-// of turns with pauses, service calls and sub-agents. A program's latency
-// counts from the time at which it was due, so that a system which stalls
-// arrivals can't hide that (coordinated omission).
+// The load is open-loop: programs arrive by a schedule drawn from a seed,
+// independently of the completion of earlier ones. Each is a sequence of turns
+// with pauses, service calls and sub-agents. A program's latency counts from its
+// scheduled start, so that delayed starts are included (no coordinated omission).
 //
-// While it runs, every answer is checked: the stand-in engines and services
-// derive theirs from the request, so an answer that is cut, mixed with another
-// one or given for two calls shows. Some programs are also compared with their
-// histories. A Load with Engine set sends a few of the same requests straight
-// to an engine, to tell what the system itself adds.
+// Every answer is verified. The fake engines and services derive their answers
+// from the request, so that truncated, mixed-up and duplicate answers are
+// detected. For a sample of programs the answers are also compared with the
+// history. If Engine is set, prompts of the same size as a sample of the programs'
+// first prompts are also sent directly to an engine, to measure the latency that
+// the system adds.
 package load
 
 import (
@@ -28,48 +28,49 @@
 )
 
 const (
-	defaultRate     = 2 // programs a second
-	defaultDuration = 30 * time.Second
-	defaultWait     = time.Second
-	maxPrograms     = 1 << 17 // under way at a time
-	progressEvery   = time.Second
-	drainTime       = 10 * time.Minute
-	tagBase         = 36
+	defaultRate       = 2 // programs per second
+	defaultDuration   = 30 * time.Second
+	defaultRetryDelay = time.Second
+	maxPrograms       = 1 << 17 // running concurrently
+	progressInterval  = time.Second
+	drainTimeout      = 10 * time.Minute // added to Generator.Duration, for programs to end
+	tagBase           = 36
 )
 
 var (
-	// ErrBroken tells that an answer was mixed, lost or given twice.
-	ErrBroken = errors.New("the system broke a promise")
-	// ErrNothing tells that no program finished, so that nothing was checked.
-	ErrNothing = errors.New("no program finished")
+	// ErrFaults reports answers that failed verification.
+	ErrFaults = errors.New("answers failed verification")
+	// ErrNoPrograms reports that no program finished, so that nothing was verified.
+	ErrNoPrograms = errors.New("no program finished")
 )
 
-// Load is one run. Entry and Key must be set; the zero value of every other
-// field is ready for use.
-type Load struct {
-	Entry    []string // addresses of daemons, IP and port
-	Key      string   // of the account that calls
-	Engine   string   // address of an engine for direct calls, if any
-	Shape    Shape    // the zero value is Pickup
-	Rate     float64  // programs a second
-	Duration time.Duration
-	Speed    float64 // divides pauses and the time between arrivals; 0 is 1
-	Seed     uint64
-	Wait     time.Duration // before another try, where the system names no time
-	Tag      string        // makes program ids unique between runs
-	Progress io.Writer     // gets a line each second, if set
+// Generator is one run of the load. Addresses and Key must be set; for every other
+// field the zero value selects the default.
+type Generator struct {
+	Addresses  []string      // of daemons, IP and port
+	Key        string        // API key of the caller's account
+	Engine     string        // address of an engine for direct calls; empty for none
+	Shape      Shape         // default Pickup
+	Rate       float64       // programs per second, before division by Speed
+	Duration   time.Duration // of the arrivals, before division by Speed
+	Speed      float64       // divides pauses and inter-arrival times; default 1
+	Seed       uint64
+	RetryDelay time.Duration // before a retry, unless the refusal has a retry time
+	Tag        string        // prefix of program ids, unique for each run
+	Progress   io.Writer     // receives a line per second if not nil
 
-	check check
-	tally tally
-	work  sync.WaitGroup
+	checker checker
+	tally   tally
+	wg      sync.WaitGroup
 }
 
-// Run runs the load until all its programs ended, and reports. The error is
-// ErrBroken if a check failed, and ErrNothing if there was nothing to check.
-func (l *Load) Run(ctx context.Context) (r Report, err error) {
+// Run runs the load until all its programs have ended. The error is ErrFaults if
+// an answer failed verification and ErrNoPrograms if no program finished; the
+// report is valid with both.
+func (l *Generator) Run(ctx context.Context) (r Report, err error) {
 	defer func() { err = errors.Wrap(err, "load") }()
-	if len(l.Entry) == 0 {
-		return Report{}, errors.New("no entry address")
+	if len(l.Addresses) == 0 {
+		return Report{}, errors.New("no daemon address")
 	}
 	l.setDefaults()
 	pool, err := ants.NewPool(maxPrograms, ants.WithNonblocking(true))
@@ -77,27 +78,27 @@
 		return Report{}, err
 	}
 	defer pool.Release()
-	ctx, stop := context.WithTimeout(ctx, l.Duration+drainTime)
+	ctx, stop := context.WithTimeout(ctx, l.Duration+drainTimeout)
 	defer stop()
 	done := make(chan struct{})
-	l.work.Go(func() { l.report(done) })
+	l.wg.Go(func() { l.printProgress(done) })
 	start := time.Now()
 	l.arrive(ctx, pool, start)
 	l.tally.waitIdle()
 	l.tally.end(time.Since(start))
 	close(done)
-	l.work.Wait()
-	r = l.tally.result(&l.check)
+	l.wg.Wait()
+	r = l.tally.result(&l.checker)
 	if r.Faults > 0 {
-		return r, ErrBroken
+		return r, ErrFaults
 	}
 	if r.Finished == 0 {
-		return r, ErrNothing
+		return r, ErrNoPrograms
 	}
 	return r, nil
 }
 
-func (l *Load) setDefaults() {
+func (l *Generator) setDefaults() {
 	if l.Rate <= 0 {
 		l.Rate = defaultRate
 	}
@@ -107,8 +108,8 @@
 	if l.Speed <= 0 {
 		l.Speed = 1
 	}
-	if l.Wait <= 0 {
-		l.Wait = defaultWait
+	if l.RetryDelay <= 0 {
+		l.RetryDelay = defaultRetryDelay
 	}
 	if l.Shape.Name == "" {
 		l.Shape = Pickup()
@@ -117,11 +118,11 @@
 		l.Tag = strconv.FormatInt(time.Now().Unix(), tagBase)
 	}
 	l.tally.init()
-	l.check.init()
+	l.checker.init()
 }
 
-// arrive starts programs when they are due. It never waits for one.
-func (l *Load) arrive(ctx context.Context, pool *ants.Pool, start time.Time) {
+// arrive starts each program at its due time, without waiting for earlier ones.
+func (l *Generator) arrive(ctx context.Context, pool *ants.Pool, start time.Time) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for _, p := range l.Shape.schedule(l.Tag, l.Seed, l.Rate, l.Duration) {
@@ -133,28 +134,28 @@
 			return
 		}
 		l.tally.start()
-		d := &drive{load: l, due: due}
+		d := &driver{gen: l, due: due}
 		if pool.Submit(func() { d.run(ctx, p) }) != nil {
 			l.tally.notStarted()
 		}
 	}
 }
 
-func (l *Load) scaled(d time.Duration) time.Duration {
+func (l *Generator) scaled(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / l.Speed)
 }
 
-// report writes the progress until done.
-func (l *Load) report(done <-chan struct{}) {
+// printProgress writes a progress line per interval until done is closed.
+func (l *Generator) printProgress(done <-chan struct{}) {
 	if l.Progress == nil {
 		return
 	}
-	ticker := time.NewTicker(progressEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			_, _ = fmt.Fprintln(l.Progress, l.tally.line(l.check.count()))
+			_, _ = fmt.Fprintln(l.Progress, l.tally.line(l.checker.count()))
 		case <-done:
 			return
 		}
--- a/internal/play/load/load_test.go
+++ b/internal/play/load/load_test.go
@@ -25,22 +25,22 @@
 
 const (
 	key  = "account.secret"
-	fast = 1e9 // no pause that the clock could tell
+	fast = 1e9 // makes pauses negligible
 )
 
-// system is a daemon with a runner that keeps the promises, until a test
-// makes it break one.
+// system is a daemon with a correct runner. A test injects faults through alter
+// and dropFirstCall.
 type system struct {
 	address string
 
-	mu       sync.Mutex
-	programs map[string]*hist.History
-	last     result.Result // outcome of any program's last model call
-	receipts int
-	count    int // calls
-	refused  int
-	alter    func(s *system, c call.Call, r result.Result) result.Result
-	forget   bool // histories lose their first call
+	mu            sync.Mutex
+	programs      map[string]*hist.History
+	last          result.Result // outcome of any program's last model call
+	receipts      int
+	count         int // calls
+	refused       int
+	alter         func(s *system, c call.Call, r result.Result) result.Result
+	dropFirstCall bool // histories lose their first call
 }
 
 func (s *system) Open(_ context.Context, o call.Open) result.Result {
@@ -74,9 +74,9 @@
 	if h == nil {
 		return result.Refuse(result.CodeNotFound, "no program %s", c.Program)
 	}
-	for _, kept := range h.Calls {
-		if kept.Number == c.Number && kept.Result.Ran != result.No {
-			return kept.Result
+	for _, recorded := range h.Calls {
+		if recorded.Number == c.Number && recorded.Result.Ran != result.No {
+			return recorded.Result
 		}
 	}
 	r := result.Result{Code: result.CodeOK, Ran: result.Yes, Finish: "stop", Prompt: len(c.Body) / bytesPerToken, Output: c.MaxTokens}
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := *s.programs[program]
-	if s.forget {
+	if s.dropFirstCall {
 		h.Calls = h.Calls[1:]
 	}
 	return h, result.Result{Code: result.CodeOK}
@@ -116,7 +116,7 @@
 	return hist.History{}, result.Refuse(result.CodeNotFound, "not kept")
 }
 
-// start serves the system on a port that the machine chooses.
+// start serves the system on a free port.
 func start(t *testing.T, s *system) {
 	t.Helper()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -144,14 +144,14 @@
 
 func runOn(t *testing.T, s *system) (Report, error) {
 	t.Helper()
-	l := Load{
-		Entry: []string{s.address}, Key: key, Rate: 4, Duration: 10 * time.Second,
-		Speed: fast, Seed: 7, Tag: "t", Wait: time.Millisecond,
+	l := Generator{
+		Addresses: []string{s.address}, Key: key, Rate: 4, Duration: 10 * time.Second,
+		Speed: fast, Seed: 7, Tag: "t", RetryDelay: time.Millisecond,
 	}
 	return l.Run(t.Context())
 }
 
-func TestSound(t *testing.T) {
+func TestNoFaultsInCorrectSystem(t *testing.T) {
 	is := is.New(t)
 	var s system
 	start(t, &s)
@@ -165,16 +165,16 @@
 	is.Equal(r.Calls+r.Services, s.count)
 	is.Equal(r.Program.Count, int64(r.Started))
 	is.Equal(r.First.Count, int64(r.Calls))
-	is.True(r.Wasted > 0) // this system caches nothing
+	is.True(r.Wasted > 0) // this system has no cache
 	var out strings.Builder
 	r.Print(&out)
 	is.True(strings.Contains(out.String(), fmt.Sprintf("%d programs started", r.Started)))
 	is.True(strings.HasSuffix(out.String(), "0 faults\n"))
 }
 
-// A system breaks a promise to some of its callers under load. The run must
-// notice, since no caller of it would.
-func TestBrokenPromises(t *testing.T) {
+// Under load, a system returns wrong answers to some of its callers. The run must
+// detect them; a real caller can't.
+func TestFaultsAreReported(t *testing.T) {
 	tests := map[string]struct {
 		system *system
 		note   string
@@ -207,6 +207,7 @@
 			}},
 			note: "was due",
 		},
+		// Each service call skips a receipt number, as if it had been executed twice.
 		"a receipt issued twice": {
 			system: &system{alter: func(s *system, c call.Call, r result.Result) result.Result {
 				if c.Kind == call.Service {
@@ -226,7 +227,7 @@
 			note: "receipt 5 went to",
 		},
 		"a history without its first call": {
-			system: &system{forget: true},
+			system: &system{dropFirstCall: true},
 			note:   "calls in the history",
 		},
 	}
@@ -236,16 +237,16 @@
 			s := test.system
 			start(t, s)
 			r, err := runOn(t, s)
-			is.True(errors.Is(err, ErrBroken))
+			is.True(errors.Is(err, ErrFaults))
 			is.True(r.Faults > 0)
 			is.True(strings.Contains(strings.Join(r.Notes, "\n"), test.note))
 		})
 	}
 }
 
-// The system refuses some calls for now and says when to come back; the caller
-// does, with the same number, and no program is lost to it.
-func TestComesBack(t *testing.T) {
+// The system refuses some calls with a retry time. The caller must retry them with
+// the same call number, and no program may fail.
+func TestRefusedCallsAreRetried(t *testing.T) {
 	is := is.New(t)
 	s := system{alter: func(s *system, c call.Call, r result.Result) result.Result {
 		if s.count%10 == 9 {
@@ -267,22 +268,22 @@
 	is.Equal(r.Repeats, s.refused)
 }
 
-// Nobody answers at the address. No promise is broken, but a run that checked
-// nothing must not pass for one that found no fault.
-func TestNobodyThere(t *testing.T) {
+// No daemon listens at the address. There are no wrong answers, but a run that
+// verified nothing must not succeed.
+func TestUnreachableSystem(t *testing.T) {
 	is := is.New(t)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(ln.Close())
 	r, err := runOn(t, &system{address: ln.Addr().String()})
-	is.True(errors.Is(err, ErrNothing))
+	is.True(errors.Is(err, ErrNoPrograms))
 	is.Equal(r.Failed, r.Started)
-	is.True(r.Refusals[codeBroken] > 0)
-	_, err = (&Load{}).Run(t.Context())
-	is.True(err != nil) // no entry address
+	is.True(r.Refusals[codeConnection] > 0)
+	_, err = (&Generator{}).Run(t.Context())
+	is.True(err != nil) // no daemon address
 }
 
-// The same seed must give the same programs, or two runs can't be compared.
+// The same seed must give the same programs, so that runs can be compared.
 func TestSchedule(t *testing.T) {
 	is := is.New(t)
 	for _, shape := range []Shape{Pickup(), Shelf()} {
@@ -291,7 +292,7 @@
 		other := shape.schedule("t", 4, 5, 10*time.Second)
 		is.True(reflect.DeepEqual(a, b))
 		is.True(!reflect.DeepEqual(a, other))
-		is.True(len(a) > 25 && len(a) < 80) // 5 a second for 10 s
+		is.True(len(a) > 25 && len(a) < 80) // 5 per second for 10 s
 		for _, p := range a {
 			for _, s := range p.Steps {
 				is.True(s.Kind != subStep || call.ChildOf(s.Sub.Name, p.Name))
--- a/internal/play/load/refuse.go
+++ b/internal/play/load/refuse.go
@@ -10,28 +10,28 @@
 	"github.com/slaterock/slaterock/internal/prog/result"
 )
 
-const codeBroken result.Code = "connection" // no answer from the daemon
+const codeConnection result.Code = "connection" // connection failed or the answer has no error code
 
-// refusal is an answer that is no success, or none at all.
-type refusal struct {
-	code  result.Code
-	ran   result.Ran
-	after time.Duration
-	cause error
+// callError is the error of a call: an error answer, or the lack of an answer.
+type callError struct {
+	code       result.Code
+	ran        result.Ran
+	retryAfter time.Duration
+	cause      error
 }
 
-func (r *refusal) Error() string { return string(r.code) + ": " + r.cause.Error() }
+func (r *callError) Error() string { return string(r.code) + ": " + r.cause.Error() }
 
-func (r *refusal) Unwrap() error { return r.cause }
+func (r *callError) Unwrap() error { return r.cause }
 
-// refused reads what the system said about a call that failed.
-func refused(err error) error {
+// parseError returns the error of a call as a *callError; nil stays nil.
+func parseError(err error) error {
 	if err == nil {
 		return nil
 	}
 	var status *client.StatusError
 	if !errors.As(err, &status) {
-		return &refusal{code: codeBroken, ran: result.Unknown, cause: err}
+		return &callError{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	var body struct {
 		Error struct {
@@ -41,25 +41,25 @@
 		} `json:"error"`
 	}
 	if json.Unmarshal([]byte(status.Body), &body) != nil || body.Error.Code == "" {
-		return &refusal{code: codeBroken, ran: result.Unknown, cause: err}
+		return &callError{code: codeConnection, ran: result.Unknown, cause: err}
 	}
 	e := body.Error
-	return &refusal{code: e.Code, ran: e.Ran, cause: err, after: time.Duration(e.RetryAfter * float64(time.Second))}
+	return &callError{code: e.Code, ran: e.Ran, cause: err, retryAfter: time.Duration(e.RetryAfter * float64(time.Second))}
 }
 
-// unknown reports whether the call may have run and never will be told.
-func (r *refusal) unknown() bool { return r.code == result.CodeUnknown }
+// unknown reports whether the call may have run and its outcome is lost.
+func (r *callError) unknown() bool { return r.code == result.CodeUnknown }
 
-// again reports whether the caller should try again.
-func (r *refusal) again() bool {
-	return r.code == codeBroken || r.after > 0
+// retryable reports whether the caller should retry.
+func (r *callError) retryable() bool {
+	return r.code == codeConnection || r.retryAfter > 0
 }
 
-// wait is how long to wait before that, as the system said or else the other
-// time.
-func (r *refusal) wait(other time.Duration) time.Duration {
-	if r == nil || r.after == 0 {
+// retryDelay returns the delay before a retry: that of the answer, or else the
+// given default.
+func (r *callError) retryDelay(other time.Duration) time.Duration {
+	if r == nil || r.retryAfter == 0 {
 		return other
 	}
-	return r.after
+	return r.retryAfter
 }
--- a/internal/play/load/tally.go
+++ b/internal/play/load/tally.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxMicros = 24 * 3600 * 1_000_000 // the longest time that is told apart
-	precision = 3                     // digits of a time
+	maxMicros = 24 * 3600 * 1_000_000 // upper bound of recorded times
+	precision = 3                     // significant digits
 )
 
 type (
-	// Quantiles are times in seconds.
+	// Quantiles are quantiles of a duration, in seconds.
 	Quantiles struct {
 		Count int64   `json:"count"`
 		P50   float64 `json:"p50"`
@@ -27,10 +27,12 @@
 		Max   float64 `json:"max"`
 	}
 
-	// Report is what a run measured. Program is the time from when a program
-	// was due to its end, Active the same without its own pauses. Of pairs of
-	// equal prompts one goes through the system, the other straight to an
-	// engine; Added is the difference of their quantiles.
+	// Report is the result of a run. Program is the time from a program's due time
+	// to its end, Active the same without the program's own pauses. Of each pair
+	// of prompts of equal size one goes through the system (Paired), the other
+	// directly to an engine (Direct); Added is the difference of their quantiles.
+	// Program and Active include the wait for the direct call. Refusals counts all
+	// failed attempts by code, also connection failures and unknown outcomes.
 	Report struct {
 		Seconds    float64             `json:"seconds"`
 		Started    int                 `json:"programs_started"`
@@ -43,43 +45,43 @@
 		Output     int                 `json:"output_tokens"`
 		Prompt     int                 `json:"prompt_tokens"`
 		Cached     int                 `json:"cached_tokens"`
-		Wasted     int                 `json:"wasted_tokens"` // an earlier turn had sent them
+		Wasted     int                 `json:"wasted_tokens"` // prefilled again although the previous turn had sent them
 		Program    Quantiles           `json:"program_seconds"`
 		Active     Quantiles           `json:"active_seconds"`
 		First      Quantiles           `json:"first_token_seconds"`
 		Between    Quantiles           `json:"between_pieces_seconds"`
-		Paired     Pair                `json:"paired"`
-		Direct     Pair                `json:"direct"`
-		Added      Pair                `json:"added"`
+		Paired     StreamTimes         `json:"paired"`
+		Direct     StreamTimes         `json:"direct"`
+		Added      StreamTimes         `json:"added"`
 		Refusals   map[result.Code]int `json:"refusals"`
 		Faults     int                 `json:"faults"`
 		Notes      []string            `json:"fault_notes,omitempty"`
-		Errors     []string            `json:"errors,omitempty"` // of failed programs, the first few
+		Errors     []string            `json:"errors,omitempty"` // of failed programs, the first maxNotes
 	}
 
-	// Pair are the times of one side of the pairs.
-	Pair struct {
+	// StreamTimes holds the quantiles of a set of streamed answers.
+	StreamTimes struct {
 		First   Quantiles `json:"first_token_seconds"`
 		Between Quantiles `json:"between_pieces_seconds"`
 	}
 
-	// streams are the times of streamed answers.
-	streams struct {
+	// streamHistograms holds the histograms of streamed answers.
+	streamHistograms struct {
 		first   *hdrhistogram.Histogram
 		between *hdrhistogram.Histogram
 	}
 
-	// tally counts while the load runs.
+	// tally accumulates the results during a run. It is safe for concurrent use.
 	tally struct {
-		mu       sync.Mutex
-		idle     *sync.Cond
-		open     int
-		report   Report
-		program  *hdrhistogram.Histogram
-		active   *hdrhistogram.Histogram
-		all      streams
-		paired   streams
-		straight streams
+		mu          sync.Mutex
+		idle        *sync.Cond
+		open        int
+		report      Report
+		program     *hdrhistogram.Histogram
+		active      *hdrhistogram.Histogram
+		all         streamHistograms
+		paired      streamHistograms
+		directTimes streamHistograms
 	}
 )
 
@@ -87,8 +89,8 @@
 	t.idle = sync.NewCond(&t.mu)
 	t.report.Refusals = map[result.Code]int{}
 	t.program, t.active = newHistogram(), newHistogram()
-	for _, s := range []*streams{&t.all, &t.paired, &t.straight} {
-		*s = streams{first: newHistogram(), between: newHistogram()}
+	for _, s := range []*streamHistograms{&t.all, &t.paired, &t.directTimes} {
+		*s = streamHistograms{first: newHistogram(), between: newHistogram()}
 	}
 }
 
@@ -118,7 +120,7 @@
 	}
 }
 
-// waitIdle returns when no program is under way.
+// waitIdle blocks until no program is running.
 func (t *tally) waitIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 }
 
-func (t *tally) finish(whole, active time.Duration, err error) {
+func (t *tally) finish(latency, active time.Duration, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer t.close()
@@ -139,7 +141,7 @@
 		return
 	}
 	t.report.Finished++
-	record(t.program, whole)
+	record(t.program, latency)
 	record(t.active, active)
 }
 
@@ -147,28 +149,28 @@
 	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicros))
 }
 
-func (t *tally) model(a client.Answer, sent int) {
+func (t *tally) model(a client.Answer, prevPromptTokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Calls++
 	t.report.Output += a.Output
 	t.report.Prompt += a.Prompt
 	t.report.Cached += a.Cached
-	t.report.Wasted += max(0, sent-a.Cached)
+	t.report.Wasted += max(0, prevPromptTokens-a.Cached)
 }
 
-func (s streams) record(w stopwatch) {
+func (s streamHistograms) record(w stopwatch) {
 	record(s.first, w.first)
 	for _, gap := range w.gaps {
 		record(s.between, gap)
 	}
 }
 
-func (s streams) quantiles() Pair {
-	return Pair{First: quantiles(s.first), Between: quantiles(s.between)}
+func (s streamHistograms) quantiles() StreamTimes {
+	return StreamTimes{First: quantiles(s.first), Between: quantiles(s.between)}
 }
 
-func (t *tally) times(w stopwatch, paired bool) {
+func (t *tally) recordStream(w stopwatch, paired bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.all.record(w)
@@ -180,7 +182,7 @@
 func (t *tally) direct(w stopwatch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.straight.record(w)
+	t.directTimes.record(w)
 }
 
 func (t *tally) service() {
@@ -189,13 +191,13 @@
 	t.report.Services++
 }
 
-func (t *tally) repeat() {
+func (t *tally) countRetry() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Repeats++
 }
 
-func (t *tally) refuse(code result.Code) {
+func (t *tally) countRefusal(code result.Code) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Refusals[code]++
@@ -207,7 +209,7 @@
 	t.report.Seconds = took.Seconds()
 }
 
-// line is the progress so far.
+// line returns a progress line.
 func (t *tally) line(faults int) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,19 +225,19 @@
 	return n
 }
 
-func (t *tally) result(c *check) Report {
+func (t *tally) result(c *checker) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.report
 	r.Refusals = maps.Clone(r.Refusals)
 	r.Program, r.Active = quantiles(t.program), quantiles(t.active)
 	r.First, r.Between = quantiles(t.all.first), quantiles(t.all.between)
-	r.Paired, r.Direct = t.paired.quantiles(), t.straight.quantiles()
-	r.Added = Pair{
+	r.Paired, r.Direct = t.paired.quantiles(), t.directTimes.quantiles()
+	r.Added = StreamTimes{
 		First:   added(r.Paired.First, r.Direct.First),
 		Between: added(r.Paired.Between, r.Direct.Between),
 	}
-	r.Faults, r.Notes = c.end()
+	r.Faults, r.Notes = c.finish()
 	return r
 }
 
@@ -244,7 +246,7 @@
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1e6}
 }
 
-// added compares quantiles; without direct calls there is nothing to tell.
+// added returns the difference of the quantiles, or zero without direct calls.
 func added(system, direct Quantiles) Quantiles {
 	if direct.Count == 0 {
 		return Quantiles{}
--- a/internal/play/replay/run.go
+++ b/internal/play/replay/run.go
@@ -12,44 +12,45 @@
 )
 
 type (
-	// Args are those of the command that replays traces.
+	// Args are the arguments of the replay command.
 	Args struct {
-		Paths  []string
-		Policy string // replay under this one too and print the difference
-		Seeds  int    // with Table: how many
-		Table  bool   // print all policies side by side, in Markdown
-		Gate   Gate
+		Paths     []string
+		Policy    string // without Table: also replay under this policy and print the difference
+		Seeds     int    // with Table: number of seeds to average over
+		Table     bool   // print a Markdown table of all policies
+		Admission Admission
 	}
 )
 
-// ErrBroken reports stated outcomes that were not met.
-var ErrBroken = errors.New("stated outcomes are broken")
+// ErrUnmet reports expectations that were not met.
+var ErrUnmet = errors.New("expectations not met")
 
-// printer keeps the first error of writing.
+// printer writes to w and keeps the first write error.
 type printer struct {
 	w   io.Writer
 	err error
 }
 
-// Run replays the traces and prints each broken outcome with its line, or the
-// comparison that the arguments ask for. The error is ErrBroken if one broke.
+// Run replays the traces. For each it prints a summary, the unmet expectations with
+// their lines and, with a.Policy, the comparison; with a.Table it prints only the
+// table. The error is ErrUnmet if an expectation was not met.
 func Run(w io.Writer, a Args) (err error) {
 	defer func() { err = errors.Wrap(err, "replay") }()
 	p := &printer{w: w}
 	if a.Table {
 		return p.table(a)
 	}
-	broken := 0
+	unmet := 0
 	for _, path := range a.Paths {
 		n, err := p.replay(path, a)
 		if err != nil {
 			return err
 		}
-		broken += n
+		unmet += n
 	}
-	p.printf("%d traces, %d broken outcomes\n", len(a.Paths), broken)
-	if p.err == nil && broken > 0 {
-		return ErrBroken
+	p.printf("%d traces, %d broken outcomes\n", len(a.Paths), unmet)
+	if p.err == nil && unmet > 0 {
+		return ErrUnmet
 	}
 	return p.err
 }
@@ -60,33 +61,33 @@
 	}
 }
 
-func (p *printer) replay(path string, a Args) (broken int, err error) {
+func (p *printer) replay(path string, a Args) (unmet int, err error) {
 	t, err := load(path)
 	if err != nil {
 		return 0, err
 	}
-	r, err := Replay(t, Options{Gate: a.Gate})
+	r, err := Replay(t, Options{Admission: a.Admission})
 	if err != nil {
 		return 0, err
 	}
 	p.printf("%s: %d of %d programs completed, p50 %s p95 %s p99 %s, wasted %d of %d prefilled tokens\n",
 		path, r.Completed, r.Programs, round(r.P50), round(r.P95), round(r.P99), r.Wasted, r.Prefilled)
-	for _, b := range r.Broken {
-		p.printf("%s:%d: %s\n", path, b.Line, b.Text)
+	for _, u := range r.Unmet {
+		p.printf("%s:%d: %s\n", path, u.Line, u.Text)
 	}
 	if a.Policy != "" {
-		other, err := Replay(t, Options{Policy: a.Policy, Gate: a.Gate})
+		other, err := Replay(t, Options{Policy: a.Policy, Admission: a.Admission})
 		if err != nil {
 			return 0, err
 		}
-		p.difference(r, other)
+		p.compare(r, other)
 	}
-	return len(r.Broken), nil
+	return len(r.Unmet), nil
 }
 
 func load(path string) (t trace.Trace, err error) {
 	defer func() { err = errors.Wrap(err, path) }()
-	f, err := os.Open(path) //nolint:gosec // the operator names the file
+	f, err := os.Open(path) //nolint:gosec // the path is the operator's argument
 	if err != nil {
 		return t, err
 	}
@@ -94,7 +95,7 @@
 	return trace.Read(f)
 }
 
-func (p *printer) difference(a, b Report) {
+func (p *printer) compare(a, b Report) {
 	p.printf("%16s %18s %18s %12s\n", "", a.Policy, b.Policy, "difference")
 	for _, m := range []string{"completed", "refused", "gave_up", "p50_ms", "p95_ms", "p99_ms", "wasted_tokens", "dispatched", "retries"} {
 		x, _ := a.measure(m)
@@ -103,7 +104,7 @@
 	}
 }
 
-// table prints, for each trace and policy, the means over the seeds.
+// table prints the means over the seeds for each trace and policy.
 func (p *printer) table(a Args) error {
 	p.printf("| trace | policy | completed %% | p50 s | p95 s | p99 s | wasted tokens |\n|---|---|---:|---:|---:|---:|---:|\n")
 	for _, path := range a.Paths {
@@ -124,7 +125,7 @@
 	var completed, p50, p95, p99, wasted float64
 	n := float64(max(a.Seeds, 1))
 	for seed := range uint64(n) {
-		r, err := Replay(t, Options{Policy: policy, Seed: seed + 1, Gate: a.Gate})
+		r, err := Replay(t, Options{Policy: policy, Seed: seed + 1, Admission: a.Admission})
 		if err != nil {
 			return err
 		}
--- a/internal/play/replay/world.go
+++ b/internal/play/replay/world.go
@@ -16,109 +16,114 @@
 )
 
 const (
-	tickEvery    = 100 * time.Millisecond
-	listEvery    = time.Second
-	answerAfter  = 5 * time.Millisecond // of an engine to List
-	leavingGrace = 2 * time.Second
-	// After the last program the replay goes on until the sweep has read
-	// every engine twice, and at least this long.
-	settle = 10 * time.Second
-	// A replay that has not ended after this much virtual time is stuck.
-	longest = 2 * time.Hour
+	tickInterval   = 100 * time.Millisecond
+	vmListInterval = time.Second
+	listReplyDelay = 5 * time.Millisecond // until an engine's reply to List arrives
+	leavingGrace   = 2 * time.Second
+	// After the last program ends, the replay continues for this long plus the
+	// time in which the owners together list every upstream four times. Each owner
+	// lists one upstream per sweepInterval, to release blocks of ended programs.
+	minDrain = 10 * time.Second
+	// A replay that reaches this virtual time with open programs is stopped as
+	// stuck.
+	maxDuration = 2 * time.Hour
 )
 
 type (
-	// Decider is one owner's decisions: sched.Sched in production.
-	Decider interface {
+	// Scheduler makes the decisions of one owner: sched.Sched in production.
+	Scheduler interface {
 		Step(now time.Time, m sched.Message) []sched.Effect
 	}
 
-	// Gate is asked before each call whether the program may make it, and
-	// told what each answer cost. Without one, the budget and the turn limit
-	// in the trace are kept by simple counting.
-	Gate interface {
+	// Admission decides before each call whether the program may make it: a
+	// non-empty outcome ends the program. Settle is called with the usage of each
+	// answered call. Without an Admission, the trace's budgets and turn limits
+	// are enforced by counting the trace's tokens and calls.
+	Admission interface {
 		Admit(now time.Time, p trace.Program, number int, spent int64) (outcome string)
 		Settle(now time.Time, p trace.Program, number int, usage engine.Usage)
 	}
 
-	// world is one replay under way.
+	// world is the state of a replay; spec is the trace.
 	world struct {
 		clock
-		t        trace.Trace
-		rng      *rand.Rand
-		gate     Gate
-		owners   []*owner
-		workers  []*worker
-		byName   map[string]*worker
-		programs []*program
-		requests []*request // under way
-		byID     map[string]*request
-		known    map[uint64]bool // blocks that were computed once
-		storeOut int
-		open     int
-		report   Report
+		spec           trace.Trace
+		rng            *rand.Rand
+		admission      Admission
+		owners         []*owner
+		upstreams      []*upstream
+		byName         map[string]*upstream
+		programs       []*program
+		requests       []*request // open
+		byID           map[string]*request
+		computedBlocks map[uint64]bool // hashes of blocks that some engine has prefilled
+		storeOutages   int
+		openPrograms   int
+		report         Report
 	}
 
-	owner struct{ d Decider }
+	owner struct{ s Scheduler }
 )
 
-func newWorld(t trace.Trace, o Options) *world {
+func newWorld(spec trace.Trace, o Options) *world {
 	w := &world{
-		t: t, gate: o.Gate, rng: rand.New(rand.NewPCG(o.Seed, 2)),
-		byName: map[string]*worker{}, byID: map[string]*request{}, known: map[uint64]bool{},
+		spec: spec, admission: o.Admission, rng: rand.New(rand.NewPCG(o.Seed, 2)),
+		byName: map[string]*upstream{}, byID: map[string]*request{}, computedBlocks: map[uint64]bool{},
 	}
 	w.now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	for i := range max(t.Header.Owners, 1) {
-		w.owners = append(w.owners, &owner{d: o.decider(i)})
+	for i := range max(spec.Header.Owners, 1) {
+		w.owners = append(w.owners, &owner{s: o.scheduler(i)})
 	}
-	for _, u := range t.Upstreams {
-		wk := newWorker(w, u)
-		w.workers = append(w.workers, wk)
+	for _, u := range spec.Upstreams {
+		wk := newUpstream(w, u)
+		w.upstreams = append(w.upstreams, wk)
 		w.byName[u.Name] = wk
 	}
 	return w
 }
 
 func (w *world) start() {
-	cfg := configuration(w.t)
+	cfg := configuration(w.spec)
 	for i, o := range w.owners {
 		w.step(o, sched.Configure{File: cfg})
-		first := tickEvery * time.Duration(i) / time.Duration(len(w.owners))
-		w.every(first, tickEvery, func() bool { w.step(o, sched.Tick{}); return true })
+		first := tickInterval * time.Duration(i) / time.Duration(len(w.owners))
+		w.every(first, tickInterval, func() bool { w.step(o, sched.Tick{}); return true })
 	}
-	for i, u := range w.workers {
-		if u.t.ReportMS > 0 {
-			first := ms(u.t.ReportMS) * time.Duration(i) / time.Duration(len(w.workers))
-			w.every(first, ms(u.t.ReportMS), func() bool { u.publish(); return true })
+	for i, u := range w.upstreams {
+		if u.spec.ReportMS > 0 {
+			first := ms(u.spec.ReportMS) * time.Duration(i) / time.Duration(len(w.upstreams))
+			w.every(first, ms(u.spec.ReportMS), func() bool { u.publish(); return true })
 		}
 	}
-	w.every(0, listEvery, func() bool { w.list(); return true })
-	for _, f := range w.t.Faults {
+	w.every(0, vmListInterval, func() bool { w.publishVMs(); return true })
+	for _, f := range w.spec.Faults {
 		w.after(ms(f.AtMS), func() { w.fault(f, true) })
 		w.after(ms(f.UntilMS), func() { w.fault(f, false) })
 	}
-	for i := range w.t.Programs {
-		p := &program{t: &w.t.Programs[i], begin: -1}
-		p.owner = w.owners[xxhash.Sum64String(p.t.Name)%uint64(len(w.owners))]
+	for i := range w.spec.Programs {
+		p := &program{spec: &w.spec.Programs[i], begin: -1}
+		p.owner = w.owners[xxhash.Sum64String(p.spec.Name)%uint64(len(w.owners))]
 		w.programs = append(w.programs, p)
-		w.open++
-		w.after(ms(p.t.AtMS), func() { p.arrive(w) })
+		w.openPrograms++
+		w.after(ms(p.spec.AtMS), func() { p.arrive(w) })
 	}
 }
 
-// run replays to the end and beyond, until the sweep has had its time.
+// run runs events until all programs have ended and the owners' sweeps have had
+// time to release the blocks left in the caches, or until maxDuration is reached.
+// sweepTime is the time in which the owners together list every upstream twice.
 func (w *world) run() {
 	begin := w.now
 	var ended time.Time
-	rounds := time.Duration(2*len(w.workers)) * sweepEvery / time.Duration(len(w.owners))
+	sweepTime := time.Duration(2*len(w.upstreams)) * sweepInterval / time.Duration(len(w.owners))
 	w.clock.run(func() bool {
-		if w.open > 0 {
-			return w.now.Sub(begin) > longest
+		if w.openPrograms > 0 {
+			return w.now.Sub(begin) > maxDuration
 		}
 		if ended.IsZero() {
 			ended = w.now
 		}
-		return w.now.Sub(ended) > settle+2*rounds
+		return w.now.Sub(ended) > minDrain+2*sweepTime
 	})
 }
 
@@ -144,7 +149,7 @@
 }
 
 func (w *world) step(o *owner, m sched.Message) {
-	for _, e := range o.d.Step(w.now, m) {
+	for _, e := range o.s.Step(w.now, m) {
 		switch e := e.(type) {
 		case sched.Assign:
 			w.assign(e)
@@ -152,28 +157,28 @@
 			w.refuse(e)
 		case sched.Release:
 			u := w.byName[e.Upstream]
-			u.note(nil, u.cache.release(e.Program))
+			u.recordEvent(nil, u.cache.release(e.Program))
 		case sched.Export:
 			w.export(e)
 		case sched.List:
-			w.after(answerAfter, func() { w.held(o, e.Upstream) })
+			w.after(listReplyDelay, func() { w.replyHeld(o, e.Upstream) })
 		}
 	}
 }
 
-func (w *world) held(o *owner, name string) {
+func (w *world) replyHeld(o *owner, name string) {
 	u := w.byName[name]
-	if u.on(trace.Down) {
+	if u.active(trace.Down) {
 		return
 	}
 	set := map[string]bool{}
 	u.cache.programs(set)
 	m := sched.Held{Upstream: name}
 	for _, p := range w.programs {
-		if set[p.t.Name] {
-			m.Programs = append(m.Programs, p.t.Name)
+		if set[p.spec.Name] {
+			m.Programs = append(m.Programs, p.spec.Name)
 			if !p.ended {
-				m.Live = append(m.Live, p.t.Name)
+				m.Live = append(m.Live, p.spec.Name)
 			}
 		}
 	}
@@ -182,29 +187,30 @@
 
 func (w *world) export(e sched.Export) {
 	from, to := w.byName[e.Upstream], w.byName[e.To]
-	if from.on(trace.Down) || to.on(trace.Down) {
+	if from.active(trace.Down) || to.active(trace.Down) {
 		return
 	}
 	blocks := from.cache.blocksOf(e.Program)
 	stored, evicted := to.cache.store(e.Program, blocks)
-	to.note(stored, evicted)
+	to.recordEvent(stored, evicted)
 	w.report.Exports++
 }
 
-// list delivers the platform's list of VMs, late.
-func (w *world) list() {
+// publishVMs delivers the platform's list of VMs to all owners after the trace's
+// ListLagMS.
+func (w *world) publishVMs() {
 	var m sched.VMs
-	for _, u := range w.workers {
-		vm := vmlist.VM{Name: u.t.Name, Address: u.t.Name, FailureDomain: u.t.FailureDomain, State: vmlist.Live}
-		if u.on(trace.Leave) {
+	for _, u := range w.upstreams {
+		vm := vmlist.VM{Name: u.spec.Name, Address: u.spec.Name, FailureDomain: u.spec.FailureDomain, State: vmlist.Live}
+		if u.active(trace.Leave) {
 			vm.State = vmlist.Leaving
 		}
 		m.List = append(m.List, vm)
 	}
-	w.after(ms(w.t.Header.ListLagMS), func() {
-		for i, u := range w.workers {
-			if m.List[i].State == vmlist.Leaving && u.left.IsZero() && u.on(trace.Leave) {
-				u.left = w.now
+	w.after(ms(w.spec.Header.ListLagMS), func() {
+		for i, u := range w.upstreams {
+			if m.List[i].State == vmlist.Leaving && u.leavingSince.IsZero() && u.active(trace.Leave) {
+				u.leavingSince = w.now
 			}
 		}
 		for _, o := range w.owners {
@@ -218,37 +224,38 @@
 	if !begins {
 		delta = -1
 	}
-	if f.What == trace.Store {
-		w.storeOut += delta
+	if f.Mode == trace.StoreOutage {
+		w.storeOutages += delta
 		return
 	}
-	for _, u := range w.workers {
-		if f.Upstream != u.t.Name && (f.FailureDomain == "" || f.FailureDomain != u.t.FailureDomain) {
+	for _, u := range w.upstreams {
+		if f.Upstream != u.spec.Name && (f.FailureDomain == "" || f.FailureDomain != u.spec.FailureDomain) {
 			continue
 		}
-		u.faults[f.What] += delta
+		u.faults[f.Mode] += delta
 		switch {
-		case f.What == trace.Slow && begins:
-			u.slow = max(f.Factor, 1)
-		case f.What == trace.Slow:
-			u.slow = 1
-		case f.What == trace.Down && begins:
+		case f.Mode == trace.Slow && begins:
+			u.slowdown = max(f.Factor, 1)
+		case f.Mode == trace.Slow:
+			u.slowdown = 1
+		case f.Mode == trace.Down && begins:
 			u.crash()
-		case f.What == trace.Leave && !begins:
+		case f.Mode == trace.Leave && !begins:
 			w.report.CutStreams += len(u.running)
 			u.crash()
-			u.left = time.Time{}
+			u.leavingSince = time.Time{}
 		}
 	}
 }
 
-// computed counts a block that an engine had to prefill.
-func (w *world) computed(b engine.Block) {
+// recordPrefill counts the tokens of a block that an engine prefilled; they are
+// wasted if some engine had computed the block before.
+func (w *world) recordPrefill(b engine.Block) {
 	w.report.Prefilled += b.Tokens
-	if w.known[b.Hash] {
+	if w.computedBlocks[b.Hash] {
 		w.report.Wasted += b.Tokens
 	}
-	w.known[b.Hash] = true
+	w.computedBlocks[b.Hash] = true
 }
 
 func (w *world) remove(r *request) {
--- a/internal/play/trace/codec.go
+++ b/internal/play/trace/codec.go
@@ -12,33 +12,33 @@
 const maxLine = 1 << 20 // bytes
 
 type (
-	// LineError is an error in one line of a trace, counted from 1.
+	// LineError is an error in one line of a trace. Line counts from 1.
 	LineError struct {
 		Line int
 		Err  error
 	}
 
-	head struct {
+	lineKind struct {
 		Kind string `json:"kind"`
 	}
 )
 
 var (
-	// ErrKind reports a line of unknown kind.
+	// ErrKind reports a line of an unknown kind.
 	ErrKind = errors.New("unknown kind")
-	// ErrVersion reports a format that this package does not read.
+	// ErrVersion reports an unsupported format version.
 	ErrVersion = errors.New("unsupported version")
-	// ErrHeader reports a trace that does not begin with its header.
-	ErrHeader = errors.New("the first line must be the header")
+	// ErrHeader reports a trace whose header is missing, not first or repeated.
+	ErrHeader = errors.New("the header must be the first line and occur once")
 )
 
-// Error names the line.
+// Error returns the cause, prefixed with the line number.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Read reads a whole trace. Errors are of the type *LineError.
+// Read reads a whole trace. Empty lines are skipped; errors are *LineError.
 func Read(r io.Reader) (t Trace, err error) {
 	n := 0
 	defer func() {
@@ -53,7 +53,7 @@
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		if err = t.add(lines.Bytes(), n); err != nil {
+		if err = t.addLine(lines.Bytes(), n); err != nil {
 			return t, err
 		}
 	}
@@ -64,8 +64,8 @@
 	return t, err
 }
 
-func (t *Trace) add(line []byte, n int) (err error) {
-	var h head
+func (t *Trace) addLine(line []byte, n int) (err error) {
+	var h lineKind
 	if err = json.Unmarshal(line, &h); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// decode refuses unknown fields: a misspelt bound would otherwise be no bound.
+// decode rejects unknown fields: a misspelt bound would otherwise be ignored.
 func decode[T any](line []byte, v *T) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(line, &fields); err != nil {
@@ -120,7 +120,7 @@
 	return d.Decode(v)
 }
 
-// Append writes one line, for a recorder that writes as it goes.
+// Append writes one line. A recorder uses it to write a trace incrementally.
 func Append(w io.Writer, l Line) (err error) {
 	body, err := json.Marshal(l)
 	if err != nil {
@@ -135,7 +135,7 @@
 	if err = Append(w, t.Header); err != nil {
 		return err
 	}
-	for _, lines := range [][]Line{list(t.Upstreams), list(t.Services), list(t.Faults), list(t.Programs), list(t.Expects)} {
+	for _, lines := range [][]Line{toLines(t.Upstreams), toLines(t.Services), toLines(t.Faults), toLines(t.Programs), toLines(t.Expects)} {
 		for _, l := range lines {
 			if err = Append(w, l); err != nil {
 				return err
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func list[T Line](in []T) []Line {
+func toLines[T Line](in []T) []Line {
 	out := make([]Line, len(in))
 	for i, v := range in {
 		out[i] = v
--- a/internal/play/trace/trace_test.go
+++ b/internal/play/trace/trace_test.go
@@ -11,9 +11,8 @@
 
 const header = `{"kind":"trace","version":1,"name":"t","owners":1,"latency_weight":1,"cache_weight":1,"queue_limit":1,"queue_wait_ms":1,"timeout_ms":1,"returns":0}`
 
-// A trace was edited by hand and a line is wrong. Whoever replays it must be
-// told which, and no line may be passed over: a bound that is not read can't
-// be broken.
+// An error in a manually edited trace must be reported with its line. No line may
+// be skipped: a bound that is not read is never checked.
 func TestErrorsNameTheLine(t *testing.T) {
 	tests := map[string]struct {
 		lines []string
@@ -44,7 +43,7 @@
 	}
 }
 
-func TestWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	zero := 0.0
 	in := Trace{
@@ -52,7 +51,7 @@
 		Upstreams: []Upstream{{Name: "e", Group: "g", Slots: 4, PrefillPerS: 100}},
 		Services:  []Service{{Name: "s", Group: "h", Idempotent: true, TimeoutMS: 10}},
 		Programs:  []Program{{AtMS: 1, Name: "p", Group: "g", Calls: []Call{{Prompt: 3, Output: 4}, {Service: "s", WorkMS: 2}}}},
-		Faults:    []Fault{{AtMS: 1, UntilMS: 2, What: Down, FailureDomain: "d"}},
+		Faults:    []Fault{{AtMS: 1, UntilMS: 2, Mode: Down, FailureDomain: "d"}},
 		Expects:   []Expect{{Measure: "repeated", AtMost: &zero, Line: 6}, {Program: "p", Outcome: "completed", Line: 7}},
 	}
 	var b bytes.Buffer
--- a/internal/play/tape/tape_test.go
+++ b/internal/play/trcrec/trcrec_test.go
@@ -1,4 +1,4 @@
-package tape_test
+package trcrec_test
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"github.com/slaterock/slaterock/internal/conf/file"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/play/replay"
-	"github.com/slaterock/slaterock/internal/play/tape"
 	"github.com/slaterock/slaterock/internal/play/trace"
+	"github.com/slaterock/slaterock/internal/play/trcrec"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/hist"
 	"github.com/slaterock/slaterock/internal/prog/result"
@@ -35,8 +35,8 @@
 	}
 }
 
-// model is a call whose engine takes 1 ms for four tokens of prompt and 10 ms
-// for each token of output.
+// model returns a call at an engine that prefills four tokens in 1 ms and takes
+// 10 ms per output token.
 func model(number int, start time.Time, prompt, cached, output int) hist.Call {
 	took := time.Duration(prompt-cached)*time.Millisecond/4 + time.Duration(output)*10*time.Millisecond
 	c := hist.Call{Number: number, Kind: call.Model, Target: "m", Start: start, End: start.Add(took), BudgetBefore: 50000}
@@ -56,23 +56,23 @@
 	is := is.New(t)
 	start := time.Unix(1_800_000_000, 0)
 	var b bytes.Buffer
-	tp := &tape.Tape{W: &b, Name: "d1", Now: func() time.Time { return start }}
-	tp.Configure(config())
-	tp.Load("e1", engine.Load{Total: 40000})
+	rec := &trcrec.Recorder{W: &b, Name: "d1", Now: func() time.Time { return start }}
+	rec.Configure(config())
+	rec.Load("e1", engine.Load{Total: 40000})
 	for i := range 10 {
 		id := fmt.Sprint("p", i)
 		at := start.Add(time.Duration(i) * time.Second)
-		tp.Call("x", id, model(0, at, 400+10*i, 0, 20))
+		rec.Call("x", id, model(0, at, 400+10*i, 0, 20))
 		refused := service(1, at.Add(time.Second))
 		refused.Result = result.Refuse(result.CodeOverloaded, "full")
-		tp.Call("x", id, refused)
-		tp.Call("x", id, service(1, at.Add(2*time.Second)))
-		tp.Call("x", id, model(2, at.Add(3*time.Second), 500+10*i, 400+10*i, 30+i))
-		tp.End(id)
+		rec.Call("x", id, refused)
+		rec.Call("x", id, service(1, at.Add(2*time.Second)))
+		rec.Call("x", id, model(2, at.Add(3*time.Second), 500+10*i, 400+10*i, 30+i))
+		rec.End(id)
 	}
-	tp.Call("x", "cut", model(5, start, 10, 0, 10)) // its beginning was before the record
-	tp.End("cut")
-	is.NoErr(tp.Close())
+	rec.Call("x", "cut", model(5, start, 10, 0, 10)) // started before the recording
+	rec.End("cut")
+	is.NoErr(rec.Close())
 
 	got, err := trace.Read(&b)
 	is.NoErr(err)
@@ -94,5 +94,5 @@
 	r, err := replay.Replay(got, replay.Options{Seed: 1})
 	is.NoErr(err)
 	is.Equal(len(r.Outcomes), 10)
-	is.Equal(r.Broken, nil)
+	is.Equal(r.Unmet, nil)
 }
