--- a/internal/conf/apply/random_test.go
+++ b/internal/conf/apply/random_test.go
@@ -60,14 +60,14 @@
 			all = append(all, running[len(running)-1])
 			for len(running) >= atOnce {
 				o := rapid.SampledFrom(running).Draw(r, "next")
-				o.view.Set(keyval.Fault(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(r, "fault")))
+				o.view.SetFault(keyval.Fault(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 3}).Draw(r, "fault")))
 				o.step(t)
 				h.look(r, t)
 				running = slices.DeleteFunc(running, func(o *operator) bool { return o.end != nil })
 			}
 		}
 		for _, o := range running {
-			o.view.Set(keyval.None)
+			o.view.SetFault(keyval.None)
 			for o.end == nil {
 				o.step(t)
 				h.look(r, t)
--- a/internal/conf/apply/run_test.go
+++ b/internal/conf/apply/run_test.go
@@ -139,35 +139,35 @@
 		version     uint64 // of his text; 0: the second
 	}{
 		"no fault":                    {found: "mine"},
-		"down at the first read":      {script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
-		"down before the chunk":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.Down, 2: keyval.Down}, found: "mine"},
-		"down after the chunk":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Down, 3: keyval.Down}, found: "mine"},
+		"down at the first read":      {script: map[int]keyval.Fault{1: keyval.Unavailable, 2: keyval.Unavailable}, found: "mine"},
+		"down before the chunk":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.Unavailable, 2: keyval.Unavailable}, found: "mine"},
+		"down after the chunk":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Unavailable, 3: keyval.Unavailable}, found: "mine"},
 		"chunk taken, ack lost":       {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseAck}, found: "mine"},
 		"chunk lost":                  {class: keyval.Writes, script: map[int]keyval.Fault{1: keyval.LoseWrite}, found: "mine"},
 		"head taken, ack lost":        {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseAck}, found: "mine"},
 		"head lost":                   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseWrite}, found: "mine"},
 		"head lost again and again":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.LoseWrite, 3: keyval.LoseWrite, 4: keyval.LoseAck}, found: "mine"},
-		"head taken, answer silent":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Silent}, found: "mine"},
-		"ack lost, then down a while": {script: map[int]keyval.Fault{4: keyval.LoseAck, 5: keyval.Down, 6: keyval.Down, 7: keyval.Silent}, found: "mine"},
+		"head taken, answer silent":   {class: keyval.Writes, script: map[int]keyval.Fault{2: keyval.Hang}, found: "mine"},
+		"ack lost, then down a while": {script: map[int]keyval.Fault{4: keyval.LoseAck, 5: keyval.Unavailable, 6: keyval.Unavailable, 7: keyval.Hang}, found: "mine"},
 		"down for good at the start": {
-			set:  func(_ *testing.T, s scene) { s.view.Set(keyval.Down) },
+			set:  func(_ *testing.T, s scene) { s.view.SetFault(keyval.Unavailable) },
 			want: &NotAppliedError{}, found: "first",
 		},
 		"down for good before the head": {
-			set:  func(_ *testing.T, s scene) { s.hooks.before = func() { s.view.Set(keyval.Down) } },
+			set:  func(_ *testing.T, s scene) { s.hooks.before = func() { s.view.SetFault(keyval.Unavailable) } },
 			want: &NotAppliedError{}, found: "first",
 		},
 		"head taken, ack lost, down for good": {
 			set: func(_ *testing.T, s scene) {
-				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
-				s.hooks.after = func() { s.view.Set(keyval.Down) }
+				s.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
+				s.hooks.after = func() { s.view.SetFault(keyval.Unavailable) }
 			},
 			want: &UnknownError{}, found: "mine",
 		},
 		"head lost, down for good": {
 			set: func(_ *testing.T, s scene) {
-				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
-				s.hooks.after = func() { s.view.Set(keyval.Down) }
+				s.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
+				s.hooks.after = func() { s.view.SetFault(keyval.Unavailable) }
 			},
 			want: &UnknownError{}, found: "first",
 		},
@@ -188,21 +188,21 @@
 		},
 		"head lost, then another operator": {
 			set: func(t *testing.T, s scene) {
-				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
+				s.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
 				s.hooks.after = func() { others(t, s, 1) }
 			},
 			want: &ConflictError{}, found: "other0",
 		},
 		"ack lost, then another operator on top": {
 			set: func(t *testing.T, s scene) {
-				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
+				s.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseAck})
 				s.hooks.after = func() { others(t, s, 2) }
 			},
 			found: "other1",
 		},
 		"head lost, then more operators than are remembered": {
 			set: func(t *testing.T, s scene) {
-				s.view.Script(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
+				s.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{2: keyval.LoseWrite})
 				s.hooks.after = func() { others(t, s, head.Keep+2) }
 			},
 			want: &UnknownError{}, found: fmt.Sprint("other", head.Keep+1),
@@ -216,7 +216,7 @@
 				must(t, s.service, "first")
 				s.view = s.service.Client("operator")
 				s.hooks = &hooked{Store: s.view}
-				s.view.Script(tt.class, tt.script)
+				s.view.ScriptFaults(tt.class, tt.script)
 				if tt.set != nil {
 					tt.set(t, s)
 				}
--- a/internal/conf/watch/fleet_test.go
+++ b/internal/conf/watch/fleet_test.go
@@ -195,7 +195,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.daemons {
-		d.view.Set(fault)
+		d.view.SetFault(fault)
 	}
 }
 
--- a/internal/conf/watch/keeper_test.go
+++ b/internal/conf/watch/keeper_test.go
@@ -27,8 +27,8 @@
 		"applied through a daemon":       {func(t *testing.T, f *fleet) { f.apply(t, "two", "d5") }, 2},
 		"applied to the store":           {func(t *testing.T, f *fleet) { f.apply(t, "two", "") }, 2},
 		"no change":                      {func(*testing.T, *fleet) {}, 1},
-		"store down":                     {func(_ *testing.T, f *fleet) { f.set(keyval.Down) }, 1},
-		"store silent":                   {func(_ *testing.T, f *fleet) { f.set(keyval.Silent) }, 1},
+		"store down":                     {func(_ *testing.T, f *fleet) { f.set(keyval.Unavailable) }, 1},
+		"store silent":                   {func(_ *testing.T, f *fleet) { f.set(keyval.Hang) }, 1},
 		"store lost its keys":            {wipe, 1},
 		"applied after it lost its keys": {func(t *testing.T, f *fleet) { wipe(t, f); f.apply(t, "two", "d5") }, 2},
 		"store restored, applied again":  {restored, 4},
@@ -109,10 +109,10 @@
 // The store fails in the moment after it accepted a version. The operator was
 // told that it is accepted, and no daemon but the one that applied it can know.
 func failsAfter(t *testing.T, f *fleet) {
-	f.set(keyval.Down)
-	f.daemons["d5"].view.Set(keyval.None)
+	f.set(keyval.Unavailable)
+	f.daemons["d5"].view.SetFault(keyval.None)
 	f.apply(t, "two", "d5")
-	f.set(keyval.Down)
+	f.set(keyval.Unavailable)
 }
 
 // The same, and the acknowledgement is lost, so that the daemon that applied
@@ -123,7 +123,7 @@
 		d.link.bend(func(l *link) { l.noChunks = true })
 	}
 	d := f.daemons["d5"]
-	d.link.bend(func(l *link) { l.loseHead = func() { d.view.Set(keyval.Down) } })
+	d.link.bend(func(l *link) { l.loseHead = func() { d.view.SetFault(keyval.Unavailable) } })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err := d.Apply(ctx, request(t, "two"))
@@ -171,12 +171,12 @@
 		}
 		return a
 	}
-	f.set(keyval.Down)
-	bad.view.Set(keyval.None)
-	f.daemons["d6"].view.Set(keyval.None)
+	f.set(keyval.Unavailable)
+	bad.view.SetFault(keyval.None)
+	f.daemons["d6"].view.SetFault(keyval.None)
 	f.apply(t, "two", "d5")
 	pass(time.Second)
-	f.set(keyval.Down)
+	f.set(keyval.Unavailable)
 }
 
 // A daemon is cut off from the store and its peers while four versions are
@@ -184,7 +184,7 @@
 func gap(t *testing.T, f *fleet) {
 	d := f.daemons["d7"]
 	f.locked(func() { d.cut = true })
-	d.view.Set(keyval.Down)
+	d.view.SetFault(keyval.Unavailable)
 	for _, name := range []string{"two", "three", "four", "five"} {
 		f.apply(t, name, "d1")
 	}
@@ -201,10 +201,10 @@
 func restart(t *testing.T, f *fleet) {
 	stale := f.daemons["d0"]
 	f.locked(func() { stale.cut = true })
-	stale.view.Set(keyval.Down)
+	stale.view.SetFault(keyval.Unavailable)
 	f.apply(t, "two", "d1")
 	pass(bound)
-	f.set(keyval.Down)
+	f.set(keyval.Unavailable)
 	f.locked(func() { stale.cut = false })
 	f.daemons["d3"].stop()
 	f.add(t.Context(), "d3")
@@ -249,10 +249,10 @@
 func gone(t *testing.T, f *fleet) {
 	d := f.daemons["d9"]
 	f.locked(func() { d.cut = true })
-	d.view.Set(keyval.Down)
+	d.view.SetFault(keyval.Unavailable)
 	f.apply(t, "two", "d1")
 	pass(bound)
-	f.set(keyval.Down)
+	f.set(keyval.Unavailable)
 	f.locked(func() { d.cut, d.deaf = false, true })
 	d.Newer(2, "gone")
 	synctest.Wait()
@@ -265,7 +265,7 @@
 	}{
 		"store down, peers up":    {func(*testing.T, *fleet) {}, true},
 		"store down, no peers":    {func(_ *testing.T, f *fleet) { cutAll(f) }, false},
-		"store silent, peers up":  {func(_ *testing.T, f *fleet) { f.store.Client("new").Set(keyval.Silent) }, true},
+		"store silent, peers up":  {func(_ *testing.T, f *fleet) { f.store.Client("new").SetFault(keyval.Hang) }, true},
 		"peers without a version": {func(t *testing.T, f *fleet) { emptyPeers(t, f) }, false},
 	}
 	for name, tt := range tests {
@@ -277,8 +277,8 @@
 				f := start(t.Context(), 3)
 				f.apply(t, "one", "d1")
 				pass(bound)
-				f.set(keyval.Down)
-				f.store.Client("new").Set(keyval.Down)
+				f.set(keyval.Unavailable)
+				f.store.Client("new").SetFault(keyval.Unavailable)
 				tt.before(t, f)
 				d := f.add(t.Context(), "new")
 				pass(bound)
@@ -286,7 +286,7 @@
 				is.Equal(d.Current().Version > 0, tt.ready)
 				pass(10 * time.Minute)
 				is.Equal(isReady(d), tt.ready)
-				f.store.Client("new").Set(keyval.None)
+				f.store.Client("new").SetFault(keyval.None)
 				pass(maxRetry + bound)
 				is.True(isReady(d)) // once the store is back
 				is.Equal(d.Current().Version, uint64(1))
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -45,10 +45,10 @@
 			v := f.try(ctx, t, r, name, fmt.Sprint("n", i))
 			accepted = max(accepted, v)
 		case 2:
-			d.view.Set(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Silent)).Draw(r, "fault")))
+			d.view.SetFault(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Hang)).Draw(r, "fault")))
 		case 3:
 			n := rapid.IntRange(1, 6).Draw(r, "call")
-			d.view.Script(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Down, n + 3: keyval.LoseWrite})
+			d.view.ScriptFaults(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Unavailable, n + 3: keyval.LoseWrite})
 		case 4:
 			f.locked(func() { d.cut = !d.cut })
 		case 5:
@@ -64,7 +64,7 @@
 	f.set(keyval.None)
 	f.locked(func() {
 		for _, d := range f.daemons {
-			d.view.Script(keyval.Any, nil)
+			d.view.ScriptFaults(keyval.Any, nil)
 			d.cut = false
 		}
 	})
--- a/internal/edge/server/silent_test.go
+++ b/internal/edge/server/silent_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 )
 
 // poolLinger is how long the HTTP library's pool outlives its server.
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var n pipe.Net
+				var n memnet.Net
 				s := &Server{Account: accounts, Runner: &fake{}}
 				done := make(chan error, 1)
 				ln := n.Listen("s")
--- a/internal/edge/server/stop_test.go
+++ b/internal/edge/server/stop_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 
 	"github.com/slaterock/slaterock/internal/conf/file"
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 	"github.com/slaterock/slaterock/internal/prog/call"
 	"github.com/slaterock/slaterock/internal/prog/result"
 	"github.com/slaterock/slaterock/internal/prog/runner"
@@ -98,7 +98,7 @@
 func TestStopBeforeServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var n pipe.Net
+		var n memnet.Net
 		ln := n.Listen("a:1")
 		var s Server
 		is.NoErr(s.Shutdown(t.Context()))
--- a/internal/fake/keyval/keyval.go
+++ b/internal/fake/keyval/keyval.go
@@ -24,14 +24,14 @@
 	Store struct {
 		Now func() time.Time
 
-		mu      sync.Mutex
-		rev     store.Rev
-		last    store.Lease
-		entries map[string]record
-		leases  map[store.Lease]lease
-		waiters map[string]chan struct{}
-		views   map[string]*View
-		counts  Counts
+		mu        sync.Mutex
+		rev       store.Rev
+		lastLease store.Lease
+		entries   map[string]record
+		leases    map[store.Lease]lease
+		watchers  map[string]chan struct{}
+		views     map[string]*View
+		counts    Counts
 	}
 
 	// Counts are the calls that reached the service.
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Reads++
-	s.lapse()
+	s.expire()
 	return s.get(key)
 }
 
@@ -89,7 +89,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	if len(data) > store.MaxValue {
 		return 0, store.ErrTooLarge
 	}
@@ -104,7 +104,7 @@
 	}
 	s.rev++
 	s.entries[key] = record{data: slices.Clone(data), rev: s.rev, lease: l}
-	s.wake(key)
+	s.notifyWatchers(key)
 	return s.rev, nil
 }
 
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	r, ok := s.entries[key]
 	if !ok {
 		return store.ErrNotFound
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Reads++
-	s.lapse()
+	s.expire()
 	keys := []string{}
 	for k := range s.entries {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -158,9 +158,9 @@
 	if s.leases == nil {
 		s.leases = map[store.Lease]lease{}
 	}
-	s.last++
-	s.leases[s.last] = lease{ttl: ttl, end: s.now().Add(ttl)}
-	return s.last, nil
+	s.lastLease++
+	s.leases[s.lastLease] = lease{ttl: ttl, end: s.now().Add(ttl)}
+	return s.lastLease, nil
 }
 
 // Renew implements store.Store.
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	v, ok := s.leases[l]
 	if !ok {
 		return store.ErrLeaseExpired
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	if _, ok := s.leases[l]; !ok {
 		return store.ErrLeaseExpired
 	}
@@ -194,10 +194,10 @@
 // Lapse ends the leases that are over by now and wakes the watches of their
 // keys. Every call does so first; only a test that moves its own clock under
 // waiting watches needs it.
-func (s *Store) Lapse() {
+func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 }
 
 func (s *Store) now() time.Time {
@@ -215,7 +215,7 @@
 	return store.Entry{Key: key, Data: slices.Clone(r.data), Rev: r.rev}, nil
 }
 
-func (s *Store) lapse() {
+func (s *Store) expire() {
 	now := s.now()
 	for l, v := range s.leases {
 		if !now.Before(v.end) {
@@ -236,12 +236,12 @@
 func (s *Store) remove(key string) {
 	s.rev++
 	delete(s.entries, key)
-	s.wake(key)
+	s.notifyWatchers(key)
 }
 
-func (s *Store) wake(key string) {
-	if c, ok := s.waiters[key]; ok {
+func (s *Store) notifyWatchers(key string) {
+	if c, ok := s.watchers[key]; ok {
 		close(c)
-		delete(s.waiters, key)
+		delete(s.watchers, key)
 	}
 }
--- a/internal/fake/keyval/keyval_test.go
+++ b/internal/fake/keyval/keyval_test.go
@@ -16,7 +16,7 @@
 
 // A test that moves the time by hand waits for a watch of a leased key: the
 // watch ends when the test says that the lease is over.
-func TestLapseByHand(t *testing.T) {
+func TestExpireLeasesWithManualClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		now := time.Time{}
@@ -32,17 +32,17 @@
 		}()
 		synctest.Wait()
 		now = now.Add(time.Second)
-		s.Lapse()
+		s.Expire()
 		is.True(errors.Is(<-end, store.ErrNotFound))
 	})
 }
 
 // One client is cut off while another works: faults belong to one view.
-func TestFaultsOfOneClient(t *testing.T) {
+func TestFaultsAffectOneClient(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	a, b := s.Client("a"), s.Client("b")
-	a.Script(Writes, map[int]Fault{2: Down})
+	a.ScriptFaults(Writes, map[int]Fault{2: Unavailable})
 	_, err := a.Put(t.Context(), "1", nil, 0, 0)
 	is.NoErr(err)
 	_, err = a.Get(t.Context(), "1")
--- a/internal/fake/keyval/server.go
+++ b/internal/fake/keyval/server.go
@@ -11,18 +11,18 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
 // maxCall bounds calls that carry no wait of their own.
-const maxCall = time.Minute
+const defaultWait = time.Minute
 
 // Serve serves the store on the listener in the form that kvnet.Client reads.
 // Faults are those of the views that the clients name.
-func Serve(ln net.Listener, s *Store) *host.Host {
-	h := &host.Host{Handler: s.serve}
+func Serve(ln net.Listener, s *Store) *server.HTTP {
+	h := &server.HTTP{Handler: s.serve}
 	h.Start(ln)
 	return h
 }
@@ -34,16 +34,16 @@
 		w.SetStatusCode(http.StatusBadRequest)
 		return
 	}
-	wait := maxCall
+	wait := defaultWait
 	if c.Wait > 0 {
 		wait = c.Wait
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	a, err := s.Client(c.Client).do(ctx, kvhttp.Op(op), c)
-	a, answered := encode(a, err)
+	a, err := s.Client(c.Client).handle(ctx, kvhttp.Op(op), c)
+	a, answered := encodeError(a, err)
 	if !answered {
-		host.Break(w)
+		server.Abort(w)
 		return
 	}
 	body, _ := json.Marshal(a)
@@ -51,7 +51,7 @@
 	w.SetBody(body)
 }
 
-func (v *View) do(ctx context.Context, op kvhttp.Op, c kvhttp.Request) (a kvhttp.Response, err error) {
+func (v *View) handle(ctx context.Context, op kvhttp.Op, c kvhttp.Request) (a kvhttp.Response, err error) {
 	switch op {
 	case kvhttp.OpGet:
 		a.Entry, err = v.Get(ctx, c.Key)
@@ -77,7 +77,7 @@
 
 // encode turns an error into its code. Where the outcome is unknown there is no
 // answer at all: the connection breaks, as it would for a real client.
-func encode(a kvhttp.Response, err error) (kvhttp.Response, bool) {
+func encodeError(a kvhttp.Response, err error) (kvhttp.Response, bool) {
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
--- a/internal/fake/keyval/view.go
+++ b/internal/fake/keyval/view.go
@@ -13,14 +13,14 @@
 	// None is no fault.
 	None Fault = iota
 	// Down fails a call with store.ErrUnavailable; it has no effect.
-	Down
+	Unavailable
 	// LoseAck carries a write out and loses its acknowledgement.
 	LoseAck
 	// LoseWrite loses a write; its writer can't tell that from LoseAck.
 	LoseWrite
 	// Silent gives no answer until the caller's context ends; a write is
 	// carried out.
-	Silent
+	Hang
 )
 
 const (
@@ -55,18 +55,18 @@
 
 // Set makes every call fail in the same way until the next Set. Down ends the
 // watches that wait.
-func (v *View) Set(f Fault) {
+func (v *View) SetFault(f Fault) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.fault = f
-	if f == Down && v.cut != nil {
+	if f == Unavailable && v.cut != nil {
 		close(v.cut)
 		v.cut = nil
 	}
 }
 
 // Slow delays each answer by d.
-func (v *View) Slow(d time.Duration) {
+func (v *View) SetDelay(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.delay = d
@@ -74,7 +74,7 @@
 
 // Script makes the n-th call of the class from now on, counted from 1, fail
 // with faults[n]. It overrules Set for these calls.
-func (v *View) Script(c Class, faults map[int]Fault) {
+func (v *View) ScriptFaults(c Class, faults map[int]Fault) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.class, v.script, v.n = c, faults, 0
@@ -118,10 +118,10 @@
 // Watch implements store.Store.
 func (v *View) Watch(ctx context.Context, key string, rev store.Rev) (e store.Entry, err error) {
 	f, delay, cut := v.next(Reads)
-	if f == Down {
+	if f == Unavailable {
 		return e, store.ErrUnavailable
 	}
-	if f == Silent {
+	if f == Hang {
 		<-ctx.Done()
 		return e, ctx.Err()
 	}
@@ -129,7 +129,7 @@
 	if f != None && ctx.Err() == nil {
 		return store.Entry{}, store.ErrUnavailable
 	}
-	if werr := wait(ctx, delay); werr != nil {
+	if werr := sleep(ctx, delay); werr != nil {
 		return store.Entry{}, werr
 	}
 	return e, err
@@ -175,14 +175,14 @@
 
 func (v *View) read(ctx context.Context, do func() error) error {
 	f, delay, _ := v.next(Reads)
-	if ctx.Err() != nil || f == Down {
+	if ctx.Err() != nil || f == Unavailable {
 		return errors.Join(store.ErrUnavailable, ctx.Err())
 	}
 	err := do()
-	if f == Silent {
+	if f == Hang {
 		<-ctx.Done()
 	}
-	if f != None || wait(ctx, delay) != nil {
+	if f != None || sleep(ctx, delay) != nil {
 		return errors.Join(store.ErrUnavailable, ctx.Err())
 	}
 	return err
@@ -190,23 +190,23 @@
 
 func (v *View) write(ctx context.Context, do func() error) error {
 	f, delay, _ := v.next(Writes)
-	if ctx.Err() != nil || f == Down {
+	if ctx.Err() != nil || f == Unavailable {
 		return errors.Join(store.ErrUnavailable, ctx.Err())
 	}
 	var err error
 	if f != LoseWrite {
 		err = do()
 	}
-	if f == Silent {
+	if f == Hang {
 		<-ctx.Done()
 	}
-	if f != None || wait(ctx, delay) != nil {
+	if f != None || sleep(ctx, delay) != nil {
 		return errors.Join(store.ErrUnknown, ctx.Err())
 	}
 	return err
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
 	}
--- a/internal/fake/keyval/watch.go
+++ b/internal/fake/keyval/watch.go
@@ -8,15 +8,15 @@
 )
 
 // never is longer than any test or run.
-const never = 100 * 365 * 24 * time.Hour
+const maxWait = 100 * 365 * 24 * time.Hour
 
 // sight is what a watch sees: its answer, or the channel that tells of the
 // key's next change and how long the key's lease still runs.
-type sight struct {
+type watchState struct {
 	entry   store.Entry
 	err     error
 	changed <-chan struct{}
-	lapse   time.Duration
+	expire  time.Duration
 }
 
 func (s *Store) watch(ctx context.Context, key string, rev store.Rev, cut <-chan struct{}) (store.Entry, error) {
@@ -24,11 +24,11 @@
 	s.counts.Watches++
 	s.mu.Unlock()
 	for {
-		now := s.look(key, rev)
+		now := s.checkWatch(key, rev)
 		if now.changed == nil {
 			return now.entry, now.err
 		}
-		t := time.NewTimer(now.lapse)
+		t := time.NewTimer(now.expire)
 		select {
 		case <-now.changed:
 		case <-t.C:
@@ -44,26 +44,26 @@
 }
 
 // look returns what a watch answers now, or how to wait for it.
-func (s *Store) look(key string, rev store.Rev) (out sight) {
+func (s *Store) checkWatch(key string, rev store.Rev) (out watchState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	r, ok := s.entries[key]
 	if ok && r.rev > rev || !ok && rev > 0 {
 		out.entry, out.err = s.get(key)
 		return out
 	}
-	if s.waiters == nil {
-		s.waiters = map[string]chan struct{}{}
+	if s.watchers == nil {
+		s.watchers = map[string]chan struct{}{}
 	}
-	c, ok := s.waiters[key]
+	c, ok := s.watchers[key]
 	if !ok {
 		c = make(chan struct{})
-		s.waiters[key] = c
+		s.watchers[key] = c
 	}
-	out.changed, out.lapse = c, never
+	out.changed, out.expire = c, maxWait
 	if l, ok := s.leases[r.lease]; ok && s.Now == nil {
-		out.lapse = l.end.Sub(s.now())
+		out.expire = l.end.Sub(s.now())
 	}
 	return out
 }
--- a/internal/fake/ledger/ledger.go
+++ b/internal/fake/ledger/ledger.go
@@ -26,9 +26,9 @@
 	// Hang reads the request, does nothing and never answers.
 	Hang
 	// LoseAnswer does the work and breaks the connection.
-	LoseAnswer
+	LoseResponse
 	// HangAfter does the work and never answers.
-	HangAfter
+	HangAfterExecution
 	// Fail answers 500 without doing the work.
 	Fail
 )
@@ -39,38 +39,38 @@
 
 	// Service implements tool.Tool. The zero value works at once.
 	Service struct {
-		Time time.Duration // what one execution takes
-
-		mu     sync.Mutex
-		ran    map[string]int
-		calls  []tool.Request
-		fault  Fault
-		script map[int]Fault
-		n      int
+		Duration time.Duration // what one execution takes
+
+		mu         sync.Mutex
+		executions map[string]int
+		calls      []tool.Request
+		fault      Fault
+		script     map[int]Fault
+		n          int
 	}
 )
 
 var errRefused = errors.New("connection refused")
 
 // Set makes every call fail in the same way until the next Set.
-func (s *Service) Set(f Fault) {
+func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
 // Script makes the n-th call from now on, counted from 1, fail with faults[n].
-func (s *Service) Script(faults map[int]Fault) {
+func (s *Service) ScriptFaults(faults map[int]Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script, s.n = faults, 0
 }
 
 // Ran tells how often the request was executed.
-func (s *Service) Ran(id string) int {
+func (s *Service) Executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[id]
+	return s.executions[id]
 }
 
 // Calls returns the requests that were received, in order.
@@ -81,11 +81,11 @@
 }
 
 // Twice returns the requests that were executed more than once.
-func (s *Service) Twice() []string {
+func (s *Service) Duplicates() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for id, n := range s.ran {
+	for id, n := range s.executions {
 		if n > 1 {
 			out = append(out, id)
 		}
@@ -96,7 +96,7 @@
 
 // Do implements tool.Tool.
 func (s *Service) Do(ctx context.Context, r tool.Request) (tool.Response, error) {
-	f := s.take(r)
+	f := s.receive(r)
 	switch f {
 	case Refuse:
 		return tool.Response{}, &tool.Error{Err: errRefused}
@@ -106,21 +106,21 @@
 	case Fail:
 		return tool.Response{Status: http.StatusInternalServerError, ContentType: "text/plain", Body: []byte("failed")}, nil
 	}
-	if err := s.work(ctx); err != nil {
+	if err := s.delay(ctx); err != nil {
 		return tool.Response{}, &tool.Error{Sent: true, Err: err}
 	}
 	resp := s.execute(r)
 	switch f {
-	case LoseAnswer:
+	case LoseResponse:
 		return tool.Response{}, &tool.Error{Sent: true, Err: errors.New("connection reset")}
-	case HangAfter:
+	case HangAfterExecution:
 		<-ctx.Done()
 		return tool.Response{}, &tool.Error{Sent: true, Err: ctx.Err()}
 	}
 	return resp, nil
 }
 
-func (s *Service) take(r tool.Request) Fault {
+func (s *Service) receive(r tool.Request) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
@@ -135,11 +135,11 @@
 	return f
 }
 
-func (s *Service) work(ctx context.Context) error {
-	if s.Time <= 0 {
+func (s *Service) delay(ctx context.Context) error {
+	if s.Duration <= 0 {
 		return nil
 	}
-	t := time.NewTimer(s.Time)
+	t := time.NewTimer(s.Duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -152,10 +152,10 @@
 func (s *Service) execute(r tool.Request) tool.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ran == nil {
-		s.ran = map[string]int{}
+	if s.executions == nil {
+		s.executions = map[string]int{}
 	}
-	s.ran[r.ID]++
-	body := fmt.Sprintf(`{"request":%q,"path":%q,"receipt":%d,"bytes":%d}`, r.ID, r.Path, len(s.ran), len(r.Body))
+	s.executions[r.ID]++
+	body := fmt.Sprintf(`{"request":%q,"path":%q,"receipt":%d,"bytes":%d}`, r.ID, r.Path, len(s.executions), len(r.Body))
 	return tool.Response{Status: http.StatusOK, ContentType: "application/json", Body: []byte(body)}
 }
--- a/internal/fake/ledger/server.go
+++ b/internal/fake/ledger/server.go
@@ -7,15 +7,15 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/plain"
 	"github.com/slaterock/slaterock/internal/plat/tool"
 )
 
 // Serve serves the service on the listener. Where Do has no answer the
 // connection breaks.
-func Serve(ln net.Listener, s *Service) *host.Host {
-	h := &host.Host{Handler: s.serve}
+func Serve(ln net.Listener, s *Service) *server.HTTP {
+	h := &server.HTTP{Handler: s.serve}
 	h.Start(ln)
 	return h
 }
@@ -30,7 +30,7 @@
 		TraceParent: string(w.Request.Header.Peek("Traceparent")),
 	})
 	if err != nil {
-		host.Break(w)
+		server.Abort(w)
 		return
 	}
 	w.SetStatusCode(resp.Status)
--- a/internal/fake/pipe/pipe.go
+++ b/internal/fake/memnet/memnet.go
@@ -1,7 +1,7 @@
 // Package pipe is a network in memory. Its connections and their deadlines run
 // on the clock of a synctest bubble, so that tests of silence, delay and
 // refusal take no time and end the same way every time.
-package pipe
+package memnet
 
 import (
 	"context"
--- a/internal/fake/depot/depot.go
+++ b/internal/fake/metakv/metakv.go
@@ -1,7 +1,7 @@
 // Package depot stands in for the metadata store of the users' platform: keys
 // with revisions, transactions and leases over HTTP, in memory, with faults to
 // switch on.
-package depot
+package metakv
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 const (
 	pageItems = 500
 	// Fine does what is asked.
-	Fine Fault = iota
+	None Fault = iota
 	// Busy refuses every call.
 	Busy
 	// Lossy does some writes without answering.
@@ -31,28 +31,28 @@
 	Fault int
 
 	// Depot is the store. The zero value is empty.
-	Depot struct {
-		mu     sync.Mutex
-		rev    uint64
-		items  map[string]Item
-		leases map[uint64]lease
-		next   uint64
-		fault  Fault
+	Store struct {
+		mu        sync.Mutex
+		rev       uint64
+		items     map[string]Item
+		leases    map[uint64]lease
+		lastLease uint64
+		fault     Fault
 	}
 
 	// Item is a key as the wire has it.
 	Item struct {
-		Key     string `json:"key"`
-		Value   []byte `json:"value"`
-		Rev     uint64 `json:"revision"`
-		Made    uint64 `json:"create-revision"`
-		Lease   uint64 `json:"lease"`
-		Current uint64 `json:"current-rev,omitempty"`
+		Key       string `json:"key"`
+		Value     []byte `json:"value"`
+		Rev       uint64 `json:"revision"`
+		CreateRev uint64 `json:"create-revision"`
+		Lease     uint64 `json:"lease"`
+		Current   uint64 `json:"current-rev,omitempty"`
 	}
 
 	lease struct {
-		ttl  time.Duration
-		ends time.Time
+		ttl     time.Duration
+		expires time.Time
 	}
 
 	txn struct {
@@ -70,14 +70,14 @@
 )
 
 // Set switches a fault on, or off with Fine.
-func (d *Depot) Set(f Fault) {
+func (d *Store) SetFault(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
 }
 
 // Put writes a key as the operator or an upstream does.
-func (d *Depot) Put(key string, value any) {
+func (d *Store) Put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err) // only plain values are put
@@ -88,7 +88,7 @@
 }
 
 // Remove deletes a key.
-func (d *Depot) Remove(key string) {
+func (d *Store) Remove(key string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev++
@@ -96,36 +96,36 @@
 }
 
 // Get returns a key's value.
-func (d *Depot) Get(key string) ([]byte, bool) {
+func (d *Store) Get(key string) ([]byte, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lapse()
+	d.expireLeases()
 	it, ok := d.items[key]
 	return it.Value, ok
 }
 
-func (d *Depot) put(key string, data []byte, l uint64) {
+func (d *Store) put(key string, data []byte, l uint64) {
 	if d.items == nil {
 		d.items = map[string]Item{}
 	}
 	d.rev++
 	made := d.rev
 	if old, ok := d.items[key]; ok {
-		made = old.Made
+		made = old.CreateRev
 	}
-	d.items[key] = Item{Key: key, Value: data, Rev: d.rev, Made: made, Lease: l}
+	d.items[key] = Item{Key: key, Value: data, Rev: d.rev, CreateRev: made, Lease: l}
 }
 
 // lapse drops leases that are over, with their keys.
-func (d *Depot) lapse() {
+func (d *Store) expireLeases() {
 	for id, l := range d.leases {
-		if time.Now().After(l.ends) {
-			d.end(id)
+		if time.Now().After(l.expires) {
+			d.endLease(id)
 		}
 	}
 }
 
-func (d *Depot) end(id uint64) {
+func (d *Store) endLease(id uint64) {
 	delete(d.leases, id)
 	for key, it := range d.items {
 		if it.Lease == id {
@@ -136,7 +136,7 @@
 }
 
 // ServeHTTP answers one call.
-func (d *Depot) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	fault := d.fault
 	d.mu.Unlock()
@@ -147,7 +147,7 @@
 	case Slow:
 		time.Sleep(300 * time.Millisecond)
 	}
-	status, answer := d.call(r)
+	status, answer := d.handle(r)
 	if fault == Lossy && r.Method == http.MethodPost && rand.IntN(3) == 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -156,10 +156,10 @@
 	_ = json.NewEncoder(w).Encode(answer) // the caller may have left
 }
 
-func (d *Depot) call(r *http.Request) (status int, answer any) {
+func (d *Store) handle(r *http.Request) (status int, answer any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lapse()
+	d.expireLeases()
 	q := r.URL.Query()
 	switch path := r.URL.Path; {
 	case path == "/-/kv-key":
@@ -170,13 +170,13 @@
 		it.Current = d.rev
 		return http.StatusOK, it
 	case path == "/-/kv-range":
-		return d.scan(q.Get("path-prefix"), q.Get("after"))
+		return d.list(q.Get("path-prefix"), q.Get("after"))
 	case path == "/-/kv-txn":
 		var t txn
 		if json.NewDecoder(r.Body).Decode(&t) != nil {
 			return http.StatusBadRequest, nil
 		}
-		return d.transact(t)
+		return d.commit(t)
 	case path == "/-/kv-lease":
 		var ask struct {
 			TTL float64 `json:"ttl-ms"`
@@ -184,23 +184,23 @@
 		if json.NewDecoder(r.Body).Decode(&ask) != nil {
 			return http.StatusBadRequest, nil
 		}
-		return d.grant(time.Duration(ask.TTL) * time.Millisecond)
+		return d.grantLease(time.Duration(ask.TTL) * time.Millisecond)
 	case strings.HasPrefix(path, "/-/kv-keep/"):
-		return d.keep(number(path))
+		return d.renewLease(leaseID(path))
 	case strings.HasPrefix(path, "/-/kv-lease-end/"):
-		d.end(number(path))
+		d.endLease(leaseID(path))
 		return http.StatusOK, nil
 	default:
 		return http.StatusNotFound, nil
 	}
 }
 
-func number(path string) uint64 {
+func leaseID(path string) uint64 {
 	n, _ := strconv.ParseUint(path[strings.LastIndexByte(path, '/')+1:], 10, 64) // 0 names no lease
 	return n
 }
 
-func (d *Depot) scan(prefix, after string) (int, any) {
+func (d *Store) list(prefix, after string) (int, any) {
 	var answer struct {
 		Items     []Item `json:"items"`
 		Truncated bool   `json:"truncated"`
@@ -219,7 +219,7 @@
 	return http.StatusOK, answer
 }
 
-func (d *Depot) transact(t txn) (int, any) {
+func (d *Store) commit(t txn) (int, any) {
 	var conflicts struct {
 		Items []Item `json:"items"`
 	}
@@ -247,21 +247,21 @@
 	return http.StatusOK, map[string]uint64{"revision": d.rev}
 }
 
-func (d *Depot) grant(ttl time.Duration) (int, any) {
+func (d *Store) grantLease(ttl time.Duration) (int, any) {
 	if d.leases == nil {
 		d.leases = map[uint64]lease{}
 	}
-	d.next++
-	d.leases[d.next] = lease{ttl: ttl, ends: time.Now().Add(ttl)}
-	return http.StatusOK, map[string]any{"lease": d.next, "ttl-ms": ttl.Milliseconds()}
+	d.lastLease++
+	d.leases[d.lastLease] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
+	return http.StatusOK, map[string]any{"lease": d.lastLease, "ttl-ms": ttl.Milliseconds()}
 }
 
-func (d *Depot) keep(id uint64) (int, any) {
+func (d *Store) renewLease(id uint64) (int, any) {
 	l, ok := d.leases[id]
 	if !ok {
 		return http.StatusNotFound, nil
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expires = time.Now().Add(l.ttl)
 	d.leases[id] = l
 	return http.StatusOK, map[string]any{"ttl-ms": l.ttl.Milliseconds()}
 }
--- a/internal/fake/model/answer.go
+++ b/internal/fake/model/answer.go
@@ -10,7 +10,7 @@
 
 const (
 	charsPerToken = 4
-	excerpt       = 24 // bytes of the last message that an answer repeats
+	excerptBytes  = 24 // bytes of the last message that an answer repeats
 
 	finishStop      = "stop"
 	finishLength    = "length"
@@ -21,7 +21,7 @@
 // request, cut to the number of tokens.
 func Answer(name string, r engine.Request, tokens int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, last(r.Body))
+	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, lastMessage(r.Body))
 	for i := 0; b.Len() < tokens*charsPerToken; i++ {
 		fmt.Fprintf(&b, " %03d", i%1000)
 	}
@@ -29,7 +29,7 @@
 }
 
 // last returns the head of the last message's text.
-func last(body []byte) string {
+func lastMessage(body []byte) string {
 	var b struct {
 		Messages []struct {
 			Content json.RawMessage `json:"content"`
@@ -44,11 +44,11 @@
 		s = string(content)
 	}
 	s = strings.ToValidUTF8(s, "")
-	return strings.ToValidUTF8(s[:min(len(s), excerpt)], "")
+	return strings.ToValidUTF8(s[:min(len(s), excerptBytes)], "")
 }
 
 // cut divides text into pieces of at most n bytes.
-func cut(text string, n int) []string {
+func split(text string, n int) []string {
 	var out []string
 	for len(text) > n {
 		out = append(out, text[:n])
--- a/internal/fake/model/cache.go
+++ b/internal/fake/model/cache.go
@@ -72,13 +72,13 @@
 			b.owners[p.program] = true
 		}
 	}
-	e.hold(p)
+	e.pinCached(p)
 	return u
 }
 
 // keep stores the whole prompt. Its first blocks are touched last, since every
 // later block is worthless without them.
-func (e *Engine) keep(p prompt) {
+func (e *Engine) storeBlocks(p prompt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var stored []uint64
@@ -88,14 +88,14 @@
 		}
 	}
 	slices.Reverse(stored)
-	e.hold(p)
-	evicted := e.cache.evict(pick(e.Memory, defaultMemory))
-	e.publish(stored, evicted)
-	e.report()
+	e.pinCached(p)
+	evicted := e.cache.evictTo(orDefault(e.Memory, defaultMemory))
+	e.recordEvent(stored, evicted)
+	e.recordLoad()
 }
 
 // hold pins the prompt's blocks that are cached, each once.
-func (e *Engine) hold(p prompt) {
+func (e *Engine) pinCached(p prompt) {
 	for _, want := range p.blocks {
 		if b, ok := e.cache.blocks[want.Hash]; ok && !p.pinned[want.Hash] {
 			p.pinned[want.Hash] = true
@@ -130,8 +130,8 @@
 	return !ok
 }
 
-func (c *cache) evict(room int) (evicted []uint64) {
-	for c.used > room {
+func (c *cache) evictTo(capacity int) (evicted []uint64) {
+	for c.used > capacity {
 		oldest, found := uint64(0), false
 		for h, b := range c.blocks {
 			if b.pins == 0 && (!found || b.last < c.blocks[oldest].last) {
@@ -166,7 +166,7 @@
 }
 
 // owned returns the program's blocks in the order of their last use.
-func (c *cache) owned(program string) (out []engine.Block) {
+func (c *cache) blocksOf(program string) (out []engine.Block) {
 	for h, b := range c.blocks {
 		if b.owners[program] {
 			out = append(out, engine.Block{Hash: h, Tokens: b.tokens})
--- a/internal/fake/model/fault.go
+++ b/internal/fake/model/fault.go
@@ -19,12 +19,12 @@
 	// Hang takes the request and never answers.
 	Hang
 	// Late holds the request back for the delay that Set was given.
-	Late
+	Delayed
 	// Die breaks the connection in the middle of the answer.
-	Die
+	Disconnect
 	// Silent sends half of the answer and then nothing, with the connection
 	// still open.
-	Silent
+	Stall
 )
 
 type (
@@ -40,17 +40,17 @@
 )
 
 var (
-	errRefused = &engine.Error{Err: errors.New("connection refused")}
-	errBusy    = &engine.Error{Sent: true, Status: http.StatusServiceUnavailable, Err: errors.New("busy")}
-	errDied    = &engine.Error{Sent: true, Err: errors.New("connection reset")}
-	errNoModel = &engine.Error{Sent: true, Status: http.StatusNotFound, Err: errors.New("model not loaded")}
-	errFenced  = &engine.Error{Sent: true, Status: http.StatusConflict, Err: errors.New("old fencing number")}
-	errNoOrder = &engine.Error{Sent: true, Status: http.StatusBadRequest, Err: errors.New("order not possible")}
+	errRefused      = &engine.Error{Err: errors.New("connection refused")}
+	errBusy         = &engine.Error{Sent: true, Status: http.StatusServiceUnavailable, Err: errors.New("busy")}
+	errDisconnected = &engine.Error{Sent: true, Err: errors.New("connection reset")}
+	errNoModel      = &engine.Error{Sent: true, Status: http.StatusNotFound, Err: errors.New("model not loaded")}
+	errFenced       = &engine.Error{Sent: true, Status: http.StatusConflict, Err: errors.New("old fencing number")}
+	errBadOrder     = &engine.Error{Sent: true, Status: http.StatusBadRequest, Err: errors.New("order not possible")}
 )
 
 // Set makes every request fail in the same way until the next Set. Late takes
 // the delay.
-func (e *Engine) Set(f Fault, delay time.Duration) {
+func (e *Engine) SetFault(f Fault, delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault.fault, e.fault.delay = f, delay
@@ -58,7 +58,7 @@
 
 // Script makes the n-th request from now on, counted from 1, fail with
 // script[n].
-func (e *Engine) Script(script map[int]Fault) {
+func (e *Engine) ScriptFaults(script map[int]Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault.script, e.fault.n = script, 0
@@ -73,7 +73,7 @@
 }
 
 // early is what a fault does before the request runs.
-func early(ctx context.Context, f Fault, delay time.Duration) error {
+func failBeforeRun(ctx context.Context, f Fault, delay time.Duration) error {
 	switch f {
 	case Refuse:
 		return errRefused
@@ -82,7 +82,7 @@
 	case Hang:
 		<-ctx.Done()
 		return cancelled(ctx.Err())
-	case Late:
+	case Delayed:
 		if err := sleep(ctx, delay); err != nil {
 			return cancelled(err)
 		}
@@ -91,14 +91,14 @@
 }
 
 // late is what a fault does before piece i of n.
-func late(ctx context.Context, f Fault, i, n int) error {
+func failInStream(ctx context.Context, f Fault, i, n int) error {
 	if i < n/2 {
 		return nil
 	}
 	switch f {
-	case Die:
-		return errDied
-	case Silent:
+	case Disconnect:
+		return errDisconnected
+	case Stall:
 		<-ctx.Done()
 		return cancelled(ctx.Err())
 	}
--- a/internal/fake/model/model.go
+++ b/internal/fake/model/model.go
@@ -27,30 +27,30 @@
 	defaultMemory  = 200_000 // tokens
 	defaultPiece   = 4       // tokens
 	minOutput      = 16
-	spanOutput     = 48
+	outputRange    = 48
 )
 
 type (
 	// Engine implements engine.Engine. The zero value works at once; fields
 	// are set before the first call.
 	Engine struct {
-		Name        string
-		Seed        uint64
-		Speed       float64       // divides all times; 0 is 1
-		Prefill     int           // tokens a second
-		Decode      time.Duration // for each token of a batch of one
-		Batch       time.Duration // more for each further request
-		Limit       int           // requests of one batch
-		Memory      int           // tokens of cache
-		Piece       int           // tokens of one piece of an answer
-		Output      int           // tokens of an answer; 0 draws them from the request's name
-		LoadLag     time.Duration // age of load reports
-		EventLag    time.Duration // age of cache events
-		EventGap    int           // one event of so many is lost; 0 is none
-		IgnoreFence bool          // takes orders with an old fencing number
-		LoadTime    time.Duration // what loading a model takes
-		Models      []string      // served; empty is all
-		Peer        func(target string) *Engine
+		Name         string
+		Seed         uint64
+		Speed        float64       // divides all times; 0 is 1
+		Prefill      int           // tokens a second
+		Decode       time.Duration // for each token of a batch of one
+		Batch        time.Duration // more for each further request
+		Limit        int           // requests of one batch
+		Memory       int           // tokens of cache
+		Piece        int           // tokens of one piece of an answer
+		Output       int           // tokens of an answer; 0 draws them from the request's name
+		LoadLag      time.Duration // age of load reports
+		EventLag     time.Duration // age of cache events
+		EventGap     int           // one event of so many is lost; 0 is none
+		IgnoreFence  bool          // takes orders with an old fencing number
+		LoadDuration time.Duration // what loading a model takes
+		Models       []string      // served; empty is all
+		Peer         func(target string) *Engine
 
 		mu         sync.Mutex
 		fault      faults
@@ -75,7 +75,7 @@
 		Leaving     bool // it arrived after the engine had said that it leaves
 		Cached      int  // prompt tokens found cached, known once it runs
 		Prompt      int
-		Ended       string // finish reason or the fault; empty while it runs
+		Outcome     string // finish reason or the fault; empty while it runs
 	}
 )
 
@@ -88,43 +88,43 @@
 
 // Chat implements engine.Engine.
 func (e *Engine) Chat(ctx context.Context, r engine.Request, sink func(engine.Delta) error) (u engine.Usage, err error) {
-	n, f, delay := e.arrive(r)
-	defer func() { e.ended(n, u, err) }()
-	if err := early(ctx, f, delay); err != nil {
+	n, f, delay := e.receive(r)
+	defer func() { e.recordOutcome(n, u, err) }()
+	if err := failBeforeRun(ctx, f, delay); err != nil {
 		return u, err
 	}
 	if !e.serves(r.Model) {
 		return u, errNoModel
 	}
-	if err := e.enter(ctx, r.Priority); err != nil {
+	if err := e.acquireSlot(ctx, r.Priority); err != nil {
 		return u, cancelled(err)
 	}
-	defer e.leave()
+	defer e.releaseSlot()
 	p := prompt{program: r.Program, blocks: engine.Blocks(r.Body), pinned: map[uint64]bool{}}
 	u = e.pin(p)
 	defer e.unpin(p)
-	e.found(n, u)
+	e.recordPrompt(n, u)
 	if err := e.sleep(ctx, time.Duration(u.Prompt-u.Cached)*time.Second/time.Duration(e.prefill())); err != nil {
 		u.Finish = finishCancelled
 		return u, cancelled(err)
 	}
-	e.keep(p)
+	e.storeBlocks(p)
 	return e.generate(ctx, r, f, u, sink)
 }
 
 func (e *Engine) generate(ctx context.Context, r engine.Request, f Fault, u engine.Usage, sink func(engine.Delta) error) (engine.Usage, error) {
 	total, finish := e.output(r)
-	pieces := cut(Answer(e.Name, r, total), e.piece()*charsPerToken)
+	pieces := split(Answer(e.Name, r, total), e.piece()*charsPerToken)
 	for i, text := range pieces {
 		tokens := min(e.piece(), total-i*e.piece())
 		if i < r.Resume {
 			u.Output += tokens
 			continue
 		}
-		if err := late(ctx, f, i, len(pieces)); err != nil {
+		if err := failInStream(ctx, f, i, len(pieces)); err != nil {
 			return u, err
 		}
-		if err := e.sleep(ctx, time.Duration(tokens)*e.token()); err != nil {
+		if err := e.sleep(ctx, time.Duration(tokens)*e.tokenTime()); err != nil {
 			u.Finish = finishCancelled
 			return u, cancelled(err)
 		}
@@ -142,7 +142,7 @@
 func (e *Engine) output(r engine.Request) (int, string) {
 	n := e.Output
 	if n <= 0 {
-		n = minOutput + int(xxhash.Sum64String(r.ID)%spanOutput)
+		n = minOutput + int(xxhash.Sum64String(r.ID)%outputRange)
 	}
 	if r.MaxTokens > 0 && n > r.MaxTokens {
 		return r.MaxTokens, finishLength
@@ -150,7 +150,7 @@
 	return n, finishStop
 }
 
-func (e *Engine) arrive(r engine.Request) (n int, f Fault, delay time.Duration) {
+func (e *Engine) receive(r engine.Request) (n int, f Fault, delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f, delay = e.fault.next()
@@ -164,21 +164,21 @@
 	return len(e.dispatches) - 1, f, delay
 }
 
-func (e *Engine) found(n int, u engine.Usage) {
+func (e *Engine) recordPrompt(n int, u engine.Usage) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatches[n].Prompt, e.dispatches[n].Cached = u.Prompt, u.Cached
 }
 
-func (e *Engine) ended(n int, u engine.Usage, err error) {
+func (e *Engine) recordOutcome(n int, u engine.Usage, err error) {
 	if n < 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dispatches[n].Ended = u.Finish
+	e.dispatches[n].Outcome = u.Finish
 	if err != nil {
-		e.dispatches[n].Ended = err.Error()
+		e.dispatches[n].Outcome = err.Error()
 	}
 }
 
@@ -189,16 +189,16 @@
 	return sleep(ctx, d)
 }
 
-func (e *Engine) token() time.Duration {
+func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return pick(e.Decode, defaultDecode) + time.Duration(e.queue.running-1)*pick(e.Batch, defaultBatch)
+	return orDefault(e.Decode, defaultDecode) + time.Duration(e.queue.running-1)*orDefault(e.Batch, defaultBatch)
 }
 
-func (e *Engine) prefill() int { return pick(e.Prefill, defaultPrefill) }
-func (e *Engine) piece() int   { return pick(e.Piece, defaultPiece) }
+func (e *Engine) prefill() int { return orDefault(e.Prefill, defaultPrefill) }
+func (e *Engine) piece() int   { return orDefault(e.Piece, defaultPiece) }
 
-func pick[T int | time.Duration](v, otherwise T) T {
+func orDefault[T int | time.Duration](v, otherwise T) T {
 	if v <= 0 {
 		return otherwise
 	}
--- a/internal/fake/model/model_test.go
+++ b/internal/fake/model/model_test.go
@@ -18,11 +18,11 @@
 // The contract is tested in package chat; here is what decides times and
 // memory.
 
-func drop(engine.Delta) error { return nil }
+func discard(engine.Delta) error { return nil }
 
-func ask(e *Engine, id, program, text string, priority int) (engine.Usage, error) {
+func sendChat(e *Engine, id, program, text string, priority int) (engine.Usage, error) {
 	body := fmt.Sprintf(`{"messages":[{"content":%q}]}`, text)
-	return e.Chat(context.Background(), engine.Request{ID: id, Program: program, Body: []byte(body), Priority: priority}, drop)
+	return e.Chat(context.Background(), engine.Request{ID: id, Program: program, Body: []byte(body), Priority: priority}, discard)
 }
 
 func TestBatchSlowsDown(t *testing.T) {
@@ -42,7 +42,7 @@
 				var all sync.WaitGroup
 				for i := range tt.requests {
 					all.Go(func() {
-						_, err := ask(e, fmt.Sprint(i), "p", "x", 0)
+						_, err := sendChat(e, fmt.Sprint(i), "p", "x", 0)
 						is.NoErr(err)
 					})
 				}
@@ -63,7 +63,7 @@
 		for i, priority := range []int{0, 1, 5, 1} {
 			id := fmt.Sprintf("%d at %d", i, priority)
 			all.Go(func() {
-				_, err := ask(e, id, "p", id, priority)
+				_, err := sendChat(e, id, "p", id, priority)
 				is.NoErr(err)
 				mu.Lock()
 				defer mu.Unlock()
@@ -82,7 +82,7 @@
 		e := &Engine{Memory: 250}
 		long := func(c string) string { return strings.Repeat(c, 380) } // 100 tokens with its frame
 		for _, c := range []string{"a", "b", "a", "c"} {
-			_, err := ask(e, "r", c, long(c), 0)
+			_, err := sendChat(e, "r", c, long(c), 0)
 			is.NoErr(err)
 		}
 		held, err := e.Held(t.Context())
@@ -99,19 +99,19 @@
 // A request that waits for its place gives up in the moment in which it gets
 // one. The place must go on to the next: an engine that loses places ends up
 // taking no work at all.
-func TestPlaceOfOneThatGaveUp(t *testing.T) {
+func TestSlotOfCancelledRequestIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := &Engine{Limit: 1}
-		is.NoErr(e.enter(t.Context(), 0))
-		ready := e.wait(0)
-		e.leave()
+		is.NoErr(e.acquireSlot(t.Context(), 0))
+		ready := e.enqueue(0)
+		e.releaseSlot()
 		<-ready
-		e.give(ready)
+		e.abandon(ready)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.NoErr(e.enter(ctx, 0))
-		is.True(errors.Is(e.enter(ctx, 0), context.DeadlineExceeded))
+		is.NoErr(e.acquireSlot(ctx, 0))
+		is.True(errors.Is(e.acquireSlot(ctx, 0), context.DeadlineExceeded))
 		l, err := e.Load(t.Context())
 		is.NoErr(err)
 		is.Equal([]int{l.Running, l.Waiting}, []int{1, 0})
@@ -119,11 +119,11 @@
 }
 
 // Events come late: what is cached already is not told yet.
-func TestEventsAreLate(t *testing.T) {
+func TestEventsAreDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := &Engine{EventLag: time.Minute}
-		_, err := ask(e, "r", "p", "x", 0)
+		_, err := sendChat(e, "r", "p", "x", 0)
 		is.NoErr(err)
 		events, err := e.Events(t.Context(), 0)
 		is.NoErr(err)
--- a/internal/fake/model/order.go
+++ b/internal/fake/model/order.go
@@ -9,20 +9,20 @@
 )
 
 // exportRate is how many tokens of cache move to another engine in a second.
-const exportRate = 100_000
+const exportTokensPerSecond = 100_000
 
 type (
 	orders struct {
-		leaving bool
-		fence   uint64 // highest seen
-		role    string
-		loaded  []string
-		log     []Taken
+		leaving  bool
+		fence    uint64 // highest seen
+		role     string
+		loaded   []string
+		received []ReceivedOrder
 	}
 
 	// Taken is an order as it arrived. Refused tells that its fencing number
 	// was too old.
-	Taken struct {
+	ReceivedOrder struct {
 		engine.Order
 		Refused bool
 		At      time.Time
@@ -30,18 +30,18 @@
 )
 
 // Leave sets the flag that tells readers of the load that the engine goes.
-func (e *Engine) Leave(leaving bool) {
+func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders.leaving = leaving
-	e.report()
+	e.recordLoad()
 }
 
 // Orders returns all orders in the order of their arrival.
-func (e *Engine) Orders() []Taken {
+func (e *Engine) Orders() []ReceivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.orders.log)
+	return slices.Clone(e.orders.received)
 }
 
 // Role returns the role that the last order gave.
@@ -54,7 +54,7 @@
 // Order implements engine.Engine. There is one fencing number for the whole
 // engine: an order below the highest number seen is refused, whoever sent it.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
-	if !e.fenced(o) {
+	if !e.checkFence(o) {
 		return errFenced
 	}
 	switch o.Kind {
@@ -69,16 +69,16 @@
 		defer e.mu.Unlock()
 		e.orders.role = o.Target
 	default:
-		return errNoOrder
+		return errBadOrder
 	}
 	return nil
 }
 
-func (e *Engine) fenced(o engine.Order) bool {
+func (e *Engine) checkFence(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	refused := o.Fence < e.orders.fence && !e.IgnoreFence
-	e.orders.log = append(e.orders.log, Taken{Order: o, Refused: refused, At: time.Now()})
+	e.orders.received = append(e.orders.received, ReceivedOrder{Order: o, Refused: refused, At: time.Now()})
 	e.orders.fence = max(e.orders.fence, o.Fence)
 	return !refused
 }
@@ -86,33 +86,33 @@
 func (e *Engine) release(program string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.publish(nil, e.cache.release(program))
-	e.report()
+	e.recordEvent(nil, e.cache.release(program))
+	e.recordLoad()
 }
 
 func (e *Engine) export(ctx context.Context, o engine.Order) error {
 	if e.Peer == nil || e.Peer(o.Target) == nil {
-		return errNoOrder
+		return errBadOrder
 	}
 	e.mu.Lock()
-	p := prompt{program: o.Program, blocks: e.cache.owned(o.Program), pinned: map[uint64]bool{}}
+	p := prompt{program: o.Program, blocks: e.cache.blocksOf(o.Program), pinned: map[uint64]bool{}}
 	e.mu.Unlock()
 	tokens := 0
 	for _, b := range p.blocks {
 		tokens += b.Tokens
 	}
-	if err := e.sleep(ctx, time.Duration(tokens)*time.Second/exportRate); err != nil {
+	if err := e.sleep(ctx, time.Duration(tokens)*time.Second/exportTokensPerSecond); err != nil {
 		return cancelled(err)
 	}
 	to := e.Peer(o.Target)
 	to.pin(p)
-	to.keep(p)
+	to.storeBlocks(p)
 	to.unpin(p)
 	return nil
 }
 
 func (e *Engine) load(ctx context.Context, model string) error {
-	if err := e.sleep(ctx, e.LoadTime); err != nil {
+	if err := e.sleep(ctx, e.LoadDuration); err != nil {
 		return cancelled(err)
 	}
 	e.mu.Lock()
--- a/internal/fake/model/queue.go
+++ b/internal/fake/model/queue.go
@@ -9,7 +9,7 @@
 	// queue admits requests to the batch, by priority, then by arrival.
 	queue struct {
 		running int
-		waiting []waiter
+		waiters []waiter
 	}
 
 	waiter struct {
@@ -18,8 +18,8 @@
 	}
 )
 
-func (e *Engine) enter(ctx context.Context, priority int) error {
-	ready := e.wait(priority)
+func (e *Engine) acquireSlot(ctx context.Context, priority int) error {
+	ready := e.enqueue(priority)
 	if ready == nil {
 		return nil
 	}
@@ -27,55 +27,55 @@
 	case <-ready:
 		return nil
 	case <-ctx.Done():
-		e.give(ready)
+		e.abandon(ready)
 		return ctx.Err()
 	}
 }
 
 // wait takes a place in the batch, or returns the channel that tells of one.
-func (e *Engine) wait(priority int) chan struct{} {
+func (e *Engine) enqueue(priority int) chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer e.report()
+	defer e.recordLoad()
 	q := &e.queue
-	if q.running < pick(e.Limit, defaultLimit) {
+	if q.running < orDefault(e.Limit, defaultLimit) {
 		q.running++
 		return nil
 	}
 	w := waiter{priority: priority, ready: make(chan struct{})}
-	at := len(q.waiting)
-	for at > 0 && q.waiting[at-1].priority < priority {
+	at := len(q.waiters)
+	for at > 0 && q.waiters[at-1].priority < priority {
 		at--
 	}
-	q.waiting = slices.Insert(q.waiting, at, w)
+	q.waiters = slices.Insert(q.waiters, at, w)
 	return w.ready
 }
 
 // give takes a request that gave up out of the queue. It may have been
 // admitted in the same moment; then its place goes to the next.
-func (e *Engine) give(ready chan struct{}) {
+func (e *Engine) abandon(ready chan struct{}) {
 	e.mu.Lock()
-	for i, w := range e.queue.waiting {
+	for i, w := range e.queue.waiters {
 		if w.ready == ready {
-			e.queue.waiting = slices.Delete(e.queue.waiting, i, i+1)
-			e.report()
+			e.queue.waiters = slices.Delete(e.queue.waiters, i, i+1)
+			e.recordLoad()
 			e.mu.Unlock()
 			return
 		}
 	}
 	e.mu.Unlock()
-	e.leave()
+	e.releaseSlot()
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer e.report()
+	defer e.recordLoad()
 	q := &e.queue
-	if len(q.waiting) == 0 {
+	if len(q.waiters) == 0 {
 		q.running--
 		return
 	}
-	close(q.waiting[0].ready)
-	q.waiting = q.waiting[1:]
+	close(q.waiters[0].ready)
+	q.waiters = q.waiters[1:]
 }
--- a/internal/fake/model/report.go
+++ b/internal/fake/model/report.go
@@ -39,7 +39,7 @@
 	for len(*l) > 1 && !(*l)[1].At.After(seen) {
 		*l = (*l)[1:]
 	}
-	out := engine.Load{Total: pick(e.Memory, defaultMemory)}
+	out := engine.Load{Total: orDefault(e.Memory, defaultMemory)}
 	if len(*l) > 0 && !(*l)[0].At.After(seen) {
 		out = (*l)[0]
 	}
@@ -64,12 +64,12 @@
 }
 
 // report records the load as it is now; the caller holds the mutex.
-func (e *Engine) report() {
+func (e *Engine) recordLoad() {
 	e.reports.seq++
 	e.reports.list = append(e.reports.list, engine.Load{
 		Seq: e.reports.seq, At: time.Now(),
-		Running: e.queue.running, Waiting: len(e.queue.waiting),
-		Used: e.cache.used, Total: pick(e.Memory, defaultMemory),
+		Running: e.queue.running, Waiting: len(e.queue.waiters),
+		Used: e.cache.used, Total: orDefault(e.Memory, defaultMemory),
 		Leaving: e.orders.leaving,
 	})
 	if len(e.reports.list) > maxEvents {
@@ -78,7 +78,7 @@
 }
 
 // publish records what entered and left the cache; the caller holds the mutex.
-func (e *Engine) publish(stored, evicted []uint64) {
+func (e *Engine) recordEvent(stored, evicted []uint64) {
 	if len(stored)+len(evicted) == 0 {
 		return
 	}
--- a/internal/fake/model/server.go
+++ b/internal/fake/model/server.go
@@ -12,14 +12,14 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
 type (
 	// fields are what the engine reads of a request's body.
-	fields struct {
+	chatBody struct {
 		Model     string `json:"model"`
 		MaxTokens int    `json:"max_tokens"`
 		User      string `json:"user"`
@@ -28,8 +28,8 @@
 )
 
 // Serve serves the engine on the listener in the usual chat protocol.
-func Serve(ln net.Listener, e *Engine) *host.Host {
-	h := &host.Host{Handler: e.serve}
+func Serve(ln net.Listener, e *Engine) *server.HTTP {
+	h := &server.HTTP{Handler: e.serve}
 	h.Start(ln)
 	return h
 }
@@ -40,28 +40,28 @@
 		e.serveChat(ctx, w)
 	case chat.PathLoad:
 		l, err := e.Load(ctx)
-		reply(w, l, err)
+		writeJSON(w, l, err)
 	case chat.PathEvents:
 		after, _ := strconv.ParseUint(string(w.QueryArgs().Peek("after")), 10, 64)
 		events, err := e.Events(ctx, after)
-		reply(w, events, err)
+		writeJSON(w, events, err)
 	case chat.PathHeld:
 		held, err := e.Held(ctx)
-		reply(w, held, err)
+		writeJSON(w, held, err)
 	case chat.PathOrder:
 		var o engine.Order
 		err := json.Unmarshal(w.PostBody(), &o)
 		if err == nil {
 			err = e.Order(ctx, o)
 		}
-		reply(w, struct{}{}, err)
+		writeJSON(w, struct{}{}, err)
 	default:
 		w.SetStatusCode(http.StatusNotFound)
 	}
 }
 
 func (e *Engine) serveChat(ctx context.Context, w *fasthttp.RequestCtx) {
-	r, ok := request(w)
+	r, ok := parseRequest(w)
 	if !ok {
 		w.Error("not a chat request", http.StatusBadRequest)
 		return
@@ -78,11 +78,11 @@
 		w.Error(err.Error(), status)
 		return
 	}
-	host.Break(w)
+	server.Abort(w)
 }
 
-func request(w *fasthttp.RequestCtx) (r engine.Request, ok bool) {
-	var f fields
+func parseRequest(w *fasthttp.RequestCtx) (r engine.Request, ok bool) {
+	var f chatBody
 	body := slices.Clone(w.PostBody())
 	if json.Unmarshal(body, &f) != nil {
 		return r, false
@@ -100,7 +100,7 @@
 	}, true
 }
 
-func reply(w *fasthttp.RequestCtx, v any, err error) {
+func writeJSON(w *fasthttp.RequestCtx, v any, err error) {
 	if err != nil {
 		w.Error(err.Error(), max(statusOf(err), http.StatusBadRequest))
 		return
--- a/internal/fake/host/host.go
+++ b/internal/fake/server/server.go
@@ -3,7 +3,7 @@
 //
 // Each connection serves one request, so that whatever else happens on it is
 // its client's leaving; that ends the request's context.
-package host
+package server
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 	Handler func(ctx context.Context, w *fasthttp.RequestCtx)
 
 	// Host is a server with its connections.
-	Host struct {
+	HTTP struct {
 		Handler Handler
 
 		server fasthttp.Server
@@ -32,18 +32,18 @@
 		cancel context.CancelFunc
 		done   chan struct{}
 
-		mu    sync.Mutex
-		conns map[*conn]struct{}
-		mute  []*conn // closed at this end only
+		mu         sync.Mutex
+		conns      map[*conn]struct{}
+		blackholed []*conn // closed at this end only
 	}
 
 	conn struct {
 		net.Conn
-		host   *Host
-		once   sync.Once
-		mu     sync.Mutex
-		silent chan struct{}
-		closed chan struct{}
+		host      *HTTP
+		once      sync.Once
+		mu        sync.Mutex
+		blackhole chan struct{}
+		closed    chan struct{}
 	}
 )
 
@@ -56,13 +56,13 @@
 }
 
 // Break ends the exchange without an answer.
-func Break(w *fasthttp.RequestCtx) {
+func Abort(w *fasthttp.RequestCtx) {
 	w.HijackSetNoResponse(true)
 	w.Hijack(func(net.Conn) {})
 }
 
 // Start serves on the listener until Close.
-func (h *Host) Start(ln net.Listener) {
+func (h *HTTP) Start(ln net.Listener) {
 	h.ln = ln
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.done = make(chan struct{})
@@ -74,7 +74,7 @@
 // accept serves each connection on a goroutine of its own. The library's pool
 // of workers is not used because it outlives the server by its idle time,
 // which a synctest bubble does not allow.
-func (h *Host) accept() {
+func (h *HTTP) accept() {
 	defer close(h.done)
 	for {
 		c, err := h.ln.Accept()
@@ -86,40 +86,40 @@
 }
 
 // Address returns the IP number and port.
-func (h *Host) Address() string { return h.ln.Addr().String() }
+func (h *HTTP) Address() string { return h.ln.Addr().String() }
 
 // Close stops listening and cuts all connections, as a process that is killed.
-func (h *Host) Close() {
+func (h *HTTP) Close() {
 	h.cancel()
 	_ = h.ln.Close()
 	<-h.done
-	h.Cut()
+	h.CloseConns()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range h.mute {
+	for _, c := range h.blackholed {
 		_ = c.Conn.Close()
 	}
 }
 
 // Cut closes all open connections.
-func (h *Host) Cut() {
-	for _, c := range h.open() {
+func (h *HTTP) CloseConns() {
+	for _, c := range h.openConns() {
 		_ = c.Close()
 	}
 }
 
 // Silence makes the open connections swallow what is sent and bring nothing
 // more, without closing them. New connections work.
-func (h *Host) Silence() {
-	for _, c := range h.open() {
-		c.hush()
+func (h *HTTP) Blackhole() {
+	for _, c := range h.openConns() {
+		c.startBlackhole()
 	}
 }
 
 // Conns returns the number of open connections.
-func (h *Host) Conns() int { return len(h.open()) }
+func (h *HTTP) Conns() int { return len(h.openConns()) }
 
-func (h *Host) serve(w *fasthttp.RequestCtx) {
+func (h *HTTP) serve(w *fasthttp.RequestCtx) {
 	w.SetConnectionClose()
 	ctx, cancel := context.WithCancel(h.ctx)
 	c := w.Conn().(*conn)
@@ -131,7 +131,7 @@
 	h.Handler(ctx, w)
 }
 
-func (h *Host) open() []*conn {
+func (h *HTTP) openConns() []*conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make([]*conn, 0, len(h.conns))
@@ -141,8 +141,8 @@
 	return out
 }
 
-func (h *Host) track(raw net.Conn) *conn {
-	c := &conn{Conn: raw, host: h, silent: make(chan struct{}), closed: make(chan struct{})}
+func (h *HTTP) track(raw net.Conn) *conn {
+	c := &conn{Conn: raw, host: h, blackhole: make(chan struct{}), closed: make(chan struct{})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns[c] = struct{}{}
@@ -151,7 +151,7 @@
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.quiet() {
+	if c.isBlackholed() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -159,7 +159,7 @@
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if c.quiet() {
+	if c.isBlackholed() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -170,7 +170,7 @@
 func (c *conn) Close() (err error) {
 	c.once.Do(func() {
 		close(c.closed)
-		if c.forget() {
+		if c.untrack() {
 			err = c.Conn.Close()
 		}
 	})
@@ -178,28 +178,28 @@
 }
 
 // forget takes the connection off the list and reports whether to close it.
-func (c *conn) forget() bool {
+func (c *conn) untrack() bool {
 	c.host.mu.Lock()
 	defer c.host.mu.Unlock()
 	delete(c.host.conns, c)
-	if c.quiet() {
-		c.host.mute = append(c.host.mute, c)
+	if c.isBlackholed() {
+		c.host.blackholed = append(c.host.blackholed, c)
 		return false
 	}
 	return true
 }
 
-func (c *conn) hush() {
+func (c *conn) startBlackhole() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.quiet() {
-		close(c.silent)
+	if !c.isBlackholed() {
+		close(c.blackhole)
 	}
 }
 
-func (c *conn) quiet() bool {
+func (c *conn) isBlackholed() bool {
 	select {
-	case <-c.silent:
+	case <-c.blackhole:
 		return true
 	default:
 		return false
--- a/internal/fake/site/site.go
+++ b/internal/fake/site/site.go
@@ -13,10 +13,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 	"github.com/slaterock/slaterock/internal/fake/ledger"
 	"github.com/slaterock/slaterock/internal/fake/model"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/fake/vmset"
 	"github.com/slaterock/slaterock/internal/fake/weight"
 )
@@ -49,7 +49,7 @@
 		E1, E2  model.Engine
 		Ledger  ledger.Service
 
-		hosts map[Part]*host.Host
+		hosts map[Part]*server.HTTP
 	}
 )
 
@@ -62,11 +62,11 @@
 			s.Close()
 		}
 	}()
-	s.prepare()
-	s.hosts = map[Part]*host.Host{}
+	s.configureEngines()
+	s.hosts = map[Part]*server.HTTP{}
 	for p, serve := range s.servers() {
 		var l net.ListenConfig
-		ln, err := l.Listen(ctx, "tcp", s.listen(p))
+		ln, err := l.Listen(ctx, "tcp", s.listenAddress(p))
 		if err != nil {
 			return err
 		}
@@ -79,7 +79,7 @@
 func (s *Site) Address(p Part) string { return s.hosts[p].Address() }
 
 // Host returns the part's server, whose connections can be made to fail.
-func (s *Site) Host(p Part) *host.Host { return s.hosts[p] }
+func (s *Site) HTTP(p Part) *server.HTTP { return s.hosts[p] }
 
 // Close ends all parts.
 func (s *Site) Close() {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (s *Site) prepare() {
+func (s *Site) configureEngines() {
 	for p, e := range map[Part]*model.Engine{Engine1: &s.E1, Engine2: &s.E2} {
 		e.Name = string(p)
 		e.Peer = s.Engine
@@ -109,18 +109,18 @@
 	}
 }
 
-func (s *Site) servers() map[Part]func(net.Listener) *host.Host {
-	return map[Part]func(net.Listener) *host.Host{
-		Store:   func(ln net.Listener) *host.Host { return keyval.Serve(ln, &s.Store) },
-		VMs:     func(ln net.Listener) *host.Host { return vmset.Serve(ln, &s.VMs) },
-		Weights: func(ln net.Listener) *host.Host { return weight.Serve(ln, &s.Weights) },
-		Engine1: func(ln net.Listener) *host.Host { return model.Serve(ln, &s.E1) },
-		Engine2: func(ln net.Listener) *host.Host { return model.Serve(ln, &s.E2) },
-		Ledger:  func(ln net.Listener) *host.Host { return ledger.Serve(ln, &s.Ledger) },
+func (s *Site) servers() map[Part]func(net.Listener) *server.HTTP {
+	return map[Part]func(net.Listener) *server.HTTP{
+		Store:   func(ln net.Listener) *server.HTTP { return keyval.Serve(ln, &s.Store) },
+		VMs:     func(ln net.Listener) *server.HTTP { return vmset.Serve(ln, &s.VMs) },
+		Weights: func(ln net.Listener) *server.HTTP { return weight.Serve(ln, &s.Weights) },
+		Engine1: func(ln net.Listener) *server.HTTP { return model.Serve(ln, &s.E1) },
+		Engine2: func(ln net.Listener) *server.HTTP { return model.Serve(ln, &s.E2) },
+		Ledger:  func(ln net.Listener) *server.HTTP { return ledger.Serve(ln, &s.Ledger) },
 	}
 }
 
-func (s *Site) listen(p Part) string {
+func (s *Site) listenAddress(p Part) string {
 	if a, ok := s.Listen[p]; ok {
 		return a
 	}
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
-func TestPartsAnswerOverTheNetwork(t *testing.T) {
+func TestPartsRespondOverNetwork(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	s := &Site{Speed: 1000}
@@ -56,7 +56,7 @@
 			resp, err := c.Do(ctx, tool.Request{ID: "r1", Method: "POST", Path: "/receipts", Body: []byte("x")})
 			is.NoErr(err)
 			is.Equal(resp.Status, 200)
-			is.Equal(s.Ledger.Ran("r1"), 1)
+			is.Equal(s.Ledger.Executions("r1"), 1)
 		},
 		"vm list": func(is *is.I) {
 			vm := vmlist.VM{Name: "a", Address: "127.0.0.1:1", State: vmlist.Live}
--- a/internal/fake/upstrm/upstrm.go
+++ b/internal/fake/upstrm/upstrm.go
@@ -23,42 +23,42 @@
 
 type (
 	// Ledger notes runs, over all upstreams of a system.
-	Ledger struct {
-		mu   sync.Mutex
-		runs map[string]int // by attempt id
-		bad  []string       // what went wrong, in words
+	RunLog struct {
+		mu         sync.Mutex
+		runs       map[string]int // by attempt id
+		violations []string       // what went wrong, in words
 	}
 
 	// Upstream is one process. Set the exported fields before use.
 	Upstream struct {
-		ID     string
-		Ledger *Ledger
-		Batch  int
-		Pause  time.Duration // before each event, and for a plain answer
+		ID          string
+		RunLog      *RunLog
+		MaxInFlight int
+		Delay       time.Duration // before each event, and for a plain answer
 
-		Break atomic.Int64 // one in so many answers is broken off; 0 is none
-		Lose  atomic.Int64 // one in so many answers is lost after the run; 0 is none
+		BreakEvery atomic.Int64 // one in so many answers is broken off; 0 is none
+		LoseEvery  atomic.Int64 // one in so many answers is lost after the run; 0 is none
 
-		busy atomic.Int64
-		seen atomic.Int64
+		inFlight atomic.Int64
+		runs     atomic.Int64
 	}
 )
 
 // Runs returns how often an attempt ran.
-func (l *Ledger) Runs(id string) int {
+func (l *RunLog) Runs(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
 // Bad returns what went wrong at upstreams.
-func (l *Ledger) Bad() []string {
+func (l *RunLog) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.bad...)
+	return append([]string(nil), l.violations...)
 }
 
-func (l *Ledger) run(id string) {
+func (l *RunLog) addRun(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs == nil {
@@ -67,10 +67,10 @@
 	l.runs[id]++
 }
 
-func (l *Ledger) fault(text string) {
+func (l *RunLog) addViolation(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bad = append(l.bad, text)
+	l.violations = append(l.violations, text)
 }
 
 // ServeHTTP runs one request.
@@ -86,31 +86,31 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	defer u.busy.Add(-1)
-	if u.busy.Add(1) > int64(u.Batch) {
+	defer u.inFlight.Add(-1)
+	if u.inFlight.Add(1) > int64(u.MaxInFlight) {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	u.Ledger.run(id)
+	u.RunLog.addRun(id)
 	if want := r.Header.Get(ExpectBody); want != "" && want != Digest(body) {
-		u.Ledger.fault(fmt.Sprintf("attempt %s ran with another body, of %d bytes", id, len(body)))
+		u.RunLog.addViolation(fmt.Sprintf("attempt %s ran with another body, of %d bytes", id, len(body)))
 	}
 	w.Header().Set("Server-Signature", "s."+u.ID+"."+id)
-	n := u.seen.Add(1)
-	if every := u.Lose.Load(); every > 0 && n%every == 0 {
-		u.rest(r)
+	n := u.runs.Add(1)
+	if every := u.LoseEvery.Load(); every > 0 && n%every == 0 {
+		u.delay(r)
 		panic(http.ErrAbortHandler)
 	}
-	every := u.Break.Load()
-	u.answer(w, r, id, every > 0 && n%every == 0)
+	every := u.BreakEvery.Load()
+	u.respond(w, r, id, every > 0 && n%every == 0)
 }
 
 // answer sends events, or one piece for a plain call.
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, id string, broken bool) {
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, id string, broken bool) {
 	events, _ := strconv.Atoi(r.URL.Query().Get("events")) // none for a plain call
 	if events == 0 {
-		if !u.rest(r) {
+		if !u.delay(r) {
 			return
 		}
 		if broken {
@@ -123,25 +123,27 @@
 	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // 0 is the start
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := first + 1; i <= events; i++ {
-		if !u.rest(r) {
+		if !u.delay(r) {
 			return
 		}
 		if broken && i == max(first+1, events/2) {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", i)
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = io.WriteString(w, Event(id, i))
+		_, _ = io.WriteString(w, EventText(id, i))
 		_ = http.NewResponseController(w).Flush() // a daemon that left is noticed at the next rest
 	}
 }
 
-func (u *Upstream) rest(r *http.Request) bool { return pause.For(r.Context(), u.Pause) }
+func (u *Upstream) delay(r *http.Request) bool { return pause.For(r.Context(), u.Delay) }
 
 // Event is the text of one event.
-func Event(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", i, Data(id, i)) }
+func EventText(id string, i int) string {
+	return fmt.Sprintf("id: %d\ndata: %s\n\n", i, EventData(id, i))
+}
 
 // Data is what an event says.
-func Data(id string, i int) string { return fmt.Sprintf("%s/%d", id, i) }
+func EventData(id string, i int) string { return fmt.Sprintf("%s/%d", id, i) }
 
 // Digest is a body's, for ExpectBody.
 func Digest(body []byte) string {
--- a/internal/fake/vmset/server.go
+++ b/internal/fake/vmset/server.go
@@ -8,12 +8,12 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/server"
 )
 
 // Serve serves the list on the listener in the form that vmnet.Client reads.
-func Serve(ln net.Listener, s *Set) *host.Host {
-	h := &host.Host{Handler: s.serve}
+func Serve(ln net.Listener, s *Set) *server.HTTP {
+	h := &server.HTTP{Handler: s.serve}
 	h.Start(ln)
 	return h
 }
--- a/internal/fake/vmset/vmset.go
+++ b/internal/fake/vmset/vmset.go
@@ -18,9 +18,9 @@
 		Lag time.Duration // from a change to its being seen
 		Now func() time.Time
 
-		mu      sync.Mutex
-		changes []change
-		down    bool
+		mu          sync.Mutex
+		changes     []change
+		unavailable bool
 	}
 
 	change struct {
@@ -29,7 +29,7 @@
 	}
 )
 
-var errDown = errors.New("vm list: unavailable")
+var errUnavailable = errors.New("vm list: unavailable")
 
 // Put replaces the list; readers see it after the lag.
 func (s *Set) Put(vms ...vmlist.VM) {
@@ -39,18 +39,18 @@
 }
 
 // Down makes reads fail until it is called with false.
-func (s *Set) Down(down bool) {
+func (s *Set) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
+	s.unavailable = unavailable
 }
 
 // VMs implements vmlist.List.
 func (s *Set) VMs(context.Context) ([]vmlist.VM, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
-		return nil, errDown
+	if s.unavailable {
+		return nil, errUnavailable
 	}
 	for len(s.changes) > 1 && !s.now().Before(s.changes[1].at) {
 		s.changes = s.changes[1:]
--- a/internal/fake/weight/server.go
+++ b/internal/fake/weight/server.go
@@ -8,14 +8,14 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
 // Serve serves the weight store on the listener in the form that wtnet.Client
 // reads.
-func Serve(ln net.Listener, w *Weights) *host.Host {
-	h := &host.Host{Handler: w.serve}
+func Serve(ln net.Listener, w *Weights) *server.HTTP {
+	h := &server.HTTP{Handler: w.serve}
 	h.Start(ln)
 	return h
 }
--- a/internal/fake/weight/weight.go
+++ b/internal/fake/weight/weight.go
@@ -22,27 +22,27 @@
 		Time  time.Duration // what one load takes
 		Now   func() time.Time
 
-		mu   sync.Mutex
-		ends []time.Time
-		down bool
+		mu          sync.Mutex
+		ends        []time.Time
+		unavailable bool
 	}
 )
 
-var errDown = errors.New("weight store: unavailable")
+var errUnavailable = errors.New("weight store: unavailable")
 
 // Down makes requests fail until it is called with false.
-func (w *Weights) Down(down bool) {
+func (w *Weights) SetUnavailable(unavailable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.down = down
+	w.unavailable = unavailable
 }
 
 // Admit implements plat/weight.Weights.
 func (w *Weights) Admit(context.Context, string) (time.Duration, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.down {
-		return 0, errDown
+	if w.unavailable {
+		return 0, errUnavailable
 	}
 	now := w.now()
 	for len(w.ends) > 0 && !now.Before(w.ends[0]) {
--- a/internal/node/daemon/daemon_test.go
+++ b/internal/node/daemon/daemon_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 
 	"github.com/slaterock/slaterock/examples"
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 )
 
 // A daemon's goroutine gets the processor late, and the first configuration is applied
 // before the daemon runs. It ended the whole process, by a store that was not there yet.
 func TestApplyBeforeRun(t *testing.T) {
 	is := is.New(t)
-	var n pipe.Net
+	var n memnet.Net
 	d := &Daemon{Listen: n.Listen("a:1"), Peers: n.Listen("a:2")}
 	is.NoErr(d.Init(t.Context()))
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/node/send/send_test.go
+++ b/internal/node/send/send_test.go
@@ -30,9 +30,9 @@
 		sent    int
 	}{
 		"whole at once":            {nil, sched.Succeeded, 1},
-		"breaks once":              {map[int]model.Fault{1: model.Die}, sched.Succeeded, 2},
-		"breaks again and again":   {map[int]model.Fault{1: model.Die, 2: model.Die, 3: model.Die}, sched.Failed, 3},
-		"engine is gone after it":  {map[int]model.Fault{1: model.Die, 2: model.Refuse, 3: model.Refuse}, sched.Failed, 1},
+		"breaks once":              {map[int]model.Fault{1: model.Disconnect}, sched.Succeeded, 2},
+		"breaks again and again":   {map[int]model.Fault{1: model.Disconnect, 2: model.Disconnect, 3: model.Disconnect}, sched.Failed, 3},
+		"engine is gone after it":  {map[int]model.Fault{1: model.Disconnect, 2: model.Refuse, 3: model.Refuse}, sched.Failed, 1},
 		"never sent":               {map[int]model.Fault{1: model.Refuse}, sched.Unsent, 0},
 		"refused before an answer": {map[int]model.Fault{1: model.Busy}, sched.Failed, 1},
 	}
@@ -41,7 +41,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				e := &model.Engine{Name: "e", Output: tokens}
-				e.Script(tt.script)
+				e.ScriptFaults(tt.script)
 				s := send.Send{Engine: func(string) engine.Engine { return e }, First: func(string, string) {}}
 				f := &feed.Feed{}
 				d := owner.Dispatch{Request: "r-0", Upstream: "e", MaxTokens: 2 * tokens}
--- a/internal/node/shards/claim_test.go
+++ b/internal/node/shards/claim_test.go
@@ -32,7 +32,7 @@
 		"own claim that landed late":  {there: &claim{Owner: "a", Session: session, Nonce: 99}},
 		"acknowledgement lost":        {faults: map[int]keyval.Fault{1: keyval.LoseAck}},
 		"write lost":                  {faults: map[int]keyval.Fault{1: keyval.LoseWrite}, fails: true},
-		"store down":                  {faults: map[int]keyval.Fault{1: keyval.Down}, fails: true},
+		"store down":                  {faults: map[int]keyval.Fault{1: keyval.Unavailable}, fails: true},
 		"given up, second write lost": {there: &claim{Owner: "b", Released: true}, faults: map[int]keyval.Fault{2: keyval.LoseWrite}, fails: true},
 	}
 	for name, tt := range tests {
@@ -47,7 +47,7 @@
 				is.NoErr(err)
 			}
 			v := st.Client("a")
-			v.Script(keyval.Writes, tt.faults)
+			v.ScriptFaults(keyval.Writes, tt.faults)
 			s := &Shards{Name: "a", Store: v, Rand: func() uint64 { return 5 }, session: session}
 			got, err := s.claim(ctx, 3, lease)
 			is.Equal(err != nil, tt.fails)
--- a/internal/node/trial/once.go
+++ b/internal/node/trial/once.go
@@ -118,7 +118,7 @@
 
 // loaded reports whether the first engine took the order to load its model.
 func (t *Trial) loaded() bool {
-	return slices.ContainsFunc(t.Site.E1.Orders(), func(o model.Taken) bool {
+	return slices.ContainsFunc(t.Site.E1.Orders(), func(o model.ReceivedOrder) bool {
 		return o.Kind == engine.OrderLoad && o.Target == "chat" && !o.Refused
 	})
 }
--- a/internal/plat/chat/chat_test.go
+++ b/internal/plat/chat/chat_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 	"github.com/slaterock/slaterock/internal/fake/model"
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
@@ -26,9 +26,9 @@
 	variant struct {
 		*is.I
 		engine.Engine
-		ctx  context.Context //nolint:containedctx // the test's
-		fake *model.Engine
-		host *host.Host // nil if in memory
+		ctx    context.Context //nolint:containedctx // the test's
+		fake   *model.Engine
+		server *server.HTTP // nil if in memory
 	}
 
 	// outcome is the result of one request.
@@ -50,11 +50,11 @@
 func overNetwork(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &model.Engine{Name: "e1"}
-		var n pipe.Net
+		var n memnet.Net
 		h := model.Serve(n.Listen(address), e)
 		defer h.Close()
 		c := &chat.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}
-		run(variant{I: is.New(t), Engine: c, ctx: t.Context(), fake: e, host: h})
+		run(variant{I: is.New(t), Engine: c, ctx: t.Context(), fake: e, server: h})
 	})
 }
 
@@ -116,7 +116,7 @@
 		d.At = time.Time{}
 		f.Equal(d, model.Dispatch{
 			Request: "r1", Program: "p", Model: "m", Priority: 7, MaxTokens: 9, TraceParent: "00-1-2-01",
-			Prompt: a.usage.Prompt, Ended: "length",
+			Prompt: a.usage.Prompt, Outcome: "length",
 		})
 	},
 	"pieces come as they are made": func(f variant) {
@@ -161,7 +161,7 @@
 	},
 	"load tells of leaving, late": func(f variant) {
 		f.fake.LoadLag = 2 * time.Second
-		f.fake.Leave(true)
+		f.fake.SetLeaving(true)
 		l, err := f.Load(f.ctx)
 		f.NoErr(err)
 		f.True(!l.Leaving)
@@ -197,14 +197,14 @@
 	},
 	// The engine is overloaded and refuses the request.
 	"busy": func(f variant) {
-		f.fake.Set(model.Busy, 0)
+		f.fake.SetFault(model.Busy, 0)
 		f.failedWith(f.complete(f.ctx, request("r1", "p", "one")).err, 503)
 	},
 	// The engine's process crashes in the middle of an answer. The pieces so far
 	// are the beginning of the answer, and the client returns an error; after the
 	// resume, the rest follows without a gap or a repeat.
 	"dies mid-stream and resumes": func(f variant) {
-		f.fake.Script(map[int]model.Fault{1: model.Die})
+		f.fake.ScriptFaults(map[int]model.Fault{1: model.Disconnect})
 		r := request("r1", "p", "one")
 		a := f.complete(f.ctx, r)
 		f.True(a.err != nil)
@@ -220,7 +220,7 @@
 	// The engine accepts the request and never responds. The call ends at the
 	// caller's deadline.
 	"hangs": func(f variant) {
-		f.fake.Set(model.Hang, 0)
+		f.fake.SetFault(model.Hang, 0)
 		start := time.Now()
 		a := f.completeWithin(5*time.Second, request("r1", "p", "one"))
 		f.True(errors.Is(a.err, context.DeadlineExceeded))
@@ -229,7 +229,7 @@
 	// The first piece arrives late, but within the timeout, and the answer is
 	// complete.
 	"late": func(f variant) {
-		f.fake.Set(model.Late, 20*time.Second)
+		f.fake.SetFault(model.Delayed, 20*time.Second)
 		r := request("r1", "p", "one")
 		a := f.complete(f.ctx, r)
 		f.NoErr(a.err)
--- a/internal/plat/chat/network_test.go
+++ b/internal/plat/chat/network_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 	"github.com/slaterock/slaterock/internal/fake/model"
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/chat"
 	"github.com/slaterock/slaterock/internal/plat/engine"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
@@ -25,7 +25,7 @@
 		// No process listens at the engine's address. No byte was sent, so the
 		// request may safely go to another engine.
 		"connection refused": func(f variant) {
-			f.host.Close()
+			f.server.Close()
 			var e *engine.Error
 			f.True(errors.As(f.complete(f.ctx, request("r1", "p", "one")).err, &e))
 			f.True(!e.Sent)
@@ -33,7 +33,7 @@
 		// The engine accepts the request and sends nothing. A timeout bounds the
 		// wait for the first piece.
 		"silent before the first piece": func(f variant) {
-			f.fake.Set(model.Hang, 0)
+			f.fake.SetFault(model.Hang, 0)
 			start := time.Now()
 			a := f.complete(f.ctx, request("r1", "p", "one"))
 			f.True(errors.Is(a.err, httpc.ErrStalled))
@@ -44,7 +44,7 @@
 		// connection.
 		"connection goes silent mid-stream": func(f variant) {
 			f.fake.Output = 40
-			time.AfterFunc(500*time.Millisecond, f.host.Silence)
+			time.AfterFunc(500*time.Millisecond, f.server.Blackhole)
 			r := request("r1", "p", "one")
 			a := f.complete(f.ctx, r)
 			f.True(errors.Is(a.err, httpc.ErrStalled))
@@ -54,7 +54,7 @@
 		// The engine stalls in the middle of an answer with its connection open.
 		// The idle timeout bounds the pause between pieces.
 		"engine stalls mid-stream": func(f variant) {
-			f.fake.Set(model.Silent, 0)
+			f.fake.SetFault(model.Stall, 0)
 			start := time.Now()
 			a := f.complete(f.ctx, request("r1", "p", "one"))
 			f.True(errors.Is(a.err, httpc.ErrStalled))
@@ -65,7 +65,7 @@
 		// All connections break at once, as when a machine fails.
 		"connections cut mid-stream": func(f variant) {
 			f.fake.Output = 40
-			time.AfterFunc(500*time.Millisecond, f.host.Cut)
+			time.AfterFunc(500*time.Millisecond, f.server.CloseConns)
 			a := f.complete(f.ctx, request("r1", "p", "one"))
 			f.True(a.err != nil)
 			f.True(!errors.Is(a.err, httpc.ErrStalled))
@@ -80,8 +80,8 @@
 // parse serves a fixed body as a response and returns the client's result.
 func parse(t *testing.T, body string, limit, resume int) (a outcome) {
 	synctest.Test(t, func(t *testing.T) {
-		var n pipe.Net
-		h := host.Host{Handler: func(_ context.Context, w *fasthttp.RequestCtx) {
+		var n memnet.Net
+		h := server.HTTP{Handler: func(_ context.Context, w *fasthttp.RequestCtx) {
 			w.SetContentType("text/event-stream")
 			w.SetBodyStream(strings.NewReader(body), -1)
 		}}
@@ -144,9 +144,9 @@
 func TestOnlyOneTokenLimitIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var n pipe.Net
+		var n memnet.Net
 		var got map[string]json.RawMessage
-		h := host.Host{Handler: func(_ context.Context, w *fasthttp.RequestCtx) {
+		h := server.HTTP{Handler: func(_ context.Context, w *fasthttp.RequestCtx) {
 			is.NoErr(json.Unmarshal(w.PostBody(), &got))
 			w.SetBodyString("data: [DONE]\n\n")
 		}}
--- a/internal/plat/httpc/httpc_test.go
+++ b/internal/plat/httpc/httpc_test.go
@@ -13,17 +13,17 @@
 	"github.com/matryer/is"
 	"github.com/valyala/fasthttp"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 )
 
-func serve(tb testing.TB, handler host.Handler) *host.Host {
+func serve(tb testing.TB, handler server.Handler) *server.HTTP {
 	var l net.ListenConfig
 	ln, err := l.Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	h := &host.Host{Handler: handler}
+	h := &server.HTTP{Handler: handler}
 	h.Start(ln)
 	tb.Cleanup(h.Close)
 	return h
--- a/internal/plat/kvhttp/kvhttp_test.go
+++ b/internal/plat/kvhttp/kvhttp_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
 	"github.com/slaterock/slaterock/internal/fake/keyval"
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/kvhttp"
 	"github.com/slaterock/slaterock/internal/plat/store"
@@ -24,10 +24,10 @@
 	fixture struct {
 		*is.I
 		store.Store
-		ctx  context.Context //nolint:containedctx // the test's
-		view *keyval.View
-		fake *keyval.Store
-		host *host.Host // nil if in memory
+		ctx    context.Context //nolint:containedctx // the test's
+		view   *keyval.View
+		fake   *keyval.Store
+		server *server.HTTP // nil if in memory
 	}
 )
 
@@ -44,11 +44,11 @@
 func overNetwork(t *testing.T, run func(b fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		var s keyval.Store
-		var n pipe.Net
+		var n memnet.Net
 		h := keyval.Serve(n.Listen(address), &s)
 		defer h.Close()
 		c := &kvhttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}, Name: "a"}
-		run(fixture{I: is.New(t), Store: c, ctx: t.Context(), view: s.Client("a"), fake: &s, host: h})
+		run(fixture{I: is.New(t), Store: c, ctx: t.Context(), view: s.Client("a"), fake: &s, server: h})
 	})
 }
 
@@ -197,7 +197,7 @@
 	// The service executes a write and its response is lost. The writer must get
 	// neither success nor failure; reading back returns its own value.
 	"acknowledgement lost": func(b fixture) {
-		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
+		b.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
 		_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
 		b.True(errors.Is(err, store.ErrUnknown))
 		e, err := b.Get(b.ctx, "k")
@@ -207,7 +207,7 @@
 	// The write itself is lost. The writer can't distinguish this from a lost
 	// acknowledgement except by reading back.
 	"write lost": func(b fixture) {
-		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseWrite})
+		b.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseWrite})
 		_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
 		b.True(errors.Is(err, store.ErrUnknown))
 		_, err = b.Get(b.ctx, "k")
@@ -218,7 +218,7 @@
 	"renewal's acknowledgement lost": func(b fixture) {
 		l := b.putLeased("k", 3*time.Second)
 		sleep(2 * time.Second)
-		b.view.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
+		b.view.ScriptFaults(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck})
 		b.True(errors.Is(b.Renew(b.ctx, l), store.ErrUnknown))
 		sleep(2 * time.Second)
 		b.NoErr(b.Renew(b.ctx, l))
@@ -228,7 +228,7 @@
 	"outage": func(b fixture) {
 		r := b.put("k", "1", 0)
 		end := b.watchAsync("k", r)
-		b.view.Set(keyval.Down)
+		b.view.SetFault(keyval.Unavailable)
 		b.True(errors.Is(<-end, store.ErrUnavailable))
 		_, err := b.Put(b.ctx, "k", []byte("2"), r, 0)
 		b.True(errors.Is(err, store.ErrUnavailable))
@@ -236,7 +236,7 @@
 		b.True(errors.Is(err, store.ErrUnavailable))
 		_, err = b.Watch(b.ctx, "k", r)
 		b.True(errors.Is(err, store.ErrUnavailable))
-		b.view.Set(keyval.None)
+		b.view.SetFault(keyval.None)
 		e, err := b.Get(b.ctx, "k")
 		b.NoErr(err)
 		b.Equal(e.Rev, r)
@@ -244,7 +244,7 @@
 	// The service is slower than the caller's deadline. The call ends at the
 	// deadline, and a write's outcome is unknown.
 	"slower than the deadline": func(b fixture) {
-		b.view.Slow(time.Minute)
+		b.view.SetDelay(time.Minute)
 		ctx, cancel := context.WithTimeout(b.ctx, 500*time.Millisecond)
 		defer cancel()
 		start := time.Now()
@@ -257,12 +257,12 @@
 	},
 	// The connection delivers no response. The call ends at its deadline.
 	"no answer": func(b fixture) {
-		b.view.Set(keyval.Silent)
+		b.view.SetFault(keyval.Hang)
 		ctx, cancel := context.WithTimeout(b.ctx, 500*time.Millisecond)
 		defer cancel()
 		_, err := b.Put(ctx, "k", []byte("1"), 0, 0)
 		b.True(errors.Is(err, store.ErrUnknown))
-		b.view.Set(keyval.None)
+		b.view.SetFault(keyval.None)
 		_, err = b.Get(b.ctx, "k")
 		b.NoErr(err)
 	},
@@ -285,7 +285,7 @@
 		// No process listens at the service's address. No byte was sent, so a
 		// write had no effect for certain and must not return ErrUnknown.
 		"connection refused": func(b fixture) {
-			b.host.Close()
+			b.server.Close()
 			_, err := b.Put(b.ctx, "k", nil, 0, 0)
 			b.True(errors.Is(err, store.ErrUnavailable))
 			b.True(!errors.Is(err, store.ErrUnknown))
@@ -294,9 +294,9 @@
 		// response. The read is repeated on a new connection and succeeds.
 		"connection goes silent under a read": func(b fixture) {
 			b.put("k", "1", 0)
-			b.view.Slow(100 * time.Millisecond)
+			b.view.SetDelay(100 * time.Millisecond)
 			start := time.Now()
-			time.AfterFunc(50*time.Millisecond, b.host.Silence)
+			time.AfterFunc(50*time.Millisecond, b.server.Blackhole)
 			e, err := b.Get(b.ctx, "k")
 			b.NoErr(err)
 			b.Equal(string(e.Data), "1")
@@ -305,8 +305,8 @@
 		// The same during a write: it took effect, but after one attempt the
 		// writer gets ErrUnknown.
 		"connection goes silent under a write": func(b fixture) {
-			b.view.Slow(100 * time.Millisecond)
-			time.AfterFunc(50*time.Millisecond, b.host.Silence)
+			b.view.SetDelay(100 * time.Millisecond)
+			time.AfterFunc(50*time.Millisecond, b.server.Blackhole)
 			_, err := b.Put(b.ctx, "k", []byte("1"), 0, 0)
 			b.True(errors.Is(err, store.ErrUnknown))
 			_, err = b.Get(b.ctx, "k")
@@ -318,7 +318,7 @@
 		"connection goes silent under a watch": func(b fixture) {
 			start := time.Now()
 			end := b.watchAsync("k", 0)
-			b.host.Silence()
+			b.server.Blackhole()
 			b.put("k", "1", 0)
 			b.NoErr(<-end)
 			b.Equal(time.Since(start), 21*time.Second)
@@ -338,7 +338,7 @@
 		b.NoErr(err)
 		_, err = b.Watch(b.ctx, "k", 0)
 		b.NoErr(err)
-		b.view.Set(keyval.Down)
+		b.view.SetFault(keyval.Unavailable)
 		b.True(b.Delete(b.ctx, "k", r) != nil)
 		b.Equal(b.fake.Counts(), keyval.Counts{Reads: 2, Writes: 1, Watches: 1})
 	})
--- a/internal/plat/plain/plain_test.go
+++ b/internal/plat/plain/plain_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
 	"github.com/slaterock/slaterock/internal/fake/ledger"
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/plain"
 	"github.com/slaterock/slaterock/internal/plat/tool"
@@ -26,25 +26,25 @@
 	tool.Tool
 	ctx    context.Context //nolint:containedctx // the test's
 	fake   *ledger.Service
-	host   *host.Host // nil if in memory
+	server *server.HTTP // nil if in memory
 	refuse func()
 }
 
 func inMemory(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &ledger.Service{}
-		run(variant{I: is.New(t), Tool: s, ctx: t.Context(), fake: s, refuse: func() { s.Set(ledger.Refuse) }})
+		run(variant{I: is.New(t), Tool: s, ctx: t.Context(), fake: s, refuse: func() { s.SetFault(ledger.Refuse) }})
 	})
 }
 
 func overNetwork(t *testing.T, run func(f variant)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &ledger.Service{}
-		var n pipe.Net
+		var n memnet.Net
 		h := ledger.Serve(n.Listen(address), s)
 		defer h.Close()
 		c := &plain.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}
-		run(variant{I: is.New(t), Tool: c, ctx: t.Context(), fake: s, host: h, refuse: h.Close})
+		run(variant{I: is.New(t), Tool: c, ctx: t.Context(), fake: s, server: h, refuse: h.Close})
 	})
 }
 
@@ -77,25 +77,25 @@
 		f.refuse()
 		_, err := f.Do(f.ctx, receipt)
 		f.failedWith(err, false)
-		f.Equal(f.fake.Ran("r1"), 0)
+		f.Equal(f.fake.Executions("r1"), 0)
 	},
 	// The service executes the request and its response is lost. The request is
 	// not sent again, whatever its method: a second receipt must not be issued.
 	"answer lost": func(f variant) {
-		f.fake.Set(ledger.LoseAnswer)
+		f.fake.SetFault(ledger.LoseResponse)
 		for _, method := range []string{"GET", "PUT", "POST"} {
 			r := receipt
 			r.ID, r.Method = method, method
 			_, err := f.Do(f.ctx, r)
 			f.failedWith(err, true)
-			f.Equal(f.fake.Ran(method), 1)
+			f.Equal(f.fake.Executions(method), 1)
 		}
 		f.Equal(len(f.fake.Calls()), 3)
 	},
 	// The service accepts the request and never responds. The call ends at its
 	// deadline, and it is unknown whether the request ran.
 	"hangs": func(f variant) {
-		f.fake.Set(ledger.Hang)
+		f.fake.SetFault(ledger.Hang)
 		start := time.Now()
 		_, err := f.doWithin(2*time.Second, receipt)
 		f.failedWith(err, true)
@@ -104,17 +104,17 @@
 	},
 	// The same after the request was executed.
 	"hangs after the work": func(f variant) {
-		f.fake.Set(ledger.HangAfter)
+		f.fake.SetFault(ledger.HangAfterExecution)
 		_, err := f.doWithin(2*time.Second, receipt)
 		f.failedWith(err, true)
-		f.Equal(f.fake.Ran("r1"), 1)
+		f.Equal(f.fake.Executions("r1"), 1)
 	},
 	"fails": func(f variant) {
-		f.fake.Set(ledger.Fail)
+		f.fake.SetFault(ledger.Fail)
 		resp, err := f.Do(f.ctx, receipt)
 		f.NoErr(err)
 		f.Equal(resp.Status, 500)
-		f.Equal(f.fake.Ran("r1"), 0)
+		f.Equal(f.fake.Executions("r1"), 0)
 	},
 }
 
@@ -133,12 +133,12 @@
 		// its response never arrives, and the next request succeeds on a new
 		// connection.
 		"connection goes silent": func(f variant) {
-			f.fake.Time = 100 * time.Millisecond
-			time.AfterFunc(50*time.Millisecond, f.host.Silence)
+			f.fake.Duration = 100 * time.Millisecond
+			time.AfterFunc(50*time.Millisecond, f.server.Blackhole)
 			_, err := f.Do(f.ctx, receipt)
 			f.failedWith(err, true)
 			f.True(errors.Is(err, httpc.ErrStalled))
-			f.Equal(f.fake.Ran("r1"), 1)
+			f.Equal(f.fake.Executions("r1"), 1)
 			r := receipt
 			r.ID = "r2"
 			_, err = f.Do(f.ctx, r)
@@ -146,8 +146,8 @@
 		},
 		// The service's machine fails while it works.
 		"connection is cut": func(f variant) {
-			f.fake.Time = 100 * time.Millisecond
-			time.AfterFunc(50*time.Millisecond, f.host.Cut)
+			f.fake.Duration = 100 * time.Millisecond
+			time.AfterFunc(50*time.Millisecond, f.server.CloseConns)
 			_, err := f.Do(f.ctx, receipt)
 			f.failedWith(err, true)
 		},
--- a/internal/plat/vmhttp/vmhttp_test.go
+++ b/internal/plat/vmhttp/vmhttp_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 	"github.com/slaterock/slaterock/internal/fake/vmset"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/vmhttp"
@@ -46,10 +46,10 @@
 		// which a reader would conclude that all VMs are gone.
 		"down": func(is *is.I, l vmlist.List, s *vmset.Set) {
 			s.Put(a)
-			s.Down(true)
+			s.SetUnavailable(true)
 			_, err := l.VMs(ctx)
 			is.True(err != nil)
-			s.Down(false)
+			s.SetUnavailable(false)
 			vms, err := l.VMs(ctx)
 			is.NoErr(err)
 			is.Equal(len(vms), 1)
@@ -65,7 +65,7 @@
 		t.Run("network/"+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &vmset.Set{}
-				var n pipe.Net
+				var n memnet.Net
 				h := vmset.Serve(n.Listen(address), s)
 				defer h.Close()
 				tt(is.New(t), &vmhttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}, s)
@@ -77,7 +77,7 @@
 // No process listens at the list's address.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
-	var n pipe.Net
+	var n memnet.Net
 	_, err := (&vmhttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}).VMs(ctx)
 	is.True(err != nil)
 }
--- a/internal/plat/wthttp/wthttp_test.go
+++ b/internal/plat/wthttp/wthttp_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/fake/pipe"
+	"github.com/slaterock/slaterock/internal/fake/memnet"
 	fake "github.com/slaterock/slaterock/internal/fake/weight"
 	"github.com/slaterock/slaterock/internal/plat/httpc"
 	"github.com/slaterock/slaterock/internal/plat/weight"
@@ -35,7 +35,7 @@
 		// The weight store is down. Admit returns an error and never an
 		// admission: all engines would load at once when the store recovers.
 		"down": func(is *is.I, w weight.Weights, f *fake.Weights) {
-			f.Down(true)
+			f.SetUnavailable(true)
 			_, err := w.Admit(ctx, "m")
 			is.True(err != nil)
 		},
@@ -50,7 +50,7 @@
 		t.Run("network/"+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fake.Weights{}
-				var n pipe.Net
+				var n memnet.Net
 				h := fake.Serve(n.Listen(address), f)
 				defer h.Close()
 				tt(is.New(t), &wthttp.Client{Endpoint: httpc.Endpoint{Address: address, Connect: n.Connect}}, f)
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -185,10 +185,10 @@
 	}
 	v := w.st.Client(n.name)
 	if w.fault(300) {
-		v.Script(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck, 2: keyval.LoseWrite})
+		v.ScriptFaults(keyval.Writes, map[int]keyval.Fault{1: keyval.LoseAck, 2: keyval.LoseWrite})
 	}
 	t, err := n.boot(v).Take(ctx)
-	v.Script(keyval.Writes, nil)
+	v.ScriptFaults(keyval.Writes, nil)
 	if err != nil {
 		w.note("%s can't take over: %v", n.name, err)
 		return
--- a/internal/play/soak/world.go
+++ b/internal/play/soak/world.go
@@ -171,7 +171,7 @@
 	for len(w.events) > 0 && w.now.Sub(w.start) < faultTime+healTime {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		w.st.Lapse()
+		w.st.Expire()
 		e.do()
 		if w.finished() {
 			break
--- a/internal/play/storm/build.go
+++ b/internal/play/storm/build.go
@@ -13,11 +13,11 @@
 
 // build starts the stand-ins and the processes.
 func (s *Storm) build(ctx context.Context) error {
-	store, err := serve(ctx, &s.depot, anyPort)
+	store, err := serve(ctx, &s.metakv, anyPort)
 	if err != nil {
 		return err
 	}
-	s.depot.Put("op/config", configuration())
+	s.metakv.Put("op/config", configuration())
 	if err = s.buildUpstreams(ctx); err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 func (s *Storm) buildUpstreams(ctx context.Context) error {
 	for i := range s.Upstreams {
 		service := []string{"model", "plain"}[i%2]
-		u := &upstrm.Upstream{ID: fmt.Sprintf("i-%d", i), Ledger: &s.ledger, Batch: 16, Pause: 8 * time.Millisecond}
+		u := &upstrm.Upstream{ID: fmt.Sprintf("i-%d", i), RunLog: &s.ledger, MaxInFlight: 16, Delay: 8 * time.Millisecond}
 		address, err := serve(ctx, u, anyPort)
 		if err != nil {
 			return err
@@ -65,14 +65,14 @@
 		}
 		s.ups, s.upProxies = append(s.ups, u), append(s.upProxies, p)
 		s.entries.Store(u.ID, map[string]any{
-			"service": service, "address": p.Address, "zone": fmt.Sprintf("z%d", i%3), "version": "v1", "max-batch": u.Batch,
+			"service": service, "address": p.Address, "zone": fmt.Sprintf("z%d", i%3), "version": "v1", "max-batch": u.MaxInFlight,
 			"state": "ready", "cold-remaining-ms": 0, "born": time.Now().UnixMilli(),
 		})
 	}
 	go func() {
 		for ctx.Err() == nil {
 			s.entries.Range(func(id, entry any) bool {
-				s.depot.Put("servers/"+id.(string), entry)
+				s.metakv.Put("servers/"+id.(string), entry)
 				return true
 			})
 			pause.For(ctx, entryEvery)
--- a/internal/play/storm/caller.go
+++ b/internal/play/storm/caller.go
@@ -160,8 +160,8 @@
 	whole = status == http.StatusOK && err == nil
 	want := ""
 	for i := 1; i <= turnEvents; i++ {
-		want += upstrm.Event(id, i)
-		output = append(append(output, upstrm.Data(id, i)...), '\n')
+		want += upstrm.EventText(id, i)
+		output = append(append(output, upstrm.EventData(id, i)...), '\n')
 	}
 	if status == http.StatusOK {
 		tokens = events * perEvent
--- a/internal/play/storm/proxy.go
+++ b/internal/play/storm/proxy.go
@@ -65,7 +65,7 @@
 }
 
 // Set switches a fault on, or off with Pass.
-func (p *Proxy) Set(h Harm) { p.harm.Store(int32(h)) }
+func (p *Proxy) SetFault(h Harm) { p.harm.Store(int32(h)) }
 
 // Reset resets all connections.
 func (p *Proxy) Reset() {
--- a/internal/play/storm/storm.go
+++ b/internal/play/storm/storm.go
@@ -22,7 +22,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/slaterock/slaterock/internal/disk/roster"
-	"github.com/slaterock/slaterock/internal/fake/depot"
+	"github.com/slaterock/slaterock/internal/fake/metakv"
 	"github.com/slaterock/slaterock/internal/fake/upstrm"
 	"github.com/slaterock/slaterock/internal/node/discov"
 	"github.com/slaterock/slaterock/internal/peer/pause"
@@ -63,8 +63,8 @@
 
 		rnd         *rand.Rand
 		dark        *rand.Rand // drawn apart, so that the other faults of a seed stay what they were
-		depot       depot.Depot
-		ledger      upstrm.Ledger
+		metakv      metakv.Store
+		ledger      upstrm.RunLog
 		ups         []*upstrm.Upstream
 		entries     sync.Map // upstream's id to its entry; deleted while it is away
 		upProxies   []*Proxy
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	for _, text := range s.ledger.Bad() {
+	for _, text := range s.ledger.Violations() {
 		s.seen.breach("%s", text)
 	}
 }
@@ -185,7 +185,7 @@
 	last := time.Duration(500+s.rnd.IntN(3500)) * time.Millisecond
 	proxy := func(name string, p *Proxy) (func(), string) {
 		h := []Harm{Delay, Mute, OneWay}[s.rnd.IntN(3)]
-		return func() { p.Set(h); pause.For(ctx, last); p.Set(Pass); p.Reset() }, fmt.Sprintf("%s: harm %d for %v", name, h, last)
+		return func() { p.SetFault(h); pause.For(ctx, last); p.SetFault(Pass); p.Reset() }, fmt.Sprintf("%s: harm %d for %v", name, h, last)
 	}
 	f, d := s.fronts[s.rnd.IntN(len(s.fronts))], s.disks[s.rnd.IntN(len(s.disks))]
 	if s.dark.IntN(darkOdds) == 0 {
@@ -205,8 +205,8 @@
 	case 6:
 		return s.alone(disk, func() { s.wipe(ctx, d) }), d.name + " loses its disk"
 	case 7:
-		fault := []depot.Fault{depot.Busy, depot.Lossy, depot.Slow}[s.rnd.IntN(3)]
-		return func() { s.depot.Set(fault); pause.For(ctx, last); s.depot.Set(depot.Fine) }, fmt.Sprintf("store: fault %d for %v", fault, last)
+		fault := []metakv.Fault{metakv.Busy, metakv.Lossy, metakv.Slow}[s.rnd.IntN(3)]
+		return func() { s.metakv.SetFault(fault); pause.For(ctx, last); s.metakv.SetFault(metakv.None) }, fmt.Sprintf("store: fault %d for %v", fault, last)
 	case 8:
 		return proxy("store of a process", s.stores[s.rnd.IntN(len(s.stores))])
 	case 9:
@@ -215,7 +215,13 @@
 		return proxy("callers", s.callers[s.rnd.IntN(len(s.callers))])
 	default:
 		u := s.ups[s.rnd.IntN(len(s.ups))]
-		return func() { u.Break.Store(4); u.Lose.Store(7); pause.For(ctx, last); u.Break.Store(0); u.Lose.Store(0) }, u.ID + " breaks off and loses answers"
+		return func() {
+			u.BreakEvery.Store(4)
+			u.LoseEvery.Store(7)
+			pause.For(ctx, last)
+			u.BreakEvery.Store(0)
+			u.LoseEvery.Store(0)
+		}, u.ID + " breaks off and loses answers"
 	}
 }
 
@@ -237,7 +243,7 @@
 }
 
 func (s *Storm) roster() (r roster.Roster) {
-	if data, ok := s.depot.Get(discov.RosterKey); ok {
+	if data, ok := s.metakv.Get(discov.RosterKey); ok {
 		r, _ = roster.Decode(data) // none yet reads as empty
 	}
 	return r
@@ -271,8 +277,8 @@
 // blackout kills all processes and starts them while the store refuses every
 // call, which it does until then has returned.
 func (s *Storm) blackout(ctx context.Context, then func()) {
-	s.depot.Set(depot.Busy)
-	defer s.depot.Set(depot.Fine)
+	s.metakv.SetFault(metakv.Busy)
+	defer s.metakv.SetFault(metakv.None)
 	pause.For(ctx, 300*time.Millisecond)
 	var work sync.WaitGroup
 	for _, c := range slices.Concat(s.fronts, s.disks) {
--- a/internal/shard/boot/boot_test.go
+++ b/internal/shard/boot/boot_test.go
@@ -72,7 +72,7 @@
 		"clean":                {nil, false, 4},
 		"acknowledgement lost": {map[int]keyval.Fault{1: keyval.LoseAck}, false, 4},
 		"write lost":           {map[int]keyval.Fault{1: keyval.LoseWrite}, true, 3},
-		"store down":           {map[int]keyval.Fault{1: keyval.Down}, true, 3},
+		"store down":           {map[int]keyval.Fault{1: keyval.Unavailable}, true, 3},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 			st := &keyval.Store{}
 			write(t, st, 1, 1, record.Acquired{Epoch: 1, Owner: "old"}, open("p"))
 			v := st.Client("a")
-			v.Script(keyval.Writes, tt.faults)
+			v.ScriptFaults(keyval.Writes, tt.faults)
 			got, err := taker(v, "a", 1).Take(ctx)
 			is.Equal(err != nil, tt.fails)
 			if err == nil {
@@ -146,7 +146,7 @@
 		at   int
 		kind keyval.Fault
 	}
-	for _, kind := range []keyval.Fault{keyval.None, keyval.Down, keyval.LoseAck, keyval.LoseWrite} {
+	for _, kind := range []keyval.Fault{keyval.None, keyval.Unavailable, keyval.LoseAck, keyval.LoseWrite} {
 		for n := 1; n <= 4; n++ {
 			f := fault{n, kind}
 			t.Run(fmt.Sprintf("fault %d at write %d", f.kind, f.at), func(t *testing.T) {
@@ -158,9 +158,9 @@
 				took, err := taker(v, "a", 1).Take(ctx)
 				is.NoErr(err)
 				write(t, st, 4, 2, ended("live", 1))
-				v.Script(keyval.Writes, map[int]keyval.Fault{f.at: f.kind})
+				v.ScriptFaults(keyval.Writes, map[int]keyval.Fault{f.at: f.kind})
 				_, err = took.Snap.Save(ctx, took.Fold.Clone())
-				v.Script(keyval.Any, nil)
+				v.ScriptFaults(keyval.Any, nil)
 				if err != nil {
 					_, err = took.Snap.Save(ctx, took.Fold.Clone()) // the next one works
 					is.NoErr(err)
