--- a/internal/fake/keyval/keyval.go
+++ b/internal/fake/keyval/keyval.go
@@ -1,12 +1,12 @@
-// Package keyval is a stand-in for the platform's key-value service, held in
-// memory, with faults to switch on.
+// Package keyval is a fake of the platform's key-value service, held in memory,
+// with faults that can be switched on.
 //
-// A Store is the service itself. Each client reaches it through a View, which
-// can be made to fail alone: it is down, slow, silent, or loses the
+// A Store is the service itself. Each client accesses it through its own View,
+// whose faults affect this client only: calls fail, are delayed, hang, or lose the
 // acknowledgement of a write that took effect. All state changes happen inside
-// the calls, on the caller's goroutine, so that a test with a fixed order of
-// calls has a fixed outcome. Time is time.Now unless Now is set; a test that
-// sets Now calls Lapse after it moved its clock.
+// the calls, on the caller's goroutine, so that a test with a fixed order of calls
+// is deterministic. The clock is time.Now unless Now is set; a test that sets Now
+// calls Expire after it advanced its clock.
 package keyval
 
 import (
@@ -22,7 +22,7 @@
 type (
 	// Store is the service. The zero value is empty and ready for use.
 	Store struct {
-		Now func() time.Time
+		Now func() time.Time // clock; nil means time.Now
 
 		mu        sync.Mutex
 		rev       store.Rev
@@ -34,7 +34,7 @@
 		counts    Counts
 	}
 
-	// Counts are the calls that reached the service.
+	// Counts is the number of calls that reached the service, by class.
 	Counts struct {
 		Reads   int // Get and List
 		Writes  int // Put, Delete, Grant, Renew and Revoke
@@ -53,14 +53,14 @@
 	}
 )
 
-// Counts returns the calls counted since the start.
+// Counts returns the number of calls so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Client returns the named client's view; the same name gives the same view.
+// Client returns the view of the named client and creates it on first use.
 func (s *Store) Client(name string) *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// List implements store.Store. A limit of zero or less is none.
+// List implements store.Store. A limit of zero or less means no limit.
 func (s *Store) List(_ context.Context, prefix, after string, limit int) ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,9 +191,9 @@
 	return nil
 }
 
-// Lapse ends the leases that are over by now and wakes the watches of their
-// keys. Every call does so first; only a test that moves its own clock under
-// waiting watches needs it.
+// Expire ends expired leases, deletes their keys and wakes the watches of these
+// keys. Most calls do this first; only a test that sets Now and advances its clock
+// while watches wait needs to call it.
 func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/keyval/keyval_test.go
+++ b/internal/fake/keyval/keyval_test.go
@@ -11,11 +11,10 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// The contract is tested in package kvnet; here are the faults that only the
-// stand-in has.
+// The contract of store.Store is tested in package kvhttp; these tests cover what
+// only the fake has.
 
-// A test that moves the time by hand waits for a watch of a leased key: the
-// watch ends when the test says that the lease is over.
+// With a manual clock no timer ends the watch of a leased key: Expire must end it.
 func TestExpireLeasesWithManualClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -37,7 +36,7 @@
 	})
 }
 
-// One client is cut off while another works: faults belong to one view.
+// A fault of one client's view must not affect another client.
 func TestFaultsAffectOneClient(t *testing.T) {
 	is := is.New(t)
 	var s Store
--- a/internal/fake/keyval/server.go
+++ b/internal/fake/keyval/server.go
@@ -16,11 +16,11 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// maxCall bounds calls that carry no wait of their own.
+// defaultWait is the timeout of calls that don't specify a wait.
 const defaultWait = time.Minute
 
-// Serve serves the store on the listener in the form that kvnet.Client reads.
-// Faults are those of the views that the clients name.
+// Serve serves the store on the listener in the format of kvhttp.Client. A request
+// contains the client's name, which selects the view and thereby its faults.
 func Serve(ln net.Listener, s *Store) *server.HTTP {
 	h := &server.HTTP{Handler: s.serve}
 	h.Start(ln)
@@ -75,8 +75,9 @@
 	return a, err
 }
 
-// encode turns an error into its code. Where the outcome is unknown there is no
-// answer at all: the connection breaks, as it would for a real client.
+// encodeError sets the response's code for the error. It returns false if the
+// outcome is unknown; the connection is then closed without a response, which a
+// client of the real service would see too.
 func encodeError(a kvhttp.Response, err error) (kvhttp.Response, bool) {
 	var conflict *store.ConflictError
 	switch {
--- a/internal/fake/keyval/view.go
+++ b/internal/fake/keyval/view.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// None is no fault.
+	// None means no fault.
 	None Fault = iota
-	// Down fails a call with store.ErrUnavailable; it has no effect.
+	// Unavailable fails a call with store.ErrUnavailable; the call has no effect.
 	Unavailable
-	// LoseAck carries a write out and loses its acknowledgement.
+	// LoseAck executes a write and loses its acknowledgement.
 	LoseAck
-	// LoseWrite loses a write; its writer can't tell that from LoseAck.
+	// LoseWrite discards a write; the client can't distinguish it from LoseAck.
 	LoseWrite
-	// Silent gives no answer until the caller's context ends; a write is
-	// carried out.
+	// Hang returns only when the caller's context ends; a write is executed.
 	Hang
 )
 
@@ -33,10 +32,11 @@
 )
 
 type (
-	// Fault is a way in which one call fails.
+	// Fault is a way in which a call fails. LoseAck and LoseWrite make a read fail
+	// with store.ErrUnavailable.
 	Fault int
 
-	// Class tells which calls a script counts.
+	// Class selects the calls that a script counts.
 	Class int
 
 	// View is one client's access to the service. It implements store.Store.
@@ -53,8 +53,8 @@
 	}
 )
 
-// Set makes every call fail in the same way until the next Set. Down ends the
-// watches that wait.
+// SetFault applies f to every call until the next call of SetFault. Unavailable
+// also ends the watches that are waiting.
 func (v *View) SetFault(f Fault) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -65,15 +65,15 @@
 	}
 }
 
-// Slow delays each answer by d.
+// SetDelay delays each response by d.
 func (v *View) SetDelay(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.delay = d
 }
 
-// Script makes the n-th call of the class from now on, counted from 1, fail
-// with faults[n]. It overrules Set for these calls.
+// ScriptFaults applies faults[n] to the n-th call of the class from now on,
+// counted from 1. It overrides SetFault for these calls.
 func (v *View) ScriptFaults(c Class, faults map[int]Fault) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/fake/keyval/watch.go
+++ b/internal/fake/keyval/watch.go
@@ -7,11 +7,13 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// never is longer than any test or run.
+// maxWait is the timeout of a watch that no lease can end: the key has none, or the
+// store has a manual clock. It is longer than any test.
 const maxWait = 100 * 365 * 24 * time.Hour
 
-// sight is what a watch sees: its answer, or the channel that tells of the
-// key's next change and how long the key's lease still runs.
+// watchState is the result of a watch if changed is nil, otherwise what to wait
+// for: changed is closed at the key's next change, and expire is the time until
+// the key's lease ends.
 type watchState struct {
 	entry   store.Entry
 	err     error
@@ -43,7 +45,7 @@
 	}
 }
 
-// look returns what a watch answers now, or how to wait for it.
+// checkWatch returns the result of a watch, or what it has to wait for.
 func (s *Store) checkWatch(key string, rev store.Rev) (out watchState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/ledger/ledger.go
+++ b/internal/fake/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger is a stand-in for a plain service whose calls have side
-// effects, such as issuing a receipt.
+// Package ledger is a fake of a plain service whose calls have side effects, such
+// as issuing a receipt.
 //
-// Service records every execution under the request's name, so that a request
-// that ran twice shows. Its faults put the loss at a chosen moment: before the
-// request was read, after the work was done, or never an answer at all.
+// Service counts executions by request id, so that tests detect a request that
+// was executed twice. Its faults occur before the request is received, before it
+// is executed, or between its execution and the response.
 package ledger
 
 import (
@@ -19,27 +19,28 @@
 )
 
 const (
-	// None is no fault.
+	// None means no fault.
 	None Fault = iota
-	// Refuse takes no byte of the request.
+	// Refuse fails the call as if the connection were refused: nothing of the
+	// request is received.
 	Refuse
-	// Hang reads the request, does nothing and never answers.
+	// Hang receives the request, does not execute it and never responds.
 	Hang
-	// LoseAnswer does the work and breaks the connection.
+	// LoseResponse executes the request and closes the connection.
 	LoseResponse
-	// HangAfter does the work and never answers.
+	// HangAfterExecution executes the request and never responds.
 	HangAfterExecution
-	// Fail answers 500 without doing the work.
+	// Fail responds with status 500 without executing the request.
 	Fail
 )
 
 type (
-	// Fault is a way in which one call fails.
+	// Fault is a way in which a call fails.
 	Fault int
 
-	// Service implements tool.Tool. The zero value works at once.
+	// Service implements tool.Tool. The zero value is ready for use.
 	Service struct {
-		Duration time.Duration // what one execution takes
+		Duration time.Duration // of one execution
 
 		mu         sync.Mutex
 		executions map[string]int
@@ -52,35 +53,36 @@
 
 var errRefused = errors.New("connection refused")
 
-// Set makes every call fail in the same way until the next Set.
+// SetFault applies f to every call until the next call of SetFault.
 func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Script makes the n-th call from now on, counted from 1, fail with faults[n].
+// ScriptFaults applies faults[n] to the n-th call from now on, counted from 1. It
+// overrides SetFault for these calls.
 func (s *Service) ScriptFaults(faults map[int]Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script, s.n = faults, 0
 }
 
-// Ran tells how often the request was executed.
+// Executions returns how many times the request was executed.
 func (s *Service) Executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[id]
 }
 
-// Calls returns the requests that were received, in order.
+// Calls returns the received requests in order.
 func (s *Service) Calls() []tool.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Twice returns the requests that were executed more than once.
+// Duplicates returns the ids of the requests that were executed more than once.
 func (s *Service) Duplicates() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/ledger/server.go
+++ b/internal/fake/ledger/server.go
@@ -12,8 +12,8 @@
 	"github.com/slaterock/slaterock/internal/plat/tool"
 )
 
-// Serve serves the service on the listener. Where Do has no answer the
-// connection breaks.
+// Serve serves the service on the listener. If Do returns an error, the
+// connection is closed without a response.
 func Serve(ln net.Listener, s *Service) *server.HTTP {
 	h := &server.HTTP{Handler: s.serve}
 	h.Start(ln)
--- a/internal/fake/memnet/memnet.go
+++ b/internal/fake/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package pipe is a network in memory. Its connections and their deadlines run
-// on the clock of a synctest bubble, so that tests of silence, delay and
-// refusal take no time and end the same way every time.
+// Package memnet is a network in memory. Its connections and their deadlines use
+// the clock of a synctest bubble, so that tests of hanging, delayed and refused
+// connections are fast and deterministic.
 package memnet
 
 import (
@@ -11,8 +11,7 @@
 )
 
 type (
-	// Net connects those who dial with those who listen on the same address.
-	// The zero value is ready for use.
+	// Net maps addresses to listeners. The zero value is ready for use.
 	Net struct {
 		mu        sync.Mutex
 		listeners map[string]*listener
@@ -29,7 +28,8 @@
 	addr string
 )
 
-// Listen returns a listener on the address.
+// Listen returns a listener on the address. It replaces an earlier listener on
+// the same address.
 func (n *Net) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,7 +41,7 @@
 	return l
 }
 
-// Connect dials the address. It is refused where nobody listens.
+// Connect dials the address. It fails with ECONNREFUSED if there is no listener.
 func (n *Net) Connect(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l, ok := n.listeners[address]
--- a/internal/fake/metakv/metakv.go
+++ b/internal/fake/metakv/metakv.go
@@ -1,6 +1,6 @@
-// Package depot stands in for the metadata store of the users' platform: keys
-// with revisions, transactions and leases over HTTP, in memory, with faults to
-// switch on.
+// Package metakv is a fake of the users' metadata store: a key-value store with
+// revisions, transactions and leases, served over HTTP, held in memory, with
+// faults that can be switched on.
 package metakv
 
 import (
@@ -16,21 +16,23 @@
 
 const (
 	pageItems = 500
-	// Fine does what is asked.
+	// None means no fault.
 	None Fault = iota
-	// Busy refuses every call.
+	// Busy responds to every call with status 503.
 	Busy
-	// Lossy does some writes without answering.
+	// Lossy executes POST requests, and closes the connection without a response
+	// for one in three of them, at random.
 	Lossy
-	// Slow answers late.
+	// Slow delays every call by 300 ms.
 	Slow
 )
 
 type (
-	// Fault is what is wrong with the store.
+	// Fault is a way in which the store fails.
 	Fault int
 
-	// Depot is the store. The zero value is empty.
+	// Store is the HTTP handler of the store. The zero value is empty and ready
+	// for use.
 	Store struct {
 		mu        sync.Mutex
 		rev       uint64
@@ -40,7 +42,7 @@
 		fault     Fault
 	}
 
-	// Item is a key as the wire has it.
+	// Item is the JSON encoding of a key.
 	Item struct {
 		Key       string `json:"key"`
 		Value     []byte `json:"value"`
@@ -69,18 +71,19 @@
 	}
 )
 
-// Set switches a fault on, or off with Fine.
+// SetFault applies f to every call until the next call of SetFault.
 func (d *Store) SetFault(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
 }
 
-// Put writes a key as the operator or an upstream does.
+// Put writes a key with the JSON encoding of value, as an operator or an upstream
+// would. It panics if value can't be encoded.
 func (d *Store) Put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // only plain values are put
+		panic(err) // tests pass only values that can be encoded
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +98,7 @@
 	delete(d.items, key)
 }
 
-// Get returns a key's value.
+// Get returns a key's value and whether the key exists.
 func (d *Store) Get(key string) ([]byte, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +119,7 @@
 	d.items[key] = Item{Key: key, Value: data, Rev: d.rev, CreateRev: made, Lease: l}
 }
 
-// lapse drops leases that are over, with their keys.
+// expireLeases deletes expired leases with their keys.
 func (d *Store) expireLeases() {
 	for id, l := range d.leases {
 		if time.Now().After(l.expires) {
@@ -135,7 +138,7 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (d *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	fault := d.fault
@@ -153,7 +156,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(answer) // the caller may have left
+	_ = json.NewEncoder(w).Encode(answer) // the client may have disconnected
 }
 
 func (d *Store) handle(r *http.Request) (status int, answer any) {
@@ -178,13 +181,13 @@
 		}
 		return d.commit(t)
 	case path == "/-/kv-lease":
-		var ask struct {
+		var req struct {
 			TTL float64 `json:"ttl-ms"`
 		}
-		if json.NewDecoder(r.Body).Decode(&ask) != nil {
+		if json.NewDecoder(r.Body).Decode(&req) != nil {
 			return http.StatusBadRequest, nil
 		}
-		return d.grantLease(time.Duration(ask.TTL) * time.Millisecond)
+		return d.grantLease(time.Duration(req.TTL) * time.Millisecond)
 	case strings.HasPrefix(path, "/-/kv-keep/"):
 		return d.renewLease(leaseID(path))
 	case strings.HasPrefix(path, "/-/kv-lease-end/"):
@@ -195,8 +198,9 @@
 	}
 }
 
+// leaseID parses the last element of the path.
 func leaseID(path string) uint64 {
-	n, _ := strconv.ParseUint(path[strings.LastIndexByte(path, '/')+1:], 10, 64) // 0 names no lease
+	n, _ := strconv.ParseUint(path[strings.LastIndexByte(path, '/')+1:], 10, 64) // 0 is not the id of any lease
 	return n
 }
 
--- a/internal/fake/model/answer.go
+++ b/internal/fake/model/answer.go
@@ -10,15 +10,15 @@
 
 const (
 	charsPerToken = 4
-	excerptBytes  = 24 // bytes of the last message that an answer repeats
+	excerptBytes  = 24 // bytes of the last message that an answer quotes
 
 	finishStop      = "stop"
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
-// Answer returns the text with which the engine of that name answers the
-// request, cut to the number of tokens.
+// Answer returns the text that the engine with the given name generates for the
+// request, truncated to tokens.
 func Answer(name string, r engine.Request, tokens int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, lastMessage(r.Body))
@@ -28,7 +28,8 @@
 	return b.String()[:tokens*charsPerToken]
 }
 
-// last returns the head of the last message's text.
+// lastMessage returns the first excerptBytes bytes of the last message's text,
+// without invalid UTF-8.
 func lastMessage(body []byte) string {
 	var b struct {
 		Messages []struct {
@@ -47,7 +48,7 @@
 	return strings.ToValidUTF8(s[:min(len(s), excerptBytes)], "")
 }
 
-// cut divides text into pieces of at most n bytes.
+// split splits text into pieces of at most n bytes.
 func split(text string, n int) []string {
 	var out []string
 	for len(text) > n {
--- a/internal/fake/model/cache.go
+++ b/internal/fake/model/cache.go
@@ -8,24 +8,24 @@
 )
 
 type (
-	// cache holds blocks of prompts; the least recently used goes first.
+	// cache holds blocks of prompts and evicts the least recently used.
 	cache struct {
-		blocks map[uint64]*block
-		used   int
-		clock  uint64
+		blocks map[uint64]*block // by hash
+		used   int               // tokens
+		clock  uint64            // incremented with each use of a block
 	}
 
 	block struct {
 		tokens int
-		last   uint64 // when it was used, in uses
-		pins   int    // running requests that need it
-		owners map[string]bool
+		last   uint64          // value of clock at the last use
+		pins   int             // number of running requests that use the block; pinned blocks are not evicted
+		owners map[string]bool // ids of the programs
 	}
 
 	prompt struct {
 		program string
 		blocks  []engine.Block
-		pinned  map[uint64]bool
+		pinned  map[uint64]bool // hashes of the blocks that this prompt pins
 	}
 )
 
@@ -45,7 +45,7 @@
 	return slices.Compact(out), nil
 }
 
-// HeldTokens returns the tokens of memory held for the program.
+// HeldTokens returns the number of cached tokens that the program owns.
 func (e *Engine) HeldTokens(program string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,7 +58,8 @@
 	return n
 }
 
-// pin holds the part of the prompt that is cached and tells how much it is.
+// pin pins the cached blocks of the prompt and returns the prompt's length and
+// the length of its cached prefix.
 func (e *Engine) pin(p prompt) (u engine.Usage) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,8 +77,8 @@
 	return u
 }
 
-// keep stores the whole prompt. Its first blocks are touched last, since every
-// later block is worthless without them.
+// storeBlocks caches the whole prompt. It marks the first blocks as used last, so
+// that they are evicted last: a block is of no use without those before it.
 func (e *Engine) storeBlocks(p prompt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,7 +95,8 @@
 	e.recordLoad()
 }
 
-// hold pins the prompt's blocks that are cached, each once.
+// pinCached pins each cached block of the prompt once; the caller holds the
+// mutex.
 func (e *Engine) pinCached(p prompt) {
 	for _, want := range p.blocks {
 		if b, ok := e.cache.blocks[want.Hash]; ok && !p.pinned[want.Hash] {
@@ -114,6 +116,8 @@
 	}
 }
 
+// touch marks the block as used now and adds it if it is absent.
+// touch marks the block as used now and adds it if it is absent.
 func (c *cache) touch(program string, want engine.Block) (added bool) {
 	if c.blocks == nil {
 		c.blocks = map[uint64]*block{}
@@ -130,6 +134,10 @@
 	return !ok
 }
 
+// evictTo evicts unpinned blocks until at most capacity tokens are used, or
+// until only pinned blocks are left.
+// evictTo evicts unpinned blocks until at most capacity tokens are used, or
+// until only pinned blocks are left.
 func (c *cache) evictTo(capacity int) (evicted []uint64) {
 	for c.used > capacity {
 		oldest, found := uint64(0), false
@@ -152,7 +160,8 @@
 	delete(c.blocks, h)
 }
 
-// release frees what only this program holds.
+// release removes the program from the owners of all blocks and drops the
+// blocks that have no other owner, also pinned ones.
 func (c *cache) release(program string) (evicted []uint64) {
 	for h, b := range c.blocks {
 		delete(b.owners, program)
@@ -165,7 +174,7 @@
 	return evicted
 }
 
-// owned returns the program's blocks in the order of their last use.
+// blocksOf returns the program's blocks, the most recently used first.
 func (c *cache) blocksOf(program string) (out []engine.Block) {
 	for h, b := range c.blocks {
 		if b.owners[program] {
--- a/internal/fake/model/fault.go
+++ b/internal/fake/model/fault.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// None is no fault.
+	// None means no fault.
 	None Fault = iota
-	// Refuse takes no byte of the request.
+	// Refuse fails the request as if the connection were refused: nothing of
+	// it is received.
 	Refuse
-	// Busy answers 503 without running the request.
+	// Busy responds with status 503 without running the request.
 	Busy
-	// Hang takes the request and never answers.
+	// Hang receives the request and never responds.
 	Hang
-	// Late holds the request back for the delay that Set was given.
+	// Delayed runs the request after the delay passed to SetFault.
 	Delayed
-	// Die breaks the connection in the middle of the answer.
+	// Disconnect closes the connection in the middle of the answer.
 	Disconnect
-	// Silent sends half of the answer and then nothing, with the connection
-	// still open.
+	// Stall sends half of the answer and then nothing more, and leaves the
+	// connection open.
 	Stall
 )
 
 type (
-	// Fault is a way in which one request fails.
+	// Fault is a way in which a request fails.
 	Fault int
 
 	faults struct {
 		fault  Fault
 		delay  time.Duration
-		script map[int]Fault
-		n      int
+		script map[int]Fault // by number of the request
+		n      int           // requests since ScriptFaults
 	}
 )
 
@@ -48,16 +49,16 @@
 	errBadOrder     = &engine.Error{Sent: true, Status: http.StatusBadRequest, Err: errors.New("order not possible")}
 )
 
-// Set makes every request fail in the same way until the next Set. Late takes
-// the delay.
+// SetFault applies f to every request until the next call of SetFault. Only
+// Delayed uses the delay.
 func (e *Engine) SetFault(f Fault, delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault.fault, e.fault.delay = f, delay
 }
 
-// Script makes the n-th request from now on, counted from 1, fail with
-// script[n].
+// ScriptFaults applies script[n] to the n-th request from now on, counted from
+// 1. It overrides SetFault for these requests.
 func (e *Engine) ScriptFaults(script map[int]Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,7 +73,7 @@
 	return f.fault, f.delay
 }
 
-// early is what a fault does before the request runs.
+// failBeforeRun applies a fault that takes effect before the request runs.
 func failBeforeRun(ctx context.Context, f Fault, delay time.Duration) error {
 	switch f {
 	case Refuse:
@@ -90,7 +91,8 @@
 	return nil
 }
 
-// late is what a fault does before piece i of n.
+// failInStream applies a fault that takes effect before piece i of n; the first
+// half of the pieces is always sent.
 func failInStream(ctx context.Context, f Fault, i, n int) error {
 	if i < n/2 {
 		return nil
--- a/internal/fake/model/model.go
+++ b/internal/fake/model/model.go
@@ -1,12 +1,13 @@
-// Package model is a stand-in for a model engine: it batches continuously,
-// caches prompt prefixes in limited memory, reports its load late and takes
+// Package model is a fake model engine: it does continuous batching, caches
+// prompt prefixes in limited memory, reports its load with a delay and executes
 // orders.
 //
-// Its answers are a function of its name, the request's name and the last
-// message, so that a reader can tell whether an answer is whole and belongs to
+// Its answers are a function of the engine's name, the request id and the last
+// message, so that a test can check that an answer is complete and belongs to
 // the request; see Answer. Times follow from the token counts: prefill at a
-// steady rate for what is not cached, then pieces whose spacing grows with the
-// batch. Engine sleeps on time.NewTimer only, so that synctest drives it.
+// constant rate for tokens that are not cached, then output in pieces whose
+// interval grows with the batch. Engine sleeps on time.NewTimer only, so that
+// tests can run it in a synctest bubble.
 package model
 
 import (
@@ -20,37 +21,37 @@
 )
 
 const (
-	defaultPrefill = 8000                   // tokens a second
-	defaultDecode  = 20 * time.Millisecond  // for each token of a batch of one
-	defaultBatch   = 500 * time.Microsecond // more for each further request of the batch
-	defaultLimit   = 16
-	defaultMemory  = 200_000 // tokens
-	defaultPiece   = 4       // tokens
+	defaultPrefill = 8000                   // tokens per second
+	defaultDecode  = 20 * time.Millisecond  // per token in a batch of one
+	defaultBatch   = 500 * time.Microsecond // added per token for each further request in the batch
+	defaultLimit   = 16                     // requests in a batch
+	defaultMemory  = 200_000                // tokens
+	defaultPiece   = 4                      // tokens
 	minOutput      = 16
 	outputRange    = 48
 )
 
 type (
-	// Engine implements engine.Engine. The zero value works at once; fields
-	// are set before the first call.
+	// Engine implements engine.Engine. The zero value is ready for use. Set
+	// exported fields before the first call.
 	Engine struct {
 		Name         string
-		Seed         uint64
-		Speed        float64       // divides all times; 0 is 1
-		Prefill      int           // tokens a second
-		Decode       time.Duration // for each token of a batch of one
-		Batch        time.Duration // more for each further request
-		Limit        int           // requests of one batch
-		Memory       int           // tokens of cache
-		Piece        int           // tokens of one piece of an answer
-		Output       int           // tokens of an answer; 0 draws them from the request's name
-		LoadLag      time.Duration // age of load reports
-		EventLag     time.Duration // age of cache events
-		EventGap     int           // one event of so many is lost; 0 is none
-		IgnoreFence  bool          // takes orders with an old fencing number
-		LoadDuration time.Duration // what loading a model takes
-		Models       []string      // served; empty is all
-		Peer         func(target string) *Engine
+		Seed         uint64                      // selects the events that EventGap drops
+		Speed        float64                     // factor by which all simulated times are shorter; 0 means 1
+		Prefill      int                         // tokens per second
+		Decode       time.Duration               // per token in a batch of one
+		Batch        time.Duration               // added per token for each further request in the batch
+		Limit        int                         // maximum requests in a batch
+		Memory       int                         // cache capacity in tokens
+		Piece        int                         // tokens per piece of an answer
+		Output       int                         // tokens per answer; 0 derives the number from the request id
+		LoadLag      time.Duration               // age of load reports
+		EventLag     time.Duration               // delay of cache events
+		EventGap     int                         // one event in EventGap is lost; 0 means none
+		IgnoreFence  bool                        // execute orders with an old fencing number
+		LoadDuration time.Duration               // time to load a model
+		Models       []string                    // models served; empty means all
+		Peer         func(target string) *Engine // target engine of an export order
 
 		mu         sync.Mutex
 		fault      faults
@@ -62,7 +63,7 @@
 		dispatches []Dispatch
 	}
 
-	// Dispatch is one request as it arrived.
+	// Dispatch is one received request.
 	Dispatch struct {
 		Request     string
 		Program     string
@@ -72,14 +73,15 @@
 		Resume      int
 		TraceParent string
 		At          time.Time
-		Leaving     bool // it arrived after the engine had said that it leaves
-		Cached      int  // prompt tokens found cached, known once it runs
-		Prompt      int
-		Outcome     string // finish reason or the fault; empty while it runs
+		Leaving     bool   // received while the engine reported that it was leaving
+		Cached      int    // prompt tokens found in the cache; set when the request starts to run
+		Prompt      int    // prompt tokens; set with Cached
+		Outcome     string // finish reason or error text; empty while the request runs
 	}
 )
 
-// Dispatches returns all requests in the order of their arrival.
+// Dispatches returns all received requests in order. A request that was
+// refused by the fault Refuse is not among them.
 func (e *Engine) Dispatches() []Dispatch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,7 +140,7 @@
 	return u, nil
 }
 
-// output returns how many tokens the answer has and why it ends there.
+// output returns the length of the answer in tokens and its finish reason.
 func (e *Engine) output(r engine.Request) (int, string) {
 	n := e.Output
 	if n <= 0 {
@@ -150,6 +152,10 @@
 	return n, finishStop
 }
 
+// receive records the request in dispatches and returns its index, or -1 if it
+// is refused, and the fault to apply.
+// receive records the request in dispatches and returns its index, or -1 if it
+// is refused, and the fault to apply.
 func (e *Engine) receive(r engine.Request) (n int, f Fault, delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,6 +195,8 @@
 	return sleep(ctx, d)
 }
 
+// tokenTime returns the decode time per token at the present batch size.
+// tokenTime returns the decode time per token at the present batch size.
 func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/model/model_test.go
+++ b/internal/fake/model/model_test.go
@@ -15,8 +15,8 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// The contract is tested in package chat; here is what decides times and
-// memory.
+// The contract of engine.Engine is tested in package chat; these tests cover
+// timing, queueing and cache eviction.
 
 func discard(engine.Delta) error { return nil }
 
@@ -80,7 +80,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := &Engine{Memory: 250}
-		long := func(c string) string { return strings.Repeat(c, 380) } // 100 tokens with its frame
+		long := func(c string) string { return strings.Repeat(c, 380) } // 100 tokens with the JSON around it
 		for _, c := range []string{"a", "b", "a", "c"} {
 			_, err := sendChat(e, "r", c, long(c), 0)
 			is.NoErr(err)
@@ -96,9 +96,9 @@
 	})
 }
 
-// A request that waits for its place gives up in the moment in which it gets
-// one. The place must go on to the next: an engine that loses places ends up
-// taking no work at all.
+// Guards against a leaked slot: a waiting request is cancelled at the same time
+// as it gets a slot. The slot must go to the next request, otherwise the engine
+// ends up without free slots and runs no requests.
 func TestSlotOfCancelledRequestIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -118,7 +118,7 @@
 	})
 }
 
-// Events come late: what is cached already is not told yet.
+// A cache event must not be visible before EventLag has passed.
 func TestEventsAreDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/fake/model/order.go
+++ b/internal/fake/model/order.go
@@ -8,20 +8,21 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// exportRate is how many tokens of cache move to another engine in a second.
+// exportTokensPerSecond is the speed at which cached blocks are copied to
+// another engine.
 const exportTokensPerSecond = 100_000
 
 type (
 	orders struct {
 		leaving  bool
-		fence    uint64 // highest seen
+		fence    uint64 // highest fencing number received
 		role     string
 		loaded   []string
 		received []ReceivedOrder
 	}
 
-	// Taken is an order as it arrived. Refused tells that its fencing number
-	// was too old.
+	// ReceivedOrder is an order with the time of its arrival. Refused is set if
+	// its fencing number was too old.
 	ReceivedOrder struct {
 		engine.Order
 		Refused bool
@@ -29,7 +30,7 @@
 	}
 )
 
-// Leave sets the flag that tells readers of the load that the engine goes.
+// SetLeaving sets the flag Leaving of the load reports.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,14 +38,14 @@
 	e.recordLoad()
 }
 
-// Orders returns all orders in the order of their arrival.
+// Orders returns all received orders in order of arrival, also refused ones.
 func (e *Engine) Orders() []ReceivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders.received)
 }
 
-// Role returns the role that the last order gave.
+// Role returns the role set by the last OrderRole.
 func (e *Engine) Role() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,7 +53,8 @@
 }
 
 // Order implements engine.Engine. There is one fencing number for the whole
-// engine: an order below the highest number seen is refused, whoever sent it.
+// engine: an order with a number below the highest received is refused,
+// whichever sender it is from.
 func (e *Engine) Order(ctx context.Context, o engine.Order) error {
 	if !e.checkFence(o) {
 		return errFenced
@@ -74,6 +76,10 @@
 	return nil
 }
 
+// checkFence records the order and reports whether its fencing number is
+// accepted.
+// checkFence records the order and reports whether its fencing number is
+// accepted.
 func (e *Engine) checkFence(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/model/queue.go
+++ b/internal/fake/model/queue.go
@@ -6,7 +6,8 @@
 )
 
 type (
-	// queue admits requests to the batch, by priority, then by arrival.
+	// queue holds requests that wait for a slot in the batch, ordered by
+	// descending priority, then by arrival.
 	queue struct {
 		running int
 		waiters []waiter
@@ -14,10 +15,12 @@
 
 	waiter struct {
 		priority int
-		ready    chan struct{}
+		ready    chan struct{} // closed when the request has a slot
 	}
 )
 
+// acquireSlot waits for a slot in the batch.
+// acquireSlot waits for a slot in the batch.
 func (e *Engine) acquireSlot(ctx context.Context, priority int) error {
 	ready := e.enqueue(priority)
 	if ready == nil {
@@ -32,7 +35,8 @@
 	}
 }
 
-// wait takes a place in the batch, or returns the channel that tells of one.
+// enqueue takes a free slot and returns nil, or queues the request and returns
+// the channel that is closed when it gets a slot.
 func (e *Engine) enqueue(priority int) chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,8 +55,8 @@
 	return w.ready
 }
 
-// give takes a request that gave up out of the queue. It may have been
-// admitted in the same moment; then its place goes to the next.
+// abandon removes a cancelled request from the queue. If the request got its
+// slot at the same time, the slot goes to the next waiter.
 func (e *Engine) abandon(ready chan struct{}) {
 	e.mu.Lock()
 	for i, w := range e.queue.waiters {
@@ -67,6 +71,8 @@
 	e.releaseSlot()
 }
 
+// releaseSlot passes the slot to the first waiter, or frees it.
+// releaseSlot passes the slot to the first waiter, or frees it.
 func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/model/report.go
+++ b/internal/fake/model/report.go
@@ -10,7 +10,8 @@
 const maxEvents = 10_000
 
 type (
-	// reports are the loads that readers don't see yet, and the one they see.
+	// reports holds the load report that is visible at present, followed by
+	// those that LoadLag still withholds.
 	reports struct {
 		seq  uint64
 		list []engine.Load
@@ -27,7 +28,7 @@
 	}
 )
 
-// Load implements engine.Engine. The report is as old as LoadLag says.
+// Load implements engine.Engine. It returns the load as of LoadLag ago.
 func (e *Engine) Load(ctx context.Context) (engine.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -47,8 +48,8 @@
 	return out, ctx.Err()
 }
 
-// Events implements engine.Engine. Events are as old as EventLag says, and
-// one of EventGap is missing.
+// Events implements engine.Engine. An event is visible EventLag after it
+// occurred; one in EventGap is omitted.
 func (e *Engine) Events(ctx context.Context, after uint64) ([]engine.Event, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,7 +64,7 @@
 	return out, ctx.Err()
 }
 
-// report records the load as it is now; the caller holds the mutex.
+// recordLoad appends a report of the present load; the caller holds the mutex.
 func (e *Engine) recordLoad() {
 	e.reports.seq++
 	e.reports.list = append(e.reports.list, engine.Load{
@@ -77,7 +78,8 @@
 	}
 }
 
-// publish records what entered and left the cache; the caller holds the mutex.
+// recordEvent appends a cache event, if there is anything to report; the caller
+// holds the mutex.
 func (e *Engine) recordEvent(stored, evicted []uint64) {
 	if len(stored)+len(evicted) == 0 {
 		return
--- a/internal/fake/model/server.go
+++ b/internal/fake/model/server.go
@@ -18,7 +18,7 @@
 )
 
 type (
-	// fields are what the engine reads of a request's body.
+	// chatBody is the part of a request's body that the engine reads.
 	chatBody struct {
 		Model     string `json:"model"`
 		MaxTokens int    `json:"max_tokens"`
@@ -27,7 +27,7 @@
 	}
 )
 
-// Serve serves the engine on the listener in the usual chat protocol.
+// Serve serves the engine on the listener, in the protocol of package chat.
 func Serve(ln net.Listener, e *Engine) *server.HTTP {
 	h := &server.HTTP{Handler: e.serve}
 	h.Start(ln)
@@ -110,7 +110,8 @@
 	w.SetBody(body)
 }
 
-// statusOf returns 0 where the connection breaks instead of an answer.
+// statusOf returns the HTTP status for the error, or 0 if the connection is to
+// be closed without a response.
 func statusOf(err error) int {
 	var e *engine.Error
 	if !errors.As(err, &e) {
--- a/internal/fake/model/stream.go
+++ b/internal/fake/model/stream.go
@@ -13,19 +13,22 @@
 
 const chunkObject = "chat.completion.chunk"
 
-// stream turns a completion into server-sent events. It is read by the server;
-// an error of the completion fails the read, which breaks the connection.
+// stream encodes a completion as server-sent events. The HTTP server reads it
+// as the response body; an error of the completion fails the read, on which the
+// server closes the connection.
 type stream struct {
 	deltas chan engine.Delta
 	usage  engine.Usage // set before deltas is closed
-	err    error        // as usage
+	err    error        // set before deltas is closed
 	id     string
 	model  string
-	n      int
+	n      int // number of the last piece sent
 	buf    bytes.Buffer
 	ended  bool
 }
 
+// run executes the completion and sends its pieces to deltas.
+// run executes the completion and sends its pieces to deltas.
 func (s *stream) run(ctx context.Context, e *Engine, r engine.Request) {
 	defer close(s.deltas)
 	s.usage, s.err = e.Chat(ctx, r, func(d engine.Delta) error {
@@ -38,8 +41,8 @@
 	})
 }
 
-// Read implements io.Reader; one read never holds more than one event, so that
-// each goes out at once.
+// Read implements io.Reader. One read returns bytes of one event at most, so
+// that each event is sent without waiting for the next.
 func (s *stream) Read(p []byte) (int, error) {
 	if s.buf.Len() == 0 {
 		if err := s.next(); err != nil {
@@ -49,8 +52,9 @@
 	return s.buf.Read(p)
 }
 
-// next waits for the next event. The error before the first event is known
-// before the answer's status is sent.
+// next waits for the next event and writes it to buf. The server calls it once
+// before it sends the status, so that an error before the first event can still
+// set the status.
 func (s *stream) next() error {
 	if s.ended {
 		return io.EOF
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -1,8 +1,8 @@
-// Package host serves a stand-in over HTTP and plays the network's faults: it
-// can cut all connections or let the open ones go silent while new ones work.
+// Package server serves a fake over HTTP and simulates network faults: it can
+// close all connections, or blackhole the open ones while new ones work.
 //
-// Each connection serves one request, so that whatever else happens on it is
-// its client's leaving; that ends the request's context.
+// Each connection serves one request. A further read on it therefore returns only
+// when the client has disconnected, which ends the request's context.
 package server
 
 import (
@@ -17,12 +17,13 @@
 const maxBody = 64 << 20
 
 type (
-	// Handler answers one request. The context ends when the client has left
-	// or the answer is sent, also where the answer is a stream that outlives
-	// the call.
+	// Handler responds to one request. The context ends when the client has
+	// disconnected or the response is sent; for a streamed response, that is
+	// after Handler has returned.
 	Handler func(ctx context.Context, w *fasthttp.RequestCtx)
 
-	// Host is a server with its connections.
+	// HTTP is an HTTP server that tracks its connections. Set Handler, then call
+	// Start.
 	HTTP struct {
 		Handler Handler
 
@@ -34,7 +35,7 @@
 
 		mu         sync.Mutex
 		conns      map[*conn]struct{}
-		blackholed []*conn // closed at this end only
+		blackholed []*conn // closed by the server, open for the client
 	}
 
 	conn struct {
@@ -42,20 +43,20 @@
 		host      *HTTP
 		once      sync.Once
 		mu        sync.Mutex
-		blackhole chan struct{}
-		closed    chan struct{}
+		blackhole chan struct{} // closed when the connection is blackholed
+		closed    chan struct{} // closed by Close
 	}
 )
 
-// init starts the library's clock for date headers, a goroutine that never
-// ends. The library starts it with its first error response; if that happened
-// inside a synctest bubble the bubble could not end.
+// init makes fasthttp start its goroutine for date headers, which never ends.
+// fasthttp would otherwise start it with its first error response; if that
+// happened inside a synctest bubble, the bubble could not end.
 func init() {
 	var r fasthttp.Response
 	_, _ = r.WriteTo(io.Discard)
 }
 
-// Break ends the exchange without an answer.
+// Abort closes the connection without a response.
 func Abort(w *fasthttp.RequestCtx) {
 	w.HijackSetNoResponse(true)
 	w.Hijack(func(net.Conn) {})
@@ -71,8 +72,8 @@
 	go h.accept()
 }
 
-// accept serves each connection on a goroutine of its own. The library's pool
-// of workers is not used because it outlives the server by its idle time,
+// accept serves each connection in its own goroutine. The worker pool of fasthttp
+// is not used, because its goroutines outlive the server by their idle timeout,
 // which a synctest bubble does not allow.
 func (h *HTTP) accept() {
 	defer close(h.done)
@@ -85,10 +86,11 @@
 	}
 }
 
-// Address returns the IP number and port.
+// Address returns the IP address and port.
 func (h *HTTP) Address() string { return h.ln.Addr().String() }
 
-// Close stops listening and cuts all connections, as a process that is killed.
+// Close stops listening and closes all connections, as if the process were
+// killed.
 func (h *HTTP) Close() {
 	h.cancel()
 	_ = h.ln.Close()
@@ -101,15 +103,15 @@
 	}
 }
 
-// Cut closes all open connections.
+// CloseConns closes all open connections.
 func (h *HTTP) CloseConns() {
 	for _, c := range h.openConns() {
 		_ = c.Close()
 	}
 }
 
-// Silence makes the open connections swallow what is sent and bring nothing
-// more, without closing them. New connections work.
+// Blackhole makes the open connections discard all data in both directions,
+// without closing them. New connections work.
 func (h *HTTP) Blackhole() {
 	for _, c := range h.openConns() {
 		c.startBlackhole()
@@ -165,8 +167,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection, or only its server's side if it is silent: the
-// other end must not notice.
+// Close closes the connection. If it is blackholed, Close ends only the server's
+// use of it: the client must not notice.
 func (c *conn) Close() (err error) {
 	c.once.Do(func() {
 		close(c.closed)
@@ -177,7 +179,8 @@
 	return err
 }
 
-// forget takes the connection off the list and reports whether to close it.
+// untrack removes the connection from the open ones and reports whether to close
+// it.
 func (c *conn) untrack() bool {
 	c.host.mu.Lock()
 	defer c.host.mu.Unlock()
--- a/internal/fake/site/site.go
+++ b/internal/fake/site/site.go
@@ -1,10 +1,10 @@
-// Package site starts a whole stand-in platform: the key-value service, the VM
-// list, the weight store, two model engines and one plain service, each on an
-// address of its own.
+// Package site starts fakes of the whole platform: the key-value service, the VM
+// list, the weight store, two model engines and one plain service, each with its
+// own address.
 //
-// Its objects are open to assertions and faults, and so are its servers, which
-// can be cut or made silent. Separate processes reach them by address; Close
-// ends all.
+// Tests make assertions on the fakes and switch their faults on directly, and can
+// close or blackhole the connections of their servers. Separate processes connect
+// by address. Close stops all.
 package site
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/slaterock/slaterock/internal/fake/weight"
 )
 
-// The parts, as Addresses names them.
+// The parts of a site.
 const (
 	Store   Part = "store"
 	VMs     Part = "vms"
@@ -34,14 +34,14 @@
 const anyPort = "127.0.0.1:0"
 
 type (
-	// Part names one stand-in.
+	// Part is the name of one fake.
 	Part string
 
-	// Site is the stand-in platform. The zero value listens on ports that the
-	// system chooses.
+	// Site is the set of fakes. The zero value listens on ports that the
+	// operating system chooses.
 	Site struct {
-		Listen map[Part]string // addresses to listen on; others are chosen
-		Speed  float64         // of the engines; 0 is 1
+		Listen map[Part]string // listen addresses; the default is a free port
+		Speed  float64         // of the engines, see model.Engine; 0 means 1
 
 		Store   keyval.Store
 		VMs     vmset.Set
@@ -53,11 +53,11 @@
 	}
 )
 
-// Start starts all parts; on an error none is left running. The context
-// bounds only the start.
+// Start starts all parts; if one fails, it stops the others. The context applies
+// to the start only.
 func (s *Site) Start(ctx context.Context) (err error) {
 	defer func() {
-		err = errors.Wrap(err, "start stand-in platform")
+		err = errors.Wrap(err, "start fake platform")
 		if err != nil {
 			s.Close()
 		}
@@ -75,13 +75,13 @@
 	return nil
 }
 
-// Address returns the part's IP number and port.
+// Address returns the part's IP address and port.
 func (s *Site) Address(p Part) string { return s.hosts[p].Address() }
 
-// Host returns the part's server, whose connections can be made to fail.
+// HTTP returns the part's server, whose connections can be made to fail.
 func (s *Site) HTTP(p Part) *server.HTTP { return s.hosts[p] }
 
-// Close ends all parts.
+// Close stops all parts.
 func (s *Site) Close() {
 	for _, h := range s.hosts {
 		h.Close()
@@ -89,7 +89,7 @@
 	s.hosts = nil
 }
 
-// Engine returns the engine at the address or with the name.
+// Engine returns the engine with the address or name target, or nil.
 func (s *Site) Engine(target string) *model.Engine {
 	for p, e := range map[Part]*model.Engine{Engine1: &s.E1, Engine2: &s.E2} {
 		if target == string(p) || s.hosts[p] != nil && target == s.hosts[p].Address() {
--- a/internal/fake/upstrm/upstrm.go
+++ b/internal/fake/upstrm/upstrm.go
@@ -1,6 +1,6 @@
-// Package upstrm stands in for an upstream of the users' platform: a model
-// engine that streams events, or a plain service. It notes what it ran, and may
-// refuse, break off, lose answers, or be slow.
+// Package upstrm is a fake upstream: a model engine that streams events, or a
+// plain service. It records the attempts that it executed, and can refuse
+// requests, truncate or lose responses, or delay them.
 package upstrm
 
 import (
@@ -17,41 +17,42 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// ExpectBody is a header of the stand-in's own: the digest of the body that must
-// arrive. Callers set it, since they know what they said before.
+// ExpectBody is a header that only the fake reads: the Digest of the body that it
+// must receive. Callers set it, as they know the conversation so far.
 const ExpectBody = "X-Expect-Body"
 
 type (
-	// Ledger notes runs, over all upstreams of a system.
+	// RunLog records the executions at all upstreams of a system.
 	RunLog struct {
 		mu         sync.Mutex
-		runs       map[string]int // by attempt id
-		violations []string       // what went wrong, in words
+		runs       map[string]int // number of executions by attempt id
+		violations []string       // descriptions of violations
 	}
 
-	// Upstream is one process. Set the exported fields before use.
+	// Upstream is the HTTP handler of one upstream. Set the exported fields
+	// before use; BreakEvery and LoseEvery may change at any time.
 	Upstream struct {
 		ID          string
 		RunLog      *RunLog
 		MaxInFlight int
-		Delay       time.Duration // before each event, and for a plain answer
+		Delay       time.Duration // before each event, and before a plain response
 
-		BreakEvery atomic.Int64 // one in so many answers is broken off; 0 is none
-		LoseEvery  atomic.Int64 // one in so many answers is lost after the run; 0 is none
+		BreakEvery atomic.Int64 // one in so many responses is truncated; 0 means none
+		LoseEvery  atomic.Int64 // one in so many responses is lost after the execution; 0 means none
 
 		inFlight atomic.Int64
 		runs     atomic.Int64
 	}
 )
 
-// Runs returns how often an attempt ran.
+// Runs returns how many times an attempt was executed.
 func (l *RunLog) Runs(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-// Bad returns what went wrong at upstreams.
+// Violations returns descriptions of the violations that upstreams detected.
 func (l *RunLog) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,11 +74,11 @@
 	l.violations = append(l.violations, text)
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the daemon broke off
+		return // the daemon closed the connection
 	}
 	id := r.Header.Get("Request-Id")
 	w.Header().Set("Request-Id", id)
@@ -106,9 +107,10 @@
 	u.respond(w, r, id, every > 0 && n%every == 0)
 }
 
-// answer sends events, or one piece for a plain call.
+// respond sends the number of events that the query asks for, or a plain text
+// body if that is 0.
 func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, id string, broken bool) {
-	events, _ := strconv.Atoi(r.URL.Query().Get("events")) // none for a plain call
+	events, _ := strconv.Atoi(r.URL.Query().Get("events")) // 0 for a plain call
 	if events == 0 {
 		if !u.delay(r) {
 			return
@@ -117,7 +119,7 @@
 			w.Header().Set("Content-Length", "100")
 		}
 		w.Header().Set("Content-Type", "text/plain")
-		_, _ = io.WriteString(w, "answer to "+id) //nolint:gosec // plain text for a stand-in's caller
+		_, _ = io.WriteString(w, "answer to "+id) //nolint:gosec // plain text for the caller of a fake
 		return
 	}
 	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // 0 is the start
@@ -131,21 +133,24 @@
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, EventText(id, i))
-		_ = http.NewResponseController(w).Flush() // a daemon that left is noticed at the next rest
+		_ = http.NewResponseController(w).Flush() // a disconnected daemon is noticed at the next delay
 	}
 }
 
+// delay waits for Delay; it returns false if the request ended before.
 func (u *Upstream) delay(r *http.Request) bool { return pause.For(r.Context(), u.Delay) }
 
-// Event is the text of one event.
+// EventText returns the text of event i of an attempt, in the format of
+// server-sent events.
 func EventText(id string, i int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", i, EventData(id, i))
 }
 
-// Data is what an event says.
+// EventData returns the data field of event i of an attempt.
 func EventData(id string, i int) string { return fmt.Sprintf("%s/%d", id, i) }
 
-// Digest is a body's, for ExpectBody.
+// Digest returns the value of the header ExpectBody for a body: the first 8 bytes
+// of its SHA-256, in hex.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
--- a/internal/fake/vmset/server.go
+++ b/internal/fake/vmset/server.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/fake/server"
 )
 
-// Serve serves the list on the listener in the form that vmnet.Client reads.
+// Serve serves the list on the listener in the format of vmhttp.Client.
 func Serve(ln net.Listener, s *Set) *server.HTTP {
 	h := &server.HTTP{Handler: s.serve}
 	h.Start(ln)
--- a/internal/fake/vmset/vmset.go
+++ b/internal/fake/vmset/vmset.go
@@ -1,5 +1,5 @@
-// Package vmset is a stand-in for the platform's list of VMs. What a reader
-// sees lags behind what was set.
+// Package vmset is a fake of the platform's VM list. A change becomes visible to
+// readers after a configurable lag.
 package vmset
 
 import (
@@ -14,9 +14,10 @@
 
 type (
 	// Set implements vmlist.List. The zero value is an empty list without lag.
+	// Set exported fields before the first call.
 	Set struct {
-		Lag time.Duration // from a change to its being seen
-		Now func() time.Time
+		Lag time.Duration    // time from a change until readers see it
+		Now func() time.Time // clock; nil means time.Now
 
 		mu          sync.Mutex
 		changes     []change
@@ -24,21 +25,21 @@
 	}
 
 	change struct {
-		at  time.Time
+		at  time.Time // when readers see it
 		vms []vmlist.VM
 	}
 )
 
 var errUnavailable = errors.New("vm list: unavailable")
 
-// Put replaces the list; readers see it after the lag.
+// Put replaces the list. Readers see the new one after Lag.
 func (s *Set) Put(vms ...vmlist.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = append(s.changes, change{at: s.now().Add(s.Lag), vms: slices.Clone(vms)})
 }
 
-// Down makes reads fail until it is called with false.
+// SetUnavailable makes reads fail until it is called with false.
 func (s *Set) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/weight/server.go
+++ b/internal/fake/weight/server.go
@@ -12,8 +12,7 @@
 	"github.com/slaterock/slaterock/internal/plat/wthttp"
 )
 
-// Serve serves the weight store on the listener in the form that wtnet.Client
-// reads.
+// Serve serves the weight store on the listener in the format of wthttp.Client.
 func Serve(ln net.Listener, w *Weights) *server.HTTP {
 	h := &server.HTTP{Handler: w.serve}
 	h.Start(ln)
@@ -21,12 +20,12 @@
 }
 
 func (w *Weights) serve(ctx context.Context, out *fasthttp.RequestCtx) {
-	var ask wthttp.Request
-	if json.Unmarshal(out.PostBody(), &ask) != nil {
+	var req wthttp.Request
+	if json.Unmarshal(out.PostBody(), &req) != nil {
 		out.SetStatusCode(http.StatusBadRequest)
 		return
 	}
-	wait, err := w.Admit(ctx, ask.Model)
+	wait, err := w.Admit(ctx, req.Model)
 	if err != nil {
 		out.Error(err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/fake/weight/weight.go
+++ b/internal/fake/weight/weight.go
@@ -1,5 +1,5 @@
-// Package weight is a stand-in for the platform's weight store, which admits a
-// limited number of loads at a time.
+// Package weight is a fake of the platform's weight store, which admits a limited
+// number of concurrent model loads.
 package weight
 
 import (
@@ -15,29 +15,31 @@
 )
 
 type (
-	// Weights implements plat/weight.Weights. The zero value admits two loads
-	// in ten seconds.
+	// Weights implements plat/weight.Weights. The zero value admits two
+	// concurrent loads of ten seconds each. Set exported fields before the first
+	// call.
 	Weights struct {
-		Loads int           // at a time
-		Time  time.Duration // what one load takes
-		Now   func() time.Time
+		Loads int              // maximum number of concurrent loads
+		Time  time.Duration    // duration of one load
+		Now   func() time.Time // clock; nil means time.Now
 
 		mu          sync.Mutex
-		ends        []time.Time
+		ends        []time.Time // ends of the running loads, ascending
 		unavailable bool
 	}
 )
 
 var errUnavailable = errors.New("weight store: unavailable")
 
-// Down makes requests fail until it is called with false.
+// SetUnavailable makes requests fail until it is called with false.
 func (w *Weights) SetUnavailable(unavailable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unavailable = unavailable
 }
 
-// Admit implements plat/weight.Weights.
+// Admit implements plat/weight.Weights. It admits the load with a wait of 0, or
+// returns the time until the earliest running load ends.
 func (w *Weights) Admit(context.Context, string) (time.Duration, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/play/storm/proxy.go
+++ b/internal/play/storm/proxy.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Set switches a fault on, or off with Pass.
+// SetFault switches a fault on, or off with Pass.
 func (p *Proxy) SetFault(h Harm) { p.harm.Store(int32(h)) }
 
 // Reset resets all connections.
