--- a/cmd/slaterock/storm.go
+++ b/cmd/slaterock/storm.go
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/slaterock/slaterock/internal/play/storm"
+	"github.com/slaterock/slaterock/internal/play/chaos"
 )
 
 // stormCommand is for development: the real programs under faults.
 func stormCommand() *cobra.Command {
-	var s storm.Storm
+	var s chaos.Runner
 	var seeds int
 	var dir string
 	c := &cobra.Command{
@@ -29,8 +29,8 @@
 			}
 			failed := 0
 			for seed := s.Seed; seed < s.Seed+uint64(seeds); seed++ {
-				one := storm.Storm{
-					Command: []string{self}, Seed: seed, Calm: s.Calm, For: s.For, Fronts: s.Fronts, Disks: s.Disks, Upstreams: s.Upstreams, Callers: s.Callers,
+				one := chaos.Runner{
+					Command: []string{self}, Seed: seed, NoFaults: s.NoFaults, For: s.For, Fronts: s.Fronts, Disks: s.Disks, Upstreams: s.Upstreams, Callers: s.Callers,
 					Dir: filepath.Join(dir, fmt.Sprint(seed)), Out: io.Discard,
 				}
 				// Attempts have the same ids in each run of a seed, so the disks of
@@ -62,7 +62,7 @@
 	f := c.Flags()
 	f.Uint64Var(&s.Seed, "first", 1, "first seed")
 	f.IntVar(&seeds, "seeds", 1, "seeds to play")
-	f.BoolVar(&s.Calm, "calm", false, "play no faults")
+	f.BoolVar(&s.NoFaults, "calm", false, "play no faults")
 	f.DurationVar(&s.For, "for", 15*time.Second, "time with faults")
 	f.IntVar(&s.Fronts, "fronts", 4, "processes that serve callers")
 	f.IntVar(&s.Disks, "disks", 4, "processes that keep records")
--- a/cmd/slaterock/storm_test.go
+++ b/cmd/slaterock/storm_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/slaterock/slaterock/internal/play/storm"
+	"github.com/slaterock/slaterock/internal/play/chaos"
 )
 
 // All processes are killed at once and start again while the platform's store is
@@ -22,8 +22,8 @@
 	is := is.New(t)
 	t.Setenv(asMain, "1")
 	var faults bytes.Buffer
-	s := &storm.Storm{
-		Seed: 5, Dark: true, For: 2 * time.Second, Fronts: 2, Disks: 3, Upstreams: 4, Callers: 6,
+	s := &chaos.Runner{
+		Seed: 5, StoreOutage: true, For: 2 * time.Second, Fronts: 2, Disks: 3, Upstreams: 4, Callers: 6,
 		Command: []string{os.Args[0]}, Dir: t.TempDir(), Out: &faults,
 	}
 	sum, err := s.Run(t.Context())
@@ -40,8 +40,8 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	cases := map[string]*storm.Storm{
-		"calm":   {Seed: 1, Calm: true, For: 3 * time.Second, Fronts: 2, Disks: 3, Upstreams: 4, Callers: 8},
+	cases := map[string]*chaos.Runner{
+		"calm":   {Seed: 1, NoFaults: true, For: 3 * time.Second, Fronts: 2, Disks: 3, Upstreams: 4, Callers: 8},
 		"faults": {Seed: 9, For: 6 * time.Second, Fronts: 3, Disks: 4, Upstreams: 6, Callers: 12},
 	}
 	for name, s := range cases {
--- a/internal/play/storm/build.go
+++ b/internal/play/chaos/build.go
@@ -1,4 +1,4 @@
-package storm
+package chaos
 
 import (
 	"context"
@@ -12,30 +12,30 @@
 )
 
 // build starts the stand-ins and the processes.
-func (s *Storm) build(ctx context.Context) error {
+func (s *Runner) startAll(ctx context.Context) error {
 	store, err := serve(ctx, &s.metakv, anyPort)
 	if err != nil {
 		return err
 	}
-	s.metakv.Put("op/config", configuration())
-	if err = s.buildUpstreams(ctx); err != nil {
+	s.metakv.Put("op/config", operatorConfig())
+	if err = s.startUpstreams(ctx); err != nil {
 		return err
 	}
 	for i := range s.Fronts {
-		c, err := s.child(ctx, store, "front", i, fmt.Sprintf("127.0.1.%d", i+1))
+		c, err := s.process(ctx, store, "front", i, fmt.Sprintf("127.0.1.%d", i+1))
 		if err != nil {
 			return err
 		}
-		p := &Proxy{Target: fmt.Sprintf("127.0.1.%d:%d", i+1, listPort)}
+		p := &Proxy{Target: fmt.Sprintf("127.0.1.%d:%d", i+1, basePort)}
 		if err = p.Start(ctx, "127.0.0.1"); err != nil {
 			return err
 		}
-		s.callers = append(s.callers, p)
-		s.directories = append(s.directories, fmt.Sprintf("127.0.1.%d:%d", i+1, listPort+2))
+		s.frontProxies = append(s.frontProxies, p)
+		s.directories = append(s.directories, fmt.Sprintf("127.0.1.%d:%d", i+1, basePort+2))
 		s.fronts = append(s.fronts, c)
 	}
 	for i := range s.Disks {
-		c, err := s.child(ctx, store, "storage", i, fmt.Sprintf("127.0.2.%d", i+1))
+		c, err := s.process(ctx, store, "storage", i, fmt.Sprintf("127.0.2.%d", i+1))
 		if err != nil {
 			return err
 		}
@@ -51,10 +51,10 @@
 
 // buildUpstreams starts upstreams, each behind a proxy, whose entries are
 // written again and again as upstreams do.
-func (s *Storm) buildUpstreams(ctx context.Context) error {
+func (s *Runner) startUpstreams(ctx context.Context) error {
 	for i := range s.Upstreams {
 		service := []string{"model", "plain"}[i%2]
-		u := &upstrm.Upstream{ID: fmt.Sprintf("i-%d", i), RunLog: &s.ledger, MaxInFlight: 16, Delay: 8 * time.Millisecond}
+		u := &upstrm.Upstream{ID: fmt.Sprintf("i-%d", i), RunLog: &s.runLog, MaxInFlight: 16, Delay: 8 * time.Millisecond}
 		address, err := serve(ctx, u, anyPort)
 		if err != nil {
 			return err
@@ -63,7 +63,7 @@
 		if err = p.Start(ctx, "127.0.0.1"); err != nil {
 			return err
 		}
-		s.ups, s.upProxies = append(s.ups, u), append(s.upProxies, p)
+		s.upstreams, s.upstreamProxies = append(s.upstreams, u), append(s.upstreamProxies, p)
 		s.entries.Store(u.ID, map[string]any{
 			"service": service, "address": p.Address, "zone": fmt.Sprintf("z%d", i%3), "version": "v1", "max-batch": u.MaxInFlight,
 			"state": "ready", "cold-remaining-ms": 0, "born": time.Now().UnixMilli(),
@@ -75,27 +75,27 @@
 				s.metakv.Put("servers/"+id.(string), entry)
 				return true
 			})
-			pause.For(ctx, entryEvery)
+			pause.For(ctx, entryInterval)
 		}
 	}()
 	return nil
 }
 
-func (s *Storm) child(ctx context.Context, store, role string, i int, ip string) (*child, error) {
+func (s *Runner) process(ctx context.Context, store, role string, i int, ip string) (*process, error) {
 	p := &Proxy{Target: store}
 	if err := p.Start(ctx, "127.0.0.1"); err != nil {
 		return nil, err
 	}
-	s.stores = append(s.stores, p)
+	s.storeProxies = append(s.storeProxies, p)
 	name := fmt.Sprintf("%s-%d", role, i)
-	c := &child{name: name, role: role, command: s.Command, settings: s.file(name + ".yaml")}
+	c := &process{name: name, role: role, command: s.Command, settings: s.path(name + ".yaml")}
 	listen, dir := "", "null"
 	if role == "front" {
-		listen = fmt.Sprintf("{front: %q, ready: %q, directory: %q}", fmt.Sprintf("%s:%d", ip, listPort), fmt.Sprintf("%s:%d", ip, listPort+1), fmt.Sprintf("%s:%d", ip, listPort+2))
+		listen = fmt.Sprintf("{front: %q, ready: %q, directory: %q}", fmt.Sprintf("%s:%d", ip, basePort), fmt.Sprintf("%s:%d", ip, basePort+1), fmt.Sprintf("%s:%d", ip, basePort+2))
 	} else {
-		c.dir = s.file(name)
+		c.dir = s.path(name)
 		dir = fmt.Sprintf("%q", c.dir)
-		listen = fmt.Sprintf("{control: %q}", fmt.Sprintf("%s:%d", ip, listPort+3))
+		listen = fmt.Sprintf("{control: %q}", fmt.Sprintf("%s:%d", ip, basePort+3))
 	}
 	text := fmt.Sprintf(`node-name: %q
 machine-class: %q
@@ -113,21 +113,21 @@
 fault-tolerance: {machines: 1, zones: 0, regions: 0}
 bounds: {drain-ms: 2000, grace-s: 8, ttl_max_s: 5}
 platform: {address: %q, writes-per-s: 400, reads-per-s: 2000, value-bytes: 1048576, ttl-min-ms: 1000}
-`, name, role, ip, i%3, listen, peerPort, peerPort+15, listPort+3, listPort+3, listPort+3, role == "storage", dir, p.Address)
+`, name, role, ip, i%3, listen, peerPort, peerPort+15, basePort+3, basePort+3, basePort+3, role == "storage", dir, p.Address)
 	if err := os.WriteFile(c.settings, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
 	var err error
-	c.log, err = os.Create(s.file(name + ".log"))
+	c.log, err = os.Create(s.path(name + ".log"))
 	return c, err
 }
 
 // configuration is the operator's.
-func configuration() map[string]any {
+func operatorConfig() map[string]any {
 	route := func(path, kind, service string, more map[string]any) map[string]any {
 		r := map[string]any{
 			"name": path, "host": host, "path-prefix": "/" + path + "/", "kind": kind, "service": service,
-			"timeout-ms": attemptTime.Milliseconds(), "target-latency-ms": 250, "max-attempts": 2,
+			"timeout-ms": attemptTimeout.Milliseconds(), "target-latency-ms": 250, "max-attempts": 2,
 		}
 		for key, value := range more {
 			r[key] = value
@@ -143,7 +143,7 @@
 			route("unsafe", "unsafe", "plain", nil),
 		},
 		"services": []any{
-			map[string]any{"name": "model", "health-path": "/health", "max-conns": 200, "runtime": map[string]any{"max-batch": 16, "tokens-per-event": perEvent}},
+			map[string]any{"name": "model", "health-path": "/health", "max-conns": 200, "runtime": map[string]any{"max-batch": 16, "tokens-per-event": tokensPerEvent}},
 			map[string]any{"name": "plain", "health-path": "/health", "max-conns": 200},
 		},
 		"limits": map[string]any{"max-header-bytes": 16384, "max-body-bytes": 4194304, "header-timeout-ms": 3000, "idle-timeout-ms": 15000},
--- a/internal/play/storm/caller.go
+++ b/internal/play/chaos/caller.go
@@ -1,4 +1,4 @@
-package storm
+package chaos
 
 import (
 	"bytes"
@@ -17,14 +17,14 @@
 )
 
 const (
-	attemptTime = 4 * time.Second
-	budget      = 300
-	turnMost    = 30 // tokens
-	turnEvents  = 10
-	perEvent    = 3
-	maxOthers   = 20
-
-	keepPath   = "/turn/"
+	attemptTimeout  = 4 * time.Second
+	budget          = 300
+	maxTurnTokens   = 30 // tokens
+	turnEvents      = 10
+	tokensPerEvent  = 3
+	maxOtherSamples = 20
+
+	turnPath   = "/turn/"
 	resumePath = "/resume/"
 )
 
@@ -32,7 +32,7 @@
 	// caller runs programs one after the other: kept turns, each of which
 	// continues the last, and calls between them.
 	caller struct {
-		s      *Storm
+		s      *Runner
 		rnd    *rand.Rand
 		id     int
 		client *http.Client
@@ -40,55 +40,55 @@
 	}
 
 	// verdicts is what all callers have seen.
-	verdicts struct {
-		mu       sync.Mutex
-		attempts map[string]seen
-		broken   []string
-		whole    int
-		refused  int
-		other    int
-		others   []string // the first of them, for whoever traces a run
+	tally struct {
+		mu           sync.Mutex
+		attempts     map[string]observed
+		violations   []string
+		complete     int
+		refused      int
+		other        int
+		otherSamples []string // the first of them, for whoever traces a run
 	}
 
 	// seen is what became of one attempt.
-	seen struct {
-		status int // 0 without an answer
-		idem   bool
-		err    error
+	observed struct {
+		status     int // 0 without an answer
+		idempotent bool
+		err        error
 	}
 )
 
 // note notes an attempt. One that the caller itself ended at the end of the run
 // says nothing of the system.
-func (v *verdicts) note(ctx context.Context, id string, s seen, whole bool) {
+func (v *tally) record(ctx context.Context, id string, s observed, complete bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.attempts[id] = s
 	switch {
-	case whole:
-		v.whole++
+	case complete:
+		v.complete++
 	case ctx.Err() != nil:
 	case s.status == http.StatusServiceUnavailable || s.status == http.StatusPaymentRequired:
 		v.refused++
 	default:
 		v.other++
-		if len(v.others) < maxOthers {
-			v.others = append(v.others, fmt.Sprintf("%s: status %d, %v", id, s.status, s.err))
+		if len(v.otherSamples) < maxOtherSamples {
+			v.otherSamples = append(v.otherSamples, fmt.Sprintf("%s: status %d, %v", id, s.status, s.err))
 		}
 	}
 }
 
 // begin forgets what was counted while the processes started.
-func (v *verdicts) begin() {
+func (v *tally) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.whole, v.refused, v.other, v.others = 0, 0, 0, nil
+	v.complete, v.refused, v.other, v.otherSamples = 0, 0, 0, nil
 }
 
-func (v *verdicts) breach(format string, args ...any) {
+func (v *tally) addViolation(format string, args ...any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.broken = append(v.broken, fmt.Sprintf(format, args...))
+	v.violations = append(v.violations, fmt.Sprintf(format, args...))
 }
 
 func (c *caller) run(ctx context.Context) {
@@ -99,24 +99,24 @@
 
 // program runs turns until its budget is spent or it has had enough.
 func (c *caller) program(ctx context.Context, name string) {
-	previous, said, spent := "", []byte(nil), 0
+	previous, conversation, spent := "", []byte(nil), 0
 	for turn := range 3 + c.rnd.IntN(12) {
-		helped := c.help(ctx, name, turn)
+		subAgentTokens := c.startSubAgent(ctx, name, turn)
 		for try := 0; ; try++ {
 			id := fmt.Sprintf("%s-t%d-%d", name, turn, try)
 			input := []byte(fmt.Sprintf("input of %s;", id))
-			status, tokens, output, whole := c.turn(ctx, keepPath, name, id, previous, said, input)
+			status, tokens, output, complete := c.turn(ctx, turnPath, name, id, previous, conversation, input)
 			spent += tokens
-			spent += helped()
-			if spent > budget+turnMost {
-				c.s.seen.breach("%s: %d tokens handed out, budget %d", name, spent, budget)
+			spent += subAgentTokens()
+			if spent > budget+maxTurnTokens {
+				c.s.observed.addViolation("%s: %d tokens handed out, budget %d", name, spent, budget)
 			}
 			if status == http.StatusNotFound && previous != "" {
-				c.s.seen.breach("%s: no such turn as %s, which was answered whole", id, previous)
+				c.s.observed.addViolation("%s: no such turn as %s, which was answered whole", id, previous)
 			}
-			if whole {
+			if complete {
 				previous = id
-				said = append(append(append([]byte(nil), said...), input...), output...)
+				conversation = append(append(append([]byte(nil), conversation...), input...), output...)
 				break
 			}
 			if status == http.StatusPaymentRequired || try == 4 || ctx.Err() != nil {
@@ -131,7 +131,7 @@
 // help starts a sub-agent beside some of the program's turns. It spends from the
 // same budget, on a route whose streams may be resumed. What is returned waits
 // for it and tells its tokens, once.
-func (c *caller) help(ctx context.Context, program string, turn int) (spent func() int) {
+func (c *caller) startSubAgent(ctx context.Context, program string, turn int) (spent func() int) {
 	if c.rnd.IntN(4) > 0 {
 		return func() int { return 0 }
 	}
@@ -146,60 +146,60 @@
 }
 
 // turn sends one turn and checks its stream.
-func (c *caller) turn(ctx context.Context, path, program, id, previous string, said, input []byte) (status, tokens int, output []byte, whole bool) {
+func (c *caller) turn(ctx context.Context, path, program, id, previous string, conversation, input []byte) (status, tokens int, output []byte, complete bool) {
 	h := http.Header{}
 	h.Set("Program-Id", program)
 	h.Set("Token-Budget", fmt.Sprint(budget))
-	h.Set("Token-Usage", fmt.Sprintf("100,%d", turnMost))
-	h.Set(upstrm.ExpectBody, upstrm.Digest(append(append([]byte(nil), said...), input...)))
+	h.Set("Token-Usage", fmt.Sprintf("100,%d", maxTurnTokens))
+	h.Set(upstrm.ExpectBody, upstrm.Digest(append(append([]byte(nil), conversation...), input...)))
 	if previous != "" {
 		h.Set("Previous-Turn", previous)
 	}
 	status, body, err := c.send(ctx, http.MethodPost, fmt.Sprintf("%sx?events=%d", path, turnEvents), id, h, input)
 	events := strings.Count(string(body), "\n\n")
-	whole = status == http.StatusOK && err == nil
+	complete = status == http.StatusOK && err == nil
 	want := ""
 	for i := 1; i <= turnEvents; i++ {
 		want += upstrm.EventText(id, i)
 		output = append(append(output, upstrm.EventData(id, i)...), '\n')
 	}
 	if status == http.StatusOK {
-		tokens = events * perEvent
-		if whole && string(body) != want || !strings.HasPrefix(want, string(body)) {
-			c.s.seen.breach("%s: a stream that is not the upstream's (whole %v): %.120q", id, whole, body)
+		tokens = events * tokensPerEvent
+		if complete && string(body) != want || !strings.HasPrefix(want, string(body)) {
+			c.s.observed.addViolation("%s: a stream that is not the upstream's (whole %v): %.120q", id, complete, body)
 		}
 	}
-	c.s.seen.note(ctx, id, seen{status: status, idem: path == resumePath, err: err}, whole)
-	return status, tokens, output, whole
+	c.s.observed.record(ctx, id, observed{status: status, idempotent: path == resumePath, err: err}, complete)
+	return status, tokens, output, complete
 }
 
 // call sends a call to a plain service.
 func (c *caller) call(ctx context.Context, id string, safe bool) {
 	path := map[bool]string{true: "/safe/x", false: "/unsafe/x"}[safe]
 	status, body, err := c.send(ctx, http.MethodPost, path, id, http.Header{}, []byte("call"))
-	whole := status == http.StatusOK && err == nil
-	if whole && string(body) != "answer to "+id {
-		c.s.seen.breach("%s: got %.100q", id, body)
+	complete := status == http.StatusOK && err == nil
+	if complete && string(body) != "answer to "+id {
+		c.s.observed.addViolation("%s: got %.100q", id, body)
 	}
-	c.s.seen.note(ctx, id, seen{status: status, idem: safe, err: err}, whole)
+	c.s.observed.record(ctx, id, observed{status: status, idempotent: safe, err: err}, complete)
 }
 
 // send sends one attempt over a kept connection, which it uses until the daemon
 // is gone.
 func (c *caller) send(ctx context.Context, method, path, id string, h http.Header, body []byte) (status int, answer []byte, err error) {
-	ctx, stop := context.WithTimeout(ctx, attemptTime)
+	ctx, stop := context.WithTimeout(ctx, attemptTimeout)
 	defer stop()
 	if c.front < 0 || c.rnd.IntN(20) == 0 {
-		c.choose(ctx)
+		c.chooseFront(ctx)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.s.callers[max(c.front, 0)].Address+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.s.frontProxies[max(c.front, 0)].Address+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	r.GetBody = nil // the library must not send it again
 	r.Header = h
 	r.Header.Set("Request-Id", id)
-	r.Header.Set("Deadline-Ms", fmt.Sprint(attemptTime.Milliseconds()))
+	r.Header.Set("Deadline-Ms", fmt.Sprint(attemptTimeout.Milliseconds()))
 	r.Host = host
 	resp, err := c.client.Do(r)
 	if err != nil {
@@ -213,10 +213,10 @@
 }
 
 // choose asks the directory of some daemon where to connect.
-func (c *caller) choose(ctx context.Context) {
+func (c *caller) chooseFront(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
-	c.front = c.rnd.IntN(len(c.s.callers))
+	c.front = c.rnd.IntN(len(c.s.frontProxies))
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.s.directories[c.rnd.IntN(len(c.s.directories))]+"/-/resolve?name="+host, nil)
 	if err != nil {
 		return
@@ -233,7 +233,7 @@
 		return
 	}
 	want := a.Addresses[c.rnd.IntN(len(a.Addresses))]
-	for i, p := range c.s.callers {
+	for i, p := range c.s.frontProxies {
 		if p.Target == want {
 			c.front = i
 		}
--- /dev/null
+++ b/internal/play/chaos/chaos.go
@@ -0,0 +1,348 @@
+// Package storm runs the real programs as separate processes on loopback, before
+// stand-ins of the users' platform, and harms them from outside while callers
+// use them: signals, connections through proxies, a store that misbehaves, torn
+// writes and lost disks. It checks what callers and upstreams see.
+package chaos
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/slaterock/slaterock/internal/disk/roster"
+	"github.com/slaterock/slaterock/internal/fake/metakv"
+	"github.com/slaterock/slaterock/internal/fake/upstrm"
+	"github.com/slaterock/slaterock/internal/node/discov"
+	"github.com/slaterock/slaterock/internal/peer/pause"
+)
+
+const (
+	host         = "shop.example"
+	lockAddress  = "127.0.1.1:7399" // held by the run
+	anyPort      = "127.0.0.1:0"
+	basePort     = 7300 // of callers; ready and directory follow
+	peerPort     = 7380
+	startTimeout = 20 * time.Second
+	// recoverTime is how long after the last fault every promise of service
+	// must hold again.
+	recoverTimeout = 15 * time.Second
+	// darkTime is how long after the start of all processes they must serve
+	// without the store.
+	outageTimeout = 5 * time.Second
+	outageOdds    = 13 // one fault in so many
+	termGrace     = 9 * time.Second
+	entryInterval = 700 * time.Millisecond
+)
+
+type (
+	// Storm is one run. Set the exported fields, then call Run.
+	Runner struct {
+		Command     []string // starts the program, without its role
+		Seed        uint64
+		For         time.Duration
+		Fronts      int
+		Disks       int
+		Upstreams   int
+		Callers     int
+		NoFaults    bool // no faults
+		StoreOutage bool // one fault only: everything starts anew while the store is away
+		Dir         string
+		Out         io.Writer
+
+		rnd             *rand.Rand
+		outageRnd       *rand.Rand // drawn apart, so that the other faults of a seed stay what they were
+		metakv          metakv.Store
+		runLog          upstrm.RunLog
+		upstreams       []*upstrm.Upstream
+		entries         sync.Map // upstream's id to its entry; deleted while it is away
+		upstreamProxies []*Proxy
+		storeProxies    []*Proxy // one for each process
+		frontProxies    []*Proxy
+		directories     []string
+		fronts          []*process
+		disks           []*process
+		observed        tally
+	}
+
+	// Summary is what a run has seen.
+	Summary struct {
+		Whole   int
+		Refused int
+		Other   int
+		Faults  int
+	}
+)
+
+// Run plays the run. The error lists broken promises.
+func (s *Runner) Run(ctx context.Context) (sum Summary, err error) {
+	defer func() { err = errors.Wrapf(err, "seed %d", s.Seed) }()
+	s.rnd, s.outageRnd = rand.New(rand.NewPCG(s.Seed, 1)), rand.New(rand.NewPCG(s.Seed, 2))
+	s.observed.attempts = map[string]observed{}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	// Two runs at a time would share addresses, and see each other's processes.
+	var lc net.ListenConfig
+	lock, err := lc.Listen(ctx, "tcp", lockAddress)
+	if err != nil {
+		return sum, errors.Wrap(err, "another run is under way")
+	}
+	defer func() { _ = lock.Close() }()
+	if err = s.startAll(ctx); err != nil {
+		return sum, err
+	}
+	defer s.stopAll()
+	if err = s.awaitService(ctx, startTimeout); err != nil {
+		return sum, errors.Wrap(err, "start")
+	}
+	s.observed.reset()
+	var work sync.WaitGroup
+	callCtx, stopCalls := context.WithCancel(ctx)
+	for i := range s.Callers {
+		c := &caller{s: s, rnd: rand.New(rand.NewPCG(s.Seed, uint64(100+i))), id: i, front: -1, client: &http.Client{Transport: &http.Transport{}}}
+		work.Go(func() { c.run(callCtx) })
+	}
+	sum.Faults = s.injectFaults(ctx)
+	if err = s.awaitService(ctx, recoverTimeout); err != nil {
+		s.observed.addViolation("no service after the last fault: %v", err)
+	}
+	stopCalls()
+	work.Wait()
+	s.verify()
+	_, _ = fmt.Fprintf(s.Out, "neither whole nor refused: %s\n", strings.Join(s.observed.otherSamples, "\n"))
+	sum.Whole, sum.Refused, sum.Other = s.observed.complete, s.observed.refused, s.observed.other
+	if sum.Whole == 0 {
+		s.observed.addViolation("nothing was answered whole")
+	}
+	if len(s.observed.violations) > 0 {
+		return sum, errors.Newf("%d promises broken: %s", len(s.observed.violations), strings.Join(s.observed.violations[:min(len(s.observed.violations), 10)], "; "))
+	}
+	return sum, nil
+}
+
+// judge compares what callers were told with what upstreams ran.
+func (s *Runner) verify() {
+	for id, a := range s.observed.attempts {
+		runs := s.runLog.Runs(id)
+		if runs > 1 && !a.idempotent {
+			s.observed.addViolation("%s ran %d times", id, runs)
+		}
+		switch a.status {
+		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusPaymentRequired, http.StatusNotFound:
+			if runs > 0 && !a.idempotent {
+				s.observed.addViolation("%s was refused with %d and ran", id, a.status)
+			}
+		}
+	}
+	for _, text := range s.runLog.Violations() {
+		s.observed.addViolation("%s", text)
+	}
+}
+
+// harm plays faults until the time is over, one after the other and overlapping,
+// and ends them all.
+func (s *Runner) injectFaults(ctx context.Context) (faults int) {
+	if s.NoFaults {
+		pause.For(ctx, s.For)
+		return 0
+	}
+	if s.StoreOutage {
+		pause.For(ctx, s.For)
+		s.restartAllDuringOutage(ctx, func() {
+			if err := s.awaitService(ctx, outageTimeout); err != nil {
+				s.observed.addViolation("no service while the store was away: %v", err)
+			}
+		})
+		return 1
+	}
+	until := time.Now().Add(s.For)
+	var running sync.WaitGroup
+	var diskMu sync.Mutex // as many VMs with a disk as may be lost at once
+	for time.Now().Before(until) && ctx.Err() == nil {
+		faults++
+		do, description := s.randomFault(ctx, &diskMu)
+		_, _ = fmt.Fprintf(s.Out, "%s %s\n", time.Now().Format("15:04:05.000"), description)
+		running.Go(do)
+		pause.For(ctx, time.Duration(200+s.rnd.IntN(1500))*time.Millisecond)
+	}
+	running.Wait()
+	return faults
+}
+
+// draw draws one fault.
+func (s *Runner) randomFault(ctx context.Context, diskMu *sync.Mutex) (do func(), description string) {
+	duration := time.Duration(500+s.rnd.IntN(3500)) * time.Millisecond
+	proxy := func(name string, p *Proxy) (func(), string) {
+		h := []ProxyFault{Delay, Blackhole, OneWay}[s.rnd.IntN(3)]
+		return func() { p.SetFault(h); pause.For(ctx, duration); p.SetFault(Forward); p.Reset() }, fmt.Sprintf("%s: harm %d for %v", name, h, duration)
+	}
+	f, d := s.fronts[s.rnd.IntN(len(s.fronts))], s.disks[s.rnd.IntN(len(s.disks))]
+	if s.outageRnd.IntN(outageOdds) == 0 {
+		return s.exclusive(diskMu, func() { s.restartAllDuringOutage(ctx, func() { pause.For(ctx, duration) }) }), fmt.Sprintf("all processes are killed while the store is away, for %v", duration)
+	}
+	switch s.rnd.IntN(12) {
+	case 0:
+		return s.restart(f, syscall.SIGKILL), f.name + " is killed"
+	case 1, 2:
+		return s.restart(f, syscall.SIGTERM), f.name + " is stopped"
+	case 3:
+		return func() { f.signal(syscall.SIGSTOP); pause.For(ctx, duration); f.signal(syscall.SIGCONT) }, fmt.Sprintf("%s stands still for %v", f.name, duration)
+	case 4:
+		return s.exclusive(diskMu, func() { s.restart(d, syscall.SIGKILL)() }), d.name + " is killed, its last write torn"
+	case 5:
+		return s.exclusive(diskMu, func() { d.signal(syscall.SIGSTOP); pause.For(ctx, duration); d.signal(syscall.SIGCONT) }), fmt.Sprintf("%s stands still for %v", d.name, duration)
+	case 6:
+		return s.exclusive(diskMu, func() { s.replaceDisk(ctx, d) }), d.name + " loses its disk"
+	case 7:
+		fault := []metakv.Fault{metakv.Busy, metakv.Lossy, metakv.Slow}[s.rnd.IntN(3)]
+		return func() { s.metakv.SetFault(fault); pause.For(ctx, duration); s.metakv.SetFault(metakv.None) }, fmt.Sprintf("store: fault %d for %v", fault, duration)
+	case 8:
+		return proxy("store of a process", s.storeProxies[s.rnd.IntN(len(s.storeProxies))])
+	case 9:
+		return proxy("upstream", s.upstreamProxies[s.rnd.IntN(len(s.upstreamProxies))])
+	case 10:
+		return proxy("callers", s.frontProxies[s.rnd.IntN(len(s.frontProxies))])
+	default:
+		u := s.upstreams[s.rnd.IntN(len(s.upstreams))]
+		return func() {
+			u.BreakEvery.Store(4)
+			u.LoseEvery.Store(7)
+			pause.For(ctx, duration)
+			u.BreakEvery.Store(0)
+			u.LoseEvery.Store(0)
+		}, u.ID + " breaks off and loses answers"
+	}
+}
+
+// alone keeps faults of VMs with a disk apart, and waits until the records are
+// whole again, since no more may be lost at once.
+func (s *Runner) exclusive(diskMu *sync.Mutex, do func()) func() {
+	return func() {
+		diskMu.Lock()
+		defer diskMu.Unlock()
+		do()
+		for range 200 {
+			if r := s.roster(); len(r.Replicas) >= min(s.Disks, roster.MaxReplicas(r.MaxFailures)) && !hasJoining(r) {
+				break
+			}
+			time.Sleep(100 * time.Millisecond)
+		}
+		time.Sleep(2 * time.Second) // a process that is back catches up
+	}
+}
+
+func (s *Runner) roster() (r roster.Roster) {
+	if data, ok := s.metakv.Get(discov.RosterKey); ok {
+		r, _ = roster.Decode(data) // none yet reads as empty
+	}
+	return r
+}
+
+func hasJoining(r roster.Roster) bool {
+	for _, p := range r.Replicas {
+		if p.Joining {
+			return true
+		}
+	}
+	return false
+}
+
+func (s *Runner) restart(c *process, sig syscall.Signal) func() {
+	return func() {
+		// Two faults may meet at one process. Both ending and starting it would
+		// leave a process that nobody knows of.
+		c.restartMu.Lock()
+		defer c.restartMu.Unlock()
+		c.stop(sig, termGrace)
+		if c.dir != "" {
+			c.appendTornWrite()
+		}
+		if err := c.start(); err != nil {
+			s.observed.addViolation("%s did not start again: %v", c.name, err)
+		}
+	}
+}
+
+// blackout kills all processes and starts them while the store refuses every
+// call, which it does until then has returned.
+func (s *Runner) restartAllDuringOutage(ctx context.Context, then func()) {
+	s.metakv.SetFault(metakv.Busy)
+	defer s.metakv.SetFault(metakv.None)
+	pause.For(ctx, 300*time.Millisecond)
+	var work sync.WaitGroup
+	for _, c := range slices.Concat(s.fronts, s.disks) {
+		work.Go(s.restart(c, syscall.SIGKILL))
+	}
+	work.Wait()
+	then()
+}
+
+func (s *Runner) replaceDisk(ctx context.Context, c *process) {
+	c.restartMu.Lock()
+	defer c.restartMu.Unlock()
+	c.stop(syscall.SIGKILL, termGrace)
+	if err := os.RemoveAll(c.dir); err != nil {
+		s.observed.addViolation("%s: %v", c.name, err)
+	}
+	pause.For(ctx, 300*time.Millisecond)
+	if err := c.start(); err != nil {
+		s.observed.addViolation("%s did not start again: %v", c.name, err)
+	}
+}
+
+// await returns once every daemon that takes callers answers a turn whole.
+func (s *Runner) awaitService(ctx context.Context, timeout time.Duration) error {
+	until := time.Now().Add(timeout)
+	for i := range s.fronts {
+		for n := 0; ; n++ {
+			c := &caller{s: s, rnd: rand.New(rand.NewPCG(1, 1)), front: i, client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+			id := fmt.Sprintf("await-%d-%d-%d", until.UnixNano(), i, n)
+			if _, _, _, complete := c.turn(ctx, turnPath, id, id, "", nil, []byte("x")); complete {
+				break
+			}
+			if time.Now().After(until) || ctx.Err() != nil {
+				return errors.Newf("%s does not serve", s.fronts[i].name)
+			}
+			pause.For(ctx, 100*time.Millisecond)
+		}
+	}
+	return nil
+}
+
+func (s *Runner) stopAll() {
+	var work sync.WaitGroup
+	for _, c := range slices.Concat(s.fronts, s.disks) {
+		work.Go(func() {
+			c.stop(syscall.SIGKILL, time.Second)
+			_ = c.log.Close()
+		})
+	}
+	work.Wait()
+}
+
+func serve(ctx context.Context, h http.Handler, on string) (address string, err error) {
+	var lc net.ListenConfig
+	ln, err := lc.Listen(ctx, "tcp", on)
+	if err != nil {
+		return "", err
+	}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
+	context.AfterFunc(ctx, func() { _ = srv.Close() })
+	go func() { _ = srv.Serve(ln) }()
+	return ln.Addr().String(), nil
+}
+
+func (s *Runner) path(parts ...string) string {
+	return filepath.Join(append([]string{s.Dir}, parts...)...)
+}
--- a/internal/play/storm/child.go
+++ b/internal/play/chaos/process.go
@@ -1,4 +1,4 @@
-package storm
+package chaos
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 // child is one process of the system. It is started, stopped, paused and killed
 // by its own id, and nothing else is.
-type child struct {
+type process struct {
 	name     string
 	role     string
 	settings string // path
@@ -20,14 +20,14 @@
 	log      *os.File
 	command  []string
 
-	life sync.Mutex // held from an end to the start that follows
+	restartMu sync.Mutex // held from an end to the start that follows
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-func (c *child) start() error {
+func (c *process) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cmd := exec.Command(c.command[0], append(append([]string(nil), c.command[1:]...), c.role)...) //nolint:gosec,noctx // our own program; it is ended by signals
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func (c *child) signal(s syscall.Signal) {
+func (c *process) signal(s syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd != nil && c.cmd.Process != nil {
@@ -54,7 +54,7 @@
 }
 
 // end sends the signal and waits until the process is gone, by force after grace.
-func (c *child) end(s syscall.Signal, grace time.Duration) {
+func (c *process) stop(s syscall.Signal, grace time.Duration) {
 	c.signal(s)
 	c.mu.Lock()
 	done := c.done
@@ -70,7 +70,7 @@
 }
 
 // tear adds bytes to the newest segment, as a write that the power's loss cut.
-func (c *child) tear() {
+func (c *process) appendTornWrite() {
 	names, err := filepath.Glob(filepath.Join(c.dir, "*.seg"))
 	if err != nil || len(names) == 0 {
 		return
--- a/internal/play/storm/proxy.go
+++ b/internal/play/chaos/proxy.go
@@ -1,4 +1,4 @@
-package storm
+package chaos
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 const (
 	// Pass lets everything through.
-	Pass Harm = iota
+	Forward ProxyFault = iota
 	// Delay holds every piece up.
 	Delay
 	// Mute takes bytes and passes none on, without an end.
-	Mute
+	Blackhole
 	// OneWay passes only what the dialling side sends.
 	OneWay
 )
@@ -26,14 +26,14 @@
 
 type (
 	// Harm is what a proxy does to connections.
-	Harm int32
+	ProxyFault int32
 
 	// Proxy is a loopback address before another, with faults to switch on.
 	Proxy struct {
 		Address string
 		Target  string
 
-		harm  atomic.Int32
+		fault atomic.Int32
 		mu    sync.Mutex
 		conns map[net.Conn]struct{}
 	}
@@ -58,14 +58,14 @@
 			if err != nil {
 				return
 			}
-			go p.carry(ctx, near)
+			go p.forward(ctx, near)
 		}
 	}()
 	return nil
 }
 
 // SetFault switches a fault on, or off with Pass.
-func (p *Proxy) SetFault(h Harm) { p.harm.Store(int32(h)) }
+func (p *Proxy) SetFault(h ProxyFault) { p.fault.Store(int32(h)) }
 
 // Reset resets all connections.
 func (p *Proxy) Reset() {
@@ -89,7 +89,7 @@
 	delete(p.conns, c)
 }
 
-func (p *Proxy) carry(ctx context.Context, near net.Conn) {
+func (p *Proxy) forward(ctx context.Context, near net.Conn) {
 	defer func() { _ = near.Close() }()
 	d := net.Dialer{Timeout: time.Second}
 	far, err := d.DialContext(ctx, "tcp", p.Target)
@@ -108,15 +108,15 @@
 }
 
 // copy carries one direction; back is from the target.
-func (p *Proxy) copy(to, from net.Conn, back bool, done chan<- struct{}) {
+func (p *Proxy) copy(to, from net.Conn, fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		switch h := Harm(p.harm.Load()); {
+		switch h := ProxyFault(p.fault.Load()); {
 		case h == Delay:
 			time.Sleep(delay)
-		case h == Mute, h == OneWay && back:
+		case h == Blackhole, h == OneWay && fromTarget:
 			n = 0 // lost for good, as behind a firewall that forgot the connection
 		}
 		if n > 0 {
