--- a/cmd/slaterock/soak.go
+++ b/cmd/slaterock/soak.go
@@ -26,7 +26,7 @@
 	c.Flags().IntVar(&s.First, "first", 0, "seed of the first history")
 	c.Flags().IntVar(&s.Histories, "histories", 1000, "histories to play")
 	c.Flags().IntVar(&s.Workers, "workers", 1, "histories played at a time")
-	c.Flags().IntVar(&s.Traced, "traced", 60, "lines to show of a history that broke a promise")
+	c.Flags().IntVar(&s.TraceLines, "traced", 60, "lines to show of a history that broke a promise")
 	c.AddCommand(stormCommand())
 	return c
 }
--- a/internal/play/flood/flood.go
+++ b/internal/play/flood/flood.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	reportEach = 100 * time.Millisecond // between reports of a front
-	hubTime    = 70 * time.Millisecond  // until a report is in what another front is told
-	lost       = 0.05                   // of reports and of answers
+	reportInterval = 100 * time.Millisecond // between reports of a front
+	hubDelay       = 70 * time.Millisecond  // until a report is in what another front is told
+	lossRate       = 0.05                   // of reports and of answers
 	// Length is how many requests a program has.
-	Length = 10
-	pause  = 120 * time.Millisecond // between two of them
-	tries  = 3                      // of a request
+	RequestsPerProgram = 10
+	thinkTime          = 120 * time.Millisecond // between two of them
+	maxTries           = 3                      // of a request
 )
 
 // Tolerance is how far above a limit all fronts together may be.
@@ -27,40 +27,40 @@
 
 type (
 	// World plays fronts that let programs of accounts in.
-	World struct {
-		Calls bool // all requests say that they belong to a program that has begun
+	Simulation struct {
+		AllStarted bool // all requests say that they belong to a program that has begun
 
-		now    time.Time
-		rng    *rand.Rand
-		fronts []*front
-		limits map[string]bucket.Limit
-		queue  events
-		sent   map[string][]time.Time // requests let in, by account
-		told   map[string]*Score
-		asks   map[string]float64       // programs a second, by account
-		sums   map[int]bucket.PeerUsage // by side
-		summed time.Time
+		now          time.Time
+		rng          *rand.Rand
+		fronts       []*front
+		limits       map[string]bucket.Limit
+		queue        events
+		admitted     map[string][]time.Time // requests let in, by account
+		scores       map[string]*Score
+		programRates map[string]float64       // programs a second, by account
+		sideUsage    map[int]bucket.PeerUsage // by side
+		sideUsageAt  time.Time
 	}
 
 	front struct {
 		bucket.Buckets
-		up       bool
-		side     int // fronts of another side are not heard
-		reported []said
+		up      bool
+		side    int // fronts of another side are not heard
+		reports []usageReport
 	}
 
-	said struct {
+	usageReport struct {
 		at   time.Time
 		used map[string]int
 	}
 
 	// Score is what callers of an account got.
 	Score struct {
-		Programs int
-		Whole    int // that ended with all their requests answered
-		Refused  int // that were not begun
-		Broken   int // that were begun and then refused
-		Turned   int // requests that were refused and came back
+		Programs  int
+		Completed int // that ended with all their requests answered
+		Refused   int // that were not begun
+		Aborted   int // that were begun and then refused
+		Retried   int // requests that were refused and came back
 	}
 
 	event struct {
@@ -84,28 +84,28 @@
 
 // New returns a world of fronts that have just started, and accounts that ask for nothing
 // yet.
-func New(seed uint64, fronts int, limits map[string]bucket.Limit) *World {
-	w := &World{
+func New(seed uint64, fronts int, limits map[string]bucket.Limit) *Simulation {
+	w := &Simulation{
 		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 7)), limits: limits,
-		sent: map[string][]time.Time{}, told: map[string]*Score{}, asks: map[string]float64{},
+		admitted: map[string][]time.Time{}, scores: map[string]*Score{}, programRates: map[string]float64{},
 	}
 	for range fronts {
 		w.fronts = append(w.fronts, nil)
 	}
 	for i := range fronts {
 		w.start(i)
-		w.after(w.jitter(reportEach), func() { w.report(i) })
+		w.after(w.jitter(reportInterval), func() { w.report(i) })
 	}
 	for name := range limits {
-		w.told[name] = &Score{}
+		w.scores[name] = &Score{}
 	}
 	for _, name := range w.names() {
-		w.after(w.jitter(pause), func() { w.arrive(name) })
+		w.after(w.jitter(thinkTime), func() { w.startProgram(name) })
 	}
 	return w
 }
 
-func (w *World) names() (list []string) {
+func (w *Simulation) names() (list []string) {
 	for name := range w.limits {
 		list = append(list, name)
 	}
@@ -114,21 +114,21 @@
 }
 
 // start begins a front's life: it knows nothing.
-func (w *World) start(i int) {
+func (w *Simulation) start(i int) {
 	f := &front{up: true}
 	f.Tolerance, f.Rand = Tolerance, w.rng.Float64
 	f.Limit(w.now, w.limits)
 	w.fronts[i] = f
 }
 
-func (w *World) after(d time.Duration, do func()) { heap.Push(&w.queue, event{w.now.Add(d), do}) }
+func (w *Simulation) after(d time.Duration, do func()) { heap.Push(&w.queue, event{w.now.Add(d), do}) }
 
-func (w *World) jitter(d time.Duration) time.Duration {
+func (w *Simulation) jitter(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Float64() * float64(d))
 }
 
 // Run plays for a time.
-func (w *World) Run(d time.Duration) {
+func (w *Simulation) Run(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
 		e := heap.Pop(&w.queue).(event) //nolint:forcetypeassert // as pushed
@@ -139,25 +139,25 @@
 }
 
 // report has a front say what it let in and hear what the others said.
-func (w *World) report(i int) {
-	w.after(reportEach, func() { w.report(i) })
+func (w *Simulation) report(i int) {
+	w.after(reportInterval, func() { w.report(i) })
 	f := w.fronts[i]
 	if !f.up {
 		return
 	}
-	if w.rng.Float64() >= lost {
-		f.reported = append(f.reported, said{w.now, f.Used(w.now)})
+	if w.rng.Float64() >= lossRate {
+		f.reports = append(f.reports, usageReport{w.now, f.Used(w.now)})
 	}
-	if w.rng.Float64() >= lost {
-		f.Update(w.now, w.heard(f))
+	if w.rng.Float64() >= lossRate {
+		f.Update(w.now, w.peerUsage(f))
 	}
 }
 
 // heard is what the hubs tell a front: what those of its side have reported to them.
-func (w *World) heard(f *front) bucket.PeerUsage {
-	all := w.sum(f.side)
+func (w *Simulation) peerUsage(f *front) bucket.PeerUsage {
+	all := w.sumSide(f.side)
 	h := bucket.PeerUsage{Used: map[string]int{}, Total: len(w.fronts), Fronts: all.Fronts}
-	own := f.said(w.now)
+	own := f.lastReport(w.now)
 	for name, n := range all.Used {
 		h.Used[name] = max(n-own[name], 0)
 	}
@@ -165,11 +165,11 @@
 }
 
 // sum adds up what the fronts of a side have reported, a few times a second.
-func (w *World) sum(side int) bucket.PeerUsage {
-	if w.now.Sub(w.summed) > hubTime/3 {
-		w.sums, w.summed = map[int]bucket.PeerUsage{}, w.now
+func (w *Simulation) sumSide(side int) bucket.PeerUsage {
+	if w.now.Sub(w.sideUsageAt) > hubDelay/3 {
+		w.sideUsage, w.sideUsageAt = map[int]bucket.PeerUsage{}, w.now
 	}
-	if h, done := w.sums[side]; done {
+	if h, done := w.sideUsage[side]; done {
 		return h
 	}
 	h := bucket.PeerUsage{Used: map[string]int{}}
@@ -178,72 +178,72 @@
 			continue
 		}
 		h.Fronts++
-		for name, n := range f.said(w.now) {
+		for name, n := range f.lastReport(w.now) {
 			h.Used[name] += n
 		}
 	}
-	w.sums[side] = h
+	w.sideUsage[side] = h
 	return h
 }
 
 // said is the last report that has reached the hubs.
-func (f *front) said(now time.Time) map[string]int {
-	for i := len(f.reported) - 1; i >= 0; i-- {
-		if now.Sub(f.reported[i].at) >= hubTime {
-			f.reported = f.reported[i:]
-			return f.reported[0].used
+func (f *front) lastReport(now time.Time) map[string]int {
+	for i := len(f.reports) - 1; i >= 0; i-- {
+		if now.Sub(f.reports[i].at) >= hubDelay {
+			f.reports = f.reports[i:]
+			return f.reports[0].used
 		}
 	}
 	return nil
 }
 
 // arrive begins a program of an account.
-func (w *World) arrive(name string) {
-	rate := w.asks[name]
+func (w *Simulation) startProgram(name string) {
+	rate := w.programRates[name]
 	if rate <= 0 {
-		w.after(pause, func() { w.arrive(name) })
+		w.after(thinkTime, func() { w.startProgram(name) })
 		return
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() { w.arrive(name) })
-	w.told[name].Programs++
-	w.ask(name, 0, 0)
+	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() { w.startProgram(name) })
+	w.scores[name].Programs++
+	w.sendRequest(name, 0, 0)
 }
 
 // ask has a program send one of its requests to any front that is up.
-func (w *World) ask(name string, number, try int) {
-	s := w.told[name]
+func (w *Simulation) sendRequest(name string, number, try int) {
+	s := w.scores[name]
 	f := w.fronts[w.rng.IntN(len(w.fronts))]
 	if !f.up {
-		w.after(20*time.Millisecond, func() { w.ask(name, number, try) })
+		w.after(20*time.Millisecond, func() { w.sendRequest(name, number, try) })
 		return
 	}
-	v := f.Take(w.now, name, w.Calls || number > 0)
+	v := f.Take(w.now, name, w.AllStarted || number > 0)
 	switch {
 	case v.OK:
-		w.sent[name] = append(w.sent[name], w.now)
-		if number+1 == Length {
-			s.Whole++
+		w.admitted[name] = append(w.admitted[name], w.now)
+		if number+1 == RequestsPerProgram {
+			s.Completed++
 			return
 		}
-		w.after(pause/2+w.jitter(pause), func() { w.ask(name, number+1, 0) })
-	case try+1 < tries:
-		s.Turned++
-		w.after(v.RetryAfter, func() { w.ask(name, number, try+1) })
+		w.after(thinkTime/2+w.jitter(thinkTime), func() { w.sendRequest(name, number+1, 0) })
+	case try+1 < maxTries:
+		s.Retried++
+		w.after(v.RetryAfter, func() { w.sendRequest(name, number, try+1) })
 	case number == 0:
 		s.Refused++
 	default:
-		s.Broken++
+		s.Aborted++
 	}
 }
 
 // Most is the largest number of requests of an account that were let in within a
 // window, as a part of what the operator tolerates.
-func (w *World) Most(name string) float64 {
+func (w *Simulation) PeakRatio(name string) float64 {
 	l := w.limits[name]
 	bound := (l.Rate*Tolerance.Window.Seconds()+l.Burst)*(1+Tolerance.Over) + Tolerance.Slack
-	sent, first, worst := w.sent[name], 0, 0
-	for i, at := range sent {
-		for at.Sub(sent[first]) > Tolerance.Window {
+	admitted, first, worst := w.admitted[name], 0, 0
+	for i, at := range admitted {
+		for at.Sub(admitted[first]) > Tolerance.Window {
 			first++
 		}
 		worst = max(worst, i-first+1)
--- a/internal/play/flood/flood_test.go
+++ b/internal/play/flood/flood_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	settled = 4 * time.Second // until every bucket is full
-	flooded = 6 * time.Second
-	after   = 4 * time.Second
+	settleTime   = 4 * time.Second // until every bucket is full
+	floodTime    = 6 * time.Second
+	recoveryTime = 4 * time.Second
 )
 
 var limits = map[string]bucket.Limit{"small": limit(10), "middle": limit(60), "large": limit(400), "none": {}}
@@ -24,42 +24,42 @@
 func limit(rate float64) bucket.Limit { return bucket.Limit{Rate: rate, Burst: rate} }
 
 // demand has all accounts ask for so many times their limit.
-func (w *World) demand(x float64) {
+func (w *Simulation) setDemand(x float64) {
 	for name, l := range w.limits {
-		w.asks[name] = x * l.Rate / Length
+		w.programRates[name] = x * l.Rate / RequestsPerProgram
 	}
-	w.asks["none"] = 50.0 / Length
+	w.programRates["none"] = 50.0 / RequestsPerProgram
 }
 
 // harms are what happens to the fronts in a flood.
-var harms = map[string]func(w *World){
-	"nothing":                   func(*World) {},
-	"none is a program's first": func(w *World) { w.Calls = true },
-	"all start anew": func(w *World) {
+var faults = map[string]func(w *Simulation){
+	"nothing":                   func(*Simulation) {},
+	"none is a program's first": func(w *Simulation) { w.AllStarted = true },
+	"all start anew": func(w *Simulation) {
 		for i := range w.fronts {
 			w.fronts[i].up = false
-			w.after(time.Second+w.jitter(reportEach*3), func() { w.start(i) })
+			w.after(time.Second+w.jitter(reportInterval*3), func() { w.start(i) })
 		}
 	},
-	"a third is cut off": func(w *World) {
+	"a third is cut off": func(w *Simulation) {
 		for i := 0; i < len(w.fronts); i += 3 {
 			w.fronts[i].side = 1
-			w.after(flooded/2, func() { w.fronts[i].side = 0 })
+			w.after(floodTime/2, func() { w.fronts[i].side = 0 })
 		}
 	},
-	"a fifth is frozen": func(w *World) {
+	"a fifth is frozen": func(w *Simulation) {
 		for i := 0; i < len(w.fronts); i += 5 {
 			w.fronts[i].up = false
-			w.after(flooded/3, func() { w.fronts[i].up = true })
+			w.after(floodTime/3, func() { w.fronts[i].up = true })
 		}
 	},
-	"all are cut off": func(w *World) {
+	"all are cut off": func(w *Simulation) {
 		for i := range w.fronts {
 			w.fronts[i].side = i
-			w.after(flooded, func() { w.fronts[i].side = 0 })
+			w.after(floodTime, func() { w.fronts[i].side = 0 })
 		}
 	},
-	"the limit falls": func(w *World) {
+	"the limit falls": func(w *Simulation) {
 		next := map[string]bucket.Limit{"small": limit(5), "middle": limit(20), "large": limit(100), "none": {}}
 		for i := range w.fronts {
 			w.after(w.jitter(time.Second), func() { w.fronts[i].Limit(w.now, next) })
@@ -70,24 +70,24 @@
 // Fronts that don't know of each other's last requests let in more than the account may
 // ask, most of all while they start, freeze or are cut apart in a flood.
 func TestLimitHolds(t *testing.T) {
-	for harm, do := range harms {
+	for fault, inject := range faults {
 		for _, fronts := range []int{8, 62} {
-			t.Run(fmt.Sprintf("%s, %d fronts", harm, fronts), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d fronts", fault, fronts), func(t *testing.T) {
 				is := is.New(t)
 				w := New(1, fronts, limits)
-				w.demand(0.6)
-				w.Run(settled)
-				w.demand(4.7)
+				w.setDemand(0.6)
+				w.Run(settleTime)
+				w.setDemand(4.7)
 				w.Run(time.Second)
-				do(w)
-				w.Run(flooded)
-				w.demand(0.6)
-				w.Run(after)
+				inject(w)
+				w.Run(floodTime)
+				w.setDemand(0.6)
+				w.Run(recoveryTime)
 				for _, name := range []string{"small", "middle", "large"} {
-					is.True(w.Most(name) <= 1) // of what is tolerated in any window
-					is.True(w.told[name].Whole > 0)
+					is.True(w.PeakRatio(name) <= 1) // of what is tolerated in any window
+					is.True(w.scores[name].Completed > 0)
 				}
-				is.Equal(w.told["none"].Turned, 0)
+				is.Equal(w.scores["none"].Retried, 0)
 			})
 		}
 	}
@@ -100,15 +100,15 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
 			w := New(seed, 20, limits)
-			names := slices.Sorted(maps.Keys(harms))
+			names := slices.Sorted(maps.Keys(faults))
 			for range 5 {
-				w.demand(5 * w.rng.Float64())
-				w.Run(w.jitter(2 * settled))
-				harms[names[w.rng.IntN(len(names))]](w)
-				w.Run(flooded)
+				w.setDemand(5 * w.rng.Float64())
+				w.Run(w.jitter(2 * settleTime))
+				faults[names[w.rng.IntN(len(names))]](w)
+				w.Run(floodTime)
 			}
 			for _, name := range []string{"small", "middle", "large"} {
-				is.True(w.Most(name) <= 1)
+				is.True(w.PeakRatio(name) <= 1)
 			}
 		})
 	}
@@ -121,17 +121,17 @@
 		t.Run(fmt.Sprint(fronts), func(t *testing.T) {
 			is := is.New(t)
 			w := New(2, fronts, limits)
-			w.demand(0.6)
-			w.asks["small"] = 0 // a program alone asks nearly as much as its limit while it runs
-			w.Run(settled)
-			w.asks["large"] *= 7.5
-			w.Run(flooded)
+			w.setDemand(0.6)
+			w.programRates["small"] = 0 // a program alone asks nearly as much as its limit while it runs
+			w.Run(settleTime)
+			w.programRates["large"] *= 7.5
+			w.Run(floodTime)
 			for _, name := range []string{"middle"} {
-				s := w.told[name]
-				is.Equal(s.Broken+s.Refused, 0)
-				is.True(s.Turned <= s.Programs*Length/20)
+				s := w.scores[name]
+				is.Equal(s.Aborted+s.Refused, 0)
+				is.True(s.Retried <= s.Programs*RequestsPerProgram/20)
 			}
-			is.True(w.told["large"].Turned > 0)
+			is.True(w.scores["large"].Retried > 0)
 		})
 	}
 }
@@ -152,17 +152,17 @@
 			var sum Score
 			for seed := range uint64(days) {
 				w := New(seed, 62, limits)
-				w.demand(0.6)
-				w.Run(settled)
-				*w.told[name] = Score{}
-				w.demand(4.7)
-				w.Run(2 * flooded)
-				sum.Whole += w.told[name].Whole
-				sum.Broken += w.told[name].Broken
+				w.setDemand(0.6)
+				w.Run(settleTime)
+				*w.scores[name] = Score{}
+				w.setDemand(4.7)
+				w.Run(2 * floodTime)
+				sum.Completed += w.scores[name].Completed
+				sum.Aborted += w.scores[name].Aborted
 			}
-			allowed := days * limits[name].Rate * (2 * flooded).Seconds() / Length
-			is.True(float64(sum.Whole) >= c.whole*allowed)
-			is.True(float64(sum.Broken) <= c.broken*float64(sum.Whole))
+			allowed := days * limits[name].Rate * (2 * floodTime).Seconds() / RequestsPerProgram
+			is.True(float64(sum.Completed) >= c.whole*allowed)
+			is.True(float64(sum.Aborted) <= c.broken*float64(sum.Completed))
 		})
 	}
 }
@@ -172,16 +172,16 @@
 func TestStartServesAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := New(4, 62, limits)
-	w.demand(0.6)
-	w.Run(settled)
-	harms["all start anew"](w)
-	for _, s := range w.told {
+	w.setDemand(0.6)
+	w.Run(settleTime)
+	faults["all start anew"](w)
+	for _, s := range w.scores {
 		*s = Score{}
 	}
-	w.Run(flooded)
+	w.Run(floodTime)
 	for _, name := range []string{"middle", "large"} {
-		s := w.told[name]
-		is.Equal(s.Broken, 0)
+		s := w.scores[name]
+		is.Equal(s.Aborted, 0)
 		is.True(s.Refused*20 <= s.Programs)
 	}
 }
--- a/internal/play/soak/caller.go
+++ b/internal/play/soak/caller.go
@@ -18,18 +18,18 @@
 	// caller runs one program: it opens it, makes its calls in order, repeats
 	// what it has no outcome of, and finishes it.
 	caller struct {
-		w       *world
-		program string
-		opened  bool
-		number  int
-		tries   int
-		over    bool
-		answers map[int]string
-		asked   int // requests made
+		w        *simulation
+		program  string
+		opened   bool
+		number   int
+		tries    int
+		ended    bool
+		answers  map[int]string
+		requests int // requests made
 	}
 
 	// waiting is one request of a caller.
-	waiting struct {
+	pendingRequest struct {
 		c       *caller
 		number  int
 		request string
@@ -37,36 +37,36 @@
 	}
 )
 
-func newCaller(w *world, program string) *caller {
+func newCaller(w *simulation, program string) *caller {
 	return &caller{w: w, program: program, answers: map[int]string{}}
 }
 
-func (w *world) ticket(f func(string, result.Result)) owner.Ticket {
+func (w *simulation) newTicket(f func(string, result.Result)) owner.Ticket {
 	w.tickets[owner.Ticket(len(w.tickets)+1)] = f
 	return owner.Ticket(len(w.tickets))
 }
 
 // reply carries an outcome to its caller.
-func (w *world) reply(t owner.Ticket, request string, r result.Result) {
+func (w *simulation) reply(t owner.Ticket, request string, r result.Result) {
 	f := w.tickets[t]
 	w.tickets[t] = nil
 	if f == nil {
 		return
 	}
 	w.stats.Replies++
-	w.note("reply %s: %s ran %s: %s %s", request, r.Code, r.Ran, r.Message, r.Body)
+	w.tracef("reply %s: %s ran %s: %s %s", request, r.Code, r.Ran, r.Message, r.Body)
 	if r.Ran == result.No && request != "" {
-		if w.execs[request] > 0 {
-			w.breaks("%s was said not to have run, but it did: %s %s", request, r.Code, r.Message)
+		if w.executions[request] > 0 {
+			w.addViolation("%s was said not to have run, but it did: %s %s", request, r.Code, r.Message)
 		}
-		w.refused[request] = string(r.Code) + " " + r.Message
+		w.refusals[request] = string(r.Code) + " " + r.Message
 	}
-	w.after(w.span(0, 20*time.Millisecond), func() { f(request, r) })
+	w.after(w.randomDuration(0, 20*time.Millisecond), func() { f(request, r) })
 }
 
 // target is the daemon that the caller asks: mostly the owner, sometimes one
 // that isn't.
-func (c *caller) target() *node {
+func (c *caller) chooseNode() *node {
 	if c.w.choose(10) > 0 {
 		for _, n := range c.w.nodes {
 			if n.own != nil {
@@ -79,9 +79,9 @@
 
 func (c *caller) next() {
 	switch {
-	case c.over:
+	case c.ended:
 	case !c.opened:
-		c.ask(-1, func(t owner.Ticket, _ string) owner.Message {
+		c.send(-1, func(t owner.Ticket, _ string) owner.Message {
 			return owner.Open{Ticket: t, Open: call.Open{Account: "acct", Program: c.program}}
 		})
 	case c.number < callerCalls:
@@ -90,7 +90,7 @@
 			c.call(c.number) // a caller that repeats while the first is on its way
 		}
 	default:
-		c.ask(callerCalls, func(t owner.Ticket, _ string) owner.Message {
+		c.send(callerCalls, func(t owner.Ticket, _ string) owner.Message {
 			return owner.End{Ticket: t, End: call.End{Account: "acct", Program: c.program, Kind: call.Finish}}
 		})
 	}
@@ -107,49 +107,49 @@
 			req.Kind, req.Service, req.Method, req.Path = call.Service, "lookup", "GET", "/"
 		}
 	}
-	req.Body = mustJSON(map[string]any{"messages": []string{fmt.Sprint(c.program, number)}})
-	c.ask(number, func(t owner.Ticket, request string) owner.Message {
+	req.Body = encodeJSON(map[string]any{"messages": []string{fmt.Sprint(c.program, number)}})
+	c.send(number, func(t owner.Ticket, request string) owner.Message {
 		req.Request = request
 		return owner.Call{Ticket: t, Call: req}
 	})
 }
 
 // ask sends a request and gives it up after a while.
-func (c *caller) ask(number int, m func(owner.Ticket, string) owner.Message) {
+func (c *caller) send(number int, m func(owner.Ticket, string) owner.Message) {
 	w := c.w
-	c.asked++
-	a := &waiting{c: c, number: number, request: fmt.Sprintf("%s-%d-%d", c.program, number, c.asked)}
-	t := w.ticket(func(_ string, r result.Result) { a.end(r) })
-	n := c.target()
-	w.after(w.span(0, 20*time.Millisecond), func() {
+	c.requests++
+	a := &pendingRequest{c: c, number: number, request: fmt.Sprintf("%s-%d-%d", c.program, number, c.requests)}
+	t := w.newTicket(func(_ string, r result.Result) { a.complete(r) })
+	n := c.chooseNode()
+	w.after(w.randomDuration(0, 20*time.Millisecond), func() {
 		if !n.up || n.own == nil {
-			a.end(result.Refuse(result.CodeNotOwner, "not here"))
+			a.complete(result.Refuse(result.CodeNotOwner, "not here"))
 			return
 		}
 		own := n.own
-		w.note("%s asks %s", a.request, n.name)
-		n.later(0, func() { n.tell(own, m(t, a.request)) })
+		w.tracef("%s asks %s", a.request, n.name)
+		n.later(0, func() { n.deliver(own, m(t, a.request)) })
 	})
-	w.after(w.span(time.Second, 25*time.Second), func() {
+	w.after(w.randomDuration(time.Second, 25*time.Second), func() {
 		if a.done {
 			return
 		}
 		n.later(0, func() { n.step(owner.CallerGone{Ticket: t}) })
-		a.end(result.Failed(result.CodeTimeout, result.Unknown, "the caller gave up"))
+		a.complete(result.Failed(result.CodeTimeout, result.Unknown, "the caller gave up"))
 	})
 }
 
 // end takes in an outcome. Only the newest question of the caller moves it on.
-func (a *waiting) end(r result.Result) {
+func (a *pendingRequest) complete(r result.Result) {
 	c := a.c
 	if a.done {
 		return
 	}
 	a.done = true
 	if r.OK() && a.number >= 0 && a.number < callerCalls {
-		c.see(a.number, string(r.Body))
+		c.recordAnswer(a.number, string(r.Body))
 	}
-	if c.over || a.number >= 0 && a.number != c.number {
+	if c.ended || a.number >= 0 && a.number != c.number {
 		return
 	}
 	settled := r.OK() || r.Code == result.CodeUnknown
@@ -157,7 +157,7 @@
 	case a.number < 0 && r.OK():
 		c.opened, c.tries = true, 0
 	case a.number == callerCalls && r.OK():
-		c.over = true
+		c.ended = true
 		return
 	case a.number >= 0 && settled:
 		c.number++
@@ -165,30 +165,30 @@
 	case r.Code == result.CodeBudget || r.Code == result.CodeEnded:
 		c.number, c.tries = callerCalls, 0
 		if r.Code == result.CodeEnded {
-			c.over = true
+			c.ended = true
 			return
 		}
 	default:
-		if c.w.now.Sub(c.w.start) > faultTime+time.Minute {
+		if c.w.now.Sub(c.w.start) > faultPeriod+time.Minute {
 			c.tries++ // before that, refusals are what a caller must expect
 		}
 		if c.tries > callerTries {
-			c.w.breaks("%s can't get on with call %d: %s %s", c.program, c.number, r.Code, r.Message)
-			c.over = true
+			c.w.addViolation("%s can't get on with call %d: %s %s", c.program, c.number, r.Code, r.Message)
+			c.ended = true
 			return
 		}
 	}
-	c.w.after(r.RetryAfter+c.w.span(10*time.Millisecond, 2*time.Second), c.next)
+	c.w.after(r.RetryAfter+c.w.randomDuration(10*time.Millisecond, 2*time.Second), c.next)
 }
 
 // see notes an answer; a repeat must get the same one, and each its own.
-func (c *caller) see(number int, body string) {
+func (c *caller) recordAnswer(number int, body string) {
 	if old, ok := c.answers[number]; ok && old != body {
-		c.w.breaks("%s got two answers to call %d: %q, then %q", c.program, number, old, body)
+		c.w.addViolation("%s got two answers to call %d: %q, then %q", c.program, number, old, body)
 	}
 	want := fmt.Sprintf("%s %d ", c.program, number)
 	if len(body) < len(want) || body[:len(want)] != want {
-		c.w.breaks("%s got another's answer to call %d: %q", c.program, number, body)
+		c.w.addViolation("%s got another's answer to call %d: %q", c.program, number, body)
 	}
 	c.answers[number] = body
 }
--- a/internal/play/soak/drive.go
+++ b/internal/play/soak/effects.go
@@ -14,13 +14,13 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-func (n *node) carry(own *owner.Owner, e owner.Effect) {
+func (n *node) handle(own *owner.Owner, e owner.Effect) {
 	w := n.w
 	switch e := e.(type) {
 	case owner.StoreRequest:
-		n.write(own, e.Effect)
+		n.writeJournal(own, e.Effect)
 	case owner.Place:
-		n.place(own, e.Message)
+		n.schedule(own, e.Message)
 	case owner.Dispatch:
 		n.dispatch(own, e)
 	case owner.CancelAttempt:
@@ -28,9 +28,9 @@
 	case owner.Reply:
 		w.reply(e.Ticket, e.Request, e.Result)
 	case owner.Offload:
-		n.keep(own, e)
+		n.offload(own, e)
 	case owner.ReleaseBlob:
-		n.unkeep(own, e.Blob)
+		n.releaseText(own, e.Blob)
 	case owner.ReplyFromJournal:
 		c, ok, err := histio.Reader{Store: w.st, Shard: 0, ReadText: w.text}.Call(context.Background(), e.Program, e.Number, e.Entries)
 		if err != nil {
@@ -44,35 +44,35 @@
 		}
 		w.reply(e.Ticket, c.Request, c.Result)
 	case owner.SnapshotAllowed:
-		n.save()
+		n.saveSnapshot()
 	case owner.Drained:
 		w.stats.Handovers++
-		w.note("%s has handed over", n.name)
-		n.given[own], n.own = true, nil
-		n.release()
+		w.tracef("%s has handed over", n.name)
+		n.handedOver[own], n.own = true, nil
+		n.releaseKey()
 	case owner.Verified:
 		n.suspended = false
 	case owner.Fenced:
 		w.stats.Fenced++
-		w.note("%s is fenced", n.name)
+		w.tracef("%s is fenced", n.name)
 		n.own = nil
 	}
 }
 
-func (n *node) save() {
+func (n *node) saveSnapshot() {
 	w := n.w
-	if w.choose(20) > 0 || !n.reaches() {
+	if w.choose(20) > 0 || !n.reachesStore() {
 		return
 	}
 	f := n.own.Snapshot()
 	gone, err := n.snap.Save(context.Background(), f)
 	if err == nil {
 		w.stats.Saves++
-		n.later(w.span(0, 100*time.Millisecond), func() { n.step(owner.SnapshotSaved{Upto: f.Upto, Gone: gone}) })
+		n.later(w.randomDuration(0, 100*time.Millisecond), func() { n.step(owner.SnapshotSaved{Upto: f.Upto, Gone: gone}) })
 	}
 }
 
-func (n *node) write(own *owner.Owner, e chain.Effect) {
+func (n *node) writeJournal(own *owner.Owner, e chain.Effect) {
 	ctx := context.Background()
 	switch e := e.(type) {
 	case chain.Create:
@@ -80,14 +80,14 @@
 			_, err := n.w.st.Put(ctx, e.Key, e.Data, 0, 0)
 			return err
 		}, func(err error) {
-			n.tell(own, owner.StoreReply{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
+			n.deliver(own, owner.StoreReply{Message: chain.Wrote{Number: e.Number, Outcome: outcome(err)}})
 		})
 	case chain.Read:
 		var v store.Entry
 		n.storeCall(func() (err error) {
 			v, err = n.w.st.Get(ctx, e.Key)
 			return err
-		}, func(err error) { n.tell(own, owner.StoreReply{Message: readBack(e.Number, v, err)}) })
+		}, func(err error) { n.deliver(own, owner.StoreReply{Message: readResult(e.Number, v, err)}) })
 	}
 }
 
@@ -104,7 +104,7 @@
 	return chain.Lost
 }
 
-func readBack(number uint64, v store.Entry, err error) chain.Message {
+func readResult(number uint64, v store.Entry, err error) chain.Message {
 	switch {
 	case err == store.ErrNotFound: //nolint:errorlint // the store's own value
 		return chain.Absent{Number: number}
@@ -118,24 +118,24 @@
 	return chain.Found{Entry: e}
 }
 
-func (n *node) place(own *owner.Owner, m sched.Message) {
+func (n *node) schedule(own *owner.Owner, m sched.Message) {
 	w := n.w
 	switch m := m.(type) {
 	case sched.Cancel:
-		delete(n.asked, m.ID)
+		delete(n.placing, m.ID)
 	case sched.Submit:
-		n.asked[m.ID] = true
-		n.later(w.span(0, 300*time.Millisecond), func() {
-			if !n.asked[m.ID] {
+		n.placing[m.ID] = true
+		n.later(w.randomDuration(0, 300*time.Millisecond), func() {
+			if !n.placing[m.ID] {
 				return
 			}
-			delete(n.asked, m.ID)
+			delete(n.placing, m.ID)
 			if w.fault(50) {
-				n.tell(own, owner.Refused{Refuse: sched.Refuse{ID: m.ID, Code: result.CodeOverloaded}})
+				n.deliver(own, owner.Refused{Refuse: sched.Refuse{ID: m.ID, Code: result.CodeOverloaded}})
 				return
 			}
 			up := fmt.Sprintf("u%d", len(m.Avoid))
-			n.tell(own, owner.Assigned{Assign: sched.Assign{ID: m.ID, Upstream: up}})
+			n.deliver(own, owner.Assigned{Assign: sched.Assign{ID: m.ID, Upstream: up}})
 		})
 	}
 }
@@ -146,19 +146,19 @@
 	w := n.w
 	key := d.Request + d.Upstream
 	n.attempts[key] = true
-	n.later(time.Second, func() { n.follow(own, d.Request, key) })
+	n.later(time.Second, func() { n.reportAlive(own, d.Request, key) })
 	tried := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Status: 200, Reason: "broken"}
 	done := func(t owner.AttemptEnded) {
-		n.later(w.span(1, 200*time.Millisecond), func() {
+		n.later(w.randomDuration(1, 200*time.Millisecond), func() {
 			if !n.attempts[key] && t.Outcome != sched.Succeeded {
 				t.Outcome = sched.Cancelled
 			}
 			delete(n.attempts, key)
-			if n.given[own] {
+			if n.handedOver[own] {
 				n.report(t.Request, &t)
 				return
 			}
-			n.tell(own, t)
+			n.deliver(own, t)
 		})
 	}
 	if w.fault(60) {
@@ -166,9 +166,9 @@
 		done(tried)
 		return
 	}
-	w.after(w.span(1, 30*time.Millisecond), func() {
+	w.after(w.randomDuration(1, 30*time.Millisecond), func() {
 		w.execute(d, &tried)
-		w.after(w.span(10*time.Millisecond, 3*time.Second), func() {
+		w.after(w.randomDuration(10*time.Millisecond, 3*time.Second), func() {
 			if w.fault(60) {
 				tried = owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Outcome: sched.Failed, Reason: "broken"}
 			}
@@ -179,15 +179,15 @@
 
 // follow tells the shard's present owner of an attempt that this node started
 // before it handed the shard over.
-func (n *node) follow(own *owner.Owner, request, key string) {
+func (n *node) reportAlive(own *owner.Owner, request, key string) {
 	if !n.attempts[key] {
 		return
 	}
-	if n.given[own] && !n.report(request, nil) {
+	if n.handedOver[own] && !n.report(request, nil) {
 		delete(n.attempts, key)
 		return
 	}
-	n.later(time.Second, func() { n.follow(own, request, key) })
+	n.later(time.Second, func() { n.reportAlive(own, request, key) })
 }
 
 // report reports an attempt until that has arrived; false if nobody waits for
@@ -195,7 +195,7 @@
 func (n *node) report(request string, ended *owner.AttemptEnded) bool {
 	w := n.w
 	for _, m := range w.nodes {
-		if m.own == nil || m.suspended || w.now.Before(m.paused) || w.now.Before(n.alone) || w.now.Before(m.alone) {
+		if m.own == nil || m.suspended || w.now.Before(m.pausedUntil) || w.now.Before(n.isolatedUntil) || w.now.Before(m.isolatedUntil) {
 			continue
 		}
 		if !m.own.HasAttempt(request) {
--- a/internal/play/soak/soak.go
+++ b/internal/play/soak/soak.go
@@ -23,11 +23,11 @@
 	// Soak plays Histories histories, with the seeds from First on, on Workers
 	// goroutines (zero is one).
 	Soak struct {
-		First     int
-		Histories int
-		Workers   int
-		Traced    int       // lines to show of a history that broke a promise
-		Out       io.Writer // gets what was broken; may be nil
+		First      int
+		Histories  int
+		Workers    int
+		TraceLines int       // lines to show of a history that broke a promise
+		Out        io.Writer // gets what was broken; may be nil
 	}
 
 	// Stats counts what happened in the histories.
@@ -42,7 +42,7 @@
 )
 
 // ErrBroken reports that a promise was broken.
-var ErrBroken = errors.New("soak: a promise was broken")
+var ErrViolation = errors.New("soak: a promise was broken")
 
 // Run plays the histories.
 func (s Soak) Run() (sum Stats, err error) {
@@ -52,10 +52,10 @@
 	for range max(1, s.Workers) {
 		work.Go(func() {
 			for seed := range seeds {
-				w := play(seed)
+				w := runHistory(seed)
 				mu.Lock()
 				sum.add(w.stats)
-				s.tell(seed, w, &sum)
+				s.report(seed, w, &sum)
 				mu.Unlock()
 			}
 		})
@@ -66,28 +66,28 @@
 	close(seeds)
 	work.Wait()
 	if sum.Broken > 0 {
-		return sum, ErrBroken
+		return sum, ErrViolation
 	}
 	return sum, nil
 }
 
-func play(seed int) *world {
+func runHistory(seed int) *simulation {
 	r := rand.New(rand.NewPCG(uint64(seed), 1))
-	w := newWorld(r.IntN)
+	w := newSimulation(r.IntN)
 	w.run()
 	return w
 }
 
-func (s Soak) tell(seed int, w *world, sum *Stats) {
-	if len(w.broken) == 0 {
+func (s Soak) report(seed int, w *simulation, sum *Stats) {
+	if len(w.violations) == 0 {
 		return
 	}
 	sum.Broken++
 	if s.Out == nil {
 		return
 	}
-	_, _ = fmt.Fprintf(s.Out, "seed %d: %d broken promises, first: %s\n", seed, len(w.broken), w.broken[0])
-	for _, l := range w.trace[max(0, len(w.trace)-s.Traced):] {
+	_, _ = fmt.Fprintf(s.Out, "seed %d: %d broken promises, first: %s\n", seed, len(w.violations), w.violations[0])
+	for _, l := range w.trace[max(0, len(w.trace)-s.TraceLines):] {
 		_, _ = fmt.Fprintln(s.Out, "  "+l)
 	}
 }
--- a/internal/play/soak/soak_test.go
+++ b/internal/play/soak/soak_test.go
@@ -21,7 +21,7 @@
 // overrun, a refusal that was a lie, or a program that never gets on.
 func TestHistories(t *testing.T) {
 	var out strings.Builder
-	sum, err := soak.Soak{First: *first, Histories: *histories, Workers: 4, Traced: *traced, Out: &out}.Run()
+	sum, err := soak.Soak{First: *first, Histories: *histories, Workers: 4, TraceLines: *traced, Out: &out}.Run()
 	if err != nil {
 		t.Errorf("%v\n%s", err, out.String())
 	}
--- a/internal/play/soak/texts.go
+++ b/internal/play/soak/texts.go
@@ -17,21 +17,21 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-var errUnread = errors.New("no holder answers")
+var errNoHolder = errors.New("no holder answers")
 
 // folders tells whether long texts go to data folders; they do in most
 // histories, but not always.
-func (w *world) folders() bool { return w.choose(4) > 0 }
+func (w *simulation) offloadEnabled() bool { return w.choose(4) > 0 }
 
 // adopt lets the folders drop at once what the journal doesn't refer to.
-func (n *node) adopt() {
+func (n *node) dropUnreferencedTexts() {
 	w := n.w
-	w.newest = n.own
+	w.newestOwner = n.own
 	known := map[string]string{}
 	n.own.Fold.Known(func(b hist.Blob) {
 		text, ok := w.texts[b.Digest]
 		if !ok {
-			w.breaks("%s is referred to and not in the folders", b.Digest)
+			w.addViolation("%s is referred to and not in the folders", b.Digest)
 		}
 		known[b.Digest] = text
 	})
@@ -45,24 +45,24 @@
 
 // keep puts texts into folders: soon, too late, never, or only one of them. A
 // holder is replaced now and then.
-func (n *node) keep(own *owner.Owner, k owner.Offload) {
+func (n *node) offload(own *owner.Owner, k owner.Offload) {
 	w := n.w
-	life := n.life
-	wait := w.span(0, 300*time.Millisecond)
+	instance := n.instance
+	wait := w.randomDuration(0, 300*time.Millisecond)
 	if w.fault(150) {
-		wait = w.span(time.Second, 6*time.Second)
+		wait = w.randomDuration(time.Second, 6*time.Second)
 	}
 	asked, answer := k.Asked, k.Answer
 	w.after(wait, func() {
-		if n.own != own || n.life != life || w.newest != own {
+		if n.own != own || n.instance != instance || w.newestOwner != own {
 			return // its folders heed the newest owner alone
 		}
-		kept := owner.Offloaded{ID: k.ID, Request: k.Request, Asked: n.put(asked), Answer: n.put(answer)}
-		n.later(w.span(0, 20*time.Millisecond), func() { n.tell(own, kept) })
+		offloaded := owner.Offloaded{ID: k.ID, Request: k.Request, Asked: n.storeText(asked), Answer: n.storeText(answer)}
+		n.later(w.randomDuration(0, 20*time.Millisecond), func() { n.deliver(own, offloaded) })
 	})
 }
 
-func (n *node) put(text []byte) *hist.Blob {
+func (n *node) storeText(text []byte) *hist.Blob {
 	w := n.w
 	if text == nil || w.fault(150) {
 		return nil
@@ -74,21 +74,21 @@
 	if w.fault(100) {
 		own, moved := n.own, b
 		moved.Holders = []string{"x", fmt.Sprint("z", w.choose(10))}
-		n.later(w.span(100*time.Millisecond, 20*time.Second), func() {
+		n.later(w.randomDuration(100*time.Millisecond, 20*time.Second), func() {
 			if own != n.own {
 				return
 			}
 			if _, ok := own.Fold.Texts[b.Digest]; ok {
-				n.tell(own, owner.HoldersChanged{Blob: moved})
+				n.deliver(own, owner.HoldersChanged{Blob: moved})
 			}
 		})
 	}
 	return &b
 }
 
-func (n *node) unkeep(own *owner.Owner, b hist.Blob) {
+func (n *node) releaseText(own *owner.Owner, b hist.Blob) {
 	n.w.stats.Late++
-	if n.w.newest != own {
+	if n.w.newestOwner != own {
 		return
 	}
 	n.refs[b.Digest]--
@@ -98,16 +98,16 @@
 }
 
 // text reads from the folders, which now and then don't answer.
-func (w *world) text(_ context.Context, b hist.Blob) ([]byte, error) {
+func (w *simulation) text(_ context.Context, b hist.Blob) ([]byte, error) {
 	text, ok := w.texts[b.Digest]
 	if !ok || w.fault(200) {
-		return nil, errUnread
+		return nil, errNoHolder
 	}
 	return []byte(text), nil
 }
 
 // resolve puts a call's texts back and looks whether they are its own.
-func (w *world) resolve(refs map[string]hist.Blob, r record.Ended) hist.Call {
+func (w *simulation) resolve(refs map[string]hist.Blob, r record.Ended) hist.Call {
 	c := r.Call
 	for b, inline := range map[*hist.Blob]int{c.AskedBlob: len(c.Asked), c.AnswerBlob: len(c.Result.Body)} {
 		if b == nil {
@@ -115,7 +115,7 @@
 		}
 		refs[b.Digest] = *b
 		if _, ok := w.texts[b.Digest]; !ok || inline > 0 {
-			w.breaks("call %d of %s refers to a text that the folders don't have, or has it inline too", c.Number, r.Program)
+			w.addViolation("call %d of %s refers to a text that the folders don't have, or has it inline too", c.Number, r.Program)
 		}
 	}
 	if c.AskedBlob != nil {
@@ -125,7 +125,7 @@
 		c.Result.Body = []byte(w.texts[c.AnswerBlob.Digest])
 	}
 	if c.Result.Ran != result.No && !strings.Contains(c.Asked, fmt.Sprint(r.Program, c.Number)) {
-		w.breaks("call %d of %s has another's question: %q", c.Number, r.Program, c.Asked)
+		w.addViolation("call %d of %s has another's question: %q", c.Number, r.Program, c.Asked)
 	}
 	return c
 }
@@ -133,16 +133,16 @@
 // compare looks whether snapshot and journal together give the same texts, with
 // the same holders, as the whole journal: what a takeover didn't know would be
 // dropped.
-func (w *world) compare(refs map[string]hist.Blob) {
+func (w *simulation) verifyTakeover(refs map[string]hist.Blob) {
 	t, err := w.nodes[0].boot(w.st).Take(context.Background())
 	if err != nil {
-		w.breaks("the shard can't be taken over: %v", err)
+		w.addViolation("the shard can't be taken over: %v", err)
 		return
 	}
 	got := map[string]hist.Blob{}
 	t.Fold.Known(func(b hist.Blob) { got[b.Digest] = b })
 	if !reflect.DeepEqual(got, refs) {
-		w.breaks("a takeover knows %d texts, the journal has %d: %v, %v", len(got), len(refs), got, refs)
+		w.addViolation("a takeover knows %d texts, the journal has %d: %v, %v", len(got), len(refs), got, refs)
 	}
 }
 
--- a/internal/play/soak/judge.go
+++ b/internal/play/soak/verify.go
@@ -15,38 +15,38 @@
 )
 
 // execute is the upstream's side.
-func (w *world) execute(d owner.Dispatch, t *owner.AttemptEnded) {
-	w.execs[d.Request]++
-	w.note("upstream runs %s (%s %d)", d.Request, d.Call.Program, d.Call.Number)
-	if why, ok := w.refused[d.Request]; ok {
-		w.breaks("%s ran after its caller was told that it did not: %s", d.Request, why)
+func (w *simulation) execute(d owner.Dispatch, t *owner.AttemptEnded) {
+	w.executions[d.Request]++
+	w.tracef("upstream runs %s (%s %d)", d.Request, d.Call.Program, d.Call.Number)
+	if why, ok := w.refusals[d.Request]; ok {
+		w.addViolation("%s ran after its caller was told that it did not: %s", d.Request, why)
 	}
 	id := fmt.Sprintf("%s %d", d.Call.Program, d.Call.Number)
-	if d.Call.Number < w.order[d.Call.Program] {
-		w.breaks("call %s reached an upstream after call %d", id, w.order[d.Call.Program])
+	if d.Call.Number < w.lastCalls[d.Call.Program] {
+		w.addViolation("call %s reached an upstream after call %d", id, w.lastCalls[d.Call.Program])
 	}
-	w.order[d.Call.Program] = max(w.order[d.Call.Program], d.Call.Number)
+	w.lastCalls[d.Call.Program] = max(w.lastCalls[d.Call.Program], d.Call.Number)
 	t.Outcome = sched.Succeeded
-	t.Body = []byte(fmt.Sprintf("%s %s %d", id, d.Request, w.execs[d.Request]))
+	t.Body = []byte(fmt.Sprintf("%s %s %d", id, d.Request, w.executions[d.Request]))
 	if d.Call.Kind == call.Model {
 		t.Usage = engine.Usage{Prompt: 1 + w.choose(len(d.Call.Body)), Output: 1 + w.choose(d.MaxTokens), Finish: "stop"}
 		root := call.Root(d.Call.Program)
 		w.spent[root] += int64(t.Usage.Prompt + t.Usage.Output)
-		if w.spent[root] > worldBudget {
-			w.breaks("%s spent %d tokens of %d", root, w.spent[root], worldBudget)
+		if w.spent[root] > tokenBudget {
+			w.addViolation("%s spent %d tokens of %d", root, w.spent[root], tokenBudget)
 		}
 		return
 	}
 	if d.Call.Service == "receipt" {
 		w.effects[id]++
 		if w.effects[id] > 1 {
-			w.breaks("call %s, which isn't idempotent, ran twice", id)
+			w.addViolation("call %s, which isn't idempotent, ran twice", id)
 		}
 	}
 }
 
 // judge compares what callers saw with what the journal says.
-func (w *world) judge() {
+func (w *simulation) verify() {
 	recorded := map[string]string{}
 	heads := map[string]int{}
 	refs := map[string]hist.Blob{}
@@ -59,16 +59,16 @@
 		}
 		e, err := record.Decode(v.Data)
 		if err != nil {
-			w.breaks("journal entry %d: %v", n, err)
+			w.addViolation("journal entry %d: %v", n, err)
 			return
 		}
 		if e.Epoch < epoch {
-			w.breaks("journal entry %d of epoch %d after epoch %d", n, e.Epoch, epoch)
+			w.addViolation("journal entry %d of epoch %d after epoch %d", n, e.Epoch, epoch)
 		}
 		epoch = e.Epoch
 		rs, err := j.Records(e)
 		if err != nil {
-			w.breaks("journal entry %d: %v", n, err)
+			w.addViolation("journal entry %d: %v", n, err)
 		}
 		for _, r := range rs {
 			if r, ok := r.(record.Holders); ok {
@@ -79,7 +79,7 @@
 				continue
 			}
 			if r.InOrder && r.Call.Number < heads[r.Program] {
-				w.breaks("the journal has call %d of %s after call %d", r.Call.Number, r.Program, heads[r.Program])
+				w.addViolation("the journal has call %d of %s after call %d", r.Call.Number, r.Program, heads[r.Program])
 			}
 			if r.InOrder {
 				heads[r.Program] = r.Call.Number
@@ -90,20 +90,20 @@
 			}
 		}
 	}
-	w.compare(refs)
+	w.verifyTakeover(refs)
 	for _, c := range w.callers {
-		if !c.over {
-			w.breaks("%s never got the outcome of call %d", c.program, c.number)
+		if !c.ended {
+			w.addViolation("%s never got the outcome of call %d", c.program, c.number)
 		}
 		for number, body := range c.answers {
 			if recorded[fmt.Sprintf("%s %d %s", c.program, number, body)] == "" {
-				w.breaks("%s has an answer to call %d that the journal lacks: %s", c.program, number, body)
+				w.addViolation("%s has an answer to call %d that the journal lacks: %s", c.program, number, body)
 			}
 		}
 	}
 }
 
-func mustJSON(v any) []byte {
+func encodeJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
