--- a/internal/play/chaos/build.go
+++ b/internal/play/chaos/build.go
@@ -11,7 +11,7 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// build starts the stand-ins and the processes.
+// startAll starts the fakes, the proxies and the processes.
 func (s *Runner) startAll(ctx context.Context) error {
 	store, err := serve(ctx, &s.metakv, anyPort)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// buildUpstreams starts upstreams, each behind a proxy, whose entries are
-// written again and again as upstreams do.
+// startUpstreams starts the upstreams, each behind a proxy. It writes their store
+// entries every entryInterval, which real upstreams do themselves.
 func (s *Runner) startUpstreams(ctx context.Context) error {
 	for i := range s.Upstreams {
 		service := []string{"model", "plain"}[i%2]
@@ -81,6 +81,8 @@
 	return nil
 }
 
+// process prepares the settings, log and store proxy of process i of a role. It
+// does not start the process.
 func (s *Runner) process(ctx context.Context, store, role string, i int, ip string) (*process, error) {
 	p := &Proxy{Target: store}
 	if err := p.Start(ctx, "127.0.0.1"); err != nil {
@@ -122,7 +124,8 @@
 	return c, err
 }
 
-// configuration is the operator's.
+// operatorConfig returns the operator's configuration: four routes to the services
+// model and plain.
 func operatorConfig() map[string]any {
 	route := func(path, kind, service string, more map[string]any) map[string]any {
 		r := map[string]any{
--- a/internal/play/chaos/caller.go
+++ b/internal/play/chaos/caller.go
@@ -29,8 +29,8 @@
 )
 
 type (
-	// caller runs programs one after the other: kept turns, each of which
-	// continues the last, and calls between them.
+	// caller runs programs one after the other: retained turns, each of which
+	// continues the previous one, and calls between them.
 	caller struct {
 		s      *Runner
 		rnd    *rand.Rand
@@ -39,7 +39,7 @@
 		front  int
 	}
 
-	// verdicts is what all callers have seen.
+	// tally collects the results of all callers.
 	tally struct {
 		mu           sync.Mutex
 		attempts     map[string]observed
@@ -47,19 +47,19 @@
 		complete     int
 		refused      int
 		other        int
-		otherSamples []string // the first of them, for whoever traces a run
+		otherSamples []string // the first of the other results, for debugging
 	}
 
-	// seen is what became of one attempt.
+	// observed is the result of one attempt at its caller.
 	observed struct {
-		status     int // 0 without an answer
+		status     int // 0 if there was no response
 		idempotent bool
 		err        error
 	}
 )
 
-// note notes an attempt. One that the caller itself ended at the end of the run
-// says nothing of the system.
+// record records an attempt. An attempt that failed because ctx ended, at the end
+// of the run, is not counted.
 func (v *tally) record(ctx context.Context, id string, s observed, complete bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -78,7 +78,8 @@
 	}
 }
 
-// begin forgets what was counted while the processes started.
+// reset sets the counters to 0, to exclude attempts made while the processes
+// started.
 func (v *tally) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -97,7 +98,8 @@
 	}
 }
 
-// program runs turns until its budget is spent or it has had enough.
+// program runs 3 to 14 turns, each with up to 5 tries. It returns early if the
+// budget is spent or all tries of a turn failed.
 func (c *caller) program(ctx context.Context, name string) {
 	previous, conversation, spent := "", []byte(nil), 0
 	for turn := range 3 + c.rnd.IntN(12) {
@@ -128,9 +130,10 @@
 	}
 }
 
-// help starts a sub-agent beside some of the program's turns. It spends from the
-// same budget, on a route whose streams may be resumed. What is returned waits
-// for it and tells its tokens, once.
+// startSubAgent runs a sub-agent concurrently with one turn in four. It spends
+// from the program's budget, on the route whose streams can be resumed. The first
+// call of the returned function waits for the sub-agent and returns its tokens;
+// later calls return 0.
 func (c *caller) startSubAgent(ctx context.Context, program string, turn int) (spent func() int) {
 	if c.rnd.IntN(4) > 0 {
 		return func() int { return 0 }
@@ -145,7 +148,8 @@
 	return func() int { return <-done }
 }
 
-// turn sends one turn and checks its stream.
+// turn sends one turn and verifies that the response is the upstream's stream or,
+// if incomplete, a prefix of it.
 func (c *caller) turn(ctx context.Context, path, program, id, previous string, conversation, input []byte) (status, tokens int, output []byte, complete bool) {
 	h := http.Header{}
 	h.Set("Program-Id", program)
@@ -184,8 +188,8 @@
 	c.s.observed.record(ctx, id, observed{status: status, idempotent: safe, err: err}, complete)
 }
 
-// send sends one attempt over a kept connection, which it uses until the daemon
-// is gone.
+// send sends one attempt. It keeps using the same front, over a persistent
+// connection, until an error; one attempt in 20 chooses a new front.
 func (c *caller) send(ctx context.Context, method, path, id string, h http.Header, body []byte) (status int, answer []byte, err error) {
 	ctx, stop := context.WithTimeout(ctx, attemptTimeout)
 	defer stop()
@@ -196,7 +200,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	r.GetBody = nil // the library must not send it again
+	r.GetBody = nil // net/http must not retry the request
 	r.Header = h
 	r.Header.Set("Request-Id", id)
 	r.Header.Set("Deadline-Ms", fmt.Sprint(attemptTimeout.Milliseconds()))
@@ -212,7 +216,8 @@
 	return resp.StatusCode, answer, err
 }
 
-// choose asks the directory of some daemon where to connect.
+// chooseFront sets front to one of the addresses that the directory of a random
+// daemon returns, or to a random one if the query fails.
 func (c *caller) chooseFront(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
--- a/internal/play/chaos/chaos.go
+++ b/internal/play/chaos/chaos.go
@@ -1,7 +1,7 @@
-// Package storm runs the real programs as separate processes on loopback, before
-// stand-ins of the users' platform, and harms them from outside while callers
-// use them: signals, connections through proxies, a store that misbehaves, torn
-// writes and lost disks. It checks what callers and upstreams see.
+// Package chaos runs the real programs as separate processes on loopback, with
+// fakes of the users' platform, and injects faults while callers send requests:
+// signals, faulty connections through proxies, faults of the store, torn writes
+// and lost disks. It verifies the results at callers and upstreams.
 package chaos
 
 import (
@@ -30,43 +30,43 @@
 
 const (
 	host         = "shop.example"
-	lockAddress  = "127.0.1.1:7399" // held by the run
+	lockAddress  = "127.0.1.1:7399" // listened on during a run, to exclude a second one
 	anyPort      = "127.0.0.1:0"
-	basePort     = 7300 // of callers; ready and directory follow
+	basePort     = 7300 // port for callers; the ports for ready and directory follow
 	peerPort     = 7380
 	startTimeout = 20 * time.Second
-	// recoverTime is how long after the last fault every promise of service
-	// must hold again.
+	// recoverTimeout is the time after the last fault within which all fronts
+	// must serve again.
 	recoverTimeout = 15 * time.Second
-	// darkTime is how long after the start of all processes they must serve
-	// without the store.
+	// outageTimeout is the time after a restart of all processes within which
+	// all fronts must serve while the store is unavailable.
 	outageTimeout = 5 * time.Second
-	outageOdds    = 13 // one fault in so many
+	outageOdds    = 13 // one fault in outageOdds is a restart during an outage
 	termGrace     = 9 * time.Second
 	entryInterval = 700 * time.Millisecond
 )
 
 type (
-	// Storm is one run. Set the exported fields, then call Run.
+	// Runner executes one run. Set the exported fields, then call Run.
 	Runner struct {
-		Command     []string // starts the program, without its role
+		Command     []string // command line of the program, without its role
 		Seed        uint64
-		For         time.Duration
+		For         time.Duration // time with faults; with StoreOutage, the time before the outage
 		Fronts      int
 		Disks       int
 		Upstreams   int
 		Callers     int
 		NoFaults    bool // no faults
-		StoreOutage bool // one fault only: everything starts anew while the store is away
+		StoreOutage bool // one fault only: all processes are restarted while the store is unavailable
 		Dir         string
 		Out         io.Writer
 
 		rnd             *rand.Rand
-		outageRnd       *rand.Rand // drawn apart, so that the other faults of a seed stay what they were
+		outageRnd       *rand.Rand // separate source, so that outages do not change the other faults of a seed
 		metakv          metakv.Store
 		runLog          upstrm.RunLog
 		upstreams       []*upstrm.Upstream
-		entries         sync.Map // upstream's id to its entry; deleted while it is away
+		entries         sync.Map // upstream id to its entry in the store
 		upstreamProxies []*Proxy
 		storeProxies    []*Proxy // one for each process
 		frontProxies    []*Proxy
@@ -76,27 +76,28 @@
 		observed        tally
 	}
 
-	// Summary is what a run has seen.
+	// Summary is the result of a run, in numbers of attempts and faults.
 	Summary struct {
-		Whole   int
-		Refused int
-		Other   int
-		Faults  int
+		Whole   int // answered completely
+		Refused int // refused with status 503 or 402
+		Other   int // failed in another way
+		Faults  int // injected
 	}
 )
 
-// Run plays the run. The error lists broken promises.
+// Run executes the run. The error lists violations.
 func (s *Runner) Run(ctx context.Context) (sum Summary, err error) {
 	defer func() { err = errors.Wrapf(err, "seed %d", s.Seed) }()
 	s.rnd, s.outageRnd = rand.New(rand.NewPCG(s.Seed, 1)), rand.New(rand.NewPCG(s.Seed, 2))
 	s.observed.attempts = map[string]observed{}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	// Two runs at a time would share addresses, and see each other's processes.
+	// Concurrent runs would use the same addresses and connect to each other's
+	// processes.
 	var lc net.ListenConfig
 	lock, err := lc.Listen(ctx, "tcp", lockAddress)
 	if err != nil {
-		return sum, errors.Wrap(err, "another run is under way")
+		return sum, errors.Wrap(err, "another run is in progress")
 	}
 	defer func() { _ = lock.Close() }()
 	if err = s.startAll(ctx); err != nil {
@@ -126,12 +127,14 @@
 		s.observed.addViolation("nothing was answered whole")
 	}
 	if len(s.observed.violations) > 0 {
-		return sum, errors.Newf("%d promises broken: %s", len(s.observed.violations), strings.Join(s.observed.violations[:min(len(s.observed.violations), 10)], "; "))
+		return sum, errors.Newf("%d violations: %s", len(s.observed.violations), strings.Join(s.observed.violations[:min(len(s.observed.violations), 10)], "; "))
 	}
 	return sum, nil
 }
 
-// judge compares what callers were told with what upstreams ran.
+// verify compares the responses that callers received with the executions at the
+// upstreams: a request that isn't idempotent must not run twice, or run although
+// it was refused.
 func (s *Runner) verify() {
 	for id, a := range s.observed.attempts {
 		runs := s.runLog.Runs(id)
@@ -150,8 +153,8 @@
 	}
 }
 
-// harm plays faults until the time is over, one after the other and overlapping,
-// and ends them all.
+// injectFaults injects faults for the time For, some of them overlapping, waits
+// until all have ended, and returns their number.
 func (s *Runner) injectFaults(ctx context.Context) (faults int) {
 	if s.NoFaults {
 		pause.For(ctx, s.For)
@@ -168,7 +171,7 @@
 	}
 	until := time.Now().Add(s.For)
 	var running sync.WaitGroup
-	var diskMu sync.Mutex // as many VMs with a disk as may be lost at once
+	var diskMu sync.Mutex // held during faults of VMs with a disk, see exclusive
 	for time.Now().Before(until) && ctx.Err() == nil {
 		faults++
 		do, description := s.randomFault(ctx, &diskMu)
@@ -180,7 +183,8 @@
 	return faults
 }
 
-// draw draws one fault.
+// randomFault returns a random fault, as a function that injects and ends it, and
+// its description.
 func (s *Runner) randomFault(ctx context.Context, diskMu *sync.Mutex) (do func(), description string) {
 	duration := time.Duration(500+s.rnd.IntN(3500)) * time.Millisecond
 	proxy := func(name string, p *Proxy) (func(), string) {
@@ -225,8 +229,10 @@
 	}
 }
 
-// alone keeps faults of VMs with a disk apart, and waits until the records are
-// whole again, since no more may be lost at once.
+// exclusive returns a function that runs do without overlap with other faults of
+// VMs with a disk, since records survive the loss of one VM at a time. Afterwards
+// it waits, for 20 s at most, until the roster has all replicas again and none is
+// joining.
 func (s *Runner) exclusive(diskMu *sync.Mutex, do func()) func() {
 	return func() {
 		diskMu.Lock()
@@ -238,13 +244,13 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(2 * time.Second) // a process that is back catches up
+		time.Sleep(2 * time.Second) // for a restarted process to catch up
 	}
 }
 
 func (s *Runner) roster() (r roster.Roster) {
 	if data, ok := s.metakv.Get(discov.RosterKey); ok {
-		r, _ = roster.Decode(data) // none yet reads as empty
+		r, _ = roster.Decode(data) // an absent or invalid roster counts as empty
 	}
 	return r
 }
@@ -258,10 +264,12 @@
 	return false
 }
 
+// restart returns a function that stops the process with the signal and starts it
+// again, with a torn write if it has a disk.
 func (s *Runner) restart(c *process, sig syscall.Signal) func() {
 	return func() {
-		// Two faults may meet at one process. Both ending and starting it would
-		// leave a process that nobody knows of.
+		// Two faults may affect the same process at once. If both stopped and
+		// started it, one of the two started processes would never be stopped.
 		c.restartMu.Lock()
 		defer c.restartMu.Unlock()
 		c.stop(sig, termGrace)
@@ -274,8 +282,8 @@
 	}
 }
 
-// blackout kills all processes and starts them while the store refuses every
-// call, which it does until then has returned.
+// restartAllDuringOutage kills and restarts all processes while the store refuses
+// every call. The outage lasts until then has returned.
 func (s *Runner) restartAllDuringOutage(ctx context.Context, then func()) {
 	s.metakv.SetFault(metakv.Busy)
 	defer s.metakv.SetFault(metakv.None)
@@ -288,6 +296,7 @@
 	then()
 }
 
+// replaceDisk kills the process, deletes its data folder and starts it again.
 func (s *Runner) replaceDisk(ctx context.Context, c *process) {
 	c.restartMu.Lock()
 	defer c.restartMu.Unlock()
@@ -301,7 +310,7 @@
 	}
 }
 
-// await returns once every daemon that takes callers answers a turn whole.
+// awaitService waits until every front has answered a turn completely.
 func (s *Runner) awaitService(ctx context.Context, timeout time.Duration) error {
 	until := time.Now().Add(timeout)
 	for i := range s.fronts {
--- a/internal/play/chaos/process.go
+++ b/internal/play/chaos/process.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// child is one process of the system. It is started, stopped, paused and killed
-// by its own id, and nothing else is.
+// process is one process of the system. Signals are sent to its own process id
+// only.
 type process struct {
 	name     string
 	role     string
-	settings string // path
-	dir      string // data folder of a VM with a disk
+	settings string // path of the settings file
+	dir      string // data folder; empty if the VM has no disk
 	log      *os.File
 	command  []string
 
-	restartMu sync.Mutex // held from an end to the start that follows
+	restartMu sync.Mutex // held from a stop to the following start
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -30,7 +30,7 @@
 func (c *process) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cmd := exec.Command(c.command[0], append(append([]string(nil), c.command[1:]...), c.role)...) //nolint:gosec,noctx // our own program; it is ended by signals
+	cmd := exec.Command(c.command[0], append(append([]string(nil), c.command[1:]...), c.role)...) //nolint:gosec,noctx // our own program; it is stopped by signals
 	cmd.Env = append(os.Environ(), "SLATEROCK_CONFIG="+c.settings)
 	cmd.Stdout, cmd.Stderr = c.log, c.log
 	if err := cmd.Start(); err != nil {
@@ -39,7 +39,7 @@
 	done := make(chan struct{})
 	c.cmd, c.done = cmd, done
 	go func() {
-		_ = cmd.Wait() // its exit is seen by what callers see
+		_ = cmd.Wait() // an unexpected exit shows in the results of callers
 		close(done)
 	}()
 	return nil
@@ -49,11 +49,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd != nil && c.cmd.Process != nil {
-		_ = c.cmd.Process.Signal(s) // it may have ended by itself
+		_ = c.cmd.Process.Signal(s) // fails if the process has exited already
 	}
 }
 
-// end sends the signal and waits until the process is gone, by force after grace.
+// stop sends the signal and waits until the process has exited. After grace it
+// kills the process.
 func (c *process) stop(s syscall.Signal, grace time.Duration) {
 	c.signal(s)
 	c.mu.Lock()
@@ -69,7 +70,8 @@
 	<-done
 }
 
-// tear adds bytes to the newest segment, as a write that the power's loss cut.
+// appendTornWrite appends an incomplete record to the newest segment, which
+// simulates a write that was interrupted by a power failure.
 func (c *process) appendTornWrite() {
 	names, err := filepath.Glob(filepath.Join(c.dir, "*.seg"))
 	if err != nil || len(names) == 0 {
@@ -82,7 +84,7 @@
 			newest, number = name, n
 		}
 	}
-	f, err := os.OpenFile(newest, os.O_APPEND|os.O_WRONLY, 0) //nolint:gosec // a file of our own child
+	f, err := os.OpenFile(newest, os.O_APPEND|os.O_WRONLY, 0) //nolint:gosec // a file of our own process
 	if err != nil {
 		return
 	}
--- a/internal/play/chaos/proxy.go
+++ b/internal/play/chaos/proxy.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// Pass lets everything through.
+	// Forward forwards all data.
 	Forward ProxyFault = iota
-	// Delay holds every piece up.
+	// Delay delays every piece of data.
 	Delay
-	// Mute takes bytes and passes none on, without an end.
+	// Blackhole discards all data and leaves the connections open.
 	Blackhole
-	// OneWay passes only what the dialling side sends.
+	// OneWay discards the data that the target sends.
 	OneWay
 )
 
-// delay is what Delay adds to each piece.
+// delay is the delay of each piece of data with Delay.
 const delay = 80 * time.Millisecond
 
 type (
-	// Harm is what a proxy does to connections.
+	// ProxyFault is a fault of a proxy's connections.
 	ProxyFault int32
 
-	// Proxy is a loopback address before another, with faults to switch on.
+	// Proxy is a TCP proxy on loopback with faults that can be switched on. Set
+	// Target before Start, which sets Address.
 	Proxy struct {
 		Address string
 		Target  string
@@ -39,7 +40,7 @@
 	}
 )
 
-// Start listens until ctx ends.
+// Start listens on a free port of ip, and returns; it serves until ctx ends.
 func (p *Proxy) Start(ctx context.Context, ip string) error {
 	var c net.ListenConfig
 	ln, err := c.Listen(ctx, "tcp", ip+":0")
@@ -64,16 +65,17 @@
 	return nil
 }
 
-// SetFault switches a fault on, or off with Pass.
+// SetFault switches a fault on, or off with Forward. It affects open connections
+// too.
 func (p *Proxy) SetFault(h ProxyFault) { p.fault.Store(int32(h)) }
 
-// Reset resets all connections.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // so that the close resets
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
 		_ = c.Close()
 	}
@@ -107,7 +109,7 @@
 	<-done
 }
 
-// copy carries one direction; back is from the target.
+// copy forwards one direction of a connection.
 func (p *Proxy) copy(to, from net.Conn, fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
@@ -117,7 +119,7 @@
 		case h == Delay:
 			time.Sleep(delay)
 		case h == Blackhole, h == OneWay && fromTarget:
-			n = 0 // lost for good, as behind a firewall that forgot the connection
+			n = 0 // lost, as with a firewall that has dropped the connection's state
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
