--- a/internal/play/flood/flood.go
+++ b/internal/play/flood/flood.go
@@ -1,6 +1,7 @@
-// Package flood plays accounts whose programs ask for more than their limits, at many
-// fronts on a virtual clock: what is let in, and what callers get. It answers whether
-// package bucket keeps limits while fronts die, freeze and are cut apart.
+// Package flood simulates accounts whose programs exceed their rate limits, at many
+// fronts on a virtual clock. It measures which requests are admitted and how many
+// programs complete, to check that package bucket enforces limits while fronts crash,
+// freeze and are partitioned.
 package flood
 
 import (
@@ -13,31 +14,31 @@
 )
 
 const (
-	reportInterval = 100 * time.Millisecond // between reports of a front
-	hubDelay       = 70 * time.Millisecond  // until a report is in what another front is told
-	lossRate       = 0.05                   // of reports and of answers
-	// Length is how many requests a program has.
+	reportInterval = 100 * time.Millisecond // between two reports of a front
+	hubDelay       = 70 * time.Millisecond  // from a report until it is in the updates of other fronts
+	lossRate       = 0.05                   // part of the reports and of the updates that are lost
+	// RequestsPerProgram is the number of requests of a program.
 	RequestsPerProgram = 10
-	thinkTime          = 120 * time.Millisecond // between two of them
-	maxTries           = 3                      // of a request
+	thinkTime          = 120 * time.Millisecond // mean time from a response to the next request of a program
+	maxTries           = 3                      // tries per request
 )
 
-// Tolerance is how far above a limit all fronts together may be.
+// Tolerance is the excess over a limit that is allowed for all fronts together.
 var Tolerance = bucket.Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
 type (
-	// World plays fronts that let programs of accounts in.
+	// Simulation simulates fronts that admit requests of programs of accounts.
 	Simulation struct {
-		AllStarted bool // all requests say that they belong to a program that has begun
+		AllStarted bool // all requests claim to belong to a program that has started
 
 		now          time.Time
 		rng          *rand.Rand
 		fronts       []*front
 		limits       map[string]bucket.Limit
 		queue        events
-		admitted     map[string][]time.Time // requests let in, by account
+		admitted     map[string][]time.Time // times of admitted requests, by account
 		scores       map[string]*Score
-		programRates map[string]float64       // programs a second, by account
+		programRates map[string]float64       // programs per second, by account
 		sideUsage    map[int]bucket.PeerUsage // by side
 		sideUsageAt  time.Time
 	}
@@ -45,7 +46,7 @@
 	front struct {
 		bucket.Buckets
 		up      bool
-		side    int // fronts of another side are not heard
+		side    int // network partition; reports reach fronts of the same partition only
 		reports []usageReport
 	}
 
@@ -54,13 +55,13 @@
 		used map[string]int
 	}
 
-	// Score is what callers of an account got.
+	// Score counts the results of an account's programs.
 	Score struct {
 		Programs  int
-		Completed int // that ended with all their requests answered
-		Refused   int // that were not begun
-		Aborted   int // that were begun and then refused
-		Retried   int // requests that were refused and came back
+		Completed int // programs whose requests were all admitted
+		Refused   int // programs whose first request was refused
+		Aborted   int // programs of which a later request was refused
+		Retried   int // refused requests that were sent again
 	}
 
 	event struct {
@@ -74,7 +75,7 @@
 func (q events) Len() int           { return len(q) }
 func (q events) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
 func (q events) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)        { *q = append(*q, x.(event)) } //nolint:forcetypeassert // heap.Push is given nothing else
+func (q *events) Push(x any)        { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only events are pushed
 func (q *events) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -82,8 +83,8 @@
 	return e
 }
 
-// New returns a world of fronts that have just started, and accounts that ask for nothing
-// yet.
+// New returns a simulation of fronts that have just started and of accounts with the given
+// limits, which send no requests yet.
 func New(seed uint64, fronts int, limits map[string]bucket.Limit) *Simulation {
 	w := &Simulation{
 		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 7)), limits: limits,
@@ -113,7 +114,7 @@
 	return list
 }
 
-// start begins a front's life: it knows nothing.
+// start starts or restarts a front without state.
 func (w *Simulation) start(i int) {
 	f := &front{up: true}
 	f.Tolerance, f.Rand = Tolerance, w.rng.Float64
@@ -127,7 +128,7 @@
 	return time.Duration(w.rng.Float64() * float64(d))
 }
 
-// Run plays for a time.
+// Run advances the simulation by d.
 func (w *Simulation) Run(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
@@ -138,7 +139,8 @@
 	w.now = end
 }
 
-// report has a front say what it let in and hear what the others said.
+// report sends a front's report of its usage, and updates the front with the reports of the
+// others. Either may be lost.
 func (w *Simulation) report(i int) {
 	w.after(reportInterval, func() { w.report(i) })
 	f := w.fronts[i]
@@ -153,7 +155,8 @@
 	}
 }
 
-// heard is what the hubs tell a front: what those of its side have reported to them.
+// peerUsage returns the update that the hubs send to a front: the sum of the last reports of
+// the other fronts of its partition.
 func (w *Simulation) peerUsage(f *front) bucket.PeerUsage {
 	all := w.sumSide(f.side)
 	h := bucket.PeerUsage{Used: map[string]int{}, Total: len(w.fronts), Fronts: all.Fronts}
@@ -164,7 +167,8 @@
 	return h
 }
 
-// sum adds up what the fronts of a side have reported, a few times a second.
+// sumSide returns the sum of the last reports of the fronts of a partition. It is cached for
+// a third of hubDelay.
 func (w *Simulation) sumSide(side int) bucket.PeerUsage {
 	if w.now.Sub(w.sideUsageAt) > hubDelay/3 {
 		w.sideUsage, w.sideUsageAt = map[int]bucket.PeerUsage{}, w.now
@@ -186,7 +190,7 @@
 	return h
 }
 
-// said is the last report that has reached the hubs.
+// lastReport returns the last report that has reached the hubs and drops older ones.
 func (f *front) lastReport(now time.Time) map[string]int {
 	for i := len(f.reports) - 1; i >= 0; i-- {
 		if now.Sub(f.reports[i].at) >= hubDelay {
@@ -197,7 +201,7 @@
 	return nil
 }
 
-// arrive begins a program of an account.
+// startProgram starts a program of an account and schedules the next.
 func (w *Simulation) startProgram(name string) {
 	rate := w.programRates[name]
 	if rate <= 0 {
@@ -209,7 +213,8 @@
 	w.sendRequest(name, 0, 0)
 }
 
-// ask has a program send one of its requests to any front that is up.
+// sendRequest sends a request of a program to a random front. If that is down, another is
+// tried 20 ms later.
 func (w *Simulation) sendRequest(name string, number, try int) {
 	s := w.scores[name]
 	f := w.fronts[w.rng.IntN(len(w.fronts))]
@@ -236,8 +241,8 @@
 	}
 }
 
-// Most is the largest number of requests of an account that were let in within a
-// window, as a part of what the operator tolerates.
+// PeakRatio returns the largest number of requests of an account that were admitted within
+// any window of Tolerance, as a ratio to the number that the limit and Tolerance allow.
 func (w *Simulation) PeakRatio(name string) float64 {
 	l := w.limits[name]
 	bound := (l.Rate*Tolerance.Window.Seconds()+l.Burst)*(1+Tolerance.Over) + Tolerance.Slack
--- a/internal/play/flood/flood_test.go
+++ b/internal/play/flood/flood_test.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	settleTime   = 4 * time.Second // until every bucket is full
+	settleTime   = 4 * time.Second // until all buckets are full
 	floodTime    = 6 * time.Second
 	recoveryTime = 4 * time.Second
 )
 
 var limits = map[string]bucket.Limit{"small": limit(10), "middle": limit(60), "large": limit(400), "none": {}}
 
-// limit is that of an account with a burst of one second.
+// limit returns a limit with a burst of one second.
 func limit(rate float64) bucket.Limit { return bucket.Limit{Rate: rate, Burst: rate} }
 
-// demand has all accounts ask for so many times their limit.
+// setDemand makes all accounts request x times their limit; the account none, which has no
+// limit, always requests 50 per second.
 func (w *Simulation) setDemand(x float64) {
 	for name, l := range w.limits {
 		w.programRates[name] = x * l.Rate / RequestsPerProgram
@@ -31,7 +32,8 @@
 	w.programRates["none"] = 50.0 / RequestsPerProgram
 }
 
-// harms are what happens to the fronts in a flood.
+// faults are events that affect the fronts during a flood. TestLimitHoldsInAnyOrder indexes
+// them sorted by name, so another name can change the sequences of its seeds.
 var faults = map[string]func(w *Simulation){
 	"nothing":                   func(*Simulation) {},
 	"none is a program's first": func(w *Simulation) { w.AllStarted = true },
@@ -67,8 +69,9 @@
 	},
 }
 
-// Fronts that don't know of each other's last requests let in more than the account may
-// ask, most of all while they start, freeze or are cut apart in a flood.
+// Guards against exceeding a limit by more than Tolerance. Fronts know each other's usage
+// with a delay, so that together they can admit more than the limit, in particular while
+// they restart, freeze or are partitioned during a flood.
 func TestLimitHolds(t *testing.T) {
 	for fault, inject := range faults {
 		for _, fronts := range []int{8, 62} {
@@ -84,7 +87,7 @@
 				w.setDemand(0.6)
 				w.Run(recoveryTime)
 				for _, name := range []string{"small", "middle", "large"} {
-					is.True(w.PeakRatio(name) <= 1) // of what is tolerated in any window
+					is.True(w.PeakRatio(name) <= 1) // 1 is the maximum that Tolerance allows in a window
 					is.True(w.scores[name].Completed > 0)
 				}
 				is.Equal(w.scores["none"].Retried, 0)
@@ -93,8 +96,7 @@
 	}
 }
 
-// No order in which accounts flood and fronts die, freeze and are cut apart may let more in
-// than is tolerated.
+// Guards against exceeding Tolerance under random sequences of floods and faults.
 func TestLimitHoldsInAnyOrder(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -114,15 +116,15 @@
 	}
 }
 
-// Who asks less than the limit is not refused, whatever front it comes to and whatever
-// other accounts ask.
+// An account below its limit must not be refused, whichever fronts receive its requests and
+// however many requests other accounts send.
 func TestBelowTheLimit(t *testing.T) {
 	for _, fronts := range []int{1, 8, 62} {
 		t.Run(fmt.Sprint(fronts), func(t *testing.T) {
 			is := is.New(t)
 			w := New(2, fronts, limits)
 			w.setDemand(0.6)
-			w.programRates["small"] = 0 // a program alone asks nearly as much as its limit while it runs
+			w.programRates["small"] = 0 // a single running program requests nearly as much as its limit
 			w.Run(settleTime)
 			w.programRates["large"] *= 7.5
 			w.Run(floodTime)
@@ -136,11 +138,12 @@
 	}
 }
 
-// In a flood the limit goes to programs that end, not to those that die of it in the middle.
+// In a flood the limit must be used for programs that complete, not for programs that are
+// aborted halfway.
 func TestFloodServesWholePrograms(t *testing.T) {
 	cases := map[string]struct {
-		whole  float64 // least part of the limit that goes to whole programs
-		broken float64 // most programs that are begun and broken, for each whole one
+		completed float64 // minimum part of the limit used by completed programs
+		aborted   float64 // maximum number of aborted programs per completed one
 	}{
 		"large":  {0.9, 0.1},
 		"middle": {0.6, 0.5},
@@ -148,9 +151,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			const days = 4
+			const runs = 4
 			var sum Score
-			for seed := range uint64(days) {
+			for seed := range uint64(runs) {
 				w := New(seed, 62, limits)
 				w.setDemand(0.6)
 				w.Run(settleTime)
@@ -160,15 +163,15 @@
 				sum.Completed += w.scores[name].Completed
 				sum.Aborted += w.scores[name].Aborted
 			}
-			allowed := days * limits[name].Rate * (2 * floodTime).Seconds() / RequestsPerProgram
-			is.True(float64(sum.Completed) >= c.whole*allowed)
-			is.True(float64(sum.Aborted) <= c.broken*float64(sum.Completed))
+			allowed := runs * limits[name].Rate * (2 * floodTime).Seconds() / RequestsPerProgram
+			is.True(float64(sum.Completed) >= c.completed*allowed)
+			is.True(float64(sum.Aborted) <= c.aborted*float64(sum.Completed))
 		})
 	}
 }
 
-// After all fronts have started anew, what has begun goes on, and of new programs that ask
-// less than the limit hardly any is lost.
+// After a restart of all fronts, started programs must continue, and at most one in 20 new
+// programs may be refused while the demand is below the limit.
 func TestStartServesAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := New(4, 62, limits)
--- a/internal/play/soak/caller.go
+++ b/internal/play/soak/caller.go
@@ -15,20 +15,21 @@
 )
 
 type (
-	// caller runs one program: it opens it, makes its calls in order, repeats
-	// what it has no outcome of, and finishes it.
+	// caller runs one program: it opens the program, makes its calls in order,
+	// repeats calls that have no outcome, and finishes the program.
 	caller struct {
 		w        *simulation
 		program  string
 		opened   bool
-		number   int
+		number   int // of the current call
 		tries    int
 		ended    bool
 		answers  map[int]string
-		requests int // requests made
+		requests int // number of requests sent
 	}
 
-	// waiting is one request of a caller.
+	// pendingRequest is one request of a caller. Its number is the call's, -1 to
+	// open the program, or callerCalls to finish it.
 	pendingRequest struct {
 		c       *caller
 		number  int
@@ -46,7 +47,8 @@
 	return owner.Ticket(len(w.tickets))
 }
 
-// reply carries an outcome to its caller.
+// reply delivers a result to its caller, after a random delay. It verifies that a
+// request reported as not run was not executed.
 func (w *simulation) reply(t owner.Ticket, request string, r result.Result) {
 	f := w.tickets[t]
 	w.tickets[t] = nil
@@ -64,8 +66,8 @@
 	w.after(w.randomDuration(0, 20*time.Millisecond), func() { f(request, r) })
 }
 
-// target is the daemon that the caller asks: mostly the owner, sometimes one
-// that isn't.
+// chooseNode returns the node to send a request to: in nine of ten cases the first
+// that considers itself the owner, if there is one, else a random node.
 func (c *caller) chooseNode() *node {
 	if c.w.choose(10) > 0 {
 		for _, n := range c.w.nodes {
@@ -77,6 +79,7 @@
 	return c.w.nodes[c.w.choose(len(c.w.nodes))]
 }
 
+// next sends the caller's next request.
 func (c *caller) next() {
 	switch {
 	case c.ended:
@@ -87,7 +90,7 @@
 	case c.number < callerCalls:
 		c.call(c.number)
 		if c.w.fault(100) {
-			c.call(c.number) // a caller that repeats while the first is on its way
+			c.call(c.number) // repeated while the first request is in flight
 		}
 	default:
 		c.send(callerCalls, func(t owner.Ticket, _ string) owner.Message {
@@ -96,7 +99,8 @@
 	}
 }
 
-// kind is fixed by the number, so that a repeat asks the same.
+// call sends the request of a call. Its kind depends on the program and number
+// only, so that a repeated request is the same.
 func (c *caller) call(number int) {
 	req := call.Call{Account: "acct", Program: c.program, Number: number, Kind: call.Model}
 	switch number % 4 {
@@ -114,7 +118,7 @@
 	})
 }
 
-// ask sends a request and gives it up after a while.
+// send sends a request, which times out after 1 to 25 seconds.
 func (c *caller) send(number int, m func(owner.Ticket, string) owner.Message) {
 	w := c.w
 	c.requests++
@@ -139,7 +143,8 @@
 	})
 }
 
-// end takes in an outcome. Only the newest question of the caller moves it on.
+// complete handles the result of a request. A result for a call other than the
+// caller's current one is recorded, but does not advance the caller.
 func (a *pendingRequest) complete(r result.Result) {
 	c := a.c
 	if a.done {
@@ -170,7 +175,7 @@
 		}
 	default:
 		if c.w.now.Sub(c.w.start) > faultPeriod+time.Minute {
-			c.tries++ // before that, refusals are what a caller must expect
+			c.tries++ // until then, refusals are expected
 		}
 		if c.tries > callerTries {
 			c.w.addViolation("%s can't get on with call %d: %s %s", c.program, c.number, r.Code, r.Message)
@@ -181,7 +186,8 @@
 	c.w.after(r.RetryAfter+c.w.randomDuration(10*time.Millisecond, 2*time.Second), c.next)
 }
 
-// see notes an answer; a repeat must get the same one, and each its own.
+// recordAnswer records an answer and verifies that it belongs to the call and is
+// the same for repeated requests.
 func (c *caller) recordAnswer(number int, body string) {
 	if old, ok := c.answers[number]; ok && old != body {
 		c.w.addViolation("%s got two answers to call %d: %q, then %q", c.program, number, old, body)
--- a/internal/play/soak/effects.go
+++ b/internal/play/soak/effects.go
@@ -14,6 +14,7 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
+// handle executes an effect of the owner.
 func (n *node) handle(own *owner.Owner, e owner.Effect) {
 	w := n.w
 	switch e := e.(type) {
@@ -59,6 +60,7 @@
 	}
 }
 
+// saveSnapshot saves a snapshot in one of 20 cases, if the store is reachable.
 func (n *node) saveSnapshot() {
 	w := n.w
 	if w.choose(20) > 0 || !n.reachesStore() {
@@ -92,13 +94,13 @@
 }
 
 func outcome(err error) chain.Outcome {
-	switch err.(type) { //nolint:errorlint // the fake returns it bare
+	switch err.(type) { //nolint:errorlint // the fake does not wrap errors
 	case nil:
 		return chain.Created
 	case *store.ConflictError:
 		return chain.Exists
 	}
-	if err == store.ErrUnavailable { //nolint:errorlint // the store's own value
+	if err == store.ErrUnavailable { //nolint:errorlint // the fake returns the value unwrapped
 		return chain.Unavailable
 	}
 	return chain.Lost
@@ -106,7 +108,7 @@
 
 func readResult(number uint64, v store.Entry, err error) chain.Message {
 	switch {
-	case err == store.ErrNotFound: //nolint:errorlint // the store's own value
+	case err == store.ErrNotFound: //nolint:errorlint // the fake returns the value unwrapped
 		return chain.Absent{Number: number}
 	case err != nil:
 		return chain.Unread{Number: number}
@@ -118,6 +120,8 @@
 	return chain.Found{Entry: e}
 }
 
+// schedule simulates the scheduler: it assigns an upstream after a delay, or refuses
+// the request.
 func (n *node) schedule(own *owner.Owner, m sched.Message) {
 	w := n.w
 	switch m := m.(type) {
@@ -140,8 +144,8 @@
 	}
 }
 
-// dispatch sends an attempt. What is on its way arrives even if the sender
-// dies.
+// dispatch sends an attempt. A sent attempt reaches the upstream even if the
+// sender crashes.
 func (n *node) dispatch(own *owner.Owner, d owner.Dispatch) {
 	w := n.w
 	key := d.Request + d.Upstream
@@ -177,8 +181,9 @@
 	})
 }
 
-// follow tells the shard's present owner of an attempt that this node started
-// before it handed the shard over.
+// reportAlive reports, every second while the attempt runs, an attempt that this
+// node started before it handed the shard over to the shard's present owner. If
+// the owner does not have the attempt, it is cancelled.
 func (n *node) reportAlive(own *owner.Owner, request, key string) {
 	if !n.attempts[key] {
 		return
@@ -190,8 +195,9 @@
 	n.later(time.Second, func() { n.reportAlive(own, request, key) })
 }
 
-// report reports an attempt until that has arrived; false if nobody waits for
-// it any more.
+// report reports an attempt, and its end unless ended is nil, to the shard's
+// present owner. If no owner is reachable, it retries the report of an end every
+// second. It returns false if the owner does not have the attempt.
 func (n *node) report(request string, ended *owner.AttemptEnded) bool {
 	w := n.w
 	for _, m := range w.nodes {
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -11,6 +11,8 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
+// crash stops the node, which loses its state, and restarts it after 1 to 10
+// seconds.
 func (n *node) crash() {
 	n.w.stats.Crashes++
 	n.w.tracef("%s crashes", n.name)
@@ -24,8 +26,8 @@
 	})
 }
 
-// later runs do on the node, unless it crashes before; a paused node runs it
-// when it wakes.
+// later runs do on the node after d, unless the node crashes before. A paused node
+// runs it when it resumes.
 func (n *node) later(d time.Duration, do func()) {
 	instance := n.instance
 	var try func()
@@ -63,9 +65,10 @@
 	return n.lease.Until()
 }
 
-// outage is what shards.Shards works out from heartbeats: nobody has reached
-// the store since this node's lease ended. News of others takes a second, and a node that
-// has just woken has heard nobody lately.
+// storeOutage reports what shards.Shards determines from heartbeats: whether no
+// node has reached the store since this node's lease ended. State of peers is known
+// with a delay of peerDelay. It is false on a node that is isolated or resumed less
+// than peerDelay ago, since that lacks recent heartbeats.
 func (n *node) storeOutage() bool {
 	w := n.w
 	if n.storeReachedAt.After(n.lease.Until()) || w.now.Before(n.isolatedUntil) || w.now.Before(n.pausedUntil.Add(peerDelay)) {
@@ -79,7 +82,8 @@
 	return true
 }
 
-// known is when the node last reached the store as others know it by now.
+// reachedAsSeenByPeers returns when the node last reached the store, as known to
+// its peers at present.
 func (n *node) reachedAsSeenByPeers() time.Time {
 	at := time.Time{}
 	for _, t := range n.storeReachTimes {
@@ -94,8 +98,9 @@
 	return !n.w.now.Before(n.storeCutUntil) && !n.w.now.Before(n.w.storeDownUntil)
 }
 
-// storeCall lets a call travel to the store and back. done gets what the node
-// learns: the call's own error, or that it was not taken, or that nobody knows.
+// storeCall simulates a call to the store with delays and faults. done receives the
+// error that the node sees: the call's own, ErrUnavailable if it was not executed,
+// or ErrUnknown.
 func (n *node) storeCall(do func() error, done func(err error)) {
 	w := n.w
 	w.after(w.randomDuration(1, 20*time.Millisecond), func() {
@@ -104,7 +109,7 @@
 			n.later(w.randomDuration(0, time.Second), func() { done(store.ErrUnavailable) })
 			return
 		case !n.reachesStore() || w.fault(15):
-			// The call may get there after its sender has given up on it.
+			// The call may be executed after its sender has timed out.
 			if w.choose(2) == 0 {
 				w.after(w.randomDuration(0, 20*time.Second), func() { _ = do() })
 			}
@@ -137,7 +142,7 @@
 			}, func(err error) { n.stepLease(lease.Granted{ID: id, Err: err}) })
 		case lease.Renew:
 			n.storeCall(func() error { return n.w.st.Renew(context.Background(), e.ID) },
-				func(err error) { n.stepLease(lease.Renewed{Lapsed: err == store.ErrLeaseExpired, Err: err}) }) //nolint:errorlint // the store's own value
+				func(err error) { n.stepLease(lease.Renewed{Lapsed: err == store.ErrLeaseExpired, Err: err}) }) //nolint:errorlint // the fake returns the value unwrapped
 		case lease.Acquired:
 			if n.own != nil && n.suspended {
 				n.reacquireKey(e.ID)
@@ -148,6 +153,9 @@
 	}
 }
 
+// reacquireKey creates the shard's key again under a new lease, after the lease
+// was lost, and lets the owner verify that it still owns the shard. If that fails,
+// the node gives up ownership.
 func (n *node) reacquireKey(id store.Lease) {
 	instance, started := n.own, n.instance
 	n.storeCall(func() (err error) {
@@ -163,8 +171,8 @@
 	})
 }
 
-// putKey puts the shard's key under the lease, if it is at the revision. It may
-// land after the node has given up on it.
+// putKey writes the shard's key with the lease, if the key is at the revision. The
+// write may take effect after the node's call has timed out.
 func (n *node) putKey(instance int, id store.Lease, at store.Rev) error {
 	rev, err := n.w.st.Put(context.Background(), shardKey, []byte(n.name), at, id)
 	if err == nil && n.instance == instance {
@@ -174,7 +182,8 @@
 	return err
 }
 
-// claim takes the shard over if nobody holds its key.
+// takeOver takes the shard over if its key is absent or was written by this
+// instance of the node.
 func (n *node) takeOver() {
 	w := n.w
 	if n.lease.ID() == 0 || !n.reachesStore() || w.choose(3) > 0 {
@@ -183,7 +192,7 @@
 	ctx := context.Background()
 	e, err := w.st.Get(ctx, shardKey)
 	if err == nil && !n.ownKeyRevs[e.Rev] || n.putKey(n.instance, n.lease.ID(), e.Rev) != nil {
-		return // another's, or this node's own of an earlier life
+		return // the key is of another node, or of an earlier instance of this one
 	}
 	v := w.st.Client(n.name)
 	if w.fault(300) {
@@ -214,7 +223,8 @@
 	n.step(owner.OffloadEnabled{On: w.offloadEnabled()})
 }
 
-// release gives the shard's key up, so that the next owner need not wait.
+// releaseKey deletes the shard's key, so that the next owner need not wait for the
+// lease to expire.
 func (n *node) releaseKey() {
 	keyRev := n.keyRev
 	n.storeCall(func() error {
@@ -235,7 +245,7 @@
 	}
 }
 
-// tell gives the owner a message, if it still is the owner that asked.
+// deliver passes the message to own, if own is still the node's owner.
 func (n *node) deliver(own *owner.Owner, m owner.Message) {
 	if n.own == own {
 		n.step(m)
--- a/internal/play/soak/simulation.go
+++ b/internal/play/soak/simulation.go
@@ -21,13 +21,14 @@
 	shardKey       = "shard/0000"
 	holdTime       = 3 * time.Second
 	peerDelay      = time.Second
-	faultPeriod    = 90 * time.Second // faults happen in this time, then all heals
+	faultPeriod    = 90 * time.Second // faults occur in this period only
 	recoveryPeriod = 5 * time.Minute
 )
 
 type (
-	// world is several daemons that may own one shard, one store, upstreams and
-	// callers, in virtual time. Every choice comes from choose.
+	// simulation simulates several daemons that may own one shard, one store,
+	// upstreams and callers, in virtual time. All random choices come from choose,
+	// which returns a number in [0, n).
 	simulation struct {
 		choose         func(n int) int
 		now            time.Time
@@ -38,18 +39,18 @@
 		nodes          []*node
 		callers        []*caller
 		cfg            file.File
-		keyReleased    bool      // the shard's key was given up
-		storeDownUntil time.Time // the store answers nobody until then
-		executions     map[string]int
+		keyReleased    bool              // the shard's key was deleted after a handover
+		storeDownUntil time.Time         // no node can reach the store until then
+		executions     map[string]int    // by request id
 		effects        map[string]int    // executions of a call that isn't idempotent, by program and number
 		lastCalls      map[string]int    // highest call number that reached an upstream, by program
 		spent          map[string]int64  // tokens that engines spent, by program
-		refusals       map[string]string // request ids that callers were told did not run
+		refusals       map[string]string // result of each request that was reported as not run, by request id
 		violations     []string
 		trace          []string
 		tickets        map[owner.Ticket]func(string, result.Result)
 		stats          Stats
-		texts          map[string]string // what the data folders have, by digest
+		texts          map[string]string // contents of the data folders, by digest
 		newestOwner    *owner.Owner
 	}
 
@@ -64,23 +65,23 @@
 	node struct {
 		w               *simulation
 		name            string
-		instance        int
+		instance        int // incremented with each crash
 		up              bool
 		pausedUntil     time.Time
-		storeCutUntil   time.Time // can't reach the store until then
-		isolatedUntil   time.Time // hears no peer until then
-		storeReachedAt  time.Time
-		storeReachTimes []time.Time // of reached
+		storeCutUntil   time.Time   // the node can't reach the store until then
+		isolatedUntil   time.Time   // the node has no connection to its peers until then
+		storeReachedAt  time.Time   // when the store executed the last call that it answered
+		storeReachTimes []time.Time // all values of storeReachedAt
 		lease           lease.Lease
 		own             *owner.Owner
 		snap            *snapio.Snap
-		keyRev          store.Rev          // of the shard's key as this node wrote it last
-		ownKeyRevs      map[store.Rev]bool // revisions of the key that this life wrote
+		keyRev          store.Rev          // revision of the shard's key at this node's last write
+		ownKeyRevs      map[store.Rev]bool // revisions of the key that this instance wrote
 		suspended       bool
 		placing         map[string]bool
 		attempts        map[string]bool
-		handedOver      map[*owner.Owner]bool // handed over
-		refs            map[string]int        // to texts in the folders, by digest, as the owner counts them
+		handedOver      map[*owner.Owner]bool // owners that have handed the shard over
+		refs            map[string]int        // number of references to texts in the data folders, by digest
 	}
 )
 
@@ -137,10 +138,13 @@
 	return w
 }
 
+// fault decides at random, with a probability of per1000 in 1000, whether a fault
+// occurs. It is always false after the fault period.
 func (w *simulation) fault(per1000 int) bool {
 	return w.now.Sub(w.start) < faultPeriod && w.choose(1000) < per1000
 }
 
+// randomDuration returns a duration in [low, high), in steps of a millisecond.
 func (w *simulation) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.choose(int((high-low)/time.Millisecond)))*time.Millisecond
 }
@@ -158,8 +162,8 @@
 	w.violations = append(w.violations, fmt.Sprintf("%s: ", w.now.Sub(w.start))+fmt.Sprintf(format, args...))
 }
 
-// run plays one history: a time with faults, then a time in which everything
-// works, by the end of which every caller must have its outcomes.
+// run runs one history: the fault period, then the recovery period, by whose end
+// every caller must have the outcomes of its calls.
 func (w *simulation) run() {
 	for _, n := range w.nodes {
 		n.tick()
@@ -189,7 +193,8 @@
 	return true
 }
 
-// trouble makes one fault now and then.
+// injectFault injects one random fault and schedules the next, until the end of the
+// fault period.
 func (w *simulation) injectFault() {
 	if w.now.Sub(w.start) >= faultPeriod {
 		return
--- a/internal/play/soak/soak.go
+++ b/internal/play/soak/soak.go
@@ -1,13 +1,14 @@
-// Package soak plays random histories of one shard and checks that no promise
-// is broken in them.
+// Package soak simulates random histories of one shard and verifies its invariants
+// in them.
 //
-// A history runs the production machines (owner, journal writer, lease, takeover
-// and snapshots) of several daemons in virtual time, before one store in memory.
-// For a while daemons crash, pause for longer than their lease, hand over and
-// lose the store or each other, writes land late or lose their acknowledgement,
-// and upstreams break off; callers repeat what they have no answer to. Then all
-// heals, and every caller must get a true outcome. Every choice is drawn from
-// the history's seed, so that a broken promise can be played again.
+// A history runs the production state machines (owner, journal writer, lease,
+// takeover and snapshots) of several daemons in virtual time, with one store in
+// memory. During the fault period daemons crash, pause for longer than their
+// lease, hand the shard over and lose the connection to the store or to each other,
+// writes take effect late or lose their acknowledgement, and attempts at upstreams
+// fail; callers repeat requests that have no outcome. In the recovery period
+// nothing fails, and every caller must get a correct outcome. All random choices
+// derive from the history's seed, so that a violation can be reproduced.
 package soak
 
 import (
@@ -20,31 +21,32 @@
 )
 
 type (
-	// Soak plays Histories histories, with the seeds from First on, on Workers
-	// goroutines (zero is one).
+	// Soak runs Histories histories, with seeds from First on, in Workers
+	// goroutines (zero means one).
 	Soak struct {
 		First      int
 		Histories  int
 		Workers    int
-		TraceLines int       // lines to show of a history that broke a promise
-		Out        io.Writer // gets what was broken; may be nil
+		TraceLines int       // maximum number of trace lines printed per history with a violation
+		Out        io.Writer // receives the violations; may be nil
 	}
 
-	// Stats counts what happened in the histories.
+	// Stats counts events in all histories.
 	Stats struct {
 		Takeovers, Handovers, Fenced, Crashes int
-		Lost                                  int // acknowledgements
-		Saves                                 int // snapshots
+		Lost                                  int // lost acknowledgements of store calls
+		Saves                                 int // saved snapshots
 		Replies                               int
-		Kept, Late, Recalled                  int // long texts in folders
-		Broken                                int // histories with a broken promise
+		Kept, Late, Recalled                  int // texts stored in data folders, released by the owner, and calls read from the journal
+		Broken                                int // histories with a violation
 	}
 )
 
-// ErrBroken reports that a promise was broken.
-var ErrViolation = errors.New("soak: a promise was broken")
+// ErrViolation reports that an invariant was violated.
+var ErrViolation = errors.New("soak: invariant violated")
 
-// Run plays the histories.
+// Run runs the histories. It returns ErrViolation if there was a violation in any
+// of them.
 func (s Soak) Run() (sum Stats, err error) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
--- a/internal/play/soak/texts.go
+++ b/internal/play/soak/texts.go
@@ -17,13 +17,14 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-var errNoHolder = errors.New("no holder answers")
+var errNoHolder = errors.New("no holder of the text is available")
 
-// folders tells whether long texts go to data folders; they do in most
-// histories, but not always.
+// offloadEnabled decides at random whether an owner offloads long texts to data
+// folders: in three of four cases.
 func (w *simulation) offloadEnabled() bool { return w.choose(4) > 0 }
 
-// adopt lets the folders drop at once what the journal doesn't refer to.
+// dropUnreferencedTexts deletes the texts that the journal does not refer to from
+// the data folders, at a takeover. It verifies that all others are there.
 func (n *node) dropUnreferencedTexts() {
 	w := n.w
 	w.newestOwner = n.own
@@ -43,8 +44,9 @@
 	}
 }
 
-// keep puts texts into folders: soon, too late, never, or only one of them. A
-// holder is replaced now and then.
+// offload stores the texts of a call in the data folders, after a random delay.
+// Under faults the delay may be too long, and either text or both may fail to be
+// stored.
 func (n *node) offload(own *owner.Owner, k owner.Offload) {
 	w := n.w
 	instance := n.instance
@@ -55,13 +57,15 @@
 	asked, answer := k.Asked, k.Answer
 	w.after(wait, func() {
 		if n.own != own || n.instance != instance || w.newestOwner != own {
-			return // its folders heed the newest owner alone
+			return // data folders accept texts from the newest owner only
 		}
 		offloaded := owner.Offloaded{ID: k.ID, Request: k.Request, Asked: n.storeText(asked), Answer: n.storeText(answer)}
 		n.later(w.randomDuration(0, 20*time.Millisecond), func() { n.deliver(own, offloaded) })
 	})
 }
 
+// storeText stores a text and returns its reference, or nil if text is nil or that
+// fails. Later one of its holders may be replaced.
 func (n *node) storeText(text []byte) *hist.Blob {
 	w := n.w
 	if text == nil || w.fault(150) {
@@ -86,6 +90,7 @@
 	return &b
 }
 
+// releaseText removes one reference to a text and deletes the text with the last.
 func (n *node) releaseText(own *owner.Owner, b hist.Blob) {
 	n.w.stats.Late++
 	if n.w.newestOwner != own {
@@ -97,7 +102,7 @@
 	}
 }
 
-// text reads from the folders, which now and then don't answer.
+// text reads a text from the data folders; it fails at random under faults.
 func (w *simulation) text(_ context.Context, b hist.Blob) ([]byte, error) {
 	text, ok := w.texts[b.Digest]
 	if !ok || w.fault(200) {
@@ -106,7 +111,8 @@
 	return []byte(text), nil
 }
 
-// resolve puts a call's texts back and looks whether they are its own.
+// resolve returns the call with its offloaded texts and verifies that they belong
+// to it. It adds them to refs.
 func (w *simulation) resolve(refs map[string]hist.Blob, r record.Ended) hist.Call {
 	c := r.Call
 	for b, inline := range map[*hist.Blob]int{c.AskedBlob: len(c.Asked), c.AnswerBlob: len(c.Result.Body)} {
@@ -130,9 +136,9 @@
 	return c
 }
 
-// compare looks whether snapshot and journal together give the same texts, with
-// the same holders, as the whole journal: what a takeover didn't know would be
-// dropped.
+// verifyTakeover verifies that a takeover, from the newest snapshot and the journal
+// after it, knows the same texts with the same holders as the complete journal: a
+// text that a takeover does not know would be deleted.
 func (w *simulation) verifyTakeover(refs map[string]hist.Blob) {
 	t, err := w.nodes[0].boot(w.st).Take(context.Background())
 	if err != nil {
--- a/internal/play/soak/verify.go
+++ b/internal/play/soak/verify.go
@@ -14,7 +14,9 @@
 	"github.com/slaterock/slaterock/internal/shard/owner"
 )
 
-// execute is the upstream's side.
+// execute simulates the execution of an attempt at an upstream and sets the result
+// in t. It verifies the order of calls, the budget, and that a call that isn't
+// idempotent is executed once.
 func (w *simulation) execute(d owner.Dispatch, t *owner.AttemptEnded) {
 	w.executions[d.Request]++
 	w.tracef("upstream runs %s (%s %d)", d.Request, d.Call.Program, d.Call.Number)
@@ -45,7 +47,7 @@
 	}
 }
 
-// judge compares what callers saw with what the journal says.
+// verify compares the results that callers received with the journal.
 func (w *simulation) verify() {
 	recorded := map[string]string{}
 	heads := map[string]int{}
