--- a/internal/fake/model/report.go
+++ b/internal/fake/model/report.go
@@ -35,16 +35,16 @@
 	if e.fault.fault == Refuse {
 		return engine.Load{}, errRefused
 	}
-	seen := time.Now().Add(-e.LoadLag)
+	cutoff := time.Now().Add(-e.LoadLag)
 	l := &e.reports.list
-	for len(*l) > 1 && !(*l)[1].At.After(seen) {
+	for len(*l) > 1 && !(*l)[1].At.After(cutoff) {
 		*l = (*l)[1:]
 	}
 	out := engine.Load{Total: orDefault(e.Memory, defaultMemory)}
-	if len(*l) > 0 && !(*l)[0].At.After(seen) {
+	if len(*l) > 0 && !(*l)[0].At.After(cutoff) {
 		out = (*l)[0]
 	}
-	out.At = seen
+	out.At = cutoff
 	return out, ctx.Err()
 }
 
@@ -53,11 +53,11 @@
 func (e *Engine) Events(ctx context.Context, after uint64) ([]engine.Event, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	seen := time.Now().Add(-e.EventLag)
+	cutoff := time.Now().Add(-e.EventLag)
 	var out []engine.Event
 	for _, v := range e.events.list {
 		lost := e.EventGap > 0 && (v.Seq+e.Seed)%uint64(e.EventGap) == 0
-		if v.Seq > after && !v.at.After(seen) && !lost {
+		if v.Seq > after && !v.at.After(cutoff) && !lost {
 			out = append(out, v.Event)
 		}
 	}
--- a/internal/play/soak/verify.go
+++ b/internal/play/soak/verify.go
@@ -20,8 +20,8 @@
 func (w *simulation) execute(d owner.Dispatch, t *owner.AttemptEnded) {
 	w.executions[d.Request]++
 	w.tracef("upstream runs %s (%s %d)", d.Request, d.Call.Program, d.Call.Number)
-	if why, ok := w.refusals[d.Request]; ok {
-		w.addViolation("%s ran after its caller was told that it did not: %s", d.Request, why)
+	if reason, ok := w.refusals[d.Request]; ok {
+		w.addViolation("%s ran after its caller was told that it did not: %s", d.Request, reason)
 	}
 	id := fmt.Sprintf("%s %d", d.Call.Program, d.Call.Number)
 	if d.Call.Number < w.lastCalls[d.Call.Program] {
