--- a/internal/fake/keyval/watch.go
+++ b/internal/fake/keyval/watch.go
@@ -26,13 +26,13 @@
 	s.counts.Watches++
 	s.mu.Unlock()
 	for {
-		now := s.checkWatch(key, rev)
-		if now.changed == nil {
-			return now.entry, now.err
+		state := s.checkWatch(key, rev)
+		if state.changed == nil {
+			return state.entry, state.err
 		}
-		t := time.NewTimer(now.expire)
+		t := time.NewTimer(state.expire)
 		select {
-		case <-now.changed:
+		case <-state.changed:
 		case <-t.C:
 		case <-cut:
 			t.Stop()
--- a/internal/fake/model/answer.go
+++ b/internal/fake/model/answer.go
@@ -21,7 +21,7 @@
 // request, truncated to tokens.
 func Answer(name string, r engine.Request, tokens int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, lastMessage(r.Body))
+	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, lastMessageExcerpt(r.Body))
 	for i := 0; b.Len() < tokens*charsPerToken; i++ {
 		fmt.Fprintf(&b, " %03d", i%1000)
 	}
@@ -30,7 +30,7 @@
 
 // lastMessage returns the first excerptBytes bytes of the last message's text,
 // without invalid UTF-8.
-func lastMessage(body []byte) string {
+func lastMessageExcerpt(body []byte) string {
 	var b struct {
 		Messages []struct {
 			Content json.RawMessage `json:"content"`
--- a/internal/fake/model/model.go
+++ b/internal/fake/model/model.go
@@ -21,50 +21,50 @@
 )
 
 const (
-	defaultPrefill = 8000                   // tokens per second
-	defaultDecode  = 20 * time.Millisecond  // per token in a batch of one
-	defaultBatch   = 500 * time.Microsecond // added per token for each further request in the batch
-	defaultLimit   = 16                     // requests in a batch
-	defaultMemory  = 200_000                // tokens
-	defaultPiece   = 4                      // tokens
-	minOutput      = 16
-	outputRange    = 48
+	defaultPrefill    = 8000                   // tokens per second
+	defaultDecode     = 20 * time.Millisecond  // per token in a batch of one
+	defaultBatchCost  = 500 * time.Microsecond // added per token for each further request in the batch
+	defaultBatchLimit = 16                     // requests in a batch
+	defaultMemory     = 200_000                // tokens
+	defaultPiece      = 4                      // tokens
+	minOutput         = 16
+	outputRange       = 48
 )
 
 type (
 	// Engine implements engine.Engine. The zero value is ready for use. Set
 	// exported fields before the first call.
 	Engine struct {
-		Name         string
-		Seed         uint64                      // selects the events that EventGap drops
-		Speed        float64                     // factor by which all simulated times are shorter; 0 means 1
-		Prefill      int                         // tokens per second
-		Decode       time.Duration               // per token in a batch of one
-		Batch        time.Duration               // added per token for each further request in the batch
-		Limit        int                         // maximum requests in a batch
-		Memory       int                         // cache capacity in tokens
-		Piece        int                         // tokens per piece of an answer
-		Output       int                         // tokens per answer; 0 derives the number from the request id
-		LoadLag      time.Duration               // age of load reports
-		EventLag     time.Duration               // delay of cache events
-		EventGap     int                         // one event in EventGap is lost; 0 means none
-		IgnoreFence  bool                        // execute orders with an old fencing number
-		LoadDuration time.Duration               // time to load a model
-		Models       []string                    // models served; empty means all
-		Peer         func(target string) *Engine // target engine of an export order
-
-		mu         sync.Mutex
-		fault      faults
-		queue      queue
-		cache      cache
-		reports    reports
-		events     events
-		orders     orders
-		dispatches []Dispatch
+		Name              string
+		Seed              uint64                      // selects the events that EventGap drops
+		Speed             float64                     // factor by which all simulated times are shorter; 0 means 1
+		Prefill           int                         // tokens per second
+		Decode            time.Duration               // per token in a batch of one
+		BatchCost         time.Duration               // added per token for each further request in the batch
+		BatchLimit        int                         // maximum requests in a batch
+		Memory            int                         // cache capacity in tokens
+		Piece             int                         // tokens per piece of an answer
+		Output            int                         // tokens per answer; 0 derives the number from the request id
+		ReportLag         time.Duration               // age of load reports
+		EventLag          time.Duration               // delay of cache events
+		EventGap          int                         // one event in EventGap is lost; 0 means none
+		IgnoreFence       bool                        // execute orders with an old fencing number
+		ModelLoadDuration time.Duration               // time to load a model
+		Models            []string                    // models served; empty means all
+		Peer              func(target string) *Engine // target engine of an export order
+
+		mu               sync.Mutex
+		fault            faults
+		queue            queue
+		cache            cache
+		reports          reports
+		events           events
+		orders           orders
+		receivedRequests []ReceivedRequest
 	}
 
 	// Dispatch is one received request.
-	Dispatch struct {
+	ReceivedRequest struct {
 		Request     string
 		Program     string
 		Model       string
@@ -82,10 +82,10 @@
 
 // Dispatches returns all received requests in order. A request that was
 // refused by the fault Refuse is not among them.
-func (e *Engine) Dispatches() []Dispatch {
+func (e *Engine) ReceivedRequests() []ReceivedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Dispatch(nil), e.dispatches...)
+	return append([]ReceivedRequest(nil), e.receivedRequests...)
 }
 
 // Chat implements engine.Engine.
@@ -163,17 +163,17 @@
 	if f == Refuse {
 		return -1, f, 0
 	}
-	e.dispatches = append(e.dispatches, Dispatch{
+	e.receivedRequests = append(e.receivedRequests, ReceivedRequest{
 		Request: r.ID, Program: r.Program, Model: r.Model, Priority: r.Priority, MaxTokens: r.MaxTokens,
 		Resume: r.Resume, TraceParent: r.TraceParent, At: time.Now(), Leaving: e.orders.leaving,
 	})
-	return len(e.dispatches) - 1, f, delay
+	return len(e.receivedRequests) - 1, f, delay
 }
 
 func (e *Engine) recordPrompt(n int, u engine.Usage) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dispatches[n].Prompt, e.dispatches[n].Cached = u.Prompt, u.Cached
+	e.receivedRequests[n].Prompt, e.receivedRequests[n].Cached = u.Prompt, u.Cached
 }
 
 func (e *Engine) recordOutcome(n int, u engine.Usage, err error) {
@@ -182,9 +182,9 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dispatches[n].Outcome = u.Finish
+	e.receivedRequests[n].Outcome = u.Finish
 	if err != nil {
-		e.dispatches[n].Outcome = err.Error()
+		e.receivedRequests[n].Outcome = err.Error()
 	}
 }
 
@@ -200,7 +200,7 @@
 func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return orDefault(e.Decode, defaultDecode) + time.Duration(e.queue.running-1)*orDefault(e.Batch, defaultBatch)
+	return orDefault(e.Decode, defaultDecode) + time.Duration(e.queue.running-1)*orDefault(e.BatchCost, defaultBatchCost)
 }
 
 func (e *Engine) prefill() int { return orDefault(e.Prefill, defaultPrefill) }
--- a/internal/fake/model/model_test.go
+++ b/internal/fake/model/model_test.go
@@ -56,7 +56,7 @@
 func TestQueueByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &Engine{Limit: 1}
+		e := &Engine{BatchLimit: 1}
 		var mu sync.Mutex
 		var order []string
 		var all sync.WaitGroup
@@ -102,7 +102,7 @@
 func TestSlotOfCancelledRequestIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &Engine{Limit: 1}
+		e := &Engine{BatchLimit: 1}
 		is.NoErr(e.acquireSlot(t.Context(), 0))
 		ready := e.enqueue(0)
 		e.releaseSlot()
--- a/internal/fake/model/order.go
+++ b/internal/fake/model/order.go
@@ -65,7 +65,7 @@
 	case engine.OrderExport:
 		return e.export(ctx, o)
 	case engine.OrderLoad:
-		return e.load(ctx, o.Target)
+		return e.loadModel(ctx, o.Target)
 	case engine.OrderRole:
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -117,8 +117,8 @@
 	return nil
 }
 
-func (e *Engine) load(ctx context.Context, model string) error {
-	if err := e.sleep(ctx, e.LoadDuration); err != nil {
+func (e *Engine) loadModel(ctx context.Context, model string) error {
+	if err := e.sleep(ctx, e.ModelLoadDuration); err != nil {
 		return cancelled(err)
 	}
 	e.mu.Lock()
--- a/internal/fake/model/queue.go
+++ b/internal/fake/model/queue.go
@@ -42,7 +42,7 @@
 	defer e.mu.Unlock()
 	defer e.recordLoad()
 	q := &e.queue
-	if q.running < orDefault(e.Limit, defaultLimit) {
+	if q.running < orDefault(e.BatchLimit, defaultBatchLimit) {
 		q.running++
 		return nil
 	}
--- a/internal/fake/model/report.go
+++ b/internal/fake/model/report.go
@@ -7,7 +7,7 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-const maxEvents = 10_000
+const maxReports = 10_000
 
 type (
 	// reports holds the load report that is visible at present, followed by
@@ -35,7 +35,7 @@
 	if e.fault.fault == Refuse {
 		return engine.Load{}, errRefused
 	}
-	cutoff := time.Now().Add(-e.LoadLag)
+	cutoff := time.Now().Add(-e.ReportLag)
 	l := &e.reports.list
 	for len(*l) > 1 && !(*l)[1].At.After(cutoff) {
 		*l = (*l)[1:]
@@ -73,8 +73,8 @@
 		Used: e.cache.used, Total: orDefault(e.Memory, defaultMemory),
 		Leaving: e.orders.leaving,
 	})
-	if len(e.reports.list) > maxEvents {
-		e.reports.list = e.reports.list[maxEvents/2:]
+	if len(e.reports.list) > maxReports {
+		e.reports.list = e.reports.list[maxReports/2:]
 	}
 }
 
@@ -87,7 +87,7 @@
 	e.events.seq++
 	v := engine.Event{Seq: e.events.seq, Stored: stored, Evicted: evicted}
 	e.events.list = append(e.events.list, event{Event: v, at: time.Now()})
-	if len(e.events.list) > maxEvents {
-		e.events.list = e.events.list[maxEvents/2:]
+	if len(e.events.list) > maxReports {
+		e.events.list = e.events.list[maxReports/2:]
 	}
 }
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -33,14 +33,14 @@
 		cancel context.CancelFunc
 		done   chan struct{}
 
-		mu         sync.Mutex
-		conns      map[*conn]struct{}
-		blackholed []*conn // closed by the server, open for the client
+		mu        sync.Mutex
+		conns     map[*conn]struct{}
+		abandoned []*conn // closed by the server, open for the client
 	}
 
 	conn struct {
 		net.Conn
-		host      *HTTP
+		srv       *HTTP
 		once      sync.Once
 		mu        sync.Mutex
 		blackhole chan struct{} // closed when the connection is blackholed
@@ -98,7 +98,7 @@
 	h.CloseConns()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range h.blackholed {
+	for _, c := range h.abandoned {
 		_ = c.Conn.Close()
 	}
 }
@@ -144,7 +144,7 @@
 }
 
 func (h *HTTP) track(raw net.Conn) *conn {
-	c := &conn{Conn: raw, host: h, blackhole: make(chan struct{}), closed: make(chan struct{})}
+	c := &conn{Conn: raw, srv: h, blackhole: make(chan struct{}), closed: make(chan struct{})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns[c] = struct{}{}
@@ -182,11 +182,11 @@
 // untrack removes the connection from the open ones and reports whether to close
 // it.
 func (c *conn) untrack() bool {
-	c.host.mu.Lock()
-	defer c.host.mu.Unlock()
-	delete(c.host.conns, c)
+	c.srv.mu.Lock()
+	defer c.srv.mu.Unlock()
+	delete(c.srv.conns, c)
 	if c.isBlackholed() {
-		c.host.blackholed = append(c.host.blackholed, c)
+		c.srv.abandoned = append(c.srv.abandoned, c)
 		return false
 	}
 	return true
--- a/internal/fake/site/site.go
+++ b/internal/fake/site/site.go
@@ -49,7 +49,7 @@
 		E1, E2  model.Engine
 		Ledger  ledger.Service
 
-		hosts map[Part]*server.HTTP
+		running map[Part]*server.HTTP
 	}
 )
 
@@ -63,36 +63,36 @@
 		}
 	}()
 	s.configureEngines()
-	s.hosts = map[Part]*server.HTTP{}
+	s.running = map[Part]*server.HTTP{}
 	for p, serve := range s.servers() {
 		var l net.ListenConfig
 		ln, err := l.Listen(ctx, "tcp", s.listenAddress(p))
 		if err != nil {
 			return err
 		}
-		s.hosts[p] = serve(ln)
+		s.running[p] = serve(ln)
 	}
 	return nil
 }
 
 // Address returns the part's IP address and port.
-func (s *Site) Address(p Part) string { return s.hosts[p].Address() }
+func (s *Site) Address(p Part) string { return s.running[p].Address() }
 
 // HTTP returns the part's server, whose connections can be made to fail.
-func (s *Site) HTTP(p Part) *server.HTTP { return s.hosts[p] }
+func (s *Site) HTTP(p Part) *server.HTTP { return s.running[p] }
 
 // Close stops all parts.
 func (s *Site) Close() {
-	for _, h := range s.hosts {
+	for _, h := range s.running {
 		h.Close()
 	}
-	s.hosts = nil
+	s.running = nil
 }
 
 // Engine returns the engine with the address or name target, or nil.
 func (s *Site) Engine(target string) *model.Engine {
 	for p, e := range map[Part]*model.Engine{Engine1: &s.E1, Engine2: &s.E2} {
-		if target == string(p) || s.hosts[p] != nil && target == s.hosts[p].Address() {
+		if target == string(p) || s.running[p] != nil && target == s.running[p].Address() {
 			return e
 		}
 	}
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -49,7 +49,7 @@
 			is.NoErr(err)
 			is.Equal(text, model.Answer("e2", r, u.Output))
 			is.Equal(u, engine.Usage{Prompt: 9, Output: 12, Finish: "length"})
-			is.Equal(s.E2.Dispatches()[0].Program, "p")
+			is.Equal(s.E2.ReceivedRequests()[0].Program, "p")
 		},
 		"ledger": func(is *is.I) {
 			c := &plain.Client{Endpoint: at(Ledger)}
--- a/internal/node/send/send_test.go
+++ b/internal/node/send/send_test.go
@@ -50,7 +50,7 @@
 				defer stop()
 				got := s.Attempt(ctx, d, f)
 				is.Equal(got.Outcome, tt.outcome)
-				is.Equal(len(e.Dispatches()), tt.sent)
+				is.Equal(len(e.ReceivedRequests()), tt.sent)
 				if tt.outcome == sched.Succeeded {
 					want := model.Answer("e", engine.Request{ID: d.Request, Body: d.Call.Body}, tokens)
 					is.Equal(string(got.Body), want)
--- a/internal/plat/chat/chat_test.go
+++ b/internal/plat/chat/chat_test.go
@@ -112,9 +112,9 @@
 		f.NoErr(a.err)
 		f.Equal(a.usage.Finish, "length")
 		f.Equal(a.usage.Output, 9)
-		d := f.fake.Dispatches()[0]
+		d := f.fake.ReceivedRequests()[0]
 		d.At = time.Time{}
-		f.Equal(d, model.Dispatch{
+		f.Equal(d, model.ReceivedRequest{
 			Request: "r1", Program: "p", Model: "m", Priority: 7, MaxTokens: 9, TraceParent: "00-1-2-01",
 			Prompt: a.usage.Prompt, Outcome: "length",
 		})
@@ -160,7 +160,7 @@
 		f.Equal(u.Cached, u.Prompt)
 	},
 	"load tells of leaving, late": func(f variant) {
-		f.fake.LoadLag = 2 * time.Second
+		f.fake.ReportLag = 2 * time.Second
 		f.fake.SetLeaving(true)
 		l, err := f.Load(f.ctx)
 		f.NoErr(err)
--- a/internal/play/flood/flood.go
+++ b/internal/play/flood/flood.go
@@ -31,23 +31,23 @@
 	Simulation struct {
 		AllStarted bool // all requests claim to belong to a program that has started
 
-		now          time.Time
-		rng          *rand.Rand
-		fronts       []*front
-		limits       map[string]bucket.Limit
-		queue        events
-		admitted     map[string][]time.Time // times of admitted requests, by account
-		scores       map[string]*Score
-		programRates map[string]float64       // programs per second, by account
-		sideUsage    map[int]bucket.PeerUsage // by side
-		sideUsageAt  time.Time
+		now              time.Time
+		rng              *rand.Rand
+		fronts           []*front
+		limits           map[string]bucket.Limit
+		queue            events
+		admitted         map[string][]time.Time // times of admitted requests, by account
+		scores           map[string]*Score
+		programRates     map[string]float64       // programs per second, by account
+		partitionUsage   map[int]bucket.PeerUsage // by side
+		partitionUsageAt time.Time
 	}
 
 	front struct {
 		bucket.Buckets
-		up      bool
-		side    int // network partition; reports reach fronts of the same partition only
-		reports []usageReport
+		up        bool
+		partition int // network partition; reports reach fronts of the same partition only
+		reports   []usageReport
 	}
 
 	usageReport struct {
@@ -100,13 +100,13 @@
 	for name := range limits {
 		w.scores[name] = &Score{}
 	}
-	for _, name := range w.names() {
+	for _, name := range w.accountNames() {
 		w.after(w.jitter(thinkTime), func() { w.startProgram(name) })
 	}
 	return w
 }
 
-func (w *Simulation) names() (list []string) {
+func (w *Simulation) accountNames() (list []string) {
 	for name := range w.limits {
 		list = append(list, name)
 	}
@@ -158,7 +158,7 @@
 // peerUsage returns the update that the hubs send to a front: the sum of the last reports of
 // the other fronts of its partition.
 func (w *Simulation) peerUsage(f *front) bucket.PeerUsage {
-	all := w.sumSide(f.side)
+	all := w.sumPartition(f.partition)
 	h := bucket.PeerUsage{Used: map[string]int{}, Total: len(w.fronts), Fronts: all.Fronts}
 	own := f.lastReport(w.now)
 	for name, n := range all.Used {
@@ -169,16 +169,16 @@
 
 // sumSide returns the sum of the last reports of the fronts of a partition. It is cached for
 // a third of hubDelay.
-func (w *Simulation) sumSide(side int) bucket.PeerUsage {
-	if w.now.Sub(w.sideUsageAt) > hubDelay/3 {
-		w.sideUsage, w.sideUsageAt = map[int]bucket.PeerUsage{}, w.now
+func (w *Simulation) sumPartition(partition int) bucket.PeerUsage {
+	if w.now.Sub(w.partitionUsageAt) > hubDelay/3 {
+		w.partitionUsage, w.partitionUsageAt = map[int]bucket.PeerUsage{}, w.now
 	}
-	if h, done := w.sideUsage[side]; done {
+	if h, done := w.partitionUsage[partition]; done {
 		return h
 	}
 	h := bucket.PeerUsage{Used: map[string]int{}}
 	for _, f := range w.fronts {
-		if !f.up || f.side != side {
+		if !f.up || f.partition != partition {
 			continue
 		}
 		h.Fronts++
@@ -186,7 +186,7 @@
 			h.Used[name] += n
 		}
 	}
-	w.sideUsage[side] = h
+	w.partitionUsage[partition] = h
 	return h
 }
 
--- a/internal/play/flood/flood_test.go
+++ b/internal/play/flood/flood_test.go
@@ -45,8 +45,8 @@
 	},
 	"a third is cut off": func(w *Simulation) {
 		for i := 0; i < len(w.fronts); i += 3 {
-			w.fronts[i].side = 1
-			w.after(floodTime/2, func() { w.fronts[i].side = 0 })
+			w.fronts[i].partition = 1
+			w.after(floodTime/2, func() { w.fronts[i].partition = 0 })
 		}
 	},
 	"a fifth is frozen": func(w *Simulation) {
@@ -57,8 +57,8 @@
 	},
 	"all are cut off": func(w *Simulation) {
 		for i := range w.fronts {
-			w.fronts[i].side = i
-			w.after(floodTime, func() { w.fronts[i].side = 0 })
+			w.fronts[i].partition = i
+			w.after(floodTime, func() { w.fronts[i].partition = 0 })
 		}
 	},
 	"the limit falls": func(w *Simulation) {
--- a/internal/play/soak/effects.go
+++ b/internal/play/soak/effects.go
@@ -151,7 +151,7 @@
 	key := d.Request + d.Upstream
 	n.attempts[key] = true
 	n.later(time.Second, func() { n.reportAlive(own, d.Request, key) })
-	tried := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Status: 200, Reason: "broken"}
+	ended := owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Status: 200, Reason: "broken"}
 	done := func(t owner.AttemptEnded) {
 		n.later(w.randomDuration(1, 200*time.Millisecond), func() {
 			if !n.attempts[key] && t.Outcome != sched.Succeeded {
@@ -166,17 +166,17 @@
 		})
 	}
 	if w.fault(60) {
-		tried.Outcome = sched.Unsent
-		done(tried)
+		ended.Outcome = sched.Unsent
+		done(ended)
 		return
 	}
 	w.after(w.randomDuration(1, 30*time.Millisecond), func() {
-		w.execute(d, &tried)
+		w.execute(d, &ended)
 		w.after(w.randomDuration(10*time.Millisecond, 3*time.Second), func() {
 			if w.fault(60) {
-				tried = owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Outcome: sched.Failed, Reason: "broken"}
+				ended = owner.AttemptEnded{Request: d.Request, Upstream: d.Upstream, Outcome: sched.Failed, Reason: "broken"}
 			}
-			done(tried)
+			done(ended)
 		})
 	})
 }
--- a/internal/play/soak/node.go
+++ b/internal/play/soak/node.go
@@ -157,9 +157,9 @@
 // was lost, and lets the owner verify that it still owns the shard. If that fails,
 // the node gives up ownership.
 func (n *node) reacquireKey(id store.Lease) {
-	instance, started := n.own, n.instance
+	instance, nodeInstance := n.own, n.instance
 	n.storeCall(func() (err error) {
-		return n.putKey(started, id, 0)
+		return n.putKey(nodeInstance, id, 0)
 	}, func(err error) {
 		switch {
 		case n.own != instance:
--- a/internal/play/soak/simulation.go
+++ b/internal/play/soak/simulation.go
@@ -42,7 +42,7 @@
 		keyReleased    bool              // the shard's key was deleted after a handover
 		storeDownUntil time.Time         // no node can reach the store until then
 		executions     map[string]int    // by request id
-		effects        map[string]int    // executions of a call that isn't idempotent, by program and number
+		sideEffects    map[string]int    // executions of a call that isn't idempotent, by program and number
 		lastCalls      map[string]int    // highest call number that reached an upstream, by program
 		spent          map[string]int64  // tokens that engines spent, by program
 		refusals       map[string]string // result of each request that was reported as not run, by request id
@@ -107,15 +107,15 @@
 
 func newSimulation(choose func(int) int) *simulation {
 	w := &simulation{
-		choose:     choose,
-		now:        time.Unix(1_800_000_000, 0).UTC(),
-		executions: map[string]int{},
-		effects:    map[string]int{},
-		lastCalls:  map[string]int{},
-		spent:      map[string]int64{},
-		refusals:   map[string]string{},
-		tickets:    map[owner.Ticket]func(string, result.Result){},
-		texts:      map[string]string{},
+		choose:      choose,
+		now:         time.Unix(1_800_000_000, 0).UTC(),
+		executions:  map[string]int{},
+		sideEffects: map[string]int{},
+		lastCalls:   map[string]int{},
+		spent:       map[string]int64{},
+		refusals:    map[string]string{},
+		tickets:     map[owner.Ticket]func(string, result.Result){},
+		texts:       map[string]string{},
 	}
 	w.start = w.now
 	w.st = &keyval.Store{Now: func() time.Time { return w.now }}
--- a/internal/play/soak/verify.go
+++ b/internal/play/soak/verify.go
@@ -40,8 +40,8 @@
 		return
 	}
 	if d.Call.Service == "receipt" {
-		w.effects[id]++
-		if w.effects[id] > 1 {
+		w.sideEffects[id]++
+		if w.sideEffects[id] > 1 {
 			w.addViolation("call %s, which isn't idempotent, ran twice", id)
 		}
 	}
