--- a/internal/conf/watch/cluster_test.go
+++ b/internal/conf/watch/cluster_test.go
@@ -194,7 +194,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range c.daemons {
-		d.view.Set(fault)
+		d.view.SetFault(fault)
 	}
 }
 
--- a/internal/conf/watch/random_test.go
+++ b/internal/conf/watch/random_test.go
@@ -45,10 +45,10 @@
 			v := c.tryApply(ctx, t, r, name, fmt.Sprint("n", i))
 			accepted = max(accepted, v)
 		case 2:
-			d.view.Set(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Silent)).Draw(r, "fault")))
+			d.view.SetFault(keyval.Fault(rapid.IntRange(int(keyval.None), int(keyval.Hang)).Draw(r, "fault")))
 		case 3:
 			n := rapid.IntRange(1, 6).Draw(r, "call")
-			d.view.Script(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Down, n + 3: keyval.LoseWrite})
+			d.view.ScriptFaults(keyval.Any, map[int]keyval.Fault{n: keyval.LoseAck, n + 1: keyval.Unavailable, n + 3: keyval.LoseWrite})
 		case 4:
 			c.withLock(func() { d.isolated = !d.isolated })
 		case 5:
@@ -64,7 +64,7 @@
 	c.set(keyval.None)
 	c.withLock(func() {
 		for _, d := range c.daemons {
-			d.view.Script(keyval.Any, nil)
+			d.view.ScriptFaults(keyval.Any, nil)
 			d.isolated = false
 		}
 	})
--- a/internal/conf/watch/syncer_test.go
+++ b/internal/conf/watch/syncer_test.go
@@ -26,8 +26,8 @@
 		"applied through a daemon":       {func(t *testing.T, c *cluster) { c.apply(t, "two", "d5") }, 2},
 		"applied to the store":           {func(t *testing.T, c *cluster) { c.apply(t, "two", "") }, 2},
 		"no change":                      {func(*testing.T, *cluster) {}, 1},
-		"store down":                     {func(_ *testing.T, c *cluster) { c.set(keyval.Down) }, 1},
-		"store silent":                   {func(_ *testing.T, c *cluster) { c.set(keyval.Silent) }, 1},
+		"store down":                     {func(_ *testing.T, c *cluster) { c.set(keyval.Unavailable) }, 1},
+		"store silent":                   {func(_ *testing.T, c *cluster) { c.set(keyval.Hang) }, 1},
 		"store lost its keys":            {deleteHead, 1},
 		"applied after it lost its keys": {func(t *testing.T, c *cluster) { deleteHead(t, c); c.apply(t, "two", "d5") }, 2},
 		"store restored, applied again":  {restored, 4},
@@ -107,10 +107,10 @@
 // The store fails right after it accepted a version. The operator got the acknowledgement, and
 // only the daemon that applied knows the version.
 func failsAfter(t *testing.T, c *cluster) {
-	c.set(keyval.Down)
-	c.daemons["d5"].view.Set(keyval.None)
+	c.set(keyval.Unavailable)
+	c.daemons["d5"].view.SetFault(keyval.None)
 	c.apply(t, "two", "d5")
-	c.set(keyval.Down)
+	c.set(keyval.Unavailable)
 }
 
 // As failsAfter, but the acknowledgement is lost, so the daemon that applied does not know the
@@ -121,7 +121,7 @@
 		d.link.update(func(l *link) { l.noChunks = true })
 	}
 	d := c.daemons["d5"]
-	d.link.update(func(l *link) { l.afterHead = func() { d.view.Set(keyval.Down) } })
+	d.link.update(func(l *link) { l.afterHead = func() { d.view.SetFault(keyval.Unavailable) } })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err := d.Apply(ctx, request(t, "two"))
@@ -168,12 +168,12 @@
 		}
 		return a
 	}
-	c.set(keyval.Down)
-	bad.view.Set(keyval.None)
-	c.daemons["d6"].view.Set(keyval.None)
+	c.set(keyval.Unavailable)
+	bad.view.SetFault(keyval.None)
+	c.daemons["d6"].view.SetFault(keyval.None)
 	c.apply(t, "two", "d5")
 	sleep(time.Second)
-	c.set(keyval.Down)
+	c.set(keyval.Unavailable)
 }
 
 // A daemon is cut off from the store and its peers while four versions are applied. Once
@@ -181,7 +181,7 @@
 func versionGap(t *testing.T, c *cluster) {
 	d := c.daemons["d7"]
 	c.withLock(func() { d.isolated = true })
-	d.view.Set(keyval.Down)
+	d.view.SetFault(keyval.Unavailable)
 	for _, name := range []string{"two", "three", "four", "five"} {
 		c.apply(t, name, "d1")
 	}
@@ -198,10 +198,10 @@
 func restart(t *testing.T, c *cluster) {
 	stale := c.daemons["d0"]
 	c.withLock(func() { stale.isolated = true })
-	stale.view.Set(keyval.Down)
+	stale.view.SetFault(keyval.Unavailable)
 	c.apply(t, "two", "d1")
 	sleep(maxDelay)
-	c.set(keyval.Down)
+	c.set(keyval.Unavailable)
 	c.withLock(func() { stale.isolated = false })
 	c.daemons["d3"].stop()
 	c.add(t.Context(), "d3")
@@ -246,10 +246,10 @@
 func reporterGone(t *testing.T, c *cluster) {
 	d := c.daemons["d9"]
 	c.withLock(func() { d.isolated = true })
-	d.view.Set(keyval.Down)
+	d.view.SetFault(keyval.Unavailable)
 	c.apply(t, "two", "d1")
 	sleep(maxDelay)
-	c.set(keyval.Down)
+	c.set(keyval.Unavailable)
 	c.withLock(func() { d.isolated, d.noHeartbeats = false, true })
 	d.Newer(2, "gone")
 	synctest.Wait()
@@ -262,7 +262,7 @@
 	}{
 		"store down, peers up":    {func(*testing.T, *cluster) {}, true},
 		"store down, no peers":    {func(_ *testing.T, c *cluster) { isolateAll(c) }, false},
-		"store silent, peers up":  {func(_ *testing.T, c *cluster) { c.store.Client("new").Set(keyval.Silent) }, true},
+		"store silent, peers up":  {func(_ *testing.T, c *cluster) { c.store.Client("new").SetFault(keyval.Hang) }, true},
 		"peers without a version": {func(t *testing.T, c *cluster) { emptyPeers(t, c) }, false},
 	}
 	for name, tt := range tests {
@@ -274,8 +274,8 @@
 				c := start(t.Context(), 3)
 				c.apply(t, "one", "d1")
 				sleep(maxDelay)
-				c.set(keyval.Down)
-				c.store.Client("new").Set(keyval.Down)
+				c.set(keyval.Unavailable)
+				c.store.Client("new").SetFault(keyval.Unavailable)
 				tt.before(t, c)
 				d := c.add(t.Context(), "new")
 				sleep(maxDelay)
@@ -283,7 +283,7 @@
 				is.Equal(d.Current().Version > 0, tt.ready)
 				sleep(10 * time.Minute)
 				is.Equal(isReady(d), tt.ready)
-				c.store.Client("new").Set(keyval.None)
+				c.store.Client("new").SetFault(keyval.None)
 				sleep(maxRetry + maxDelay)
 				is.True(isReady(d)) // once the store is reachable again
 				is.Equal(d.Current().Version, uint64(1))
--- a/internal/fake/keyval/keyval.go
+++ b/internal/fake/keyval/keyval.go
@@ -1,12 +1,12 @@
-// Package keyval is a stand-in for the platform's key-value service, held in
-// memory, with faults to switch on.
+// Package keyval is a fake of the platform's key-value service, held in memory,
+// with faults that can be switched on.
 //
-// A Store is the service itself. Each client reaches it through a View, which
-// can be made to fail alone: it is down, slow, silent, or loses the
+// A Store is the service itself. Each client accesses it through its own View,
+// whose faults affect this client only: calls fail, are delayed, hang, or lose the
 // acknowledgement of a write that took effect. All state changes happen inside
-// the calls, on the caller's goroutine, so that a test with a fixed order of
-// calls has a fixed outcome. Time is time.Now unless Now is set; a test that
-// sets Now calls Lapse after it moved its clock.
+// the calls, on the caller's goroutine, so that a test with a fixed order of calls
+// is deterministic. The clock is time.Now unless Now is set; a test that sets Now
+// calls Expire after it advanced its clock.
 package keyval
 
 import (
@@ -22,19 +22,19 @@
 type (
 	// Store is the service. The zero value is empty and ready for use.
 	Store struct {
-		Now func() time.Time
+		Now func() time.Time // clock; nil means time.Now
 
-		mu      sync.Mutex
-		rev     store.Rev
-		last    store.Lease
-		entries map[string]record
-		leases  map[store.Lease]lease
-		waiters map[string]chan struct{}
-		views   map[string]*View
-		counts  Counts
+		mu        sync.Mutex
+		rev       store.Rev
+		lastLease store.Lease
+		entries   map[string]record
+		leases    map[store.Lease]lease
+		watchers  map[string]chan struct{}
+		views     map[string]*View
+		counts    Counts
 	}
 
-	// Counts are the calls that reached the service.
+	// Counts is the number of calls that reached the service, by class.
 	Counts struct {
 		Reads   int // Get and List
 		Writes  int // Put, Delete, Grant, Renew and Revoke
@@ -53,14 +53,14 @@
 	}
 )
 
-// Counts returns the calls counted since the start.
+// Counts returns the number of calls so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Client returns the named client's view; the same name gives the same view.
+// Client returns the view of the named client and creates it on first use.
 func (s *Store) Client(name string) *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Reads++
-	s.lapse()
+	s.expire()
 	return s.get(key)
 }
 
@@ -89,12 +89,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	if len(data) > store.MaxValue {
 		return 0, store.ErrTooLarge
 	}
-	if now := s.entries[key].rev; now != rev {
-		return 0, &store.ConflictError{Key: key, Rev: now}
+	if current := s.entries[key].rev; current != rev {
+		return 0, &store.ConflictError{Key: key, Rev: current}
 	}
 	if _, ok := s.leases[l]; l != 0 && !ok {
 		return 0, store.ErrLeaseExpired
@@ -104,7 +104,7 @@
 	}
 	s.rev++
 	s.entries[key] = record{data: slices.Clone(data), rev: s.rev, lease: l}
-	s.wake(key)
+	s.notifyWatchers(key)
 	return s.rev, nil
 }
 
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	r, ok := s.entries[key]
 	if !ok {
 		return store.ErrNotFound
@@ -125,12 +125,12 @@
 	return nil
 }
 
-// List implements store.Store. A limit of zero or less is none.
+// List implements store.Store. A limit of zero or less means no limit.
 func (s *Store) List(_ context.Context, prefix, after string, limit int) ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Reads++
-	s.lapse()
+	s.expire()
 	keys := []string{}
 	for k := range s.entries {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -158,9 +158,9 @@
 	if s.leases == nil {
 		s.leases = map[store.Lease]lease{}
 	}
-	s.last++
-	s.leases[s.last] = lease{ttl: ttl, end: s.now().Add(ttl)}
-	return s.last, nil
+	s.lastLease++
+	s.leases[s.lastLease] = lease{ttl: ttl, end: s.now().Add(ttl)}
+	return s.lastLease, nil
 }
 
 // Renew implements store.Store.
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	v, ok := s.leases[l]
 	if !ok {
 		return store.ErrLeaseExpired
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
-	s.lapse()
+	s.expire()
 	if _, ok := s.leases[l]; !ok {
 		return store.ErrLeaseExpired
 	}
@@ -191,13 +191,13 @@
 	return nil
 }
 
-// Lapse ends the leases that are over by now and wakes the watches of their
-// keys. Every call does so first; only a test that moves its own clock under
-// waiting watches needs it.
-func (s *Store) Lapse() {
+// Expire ends expired leases, deletes their keys and wakes the watches of these
+// keys. Most calls do this first; only a test that sets Now and advances its clock
+// while watches wait needs to call it.
+func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 }
 
 func (s *Store) now() time.Time {
@@ -215,7 +215,7 @@
 	return store.Entry{Key: key, Data: slices.Clone(r.data), Rev: r.rev}, nil
 }
 
-func (s *Store) lapse() {
+func (s *Store) expire() {
 	now := s.now()
 	for l, v := range s.leases {
 		if !now.Before(v.end) {
@@ -236,12 +236,12 @@
 func (s *Store) remove(key string) {
 	s.rev++
 	delete(s.entries, key)
-	s.wake(key)
+	s.notifyWatchers(key)
 }
 
-func (s *Store) wake(key string) {
-	if c, ok := s.waiters[key]; ok {
+func (s *Store) notifyWatchers(key string) {
+	if c, ok := s.watchers[key]; ok {
 		close(c)
-		delete(s.waiters, key)
+		delete(s.watchers, key)
 	}
 }
--- a/internal/fake/keyval/watch.go
+++ b/internal/fake/keyval/watch.go
@@ -7,16 +7,18 @@
 	"github.com/slaterock/slaterock/internal/plat/store"
 )
 
-// never is longer than any test or run.
-const never = 100 * 365 * 24 * time.Hour
+// maxWait is how long a watch sleeps before it checks again if no lease can end it:
+// the key has none, or the store has a manual clock. It is longer than any test.
+const maxWait = 100 * 365 * 24 * time.Hour
 
-// sight is what a watch sees: its answer, or the channel that tells of the
-// key's next change and how long the key's lease still runs.
-type sight struct {
+// watchState is the result of a watch if changed is nil, otherwise what to wait
+// for: changed is closed at the key's next change, and expire is the time until
+// the key's lease ends.
+type watchState struct {
 	entry   store.Entry
 	err     error
 	changed <-chan struct{}
-	lapse   time.Duration
+	expire  time.Duration
 }
 
 func (s *Store) watch(ctx context.Context, key string, rev store.Rev, cut <-chan struct{}) (store.Entry, error) {
@@ -24,13 +26,13 @@
 	s.counts.Watches++
 	s.mu.Unlock()
 	for {
-		now := s.look(key, rev)
-		if now.changed == nil {
-			return now.entry, now.err
+		state := s.checkWatch(key, rev)
+		if state.changed == nil {
+			return state.entry, state.err
 		}
-		t := time.NewTimer(now.lapse)
+		t := time.NewTimer(state.expire)
 		select {
-		case <-now.changed:
+		case <-state.changed:
 		case <-t.C:
 		case <-cut:
 			t.Stop()
@@ -43,27 +45,27 @@
 	}
 }
 
-// look returns what a watch answers now, or how to wait for it.
-func (s *Store) look(key string, rev store.Rev) (out sight) {
+// checkWatch returns the result of a watch, or what it has to wait for.
+func (s *Store) checkWatch(key string, rev store.Rev) (out watchState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	r, ok := s.entries[key]
 	if ok && r.rev > rev || !ok && rev > 0 {
 		out.entry, out.err = s.get(key)
 		return out
 	}
-	if s.waiters == nil {
-		s.waiters = map[string]chan struct{}{}
+	if s.watchers == nil {
+		s.watchers = map[string]chan struct{}{}
 	}
-	c, ok := s.waiters[key]
+	c, ok := s.watchers[key]
 	if !ok {
 		c = make(chan struct{})
-		s.waiters[key] = c
+		s.watchers[key] = c
 	}
-	out.changed, out.lapse = c, never
+	out.changed, out.expire = c, maxWait
 	if l, ok := s.leases[r.lease]; ok && s.Now == nil {
-		out.lapse = l.end.Sub(s.now())
+		out.expire = l.end.Sub(s.now())
 	}
 	return out
 }
--- a/internal/fake/ledger/ledger.go
+++ b/internal/fake/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger is a stand-in for a plain service whose calls have side
-// effects, such as issuing a receipt.
+// Package ledger is a fake of a plain service whose calls have side effects, such
+// as issuing a receipt.
 //
-// Service records every execution under the request's name, so that a request
-// that ran twice shows. Its faults put the loss at a chosen moment: before the
-// request was read, after the work was done, or never an answer at all.
+// Service counts executions by request id, so that tests detect a request that
+// was executed twice. Its faults occur before the request is received, before it
+// is executed, or between its execution and the response.
 package ledger
 
 import (
@@ -19,73 +19,75 @@
 )
 
 const (
-	// None is no fault.
+	// None means no fault.
 	None Fault = iota
-	// Refuse takes no byte of the request.
+	// Refuse fails the call as if the connection were refused: nothing of the
+	// request is received.
 	Refuse
-	// Hang reads the request, does nothing and never answers.
+	// Hang receives the request, does not execute it and never responds.
 	Hang
-	// LoseAnswer does the work and breaks the connection.
-	LoseAnswer
-	// HangAfter does the work and never answers.
-	HangAfter
-	// Fail answers 500 without doing the work.
+	// LoseResponse executes the request and closes the connection.
+	LoseResponse
+	// HangAfterExecution executes the request and never responds.
+	HangAfterExecution
+	// Fail responds with status 500 without executing the request.
 	Fail
 )
 
 type (
-	// Fault is a way in which one call fails.
+	// Fault is a way in which a call fails.
 	Fault int
 
-	// Service implements tool.Tool. The zero value works at once.
+	// Service implements tool.Tool. The zero value is ready for use.
 	Service struct {
-		Time time.Duration // what one execution takes
-
-		mu     sync.Mutex
-		ran    map[string]int
-		calls  []tool.Request
-		fault  Fault
-		script map[int]Fault
-		n      int
+		Duration time.Duration // of one execution
+
+		mu         sync.Mutex
+		executions map[string]int
+		calls      []tool.Request
+		fault      Fault
+		script     map[int]Fault
+		n          int
 	}
 )
 
 var errRefused = errors.New("connection refused")
 
-// Set makes every call fail in the same way until the next Set.
-func (s *Service) Set(f Fault) {
+// SetFault applies f to every call until the next call of SetFault.
+func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Script makes the n-th call from now on, counted from 1, fail with faults[n].
-func (s *Service) Script(faults map[int]Fault) {
+// ScriptFaults applies faults[n] to the n-th call from now on, counted from 1. It
+// overrides SetFault for these calls.
+func (s *Service) ScriptFaults(faults map[int]Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script, s.n = faults, 0
 }
 
-// Ran tells how often the request was executed.
-func (s *Service) Ran(id string) int {
+// Executions returns how many times the request was executed.
+func (s *Service) Executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[id]
+	return s.executions[id]
 }
 
-// Calls returns the requests that were received, in order.
+// Calls returns the received requests in order.
 func (s *Service) Calls() []tool.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Twice returns the requests that were executed more than once.
-func (s *Service) Twice() []string {
+// Duplicates returns the ids of the requests that were executed more than once.
+func (s *Service) Duplicates() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for id, n := range s.ran {
+	for id, n := range s.executions {
 		if n > 1 {
 			out = append(out, id)
 		}
@@ -96,7 +98,7 @@
 
 // Do implements tool.Tool.
 func (s *Service) Do(ctx context.Context, r tool.Request) (tool.Response, error) {
-	f := s.take(r)
+	f := s.receive(r)
 	switch f {
 	case Refuse:
 		return tool.Response{}, &tool.Error{Err: errRefused}
@@ -106,21 +108,21 @@
 	case Fail:
 		return tool.Response{Status: http.StatusInternalServerError, ContentType: "text/plain", Body: []byte("failed")}, nil
 	}
-	if err := s.work(ctx); err != nil {
+	if err := s.delay(ctx); err != nil {
 		return tool.Response{}, &tool.Error{Sent: true, Err: err}
 	}
 	resp := s.execute(r)
 	switch f {
-	case LoseAnswer:
+	case LoseResponse:
 		return tool.Response{}, &tool.Error{Sent: true, Err: errors.New("connection reset")}
-	case HangAfter:
+	case HangAfterExecution:
 		<-ctx.Done()
 		return tool.Response{}, &tool.Error{Sent: true, Err: ctx.Err()}
 	}
 	return resp, nil
 }
 
-func (s *Service) take(r tool.Request) Fault {
+func (s *Service) receive(r tool.Request) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
@@ -135,11 +137,11 @@
 	return f
 }
 
-func (s *Service) work(ctx context.Context) error {
-	if s.Time <= 0 {
+func (s *Service) delay(ctx context.Context) error {
+	if s.Duration <= 0 {
 		return nil
 	}
-	t := time.NewTimer(s.Time)
+	t := time.NewTimer(s.Duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -152,10 +154,10 @@
 func (s *Service) execute(r tool.Request) tool.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ran == nil {
-		s.ran = map[string]int{}
+	if s.executions == nil {
+		s.executions = map[string]int{}
 	}
-	s.ran[r.ID]++
-	body := fmt.Sprintf(`{"request":%q,"path":%q,"receipt":%d,"bytes":%d}`, r.ID, r.Path, len(s.ran), len(r.Body))
+	s.executions[r.ID]++
+	body := fmt.Sprintf(`{"request":%q,"path":%q,"receipt":%d,"bytes":%d}`, r.ID, r.Path, len(s.executions), len(r.Body))
 	return tool.Response{Status: http.StatusOK, ContentType: "application/json", Body: []byte(body)}
 }
--- a/internal/fake/model/answer.go
+++ b/internal/fake/model/answer.go
@@ -10,26 +10,28 @@
 
 const (
 	charsPerToken = 4
-	excerpt       = 24 // bytes of the last message that an answer repeats
+	excerptBytes  = 24 // bytes of the last message that an answer quotes
 
 	finishStop      = "stop"
 	finishLength    = "length"
 	finishCancelled = "cancelled"
 )
 
-// Answer returns the text with which the engine of that name answers the
-// request, cut to the number of tokens.
+// Answer returns the answer of the engine with the given name to the request: the
+// engine's name, the request id and an excerpt of the last message, padded with
+// numbers or truncated to exactly the given number of tokens.
 func Answer(name string, r engine.Request, tokens int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, last(r.Body))
+	fmt.Fprintf(&b, "%s answers %s to %q:", name, r.ID, lastMessageExcerpt(r.Body))
 	for i := 0; b.Len() < tokens*charsPerToken; i++ {
 		fmt.Fprintf(&b, " %03d", i%1000)
 	}
 	return b.String()[:tokens*charsPerToken]
 }
 
-// last returns the head of the last message's text.
-func last(body []byte) string {
+// lastMessage returns the first excerptBytes bytes of the last message's text,
+// without invalid UTF-8.
+func lastMessageExcerpt(body []byte) string {
 	var b struct {
 		Messages []struct {
 			Content json.RawMessage `json:"content"`
@@ -44,11 +46,11 @@
 		s = string(content)
 	}
 	s = strings.ToValidUTF8(s, "")
-	return strings.ToValidUTF8(s[:min(len(s), excerpt)], "")
+	return strings.ToValidUTF8(s[:min(len(s), excerptBytes)], "")
 }
 
-// cut divides text into pieces of at most n bytes.
-func cut(text string, n int) []string {
+// split splits text into pieces of at most n bytes.
+func split(text string, n int) []string {
 	var out []string
 	for len(text) > n {
 		out = append(out, text[:n])
--- a/internal/fake/model/fault.go
+++ b/internal/fake/model/fault.go
@@ -10,55 +10,57 @@
 )
 
 const (
-	// None is no fault.
+	// None means no fault.
 	None Fault = iota
-	// Refuse takes no byte of the request.
+	// Refuse fails a call of Chat as if the connection were refused: nothing of
+	// the request is received. Over HTTP, Serve responds with status 503.
 	Refuse
-	// Busy answers 503 without running the request.
+	// Busy responds with status 503 without running the request.
 	Busy
-	// Hang takes the request and never answers.
+	// Hang receives the request and never responds.
 	Hang
-	// Late holds the request back for the delay that Set was given.
-	Late
-	// Die breaks the connection in the middle of the answer.
-	Die
-	// Silent sends half of the answer and then nothing, with the connection
-	// still open.
-	Silent
+	// Delayed runs the request after the delay passed to SetFault.
+	Delayed
+	// Disconnect closes the connection in the middle of the answer.
+	Disconnect
+	// Stall sends half of the answer and then nothing more, and leaves the
+	// connection open.
+	Stall
 )
 
 type (
-	// Fault is a way in which one request fails.
+	// Fault is a way in which a request fails.
 	Fault int
 
 	faults struct {
 		fault  Fault
 		delay  time.Duration
-		script map[int]Fault
-		n      int
+		script map[int]Fault // by number of the request
+		n      int           // requests since ScriptFaults
 	}
 )
 
 var (
-	errRefused = &engine.Error{Err: errors.New("connection refused")}
-	errBusy    = &engine.Error{Sent: true, Status: http.StatusServiceUnavailable, Err: errors.New("busy")}
-	errDied    = &engine.Error{Sent: true, Err: errors.New("connection reset")}
-	errNoModel = &engine.Error{Sent: true, Status: http.StatusNotFound, Err: errors.New("model not loaded")}
-	errFenced  = &engine.Error{Sent: true, Status: http.StatusConflict, Err: errors.New("old fencing number")}
-	errNoOrder = &engine.Error{Sent: true, Status: http.StatusBadRequest, Err: errors.New("order not possible")}
+	errRefused      = &engine.Error{Err: errors.New("connection refused")}
+	errBusy         = &engine.Error{Sent: true, Status: http.StatusServiceUnavailable, Err: errors.New("busy")}
+	errDisconnected = &engine.Error{Sent: true, Err: errors.New("connection reset")}
+	errNoModel      = &engine.Error{Sent: true, Status: http.StatusNotFound, Err: errors.New("model not loaded")}
+	errFenced       = &engine.Error{Sent: true, Status: http.StatusConflict, Err: errors.New("old fencing number")}
+	errBadOrder     = &engine.Error{Sent: true, Status: http.StatusBadRequest, Err: errors.New("order not possible")}
 )
 
-// Set makes every request fail in the same way until the next Set. Late takes
-// the delay.
-func (e *Engine) Set(f Fault, delay time.Duration) {
+// SetFault applies f to every chat request until the next call of SetFault. Refuse
+// also makes Load fail. The delay is that of Delayed, also in a script of
+// ScriptFaults.
+func (e *Engine) SetFault(f Fault, delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault.fault, e.fault.delay = f, delay
 }
 
-// Script makes the n-th request from now on, counted from 1, fail with
-// script[n].
-func (e *Engine) Script(script map[int]Fault) {
+// ScriptFaults applies script[n] to the n-th chat request from now on, counted from
+// 1. It overrides SetFault for these requests.
+func (e *Engine) ScriptFaults(script map[int]Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault.script, e.fault.n = script, 0
@@ -72,8 +74,8 @@
 	return f.fault, f.delay
 }
 
-// early is what a fault does before the request runs.
-func early(ctx context.Context, f Fault, delay time.Duration) error {
+// failBeforeRun applies a fault that takes effect before the request runs.
+func failBeforeRun(ctx context.Context, f Fault, delay time.Duration) error {
 	switch f {
 	case Refuse:
 		return errRefused
@@ -82,7 +84,7 @@
 	case Hang:
 		<-ctx.Done()
 		return cancelled(ctx.Err())
-	case Late:
+	case Delayed:
 		if err := sleep(ctx, delay); err != nil {
 			return cancelled(err)
 		}
@@ -90,15 +92,16 @@
 	return nil
 }
 
-// late is what a fault does before piece i of n.
-func late(ctx context.Context, f Fault, i, n int) error {
+// failInStream applies a fault that takes effect before piece i of n; the first
+// half of the pieces is always sent.
+func failInStream(ctx context.Context, f Fault, i, n int) error {
 	if i < n/2 {
 		return nil
 	}
 	switch f {
-	case Die:
-		return errDied
-	case Silent:
+	case Disconnect:
+		return errDisconnected
+	case Stall:
 		<-ctx.Done()
 		return cancelled(ctx.Err())
 	}
--- a/internal/fake/model/model_test.go
+++ b/internal/fake/model/model_test.go
@@ -15,14 +15,14 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-// The contract is tested in package chat; here is what decides times and
-// memory.
+// The contract of engine.Engine is tested in package chat; these tests cover
+// timing, queueing and cache eviction.
 
-func drop(engine.Delta) error { return nil }
+func discard(engine.Delta) error { return nil }
 
-func ask(e *Engine, id, program, text string, priority int) (engine.Usage, error) {
+func sendChat(e *Engine, id, program, text string, priority int) (engine.Usage, error) {
 	body := fmt.Sprintf(`{"messages":[{"content":%q}]}`, text)
-	return e.Chat(context.Background(), engine.Request{ID: id, Program: program, Body: []byte(body), Priority: priority}, drop)
+	return e.Chat(context.Background(), engine.Request{ID: id, Program: program, Body: []byte(body), Priority: priority}, discard)
 }
 
 func TestBatchSlowsDown(t *testing.T) {
@@ -42,7 +42,7 @@
 				var all sync.WaitGroup
 				for i := range tt.requests {
 					all.Go(func() {
-						_, err := ask(e, fmt.Sprint(i), "p", "x", 0)
+						_, err := sendChat(e, fmt.Sprint(i), "p", "x", 0)
 						is.NoErr(err)
 					})
 				}
@@ -56,14 +56,14 @@
 func TestQueueByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &Engine{Limit: 1}
+		e := &Engine{BatchLimit: 1}
 		var mu sync.Mutex
 		var order []string
 		var all sync.WaitGroup
 		for i, priority := range []int{0, 1, 5, 1} {
 			id := fmt.Sprintf("%d at %d", i, priority)
 			all.Go(func() {
-				_, err := ask(e, id, "p", id, priority)
+				_, err := sendChat(e, id, "p", id, priority)
 				is.NoErr(err)
 				mu.Lock()
 				defer mu.Unlock()
@@ -80,9 +80,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := &Engine{Memory: 250}
-		long := func(c string) string { return strings.Repeat(c, 380) } // 100 tokens with its frame
+		long := func(c string) string { return strings.Repeat(c, 380) } // 100 tokens with the JSON around it
 		for _, c := range []string{"a", "b", "a", "c"} {
-			_, err := ask(e, "r", c, long(c), 0)
+			_, err := sendChat(e, "r", c, long(c), 0)
 			is.NoErr(err)
 		}
 		held, err := e.Held(t.Context())
@@ -96,34 +96,34 @@
 	})
 }
 
-// A request that waits for its place gives up in the moment in which it gets
-// one. The place must go on to the next: an engine that loses places ends up
-// taking no work at all.
-func TestPlaceOfOneThatGaveUp(t *testing.T) {
+// Guards against a leaked slot: a waiting request is cancelled at the same time
+// as it gets a slot. The slot must go to the next request, otherwise the engine
+// ends up without free slots and runs no requests.
+func TestSlotOfCancelledRequestIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := &Engine{Limit: 1}
-		is.NoErr(e.enter(t.Context(), 0))
-		ready := e.wait(0)
-		e.leave()
+		e := &Engine{BatchLimit: 1}
+		is.NoErr(e.acquireSlot(t.Context(), 0))
+		ready := e.enqueue(0)
+		e.releaseSlot()
 		<-ready
-		e.give(ready)
+		e.abandon(ready)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.NoErr(e.enter(ctx, 0))
-		is.True(errors.Is(e.enter(ctx, 0), context.DeadlineExceeded))
+		is.NoErr(e.acquireSlot(ctx, 0))
+		is.True(errors.Is(e.acquireSlot(ctx, 0), context.DeadlineExceeded))
 		l, err := e.Load(t.Context())
 		is.NoErr(err)
 		is.Equal([]int{l.Running, l.Waiting}, []int{1, 0})
 	})
 }
 
-// Events come late: what is cached already is not told yet.
-func TestEventsAreLate(t *testing.T) {
+// A cache event must not be visible before EventLag has passed.
+func TestEventsAreDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := &Engine{EventLag: time.Minute}
-		_, err := ask(e, "r", "p", "x", 0)
+		_, err := sendChat(e, "r", "p", "x", 0)
 		is.NoErr(err)
 		events, err := e.Events(t.Context(), 0)
 		is.NoErr(err)
--- a/internal/fake/model/report.go
+++ b/internal/fake/model/report.go
@@ -7,10 +7,12 @@
 	"github.com/slaterock/slaterock/internal/plat/engine"
 )
 
-const maxEvents = 10_000
+// maxReports is the maximum length of each of the two lists.
+const maxReports = 10_000
 
 type (
-	// reports are the loads that readers don't see yet, and the one they see.
+	// reports holds load reports in order of time. Load removes those that a
+	// newer visible report replaces.
 	reports struct {
 		seq  uint64
 		list []engine.Load
@@ -27,65 +29,66 @@
 	}
 )
 
-// Load implements engine.Engine. The report is as old as LoadLag says.
+// Load implements engine.Engine. It returns the load as of ReportLag ago.
 func (e *Engine) Load(ctx context.Context) (engine.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fault.fault == Refuse {
 		return engine.Load{}, errRefused
 	}
-	seen := time.Now().Add(-e.LoadLag)
+	cutoff := time.Now().Add(-e.ReportLag)
 	l := &e.reports.list
-	for len(*l) > 1 && !(*l)[1].At.After(seen) {
+	for len(*l) > 1 && !(*l)[1].At.After(cutoff) {
 		*l = (*l)[1:]
 	}
-	out := engine.Load{Total: pick(e.Memory, defaultMemory)}
-	if len(*l) > 0 && !(*l)[0].At.After(seen) {
+	out := engine.Load{Total: orDefault(e.Memory, defaultMemory)}
+	if len(*l) > 0 && !(*l)[0].At.After(cutoff) {
 		out = (*l)[0]
 	}
-	out.At = seen
+	out.At = cutoff
 	return out, ctx.Err()
 }
 
-// Events implements engine.Engine. Events are as old as EventLag says, and
-// one of EventGap is missing.
+// Events implements engine.Engine. An event is visible EventLag after it
+// occurred; one in EventGap is omitted.
 func (e *Engine) Events(ctx context.Context, after uint64) ([]engine.Event, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	seen := time.Now().Add(-e.EventLag)
+	cutoff := time.Now().Add(-e.EventLag)
 	var out []engine.Event
 	for _, v := range e.events.list {
 		lost := e.EventGap > 0 && (v.Seq+e.Seed)%uint64(e.EventGap) == 0
-		if v.Seq > after && !v.at.After(seen) && !lost {
+		if v.Seq > after && !v.at.After(cutoff) && !lost {
 			out = append(out, v.Event)
 		}
 	}
 	return out, ctx.Err()
 }
 
-// report records the load as it is now; the caller holds the mutex.
-func (e *Engine) report() {
+// recordLoad appends a report of the present load; the caller holds the mutex.
+func (e *Engine) recordLoad() {
 	e.reports.seq++
 	e.reports.list = append(e.reports.list, engine.Load{
 		Seq: e.reports.seq, At: time.Now(),
-		Running: e.queue.running, Waiting: len(e.queue.waiting),
-		Used: e.cache.used, Total: pick(e.Memory, defaultMemory),
+		Running: e.queue.running, Waiting: len(e.queue.waiters),
+		Used: e.cache.used, Total: orDefault(e.Memory, defaultMemory),
 		Leaving: e.orders.leaving,
 	})
-	if len(e.reports.list) > maxEvents {
-		e.reports.list = e.reports.list[maxEvents/2:]
+	if len(e.reports.list) > maxReports {
+		e.reports.list = e.reports.list[maxReports/2:]
 	}
 }
 
-// publish records what entered and left the cache; the caller holds the mutex.
-func (e *Engine) publish(stored, evicted []uint64) {
+// recordEvent appends a cache event, if there is anything to report; the caller
+// holds the mutex.
+func (e *Engine) recordEvent(stored, evicted []uint64) {
 	if len(stored)+len(evicted) == 0 {
 		return
 	}
 	e.events.seq++
 	v := engine.Event{Seq: e.events.seq, Stored: stored, Evicted: evicted}
 	e.events.list = append(e.events.list, event{Event: v, at: time.Now()})
-	if len(e.events.list) > maxEvents {
-		e.events.list = e.events.list[maxEvents/2:]
+	if len(e.events.list) > maxReports {
+		e.events.list = e.events.list[maxReports/2:]
 	}
 }
--- a/internal/fake/site/site.go
+++ b/internal/fake/site/site.go
@@ -1,10 +1,10 @@
-// Package site starts a whole stand-in platform: the key-value service, the VM
-// list, the weight store, two model engines and one plain service, each on an
-// address of its own.
+// Package site starts fakes of the whole platform: the key-value service, the VM
+// list, the weight store, two model engines and one plain service, each with its
+// own address.
 //
-// Its objects are open to assertions and faults, and so are its servers, which
-// can be cut or made silent. Separate processes reach them by address; Close
-// ends all.
+// Tests make assertions on the fakes and switch their faults on directly, and can
+// close or blackhole the connections of their servers. Other processes connect to
+// the fakes over TCP; see Address. Close stops all.
 package site
 
 import (
@@ -13,15 +13,15 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/slaterock/slaterock/internal/fake/host"
 	"github.com/slaterock/slaterock/internal/fake/keyval"
 	"github.com/slaterock/slaterock/internal/fake/ledger"
 	"github.com/slaterock/slaterock/internal/fake/model"
+	"github.com/slaterock/slaterock/internal/fake/server"
 	"github.com/slaterock/slaterock/internal/fake/vmset"
 	"github.com/slaterock/slaterock/internal/fake/weight"
 )
 
-// The parts, as Addresses names them.
+// The parts of a site.
 const (
 	Store   Part = "store"
 	VMs     Part = "vms"
@@ -34,14 +34,14 @@
 const anyPort = "127.0.0.1:0"
 
 type (
-	// Part names one stand-in.
+	// Part is the name of one fake.
 	Part string
 
-	// Site is the stand-in platform. The zero value listens on ports that the
-	// system chooses.
+	// Site is the set of fakes. The zero value listens on ports that the
+	// operating system chooses.
 	Site struct {
-		Listen map[Part]string // addresses to listen on; others are chosen
-		Speed  float64         // of the engines; 0 is 1
+		Listen map[Part]string // listen addresses; the default is a free port
+		Speed  float64         // of the engines, see model.Engine; 0 means 1
 
 		Store   keyval.Store
 		VMs     vmset.Set
@@ -49,57 +49,57 @@
 		E1, E2  model.Engine
 		Ledger  ledger.Service
 
-		hosts map[Part]*host.Host
+		running map[Part]*server.HTTP
 	}
 )
 
-// Start starts all parts; on an error none is left running. The context
-// bounds only the start.
+// Start starts all parts; if one fails, it stops the others. The context applies
+// to the start only.
 func (s *Site) Start(ctx context.Context) (err error) {
 	defer func() {
-		err = errors.Wrap(err, "start stand-in platform")
+		err = errors.Wrap(err, "start fake platform")
 		if err != nil {
 			s.Close()
 		}
 	}()
-	s.prepare()
-	s.hosts = map[Part]*host.Host{}
+	s.configureEngines()
+	s.running = map[Part]*server.HTTP{}
 	for p, serve := range s.servers() {
 		var l net.ListenConfig
-		ln, err := l.Listen(ctx, "tcp", s.listen(p))
+		ln, err := l.Listen(ctx, "tcp", s.listenAddress(p))
 		if err != nil {
 			return err
 		}
-		s.hosts[p] = serve(ln)
+		s.running[p] = serve(ln)
 	}
 	return nil
 }
 
-// Address returns the part's IP number and port.
-func (s *Site) Address(p Part) string { return s.hosts[p].Address() }
+// Address returns the part's IP address and port.
+func (s *Site) Address(p Part) string { return s.running[p].Address() }
 
-// Host returns the part's server, whose connections can be made to fail.
-func (s *Site) Host(p Part) *host.Host { return s.hosts[p] }
+// HTTP returns the part's server, whose connections can be made to fail.
+func (s *Site) HTTP(p Part) *server.HTTP { return s.running[p] }
 
-// Close ends all parts.
+// Close stops all parts.
 func (s *Site) Close() {
-	for _, h := range s.hosts {
+	for _, h := range s.running {
 		h.Close()
 	}
-	s.hosts = nil
+	s.running = nil
 }
 
-// Engine returns the engine at the address or with the name.
+// Engine returns the engine with the address or name target, or nil.
 func (s *Site) Engine(target string) *model.Engine {
 	for p, e := range map[Part]*model.Engine{Engine1: &s.E1, Engine2: &s.E2} {
-		if target == string(p) || s.hosts[p] != nil && target == s.hosts[p].Address() {
+		if target == string(p) || s.running[p] != nil && target == s.running[p].Address() {
 			return e
 		}
 	}
 	return nil
 }
 
-func (s *Site) prepare() {
+func (s *Site) configureEngines() {
 	for p, e := range map[Part]*model.Engine{Engine1: &s.E1, Engine2: &s.E2} {
 		e.Name = string(p)
 		e.Peer = s.Engine
@@ -109,18 +109,18 @@
 	}
 }
 
-func (s *Site) servers() map[Part]func(net.Listener) *host.Host {
-	return map[Part]func(net.Listener) *host.Host{
-		Store:   func(ln net.Listener) *host.Host { return keyval.Serve(ln, &s.Store) },
-		VMs:     func(ln net.Listener) *host.Host { return vmset.Serve(ln, &s.VMs) },
-		Weights: func(ln net.Listener) *host.Host { return weight.Serve(ln, &s.Weights) },
-		Engine1: func(ln net.Listener) *host.Host { return model.Serve(ln, &s.E1) },
-		Engine2: func(ln net.Listener) *host.Host { return model.Serve(ln, &s.E2) },
-		Ledger:  func(ln net.Listener) *host.Host { return ledger.Serve(ln, &s.Ledger) },
+func (s *Site) servers() map[Part]func(net.Listener) *server.HTTP {
+	return map[Part]func(net.Listener) *server.HTTP{
+		Store:   func(ln net.Listener) *server.HTTP { return keyval.Serve(ln, &s.Store) },
+		VMs:     func(ln net.Listener) *server.HTTP { return vmset.Serve(ln, &s.VMs) },
+		Weights: func(ln net.Listener) *server.HTTP { return weight.Serve(ln, &s.Weights) },
+		Engine1: func(ln net.Listener) *server.HTTP { return model.Serve(ln, &s.E1) },
+		Engine2: func(ln net.Listener) *server.HTTP { return model.Serve(ln, &s.E2) },
+		Ledger:  func(ln net.Listener) *server.HTTP { return ledger.Serve(ln, &s.Ledger) },
 	}
 }
 
-func (s *Site) listen(p Part) string {
+func (s *Site) listenAddress(p Part) string {
 	if a, ok := s.Listen[p]; ok {
 		return a
 	}
--- a/internal/fake/upstrm/upstrm.go
+++ b/internal/fake/upstrm/upstrm.go
@@ -1,6 +1,6 @@
-// Package upstrm stands in for an upstream of the users' platform: a model
-// engine that streams events, or a plain service. It notes what it ran, and may
-// refuse, break off, lose answers, or be slow.
+// Package upstrm is a fake upstream: a model engine that streams events, or a
+// plain service. It records the attempts that it executed, and can refuse
+// requests, truncate or lose responses, or delay them.
 package upstrm
 
 import (
@@ -17,48 +17,49 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// ExpectBody is a header of the stand-in's own: the digest of the body that must
-// arrive. Callers set it, since they know what they said before.
+// ExpectBody is a header that only the fake reads: the Digest of the body that the
+// upstream must receive. Tests compute it when they send a request.
 const ExpectBody = "X-Expect-Body"
 
 type (
-	// Ledger notes runs, over all upstreams of a system.
-	Ledger struct {
-		mu   sync.Mutex
-		runs map[string]int // by attempt id
-		bad  []string       // what went wrong, in words
+	// RunLog records the executions at all upstreams of a system.
+	RunLog struct {
+		mu         sync.Mutex
+		runs       map[string]int // number of executions by attempt id
+		violations []string       // descriptions of violations
 	}
 
-	// Upstream is one process. Set the exported fields before use.
+	// Upstream is the HTTP handler of one upstream. Set the exported fields
+	// before use; BreakEvery and LoseEvery may change at any time.
 	Upstream struct {
-		ID     string
-		Ledger *Ledger
-		Batch  int
-		Pause  time.Duration // before each event, and for a plain answer
+		ID          string
+		RunLog      *RunLog
+		MaxInFlight int
+		Delay       time.Duration // before each event, and before a plain response
 
-		Break atomic.Int64 // one in so many answers is broken off; 0 is none
-		Lose  atomic.Int64 // one in so many answers is lost after the run; 0 is none
+		BreakEvery atomic.Int64 // every BreakEvery-th response is truncated; 0 means none
+		LoseEvery  atomic.Int64 // every LoseEvery-th response is lost after the execution; 0 means none
 
-		busy atomic.Int64
-		seen atomic.Int64
+		inFlight atomic.Int64
+		runs     atomic.Int64
 	}
 )
 
-// Runs returns how often an attempt ran.
-func (l *Ledger) Runs(id string) int {
+// Runs returns how many times an attempt was executed.
+func (l *RunLog) Runs(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[id]
 }
 
-// Bad returns what went wrong at upstreams.
-func (l *Ledger) Bad() []string {
+// Violations returns descriptions of the violations that upstreams detected.
+func (l *RunLog) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.bad...)
+	return append([]string(nil), l.violations...)
 }
 
-func (l *Ledger) run(id string) {
+func (l *RunLog) addRun(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs == nil {
@@ -67,17 +68,17 @@
 	l.runs[id]++
 }
 
-func (l *Ledger) fault(text string) {
+func (l *RunLog) addViolation(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bad = append(l.bad, text)
+	l.violations = append(l.violations, text)
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the daemon broke off
+		return // the client closed the connection
 	}
 	id := r.Header.Get("Request-Id")
 	w.Header().Set("Request-Id", id)
@@ -86,64 +87,70 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	defer u.busy.Add(-1)
-	if u.busy.Add(1) > int64(u.Batch) {
+	defer u.inFlight.Add(-1)
+	if u.inFlight.Add(1) > int64(u.MaxInFlight) {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	u.Ledger.run(id)
+	u.RunLog.addRun(id)
 	if want := r.Header.Get(ExpectBody); want != "" && want != Digest(body) {
-		u.Ledger.fault(fmt.Sprintf("attempt %s ran with another body, of %d bytes", id, len(body)))
+		u.RunLog.addViolation(fmt.Sprintf("attempt %s ran with another body, of %d bytes", id, len(body)))
 	}
 	w.Header().Set("Server-Signature", "s."+u.ID+"."+id)
-	n := u.seen.Add(1)
-	if every := u.Lose.Load(); every > 0 && n%every == 0 {
-		u.rest(r)
+	n := u.runs.Add(1)
+	if every := u.LoseEvery.Load(); every > 0 && n%every == 0 {
+		u.delay(r)
 		panic(http.ErrAbortHandler)
 	}
-	every := u.Break.Load()
-	u.answer(w, r, id, every > 0 && n%every == 0)
+	every := u.BreakEvery.Load()
+	u.respond(w, r, id, every > 0 && n%every == 0)
 }
 
-// answer sends events, or one piece for a plain call.
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, id string, broken bool) {
-	events, _ := strconv.Atoi(r.URL.Query().Get("events")) // none for a plain call
+// respond sends the number of events that the query asks for, or a plain text
+// body if that is 0.
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, id string, broken bool) {
+	events, _ := strconv.Atoi(r.URL.Query().Get("events")) // 0 for a plain call
 	if events == 0 {
-		if !u.rest(r) {
+		if !u.delay(r) {
 			return
 		}
 		if broken {
 			w.Header().Set("Content-Length", "100")
 		}
 		w.Header().Set("Content-Type", "text/plain")
-		_, _ = io.WriteString(w, "answer to "+id) //nolint:gosec // plain text for a stand-in's caller
+		_, _ = io.WriteString(w, "answer to "+id) //nolint:gosec // plain text for the caller of a fake
 		return
 	}
 	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // 0 is the start
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := first + 1; i <= events; i++ {
-		if !u.rest(r) {
+		if !u.delay(r) {
 			return
 		}
 		if broken && i == max(first+1, events/2) {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", i)
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = io.WriteString(w, Event(id, i))
-		_ = http.NewResponseController(w).Flush() // a daemon that left is noticed at the next rest
+		_, _ = io.WriteString(w, EventText(id, i))
+		_ = http.NewResponseController(w).Flush() // a disconnected client is noticed at the next delay
 	}
 }
 
-func (u *Upstream) rest(r *http.Request) bool { return pause.For(r.Context(), u.Pause) }
+// delay waits for Delay; it returns false if the request ended before.
+func (u *Upstream) delay(r *http.Request) bool { return pause.For(r.Context(), u.Delay) }
 
-// Event is the text of one event.
-func Event(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", i, Data(id, i)) }
+// EventText returns the text of event i of an attempt, in the format of
+// server-sent events.
+func EventText(id string, i int) string {
+	return fmt.Sprintf("id: %d\ndata: %s\n\n", i, EventData(id, i))
+}
 
-// Data is what an event says.
-func Data(id string, i int) string { return fmt.Sprintf("%s/%d", id, i) }
+// EventData returns the data field of event i of an attempt.
+func EventData(id string, i int) string { return fmt.Sprintf("%s/%d", id, i) }
 
-// Digest is a body's, for ExpectBody.
+// Digest returns the value of the header ExpectBody for a body: the first 8 bytes
+// of its SHA-256, in hex.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
--- a/internal/node/devenv/once.go
+++ b/internal/node/devenv/once.go
@@ -118,7 +118,7 @@
 
 // loaded reports whether the first engine accepted an order to load its model.
 func (e *Env) loaded() bool {
-	return slices.ContainsFunc(e.Site.E1.Orders(), func(o model.Taken) bool {
+	return slices.ContainsFunc(e.Site.E1.Orders(), func(o model.ReceivedOrder) bool {
 		return o.Kind == engine.OrderLoad && o.Target == "chat" && !o.Refused
 	})
 }
--- a/internal/play/storm/child.go
+++ b/internal/play/chaos/process.go
@@ -1,4 +1,4 @@
-package storm
+package chaos
 
 import (
 	"fmt"
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// child is one process of the system. It is started, stopped, paused and killed
-// by its own id, and nothing else is.
-type child struct {
+// process is one process of the system. Signals are sent to its own process id
+// only.
+type process struct {
 	name     string
 	role     string
-	settings string // path
-	dir      string // data folder of a VM with a disk
+	settings string // path of the settings file
+	dir      string // data folder; empty if the VM has no disk
 	log      *os.File
 	command  []string
 
-	life sync.Mutex // held from an end to the start that follows
+	restartMu sync.Mutex // held from a stop to the following start
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-func (c *child) start() error {
+func (c *process) start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cmd := exec.Command(c.command[0], append(append([]string(nil), c.command[1:]...), c.role)...) //nolint:gosec,noctx // our own program; it is ended by signals
+	cmd := exec.Command(c.command[0], append(append([]string(nil), c.command[1:]...), c.role)...) //nolint:gosec,noctx // our own program; it is stopped by signals
 	cmd.Env = append(os.Environ(), "SLATEROCK_CONFIG="+c.settings)
 	cmd.Stdout, cmd.Stderr = c.log, c.log
 	if err := cmd.Start(); err != nil {
@@ -39,22 +39,23 @@
 	done := make(chan struct{})
 	c.cmd, c.done = cmd, done
 	go func() {
-		_ = cmd.Wait() // its exit is seen by what callers see
+		_ = cmd.Wait() // an unexpected exit shows in the results of callers
 		close(done)
 	}()
 	return nil
 }
 
-func (c *child) signal(s syscall.Signal) {
+func (c *process) signal(s syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd != nil && c.cmd.Process != nil {
-		_ = c.cmd.Process.Signal(s) // it may have ended by itself
+		_ = c.cmd.Process.Signal(s) // fails if the process has exited already
 	}
 }
 
-// end sends the signal and waits until the process is gone, by force after grace.
-func (c *child) end(s syscall.Signal, grace time.Duration) {
+// stop sends the signal and waits until the process has exited. After grace it
+// kills the process.
+func (c *process) stop(s syscall.Signal, grace time.Duration) {
 	c.signal(s)
 	c.mu.Lock()
 	done := c.done
@@ -69,8 +70,9 @@
 	<-done
 }
 
-// tear adds bytes to the newest segment, as a write that the power's loss cut.
-func (c *child) tear() {
+// appendTornWrite appends an incomplete record to the newest segment, which
+// simulates a write that was interrupted by a power failure.
+func (c *process) appendTornWrite() {
 	names, err := filepath.Glob(filepath.Join(c.dir, "*.seg"))
 	if err != nil || len(names) == 0 {
 		return
@@ -82,7 +84,7 @@
 			newest, number = name, n
 		}
 	}
-	f, err := os.OpenFile(newest, os.O_APPEND|os.O_WRONLY, 0) //nolint:gosec // a file of our own child
+	f, err := os.OpenFile(newest, os.O_APPEND|os.O_WRONLY, 0) //nolint:gosec // a file of our own process
 	if err != nil {
 		return
 	}
--- a/internal/play/storm/proxy.go
+++ b/internal/play/chaos/proxy.go
@@ -1,4 +1,4 @@
-package storm
+package chaos
 
 import (
 	"context"
@@ -11,35 +11,36 @@
 )
 
 const (
-	// Pass lets everything through.
-	Pass Harm = iota
-	// Delay holds every piece up.
+	// Forward forwards all data.
+	Forward ProxyFault = iota
+	// Delay delays every piece of data.
 	Delay
-	// Mute takes bytes and passes none on, without an end.
-	Mute
-	// OneWay passes only what the dialling side sends.
+	// Blackhole discards all data and leaves the connections open.
+	Blackhole
+	// OneWay discards the data that the target sends.
 	OneWay
 )
 
-// delay is what Delay adds to each piece.
+// delay is the delay of each piece of data with Delay.
 const delay = 80 * time.Millisecond
 
 type (
-	// Harm is what a proxy does to connections.
-	Harm int32
+	// ProxyFault is a fault of a proxy's connections.
+	ProxyFault int32
 
-	// Proxy is a loopback address before another, with faults to switch on.
+	// Proxy is a TCP proxy on loopback with faults that can be switched on. Set
+	// Target before Start, which sets Address.
 	Proxy struct {
 		Address string
 		Target  string
 
-		harm  atomic.Int32
+		fault atomic.Int32
 		mu    sync.Mutex
 		conns map[net.Conn]struct{}
 	}
 )
 
-// Start listens until ctx ends.
+// Start listens on a free port of ip, and returns; it serves until ctx ends.
 func (p *Proxy) Start(ctx context.Context, ip string) error {
 	var c net.ListenConfig
 	ln, err := c.Listen(ctx, "tcp", ip+":0")
@@ -58,22 +59,23 @@
 			if err != nil {
 				return
 			}
-			go p.carry(ctx, near)
+			go p.forward(ctx, near)
 		}
 	}()
 	return nil
 }
 
-// Set switches a fault on, or off with Pass.
-func (p *Proxy) Set(h Harm) { p.harm.Store(int32(h)) }
+// SetFault switches a fault on, or off with Forward. It affects open connections
+// too.
+func (p *Proxy) SetFault(h ProxyFault) { p.fault.Store(int32(h)) }
 
-// Reset resets all connections.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // so that the close resets
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
 		_ = c.Close()
 	}
@@ -89,7 +91,7 @@
 	delete(p.conns, c)
 }
 
-func (p *Proxy) carry(ctx context.Context, near net.Conn) {
+func (p *Proxy) forward(ctx context.Context, near net.Conn) {
 	defer func() { _ = near.Close() }()
 	d := net.Dialer{Timeout: time.Second}
 	far, err := d.DialContext(ctx, "tcp", p.Target)
@@ -107,17 +109,17 @@
 	<-done
 }
 
-// copy carries one direction; back is from the target.
-func (p *Proxy) copy(to, from net.Conn, back bool, done chan<- struct{}) {
+// copy forwards one direction of a connection.
+func (p *Proxy) copy(to, from net.Conn, fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		switch h := Harm(p.harm.Load()); {
+		switch h := ProxyFault(p.fault.Load()); {
 		case h == Delay:
 			time.Sleep(delay)
-		case h == Mute, h == OneWay && back:
-			n = 0 // lost for good, as behind a firewall that forgot the connection
+		case h == Blackhole, h == OneWay && fromTarget:
+			n = 0 // lost, as with a firewall that has dropped the connection's state
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
--- a/internal/play/flood/flood.go
+++ b/internal/play/flood/flood.go
@@ -1,6 +1,7 @@
-// Package flood plays accounts whose programs ask for more than their limits, at many
-// fronts on a virtual clock: what is let in, and what callers get. It answers whether
-// package bucket keeps limits while fronts die, freeze and are cut apart.
+// Package flood simulates accounts whose programs exceed their rate limits, at many
+// fronts on a virtual clock. It measures which requests are admitted and how many
+// programs complete, to check that package bucket enforces limits while fronts crash,
+// freeze and are partitioned.
 package flood
 
 import (
@@ -13,54 +14,54 @@
 )
 
 const (
-	reportEach = 100 * time.Millisecond // between reports of a front
-	hubTime    = 70 * time.Millisecond  // until a report is in what another front is told
-	lost       = 0.05                   // of reports and of answers
-	// Length is how many requests a program has.
-	Length = 10
-	pause  = 120 * time.Millisecond // between two of them
-	tries  = 3                      // of a request
+	reportInterval = 100 * time.Millisecond // between two reports of a front
+	hubDelay       = 70 * time.Millisecond  // from a report until it is in the updates of other fronts
+	lossRate       = 0.05                   // part of the reports and of the updates that are lost
+	// RequestsPerProgram is the number of requests of a program.
+	RequestsPerProgram = 10
+	thinkTime          = 120 * time.Millisecond // mean time from a response to the next request of a program
+	maxTries           = 3                      // tries per request
 )
 
-// Tolerance is how far above a limit all fronts together may be.
+// Tolerance is the excess over a limit that is allowed for all fronts together.
 var Tolerance = bucket.Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
 type (
-	// World plays fronts that let programs of accounts in.
-	World struct {
-		Calls bool // all requests say that they belong to a program that has begun
-
-		now    time.Time
-		rng    *rand.Rand
-		fronts []*front
-		limits map[string]bucket.Limit
-		queue  events
-		sent   map[string][]time.Time // requests let in, by account
-		told   map[string]*Score
-		asks   map[string]float64       // programs a second, by account
-		sums   map[int]bucket.PeerUsage // by side
-		summed time.Time
+	// Simulation simulates fronts that admit requests of programs of accounts.
+	Simulation struct {
+		AllStarted bool // all requests claim to belong to a program that has started
+
+		now              time.Time
+		rng              *rand.Rand
+		fronts           []*front
+		limits           map[string]bucket.Limit
+		queue            events
+		admitted         map[string][]time.Time // times of admitted requests, by account
+		scores           map[string]*Score
+		programRates     map[string]float64       // programs per second, by account
+		partitionUsage   map[int]bucket.PeerUsage // by partition
+		partitionUsageAt time.Time
 	}
 
 	front struct {
 		bucket.Buckets
-		up       bool
-		side     int // fronts of another side are not heard
-		reported []said
+		up        bool
+		partition int // network partition; reports reach fronts of the same partition only
+		reports   []usageReport
 	}
 
-	said struct {
+	usageReport struct {
 		at   time.Time
 		used map[string]int
 	}
 
-	// Score is what callers of an account got.
+	// Score counts the results of an account's programs.
 	Score struct {
-		Programs int
-		Whole    int // that ended with all their requests answered
-		Refused  int // that were not begun
-		Broken   int // that were begun and then refused
-		Turned   int // requests that were refused and came back
+		Programs  int
+		Completed int // programs whose requests were all admitted
+		Refused   int // programs whose first request was refused maxTries times
+		Aborted   int // programs of which a later request was refused maxTries times
+		Retried   int // refused requests that were sent again
 	}
 
 	event struct {
@@ -74,7 +75,7 @@
 func (q events) Len() int           { return len(q) }
 func (q events) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
 func (q events) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)        { *q = append(*q, x.(event)) } //nolint:forcetypeassert // heap.Push is given nothing else
+func (q *events) Push(x any)        { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only events are pushed
 func (q *events) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
@@ -82,168 +83,174 @@
 	return e
 }
 
-// New returns a world of fronts that have just started, and accounts that ask for nothing
-// yet.
-func New(seed uint64, fronts int, limits map[string]bucket.Limit) *World {
-	w := &World{
+// New returns a simulation of fronts that have just started and of accounts with the given
+// limits, which send no requests yet.
+func New(seed uint64, fronts int, limits map[string]bucket.Limit) *Simulation {
+	sim := &Simulation{
 		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 7)), limits: limits,
-		sent: map[string][]time.Time{}, told: map[string]*Score{}, asks: map[string]float64{},
+		admitted: map[string][]time.Time{}, scores: map[string]*Score{}, programRates: map[string]float64{},
 	}
 	for range fronts {
-		w.fronts = append(w.fronts, nil)
+		sim.fronts = append(sim.fronts, nil)
 	}
 	for i := range fronts {
-		w.start(i)
-		w.after(w.jitter(reportEach), func() { w.report(i) })
+		sim.start(i)
+		sim.after(sim.jitter(reportInterval), func() { sim.report(i) })
 	}
-	for name := range limits {
-		w.told[name] = &Score{}
+	for account := range limits {
+		sim.scores[account] = &Score{}
 	}
-	for _, name := range w.names() {
-		w.after(w.jitter(pause), func() { w.arrive(name) })
+	for _, account := range sim.accountNames() {
+		sim.after(sim.jitter(thinkTime), func() { sim.startProgram(account) })
 	}
-	return w
+	return sim
 }
 
-func (w *World) names() (list []string) {
-	for name := range w.limits {
-		list = append(list, name)
+func (sim *Simulation) accountNames() (list []string) {
+	for account := range sim.limits {
+		list = append(list, account)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// start begins a front's life: it knows nothing.
-func (w *World) start(i int) {
+// start starts or restarts a front without state.
+func (sim *Simulation) start(i int) {
 	f := &front{up: true}
-	f.Tolerance, f.Rand = Tolerance, w.rng.Float64
-	f.Limit(w.now, w.limits)
-	w.fronts[i] = f
+	f.Tolerance, f.Rand = Tolerance, sim.rng.Float64
+	f.Limit(sim.now, sim.limits)
+	sim.fronts[i] = f
 }
 
-func (w *World) after(d time.Duration, do func()) { heap.Push(&w.queue, event{w.now.Add(d), do}) }
+func (sim *Simulation) after(d time.Duration, do func()) {
+	heap.Push(&sim.queue, event{sim.now.Add(d), do})
+}
 
-func (w *World) jitter(d time.Duration) time.Duration {
-	return time.Duration(w.rng.Float64() * float64(d))
+func (sim *Simulation) jitter(d time.Duration) time.Duration {
+	return time.Duration(sim.rng.Float64() * float64(d))
 }
 
-// Run plays for a time.
-func (w *World) Run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(event) //nolint:forcetypeassert // as pushed
-		w.now = e.at
+// Run advances the simulation by d.
+func (sim *Simulation) Run(d time.Duration) {
+	end := sim.now.Add(d)
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
+		e := heap.Pop(&sim.queue).(event) //nolint:forcetypeassert // as pushed
+		sim.now = e.at
 		e.do()
 	}
-	w.now = end
+	sim.now = end
 }
 
-// report has a front say what it let in and hear what the others said.
-func (w *World) report(i int) {
-	w.after(reportEach, func() { w.report(i) })
-	f := w.fronts[i]
+// report sends a front's report of its usage, and updates the front with the reports of the
+// others. Either may be lost.
+func (sim *Simulation) report(i int) {
+	sim.after(reportInterval, func() { sim.report(i) })
+	f := sim.fronts[i]
 	if !f.up {
 		return
 	}
-	if w.rng.Float64() >= lost {
-		f.reported = append(f.reported, said{w.now, f.Used(w.now)})
+	if sim.rng.Float64() >= lossRate {
+		f.reports = append(f.reports, usageReport{sim.now, f.Used(sim.now)})
 	}
-	if w.rng.Float64() >= lost {
-		f.Update(w.now, w.heard(f))
+	if sim.rng.Float64() >= lossRate {
+		f.Update(sim.now, sim.peerUsage(f))
 	}
 }
 
-// heard is what the hubs tell a front: what those of its side have reported to them.
-func (w *World) heard(f *front) bucket.PeerUsage {
-	all := w.sum(f.side)
-	h := bucket.PeerUsage{Used: map[string]int{}, Total: len(w.fronts), Fronts: all.Fronts}
-	own := f.said(w.now)
-	for name, n := range all.Used {
-		h.Used[name] = max(n-own[name], 0)
+// peerUsage returns the update that the hubs send to a front: the sum of the last reports of
+// the other fronts of its partition.
+func (sim *Simulation) peerUsage(f *front) bucket.PeerUsage {
+	all := sim.sumPartition(f.partition)
+	u := bucket.PeerUsage{Used: map[string]int{}, Total: len(sim.fronts), Fronts: all.Fronts}
+	own := f.lastReport(sim.now)
+	for account, n := range all.Used {
+		u.Used[account] = max(n-own[account], 0)
 	}
-	return h
+	return u
 }
 
-// sum adds up what the fronts of a side have reported, a few times a second.
-func (w *World) sum(side int) bucket.PeerUsage {
-	if w.now.Sub(w.summed) > hubTime/3 {
-		w.sums, w.summed = map[int]bucket.PeerUsage{}, w.now
+// sumSide returns the sum of the last reports of the fronts of a partition. It is cached for
+// a third of hubDelay.
+func (sim *Simulation) sumPartition(partition int) bucket.PeerUsage {
+	if sim.now.Sub(sim.partitionUsageAt) > hubDelay/3 {
+		sim.partitionUsage, sim.partitionUsageAt = map[int]bucket.PeerUsage{}, sim.now
 	}
-	if h, done := w.sums[side]; done {
-		return h
+	if u, ok := sim.partitionUsage[partition]; ok {
+		return u
 	}
-	h := bucket.PeerUsage{Used: map[string]int{}}
-	for _, f := range w.fronts {
-		if !f.up || f.side != side {
+	u := bucket.PeerUsage{Used: map[string]int{}}
+	for _, f := range sim.fronts {
+		if !f.up || f.partition != partition {
 			continue
 		}
-		h.Fronts++
-		for name, n := range f.said(w.now) {
-			h.Used[name] += n
+		u.Fronts++
+		for account, n := range f.lastReport(sim.now) {
+			u.Used[account] += n
 		}
 	}
-	w.sums[side] = h
-	return h
+	sim.partitionUsage[partition] = u
+	return u
 }
 
-// said is the last report that has reached the hubs.
-func (f *front) said(now time.Time) map[string]int {
-	for i := len(f.reported) - 1; i >= 0; i-- {
-		if now.Sub(f.reported[i].at) >= hubTime {
-			f.reported = f.reported[i:]
-			return f.reported[0].used
+// lastReport returns the last report that has reached the hubs and drops older ones.
+func (f *front) lastReport(now time.Time) map[string]int {
+	for i := len(f.reports) - 1; i >= 0; i-- {
+		if now.Sub(f.reports[i].at) >= hubDelay {
+			f.reports = f.reports[i:]
+			return f.reports[0].used
 		}
 	}
 	return nil
 }
 
-// arrive begins a program of an account.
-func (w *World) arrive(name string) {
-	rate := w.asks[name]
+// startProgram starts a program of an account and schedules the next.
+func (sim *Simulation) startProgram(account string) {
+	rate := sim.programRates[account]
 	if rate <= 0 {
-		w.after(pause, func() { w.arrive(name) })
+		sim.after(thinkTime, func() { sim.startProgram(account) })
 		return
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() { w.arrive(name) })
-	w.told[name].Programs++
-	w.ask(name, 0, 0)
+	sim.after(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), func() { sim.startProgram(account) })
+	sim.scores[account].Programs++
+	sim.sendRequest(account, 0, 0)
 }
 
-// ask has a program send one of its requests to any front that is up.
-func (w *World) ask(name string, number, try int) {
-	s := w.told[name]
-	f := w.fronts[w.rng.IntN(len(w.fronts))]
+// sendRequest sends a request of a program to a random front. If the front is down, it picks
+// again 20 ms later. If the front refuses, it retries, up to maxTries tries in total.
+func (sim *Simulation) sendRequest(account string, number, try int) {
+	s := sim.scores[account]
+	f := sim.fronts[sim.rng.IntN(len(sim.fronts))]
 	if !f.up {
-		w.after(20*time.Millisecond, func() { w.ask(name, number, try) })
+		sim.after(20*time.Millisecond, func() { sim.sendRequest(account, number, try) })
 		return
 	}
-	v := f.Take(w.now, name, w.Calls || number > 0)
+	v := f.Take(sim.now, account, sim.AllStarted || number > 0)
 	switch {
 	case v.OK:
-		w.sent[name] = append(w.sent[name], w.now)
-		if number+1 == Length {
-			s.Whole++
+		sim.admitted[account] = append(sim.admitted[account], sim.now)
+		if number+1 == RequestsPerProgram {
+			s.Completed++
 			return
 		}
-		w.after(pause/2+w.jitter(pause), func() { w.ask(name, number+1, 0) })
-	case try+1 < tries:
-		s.Turned++
-		w.after(v.RetryAfter, func() { w.ask(name, number, try+1) })
+		sim.after(thinkTime/2+sim.jitter(thinkTime), func() { sim.sendRequest(account, number+1, 0) })
+	case try+1 < maxTries:
+		s.Retried++
+		sim.after(v.RetryAfter, func() { sim.sendRequest(account, number, try+1) })
 	case number == 0:
 		s.Refused++
 	default:
-		s.Broken++
+		s.Aborted++
 	}
 }
 
-// Most is the largest number of requests of an account that were let in within a
-// window, as a part of what the operator tolerates.
-func (w *World) Most(name string) float64 {
-	l := w.limits[name]
+// PeakRatio returns the largest number of requests of an account that were admitted within
+// any window of Tolerance, as a ratio to the number that the limit and Tolerance allow.
+func (sim *Simulation) PeakRatio(account string) float64 {
+	l := sim.limits[account]
 	bound := (l.Rate*Tolerance.Window.Seconds()+l.Burst)*(1+Tolerance.Over) + Tolerance.Slack
-	sent, first, worst := w.sent[name], 0, 0
-	for i, at := range sent {
-		for at.Sub(sent[first]) > Tolerance.Window {
+	admitted, first, worst := sim.admitted[account], 0, 0
+	for i, at := range admitted {
+		for at.Sub(admitted[first]) > Tolerance.Window {
 			first++
 		}
 		worst = max(worst, i-first+1)
--- a/internal/play/flood/flood_test.go
+++ b/internal/play/flood/flood_test.go
@@ -13,134 +13,138 @@
 )
 
 const (
-	settled = 4 * time.Second // until every bucket is full
-	flooded = 6 * time.Second
-	after   = 4 * time.Second
+	settleTime   = 4 * time.Second // until all buckets are full
+	floodTime    = 6 * time.Second
+	recoveryTime = 4 * time.Second
 )
 
 var limits = map[string]bucket.Limit{"small": limit(10), "middle": limit(60), "large": limit(400), "none": {}}
 
-// limit is that of an account with a burst of one second.
+// limit returns a limit with a burst of one second.
 func limit(rate float64) bucket.Limit { return bucket.Limit{Rate: rate, Burst: rate} }
 
-// demand has all accounts ask for so many times their limit.
-func (w *World) demand(x float64) {
-	for name, l := range w.limits {
-		w.asks[name] = x * l.Rate / Length
+// setDemand makes all accounts request x times their limit; the account none, which has no
+// limit, always requests 50 per second.
+func (sim *Simulation) setDemand(x float64) {
+	for name, l := range sim.limits {
+		sim.programRates[name] = x * l.Rate / RequestsPerProgram
 	}
-	w.asks["none"] = 50.0 / Length
+	sim.programRates["none"] = 50.0 / RequestsPerProgram
 }
 
-// harms are what happens to the fronts in a flood.
-var harms = map[string]func(w *World){
-	"nothing":                   func(*World) {},
-	"none is a program's first": func(w *World) { w.Calls = true },
-	"all start anew": func(w *World) {
-		for i := range w.fronts {
-			w.fronts[i].up = false
-			w.after(time.Second+w.jitter(reportEach*3), func() { w.start(i) })
+// faults are events that affect the fronts during a flood. TestLimitHoldsInAnyOrder indexes
+// them sorted by name, so another name can change the sequences of its seeds.
+var faults = map[string]func(sim *Simulation){
+	"nothing":                   func(*Simulation) {},
+	"none is a program's first": func(sim *Simulation) { sim.AllStarted = true },
+	"all start anew": func(sim *Simulation) {
+		for i := range sim.fronts {
+			sim.fronts[i].up = false
+			sim.after(time.Second+sim.jitter(reportInterval*3), func() { sim.start(i) })
 		}
 	},
-	"a third is cut off": func(w *World) {
-		for i := 0; i < len(w.fronts); i += 3 {
-			w.fronts[i].side = 1
-			w.after(flooded/2, func() { w.fronts[i].side = 0 })
+	"a third is cut off": func(sim *Simulation) {
+		for i := 0; i < len(sim.fronts); i += 3 {
+			sim.fronts[i].partition = 1
+			sim.after(floodTime/2, func() { sim.fronts[i].partition = 0 })
 		}
 	},
-	"a fifth is frozen": func(w *World) {
-		for i := 0; i < len(w.fronts); i += 5 {
-			w.fronts[i].up = false
-			w.after(flooded/3, func() { w.fronts[i].up = true })
+	"a fifth is frozen": func(sim *Simulation) {
+		for i := 0; i < len(sim.fronts); i += 5 {
+			sim.fronts[i].up = false
+			sim.after(floodTime/3, func() { sim.fronts[i].up = true })
 		}
 	},
-	"all are cut off": func(w *World) {
-		for i := range w.fronts {
-			w.fronts[i].side = i
-			w.after(flooded, func() { w.fronts[i].side = 0 })
+	"all are cut off": func(sim *Simulation) {
+		for i := range sim.fronts {
+			sim.fronts[i].partition = i
+			sim.after(floodTime, func() { sim.fronts[i].partition = 0 })
 		}
 	},
-	"the limit falls": func(w *World) {
+	"the limit falls": func(sim *Simulation) {
 		next := map[string]bucket.Limit{"small": limit(5), "middle": limit(20), "large": limit(100), "none": {}}
-		for i := range w.fronts {
-			w.after(w.jitter(time.Second), func() { w.fronts[i].Limit(w.now, next) })
+		for i := range sim.fronts {
+			sim.after(sim.jitter(time.Second), func() { sim.fronts[i].Limit(sim.now, next) })
 		}
 	},
 }
 
-// Fronts that don't know of each other's last requests let in more than the account may
-// ask, most of all while they start, freeze or are cut apart in a flood.
+// Guards against exceeding a limit by more than Tolerance. Fronts know each other's usage
+// with a delay, so that together they can admit more than the limit, in particular while
+// they restart, freeze or are partitioned during a flood.
 func TestLimitHolds(t *testing.T) {
-	for harm, do := range harms {
+	for fault, inject := range faults {
 		for _, fronts := range []int{8, 62} {
-			t.Run(fmt.Sprintf("%s, %d fronts", harm, fronts), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d fronts", fault, fronts), func(t *testing.T) {
 				is := is.New(t)
-				w := New(1, fronts, limits)
-				w.demand(0.6)
-				w.Run(settled)
-				w.demand(4.7)
-				w.Run(time.Second)
-				do(w)
-				w.Run(flooded)
-				w.demand(0.6)
-				w.Run(after)
+				sim := New(1, fronts, limits)
+				sim.setDemand(0.6)
+				sim.Run(settleTime)
+				sim.setDemand(4.7)
+				sim.Run(time.Second)
+				inject(sim)
+				sim.Run(floodTime)
+				sim.setDemand(0.6)
+				sim.Run(recoveryTime)
 				for _, name := range []string{"small", "middle", "large"} {
-					is.True(w.Most(name) <= 1) // of what is tolerated in any window
-					is.True(w.told[name].Whole > 0)
+					is.True(sim.PeakRatio(name) <= 1) // 1 is the maximum that Tolerance allows in a window
+					is.True(sim.scores[name].Completed > 0)
 				}
-				is.Equal(w.told["none"].Turned, 0)
+				is.Equal(sim.scores["none"].Retried, 0)
 			})
 		}
 	}
 }
 
-// No order in which accounts flood and fronts die, freeze and are cut apart may let more in
-// than is tolerated.
+// Guards against exceeding Tolerance under random sequences of floods and faults.
 func TestLimitHoldsInAnyOrder(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			w := New(seed, 20, limits)
-			names := slices.Sorted(maps.Keys(harms))
+			sim := New(seed, 20, limits)
+			names := slices.Sorted(maps.Keys(faults))
 			for range 5 {
-				w.demand(5 * w.rng.Float64())
-				w.Run(w.jitter(2 * settled))
-				harms[names[w.rng.IntN(len(names))]](w)
-				w.Run(flooded)
+				sim.setDemand(5 * sim.rng.Float64())
+				sim.Run(sim.jitter(2 * settleTime))
+				faults[names[sim.rng.IntN(len(names))]](sim)
+				sim.Run(floodTime)
 			}
 			for _, name := range []string{"small", "middle", "large"} {
-				is.True(w.Most(name) <= 1)
+				is.True(sim.PeakRatio(name) <= 1)
 			}
 		})
 	}
 }
 
-// Who asks less than the limit is not refused, whatever front it comes to and whatever
-// other accounts ask.
+// No program of an account below its limit may fail, and at most one in 20 of its requests may
+// be refused and retried, whichever fronts receive the requests and however many requests
+// other accounts send.
 func TestBelowTheLimit(t *testing.T) {
 	for _, fronts := range []int{1, 8, 62} {
 		t.Run(fmt.Sprint(fronts), func(t *testing.T) {
 			is := is.New(t)
-			w := New(2, fronts, limits)
-			w.demand(0.6)
-			w.asks["small"] = 0 // a program alone asks nearly as much as its limit while it runs
-			w.Run(settled)
-			w.asks["large"] *= 7.5
-			w.Run(flooded)
+			sim := New(2, fronts, limits)
+			sim.setDemand(0.6)
+			sim.programRates["small"] = 0 // a single running program requests nearly as much as its limit
+			sim.Run(settleTime)
+			sim.programRates["large"] *= 7.5
+			sim.Run(floodTime)
 			for _, name := range []string{"middle"} {
-				s := w.told[name]
-				is.Equal(s.Broken+s.Refused, 0)
-				is.True(s.Turned <= s.Programs*Length/20)
+				s := sim.scores[name]
+				is.Equal(s.Aborted+s.Refused, 0)
+				is.True(s.Retried <= s.Programs*RequestsPerProgram/20)
 			}
-			is.True(w.told["large"].Turned > 0)
+			is.True(sim.scores["large"].Retried > 0)
 		})
 	}
 }
 
-// In a flood the limit goes to programs that end, not to those that die of it in the middle.
+// In a flood the limit must be used for programs that complete, not for programs that are
+// aborted halfway.
 func TestFloodServesWholePrograms(t *testing.T) {
 	cases := map[string]struct {
-		whole  float64 // least part of the limit that goes to whole programs
-		broken float64 // most programs that are begun and broken, for each whole one
+		completed float64 // minimum part of the limit used by completed programs
+		aborted   float64 // maximum number of aborted programs per completed one
 	}{
 		"large":  {0.9, 0.1},
 		"middle": {0.6, 0.5},
@@ -148,40 +152,40 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			const days = 4
+			const runs = 4
 			var sum Score
-			for seed := range uint64(days) {
-				w := New(seed, 62, limits)
-				w.demand(0.6)
-				w.Run(settled)
-				*w.told[name] = Score{}
-				w.demand(4.7)
-				w.Run(2 * flooded)
-				sum.Whole += w.told[name].Whole
-				sum.Broken += w.told[name].Broken
+			for seed := range uint64(runs) {
+				sim := New(seed, 62, limits)
+				sim.setDemand(0.6)
+				sim.Run(settleTime)
+				*sim.scores[name] = Score{}
+				sim.setDemand(4.7)
+				sim.Run(2 * floodTime)
+				sum.Completed += sim.scores[name].Completed
+				sum.Aborted += sim.scores[name].Aborted
 			}
-			allowed := days * limits[name].Rate * (2 * flooded).Seconds() / Length
-			is.True(float64(sum.Whole) >= c.whole*allowed)
-			is.True(float64(sum.Broken) <= c.broken*float64(sum.Whole))
+			allowed := runs * limits[name].Rate * (2 * floodTime).Seconds() / RequestsPerProgram
+			is.True(float64(sum.Completed) >= c.completed*allowed)
+			is.True(float64(sum.Aborted) <= c.aborted*float64(sum.Completed))
 		})
 	}
 }
 
-// After all fronts have started anew, what has begun goes on, and of new programs that ask
-// less than the limit hardly any is lost.
+// After a restart of all fronts, started programs must continue, and at most one in 20 new
+// programs may be refused while the demand is below the limit.
 func TestStartServesAtOnce(t *testing.T) {
 	is := is.New(t)
-	w := New(4, 62, limits)
-	w.demand(0.6)
-	w.Run(settled)
-	harms["all start anew"](w)
-	for _, s := range w.told {
+	sim := New(4, 62, limits)
+	sim.setDemand(0.6)
+	sim.Run(settleTime)
+	faults["all start anew"](sim)
+	for _, s := range sim.scores {
 		*s = Score{}
 	}
-	w.Run(flooded)
+	sim.Run(floodTime)
 	for _, name := range []string{"middle", "large"} {
-		s := w.told[name]
-		is.Equal(s.Broken, 0)
+		s := sim.scores[name]
+		is.Equal(s.Aborted, 0)
 		is.True(s.Refused*20 <= s.Programs)
 	}
 }
