--- a/internal/play/chaos/build.go
+++ b/internal/play/chaos/build.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// process prepares the settings, log and store proxy of process i of a role. It
-// does not start the process.
+// process creates the settings file, log file and store proxy of process i of a
+// role. It does not start the process.
 func (s *Runner) process(ctx context.Context, store, role string, i int, ip string) (*process, error) {
 	p := &Proxy{Target: store}
 	if err := p.Start(ctx, "127.0.0.1"); err != nil {
--- a/internal/play/chaos/caller.go
+++ b/internal/play/chaos/caller.go
@@ -18,8 +18,8 @@
 
 const (
 	attemptTimeout  = 4 * time.Second
-	budget          = 300
-	maxTurnTokens   = 30 // tokens
+	budget          = 300 // tokens of a program
+	maxTurnTokens   = 30  // turnEvents * tokensPerEvent
 	turnEvents      = 10
 	tokensPerEvent  = 3
 	maxOtherSamples = 20
@@ -47,10 +47,10 @@
 		complete     int
 		refused      int
 		other        int
-		otherSamples []string // the first of the other results, for debugging
+		otherSamples []string // the first maxOtherSamples of the other results, for debugging
 	}
 
-	// observed is the result of one attempt at its caller.
+	// observed is the result of one attempt, as its caller received it.
 	observed struct {
 		status     int // 0 if there was no response
 		idempotent bool
@@ -58,8 +58,8 @@
 	}
 )
 
-// record records an attempt. An attempt that failed because ctx ended, at the end
-// of the run, is not counted.
+// record stores the result of an attempt for verify and counts it, unless it failed
+// because ctx ended at the end of the run.
 func (v *tally) record(ctx context.Context, id string, s observed, complete bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -78,8 +78,8 @@
 	}
 }
 
-// reset sets the counters to 0, to exclude attempts made while the processes
-// started.
+// reset sets the counters to 0, so that attempts made while the processes started
+// are not counted. verify still checks these attempts.
 func (v *tally) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -98,8 +98,8 @@
 	}
 }
 
-// program runs 3 to 14 turns, each with up to 5 tries. It returns early if the
-// budget is spent or all tries of a turn failed.
+// program runs 3 to 14 turns, each with up to 5 tries and followed by a call. It
+// returns early if the budget is spent, all tries of a turn failed or ctx ended.
 func (c *caller) program(ctx context.Context, name string) {
 	previous, conversation, spent := "", []byte(nil), 0
 	for turn := range 3 + c.rnd.IntN(12) {
@@ -177,7 +177,8 @@
 	return status, tokens, output, complete
 }
 
-// call sends a call to a plain service.
+// call sends a call to the service plain and verifies the response if it is
+// complete.
 func (c *caller) call(ctx context.Context, id string, safe bool) {
 	path := map[bool]string{true: "/safe/x", false: "/unsafe/x"}[safe]
 	status, body, err := c.send(ctx, http.MethodPost, path, id, http.Header{}, []byte("call"))
@@ -189,7 +190,7 @@
 }
 
 // send sends one attempt. It keeps using the same front, over a persistent
-// connection, until an error; one attempt in 20 chooses a new front.
+// connection, until an error; before one attempt in 20 it chooses a front anew.
 func (c *caller) send(ctx context.Context, method, path, id string, h http.Header, body []byte) (status int, answer []byte, err error) {
 	ctx, stop := context.WithTimeout(ctx, attemptTimeout)
 	defer stop()
@@ -216,8 +217,8 @@
 	return resp.StatusCode, answer, err
 }
 
-// chooseFront sets front to one of the addresses that the directory of a random
-// daemon returns, or to a random one if the query fails.
+// chooseFront asks the directory of a random front and sets c.front to one of the
+// fronts whose addresses it returns, or to a random front if the query fails.
 func (c *caller) chooseFront(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
--- a/internal/play/chaos/chaos.go
+++ b/internal/play/chaos/chaos.go
@@ -1,7 +1,8 @@
-// Package chaos runs the real programs as separate processes on loopback, with
-// fakes of the users' platform, and injects faults while callers send requests:
-// signals, faulty connections through proxies, faults of the store, torn writes
-// and lost disks. It verifies the results at callers and upstreams.
+// Package chaos runs the daemons as separate processes on loopback, with fakes of
+// the store and the upstreams, and injects faults while callers send requests:
+// signals, connection faults at proxies, faults of the store, torn writes and lost
+// disks. It verifies the responses that callers receive against the executions at
+// the upstreams.
 package chaos
 
 import (
@@ -29,11 +30,13 @@
 )
 
 const (
-	host         = "shop.example"
-	lockAddress  = "127.0.1.1:7399" // listened on during a run, to exclude a second one
-	anyPort      = "127.0.0.1:0"
-	basePort     = 7300 // port for callers; the ports for ready and directory follow
-	peerPort     = 7380
+	host        = "shop.example"
+	lockAddress = "127.0.1.1:7399" // occupied during a run, to prevent a concurrent one
+	anyPort     = "127.0.0.1:0"
+	// basePort is the port of fronts for callers; their ready and directory ports
+	// and the control port of VMs with a disk follow.
+	basePort     = 7300
+	peerPort     = 7380 // first of 16 ports for connections between daemons
 	startTimeout = 20 * time.Second
 	// recoverTimeout is the time after the last fault within which all fronts
 	// must serve again.
@@ -56,13 +59,13 @@
 		Disks       int
 		Upstreams   int
 		Callers     int
-		NoFaults    bool // no faults
+		NoFaults    bool // inject no faults
 		StoreOutage bool // one fault only: all processes are restarted while the store is unavailable
 		Dir         string
 		Out         io.Writer
 
 		rnd             *rand.Rand
-		outageRnd       *rand.Rand // separate source, so that outages do not change the other faults of a seed
+		outageRnd       *rand.Rand // separate source, so that outageOdds does not change the faults of a seed before its first outage
 		metakv          metakv.Store
 		runLog          upstrm.RunLog
 		upstreams       []*upstrm.Upstream
@@ -230,9 +233,9 @@
 }
 
 // exclusive returns a function that runs do without overlap with other faults of
-// VMs with a disk, since records survive the loss of one VM at a time. Afterwards
-// it waits, for 20 s at most, until the roster has all replicas again and none is
-// joining.
+// VMs with a disk, since records survive the loss of one VM at a time. Before the
+// next such fault it waits, for 20 s at most, until the roster has all replicas
+// again and none is joining, and then for 2 s.
 func (s *Runner) exclusive(diskMu *sync.Mutex, do func()) func() {
 	return func() {
 		diskMu.Lock()
@@ -283,7 +286,7 @@
 }
 
 // restartAllDuringOutage kills and restarts all processes while the store refuses
-// every call. The outage lasts until then has returned.
+// every call. It calls then before the outage ends.
 func (s *Runner) restartAllDuringOutage(ctx context.Context, then func()) {
 	s.metakv.SetFault(metakv.Busy)
 	defer s.metakv.SetFault(metakv.None)
--- a/internal/play/chaos/process.go
+++ b/internal/play/chaos/process.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// process is one process of the system. Signals are sent to its own process id
-// only.
+// process is one daemon process. Signals are sent to its process ID, not to a
+// process group.
 type process struct {
 	name     string
 	role     string
--- a/internal/play/chaos/proxy.go
+++ b/internal/play/chaos/proxy.go
@@ -21,7 +21,7 @@
 	OneWay
 )
 
-// delay is the delay of each piece of data with Delay.
+// delay is how long Delay holds back each piece of data.
 const delay = 80 * time.Millisecond
 
 type (
@@ -65,8 +65,7 @@
 	return nil
 }
 
-// SetFault switches a fault on, or off with Forward. It affects open connections
-// too.
+// SetFault sets the fault of open and later connections; Forward ends it.
 func (p *Proxy) SetFault(h ProxyFault) { p.fault.Store(int32(h)) }
 
 // Reset closes all connections with a TCP reset.
@@ -119,7 +118,7 @@
 		case h == Delay:
 			time.Sleep(delay)
 		case h == Blackhole, h == OneWay && fromTarget:
-			n = 0 // lost, as with a firewall that has dropped the connection's state
+			n = 0 // discarded without closing the connection, as by a firewall that lost its state
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
--- a/internal/play/flood/flood.go
+++ b/internal/play/flood/flood.go
@@ -15,8 +15,8 @@
 
 const (
 	reportInterval = 100 * time.Millisecond // between two reports of a front
-	hubDelay       = 70 * time.Millisecond  // from a report until it is in the updates of other fronts
-	lossRate       = 0.05                   // part of the reports and of the updates that are lost
+	hubDelay       = 70 * time.Millisecond  // from a report until the updates of other fronts include it
+	lossRate       = 0.05                   // fraction of the reports and of the updates that are lost
 	// RequestsPerProgram is the number of requests of a program.
 	RequestsPerProgram = 10
 	thinkTime          = 120 * time.Millisecond // mean time from a response to the next request of a program
@@ -39,7 +39,7 @@
 		admitted         map[string][]time.Time // times of admitted requests, by account
 		scores           map[string]*Score
 		programRates     map[string]float64       // programs per second, by account
-		partitionUsage   map[int]bucket.PeerUsage // by partition
+		partitionUsage   map[int]bucket.PeerUsage // cache of sumPartition, by partition
 		partitionUsageAt time.Time
 	}
 
@@ -60,7 +60,7 @@
 		Programs  int
 		Completed int // programs whose requests were all admitted
 		Refused   int // programs whose first request was refused maxTries times
-		Aborted   int // programs of which a later request was refused maxTries times
+		Aborted   int // programs that were admitted, but had a later request refused maxTries times
 		Retried   int // refused requests that were sent again
 	}
 
@@ -114,7 +114,7 @@
 	return list
 }
 
-// start starts or restarts a front without state.
+// start starts a front, or restarts it with its state lost.
 func (sim *Simulation) start(i int) {
 	f := &front{up: true}
 	f.Tolerance, f.Rand = Tolerance, sim.rng.Float64
@@ -169,8 +169,8 @@
 	return u
 }
 
-// sumSide returns the sum of the last reports of the fronts of a partition. It is cached for
-// a third of hubDelay.
+// sumPartition returns the sum of the last reports of the fronts of a partition that are up.
+// It is cached for a third of hubDelay.
 func (sim *Simulation) sumPartition(partition int) bucket.PeerUsage {
 	if sim.now.Sub(sim.partitionUsageAt) > hubDelay/3 {
 		sim.partitionUsage, sim.partitionUsageAt = map[int]bucket.PeerUsage{}, sim.now
@@ -192,7 +192,8 @@
 	return u
 }
 
-// lastReport returns the last report that has reached the hubs and drops older ones.
+// lastReport returns the last report that has reached the hubs, sent at least hubDelay ago,
+// and drops older ones.
 func (f *front) lastReport(now time.Time) map[string]int {
 	for i := len(f.reports) - 1; i >= 0; i-- {
 		if now.Sub(f.reports[i].at) >= hubDelay {
@@ -215,8 +216,9 @@
 	sim.sendRequest(account, 0, 0)
 }
 
-// sendRequest sends a request of a program to a random front. If the front is down, it picks
-// again 20 ms later. If the front refuses, it retries, up to maxTries tries in total.
+// sendRequest sends a request of a program to a random front. If that is down, it picks a
+// front again 20 ms later, which does not count as a try. A refused request is sent to a
+// random front again after RetryAfter, up to maxTries tries in total.
 func (sim *Simulation) sendRequest(account string, number, try int) {
 	s := sim.scores[account]
 	f := sim.fronts[sim.rng.IntN(len(sim.fronts))]
@@ -244,7 +246,7 @@
 }
 
 // PeakRatio returns the largest number of requests of an account that were admitted within
-// any window of Tolerance, as a ratio to the number that the limit and Tolerance allow.
+// any Tolerance.Window, as a ratio to the number that the limit and Tolerance allow.
 func (sim *Simulation) PeakRatio(account string) float64 {
 	l := sim.limits[account]
 	bound := (l.Rate*Tolerance.Window.Seconds()+l.Burst)*(1+Tolerance.Over) + Tolerance.Slack
--- a/internal/play/flood/flood_test.go
+++ b/internal/play/flood/flood_test.go
@@ -32,8 +32,8 @@
 	sim.programRates["none"] = 50.0 / RequestsPerProgram
 }
 
-// faults are events that affect the fronts during a flood. TestLimitHoldsInAnyOrder indexes
-// them sorted by name, so another name can change the sequences of its seeds.
+// faults are injected during a flood. TestLimitHoldsInAnyOrder indexes them sorted by name,
+// so that a renamed fault can change the sequence that a seed produces.
 var faults = map[string]func(sim *Simulation){
 	"nothing":                   func(*Simulation) {},
 	"none is a program's first": func(sim *Simulation) { sim.AllStarted = true },
@@ -143,7 +143,7 @@
 // aborted halfway.
 func TestFloodServesWholePrograms(t *testing.T) {
 	cases := map[string]struct {
-		completed float64 // minimum part of the limit used by completed programs
+		completed float64 // minimum fraction of the limit used by completed programs
 		aborted   float64 // maximum number of aborted programs per completed one
 	}{
 		"large":  {0.9, 0.1},
