--- a/internal/edge/server/apply.go
+++ b/internal/edge/server/apply.go
@@ -66,7 +66,7 @@
 }
 
 // AssembleText returns the text and version in force. Its parameter is a
-// watch.Keeper's Answer, which returns only some of the requested chunks at a
+// watch.Syncer's Answer, which returns only some of the requested chunks at a
 // time. Before a configuration is in force, and if a chunk is not available, the
 // text is nil.
 func AssembleText(answer func(watch.Query) watch.Answer) (text []byte, version uint64) {
--- a/internal/front/admit/admit.go
+++ b/internal/front/admit/admit.go
@@ -34,8 +34,8 @@
 
 func (e *NotAdmittedError) Error() string { return "too many turns under way" }
 
-// Wait blocks until a program of the service may begin. WaitUntil is the time until which it
-// may wait; if that has passed, it is admitted or refused at once. The error wraps a
+// Wait blocks until a program of the service may begin. It waits until waitUntil at the
+// latest; if that has passed, the program is admitted or refused at once. The error wraps a
 // *NotAdmittedError or that of the context.
 func (q *Queue) Wait(ctx context.Context, name string, waitUntil time.Time, load gate.Load) (err error) {
 	defer func() { err = errors.Wrap(err, "wait for admission") }()
--- a/internal/front/pick/pick.go
+++ b/internal/front/pick/pick.go
@@ -238,9 +238,9 @@
 }
 
 // Load returns the sums over all upstreams that are not leaving: the requests in flight
-// (Under) and the capacity in requests (Room), which is for each the batch size times
-// share(batch size). It adds the number of daemons, this one included (Fronts), and the age
-// of their reports (News).
+// (InFlight) and the capacity in requests (Capacity), which is for each the batch size times
+// share(batch size). It adds the number of daemons, this one included (Daemons), and the
+// value of Age (Staleness).
 func (p *Picker) Load(list []fleet.Upstream, share func(batch int) float64) (l gate.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/proxy/account.go
+++ b/internal/front/proxy/account.go
@@ -78,7 +78,7 @@
 }
 
 // acquire takes the request from its account's limit. If the limit does not allow it,
-// acquire sends an error response and returns false. MayUseReserve is false
+// acquire sends an error response and returns false. The parameter mayUseReserve is false
 // for the first turn of a program with a budget, which may not use the reserved part of
 // the limit.
 func (q *request) acquire(mayUseReserve bool) bool {
--- a/internal/front/reach/reach.go
+++ b/internal/front/reach/reach.go
@@ -51,7 +51,7 @@
 	}
 )
 
-// Write writes a record. A reservation has CallTimeout, and fails with quorum.ErrUnsure
+// Write writes a record. A reservation has CallTimeout, and fails with quorum.ErrNoQuorum
 // while the holders are unreachable. Other records, the output and the usage of turns, are
 // always written, without a timeout of their own.
 func (b *Breaker) Write(ctx context.Context, rec index.Record) (res quorum.Result, err error) {
@@ -69,7 +69,7 @@
 }
 
 // Read returns a turn and the turns before it, the oldest first, within CallTimeout. It
-// fails with quorum.ErrUnsure while the holders are unreachable.
+// fails with quorum.ErrNoQuorum while the holders are unreachable.
 func (b *Breaker) Read(ctx context.Context, program, turn string) (chain []index.Turn, err error) {
 	if !b.allow(time.Now()) {
 		return nil, quorum.ErrNoQuorum
--- a/internal/node/daemon/peers.go
+++ b/internal/node/daemon/peers.go
@@ -23,7 +23,7 @@
 	"github.com/slaterock/slaterock/internal/prog/runner"
 )
 
-// The methods that daemons call on each other, in addition to shelf.Method, relayed calls and
+// The methods that daemons call on each other, in addition to xfer.Method, relayed calls and
 // gossip packets.
 const (
 	methodConfig = "config.ask"
--- a/internal/node/host/host.go
+++ b/internal/node/host/host.go
@@ -301,7 +301,7 @@
 }
 
 // outcome classifies the error of a creation. An error that does not rule out that the
-// entry was written is chain.Lost.
+// entry was written is jrnl.Unknown.
 func outcome(err error) jrnl.Outcome {
 	var c *store.ConflictError
 	switch {
--- a/internal/peer/swim/probe.go
+++ b/internal/peer/swim/probe.go
@@ -11,7 +11,7 @@
 	downProbeOneIn     = 10            // ticks between probes of a down daemon, on average
 	digestOneIn        = 20            // ticks between digest comparisons, on average
 	startupTicks       = 20            // ticks after the start with more comparisons
-	startupDigestOneIn = 3             // like digestOneIn, during startupRounds
+	startupDigestOneIn = 3             // like digestOneIn, during startupTicks
 	rejoinTicks        = 5             // ticks after a rejoin with more probes of down daemons
 	rejoinProbes       = 3             // down daemons probed at each of these ticks
 	configSettleTime   = 60 * Interval // no regular digest comparisons for so long after a configuration change
--- a/internal/shard/snapio/texts.go
+++ b/internal/shard/snapio/texts.go
@@ -69,9 +69,9 @@
 	return out
 }
 
-// loadTexts reads the list of text locations into f.Older. Each lost holder adds entries that
-// make earlier ones outdated. A list that is mostly outdated is loaded into f.Texts
-// instead, as if the journal had just referred to all texts, so that the next
+// loadTexts reads the list of text locations into f.SnapshotTexts. Each lost holder adds
+// entries that make earlier ones outdated. A list that is mostly outdated is loaded into
+// f.Texts instead, as if the journal had just referred to all texts, so that the next
 // snapshot writes it anew.
 func (s *Snap) loadTexts(ctx context.Context, f *state.Fold) error {
 	entries := 0
