--- a/internal/node/diskd/claim.go
+++ b/internal/node/diskd/claim.go
@@ -15,7 +15,7 @@
 // milliseconds.
 const aliveTimeout = 300 * time.Millisecond
 
-// trackMissing records since when nodes with a place have not been listed. It starts over
+// trackMissing records since when the nodes of replicas have not been listed. It starts over
 // during returnGrace after an outage of the store: all keys may have lapsed in it, also those
 // of live daemons.
 func (d *Daemon) trackMissing(s discov.State) {
@@ -41,8 +41,8 @@
 	d.missing = next
 }
 
-// takeOverDelay is how long a VM must be missing before this one takes its place.
-func (d *Daemon) takeOverDelay() time.Duration {
+// takeoverDelay is how long a replica's VM must be missing before this VM replaces it.
+func (d *Daemon) takeoverDelay() time.Duration {
 	if d.isNew() {
 		return roster.TakeoverDelayEmptyDisk
 	}
@@ -52,25 +52,25 @@
 // isNew reports whether this VM started with an empty disk less than newVMTime ago.
 func (d *Daemon) isNew() bool { return d.emptyDisk && time.Since(d.started) < newVMTime }
 
-// claim takes a place if there is one to take, and reports whether it did.
+// claim makes this VM a joining replica if it can become one, and reports whether it did.
 func (d *Daemon) claim(ctx context.Context, s discov.State) bool {
 	now := time.Now()
-	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay()); !ok {
+	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeoverDelay()); !ok {
 		return false
 	}
 	d.excludeLive(ctx, s.Roster)
-	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay()); !ok {
+	if _, ok := s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeoverDelay()); !ok {
 		return false
 	}
 	return d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
 		d.trackMissing(s)
-		return s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeOverDelay())
+		return s.Roster.Claim(now, d.self(), s.Members, d.missing, d.takeoverDelay())
 	}, "place claimed")
 }
 
-// excludeLive removes from d.missing the VMs that answer and still have the disk of their place.
-// A live VM may be unlisted because the store refuses its calls, or because its key lapsed in an
-// outage before this VM started. Its place would be taken while it serves, and all records
+// excludeLive removes from d.missing the VMs of replicas that answer with the replica's disk
+// ID. A live VM may be unlisted because the store refuses its calls, or because its key lapsed
+// in an outage before this VM started. It would be replaced while it serves, and all records
 // copied needlessly.
 func (d *Daemon) excludeLive(ctx context.Context, r roster.Roster) {
 	alive := make([]bool, len(r.Replicas))
@@ -83,17 +83,17 @@
 	work.Wait()
 	for i, p := range r.Replicas {
 		if alive[i] {
-			d.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(d.missing[p.Node])).Msg("place not claimed: its VM is not listed in the store but answers")
+			d.Log.Warn().Str("peer", p.Node).Dur("missing_ms", time.Since(d.missing[p.Node])).Msg("replica not replaced: its VM is not listed in the store but answers")
 			delete(d.missing, p.Node)
 		}
 	}
 }
 
-// isAlive reports whether the VM of a place answers and still has the disk of that place.
+// isAlive reports whether the replica's VM answers and its disk still has the replica's disk ID.
 func (d *Daemon) isAlive(ctx context.Context, p roster.Replica) bool {
 	ctx, stop := context.WithTimeout(ctx, aliveTimeout)
 	defer stop()
-	var life string
-	err := link.InvokeTyped(ctx, d.peers()(p.Address), recsrv.MethodDiskID, struct{}{}, &life)
-	return err == nil && life == p.DiskID
+	var diskID string
+	err := link.InvokeTyped(ctx, d.peers()(p.Address), recsrv.MethodDiskID, struct{}{}, &diskID)
+	return err == nil && diskID == p.DiskID
 }
--- a/internal/node/diskd/diskd.go
+++ b/internal/node/diskd/diskd.go
@@ -1,6 +1,7 @@
 // Package diskd is the daemon of a VM with a disk, which holds durable records: it serves
-// the daemons that serve callers (fronts), keeps the VM registered in the store, and keeps
-// the places of the roster filled.
+// the daemons that serve callers (fronts), keeps the VM registered in the store, and takes
+// part in keeping the roster complete: the VM becomes a replica, replaces a lost one, or
+// resigns.
 package diskd
 
 import (
@@ -25,28 +26,28 @@
 )
 
 const (
-	// rosterInterval is the pause between checks of the roster. A place that lost its
-	// VM must be filled within about four seconds of the new VM's start.
+	// rosterInterval is the pause between checks of the roster. A lost replica must be
+	// replaced within about four seconds of the new VM's start.
 	rosterInterval = 400 * time.Millisecond
-	// idleInterval is the pause between checks of a VM that has no place and is not among the
-	// first activeStandbys VMs in line for one. Of 24 VMs 16 are idle in this sense; with
-	// rosterInterval their checks would be a fifth of the store's calls on a day at low
-	// load. Several VMs in line check often, since the first may be lost together with the VM
-	// of a place, and the one that claims the place must have tracked for some time that its
-	// VM is missing.
+	// idleInterval is the pause between checks of a VM that is not a replica and not among the
+	// first activeStandbys VMs in line to become one. Of 24 VMs 16 are idle in this sense;
+	// with rosterInterval their checks would be a fifth of the store's calls on a day at low
+	// load. Several VMs in line check often, since the first may be lost together with a
+	// replica's VM, and the one that replaces the replica must have tracked for some time
+	// that its VM is missing.
 	idleInterval   = 2 * time.Second
 	activeStandbys = 3
 	// operatorInterval is the shortest interval between reads of the operator's requests
 	// to empty VMs. freshInterval is the shortest interval between reads that are not stale,
-	// by the VM that is first in line for a place; a new VM makes one at every check. Such a
-	// read costs as much as ten stale ones.
+	// by the VM that is first in line to become a replica; if it is new, it makes one at
+	// every check. Such a read costs as much as ten stale ones.
 	operatorInterval = 1200 * time.Millisecond
 	freshInterval    = 900 * time.Millisecond
 	// returnGrace is how long after an outage of the store no VM counts as missing:
 	// daemons write their keys again within about two seconds.
 	returnGrace = 2500 * time.Millisecond
-	// handOverDelay is how long a VM that is to be emptied waits for another to take
-	// its place before it hands its records over to the remaining places.
+	// handOverDelay is how long a VM that is to be emptied waits for another to
+	// replace it before it hands its records over to the remaining replicas and resigns.
 	handOverDelay = 2 * time.Second
 	// newVMTime is how long a VM that started with an empty disk counts as new: longer than
 	// the lease of its predecessor's key lasts.
@@ -93,7 +94,7 @@
 		freshReadAt    time.Time            // last read that was not stale
 		storeDown      bool                 // the last scan failed
 		storeUpAt      time.Time            // when it was available again
-		missing        map[string]time.Time // nodes with a place: since when they have not been listed
+		missing        map[string]time.Time // nodes of replicas: since when they have not been listed
 		joining        bool                 // a join is in progress
 		caughtUp       bool                 // the disk has what was written while this process did not run
 		joinResult     chan error
@@ -159,8 +160,8 @@
 	}
 }
 
-// self returns this VM's entry for the store. Its life identifies the contents of the disk: a
-// disk that is empty at the start gets a new one.
+// self returns this VM's entry for the store. The disk ID identifies the contents of the disk:
+// a disk that is empty at the start gets a new one.
 func (d *Daemon) self() roster.Member {
 	return roster.Member{
 		Node: d.Settings.Node, Address: d.Settings.Address, Domain: d.Settings.Domain, DiskID: d.recsrv.DiskID(), Retiring: d.retiring.Load(),
@@ -192,7 +193,7 @@
 	}
 }
 
-// checkLoop keeps the places of the roster filled, until ctx ends.
+// checkLoop checks the roster and does this VM's part in keeping it complete, until ctx ends.
 func (d *Daemon) checkLoop(ctx context.Context) {
 	for {
 		d.check(ctx)
@@ -206,8 +207,8 @@
 // soon, or does not know the roster yet.
 func (d *Daemon) nextInterval() time.Duration {
 	s := d.discov.State()
-	_, placed := s.Roster.Find(d.recsrv.DiskID())
-	if placed || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.ClaimPosition(d.self(), s.Members) < activeStandbys {
+	_, isReplica := s.Roster.Find(d.recsrv.DiskID())
+	if isReplica || d.storeDown || s.Roster.Version == 0 || d.isNew() || d.retiring.Load() || s.Roster.ClaimPosition(d.self(), s.Members) < activeStandbys {
 		return rosterInterval
 	}
 	return idleInterval
@@ -215,10 +216,10 @@
 
 func (d *Daemon) check(ctx context.Context) {
 	// A stale read may be seconds old, which matters only to the VM that is first in line
-	// for a place.
+	// to become a replica.
 	known := d.discov.State()
-	_, placed := known.Roster.Find(d.recsrv.DiskID())
-	stale := placed || !d.isNew() && time.Since(d.freshReadAt) < freshInterval || !known.Roster.IsNextClaimant(d.self(), known.Members)
+	_, isReplica := known.Roster.Find(d.recsrv.DiskID())
+	stale := isReplica || !d.isNew() && time.Since(d.freshReadAt) < freshInterval || !known.Roster.IsNextClaimant(d.self(), known.Members)
 	if !stale {
 		d.freshReadAt = time.Now()
 	}
@@ -247,23 +248,23 @@
 		s = d.discov.State()
 	default:
 	}
-	place, in := s.Roster.Find(d.recsrv.DiskID())
+	replica, in := s.Roster.Find(d.recsrv.DiskID())
 	switch {
 	case s.Roster.Version == 0:
 		d.createRoster(ctx)
-	case in && place.Joining:
+	case in && replica.Joining:
 		d.startJoin(ctx, s.Roster)
 	case in && !d.caughtUp:
 		d.startJoin(ctx, s.Roster)
-	case in && place.Address != d.Settings.Address:
+	case in && replica.Address != d.Settings.Address:
 		d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) { return s.Roster.WithAddress(d.self()), true }, "moved")
 	case !in && d.claim(ctx, s):
 		d.startJoin(ctx, d.discov.Roster())
 	}
 }
 
-// createRoster writes the first roster once as many VMs are listed as it has places, or once
-// this VM has waited for roster.Gather.
+// createRoster writes the first roster once as many VMs are listed as it may have replicas, or
+// once this daemon has run for roster.BootstrapWait.
 func (d *Daemon) createRoster(ctx context.Context) {
 	s := d.discov.State()
 	waited := time.Since(d.started) >= roster.BootstrapWait
@@ -309,7 +310,7 @@
 		return
 	}
 	d.joining = true
-	d.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other places")
+	d.Log.Info().Uint64("roster", r.Version).Msg("copying records from the other replicas")
 	go func() { d.joinResult <- d.recsrv.CatchUp(ctx, r, d.peers()) }()
 }
 
@@ -327,12 +328,12 @@
 		return
 	}
 	d.caughtUp = true
-	life := d.recsrv.DiskID()
-	if p, in := d.discov.Roster().Find(life); !in || !p.Joining {
+	diskID := d.recsrv.DiskID()
+	if p, in := d.discov.Roster().Find(diskID); !in || !p.Joining {
 		return
 	}
 	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
-		p, in := s.Roster.Find(life)
-		return s.Roster.WithJoined(life), in && p.Joining
+		p, in := s.Roster.Find(diskID)
+		return s.Roster.WithJoined(diskID), in && p.Joining
 	}, "joined")
 }
--- a/internal/node/diskd/diskd_test.go
+++ b/internal/node/diskd/diskd_test.go
@@ -58,7 +58,7 @@
 	s.items[key] = store.Entry{Key: key, Data: data, Rev: s.rev}
 }
 
-// list writes a VM's key, or removes it.
+// setListed writes a VM's key, or removes it.
 func (s *memStore) setListed(m roster.Member, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,15 +93,15 @@
 	alive  map[string]diskPeer // of the VMs that answer, by address
 }
 
-// diskPeer is another VM with a disk, which answers with this life; an empty one does not answer.
+// diskPeer is another VM with a disk, which answers with this disk ID; an empty one does not answer.
 type diskPeer string
 
-func (l diskPeer) Invoke(_ context.Context, _ string, _, out any) error {
+func (p diskPeer) Invoke(_ context.Context, _ string, _, out any) error {
 	raw, ok := out.(*link.Raw)
-	if l == "" || !ok {
+	if p == "" || !ok {
 		return link.ErrUnresponsive
 	}
-	data, err := cbor.Marshal(string(l))
+	data, err := cbor.Marshal(string(p))
 	*raw = data
 	return err
 }
@@ -169,7 +169,7 @@
 	return s
 }
 
-// started lists all four VMs and gives the places to a, b and c.
+// started lists all four VMs and writes a roster with a, b and c as replicas.
 func (f *fixture) started() {
 	for _, m := range others() {
 		f.s.setListed(m, true)
@@ -182,9 +182,9 @@
 	is.New(f.t).Equal(f.nodes(), "abc")
 }
 
-// Dozens of VMs have a disk and few of them hold records. If each of the others checked for a
-// free place at short intervals, these reads would be most of the store's load. The first
-// standbys in line must check often, and the ones after them once they move up.
+// Dozens of VMs have a disk and few of them are replicas. If each of the others checked the
+// roster at short intervals, these reads would be most of the store's load. The first standbys
+// in line must check often, and the ones after them once they move up.
 func TestCheckIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -213,10 +213,9 @@
 	})
 }
 
-// A VM that holds records and the first standby in line are partitioned together, and the
-// standby's key lapses two seconds later. The second standby must have tracked since when the
-// VM is missing, and take the place as soon as that key has lapsed: one more loss could not be
-// tolerated.
+// A replica's VM and the first standby in line are partitioned together, and the standby's key
+// lapses two seconds later. The second standby must have tracked since when the replica's VM is
+// missing, and replace it as soon as that key has lapsed: one more loss could not be tolerated.
 func TestFirstStandbyIsLostToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -248,8 +247,8 @@
 	})
 }
 
-// A VM with a disk is lost permanently. Another must take its place within seconds, or the
-// next loss loses records.
+// The VM of a replica is lost permanently. Another must replace it within seconds, or the next
+// loss loses records.
 func TestPlaceOfLostVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -263,8 +262,8 @@
 	})
 }
 
-// A new VM replaces one that is lost. It must take the place sooner than a standby would: until
-// it has the records, one more loss could not be tolerated.
+// A new VM is started in place of a lost one. It must become a replica sooner than a standby
+// would: until it has the records, one more loss could not be tolerated.
 func TestPlaceForANewVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -279,7 +278,7 @@
 	})
 }
 
-// A killed process restarts within two seconds. Taking its place would copy all records
+// A killed process restarts within two seconds. Replacing its VM would copy all records
 // needlessly.
 func TestPlaceOfRestartedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -293,8 +292,8 @@
 	})
 }
 
-// All keys lapsed in an outage of the store, although the VMs are alive. None of their places
-// may be taken while they write their keys again.
+// All keys lapsed in an outage of the store, although the VMs are alive. None of them may be
+// replaced while they write their keys again.
 func TestKeysThatLapsedInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -315,8 +314,8 @@
 }
 
 // A VM with an empty disk starts just after an outage in which all keys lapsed, or while the
-// store refuses the calls of other VMs. It has not seen the outage, and must not take the place
-// of a live VM; one that is lost, or has lost its disk, must still be replaced.
+// store refuses the calls of other VMs. It has not seen the outage, and must not replace a
+// live VM; one that is lost, or has lost its disk, must still be replaced.
 func TestPlaceOfUnlistedVM(t *testing.T) {
 	cases := map[string]struct {
 		alive map[string]diskPeer
@@ -346,7 +345,7 @@
 }
 
 // The operator requests that a VM is emptied, and discards its disk as soon as "complete" is
-// reported. That must not happen while the VM has a place, or while another is still copying.
+// reported. That must not happen while the VM is a replica, or while another is still copying.
 func TestRetire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -364,7 +363,7 @@
 		f.s.setListed(spare, true)
 		f.op.want["d"] = true
 		f.runFixed(3 * time.Second)
-		is.Equal(f.op.reports, []bool{false}) // c can take the place
+		is.Equal(f.op.reports, []bool{false}) // c can replace d
 		r = r.WithJoined("")
 		r.Replicas[2] = roster.Replica{Node: "c", DiskID: "3", Joining: true}
 		set()
--- a/internal/node/diskd/retire.go
+++ b/internal/node/diskd/retire.go
@@ -8,8 +8,8 @@
 	"github.com/slaterock/slaterock/internal/node/discov"
 )
 
-// checkRetirement reads whether the operator wants this VM emptied, gives its place up if no
-// other VM can take it, and reports the progress.
+// checkRetirement reads whether the operator wants this VM emptied, resigns as replica if no
+// other VM can replace it, and reports the progress.
 func (d *Daemon) checkRetirement(ctx context.Context, s discov.State) {
 	if time.Since(d.operatorReadAt) < operatorInterval {
 		return
@@ -31,7 +31,7 @@
 	}
 	_, in := s.Roster.Find(d.recsrv.DiskID())
 	if in && time.Since(d.retiringSince) > handOverDelay && !hasSpare(s) {
-		d.giveUpPlace(ctx)
+		d.resign(ctx)
 	}
 	complete := !in && s.Roster.Version > 0 && !joining(s.Roster)
 	state := map[bool]string{true: "complete", false: "running"}[complete]
@@ -45,7 +45,8 @@
 	}
 }
 
-// hasSpare reports whether a VM without a place could take this one's, or is joining already.
+// hasSpare reports whether a VM that is not a replica could replace this one, or a replica is
+// joining already.
 func hasSpare(s discov.State) bool {
 	for _, m := range s.Members {
 		if _, in := s.Roster.Find(m.DiskID); !in && !m.Retiring {
@@ -64,13 +65,13 @@
 	return false
 }
 
-// giveUpPlace removes this VM's place from the roster where no other VM can take it. All
-// records are copied to the remaining places first, so that each of them holds everything.
-// With only as many places as a write needs it does nothing.
-func (d *Daemon) giveUpPlace(ctx context.Context) {
+// resign removes this VM from the roster where no other VM can replace it. Its records are
+// copied to each remaining replica first, so that a write quorum still holds every acknowledged
+// record. With only as many replicas as a write needs it does nothing.
+func (d *Daemon) resign(ctx context.Context) {
 	r := d.discov.Roster()
 	if len(r.Replicas) <= r.WriteQuorum() {
-		return // with fewer places a loss could not be tolerated
+		return // with fewer replicas a loss could not be tolerated
 	}
 	d.recsrv.Freeze(true)
 	if err := d.recsrv.CopyToOthers(ctx, r, d.peers()); err != nil {
@@ -78,9 +79,9 @@
 		d.Log.Warn().Err(err).Msg("records not handed over")
 		return
 	}
-	life := d.recsrv.DiskID()
+	diskID := d.recsrv.DiskID()
 	d.updateRoster(ctx, func(s discov.State) (roster.Roster, bool) {
-		_, in := s.Roster.Find(life)
-		return s.Roster.Without(life), in && s.Roster.Version == r.Version
+		_, in := s.Roster.Find(diskID)
+		return s.Roster.Without(diskID), in && s.Roster.Version == r.Version
 	}, "place given up")
 }
