--- a/internal/node/discov/discov.go
+++ b/internal/node/discov/discov.go
@@ -1,6 +1,6 @@
 // Package discov is service discovery through the platform's store: it reads which daemons
-// serve callers (fronts), which VMs have a disk, and the roster of the places that hold
-// records.
+// serve callers (fronts), which VMs have a disk, and the roster, which lists the replicas of
+// the records.
 //
 // Scan reads the keys; a stale read is cheap and may be seconds old. Rescan makes one that is
 // not stale. Apply takes keys that were read elsewhere.
--- a/internal/node/frontd/backup.go
+++ b/internal/node/frontd/backup.go
@@ -14,7 +14,7 @@
 	"github.com/slaterock/slaterock/internal/peer/pause"
 )
 
-// A front has no disk. It backs its state up on the VMs with a place in the roster, and
+// A front has no disk. It backs its state up on the VMs of the roster's replicas, and
 // restores it from its seeds if the store does not answer at its start. Without this, if all
 // fronts restart during an outage of the store, no caller is served until the store is
 // available again.
@@ -48,7 +48,7 @@
 	}
 )
 
-// backUp sends the present state to the VMs with a place in the roster whose backup differs.
+// backUp sends the present state to the replicas' VMs whose backup differs.
 func (d *Daemon) backUp(ctx context.Context) {
 	r := d.discov.Roster()
 	next := stamp{hash: d.fleet.View().Hash, roster: r.Version, at: time.Now()}
@@ -61,16 +61,16 @@
 	}()
 }
 
-// begin returns the addresses of the places that the next state is to be sent to. If there
+// begin returns the addresses of the replicas that the next state is to be sent to. If there
 // are any, end must be called afterwards.
-func (b *backups) begin(places []roster.Replica, next stamp) (stale []string) {
+func (b *backups) begin(replicas []roster.Replica, next stamp) (stale []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sending {
 		return nil
 	}
 	least := max(minBackupInterval, time.Duration(b.size)*time.Second/maxBackupRate)
-	for _, p := range places {
+	for _, p := range replicas {
 		was := b.last[p.Address]
 		same := was.hash == next.hash && was.roster == next.roster
 		if !same && next.at.Sub(was.at) >= least {
--- a/internal/node/frontd/backup_test.go
+++ b/internal/node/frontd/backup_test.go
@@ -10,9 +10,9 @@
 	"github.com/slaterock/slaterock/internal/front/fleet"
 )
 
-// Upstreams change constantly, and a disk is replaced by an empty one. Each VM with a disk
-// must get the newest state, but not 30 kB at every change, and one that did not confirm must
-// be sent it again.
+// Upstreams change constantly, and a disk is replaced by an empty one. Each replica must
+// get the newest state, but not 30 kB at every change, and one that did not confirm must be
+// sent it again.
 func TestBackupRecipients(t *testing.T) {
 	start := time.Unix(1000, 0)
 	state := func(hash, version uint64, after time.Duration) stamp {
@@ -37,9 +37,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := backups{last: c.before}
-			places := []roster.Replica{{Address: "a"}, {Address: "b"}}
-			is.Equal(b.begin(places, c.next), c.want)
-			is.Equal(len(b.begin(places, c.next)), 0) // being sent already, or nothing to send
+			replicas := []roster.Replica{{Address: "a"}, {Address: "b"}}
+			is.Equal(b.begin(replicas, c.next), c.want)
+			is.Equal(len(b.begin(replicas, c.next)), 0) // being sent already, or nothing to send
 		})
 	}
 }
--- a/internal/node/frontd/directory.go
+++ b/internal/node/frontd/directory.go
@@ -73,7 +73,7 @@
 }
 
 // directoryEntries returns the fronts that the directory names, fanout.size of them at most:
-// those that are alive, not leaving and reach the record holders; if none reaches them, all
+// those that are alive, not leaving and reach the record servers; if none reaches them, all
 // that are alive and not leaving. A front that hears from less than half of the others is
 // partitioned itself and takes all of them as alive.
 func (d *Daemon) directoryEntries() (healthy []fleet.Entry) {
--- a/internal/node/frontd/frontd.go
+++ b/internal/node/frontd/frontd.go
@@ -46,7 +46,7 @@
 	// distant regions.
 	dialTimeout    = 300 * time.Millisecond
 	maxDialBackoff = 300 * time.Millisecond
-	// probeInterval is the pause between checks whether the record holders are reachable.
+	// probeInterval is the pause between checks whether the record servers are reachable.
 	probeInterval = 200 * time.Millisecond
 )
 
@@ -242,7 +242,7 @@
 	d.Log.Info().Err(err).Int64("active", d.proxy.Active()).Msg("drained")
 }
 
-// probe checks whether the record holders are reachable and logs changes.
+// probe checks whether the record servers are reachable and logs changes.
 func (d *Daemon) probe(ctx context.Context) {
 	down := false
 	for pause.For(ctx, probeInterval) {
