--- a/internal/fake/model/answer.go
+++ b/internal/fake/model/answer.go
@@ -29,7 +29,7 @@
 	return b.String()[:tokens*charsPerToken]
 }
 
-// lastMessage returns the first excerptBytes bytes of the last message's text,
+// lastMessageExcerpt returns the first excerptBytes bytes of the last message's text,
 // without invalid UTF-8.
 func lastMessageExcerpt(body []byte) string {
 	var b struct {
